--- a/cmd/banksailctl/explain.go
+++ b/cmd/banksailctl/explain.go
@@ -70,7 +70,7 @@
 	table := tabwriter.NewWriter(e.output, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "AFTER\tWHAT\tATTEMPT\tSERVER\tRANGE")
 	for _, step := range explanation.Steps {
-		_, _ = fmt.Fprintf(table, "%v\t%s\t%s\t%s\t%s\n", step.At, step.What, attemptText(step), step.Server, rangeText(step))
+		_, _ = fmt.Fprintf(table, "%v\t%s\t%s\t%s\t%s\n", step.At, step.Event, attemptText(step), step.Server, rangeText(step))
 	}
 	_ = table.Flush()
 }
--- a/dispatch/action.go
+++ b/dispatch/action.go
@@ -9,7 +9,7 @@
 // Action is something that the owner must do; Step returns them in order.
 type Action interface{ action() }
 
-// Send asks a server. The owner reports back exactly one Replied or Failed for
+// Send asks a server. The owner reports back exactly one AttemptReplied or AttemptFailed for
 // the attempt, also after a Cancel.
 type Send struct {
 	Attempt  AttemptID
@@ -34,11 +34,11 @@
 	Outcome Outcome
 }
 
-// Wake asks the owner for a Woken event at the given time. A later Wake
+// SetTimer asks the owner for a TimerFired event at the given time. A later one
 // replaces an earlier one.
-type Wake struct{ At time.Duration }
+type SetTimer struct{ At time.Duration }
 
-func (Send) action()   {}
-func (Cancel) action() {}
-func (Finish) action() {}
-func (Wake) action()   {}
+func (Send) action()     {}
+func (Cancel) action()   {}
+func (Finish) action()   {}
+func (SetTimer) action() {}
--- a/dispatch/configure.go
+++ b/dispatch/configure.go
@@ -48,7 +48,7 @@
 	for i := range sorted {
 		kept[i] = sorted[i].Headroom
 	}
-	shares := limit.Headroom(kept, d.options.LeastClassShare)
+	shares := limit.Headroom(kept, d.options.MinimumClassShare)
 	for _, old := range d.ranked {
 		old.rank = max(len(sorted)-1, 0)
 	}
@@ -130,7 +130,7 @@
 		s = before[settings.ID]
 		if s == nil {
 			s = &server{
-				state: d.states[settings.ID], hearBy: d.now + d.options.HearingTime,
+				state: d.states[settings.ID], hearBy: d.now + d.options.FirstReportTimeout,
 				limiter: limit.New(settings.Slots, d.options.LimitPolicy),
 			}
 			delete(d.states, settings.ID)
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -99,21 +99,21 @@
 
 func (d *Dispatcher) take(event Event) {
 	switch event := event.(type) {
-	case Arrived:
+	case QueryArrived:
 		d.arrive(event.Query)
 	case CallerGone:
 		d.callerGone(event.Query)
-	case Replied:
+	case AttemptReplied:
 		d.replied(event.Attempt, event.Reply)
-	case Failed:
+	case AttemptFailed:
 		d.failed(event)
-	case Woken:
+	case TimerFired:
 		d.wakeAt = never
 	case Configured:
 		d.configure(event)
 	case ServerChanged:
 		d.serverChanged(event)
-	case Observed:
+	case ServerReported:
 		d.observed(event)
 	case NodesChanged:
 		d.nodesChanged(event.Live)
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -36,14 +36,14 @@
 	d.Step(0, c)
 	for _, g := range c.Service.Groups {
 		for _, s := range g.Servers {
-			d.Step(0, Observed{Server: s.ID, Snapshots: []SnapshotID{7}})
+			d.Step(0, ServerReported{Server: s.ID, Snapshots: []SnapshotID{7}})
 		}
 	}
 	return d
 }
 
-func ask(id QueryID) Arrived {
-	return Arrived{Query: Query{ID: id, Class: "urgent", Remaining: 100 * time.Millisecond, Repeatable: true}}
+func ask(id QueryID) QueryArrived {
+	return QueryArrived{Query: Query{ID: id, Class: "urgent", Remaining: 100 * time.Millisecond, Repeatable: true}}
 }
 
 func sends(actions []Action) []Send {
@@ -66,8 +66,8 @@
 	return found
 }
 
-func done(s Send) Replied {
-	return Replied{Attempt: s.Attempt, Reply: Reply{Status: ReplyDone, Snapshot: s.Snapshot, Range: s.Range}}
+func done(s Send) AttemptReplied {
+	return AttemptReplied{Attempt: s.Attempt, Reply: Reply{Status: ReplyDone, Snapshot: s.Snapshot, Range: s.Range}}
 }
 
 func TestQueryOverEveryGroupIsComplete(t *testing.T) {
@@ -108,7 +108,7 @@
 	d := started(Options{}, 2, 2)
 	sent := sends(d.Step(0, ask(1)))
 	d.Step(time.Millisecond, done(sent[0]))
-	ended := finishes(d.Step(100*time.Millisecond, Woken{}))
+	ended := finishes(d.Step(100*time.Millisecond, TimerFired{}))
 	if len(ended) != 1 || ended[0].Outcome.Reason != ReasonDeadline || ended[0].Outcome.Coverage != 0.5 {
 		t.Fatalf("got %+v", ended)
 	}
@@ -120,11 +120,11 @@
 		q := ask(1)
 		q.Query.Repeatable = false
 		first := sends(d.Step(0, q))
-		second := sends(d.Step(0, Replied{Attempt: first[0].Attempt, Reply: Reply{Status: status}}))
+		second := sends(d.Step(0, AttemptReplied{Attempt: first[0].Attempt, Reply: Reply{Status: status}}))
 		if len(second) != 1 || second[0].Server == first[0].Server {
 			t.Fatalf("status %d: retried at %+v", status, second)
 		}
-		last := d.Step(0, Replied{Attempt: second[0].Attempt, Reply: Reply{Status: status}})
+		last := d.Step(0, AttemptReplied{Attempt: second[0].Attempt, Reply: Reply{Status: status}})
 		if len(sends(last)) != 0 {
 			t.Fatalf("status %d: sent again at once", status)
 		}
@@ -142,7 +142,7 @@
 	q := ask(1)
 	q.Query.Repeatable = false
 	first := sends(d.Step(0, q))
-	actions := d.Step(0, Failed{Attempt: first[0].Attempt, Delivery: DeliveryUnknown})
+	actions := d.Step(0, AttemptFailed{Attempt: first[0].Attempt, Delivery: DeliveryUnknown})
 	if len(sends(actions)) != 0 {
 		t.Fatal("sent again")
 	}
--- a/dispatch/environment.go
+++ b/dispatch/environment.go
@@ -69,13 +69,13 @@
 	return choice.ID, ok && choice.Keys > keys
 }
 
-// Typical implements gather.Environment.
-func (e *environment) Typical() time.Duration {
+// TypicalLatency implements gather.Environment.
+func (e *environment) TypicalLatency() time.Duration {
 	return e.latencies.Quantile(e.options.TypicalQuantile)
 }
 
-// Expected implements gather.Environment.
-func (e *environment) Expected(s *gather.Segment) time.Duration {
+// ExpectedLatency implements gather.Environment.
+func (e *environment) ExpectedLatency(s *gather.Segment) time.Duration {
 	usual := float64(e.latencies.Quantile(medianQuantile))
 	least := math.Inf(1)
 	for _, replica := range s.Group.(*group).servers {
@@ -99,8 +99,8 @@
 	return backoff + time.Duration(e.random.Float64()*float64(backoff)/2)
 }
 
-// NextAttempt implements gather.Environment.
-func (e *environment) NextAttempt() AttemptID {
+// NextAttemptID implements gather.Environment.
+func (e *environment) NextAttemptID() AttemptID {
 	e.last++
 	return e.last
 }
--- a/dispatch/event.go
+++ b/dispatch/event.go
@@ -29,28 +29,28 @@
 // Event is something that happened; Step takes one.
 type Event interface{ event() }
 
-// Arrived reports a caller's request.
-type Arrived struct{ Query Query }
+// QueryArrived reports a caller's request.
+type QueryArrived struct{ Query Query }
 
 // CallerGone reports that the caller of a query no longer waits.
 type CallerGone struct{ Query QueryID }
 
-// Replied reports a server's well-formed reply to an attempt.
-type Replied struct {
+// AttemptReplied reports a server's well-formed reply to an attempt.
+type AttemptReplied struct {
 	Attempt AttemptID
 	Reply   Reply
 }
 
-// Failed reports that an attempt ended without a well-formed reply.
-type Failed struct {
+// AttemptFailed reports that an attempt ended without a well-formed reply.
+type AttemptFailed struct {
 	Attempt  AttemptID
 	Delivery Delivery
 	// Reason is a short text for the explanation.
 	Reason string
 }
 
-// Woken reports that the time named by a Wake action has come.
-type Woken struct{}
+// TimerFired reports that the time named by a SetTimer action has come.
+type TimerFired struct{}
 
 // Configured gives the service and the classes now in force. Until the first
 // one arrives, every query is refused.
@@ -69,9 +69,9 @@
 	State  ServerState
 }
 
-// Observed reports a server's own account of itself, from a reply of another
+// ServerReported reports a server's own account of itself, from a reply of another
 // kind than to an attempt (health, load). It is a hint: it may lag or mislead.
-type Observed struct {
+type ServerReported struct {
 	Server    string
 	Snapshots []SnapshotID
 	Load      Load
@@ -86,16 +86,16 @@
 // refused as not run; running ones finish.
 type Stopping struct{}
 
-func (Arrived) event()       {}
-func (CallerGone) event()    {}
-func (Replied) event()       {}
-func (Failed) event()        {}
-func (Woken) event()         {}
-func (Configured) event()    {}
-func (ServerChanged) event() {}
-func (Observed) event()      {}
-func (NodesChanged) event()  {}
-func (Stopping) event()      {}
+func (QueryArrived) event()   {}
+func (CallerGone) event()     {}
+func (AttemptReplied) event() {}
+func (AttemptFailed) event()  {}
+func (TimerFired) event()     {}
+func (Configured) event()     {}
+func (ServerChanged) event()  {}
+func (ServerReported) event() {}
+func (NodesChanged) event()   {}
+func (Stopping) event()       {}
 
 // ServerState is what membership says of a server.
 type ServerState int
--- a/dispatch/example_test.go
+++ b/dispatch/example_test.go
@@ -22,18 +22,18 @@
 			Servers: []policy.Server{{ID: "s1", Address: "127.0.0.1:7001", Slots: 5, Connections: 70}},
 		}}},
 	})
-	dispatcher.Step(0, dispatch.Observed{Server: "s1", Snapshots: []dispatch.SnapshotID{42}})
+	dispatcher.Step(0, dispatch.ServerReported{Server: "s1", Snapshots: []dispatch.SnapshotID{42}})
 
 	now := 10 * time.Millisecond
 	query := dispatch.Query{ID: 1, Class: "urgent", Remaining: 100 * time.Millisecond, Repeatable: true}
-	for _, action := range dispatcher.Step(now, dispatch.Arrived{Query: query}) {
+	for _, action := range dispatcher.Step(now, dispatch.QueryArrived{Query: query}) {
 		send, ok := action.(dispatch.Send)
 		if !ok {
 			continue
 		}
 		fmt.Println("send", send.Range, "of snapshot", send.Snapshot, "to", send.Server)
 		reply := dispatch.Reply{Status: dispatch.ReplyDone, Snapshot: send.Snapshot, Range: send.Range}
-		for _, last := range dispatcher.Step(now+5*time.Millisecond, dispatch.Replied{Attempt: send.Attempt, Reply: reply}) {
+		for _, last := range dispatcher.Step(now+5*time.Millisecond, dispatch.AttemptReplied{Attempt: send.Attempt, Reply: reply}) {
 			if finish, ok := last.(dispatch.Finish); ok {
 				fmt.Println(finish.Outcome.Reason, finish.Outcome.Coverage)
 			}
--- a/dispatch/group.go
+++ b/dispatch/group.go
@@ -54,7 +54,7 @@
 		level++
 	}
 	admits := level
-	if g.waiting.Len() < d.options.WaitingRoom {
+	if g.waiting.Len() < d.options.WaitingAllowance {
 		admits = len(d.ranked)
 	}
 	for rank := admits; rank < g.admits; rank++ {
@@ -121,13 +121,13 @@
 // crowded reports whether too many sub-requests that go first wait for the group
 // already. A longer queue would answer no more of them, only later.
 func (d *Dispatcher) crowded(g *group, r *running) bool {
-	most := max(int(float64(g.limit)*d.options.WaitingPerLimit), leastWaiting)
+	most := max(int(float64(g.limit)*d.options.WaitingLimitFactor), leastWaiting)
 	if g.waiting.Len() < most || d.pumped == g {
 		return false
 	}
 	before := 0
 	for _, w := range g.waiting.All() {
-		if w.running.query != nil && w.segment.Waiting() && !r.key.Less(w.key) {
+		if w.running.query != nil && w.segment.IsWaiting() && !r.key.Less(w.key) {
 			before++
 		}
 	}
@@ -169,13 +169,13 @@
 	for g.waiting.Len() > 0 && len(d.passed) < maximumPassed && (g.usable == 0 || g.level > 0) {
 		first := g.waiting.Pop()
 		switch {
-		case first.running.query == nil || !first.segment.Waiting():
+		case first.running.query == nil || !first.segment.IsWaiting():
 		case g.usable > 0 && g.level <= first.running.class.rank:
 			d.passed = append(d.passed, first)
 		case d.tooLate(g, first.running.query):
-			first.running.query.GiveUp(d.now, first.segment)
+			first.running.query.GiveUpSegment(d.now, first.segment)
 		default:
-			first.running.query.Resume(d.now, first.segment)
+			first.running.query.ResumeSegment(d.now, first.segment)
 			d.schedule(first.running)
 		}
 	}
--- a/dispatch/membership.go
+++ b/dispatch/membership.go
@@ -50,19 +50,19 @@
 func (d *Dispatcher) lost(s *server) {
 	var lost []*gather.Attempt
 	for _, a := range d.attempts {
-		if a.Server == gather.Server(s) && a.Live() {
+		if a.Server == gather.Server(s) && a.IsPending() {
 			lost = append(lost, a)
 		}
 	}
 	slices.SortFunc(lost, func(a, b *gather.Attempt) int { return cmp.Compare(a.ID, b.ID) })
 	for _, a := range lost {
-		a.Query().Lost(d.now, a)
+		a.Query().HandleServerGone(d.now, a)
 		d.schedule(owner(a.Query()))
 	}
 }
 
 // observed takes a server's own account of itself.
-func (d *Dispatcher) observed(event Observed) {
+func (d *Dispatcher) observed(event ServerReported) {
 	if s := d.servers[event.Server]; s != nil {
 		d.observe(s, event.Snapshots, event.Load)
 	}
--- a/dispatch/options.go
+++ b/dispatch/options.go
@@ -30,18 +30,18 @@
 	// what the class can do without: a class that needs full coverage starts only
 	// when every group has room. Default 0.25; negative is none.
 	BlockedShare float64
-	// WaitingRoom is the number of sub-requests that may wait in a group while
+	// WaitingAllowance is the number of sub-requests that may wait in a group while
 	// queries still start that find no room there: a query needs many groups, and
 	// seldom have all of them room at once. It buys throughput for some latency
 	// of urgent queries; default none.
-	WaitingRoom int
-	// WaitingPerLimit bounds the first sub-requests that wait for room in a group,
+	WaitingAllowance int
+	// WaitingLimitFactor bounds the first sub-requests that wait for room in a group,
 	// as a multiple of the group's limit; those over it are given up at once.
 	// Default 2.
-	WaitingPerLimit float64
-	// LeastClassShare bounds from below the share of a limit that headroom leaves
+	WaitingLimitFactor float64
+	// MinimumClassShare bounds from below the share of a limit that headroom leaves
 	// to any class; default 0.1.
-	LeastClassShare float64
+	MinimumClassShare float64
 
 	// UrgentReserve is the number of requests above a server's limit that the most
 	// urgent class may have in flight there, when it keeps headroom; default 1;
@@ -54,11 +54,11 @@
 	// free; default limit.DefaultSpareConnections.
 	SpareConnections float64
 
-	// HearingTime is how long a server that is new in the configuration is not
+	// FirstReportTimeout is how long a server that is new in the configuration is not
 	// asked while it gave no account of itself; default one second; negative is
 	// none. Until then it may be leaving without the node's knowing.
-	HearingTime time.Duration
-	// ReplicaPolicy chooses among the servers of a group; default PowerOfTwo.
+	FirstReportTimeout time.Duration
+	// ReplicaPolicy chooses among the servers of a group; default PowerOfTwoChoices.
 	ReplicaPolicy ReplicaPolicy
 	// LoadWeight is the weight of a load just reported by a server beside the
 	// node's own requests in flight; default 0.1; negative is none. Reports that lag make
@@ -94,29 +94,29 @@
 
 // Defaults of Options.
 const (
-	DefaultRetryAfter      = time.Second
-	DefaultMaximumRunning  = 1_000
-	DefaultBlockedShare    = 0.25
-	DefaultWaitingPerLimit = 2.0
-	DefaultLeastClassShare = 0.1
-	DefaultHearingTime     = time.Second
-	DefaultUrgentReserve   = 1
-	DefaultLoadWeight      = 0.1
-	DefaultLoadHalfLife    = 20 * time.Millisecond
-	DefaultLatencyHalfLife = 2 * time.Second
-	DefaultTypicalQuantile = 0.8
-	DefaultMaximumRestarts = 1
-	DefaultMaximumRounds   = 3
-	DefaultMaximumSteps    = 256
+	DefaultRetryAfter         = time.Second
+	DefaultMaximumRunning     = 1_000
+	DefaultBlockedShare       = 0.25
+	DefaultWaitingLimitFactor = 2.0
+	DefaultMinimumClassShare  = 0.1
+	DefaultFirstReportTimeout = time.Second
+	DefaultUrgentReserve      = 1
+	DefaultLoadWeight         = 0.1
+	DefaultLoadHalfLife       = 20 * time.Millisecond
+	DefaultLatencyHalfLife    = 2 * time.Second
+	DefaultTypicalQuantile    = 0.8
+	DefaultMaximumRestarts    = 1
+	DefaultMaximumRounds      = 3
+	DefaultMaximumSteps       = 256
 )
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.RetryAfter, DefaultRetryAfter)
 	setDefault(&o.MaximumRunning, DefaultMaximumRunning)
 	setDefault(&o.BlockedShare, DefaultBlockedShare)
-	setDefault(&o.WaitingPerLimit, DefaultWaitingPerLimit)
-	setDefault(&o.LeastClassShare, DefaultLeastClassShare)
-	setDefault(&o.HearingTime, DefaultHearingTime)
+	setDefault(&o.WaitingLimitFactor, DefaultWaitingLimitFactor)
+	setDefault(&o.MinimumClassShare, DefaultMinimumClassShare)
+	setDefault(&o.FirstReportTimeout, DefaultFirstReportTimeout)
 	setDefault(&o.UrgentReserve, DefaultUrgentReserve)
 	setDefault(&o.SpareConnections, limit.DefaultSpareConnections)
 	setDefault(&o.LoadWeight, DefaultLoadWeight)
--- a/dispatch/query.go
+++ b/dispatch/query.go
@@ -127,18 +127,18 @@
 	r := &running{asked: asked, class: c, key: d.options.QueueOrder.Key(item)}
 	d.running[asked.ID] = r
 	r.query = gather.New(gather.Options{
-		Owner:           r,
-		Space:           d.space,
-		Snapshot:        id,
-		Arrived:         item.Arrived,
-		Deadline:        item.Deadline,
-		Minimum:         minimum(c, asked),
-		Rank:            c.rank,
-		Repeatable:      asked.Repeatable,
-		Stop:            d.options.StopPolicy,
-		MaximumRestarts: d.options.MaximumRestarts,
-		MaximumRounds:   d.options.MaximumRounds,
-		MaximumSteps:    d.options.MaximumSteps,
+		Owner:            r,
+		KeySpace:         d.space,
+		Snapshot:         id,
+		Arrived:          item.Arrived,
+		Deadline:         item.Deadline,
+		RequiredCoverage: minimum(c, asked),
+		Rank:             c.rank,
+		Repeatable:       asked.Repeatable,
+		Stop:             d.options.StopPolicy,
+		MaximumRestarts:  d.options.MaximumRestarts,
+		MaximumRounds:    d.options.MaximumRounds,
+		MaximumSteps:     d.options.MaximumSteps,
 	}, (*environment)(d))
 	r.query.Start(d.now)
 	d.schedule(r)
@@ -166,7 +166,7 @@
 		return
 	}
 	if r := d.running[id]; r != nil {
-		r.query.Abandon(d.now)
+		r.query.Cancel(d.now)
 	}
 }
 
@@ -210,22 +210,22 @@
 	case ReplyShed:
 		d.shed(s, reply.RetryAfter)
 	}
-	d.resolve(a, s, func(q *gather.Query) { q.Replied(d.now, a, reply) })
+	d.resolve(a, s, func(q *gather.Query) { q.HandleReply(d.now, a, reply) })
 }
 
 // failed takes the end of an attempt without a reply.
-func (d *Dispatcher) failed(event Failed) {
+func (d *Dispatcher) failed(event AttemptFailed) {
 	end := endFailed
 	a := d.attempts[event.Attempt]
 	if a == nil {
 		return
 	}
-	if !a.Live() {
+	if !a.IsPending() {
 		end = endCancelled
 	}
 	d.settle(event.Attempt, end)
 	d.resolve(a, a.Server.(*server), func(q *gather.Query) {
-		q.Failed(d.now, a, event.Delivery, event.Reason)
+		q.HandleFailure(d.now, a, event.Delivery, event.Reason)
 	})
 }
 
--- a/dispatch/replica.go
+++ b/dispatch/replica.go
@@ -8,8 +8,8 @@
 type ReplicaPolicy int
 
 const (
-	// PowerOfTwo compares two random servers by their expected delay. It is the default.
-	PowerOfTwo ReplicaPolicy = iota
+	// PowerOfTwoChoices compares two random servers by their expected delay. It is the default.
+	PowerOfTwoChoices ReplicaPolicy = iota
 	// LeastDelay takes the server with the least expected delay of all.
 	LeastDelay
 	// RandomReplica takes any.
@@ -57,7 +57,7 @@
 			continue
 		}
 		usable = true
-		if s.Tried(replica) {
+		if s.HasTried(replica) {
 			continue
 		}
 		untried = true
@@ -78,7 +78,7 @@
 	case !usable:
 		return nil, gather.Unservable
 	case !untried:
-		return nil, gather.Tried
+		return nil, gather.AllTried
 	}
 	c := owner(s.Query()).class
 	if len(candidates) == 0 || !g.room(c.rank, c.share) {
--- a/dispatch/room_test.go
+++ b/dispatch/room_test.go
@@ -27,7 +27,7 @@
 	if len(finishes(actions)) != 0 {
 		t.Fatal("not queued")
 	}
-	o := outcome(t, d.Step(50*time.Millisecond, Woken{}))
+	o := outcome(t, d.Step(50*time.Millisecond, TimerFired{}))
 	if o.Execution != ExecutionNotRun || o.Reason != ReasonQueueWait || o.RetryAfter <= 0 {
 		t.Fatalf("outcome %+v", o)
 	}
@@ -69,10 +69,10 @@
 	if got := d.Step(0, shed); len(sends(got))+len(finishes(got)) != 0 {
 		t.Fatalf("did %+v", got)
 	}
-	if early := sends(d.Step(9*time.Millisecond, Woken{})); len(early) != 0 {
+	if early := sends(d.Step(9*time.Millisecond, TimerFired{})); len(early) != 0 {
 		t.Fatal("sent again before the server may be tried")
 	}
-	again := sends(d.Step(20*time.Millisecond, Woken{}))
+	again := sends(d.Step(20*time.Millisecond, TimerFired{}))
 	if len(again) != 1 || again[0].Kind != RetrySend {
 		t.Fatalf("sent %+v", again)
 	}
@@ -124,7 +124,7 @@
 	d := New(Options{Zone: "near"})
 	d.Step(0, c)
 	for _, id := range []string{"0/0", "0/1"} {
-		d.Step(0, Observed{Server: id, Snapshots: []SnapshotID{7}})
+		d.Step(0, ServerReported{Server: id, Snapshots: []SnapshotID{7}})
 	}
 	for id := range QueryID(10) {
 		sent := sends(d.Step(0, ask(id+1)))[0]
@@ -176,7 +176,7 @@
 }
 
 func TestQueriesStartWhileFewWaitInAGroupWithoutRoom(t *testing.T) {
-	d := started(Options{WaitingRoom: 2, LimitPolicy: limit.Options{Policy: limit.Fixed}}, 8, 1)
+	d := started(Options{WaitingAllowance: 2, LimitPolicy: limit.Options{Policy: limit.Fixed}}, 8, 1)
 	for _, s := range d.groups[3].servers {
 		s.shedUntil = time.Hour
 		d.account(s)
--- a/dispatch/scenario_test.go
+++ b/dispatch/scenario_test.go
@@ -31,8 +31,8 @@
 	return found
 }
 
-func status(s Send, status ReplyStatus) Replied {
-	return Replied{Attempt: s.Attempt, Reply: Reply{Status: status}}
+func status(s Send, status ReplyStatus) AttemptReplied {
+	return AttemptReplied{Attempt: s.Attempt, Reply: Reply{Status: status}}
 }
 
 // outcome returns the one final answer among the actions.
@@ -48,7 +48,7 @@
 func TestHedgeAsksTheOtherReplicaAndTheFirstReplyWins(t *testing.T) {
 	d := funded(started(hedging(), 1, 2))
 	first := sends(d.Step(0, ask(1)))[0]
-	hedges := sends(d.Step(hedgeAfter, Woken{}))
+	hedges := sends(d.Step(hedgeAfter, TimerFired{}))
 	if len(hedges) != 1 || hedges[0].Kind != HedgeSend || hedges[0].Server == first.Server {
 		t.Fatalf("hedges %+v", hedges)
 	}
@@ -106,7 +106,7 @@
 			if test.prepare != nil {
 				test.prepare(d, first)
 			}
-			if got := sends(d.Step(2*hedgeAfter, Woken{})); len(got) != 0 {
+			if got := sends(d.Step(2*hedgeAfter, TimerFired{})); len(got) != 0 {
 				t.Fatalf("sent %+v", got)
 			}
 		})
@@ -132,7 +132,7 @@
 				}
 				d.Step(time.Millisecond, CallerGone{Query: id + 2})
 			}
-			d.Step(time.Millisecond, Observed{Server: away.Server, Snapshots: []SnapshotID{7, 8}})
+			d.Step(time.Millisecond, ServerReported{Server: away.Server, Snapshots: []SnapshotID{7, 8}})
 			if !d.servers[away.Server].leaving() {
 				t.Fatal("its own account ended its leaving")
 			}
@@ -157,7 +157,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			d := New(Options{})
 			d.Step(0, configuration(2, 2))
-			d.Step(0, Observed{Server: "0/0", Snapshots: []SnapshotID{7}})
+			d.Step(0, ServerReported{Server: "0/0", Snapshots: []SnapshotID{7}})
 			asked := sends(d.Step(test.at, ask(1)))
 			if len(asked) != test.want || asked[0].Server != "0/0" {
 				t.Fatalf("sent %+v", asked)
@@ -173,14 +173,14 @@
 		at    time.Duration
 		event Event
 	}{
-		{"until one of its servers is heard", 20 * time.Millisecond, Observed{Server: "1/0", Snapshots: []SnapshotID{7}}},
-		{"until they may be asked unheard", hearing, Woken{}},
+		{"until one of its servers is heard", 20 * time.Millisecond, ServerReported{Server: "1/0", Snapshots: []SnapshotID{7}}},
+		{"until they may be asked unheard", hearing, TimerFired{}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			d := New(Options{HearingTime: hearing})
+			d := New(Options{FirstReportTimeout: hearing})
 			d.Step(0, configuration(2, 2))
-			d.Step(0, Observed{Server: "0/0", Snapshots: []SnapshotID{7}})
+			d.Step(0, ServerReported{Server: "0/0", Snapshots: []SnapshotID{7}})
 			d.Step(time.Millisecond, ask(1))
 			if sent := sends(d.Step(test.at, test.event)); len(sent) != 1 || sent[0].Range.Start != keysPerGroup {
 				t.Fatalf("sent %+v", sent)
@@ -222,7 +222,7 @@
 	divided.Service.Groups[0].Range = coverage.Range{Start: 0, End: 30}
 	divided.Service.Groups[1].Range = coverage.Range{Start: 30, End: keysPerGroup}
 	sent := sends(d.Step(time.Millisecond, divided))
-	sent = append(sent, sends(d.Step(2*time.Millisecond, Observed{Server: "1/0", Snapshots: []SnapshotID{7}}))...)
+	sent = append(sent, sends(d.Step(2*time.Millisecond, ServerReported{Server: "1/0", Snapshots: []SnapshotID{7}}))...)
 	if len(sent) != 2 {
 		t.Fatalf("sent %+v", sent)
 	}
@@ -237,7 +237,7 @@
 	d := started(Options{}, 2, 1)
 	sent := sends(d.Step(0, ask(1)))
 	d.Step(0, done(sent[0]))
-	d.Step(0, Observed{Server: "0/0", Snapshots: []SnapshotID{8}})
+	d.Step(0, ServerReported{Server: "0/0", Snapshots: []SnapshotID{8}})
 	lacking := status(sent[1], ReplyUnknownSnapshot)
 	lacking.Reply.Snapshots = []SnapshotID{8}
 	over := sends(d.Step(0, lacking))
@@ -257,7 +257,7 @@
 	q.Query.Repeatable = false
 	sent := sends(d.Step(0, q))
 	d.Step(0, done(sent[0]))
-	d.Step(0, Observed{Server: "0/0", Snapshots: []SnapshotID{8}})
+	d.Step(0, ServerReported{Server: "0/0", Snapshots: []SnapshotID{8}})
 	lacking := status(sent[1], ReplyUnknownSnapshot)
 	lacking.Reply.Snapshots = []SnapshotID{8}
 	actions := d.Step(0, lacking)
@@ -278,7 +278,7 @@
 	other := done(sent[1])
 	other.Reply.Snapshot = 6
 	d.Step(0, other)
-	o := outcome(t, d.Step(time.Second, Woken{}))
+	o := outcome(t, d.Step(time.Second, TimerFired{}))
 	if len(o.Parts) != 0 || o.Execution != ExecutionUnknown {
 		t.Fatalf("outcome %+v", o)
 	}
@@ -293,10 +293,10 @@
 	for _, s := range sent[:7] {
 		d.Step(5*time.Millisecond, done(s))
 	}
-	if early := d.Step(10*time.Millisecond, Woken{}); len(finishes(early)) != 0 {
+	if early := d.Step(10*time.Millisecond, TimerFired{}); len(finishes(early)) != 0 {
 		t.Fatal("stopped while the rest may come")
 	}
-	o := outcome(t, d.Step(30*time.Millisecond, Woken{}))
+	o := outcome(t, d.Step(30*time.Millisecond, TimerFired{}))
 	if o.Reason != ReasonEnoughCoverage || o.Complete || o.Coverage != 0.875 || o.Execution != ExecutionDone {
 		t.Fatalf("outcome %+v", o)
 	}
--- a/dispatch/timers.go
+++ b/dispatch/timers.go
@@ -45,7 +45,7 @@
 	if r.query == nil {
 		return
 	}
-	at := r.query.NextAt()
+	at := r.query.NextTickAt()
 	if r.timerAt != 0 && r.timerAt <= at {
 		return
 	}
@@ -73,7 +73,7 @@
 	}
 }
 
-// wake asks for a Woken event at the next time at which something is due.
+// wake asks for a TimerFired event at the next time at which something is due.
 func (d *Dispatcher) wake() {
 	for d.timers.Len() > 0 && d.timers.First().stale() {
 		d.timers.Pop()
@@ -90,6 +90,6 @@
 	}
 	if next < d.wakeAt {
 		d.wakeAt = next
-		d.emit(Wake{At: next})
+		d.emit(SetTimer{At: next})
 	}
 }
--- a/dispatch/world_test.go
+++ b/dispatch/world_test.go
@@ -148,9 +148,9 @@
 			w.take(action)
 		case Finish:
 			w.finish(action)
-		case Wake:
+		case SetTimer:
 			w.wakes++
-			w.after(max(action.At-w.now, 0), func() { w.step(Woken{}) })
+			w.after(max(action.At-w.now, 0), func() { w.step(TimerFired{}) })
 		}
 	}
 }
@@ -159,7 +159,7 @@
 	for _, g := range w.config.Service.Groups {
 		for _, s := range g.Servers {
 			held := []SnapshotID{7, 8}[:1+w.random.IntN(2)]
-			w.after(0, func() { w.step(Observed{Server: s.ID, Snapshots: held}) })
+			w.after(0, func() { w.step(ServerReported{Server: s.ID, Snapshots: held}) })
 		}
 	}
 }
@@ -172,7 +172,7 @@
 		Repeatable: w.random.IntN(3) > 0,
 	}}
 	w.queries[id] = q
-	w.step(Arrived{Query: q.Query})
+	w.step(QueryArrived{Query: q.Query})
 	if w.random.IntN(10) == 0 {
 		w.after(w.within(20*time.Millisecond), func() { w.leave(q) })
 	}
@@ -220,10 +220,10 @@
 	case 0:
 		w.touch(s)
 		s.query.forbidden = !s.query.Repeatable
-		w.step(Failed{Attempt: s.Attempt, Delivery: DeliveryUnknown, Reason: "cut"})
+		w.step(AttemptFailed{Attempt: s.Attempt, Delivery: DeliveryUnknown, Reason: "cut"})
 		return
 	case 1:
-		w.step(Failed{Attempt: s.Attempt, Delivery: NotDelivered, Reason: "refused"})
+		w.step(AttemptFailed{Attempt: s.Attempt, Delivery: NotDelivered, Reason: "refused"})
 		return
 	case 2:
 		reply.Status, reply.RetryAfter, mayRun = ReplyShed, w.within(10*time.Millisecond), false
@@ -252,7 +252,7 @@
 	}
 	s.body = fmt.Sprint(s.Attempt)
 	reply.Body = s.body
-	w.step(Replied{Attempt: s.Attempt, Reply: reply})
+	w.step(AttemptReplied{Attempt: s.Attempt, Reply: reply})
 }
 
 // touch notes that a server ran, or may have run, a part.
--- a/gateway/attempts.go
+++ b/gateway/attempts.go
@@ -118,9 +118,9 @@
 	failed := routing.Failed{Attempt: action.Attempt, Delivery: gather.DeliveryUnknown, Reason: failureName(err)}
 	switch {
 	case look != nil && !look.Settled():
-		failed.Delivery = gather.InDoubt
+		failed.Delivery = gather.CrashUnconfirmed
 	case look != nil && look.Ended():
-		failed.Delivery, failed.Refused, failed.Reason = gather.ServerEnded, true, serverEnded
+		failed.Delivery, failed.Refused, failed.Reason = gather.ServerCrashed, true, serverEnded
 	case errors.Is(err, exchange.ErrNotDelivered):
 		failed.Delivery, failed.Refused = gather.NotDelivered, exchange.IsRefused(err)
 	}
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -34,7 +34,7 @@
 	if line == nil {
 		return
 	}
-	if lostServers(outcome.Attempts) > 0 || outcome.Reason == gather.ReasonEndsServers {
+	if lostServers(outcome.Attempts) > 0 || outcome.Reason == gather.ReasonCrashesServers {
 		line.Stringer("content", contentOf(asked.outgoing)).Str("caller", asked.caller)
 	}
 	line.Str(telemetry.FieldRequestID, asked.outgoing.AttemptID).Str("route", asked.route.Name).
--- a/gather/attempts.go
+++ b/gather/attempts.go
@@ -7,9 +7,9 @@
 	"github.com/banksail/banksail/coverage"
 )
 
-// Replied takes a server's reply to an attempt. A reply to an attempt that is
+// HandleReply takes a server's reply to an attempt. A reply to an attempt that is
 // no longer wanted changes nothing.
-func (q *Query) Replied(now time.Duration, a *Attempt, reply Reply) {
+func (q *Query) HandleReply(now time.Duration, a *Attempt, reply Reply) {
 	if q.finished || !a.live {
 		return
 	}
@@ -32,8 +32,8 @@
 	q.conclude()
 }
 
-// Failed takes the end of an attempt without a reply.
-func (q *Query) Failed(now time.Duration, a *Attempt, delivery Delivery, reason string) {
+// HandleFailure takes the end of an attempt without a reply.
+func (q *Query) HandleFailure(now time.Duration, a *Attempt, delivery Delivery, reason string) {
 	if q.finished || !a.live {
 		return
 	}
@@ -41,9 +41,9 @@
 	switch delivery {
 	case NotDelivered:
 		q.notExecuted(a, "not delivered: "+reason, ReasonNoServer, 0)
-	case ServerEnded:
+	case ServerCrashed:
 		q.serverEnded(a, "server ended: "+reason)
-	case InDoubt:
+	case CrashUnconfirmed:
 		q.doubts++
 		q.mayHaveRun(a, "failed: "+reason, ReasonServerError)
 	default:
@@ -52,10 +52,10 @@
 	q.conclude()
 }
 
-// Lost tells that the attempt's server is gone, so that its reply is not to be
+// HandleServerGone tells that the attempt's server is gone, so that its reply is not to be
 // expected. Another server is asked beside it; the reply still counts if it
 // comes. A query that is not repeatable waits on.
-func (q *Query) Lost(now time.Duration, a *Attempt) {
+func (q *Query) HandleServerGone(now time.Duration, a *Attempt) {
 	s := a.Segment
 	if q.finished || !a.live || !q.options.Repeatable || len(s.live) > 1 || s.state != awaited || q.cautious() {
 		return
@@ -155,7 +155,7 @@
 	case Busy:
 		q.setState(s, waiting)
 		s.kind = kind
-	case Tried:
+	case AllTried:
 		q.rest(s, kind)
 	case Overloaded:
 		q.giveUp(s, ReasonOverload)
@@ -200,7 +200,7 @@
 func (q *Query) send(s *Segment, server Server, kind SendKind) {
 	a := s.attempt()
 	*a = Attempt{
-		ID:       q.environment.NextAttempt(),
+		ID:       q.environment.NextAttemptID(),
 		Segment:  s,
 		Server:   server,
 		Kind:     kind,
@@ -304,8 +304,8 @@
 	q.remove(s, closed)
 }
 
-// Resume tells that there may be room for a segment that waits.
-func (q *Query) Resume(now time.Duration, s *Segment) {
+// ResumeSegment tells that there may be room for a segment that waits.
+func (q *Query) ResumeSegment(now time.Duration, s *Segment) {
 	if q.finished || s.state != waiting {
 		return
 	}
@@ -315,8 +315,8 @@
 	q.conclude()
 }
 
-// GiveUp tells that a segment that waits can't be answered in time.
-func (q *Query) GiveUp(now time.Duration, s *Segment) {
+// GiveUpSegment tells that a segment that waits can't be answered in time.
+func (q *Query) GiveUpSegment(now time.Duration, s *Segment) {
 	if q.finished || s.state != waiting {
 		return
 	}
@@ -353,7 +353,7 @@
 	}
 	q.steps = append(q.steps, Step{
 		At:      q.now - q.options.Arrived,
-		What:    what,
+		Event:   what,
 		Attempt: a.ID,
 		Server:  a.Server.ServerID(),
 		Range:   a.Range,
@@ -364,5 +364,5 @@
 	if len(q.steps) >= q.options.MaximumSteps {
 		return
 	}
-	q.steps = append(q.steps, Step{At: q.now - q.options.Arrived, What: what, Range: r})
+	q.steps = append(q.steps, Step{At: q.now - q.options.Arrived, Event: what, Range: r})
 }
--- a/gather/caution.go
+++ b/gather/caution.go
@@ -13,7 +13,7 @@
 // sub-request is in flight at a time: a single one tells as much as many, and an answer to
 // it lets the others go. Without that, all 8 servers of 4 parts ended under one query, and 6
 // with it, after which the query is known.
-func (q *Query) cautious() bool { return !q.survived && (q.options.Suspected || q.ends > 0) }
+func (q *Query) cautious() bool { return !q.survived && (q.options.CrashSuspect || q.ends > 0) }
 
 const (
 	// endsApart is the least time between the first and the last of the ends that speak against a
@@ -35,13 +35,13 @@
 	q.lastEndAt = q.now
 }
 
-// Endangers reports whether several servers have ended under the query, one after the other, and
+// IsCrashSuspect reports whether several servers have ended under the query, one after the other, and
 // none has answered it.
-func (q *Query) Endangers() bool { return q.haveEnded(mostEnds, endsApart) }
+func (q *Query) IsCrashSuspect() bool { return q.haveEnded(mostEnds, endsApart) }
 
-// EndedAll reports whether all servers have ended that got the query, so many and so far apart
+// CrashedAllServers reports whether all servers have ended that got the query, so many and so far apart
 // that it is proof.
-func (q *Query) EndedAll() bool { return q.endedAll }
+func (q *Query) CrashedAllServers() bool { return q.endedAll }
 
 // isProven reports whether that is so with so many sub-requests in flight.
 func (q *Query) isProven(live int) bool { return live == 0 && q.haveEnded(decisiveEnds, decisiveApart) }
@@ -49,16 +49,16 @@
 // giveUpProven finishes a query of which that is so.
 func (q *Query) giveUpProven() {
 	q.endedAll, q.unknown = true, true
-	q.finish(ReasonEndsServers)
+	q.finish(ReasonCrashesServers)
 }
 
 func (q *Query) haveEnded(ends int, apart time.Duration) bool {
 	return !q.survived && q.ends >= ends && q.lastEndAt-q.firstEndAt >= apart
 }
 
-// Suspect tells that servers have ended under such a query elsewhere: what is in flight goes on,
+// MarkCrashSuspect tells that servers have ended under such a query elsewhere: what is in flight goes on,
 // and nothing more is sent beside it.
-func (q *Query) Suspect() { q.options.Suspected = true }
+func (q *Query) MarkCrashSuspect() { q.options.CrashSuspect = true }
 
 // serverEnded handles an attempt whose server ended with it.
 func (q *Query) serverEnded(a *Attempt, what string) {
@@ -66,7 +66,7 @@
 	if a.Alone && q.ends >= mostEnds {
 		q.explain(what, a)
 		q.unknown = true
-		q.finish(ReasonEndsServers)
+		q.finish(ReasonCrashesServers)
 		return
 	}
 	if q.isProven(q.liveCount() - 1) {
@@ -77,8 +77,8 @@
 	q.mayHaveRun(a, what, ReasonServerError)
 }
 
-// Settle tells whether the server of an attempt that had failed in doubt has ended.
-func (q *Query) Settle(now time.Duration, ended bool) {
+// ResolveCrash tells whether the server of an attempt that had failed in doubt has ended.
+func (q *Query) ResolveCrash(now time.Duration, ended bool) {
 	q.doubts--
 	if q.finished {
 		return
@@ -90,8 +90,8 @@
 	q.conclude()
 }
 
-// Survived reports whether a server ran a sub-request and lives.
-func (q *Query) Survived() bool { return q.survived }
+// HasSurvivor reports whether a server ran a sub-request and lives.
+func (q *Query) HasSurvivor() bool { return q.survived }
 
 // mustWait reports whether a sub-request must not be sent yet: a cautious query has one in
 // flight, and one in doubt has a retry or a hedge in flight. So a lost connection costs its request
--- a/gather/caution_test.go
+++ b/gather/caution_test.go
@@ -9,7 +9,7 @@
 )
 
 func repeatable(suspected bool) gather.Options {
-	return gather.Options{Space: space, Snapshot: 7, Deadline: time.Second, Repeatable: true, Suspected: suspected, MaximumRounds: 2}
+	return gather.Options{KeySpace: space, Snapshot: 7, Deadline: time.Second, Repeatable: true, CrashSuspect: suspected, MaximumRounds: 2}
 }
 
 // A query under which a server ended sends nothing more while something is in flight, then
@@ -18,16 +18,16 @@
 	f := &fixed{budget: 10}
 	q := gather.New(repeatable(false), f)
 	q.Start(0)
-	q.Failed(time.Millisecond, f.sent[0], gather.ServerEnded, "")
+	q.HandleFailure(time.Millisecond, f.sent[0], gather.ServerCrashed, "")
 	if len(f.sent) != 2 {
 		t.Fatalf("%d sent while the other part is in flight", len(f.sent))
 	}
-	q.Failed(2*time.Millisecond, f.sent[1], gather.ServerEnded, "")
+	q.HandleFailure(2*time.Millisecond, f.sent[1], gather.ServerCrashed, "")
 	if len(f.sent) != 3 || !f.sent[2].Alone || f.sent[0].Alone || f.sent[1].Alone {
 		t.Fatalf("%d sent after both servers ended; want one alone", len(f.sent))
 	}
-	q.Failed(3*time.Millisecond, f.sent[2], gather.ServerEnded, "")
-	if len(f.sent) != 3 || f.outcome == nil || f.outcome.Reason != gather.ReasonEndsServers || f.outcome.Execution != gather.ExecutionUnknown {
+	q.HandleFailure(3*time.Millisecond, f.sent[2], gather.ServerCrashed, "")
+	if len(f.sent) != 3 || f.outcome == nil || f.outcome.Reason != gather.ReasonCrashesServers || f.outcome.Execution != gather.ExecutionUnknown {
 		t.Fatalf("%d sent, outcome %+v", len(f.sent), f.outcome)
 	}
 }
@@ -36,12 +36,12 @@
 	f := &fixed{budget: 10}
 	q := gather.New(repeatable(false), f)
 	q.Start(0)
-	q.Failed(time.Millisecond, f.sent[0], gather.ServerEnded, "")
-	q.Replied(2*time.Millisecond, f.sent[1], done(f.sent[1]))
+	q.HandleFailure(time.Millisecond, f.sent[0], gather.ServerCrashed, "")
+	q.HandleReply(2*time.Millisecond, f.sent[1], done(f.sent[1]))
 	if len(f.sent) != 3 || f.sent[2].Alone {
 		t.Fatalf("%d sent after a part was answered", len(f.sent))
 	}
-	q.Replied(3*time.Millisecond, f.sent[2], done(f.sent[2]))
+	q.HandleReply(3*time.Millisecond, f.sent[2], done(f.sent[2]))
 	if f.outcome == nil || !f.outcome.Complete {
 		t.Fatalf("outcome %+v", f.outcome)
 	}
@@ -57,11 +57,11 @@
 	if len(f.sent) != 1 || !f.sent[0].Alone {
 		t.Fatalf("%d sent", len(f.sent))
 	}
-	q.Replied(11*time.Millisecond, f.sent[0], gather.Reply{Status: gather.ReplyShed})
+	q.HandleReply(11*time.Millisecond, f.sent[0], gather.Reply{Status: gather.ReplyShed})
 	if len(f.sent) != 2 || !f.sent[1].Alone {
 		t.Fatalf("%d sent after a server shed it", len(f.sent))
 	}
-	q.Replied(12*time.Millisecond, f.sent[1], done(f.sent[1]))
+	q.HandleReply(12*time.Millisecond, f.sent[1], done(f.sent[1]))
 	if len(f.sent) != 3 || f.sent[2].Alone {
 		t.Fatalf("%d sent after an answer", len(f.sent))
 	}
@@ -72,7 +72,7 @@
 	f := &fixed{}
 	q := gather.New(repeatable(true), f)
 	q.Start(0)
-	q.Failed(time.Millisecond, f.sent[0], gather.ServerEnded, "") // no budget for another try
+	q.HandleFailure(time.Millisecond, f.sent[0], gather.ServerCrashed, "") // no budget for another try
 	if len(f.sent) != 2 || f.sent[1].Range == f.sent[0].Range {
 		t.Fatalf("%d sent", len(f.sent))
 	}
@@ -87,11 +87,11 @@
 	f := &fixed{budget: 10}
 	q := gather.New(repeatable(false), f)
 	q.Start(0)
-	q.Failed(time.Millisecond, f.sent[0], gather.InDoubt, "")
+	q.HandleFailure(time.Millisecond, f.sent[0], gather.CrashUnconfirmed, "")
 	if len(f.sent) != 3 || f.sent[2].Alone {
 		t.Fatalf("%d sent after a lost connection; want a retry at once", len(f.sent))
 	}
-	q.Failed(2*time.Millisecond, f.sent[1], gather.InDoubt, "")
+	q.HandleFailure(2*time.Millisecond, f.sent[1], gather.CrashUnconfirmed, "")
 	if len(f.sent) != 3 {
 		t.Fatalf("%d sent while a retry is in flight and it is not known whether servers ended", len(f.sent))
 	}
@@ -103,36 +103,36 @@
 func TestDoubtsHoldAllRetriesButOne(t *testing.T) {
 	t.Run("ended", func(t *testing.T) {
 		f, q := inDoubt(t)
-		q.Settle(3*time.Millisecond, true)
-		q.Settle(3*time.Millisecond, false)
+		q.ResolveCrash(3*time.Millisecond, true)
+		q.ResolveCrash(3*time.Millisecond, false)
 		if len(f.sent) != 3 {
 			t.Fatalf("%d sent beside the retry of a query under which a server ended", len(f.sent))
 		}
-		q.Failed(4*time.Millisecond, f.sent[2], gather.ServerEnded, "")
+		q.HandleFailure(4*time.Millisecond, f.sent[2], gather.ServerCrashed, "")
 		if len(f.sent) != 4 || !f.sent[3].Alone {
 			t.Fatalf("%d sent; want one more, alone", len(f.sent))
 		}
 	})
 	t.Run("lost", func(t *testing.T) {
 		f, q := inDoubt(t)
-		q.Settle(3*time.Millisecond, false)
-		q.Settle(3*time.Millisecond, false)
+		q.ResolveCrash(3*time.Millisecond, false)
+		q.ResolveCrash(3*time.Millisecond, false)
 		if len(f.sent) != 4 || f.sent[3].Alone {
 			t.Fatalf("%d sent after both connections were found to be lost only", len(f.sent))
 		}
 	})
 	t.Run("answered", func(t *testing.T) {
 		f, q := inDoubt(t)
-		q.Replied(3*time.Millisecond, f.sent[2], done(f.sent[2]))
-		if len(f.sent) != 4 || !q.Survived() {
+		q.HandleReply(3*time.Millisecond, f.sent[2], done(f.sent[2]))
+		if len(f.sent) != 4 || !q.HasSurvivor() {
 			t.Fatalf("%d sent after an answer", len(f.sent))
 		}
 	})
 	t.Run("finished", func(t *testing.T) {
 		f, q := inDoubt(t)
-		q.GiveUpAll(3*time.Millisecond, gather.ReasonStopping)
-		q.Settle(4*time.Millisecond, true)
-		q.Settle(4*time.Millisecond, false)
+		q.Abort(3*time.Millisecond, gather.ReasonStopping)
+		q.ResolveCrash(4*time.Millisecond, true)
+		q.ResolveCrash(4*time.Millisecond, false)
 		if len(f.sent) != 3 {
 			t.Fatalf("%d sent after the final answer", len(f.sent))
 		}
@@ -152,11 +152,11 @@
 	if other.Segment == f.sent[2].Segment {
 		other = f.sent[1]
 	}
-	q.Failed(3*time.Millisecond, other, gather.InDoubt, "")
+	q.HandleFailure(3*time.Millisecond, other, gather.CrashUnconfirmed, "")
 	if len(f.sent) != 3 {
 		t.Fatalf("%d sent beside a hedge", len(f.sent))
 	}
-	q.Settle(4*time.Millisecond, false)
+	q.ResolveCrash(4*time.Millisecond, false)
 	if len(f.sent) != 4 {
 		t.Fatalf("%d sent once it is known that nothing ended", len(f.sent))
 	}
@@ -181,11 +181,11 @@
 func endParts(parts, spared int, apart time.Duration) (*manyParts, *gather.Query) {
 	m := &manyParts{parts: parts, fixed: fixed{budget: 100}}
 	options := repeatable(false)
-	options.Space = coverage.Range{End: uint64(parts) * 10}
+	options.KeySpace = coverage.Range{End: uint64(parts) * 10}
 	q := gather.New(options, m)
 	q.Start(0)
 	for place, a := range m.sent[spared:parts] {
-		q.Failed(time.Duration(place+1)*apart, a, gather.ServerEnded, "")
+		q.HandleFailure(time.Duration(place+1)*apart, a, gather.ServerCrashed, "")
 	}
 	return m, q
 }
@@ -205,8 +205,8 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			m, q := endParts(test.parts, 0, test.apart)
-			if q.EndedAll() != test.proven {
-				t.Errorf("proven %v", q.EndedAll())
+			if q.CrashedAllServers() != test.proven {
+				t.Errorf("proven %v", q.CrashedAllServers())
 			}
 			if alone := len(m.sent) - test.parts; test.proven && alone != 0 || !test.proven && alone != 1 {
 				t.Errorf("%d sent after all have ended", alone)
@@ -219,25 +219,25 @@
 func TestServersThatAreSilentProveNothing(t *testing.T) {
 	m, q := endParts(12, 1, 10*time.Millisecond)
 	q.Tick(time.Second)
-	if m.outcome == nil || m.outcome.Reason != gather.ReasonDeadline || q.EndedAll() {
-		t.Errorf("outcome %+v, proven %v", m.outcome, q.EndedAll())
+	if m.outcome == nil || m.outcome.Reason != gather.ReasonDeadline || q.CrashedAllServers() {
+		t.Errorf("outcome %+v, proven %v", m.outcome, q.CrashedAllServers())
 	}
 }
 
 // Three ends, one after the other, speak against a query that nobody has answered.
 func TestQueriesEndangerServersUntilOneAnswers(t *testing.T) {
-	if _, q := endParts(10, 8, 10*time.Millisecond); q.Endangers() {
+	if _, q := endParts(10, 8, 10*time.Millisecond); q.IsCrashSuspect() {
 		t.Error("two ends speak against it")
 	}
-	if _, q := endParts(10, 7, 100*time.Microsecond); q.Endangers() {
+	if _, q := endParts(10, 7, 100*time.Microsecond); q.IsCrashSuspect() {
 		t.Error("ends at one moment speak against it")
 	}
 	m, q := endParts(10, 7, 10*time.Millisecond)
-	if !q.Endangers() {
+	if !q.IsCrashSuspect() {
 		t.Error("three ends, one after the other, don't speak against it")
 	}
-	q.Replied(40*time.Millisecond, m.sent[0], done(m.sent[0]))
-	if q.Endangers() {
+	q.HandleReply(40*time.Millisecond, m.sent[0], done(m.sent[0]))
+	if q.IsCrashSuspect() {
 		t.Error("they speak against it though a server has answered")
 	}
 }
--- a/gather/environment.go
+++ b/gather/environment.go
@@ -26,10 +26,10 @@
 	// Placed means that the chosen server takes it now.
 	Placed Placement = iota + 1
 	// Busy means that every server that could take it has no room. Unless the
-	// sub-request is a hedge, the owner calls Query.Resume once there is room.
+	// sub-request is a hedge, the owner calls Query.ResumeSegment once there is room.
 	Busy
-	// Tried means that every server that could take it was tried already.
-	Tried
+	// AllTried means that every server that could take it was tried already.
+	AllTried
 	// Unservable means that no server is known that could take it.
 	Unservable
 	// Overloaded means that too much waits for room already.
@@ -55,15 +55,15 @@
 	// NextSnapshot chooses a snapshot, other than those tried, of which more
 	// than the given number of keys can be served.
 	NextSnapshot(tried []snapshot.ID, keys uint64) (id snapshot.ID, ok bool)
-	// Typical is the latency that most sub-requests stay below; zero when unknown.
-	Typical() time.Duration
-	// Expected is the latency that is expected of the segment's quickest server;
+	// TypicalLatency is the latency that most sub-requests stay below; zero when unknown.
+	TypicalLatency() time.Duration
+	// ExpectedLatency is the latency that is expected of the segment's quickest server;
 	// zero when unknown.
-	Expected(s *Segment) time.Duration
+	ExpectedLatency(s *Segment) time.Duration
 	// Backoff is the time before the given round of asking tried servers anew.
 	Backoff(round int) time.Duration
-	// NextAttempt returns an ID that was not used before.
-	NextAttempt() AttemptID
+	// NextAttemptID returns an ID that was not used before.
+	NextAttemptID() AttemptID
 	// Send sends the attempt's sub-request.
 	Send(a *Attempt)
 	// Cancel tells that the attempt's reply is no longer wanted.
--- a/gather/finish.go
+++ b/gather/finish.go
@@ -14,11 +14,11 @@
 	if q.restarts >= q.options.MaximumRestarts || !q.mayRestart() {
 		return false
 	}
-	if q.options.Deadline-q.now <= q.environment.Typical() {
+	if q.options.Deadline-q.now <= q.environment.TypicalLatency() {
 		return false
 	}
 	tried := append(slices.Clone(q.dropped), q.snapshot)
-	servable := q.options.Space.Size() - q.lost - without.Range.Size()
+	servable := q.options.KeySpace.Size() - q.lost - without.Range.Size()
 	next, ok := q.environment.NextSnapshot(tried, servable)
 	if !ok {
 		return false
@@ -56,7 +56,7 @@
 
 // startOver drops all that was gathered and begins on another snapshot.
 func (q *Query) startOver(next snapshot.ID, tried []snapshot.ID) {
-	q.explainRange("started over on another snapshot", q.options.Space)
+	q.explainRange("started over on another snapshot", q.options.KeySpace)
 	for _, s := range q.segments {
 		if s.isOpen() {
 			q.cancelLive(s)
@@ -91,7 +91,7 @@
 	outcome := Outcome{Reason: reason}
 	var covered coverage.Set
 	outcome.Parts, covered = q.parts()
-	outcome.Coverage = covered.Fraction(q.options.Space)
+	outcome.Coverage = covered.Fraction(q.options.KeySpace)
 	outcome.Complete = outcome.Coverage == 1
 	if len(outcome.Parts) > 0 {
 		outcome.Snapshot = q.snapshot
@@ -120,7 +120,7 @@
 
 // verdict tells what ran.
 func (q *Query) verdict(outcome *Outcome) Execution {
-	enough := len(outcome.Parts) > 0 && outcome.Coverage >= q.options.Minimum
+	enough := len(outcome.Parts) > 0 && outcome.Coverage >= q.options.RequiredCoverage
 	switch {
 	case enough && outcome.Reason != ReasonCallerGone:
 		return ExecutionDone
--- a/gather/message.go
+++ b/gather/message.go
@@ -32,11 +32,11 @@
 	DeliveryUnknown Delivery = iota
 	// NotDelivered means that no byte of the sub-request was written.
 	NotDelivered
-	// ServerEnded means that the server ended with the sub-request, which it may have run.
-	ServerEnded
-	// InDoubt means that the server broke the connection off. It may have run the sub-request,
-	// and whether it ended is told later, by Settle.
-	InDoubt
+	// ServerCrashed means that the server ended with the sub-request, which it may have run.
+	ServerCrashed
+	// CrashUnconfirmed means that the server broke the connection off. It may have run the sub-request,
+	// and whether it ended is told later, by ResolveCrash.
+	CrashUnconfirmed
 )
 
 // ReplyStatus is the kind of a server's reply.
@@ -113,7 +113,7 @@
 	ReasonCallerGone      Reason = "caller_gone"
 	ReasonOutcomeUnknown  Reason = "outcome_unknown"
 	ReasonServerError     Reason = "server_error"
-	ReasonEndsServers     Reason = "ends_servers"
+	ReasonCrashesServers  Reason = "ends_servers"
 )
 
 // Part is one reply that the answer holds. Parts are disjoint and sorted by range.
@@ -144,7 +144,7 @@
 type Step struct {
 	// At is the time since the query arrived.
 	At      time.Duration  `json:"at_ns"`
-	What    string         `json:"what"`
+	Event   string         `json:"what"`
 	Attempt AttemptID      `json:"attempt,omitempty"`
 	Server  string         `json:"server,omitempty"`
 	Range   coverage.Range `json:"range"`
--- a/gather/query.go
+++ b/gather/query.go
@@ -13,23 +13,23 @@
 type Options struct {
 	// Owner is the owner's own reference; the query doesn't use it.
 	Owner any
-	// Space is the whole key space, over which coverage is counted.
-	Space coverage.Range
+	// KeySpace is the whole key space, over which coverage is counted.
+	KeySpace coverage.Range
 	// Snapshot is the snapshot that the query pins.
 	Snapshot snapshot.ID
 	// Arrived is when the query came, from which the explanation counts.
 	Arrived time.Duration
 	// Deadline is when the caller stops waiting.
 	Deadline time.Duration
-	// Minimum is the least coverage that makes an answer.
-	Minimum float64
+	// RequiredCoverage is the least coverage that makes an answer.
+	RequiredCoverage float64
 	// Rank is the position of the query's class, zero for the most urgent.
 	Rank int
 	// Repeatable says that sub-requests may run more than once.
 	Repeatable bool
-	// Suspected says that servers have ended under such a query before: one sub-request is
+	// CrashSuspect says that servers have ended under such a query before: one sub-request is
 	// sent at a time, until one is answered.
-	Suspected bool
+	CrashSuspect bool
 	// Stop decides when to stop waiting; nil stands for StopAtDeadline.
 	Stop StopPolicy
 	// MaximumRestarts bounds how often the query starts over on another snapshot.
@@ -95,8 +95,8 @@
 // Finished reports whether the final answer was given.
 func (q *Query) Finished() bool { return q.finished }
 
-// NextAt is when Tick must be called next, at the latest.
-func (q *Query) NextAt() time.Duration { return q.nextAt }
+// NextTickAt is when Tick must be called next, at the latest.
+func (q *Query) NextTickAt() time.Duration { return q.nextAt }
 
 // Start sends a sub-request for each part of the key space.
 func (q *Query) Start(now time.Duration) {
@@ -108,7 +108,7 @@
 
 // begin divides the key space and sends the sub-requests.
 func (q *Query) begin(kind SendKind) {
-	targets := q.environment.Targets(q.options.Space)
+	targets := q.environment.Targets(q.options.KeySpace)
 	generation := q.environment.Generation()
 	slab := make([]Segment, len(targets))
 	q.segments = make([]*Segment, 0, len(targets))
@@ -116,7 +116,7 @@
 	if q.options.MaximumSteps > 0 && q.steps == nil {
 		q.steps = make([]Step, 0, min(2*len(targets)+1, q.options.MaximumSteps))
 	}
-	unheld := q.options.Space.Size()
+	unheld := q.options.KeySpace.Size()
 	for i, target := range targets {
 		slab[i].init(q, target, generation)
 		q.add(&slab[i])
@@ -215,11 +215,11 @@
 	}
 }
 
-// Abandon ends the query because its caller has gone.
-func (q *Query) Abandon(now time.Duration) { q.GiveUpAll(now, ReasonCallerGone) }
+// Cancel ends the query because its caller has gone.
+func (q *Query) Cancel(now time.Duration) { q.Abort(now, ReasonCallerGone) }
 
-// GiveUpAll ends the query with what is there, for the reason given.
-func (q *Query) GiveUpAll(now time.Duration, reason Reason) {
+// Abort ends the query with what is there, for the reason given.
+func (q *Query) Abort(now time.Duration, reason Reason) {
 	if q.finished {
 		return
 	}
@@ -233,7 +233,7 @@
 	q.releaseHeld()
 	switch {
 	case q.finished:
-	case q.covered == q.options.Space.Size() && q.covered > 0:
+	case q.covered == q.options.KeySpace.Size() && q.covered > 0:
 		q.finish(ReasonComplete)
 	case len(q.open) == 0:
 		q.finish(q.failureReason())
@@ -250,7 +250,7 @@
 	if q.lost == 0 || !q.options.Repeatable {
 		return false
 	}
-	return q.fraction(q.options.Space.Size()-q.lost) < q.options.Minimum
+	return q.fraction(q.options.KeySpace.Size()-q.lost) < q.options.RequiredCoverage
 }
 
 func (q *Query) failureReason() Reason {
@@ -267,19 +267,19 @@
 // considerStop asks the stop policy once the minimum is there.
 func (q *Query) considerStop() {
 	fraction := q.fraction(q.covered)
-	if q.covered == 0 || fraction < q.options.Minimum || !q.options.Repeatable {
+	if q.covered == 0 || fraction < q.options.RequiredCoverage || !q.options.Repeatable {
 		return
 	}
-	typical := q.environment.Typical()
+	typical := q.environment.TypicalLatency()
 	after, ok := q.options.Stop.StopAfter(Progress{
-		Rank:     q.options.Rank,
-		Coverage: fraction,
-		Minimum:  q.options.Minimum,
-		Open:     len(q.open),
-		Unsent:   q.unsent,
-		Typical:  typical,
-		Expected: q.expected(typical),
-		Budget:   q.options.Deadline - q.started,
+		Rank:             q.options.Rank,
+		Coverage:         fraction,
+		RequiredCoverage: q.options.RequiredCoverage,
+		OpenSegments:     len(q.open),
+		UnsentSegments:   q.unsent,
+		TypicalLatency:   typical,
+		ExpectedLatency:  q.expected(typical),
+		Budget:           q.options.Deadline - q.started,
 	})
 	switch {
 	case !ok:
@@ -296,7 +296,7 @@
 func (q *Query) expected(typical time.Duration) time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for _, s := range q.open {
-		least = min(least, q.environment.Expected(s))
+		least = min(least, q.environment.ExpectedLatency(s))
 		if least <= typical {
 			break
 		}
@@ -316,5 +316,5 @@
 }
 
 func (q *Query) fraction(keys uint64) float64 {
-	return coverage.Fraction(keys, q.options.Space.Size())
+	return coverage.Fraction(keys, q.options.KeySpace.Size())
 }
--- a/gather/query_test.go
+++ b/gather/query_test.go
@@ -44,7 +44,7 @@
 	}
 	for r := range 2 {
 		server := replica(fmt.Sprintf("%d/%d", s.Group, r))
-		if !s.Tried(server) {
+		if !s.HasTried(server) {
 			return server, gather.Placed
 		}
 	}
@@ -64,14 +64,14 @@
 }
 
 func (f *fixed) NextSnapshot([]snapshot.ID, uint64) (snapshot.ID, bool) { return f.next, f.next > 0 }
-func (f *fixed) Typical() time.Duration                                 { return 0 }
-func (f *fixed) Expected(*gather.Segment) time.Duration                 { return 0 }
+func (f *fixed) TypicalLatency() time.Duration                          { return 0 }
+func (f *fixed) ExpectedLatency(*gather.Segment) time.Duration          { return 0 }
 func (f *fixed) Backoff(int) time.Duration                              { return time.Millisecond }
 func (f *fixed) Send(a *gather.Attempt)                                 { f.sent = append(f.sent, a) }
 func (f *fixed) Cancel(a *gather.Attempt)                               { f.canceled = append(f.canceled, a) }
 func (f *fixed) Finish(_ *gather.Query, outcome gather.Outcome)         { f.outcome = &outcome }
 
-func (f *fixed) NextAttempt() gather.AttemptID {
+func (f *fixed) NextAttemptID() gather.AttemptID {
 	f.last++
 	return f.last
 }
@@ -89,14 +89,14 @@
 			if status == gather.ReplyDone {
 				r = done(a)
 			}
-			q.Replied(0, a, r)
+			q.HandleReply(0, a, r)
 		}
 	}
 	fail := func(attempt int, delivery gather.Delivery) ending {
-		return func(q *gather.Query, f *fixed) { q.Failed(0, f.sent[attempt], delivery, "cut") }
+		return func(q *gather.Query, f *fixed) { q.HandleFailure(0, f.sent[attempt], delivery, "cut") }
 	}
 	deadline := func(q *gather.Query, _ *fixed) { q.Tick(time.Second) }
-	gone := func(q *gather.Query, _ *fixed) { q.Abandon(0) }
+	gone := func(q *gather.Query, _ *fixed) { q.Cancel(0) }
 	tests := []struct {
 		name       string
 		repeatable bool
@@ -126,7 +126,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := &fixed{}
 			q := gather.New(gather.Options{
-				Space: space, Snapshot: 7, Deadline: time.Second, Minimum: test.minimum, Repeatable: test.repeatable,
+				KeySpace: space, Snapshot: 7, Deadline: time.Second, RequiredCoverage: test.minimum, Repeatable: test.repeatable,
 			}, f)
 			q.Start(0)
 			for _, end := range test.endings {
@@ -144,7 +144,7 @@
 
 func TestSegmentsThatWaitAreSentOnceThereIsRoom(t *testing.T) {
 	f := &fixed{busy: true}
-	q := gather.New(gather.Options{Space: space, Snapshot: 7, Deadline: time.Second}, f)
+	q := gather.New(gather.Options{KeySpace: space, Snapshot: 7, Deadline: time.Second}, f)
 	q.Start(0)
 	q.Tick(time.Second)
 	if len(f.sent) != 0 || f.outcome.Execution != gather.ExecutionNotRun {
@@ -160,11 +160,11 @@
 	}{{"enough", 1, 8}, {"none", 0, 7}} {
 		t.Run(test.name, func(t *testing.T) {
 			f := &fixed{next: 8, budget: test.budget}
-			q := gather.New(gather.Options{Space: space, Snapshot: 7, Deadline: time.Second, Repeatable: true, MaximumRestarts: 1}, f)
+			q := gather.New(gather.Options{KeySpace: space, Snapshot: 7, Deadline: time.Second, Repeatable: true, MaximumRestarts: 1}, f)
 			q.Start(0)
-			q.Replied(0, f.sent[0], done(f.sent[0]))
-			q.Replied(0, f.sent[1], gather.Reply{Status: gather.ReplyUnknownSnapshot})
-			q.Replied(0, f.sent[2], gather.Reply{Status: gather.ReplyUnknownSnapshot})
+			q.HandleReply(0, f.sent[0], done(f.sent[0]))
+			q.HandleReply(0, f.sent[1], gather.Reply{Status: gather.ReplyUnknownSnapshot})
+			q.HandleReply(0, f.sent[2], gather.Reply{Status: gather.ReplyUnknownSnapshot})
 			if q.Snapshot() != test.want {
 				t.Fatalf("snapshot %d, want %d", q.Snapshot(), test.want)
 			}
@@ -174,30 +174,30 @@
 
 func TestNextAtIsTheHedgeThenTheDeadline(t *testing.T) {
 	f := &fixed{hedge: time.Millisecond, budget: 10}
-	q := gather.New(gather.Options{Space: space, Snapshot: 7, Deadline: time.Second, Repeatable: true}, f)
+	q := gather.New(gather.Options{KeySpace: space, Snapshot: 7, Deadline: time.Second, Repeatable: true}, f)
 	q.Start(0)
-	if q.NextAt() != time.Millisecond {
-		t.Fatalf("next at %v", q.NextAt())
+	if q.NextTickAt() != time.Millisecond {
+		t.Fatalf("next at %v", q.NextTickAt())
 	}
 	q.Tick(time.Millisecond)
-	if len(f.sent) != 3 || q.NextAt() != 2*time.Millisecond {
-		t.Fatalf("%d sent, next at %v; want one hedge until a part is answered", len(f.sent), q.NextAt())
+	if len(f.sent) != 3 || q.NextTickAt() != 2*time.Millisecond {
+		t.Fatalf("%d sent, next at %v; want one hedge until a part is answered", len(f.sent), q.NextTickAt())
 	}
-	q.Replied(time.Millisecond, f.sent[2], done(f.sent[2]))
+	q.HandleReply(time.Millisecond, f.sent[2], done(f.sent[2]))
 	q.Tick(2 * time.Millisecond)
-	if len(f.sent) != 4 || q.NextAt() != time.Second {
-		t.Fatalf("%d sent, next at %v", len(f.sent), q.NextAt())
+	if len(f.sent) != 4 || q.NextTickAt() != time.Second {
+		t.Fatalf("%d sent, next at %v", len(f.sent), q.NextTickAt())
 	}
 }
 
 func ExampleQuery() {
 	f := &fixed{}
-	query := gather.New(gather.Options{Space: space, Snapshot: 7, Deadline: time.Second, Minimum: 0.5}, f)
+	query := gather.New(gather.Options{KeySpace: space, Snapshot: 7, Deadline: time.Second, RequiredCoverage: 0.5}, f)
 	query.Start(0)
 	for _, a := range f.sent {
 		fmt.Println("asked", a.Server, "for", a.Range)
 	}
-	query.Replied(5*time.Millisecond, f.sent[0], done(f.sent[0]))
+	query.HandleReply(5*time.Millisecond, f.sent[0], done(f.sent[0]))
 	query.Tick(time.Second) // the deadline
 	fmt.Println(f.outcome.Reason, f.outcome.Coverage, f.outcome.Complete)
 	// Output:
--- a/gather/segment.go
+++ b/gather/segment.go
@@ -68,17 +68,17 @@
 // Query is the query to which the attempt belongs.
 func (a *Attempt) Query() *Query { return a.Segment.query }
 
-// Live reports whether the attempt's reply is still wanted.
-func (a *Attempt) Live() bool { return a.live }
+// IsPending reports whether the attempt's reply is still wanted.
+func (a *Attempt) IsPending() bool { return a.live }
 
 // Query is the query to which the segment belongs.
 func (s *Segment) Query() *Query { return s.query }
 
-// Tried reports whether the server was asked for the segment in this round.
-func (s *Segment) Tried(server Server) bool { return slices.Contains(s.tried, server) }
+// HasTried reports whether the server was asked for the segment in this round.
+func (s *Segment) HasTried(server Server) bool { return slices.Contains(s.tried, server) }
 
-// Waiting reports whether the segment waits for room.
-func (s *Segment) Waiting() bool { return s.state == waiting }
+// IsWaiting reports whether the segment waits for room.
+func (s *Segment) IsWaiting() bool { return s.state == waiting }
 
 func (s *Segment) init(q *Query, target Target, generation uint64) {
 	s.Range = target.Range
--- a/gather/stop_cost_test.go
+++ b/gather/stop_cost_test.go
@@ -27,9 +27,9 @@
 	return targets
 }
 
-func (w *wide) Typical() time.Duration { return time.Millisecond }
+func (w *wide) TypicalLatency() time.Duration { return time.Millisecond }
 
-func (w *wide) Expected(*gather.Segment) time.Duration {
+func (w *wide) ExpectedLatency(*gather.Segment) time.Duration {
 	w.asked++
 	return time.Millisecond
 }
@@ -40,7 +40,7 @@
 	const groups = 350
 	w := &wide{groups: groups}
 	q := gather.New(gather.Options{
-		Space:      coverage.Range{End: groups},
+		KeySpace:   coverage.Range{End: groups},
 		Snapshot:   7,
 		Deadline:   time.Second,
 		Repeatable: true,
@@ -48,7 +48,7 @@
 	}, w)
 	q.Start(0)
 	for _, attempt := range w.sent {
-		q.Replied(0, attempt, done(attempt))
+		q.HandleReply(0, attempt, done(attempt))
 	}
 	if w.outcome == nil || !w.outcome.Complete {
 		t.Fatalf("outcome %+v", w.outcome)
--- a/lab/experiment/baseline/baseline.go
+++ b/lab/experiment/baseline/baseline.go
@@ -106,17 +106,17 @@
 	m.now = now
 	m.actions = nil
 	switch typed := event.(type) {
-	case dispatch.Arrived:
+	case dispatch.QueryArrived:
 		m.arrive(typed.Query)
-	case dispatch.Replied:
+	case dispatch.AttemptReplied:
 		m.replied(typed)
-	case dispatch.Failed:
+	case dispatch.AttemptFailed:
 		m.failed(typed)
 	case dispatch.Configured:
 		m.configure(typed)
 	case dispatch.ServerChanged:
 		m.gone[typed.Server] = typed.State == dispatch.ServerLeaving || typed.State == dispatch.ServerGone
-	case dispatch.Woken:
+	case dispatch.TimerFired:
 		m.wakeAt = 0
 	}
 	m.expire()
--- a/lab/experiment/baseline/collect.go
+++ b/lab/experiment/baseline/collect.go
@@ -22,7 +22,7 @@
 	return ended
 }
 
-func (m *Machine) replied(event dispatch.Replied) {
+func (m *Machine) replied(event dispatch.AttemptReplied) {
 	ended := m.settle(event.Attempt)
 	if ended == nil {
 		return
@@ -39,7 +39,7 @@
 	m.closePart(ended.query, ended.part)
 }
 
-func (m *Machine) failed(event dispatch.Failed) {
+func (m *Machine) failed(event dispatch.AttemptFailed) {
 	ended := m.settle(event.Attempt)
 	if ended == nil {
 		return
--- a/lab/experiment/baseline/waiting.go
+++ b/lab/experiment/baseline/waiting.go
@@ -123,7 +123,7 @@
 		return
 	}
 	m.wakeAt = m.timers.heap[0].at
-	m.emit(dispatch.Wake{At: m.wakeAt})
+	m.emit(dispatch.SetTimer{At: m.wakeAt})
 }
 
 // settled tells whether a timer has nothing left to do.
--- a/lab/experiment/cluster/arrivals.go
+++ b/lab/experiment/cluster/arrivals.go
@@ -86,7 +86,7 @@
 	r.result.arrived(arrived)
 	at := int(draw(r.seed, streamNode, uint64(id), 0, 0) * float64(len(r.nodes)))
 	r.planNextArrival(due.index, r.now)
-	r.step(r.nodes[at], dispatch.Arrived{Query: dispatch.Query{
+	r.step(r.nodes[at], dispatch.QueryArrived{Query: dispatch.Query{
 		ID:              id,
 		RequestID:       fmt.Sprintf("%d-%d", due.index, due.number),
 		Class:           class.Name,
--- a/lab/experiment/cluster/cluster_test.go
+++ b/lab/experiment/cluster/cluster_test.go
@@ -77,7 +77,7 @@
 func latencies(decided Policy, within *Scenario) map[dispatch.QueryID]time.Duration {
 	arrived, took := map[dispatch.QueryID]time.Duration{}, map[dispatch.QueryID]time.Duration{}
 	Run(within, decided, 3, func(_ int, now time.Duration, event dispatch.Event, actions []dispatch.Action) {
-		if arrival, ok := event.(dispatch.Arrived); ok {
+		if arrival, ok := event.(dispatch.QueryArrived); ok {
 			arrived[arrival.Query.ID] = now
 		}
 		for _, action := range actions {
@@ -171,7 +171,7 @@
 		within.Load = load
 		shed, deepest := 0, 0
 		Run(within, naive(), 1, func(_ int, _ time.Duration, event dispatch.Event, _ []dispatch.Action) {
-			if reply, ok := event.(dispatch.Replied); ok {
+			if reply, ok := event.(dispatch.AttemptReplied); ok {
 				deepest = max(deepest, reply.Reply.Load.Queued)
 				if reply.Reply.Status == dispatch.ReplyShed {
 					shed++
--- a/lab/experiment/cluster/node.go
+++ b/lab/experiment/cluster/node.go
@@ -10,7 +10,7 @@
 type node struct {
 	index   int
 	machine Machine
-	// wakeGeneration tells the latest Wake from those that it replaced.
+	// wakeGeneration tells the latest SetTimer from those that it replaced.
 	wakeGeneration uint64
 	attempts       map[dispatch.AttemptID]*attempt
 	// idle holds, per server, when each idle connection was last used; the
@@ -34,7 +34,7 @@
 			r.cancelAttempt(at, typed.Attempt)
 		case dispatch.Finish:
 			r.finish(typed)
-		case dispatch.Wake:
+		case dispatch.SetTimer:
 			at.wakeGeneration++
 			due := max(typed.At, r.now)
 			r.events.push(entry{at: due, kind: kindWake, index: at.index, number: at.wakeGeneration})
@@ -121,7 +121,7 @@
 		delivery = dispatch.NotDelivered
 	}
 	cancelled.closed = true
-	r.events.push(entry{at: r.now, kind: kindNodeEvent, index: from.index, event: dispatch.Failed{
+	r.events.push(entry{at: r.now, kind: kindNodeEvent, index: from.index, event: dispatch.AttemptFailed{
 		Attempt: id, Delivery: delivery, Reason: "cancelled",
 	}})
 	delete(from.attempts, id)
@@ -139,7 +139,7 @@
 		}
 		about.closed = true
 		delete(at.attempts, about.send.Attempt)
-		if _, failed := planned.event.(dispatch.Failed); !failed {
+		if _, failed := planned.event.(dispatch.AttemptFailed); !failed {
 			at.idle[about.server.index] = append(at.idle[about.server.index], r.now)
 		} else if about.writtenAt > 0 && about.server.connected > 0 {
 			about.server.connected--
--- a/lab/experiment/cluster/run.go
+++ b/lab/experiment/cluster/run.go
@@ -108,7 +108,7 @@
 func (r *run) wake(due entry) {
 	woken := r.nodes[due.index]
 	if woken.wakeGeneration == due.number {
-		r.step(woken, dispatch.Woken{})
+		r.step(woken, dispatch.TimerFired{})
 	}
 }
 
@@ -173,8 +173,8 @@
 	return dispatch.Configured{Revision: revision, Service: service, Classes: classes}
 }
 
-func (r *run) observed(told *server) dispatch.Observed {
-	return dispatch.Observed{
+func (r *run) observed(told *server) dispatch.ServerReported {
+	return dispatch.ServerReported{
 		Server:    told.id,
 		Snapshots: []dispatch.SnapshotID{firstSnapshot},
 		Load:      told.load(r.now, r.scenario.Reports.Lag),
--- a/lab/experiment/cluster/server.go
+++ b/lab/experiment/cluster/server.go
@@ -207,11 +207,11 @@
 	if status == dispatch.ReplyShed {
 		reply.RetryAfter = r.scenario.ServiceTime.Mean
 	}
-	r.toNode(answered, dispatch.Replied{Attempt: answered.send.Attempt, Reply: reply})
+	r.toNode(answered, dispatch.AttemptReplied{Attempt: answered.send.Attempt, Reply: reply})
 }
 
 func (r *run) fail(failed *attempt, delivery dispatch.Delivery, reason string) {
-	r.toNode(failed, dispatch.Failed{Attempt: failed.send.Attempt, Delivery: delivery, Reason: reason})
+	r.toNode(failed, dispatch.AttemptFailed{Attempt: failed.send.Attempt, Delivery: delivery, Reason: reason})
 }
 
 // toNode carries an event from a server to the node that sent the attempt.
--- a/lab/experiment/tuning.go
+++ b/lab/experiment/tuning.go
@@ -20,10 +20,10 @@
 	SizeDecayRate float64  `yaml:"size_decay_rate" json:"size_decay_rate,omitempty" validate:"min=0"`
 	MaximumQueued int      `yaml:"maximum_queued" json:"maximum_queued,omitempty" validate:"min=0"`
 	BlockedShare  *float64 `yaml:"blocked_share" json:"blocked_share,omitempty" validate:"omitempty,min=0,max=1"`
-	// WaitingRoom is the number of sub-requests that may wait in a group.
-	WaitingRoom int     `yaml:"waiting_room" json:"waiting_room,omitempty" validate:"min=0,max=1000"`
-	Limit       string  `yaml:"limit" json:"limit,omitempty" validate:"omitempty,oneof=adaptive fixed unlimited"`
-	LimitGrowth float64 `yaml:"limit_growth" json:"limit_growth,omitempty" validate:"min=0"`
+	// WaitingAllowance is the number of sub-requests that may wait in a group.
+	WaitingAllowance int     `yaml:"waiting_room" json:"waiting_room,omitempty" validate:"min=0,max=1000"`
+	Limit            string  `yaml:"limit" json:"limit,omitempty" validate:"omitempty,oneof=adaptive fixed unlimited"`
+	LimitGrowth      float64 `yaml:"limit_growth" json:"limit_growth,omitempty" validate:"min=0"`
 	// LimitSignal is the sign of congestion: low-latency or mean-latency.
 	LimitSignal     string  `yaml:"limit_signal" json:"limit_signal,omitempty" validate:"omitempty,oneof=low-latency mean-latency"`
 	LimitQueueShare float64 `yaml:"limit_queue_share" json:"limit_queue_share,omitempty" validate:"min=0"`
@@ -42,29 +42,29 @@
 	HedgeQuantile float64 `yaml:"hedge_quantile" json:"hedge_quantile,omitempty" validate:"min=0,max=1"`
 	BudgetBurst   float64 `yaml:"budget_burst" json:"budget_burst,omitempty" validate:"min=0"`
 	// Stop decides when to stop waiting: deadline or slow.
-	Stop          string  `yaml:"stop" json:"stop,omitempty" validate:"omitempty,oneof=deadline slow"`
-	Patience      float64 `yaml:"patience" json:"patience,omitempty" validate:"min=0"`
-	SlowPatience  float64 `yaml:"slow_patience" json:"slow_patience,omitempty" validate:"min=0"`
-	LeastCoverage float64 `yaml:"least_coverage" json:"least_coverage,omitempty" validate:"min=0,max=1"`
+	Stop              string  `yaml:"stop" json:"stop,omitempty" validate:"omitempty,oneof=deadline slow"`
+	LatencyFactor     float64 `yaml:"patience" json:"patience,omitempty" validate:"min=0"`
+	SlowLatencyFactor float64 `yaml:"slow_patience" json:"slow_patience,omitempty" validate:"min=0"`
+	LeastCoverage     float64 `yaml:"least_coverage" json:"least_coverage,omitempty" validate:"min=0,max=1"`
 }
 
 // Build gives the options of a node's dispatcher.
 func (t Tuning) Build(seed uint64, zone string) dispatch.Options {
 	return dispatch.Options{
-		Seed:            seed,
-		Zone:            zone,
-		QueueOrder:      t.queueOrder(),
-		MaximumQueued:   t.MaximumQueued,
-		BlockedShare:    optional(t.BlockedShare),
-		WaitingRoom:     t.WaitingRoom,
-		LimitPolicy:     t.limitPolicy(),
-		ReplicaPolicy:   t.replicaPolicy(),
-		LoadWeight:      optional(t.LoadWeight),
-		LoadHalfLife:    milliseconds(t.LoadHalfLifeMS),
-		LatencyHalfLife: milliseconds(t.LatencyHalfLifeMS),
-		HedgePolicy:     t.hedgePolicy(),
-		Budget:          retry.BudgetOptions{Burst: t.BudgetBurst},
-		StopPolicy:      t.stopPolicy(),
+		Seed:             seed,
+		Zone:             zone,
+		QueueOrder:       t.queueOrder(),
+		MaximumQueued:    t.MaximumQueued,
+		BlockedShare:     optional(t.BlockedShare),
+		WaitingAllowance: t.WaitingAllowance,
+		LimitPolicy:      t.limitPolicy(),
+		ReplicaPolicy:    t.replicaPolicy(),
+		LoadWeight:       optional(t.LoadWeight),
+		LoadHalfLife:     milliseconds(t.LoadHalfLifeMS),
+		LatencyHalfLife:  milliseconds(t.LatencyHalfLifeMS),
+		HedgePolicy:      t.hedgePolicy(),
+		Budget:           retry.BudgetOptions{Burst: t.BudgetBurst},
+		StopPolicy:       t.stopPolicy(),
 	}
 }
 
@@ -118,7 +118,7 @@
 	case "random":
 		return dispatch.RandomReplica
 	default:
-		return dispatch.PowerOfTwo
+		return dispatch.PowerOfTwoChoices
 	}
 }
 
@@ -142,7 +142,7 @@
 	case "deadline":
 		return gather.StopAtDeadline{}
 	case "slow":
-		return gather.StopWhenSlow{Patience: t.Patience, SlowPatience: t.SlowPatience, Least: t.LeastCoverage}
+		return gather.StopWhenSlow{LatencyFactor: t.LatencyFactor, SlowLatencyFactor: t.SlowLatencyFactor, MinimumCoverage: t.LeastCoverage}
 	default:
 		return nil
 	}
--- a/lab/replay/trace.go
+++ b/lab/replay/trace.go
@@ -66,36 +66,36 @@
 
 // Event holds one event of a dispatcher; exactly one field is set.
 type Event struct {
-	Arrived       *dispatch.Arrived       `json:"arrived,omitempty"`
-	CallerGone    *dispatch.CallerGone    `json:"caller_gone,omitempty"`
-	Replied       *dispatch.Replied       `json:"replied,omitempty"`
-	Failed        *dispatch.Failed        `json:"failed,omitempty"`
-	Woken         *dispatch.Woken         `json:"woken,omitempty"`
-	Configured    *dispatch.Configured    `json:"configured,omitempty"`
-	ServerChanged *dispatch.ServerChanged `json:"server_changed,omitempty"`
-	Observed      *dispatch.Observed      `json:"observed,omitempty"`
-	NodesChanged  *dispatch.NodesChanged  `json:"nodes_changed,omitempty"`
-	Stopping      *dispatch.Stopping      `json:"stopping,omitempty"`
+	Arrived       *dispatch.QueryArrived   `json:"arrived,omitempty"`
+	CallerGone    *dispatch.CallerGone     `json:"caller_gone,omitempty"`
+	Replied       *dispatch.AttemptReplied `json:"replied,omitempty"`
+	Failed        *dispatch.AttemptFailed  `json:"failed,omitempty"`
+	Woken         *dispatch.TimerFired     `json:"woken,omitempty"`
+	Configured    *dispatch.Configured     `json:"configured,omitempty"`
+	ServerChanged *dispatch.ServerChanged  `json:"server_changed,omitempty"`
+	Observed      *dispatch.ServerReported `json:"observed,omitempty"`
+	NodesChanged  *dispatch.NodesChanged   `json:"nodes_changed,omitempty"`
+	Stopping      *dispatch.Stopping       `json:"stopping,omitempty"`
 }
 
 // wrapEvent puts an event of a dispatcher into its field.
 func wrapEvent(event dispatch.Event) (Event, error) {
 	switch typed := event.(type) {
-	case dispatch.Arrived:
+	case dispatch.QueryArrived:
 		return Event{Arrived: &typed}, nil
 	case dispatch.CallerGone:
 		return Event{CallerGone: &typed}, nil
-	case dispatch.Replied:
+	case dispatch.AttemptReplied:
 		return Event{Replied: &typed}, nil
-	case dispatch.Failed:
+	case dispatch.AttemptFailed:
 		return Event{Failed: &typed}, nil
-	case dispatch.Woken:
+	case dispatch.TimerFired:
 		return Event{Woken: &typed}, nil
 	case dispatch.Configured:
 		return Event{Configured: &typed}, nil
 	case dispatch.ServerChanged:
 		return Event{ServerChanged: &typed}, nil
-	case dispatch.Observed:
+	case dispatch.ServerReported:
 		return Event{Observed: &typed}, nil
 	case dispatch.NodesChanged:
 		return Event{NodesChanged: &typed}, nil
@@ -132,10 +132,10 @@
 
 // Action holds one action of a dispatcher; exactly one field is set.
 type Action struct {
-	Send   *dispatch.Send   `json:"send,omitempty"`
-	Cancel *dispatch.Cancel `json:"cancel,omitempty"`
-	Finish *dispatch.Finish `json:"finish,omitempty"`
-	Wake   *dispatch.Wake   `json:"wake,omitempty"`
+	Send   *dispatch.Send     `json:"send,omitempty"`
+	Cancel *dispatch.Cancel   `json:"cancel,omitempty"`
+	Finish *dispatch.Finish   `json:"finish,omitempty"`
+	Wake   *dispatch.SetTimer `json:"wake,omitempty"`
 }
 
 // encodeActions returns the JSON text of what the dispatcher did.
@@ -149,7 +149,7 @@
 			wrapped = append(wrapped, Action{Cancel: &typed})
 		case dispatch.Finish:
 			wrapped = append(wrapped, Action{Finish: &typed})
-		case dispatch.Wake:
+		case dispatch.SetTimer:
 			wrapped = append(wrapped, Action{Wake: &typed})
 		default:
 			return nil, fmt.Errorf("%w: unknown action %T", ErrInvalidTrace, action)
--- a/node/ask.go
+++ b/node/ask.go
@@ -45,12 +45,12 @@
 			b.unreachable(outgoing.send.Server)
 		}
 		if ctx.Err() == nil && errors.Is(err, errOwnersBusy) {
-			return dispatch.Replied{Attempt: attempt, Reply: shedByOwners(outgoing.send)}
+			return dispatch.AttemptReplied{Attempt: attempt, Reply: shedByOwners(outgoing.send)}
 		}
-		return dispatch.Failed{Attempt: attempt, Delivery: deliveryOf(err), Reason: failureReason(ctx, err)}
+		return dispatch.AttemptFailed{Attempt: attempt, Delivery: deliveryOf(err), Reason: failureReason(ctx, err)}
 	}
 	b.heard(outgoing.send.Server, reply, time.Since(sent))
-	return dispatch.Replied{Attempt: attempt, Reply: replyOf(outgoing.send, reply)}
+	return dispatch.AttemptReplied{Attempt: attempt, Reply: replyOf(outgoing.send, reply)}
 }
 
 // shedByOwners is the reply to a sub-request that no owner has room for.
--- a/node/peers.go
+++ b/node/peers.go
@@ -102,7 +102,7 @@
 	if current == nil {
 		return
 	}
-	observed := dispatch.Observed{Server: result.server, Snapshots: snapshotIDs(result.health.Snapshots)}
+	observed := dispatch.ServerReported{Server: result.server, Snapshots: snapshotIDs(result.health.Snapshots)}
 	if result.load != nil {
 		observed.Load = dispatch.Load{InFlight: result.load.InFlight, Queued: result.load.Queued}
 	}
--- a/node/shard.go
+++ b/node/shard.go
@@ -15,7 +15,7 @@
 	Step(now time.Duration, event dispatch.Event) []dispatch.Action
 }
 
-// asker sends one sub-request and reports how it ended, as a Replied or Failed
+// asker sends one sub-request and reports how it ended, as a AttemptReplied or AttemptFailed
 // event.
 type asker interface {
 	ask(ctx context.Context, outgoing *subRequest) dispatch.Event
@@ -109,7 +109,7 @@
 			s.cancel(action.Attempt)
 		case dispatch.Finish:
 			s.finish(now, action)
-		case dispatch.Wake:
+		case dispatch.SetTimer:
 			s.setWake(action.At - now)
 		}
 	}
@@ -127,7 +127,7 @@
 		done:    make(chan finished, 1),
 	}
 	s.queries[query.id] = query
-	s.stepLocked(dispatch.Arrived{Query: dispatch.Query{
+	s.stepLocked(dispatch.QueryArrived{Query: dispatch.Query{
 		ID:              query.id,
 		RequestID:       request.RequestID,
 		Class:           request.Class,
@@ -185,7 +185,7 @@
 func (s *shard) carry(ctx context.Context, outgoing *subRequest) {
 	defer s.options.running.Done()
 	event := s.options.asker.ask(ctx, outgoing)
-	if _, failed := event.(dispatch.Failed); failed {
+	if _, failed := event.(dispatch.AttemptFailed); failed {
 		s.options.counters.failures.Inc()
 	}
 	s.mutex.Lock()
@@ -245,7 +245,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.closed {
-		s.stepLocked(dispatch.Woken{})
+		s.stepLocked(dispatch.TimerFired{})
 	}
 }
 
@@ -260,7 +260,7 @@
 	return idle
 }
 
-// close stops the timer; the machine gets no Woken afterwards.
+// close stops the timer; the machine gets no TimerFired afterwards.
 func (s *shard) close() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/node/shard_bench_internal_test.go
+++ b/node/shard_bench_internal_test.go
@@ -19,7 +19,7 @@
 type instantAsker struct{ body json.RawMessage }
 
 func (i instantAsker) ask(_ context.Context, outgoing *subRequest) dispatch.Event {
-	return dispatch.Replied{Attempt: outgoing.send.Attempt, Reply: dispatch.Reply{
+	return dispatch.AttemptReplied{Attempt: outgoing.send.Attempt, Reply: dispatch.Reply{
 		Status: dispatch.ReplyDone, Snapshot: outgoing.send.Snapshot, Range: outgoing.send.Range, Body: i.body,
 	}}
 }
@@ -51,7 +51,7 @@
 	class := policy.Class{Name: "normal", Deadline: 10_000, LongestWait: 1000}
 	carrier.configure(dispatch.Configured{Revision: 1, Service: service, Classes: []policy.Class{class}})
 	for index := range groups {
-		carrier.step(dispatch.Observed{Server: strconv.Itoa(index), Snapshots: []dispatch.SnapshotID{1}})
+		carrier.step(dispatch.ServerReported{Server: strconv.Itoa(index), Snapshots: []dispatch.SnapshotID{1}})
 	}
 	request := caller.Request{Service: "catalog", RequestID: "r", Class: "normal", Deadline: 10 * time.Second, MinimumCoverage: 1, Repeatable: true}
 	b.ReportAllocs()
--- a/node/workers_internal_test.go
+++ b/node/workers_internal_test.go
@@ -24,7 +24,7 @@
 	g.running++
 	g.mutex.Unlock()
 	<-g.gate
-	return dispatch.Failed{Attempt: outgoing.send.Attempt, Delivery: dispatch.NotDelivered}
+	return dispatch.AttemptFailed{Attempt: outgoing.send.Attempt, Delivery: dispatch.NotDelivered}
 }
 
 // silentMachine decides nothing.
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -143,9 +143,9 @@
 	return l.wideFinding(content, s), Everybody
 }
 
-// EndedAll notes that all servers have ended to which a content was sent at once, one after the
+// CrashedAllServers notes that all servers have ended to which a content was sent at once, one after the
 // other: that is proof as if one had got it alone.
-func (l *Ledger) EndedAll(now time.Duration, content Content) (Finding, Audience) {
+func (l *Ledger) CrashedAllServers(now time.Duration, content Content) (Finding, Audience) {
 	s := l.suspects[content]
 	if s == nil || s.quarantined || s.endedAll {
 		return Finding{}, Nobody
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -310,7 +310,7 @@
 				l.Ended(50*time.Millisecond, contentOf(2), life(70))
 			}
 			const ended = 100 * time.Millisecond
-			if _, audience := l.EndedAll(ended, deadly); audience != quarantine.Everybody {
+			if _, audience := l.CrashedAllServers(ended, deadly); audience != quarantine.Everybody {
 				t.Errorf("told to %d", audience)
 			}
 			if !l.Proven(deadly) {
--- a/routing/admit.go
+++ b/routing/admit.go
@@ -114,7 +114,7 @@
 func (r *Router) expectedWait(s *service, priority int, usual time.Duration) time.Duration {
 	ahead := 0
 	for _, w := range s.waiting.All() {
-		if !w.late && w.priority <= priority && !w.request.finished && w.segment.Waiting() {
+		if !w.late && w.priority <= priority && !w.request.finished && w.segment.IsWaiting() {
 			ahead++
 		}
 	}
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -47,7 +47,7 @@
 			continue
 		}
 		usable = true
-		if segment.Tried(candidate) || !done.mayAsk(candidate, q.asked.Route.Attempts) {
+		if segment.HasTried(candidate) || !done.mayAsk(candidate, q.asked.Route.Attempts) {
 			continue
 		}
 		untried = true
@@ -77,7 +77,7 @@
 	case !usable:
 		return nil, gather.Unservable
 	case !untried:
-		return nil, gather.Tried
+		return nil, gather.AllTried
 	case !affordable && kind == gather.HedgeSend:
 		q.unaffordable++
 		return nil, gather.Busy
--- a/routing/incarnation_test.go
+++ b/routing/incarnation_test.go
@@ -25,7 +25,7 @@
 func TestAServerThatIsBackUnderItsIDIsAnother(t *testing.T) {
 	for what, harm := range map[string]func(w *world, send routing.Send){
 		"it failed": func(w *world, send routing.Send) {
-			w.step(routing.Failed{Attempt: send.Attempt, Delivery: gather.ServerEnded})
+			w.step(routing.Failed{Attempt: send.Attempt, Delivery: gather.ServerCrashed})
 		},
 		"out of reach": func(w *world, send routing.Send) {
 			w.step(routing.Failed{Attempt: send.Attempt, Delivery: gather.NotDelivered})
--- a/routing/request.go
+++ b/routing/request.go
@@ -82,17 +82,17 @@
 		minimum = target.MinimumCoverage
 	}
 	q.query = gather.New(gather.Options{
-		Owner:         q,
-		Space:         coverage.Range{Start: 0, End: uint64(len(q.names))},
-		Snapshot:      pinned,
-		Arrived:       r.now,
-		Deadline:      r.now + q.asked.Remaining,
-		Minimum:       minimum,
-		Rank:          q.asked.Route.Priority,
-		Repeatable:    q.asked.Route.Repeatable,
-		Suspected:     q.suspected,
-		Stop:          stopByAim{q},
-		MaximumRounds: maximumRounds,
+		Owner:            q,
+		KeySpace:         coverage.Range{Start: 0, End: uint64(len(q.names))},
+		Snapshot:         pinned,
+		Arrived:          r.now,
+		Deadline:         r.now + q.asked.Remaining,
+		RequiredCoverage: minimum,
+		Rank:             q.asked.Route.Priority,
+		Repeatable:       q.asked.Route.Repeatable,
+		CrashSuspect:     q.suspected,
+		Stop:             stopByAim{q},
+		MaximumRounds:    maximumRounds,
 	}, q)
 	q.query.Start(r.now)
 	r.schedule(q)
@@ -147,11 +147,11 @@
 // NextSnapshot implements gather.Environment: the set of shards is pinned.
 func (q *request) NextSnapshot([]snapshot.ID, uint64) (snapshot.ID, bool) { return 0, false }
 
-// Typical implements gather.Environment.
-func (q *request) Typical() time.Duration { return q.latency.usual() }
+// TypicalLatency implements gather.Environment.
+func (q *request) TypicalLatency() time.Duration { return q.latency.usual() }
 
-// Expected implements gather.Environment.
-func (q *request) Expected(*gather.Segment) time.Duration { return 0 }
+// ExpectedLatency implements gather.Environment.
+func (q *request) ExpectedLatency(*gather.Segment) time.Duration { return 0 }
 
 // leastBackoff is the time before servers that were all tried are asked anew.
 const leastBackoff = 20 * time.Millisecond
@@ -162,8 +162,8 @@
 	return pause + time.Duration(q.router.random.Float64()*float64(pause))
 }
 
-// NextAttempt implements gather.Environment.
-func (q *request) NextAttempt() gather.AttemptID {
+// NextAttemptID implements gather.Environment.
+func (q *request) NextAttemptID() gather.AttemptID {
 	q.router.lastAttempt++
 	return q.router.lastAttempt
 }
--- a/routing/rollouts.go
+++ b/routing/rollouts.go
@@ -157,12 +157,12 @@
 	s := a.Segment.Group.(*service)
 	switch {
 	case s.trial == nil || event.Reason == zoneUnreachable:
-	case event.Delivery == gather.ServerEnded && a.Alone: // it speaks against the request
+	case event.Delivery == gather.ServerCrashed && a.Alone: // it speaks against the request
 	case event.Delivery == gather.NotDelivered:
 		if s.trial.Active() && a.server.Version == s.trial.State().Target {
 			s.trial.TakeBack()
 		}
-	case a.Live():
+	case a.IsPending():
 		r.judge(a, q, rollout.Failed)
 	default:
 		if answer := r.speedOf(a, q); answer == rollout.Slow {
@@ -207,7 +207,7 @@
 func (r *Router) remaining(s *service) int {
 	count := 0
 	for _, a := range r.attempts {
-		wanted := a.Live() || !r.requestOf(a).asked.Route.Repeatable
+		wanted := a.IsPending() || !r.requestOf(a).asked.Route.Repeatable
 		if a.Segment.Group == gather.Group(s) && a.server.standing == rollout.Closed && wanted {
 			count++
 		}
--- a/routing/router.go
+++ b/routing/router.go
@@ -174,7 +174,7 @@
 // repeated goes on: stopping it would not undo it.
 func (r *Router) callerGone(id RequestID) {
 	if q := r.running[id]; q != nil {
-		q.query.Abandon(r.now)
+		q.query.Cancel(r.now)
 	}
 }
 
@@ -182,7 +182,7 @@
 func (r *Router) stop() {
 	r.stopping = true
 	for _, id := range slices.Sorted(maps.Keys(r.running)) {
-		r.running[id].query.GiveUpAll(r.now, gather.ReasonStopping)
+		r.running[id].query.Abort(r.now, gather.ReasonStopping)
 	}
 }
 
@@ -222,7 +222,7 @@
 		q.failure = event.Body
 		a.server.Learn(r.now, refusedSlowness)
 	}
-	q.query.Replied(r.now, a.Attempt, gather.Reply{
+	q.query.HandleReply(r.now, a.Attempt, gather.Reply{
 		Status:   event.Status,
 		Snapshot: a.Snapshot,
 		Range:    a.Range,
@@ -278,19 +278,19 @@
 	q.ended(a, event.Reason)
 	r.judgeFailure(a, q, event)
 	switch event.Delivery {
-	case gather.ServerEnded:
+	case gather.ServerCrashed:
 		r.serverEnded(a, q)
-	case gather.InDoubt:
+	case gather.CrashUnconfirmed:
 		r.doubts[event.Attempt] = a
 	default:
 	}
 	if event.Delivery == gather.NotDelivered {
 		r.uncount(a, q)
 		r.unreached(a.server, event.Refused)
-	} else if a.Live() || a.server.Overdue(r.now) > 0 || a.flight.Late(r.now) {
+	} else if a.IsPending() || a.server.Overdue(r.now) > 0 || a.flight.Late(r.now) {
 		a.server.Learn(r.now, failedSlowness)
 	}
-	q.query.Failed(r.now, a.Attempt, event.Delivery, event.Reason)
+	q.query.HandleFailure(r.now, a.Attempt, event.Delivery, event.Reason)
 	r.spread(q)
 	r.schedule(q)
 	r.pump(a.Segment.Group.(*service))
--- a/routing/service.go
+++ b/routing/service.go
@@ -78,7 +78,7 @@
 	r.pumping = s
 	for s.waiting.Len() > 0 && len(r.passed) == 0 {
 		first := s.waiting.Pop()
-		if first.request.finished || !first.segment.Waiting() {
+		if first.request.finished || !first.segment.IsWaiting() {
 			continue
 		}
 		if !first.late && first.request.late() {
@@ -86,7 +86,7 @@
 			s.waiting.Push(first)
 			continue
 		}
-		first.request.query.Resume(r.now, first.segment)
+		first.request.query.ResumeSegment(r.now, first.segment)
 		r.schedule(first.request)
 	}
 	for _, w := range r.passed {
--- a/routing/suspects.go
+++ b/routing/suspects.go
@@ -38,9 +38,9 @@
 // refuseSuspect refuses a request under which servers end: for good, without a word of coming
 // back, as it has run; until the end of a review, where that is not known yet.
 func (r *Router) refuseSuspect(asked Request, standing quarantine.Standing, left time.Duration) {
-	outcome := Outcome{Execution: gather.ExecutionNotRun, Reason: gather.ReasonEndsServers, RetryAfter: left}
+	outcome := Outcome{Execution: gather.ExecutionNotRun, Reason: gather.ReasonCrashesServers, RetryAfter: left}
 	if standing == quarantine.Quarantined {
-		outcome = Outcome{Execution: gather.ExecutionUnknown, Reason: gather.ReasonEndsServers}
+		outcome = Outcome{Execution: gather.ExecutionUnknown, Reason: gather.ReasonCrashesServers}
 		r.emit(CameAgain{Content: asked.Content()})
 	}
 	r.emit(Finish{Request: asked.ID, Outcome: outcome})
@@ -56,21 +56,21 @@
 	end := quarantine.End{Life: quarantine.LifeOf(a.server.Incarnation().String()), Alone: a.Alone}
 	r.tell(r.ledger.Ended(r.now, content, end))
 	if r.ledger.Proven(content) {
-		q.query.GiveUpAll(r.now, gather.ReasonEndsServers)
+		q.query.Abort(r.now, gather.ReasonCrashesServers)
 	}
 }
 
 // spread tells all nodes of a request that has ended several servers, one after the other.
 func (r *Router) spread(q *request) {
-	if !q.query.Endangers() {
+	if !q.query.IsCrashSuspect() {
 		return
 	}
 	content, ok := r.contentOf(&q.asked)
 	if !ok {
 		return
 	}
-	if q.query.EndedAll() {
-		r.tell(r.ledger.EndedAll(r.now, content))
+	if q.query.CrashedAllServers() {
+		r.tell(r.ledger.CrashedAllServers(r.now, content))
 	} else {
 		r.tell(r.ledger.Unanswered(r.now, content))
 	}
@@ -85,10 +85,10 @@
 	}
 	delete(r.doubts, event.Attempt)
 	q := r.requestOf(a)
-	if event.Ended && !q.query.Survived() {
+	if event.Ended && !q.query.HasSurvivor() {
 		r.serverEnded(a, q)
 	}
-	q.query.Settle(r.now, event.Ended)
+	q.query.ResolveCrash(r.now, event.Ended)
 	r.spread(q)
 	if !q.query.Finished() {
 		r.schedule(q)
@@ -127,9 +127,9 @@
 			continue
 		}
 		if standing == quarantine.Quarantined {
-			q.query.GiveUpAll(r.now, gather.ReasonEndsServers)
+			q.query.Abort(r.now, gather.ReasonCrashesServers)
 		} else {
-			q.query.Suspect()
+			q.query.MarkCrashSuspect()
 		}
 	}
 }
--- a/routing/suspects_test.go
+++ b/routing/suspects_test.go
@@ -28,7 +28,7 @@
 	if ended := w.endAll(first); ended != len(fiveShards)+1 {
 		t.Errorf("%d servers ended", ended)
 	}
-	if got := w.finished[first]; got.Execution != gather.ExecutionUnknown || got.Reason != gather.ReasonEndsServers {
+	if got := w.finished[first]; got.Execution != gather.ExecutionUnknown || got.Reason != gather.ReasonCrashesServers {
 		t.Errorf("it ended with %+v", got)
 	}
 	review := w.finished[w.askFor(r, "/deadly")]
@@ -102,9 +102,9 @@
 				}
 			}
 		}
-		w.fail(send.Attempt, gather.ServerEnded)
+		w.fail(send.Attempt, gather.ServerCrashed)
 	}
-	if got := w.finished[id]; got.Reason != gather.ReasonEndsServers || got.Sends != len(tenShards) {
+	if got := w.finished[id]; got.Reason != gather.ReasonCrashesServers || got.Sends != len(tenShards) {
 		t.Errorf("it ended with %+v", got)
 	}
 	before := len(other.open(running))
@@ -117,7 +117,7 @@
 		t.Errorf("after the review: %+v", got)
 	}
 	other.step(routing.FindingHeard{Finding: w.told[len(w.told)-1].Finding})
-	if got := other.finished[running]; got.Reason != gather.ReasonEndsServers {
+	if got := other.finished[running]; got.Reason != gather.ReasonCrashesServers {
 		t.Errorf("what runs elsewhere: %+v", got)
 	}
 }
@@ -136,7 +136,7 @@
 			r := single("s1", test.answered) // one that must not be repeated is over with the loss
 			id := w.askFor(r, "/doubted")
 			lost := w.open(id)[0].Attempt
-			w.fail(lost, gather.InDoubt)
+			w.fail(lost, gather.CrashUnconfirmed)
 			if test.answered {
 				w.end(w.open(id)[0].Attempt, gather.ReplyDone)
 			}
@@ -159,7 +159,7 @@
 	r := single("s1", true)
 	content := quarantine.ContentOf("GET", "host", "/recorded", nil)
 	w.step(routing.QuarantinesChanged{Contents: []quarantine.Content{content}})
-	if got := w.finished[w.askFor(r, "/recorded")]; got.Reason != gather.ReasonEndsServers || got.Sends != 0 {
+	if got := w.finished[w.askFor(r, "/recorded")]; got.Reason != gather.ReasonCrashesServers || got.Sends != 0 {
 		t.Errorf("%+v", got)
 	}
 	w.step(routing.QuarantinesChanged{})
@@ -167,8 +167,8 @@
 	if len(w.open(id)) != 1 {
 		t.Fatal("it is not tried")
 	}
-	w.fail(w.open(id)[0].Attempt, gather.ServerEnded)
-	if got := w.finished[id]; got.Reason != gather.ReasonEndsServers || len(w.open(id)) > 0 {
+	w.fail(w.open(id)[0].Attempt, gather.ServerCrashed)
+	if got := w.finished[id]; got.Reason != gather.ReasonCrashesServers || len(w.open(id)) > 0 {
 		t.Errorf("after its server ended: %+v", got)
 	}
 }
--- a/routing/timers.go
+++ b/routing/timers.go
@@ -27,10 +27,10 @@
 
 // schedule sets a request's timer.
 func (r *Router) schedule(q *request) {
-	if q.finished || q.query.NextAt() == q.timerAt {
+	if q.finished || q.query.NextTickAt() == q.timerAt {
 		return
 	}
-	q.timerAt = q.query.NextAt()
+	q.timerAt = q.query.NextTickAt()
 	r.timers.Push(timer{at: q.timerAt, request: q})
 }
 
--- a/routing/world_test.go
+++ b/routing/world_test.go
@@ -164,7 +164,7 @@
 	for open := w.open(id); len(open) > 0; open = w.open(id) {
 		for _, send := range open {
 			ended++
-			w.fail(send.Attempt, gather.ServerEnded)
+			w.fail(send.Attempt, gather.ServerCrashed)
 		}
 	}
 	return ended
