--- a/cmd/banksail-front/providers.go
+++ b/cmd/banksail-front/providers.go
@@ -43,7 +43,7 @@
 }
 
 func newOptions(
-	settings platform.Settings, store *platform.Store, registry *prometheus.Registry, logger zerolog.Logger, off mechanism.Off,
+	settings platform.Settings, store *platform.Store, registry *prometheus.Registry, logger zerolog.Logger, off mechanism.Disabled,
 ) front.Options {
 	started := time.Now().UnixNano()
 	return front.Options{
@@ -60,6 +60,6 @@
 		Logger:        logger,
 		Registry:      registry,
 		Seed:          uint64(started),
-		Off:           off,
+		Disabled:      off,
 	}
 }
--- a/cmd/banksail-front/wire_gen.go
+++ b/cmd/banksail-front/wire_gen.go
@@ -16,7 +16,7 @@
 // Injectors from wire.go:
 
 // newDaemon connects a node to the platform's store, its log and its metrics.
-func newDaemon(settings platform.Settings, log logOptions, off mechanism.Off) (*daemon, error) {
+func newDaemon(settings platform.Settings, log logOptions, off mechanism.Disabled) (*daemon, error) {
 	boundedWriter := newOutput(log)
 	registry := newRegistry(boundedWriter)
 	logger, err := newLogger(settings, log, boundedWriter)
--- a/directory/serving.go
+++ b/directory/serving.go
@@ -28,14 +28,14 @@
 // nodes together. All nodes that see the same members choose the same, and one
 // that comes or goes changes few others' part. Off names the mechanisms that are
 // switched off.
-func Serving(nodes []discovery.Node, connections int, off mechanism.Off) []discovery.Node {
+func Serving(nodes []discovery.Node, connections int, off mechanism.Disabled) []discovery.Node {
 	staying := filter(nodes, func(n discovery.Node) bool { return !n.Leaving })
 	if len(staying) == 0 {
 		return nodes
 	}
 	most := max(connections-stillConnected(nodes, connections), leastServing)
 	serving := spread(staying, most, capableOf(staying))
-	if !off.On(mechanism.Capable) || slices.ContainsFunc(serving, func(n discovery.Node) bool { return n.Busy }) {
+	if !off.Enabled(mechanism.CapableNodes) || slices.ContainsFunc(serving, func(n discovery.Node) bool { return n.Busy }) {
 		serving = spread(staying, most, func(discovery.Node) bool { return true })
 	}
 	return serving
--- a/discovery/restored.go
+++ b/discovery/restored.go
@@ -69,7 +69,7 @@
 // BeginEpoch notes that the registry has come back from a copy, as heard at now: what follows
 // up to the position may be of the copy.
 func (v *View) BeginEpoch(now time.Duration, position Position) {
-	if v.options.Off.On(mechanism.Doubt) {
+	if v.options.Disabled.Enabled(mechanism.OutageRetention) {
 		v.doubtUntil = max(v.doubtUntil, now+v.options.MissingFor)
 	}
 	v.restored.epoch, v.restored.revision = position.Epoch, position.Revision
--- a/discovery/view.go
+++ b/discovery/view.go
@@ -88,8 +88,8 @@
 	// DirectivesMissingFor is how long after that directives of the operator are kept that
 	// the copy lacks; who wrote them writes them again. Default 10 s.
 	DirectivesMissingFor time.Duration
-	// Off names the mechanisms that are switched off, for diagnosis.
-	Off mechanism.Off
+	// Disabled names the mechanisms that are switched off, for diagnosis.
+	Disabled mechanism.Disabled
 }
 
 // Defaults of Options.
@@ -140,7 +140,7 @@
 // Answered notes that the registry answered at now, which may be after an outage: what
 // went meanwhile is in doubt. What is known is no younger than before.
 func (v *View) Answered(now time.Duration) {
-	if v.heard && now-v.heardAt > v.options.OutageAfter && v.options.Off.On(mechanism.Doubt) {
+	if v.heard && now-v.heardAt > v.options.OutageAfter && v.options.Disabled.Enabled(mechanism.OutageRetention) {
 		v.doubtUntil = now + v.options.MissingFor
 	}
 }
--- a/front/node.go
+++ b/front/node.go
@@ -55,8 +55,8 @@
 	// nil is none.
 	Registry *prometheus.Registry
 	Seed     uint64
-	// Off names the mechanisms that are switched off, for diagnosis.
-	Off mechanism.Off
+	// Disabled names the mechanisms that are switched off, for diagnosis.
+	Disabled mechanism.Disabled
 	// Listen opens a listener, ListenPacket a socket for datagrams and Dial a connection
 	// to a server; the default is the operating system's TCP and UDP.
 	Listen       func(network, address string) (net.Listener, error)
@@ -190,10 +190,10 @@
 				Fixed:  settings.BudgetFixed,
 				Window: settings.BudgetWindow,
 			},
-			Cold:     coldOptions(settings),
-			Rollouts: settings.Rollouts,
-			Fresh:    !settings.FirstStart,
-			Off:      options.Off,
+			Cold:      coldOptions(settings),
+			Rollouts:  settings.Rollouts,
+			Restarted: !settings.FirstStart,
+			Disabled:  options.Disabled,
 		},
 	})
 	f.rollouts = newRollouts(f, options.Rollouts, registry)
@@ -217,7 +217,7 @@
 	if settings.Peer != "" {
 		f.relay = relay.NewClient(f.meter.Dial(traffic.Nodes, options.Dial))
 	}
-	if f.relay != nil && options.Off.On(mechanism.Readers) {
+	if f.relay != nil && options.Disabled.Enabled(mechanism.RegistryReaders) {
 		publishers = f.relay
 	}
 	f.follower = discovery.NewFollower(discovery.FollowerOptions{
@@ -230,7 +230,7 @@
 		SeedTime:       seedTime(settings),
 		Source:         options.Source,
 		Logger:         options.Logger,
-		View:           discovery.Options{Off: options.Off},
+		View:           discovery.Options{Disabled: options.Disabled},
 		Changed:        f.changed,
 		Adopted:        newAdoptionMeter(leastBound(settings), registry, options.Logger).adopted,
 		Pace:           time.Duration(float64(leastBound(settings)) * readPace),
--- a/front/rolloutmetrics.go
+++ b/front/rolloutmetrics.go
@@ -31,7 +31,7 @@
 		metrics <- prometheus.MustNewConstMetric(description, prometheus.GaugeValue, value, labels...)
 	}
 	for _, exposure := range c.rollouts.front.gateway.RolloutExposures() {
-		gauge(exposureGivenDesc, float64(exposure.Given), exposure.Service, exposure.Target)
+		gauge(exposureGivenDesc, float64(exposure.Sent), exposure.Service, exposure.Target)
 		gauge(exposureAllowedDesc, exposure.Allowed, exposure.Service, exposure.Target)
 	}
 	c.rollouts.mutex.Lock()
--- a/gateway/attempts.go
+++ b/gateway/attempts.go
@@ -72,7 +72,7 @@
 		g.options.Logger.Info().Stringer("content", contentOf(asked.outgoing)).Str("server", action.Server.ID).
 			Dur("after_ms", time.Since(began)).Msg("server ended after it had broken its connection off")
 	}
-	g.step(routing.Settled{Attempt: action.Attempt, Ended: ended})
+	g.step(routing.CrashCheckCompleted{Attempt: action.Attempt, Ended: ended})
 }
 
 // cancel lets an attempt go on for a while: most end soon, and their
--- a/gateway/connections.go
+++ b/gateway/connections.go
@@ -69,7 +69,7 @@
 // warm opens a connection to a server that has none, and tells when it can't.
 func (g *Gateway) warm(server discovery.Server) {
 	if err := g.client.Warm(g.background, server); err != nil && g.background.Err() == nil {
-		g.step(routing.Unreached{Server: server.Incarnation(), Refused: exchange.IsRefused(err)})
+		g.step(routing.ConnectFailed{Server: server.Incarnation(), Refused: exchange.IsRefused(err)})
 	}
 }
 
@@ -81,7 +81,7 @@
 func (g *Gateway) reach(server discovery.Server) {
 	for g.lists(server.Incarnation()) && clock.Sleep(g.background, reachPause) == nil {
 		if g.client.Open(g.background, server) == nil {
-			g.step(routing.Reached{Server: server.Incarnation()})
+			g.step(routing.Connected{Server: server.Incarnation()})
 			return
 		}
 	}
--- a/gateway/findings.go
+++ b/gateway/findings.go
@@ -14,20 +14,20 @@
 // carryFinding passes on what the router found out of a request.
 func (g *Gateway) carryFinding(action routing.Action) {
 	switch action := action.(type) {
-	case routing.Tell:
+	case routing.PublishFinding:
 		g.options.Logger.Info().Stringer("content", action.Finding.Content).Int("ends", len(action.Finding.Ends)).
 			Bool("answered", action.Finding.Answered).Bool("quarantined", action.Finding.Quarantined).
 			Bool("wide", action.Finding.Wide).Msg("finding on a request that ended servers")
 		if g.options.Findings != nil {
 			g.options.Findings.Tell(action.Finding, action.Audience)
 		}
-	case routing.Quarantine:
+	case routing.RecordQuarantine:
 		g.options.Logger.Warn().Stringer("content", action.Content).Msg("requests are refused that end servers")
 		g.counters.quarantined.Inc()
 		if g.options.Findings != nil {
 			g.options.Findings.Record(action.Content)
 		}
-	case routing.CameAgain:
+	case routing.QuarantinedRequestRejected:
 		g.counters.quarantineRefusals.Inc()
 		if g.options.Findings != nil {
 			g.options.Findings.CameAgain(action.Content)
@@ -36,7 +36,7 @@
 }
 
 // Hear takes another node's finding.
-func (g *Gateway) Hear(finding quarantine.Finding) { g.step(routing.FindingHeard{Finding: finding}) }
+func (g *Gateway) Hear(finding quarantine.Finding) { g.step(routing.FindingReceived{Finding: finding}) }
 
 // SetQuarantines takes all contents that the registry says are to be refused.
 func (g *Gateway) SetQuarantines(contents []quarantine.Content) {
@@ -48,5 +48,5 @@
 func (g *Gateway) Quarantines() (quarantines, suspects int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.router.Quarantines()
+	return g.router.QuarantineCounts()
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -239,7 +239,9 @@
 }
 
 // SetOthersServe tells whether another node is known that reaches enough servers and takes callers.
-func (g *Gateway) SetOthersServe(serve bool) { g.step(routing.OthersChanged{Serve: serve}) }
+func (g *Gateway) SetOthersServe(serve bool) {
+	g.step(routing.PeerAvailabilityChanged{Available: serve})
+}
 
 // SetBounds takes bounds that were set anew.
 func (g *Gateway) SetBounds(bounds routing.SettingsChanged) { g.step(bounds) }
@@ -296,15 +298,15 @@
 			g.send(action)
 		case routing.Cancel:
 			g.cancel(action.Attempt)
-		case routing.Reach:
+		case routing.Connect:
 			g.run(func() { g.reach(action.Server) })
 		case routing.Finish:
 			g.finish(action)
-		case routing.AbilityChanged:
-			g.tellAbility(action.Able)
-		case routing.Tell, routing.Quarantine, routing.CameAgain:
+		case routing.ReachabilityChanged:
+			g.tellAbility(action.CanServe)
+		case routing.PublishFinding, routing.RecordQuarantine, routing.QuarantinedRequestRejected:
 			g.carryFinding(action)
-		case routing.Wake:
+		case routing.SetTimer:
 			g.setWake(action.At - now)
 		}
 	}
@@ -320,7 +322,7 @@
 func (g *Gateway) setWake(after time.Duration) {
 	after = max(after, 0)
 	if g.wake == nil {
-		g.wake = time.AfterFunc(after, func() { g.step(routing.Woken{}) })
+		g.wake = time.AfterFunc(after, func() { g.step(routing.TimerFired{}) })
 		return
 	}
 	g.wake.Reset(after)
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -42,7 +42,7 @@
 		Uint64("version", table.Version).Dur("belief_age_ms", g.beliefAge()).
 		Int("missing", outcome.Missing).
 		Int("sends", outcome.Sends).Int("hedges", outcome.Hedges).Int("retries", outcome.Retries).
-		Int("unaffordable", outcome.Unaffordable).Int("roomless", outcome.Roomless).Int("hopeless", outcome.Hopeless).
+		Int("unaffordable", outcome.HedgesOverBudget).Int("roomless", outcome.SendsWithoutCapacity).Int("hopeless", outcome.HedgesTooLate).
 		Dur("took_ms", took).Dur("retry_after_ms", outcome.RetryAfter).
 		Array("attempts", attemptList(outcome.Attempts)).
 		Msg("request answered")
@@ -51,7 +51,7 @@
 // lostServers counts the attempts whose servers ended, or broke the connection off.
 func lostServers(attempts []routing.AttemptRecord) (count int) {
 	for _, one := range attempts {
-		if one.End == serverEnded || one.End == connectionLost {
+		if one.Result == serverEnded || one.Result == connectionLost {
 			count++
 		}
 	}
@@ -107,7 +107,7 @@
 		if logged == mostAttemptsLogged {
 			return
 		}
-		if one.Kind == gather.FirstSend && one.End == "answered" && len(l) > 1 {
+		if one.Kind == gather.FirstSend && one.Result == "answered" && len(l) > 1 {
 			continue
 		}
 		array.Object(attemptLine(one))
@@ -119,13 +119,13 @@
 
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
 func (a attemptLine) MarshalZerologObject(line *zerolog.Event) {
-	end := a.End
+	end := a.Result
 	if end == "" {
 		end = "awaited"
 	}
 	line.Str("kind", kindName(a.Kind)).Str("service", a.Service).Str("server", a.Server).
 		Dur("sent_ms", a.SentAt).Dur("ended_ms", a.EndedAt).Str("end", end).
-		Float64("slowness", math.Round(a.Believed.Slowness*100)/100).Int("in_flight", a.Believed.InFlight)
+		Float64("slowness", math.Round(a.Estimate.Slowness*100)/100).Int("in_flight", a.Estimate.InFlight)
 }
 
 func kindName(kind gather.SendKind) string {
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -37,7 +37,7 @@
 		writer.Header().Set("Connection", "close")
 	}
 	if g.closed.Load() {
-		g.refuse(writer, incoming, gather.ReasonStopping, routing.DefaultElsewhereRetry)
+		g.refuse(writer, incoming, gather.ReasonStopping, routing.DefaultRedirectRetryAfter)
 		return
 	}
 	table := g.awaitTable(incoming.Context())
@@ -64,7 +64,7 @@
 	defer g.held.Add(-int64(len(outgoing.Body)))
 	asked := &pendingRequest{outgoing: outgoing, caller: incoming.RemoteAddr, route: matched, header: seen, way: way, arrived: arrived, done: make(chan routing.Outcome, 1)}
 	outcome := g.carryOut(incoming, asked)
-	if outcome.Elsewhere {
+	if outcome.RetryElsewhere {
 		writer.Header().Set("Connection", "close")
 	}
 	g.answer(writer, asked, outcome)
@@ -78,7 +78,7 @@
 		return table
 	}
 	left := g.options.StartTime - g.now()
-	if left <= 0 || !g.options.Routing.Off.On(mechanism.TableWait) {
+	if left <= 0 || !g.options.Routing.Disabled.Enabled(mechanism.TableWait) {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, left)
@@ -153,13 +153,13 @@
 	asked.id = g.lastRequest
 	g.pending[asked.id] = asked
 	g.stepLocked(routing.Arrived{Request: routing.Request{
-		ID:        asked.id,
-		Route:     asked.route,
-		Remaining: remaining - waited - g.options.CallerMargin,
-		Told:      told,
-		Spent:     asked.spent() + waited,
-		Return:    asked.way.back(),
-		Content:   func() quarantine.Content { return contentOf(asked.outgoing) },
+		ID:            asked.id,
+		Route:         asked.route,
+		Remaining:     remaining - waited - g.options.CallerMargin,
+		CallerTimeout: told,
+		Elapsed:       asked.spent() + waited,
+		ReturnTime:    asked.way.back(),
+		Content:       func() quarantine.Content { return contentOf(asked.outgoing) },
 	}})
 	g.mutex.Unlock()
 	select {
--- a/mechanism/mechanism.go
+++ b/mechanism/mechanism.go
@@ -16,39 +16,39 @@
 // The mechanisms, by the package that has them.
 const (
 	// Hedges: a second server is asked when the first takes long (routing).
-	Hedges Mechanism = iota
-	// HedgesInTime: no hedge that can't answer by the aim (routing).
-	HedgesInTime
+	Hedging Mechanism = iota
+	// TimelyHedges: no hedge that can't answer by the aim (routing).
+	TimelyHedges
 	// Slowness: servers are chosen by how slow their answers were (routing).
-	Slowness
+	LatencyRanking
 	// Overdue: attempts that have not ended are evidence, too (routing).
-	Overdue
+	OverdueAttempts
 	// Probes: slow servers are tried again by single requests (routing).
-	Probes
+	SlowServerProbes
 	// Unreachable: servers to which no connection opens are set aside (routing).
-	Unreachable
-	// DarkZones: a zone from which nothing comes is set aside whole (routing).
-	DarkZones
+	UnreachableServers
+	// UnreachableZones: a zone from which nothing comes is set aside whole (routing).
+	UnreachableZones
 	// Load: what servers tell of their load counts (routing).
-	Load
+	ReportedLoad
 	// Nearness: servers that are near are preferred (routing).
-	Nearness
-	// EarlyRefusal: what would wait too long is refused at once (routing).
-	EarlyRefusal
-	// FairRefusal: less urgent requests are refused as often as urgent ones (routing).
-	FairRefusal
-	// LastTries: callers that tried before are taken while crowding is brief (routing).
-	LastTries
-	// FreshConnections: a fresh incarnation uses half of its connections (routing).
-	FreshConnections
+	Locality
+	// EarlyRejection: what would wait too long is refused at once (routing).
+	EarlyRejection
+	// PriorityRejection: less urgent requests are refused as often as urgent ones (routing).
+	PriorityRejection
+	// RetryAdmission: callers that tried before are taken while crowding is brief (routing).
+	RetryAdmission
+	// RestartConnectionLimit: a fresh incarnation uses half of its connections (routing).
+	RestartConnectionLimit
 	// TableWait: a starting node's first requests wait for the table (gateway).
 	TableWait
 	// Capable: callers are sent to the most capable nodes (directory).
-	Capable
+	CapableNodes
 	// Readers: few nodes read the registry and tell the others (discovery).
-	Readers
+	RegistryReaders
 	// Doubt: entries that went during an outage are kept for a while (discovery).
-	Doubt
+	OutageRetention
 	// Quarantine: requests that end the servers that run them are refused (quarantine).
 	Quarantine
 	count
@@ -69,12 +69,12 @@
 // ErrUnknown is wrapped for a name that is no mechanism's.
 var ErrUnknown = errors.New("no such mechanism")
 
-// Off is the set of mechanisms that are switched off; the zero value is none.
-type Off uint32
+// Disabled is the set of mechanisms that are switched off; the zero value is none.
+type Disabled uint32
 
-// Without returns the set of the mechanisms given.
-func Without(mechanisms ...Mechanism) Off {
-	var off Off
+// Disable returns the set of the mechanisms given.
+func Disable(mechanisms ...Mechanism) Disabled {
+	var off Disabled
 	for _, m := range mechanisms {
 		off |= 1 << m
 	}
@@ -82,8 +82,8 @@
 }
 
 // Parse reads names separated by commas; its error names the one that is unknown.
-func Parse(text string) (Off, error) {
-	var off Off
+func Parse(text string) (Disabled, error) {
+	var off Disabled
 	if text == "" {
 		return off, nil
 	}
@@ -97,5 +97,5 @@
 	return off, nil
 }
 
-// On reports whether a mechanism is not switched off.
-func (o Off) On(m Mechanism) bool { return o&(1<<m) == 0 }
+// Enabled reports whether a mechanism is not switched off.
+func (o Disabled) Enabled(m Mechanism) bool { return o&(1<<m) == 0 }
--- a/mechanism/mechanism_test.go
+++ b/mechanism/mechanism_test.go
@@ -15,10 +15,10 @@
 		t.Errorf("nothing: %v, %v", none, err)
 	}
 	off, err := mechanism.Parse("hedges,doubt")
-	if err != nil || off != mechanism.Without(mechanism.Hedges, mechanism.Doubt) {
+	if err != nil || off != mechanism.Disable(mechanism.Hedging, mechanism.OutageRetention) {
 		t.Errorf("two: %v, %v", off, err)
 	}
-	if off.On(mechanism.Hedges) || off.On(mechanism.Doubt) || !off.On(mechanism.Probes) {
+	if off.Enabled(mechanism.Hedging) || off.Enabled(mechanism.OutageRetention) || !off.Enabled(mechanism.SlowServerProbes) {
 		t.Error("the wrong mechanisms are off")
 	}
 	if _, err := mechanism.Parse("hedges,luck"); !errors.Is(err, mechanism.ErrUnknown) || !strings.Contains(err.Error(), `"luck"`) {
@@ -31,7 +31,7 @@
 	all := mechanism.Names()
 	for number, name := range all {
 		off, err := mechanism.Parse(name)
-		if name == "" || err != nil || off != mechanism.Without(mechanism.Mechanism(number)) || mechanism.Mechanism(number).String() != name {
+		if name == "" || err != nil || off != mechanism.Disable(mechanism.Mechanism(number)) || mechanism.Mechanism(number).String() != name {
 			t.Errorf("mechanism %d, %q: %v, %v", number, name, off, err)
 		}
 	}
--- a/routing/admit.go
+++ b/routing/admit.go
@@ -17,7 +17,7 @@
 
 // refusal tells why a request can't be taken now; empty when it can.
 func (r *Router) refusal(q *request) gather.Reason {
-	bound := float64(r.options.MaximumRunning) * max(1-urgencyStep*float64(q.asked.Route.Priority), urgencyStep)
+	bound := float64(r.options.MaxInFlightRequests) * max(1-urgencyStep*float64(q.asked.Route.Priority), urgencyStep)
 	switch {
 	case r.stopping:
 		return gather.ReasonStopping
@@ -38,18 +38,18 @@
 // enough servers says nothing of others: a caller is sent elsewhere only if another one serves.
 func (r *Router) refuse(q *request, reason gather.Reason) {
 	elsewhere := reason == gather.ReasonNoServer && r.unable && r.othersServe
-	retryAfter := r.options.CrowdedRetryAfter
+	retryAfter := r.options.OverloadRetryAfter
 	switch {
 	case elsewhere:
-		retryAfter = r.options.ElsewhereRetryAfter
+		retryAfter = r.options.RedirectRetryAfter
 	case reason == gather.ReasonNoServer:
 		retryAfter = r.awaited(q)
 	}
 	r.emit(Finish{Request: q.asked.ID, Outcome: Outcome{
-		Execution:  gather.ExecutionNotRun,
-		Reason:     reason,
-		RetryAfter: retryAfter,
-		Elsewhere:  elsewhere,
+		Execution:      gather.ExecutionNotRun,
+		Reason:         reason,
+		RetryAfter:     retryAfter,
+		RetryElsewhere: elsewhere,
 	}})
 }
 
@@ -62,10 +62,10 @@
 	// Routes over the same shards name the same first one.
 	p := &r.serviceNamed(q.names[0]).pressure
 	priority := q.asked.Route.Priority
-	refused := r.on(mechanism.EarlyRefusal) && r.crowded(q) ||
-		r.on(mechanism.FairRefusal) && r.random.Float64() < p.aboveRefused(r.now, priority)
+	refused := r.on(mechanism.EarlyRejection) && r.crowded(q) ||
+		r.on(mechanism.PriorityRejection) && r.random.Float64() < p.aboveRefused(r.now, priority)
 	p.count(r.now, priority, refused)
-	lastTry := r.on(mechanism.LastTries) && q.returned && p.brief(r.now)
+	lastTry := r.on(mechanism.RetryAdmission) && q.returned && p.brief(r.now)
 	return refused && !lastTry
 }
 
--- a/routing/budget_test.go
+++ b/routing/budget_test.go
@@ -73,7 +73,7 @@
 		random := rand.New(rand.NewPCG(seed, 1))
 		start := func(fresh bool) *world {
 			w := newRoomyWorld(t, routing.Options{
-				Seed: random.Uint64(), Fresh: fresh,
+				Seed: random.Uint64(), Restarted: fresh,
 				Budget: extrabudget.Options{Ratio: ratio, Fixed: fixed, Window: window},
 			})
 			w.step(routing.NodesChanged{Live: nodes, Serving: nodes, Serves: true})
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -62,7 +62,7 @@
 		if candidate.InFlight() >= room {
 			continue
 		}
-		if kind == gather.FirstSend && r.on(mechanism.Probes) && candidate.MayProbe(r.now) && r.affordsProbe(s, q) {
+		if kind == gather.FirstSend && r.on(mechanism.SlowServerProbes) && candidate.MayProbe(r.now) && r.affordsProbe(s, q) {
 			candidate.Probed(r.now)
 			return candidate, gather.Placed
 		}
@@ -107,7 +107,7 @@
 // hedge that does not is wasted.
 func (q *request) inTime(expected time.Duration) bool {
 	by := q.began + q.answerBy()
-	if q.asked.Route.Aim == 0 || q.router.now > by || !q.router.on(mechanism.HedgesInTime) {
+	if q.asked.Route.Aim == 0 || q.router.now > by || !q.router.on(mechanism.TimelyHedges) {
 		return true
 	}
 	return q.router.now+expected/2 <= by
@@ -138,10 +138,10 @@
 // slownessOf is the slowness that is expected of a server now.
 func (r *Router) slownessOf(s *server) float64 {
 	slowness := serverstate.Usual
-	if r.on(mechanism.Slowness) {
+	if r.on(mechanism.LatencyRanking) {
 		slowness = s.Slowness(r.now, &r.starts)
 	}
-	if r.on(mechanism.Overdue) {
+	if r.on(mechanism.OverdueAttempts) {
 		slowness = max(slowness, s.Overdue(r.now))
 	}
 	return slowness
@@ -150,7 +150,7 @@
 // distance is what is added for the way to a zone.
 func (r *Router) distance(zone string, aim time.Duration) time.Duration {
 	switch {
-	case zone == r.options.Zone, !r.on(mechanism.Nearness):
+	case zone == r.options.Zone, !r.on(mechanism.Locality):
 		return 0
 	case r.options.Regions[zone] == r.options.Regions[r.options.Zone]:
 		return otherZone + time.Duration(otherZoneShare*float64(aim))
@@ -174,7 +174,7 @@
 
 // hedgeDelay is how long an attempt is awaited before a second server is asked.
 func (r *Router) hedgeDelay(q *request) time.Duration {
-	longest := time.Duration(float64(q.asked.Route.Aim) * r.options.HedgeShareOfAim)
+	longest := time.Duration(float64(q.asked.Route.Aim) * r.options.MaxHedgeDelayShare)
 	if longest == 0 {
 		longest = time.Duration(float64(q.asked.Route.Timeout) * timeoutHedgeShare)
 	}
--- a/routing/cold.go
+++ b/routing/cold.go
@@ -36,7 +36,7 @@
 	if s.coldRate == 0 || !one.Cold(r.now) {
 		return true
 	}
-	if r.options.Fresh && r.now < r.startedAt+coldWindow {
+	if r.options.Restarted && r.now < r.startedAt+coldWindow {
 		return false // an earlier incarnation may have spent this second's part
 	}
 	bound := s.coldRate*r.options.Cold.Overshoot + r.options.Cold.Slack
--- a/routing/coldrate_test.go
+++ b/routing/coldrate_test.go
@@ -144,7 +144,7 @@
 		all := make([]*world, nodes)
 		offsets := make([]time.Duration, nodes)
 		start := func(i int, fresh bool, left time.Duration) {
-			w := newWorld(t, routing.Options{Seed: random.Uint64(), Cold: coldOptions, Fresh: fresh})
+			w := newWorld(t, routing.Options{Seed: random.Uint64(), Cold: coldOptions, Restarted: fresh})
 			place := i
 			if i >= serving {
 				place = i - serving
--- a/routing/darkzones.go
+++ b/routing/darkzones.go
@@ -76,7 +76,7 @@
 func (r *Router) lookAtZone(z *zone, due time.Duration) {
 	late := r.now-due > darkSlack
 	switch {
-	case z.dark || !r.on(mechanism.DarkZones):
+	case z.dark || !r.on(mechanism.UnreachableZones):
 	case len(z.unanswered) >= darkServers && r.heardAt > z.since && !late:
 		r.darken(z)
 	default:
@@ -109,7 +109,7 @@
 	for _, s := range z.probed {
 		if !s.unreachable {
 			s.unreachable = true
-			r.emit(Reach{Server: s.Server})
+			r.emit(Connect{Server: s.Server})
 		}
 	}
 }
@@ -176,7 +176,7 @@
 		return
 	}
 	r.unable = unable
-	r.emit(AbilityChanged{Able: !unable})
+	r.emit(ReachabilityChanged{CanServe: !unable})
 }
 
 // cutOffFrom reports whether too few shards of a route can be reached from here.
--- a/routing/darkzones_test.go
+++ b/routing/darkzones_test.go
@@ -60,7 +60,7 @@
 	w.pass(20 * time.Millisecond)
 	w.answerOutside("a")
 	w.now += 10 * darkTime // the node stands still, and its timers come late
-	w.step(routing.Woken{})
+	w.step(routing.TimerFired{})
 	if len(w.reached) != 0 {
 		t.Errorf("the node stood still, and %v are set aside", w.reached)
 	}
@@ -89,7 +89,7 @@
 		}
 		w.pass(50 * time.Millisecond)
 	}
-	w.step(routing.Reached{Server: w.reached[0].Incarnation()})
+	w.step(routing.Connected{Server: w.reached[0].Incarnation()})
 	w.pass(10 * time.Second) // what was learned of the servers fades
 	used := false
 	for range 10 {
@@ -163,7 +163,7 @@
 // runs, what other nodes can serve; it serves again as soon as the zone is reached.
 func TestNodeThatIsCutOffRefusesAtOnce(t *testing.T) {
 	w := newWorld(t, routing.Options{})
-	w.step(routing.OthersChanged{Serve: true})
+	w.step(routing.PeerAvailabilityChanged{Available: true})
 	w.setServers(oneZoneEach())
 	w.setTable(60, fiveShards...)
 	r := fanOut(0.6, fiveShards...)
@@ -179,13 +179,13 @@
 	}
 	before := len(w.order)
 	got, done := w.finished[w.ask(r)]
-	if !done || got.Execution != gather.ExecutionNotRun || got.Reason != gather.ReasonNoServer || !got.Elsewhere || got.RetryAfter > 20*time.Millisecond {
+	if !done || got.Execution != gather.ExecutionNotRun || got.Reason != gather.ReasonNoServer || !got.RetryElsewhere || got.RetryAfter > 20*time.Millisecond {
 		t.Errorf("%v %+v", done, got)
 	}
 	if len(w.order) != before {
 		t.Error("something was sent for a request that can't be served")
 	}
-	w.step(routing.Reached{Server: w.reached[0].Incarnation()})
+	w.step(routing.Connected{Server: w.reached[0].Incarnation()})
 	if w.unable {
 		t.Error("the node still says that it is cut off")
 	}
@@ -229,7 +229,7 @@
 	if len(w.reached) == before {
 		t.Fatal("no new server is tried")
 	}
-	w.step(routing.Reached{Server: w.reached[len(w.reached)-1].Incarnation()})
+	w.step(routing.Connected{Server: w.reached[len(w.reached)-1].Incarnation()})
 	if w.unable {
 		t.Error("the node still says that it is cut off")
 	}
--- a/routing/event.go
+++ b/routing/event.go
@@ -20,14 +20,14 @@
 	Route *route.Route
 	// Remaining is the time until the caller's deadline.
 	Remaining time.Duration
-	// Told is the time that the caller itself says it waits, from when it sent the
+	// CallerTimeout is the time that the caller itself says it waits, from when it sent the
 	// request; zero is unknown.
-	Told time.Duration
-	// Spent is the time that the request is thought to have used before it
+	CallerTimeout time.Duration
+	// Elapsed is the time that the request is thought to have used before it
 	// arrived, which counts against the route's aim.
-	Spent time.Duration
-	// Return is the time that the answer is thought to take to the caller.
-	Return time.Duration
+	Elapsed time.Duration
+	// ReturnTime is the time that the answer is thought to take to the caller.
+	ReturnTime time.Duration
 	// Content names what the request asks for; it is called at most once, and only where
 	// it matters. Nil is that nothing is to be learned of it.
 	Content func() quarantine.Content
@@ -68,25 +68,25 @@
 	Reason string
 }
 
-// Settled reports whether the server of an attempt that had failed in doubt has ended. It follows
+// CrashCheckCompleted reports whether the server of an attempt that had failed in doubt has ended. It follows
 // each such Failed, once.
-type Settled struct {
+type CrashCheckCompleted struct {
 	Attempt gather.AttemptID
 	Ended   bool
 }
 
-// Unreached reports that no connection to the server could be opened. Refused says that nobody
+// ConnectFailed reports that no connection to the server could be opened. Refused says that nobody
 // listens at its address, rather than that nothing came back.
-type Unreached struct {
+type ConnectFailed struct {
 	Server  discovery.Incarnation
 	Refused bool
 }
 
-// Reached reports that a connection to the server was opened after a Reach.
-type Reached struct{ Server discovery.Incarnation }
+// Connected reports that a connection to the server was opened after a Reach.
+type Connected struct{ Server discovery.Incarnation }
 
-// Woken reports that the time named by a Wake action has come.
-type Woken struct{}
+// TimerFired reports that the time named by a Wake action has come.
+type TimerFired struct{}
 
 // ServersChanged gives all servers that may be there now.
 type ServersChanged struct{ Servers []discovery.Server }
@@ -102,9 +102,9 @@
 // each service's budget.
 type NodesChanged extrabudget.Nodes
 
-// OthersChanged tells whether another node is known that reaches enough servers and takes
+// PeerAvailabilityChanged tells whether another node is known that reaches enough servers and takes
 // callers.
-type OthersChanged struct{ Serve bool }
+type PeerAvailabilityChanged struct{ Available bool }
 
 // SettingsChanged gives the bounds that were set anew.
 type SettingsChanged struct {
@@ -113,8 +113,8 @@
 	Regions map[string]string
 }
 
-// FindingHeard gives what another node found out of a request that ends servers.
-type FindingHeard struct{ Finding quarantine.Finding }
+// FindingReceived gives what another node found out of a request that ends servers.
+type FindingReceived struct{ Finding quarantine.Finding }
 
 // QuarantinesChanged gives all contents that the registry says are to be refused.
 type QuarantinesChanged struct{ Contents []quarantine.Content }
@@ -123,23 +123,23 @@
 // now, and those that come later are refused.
 type Stopping struct{}
 
-func (Arrived) event()         {}
-func (Stopping) event()        {}
-func (SettingsChanged) event() {}
-func (OthersChanged) event()   {}
-func (CallerGone) event()      {}
-func (Replied) event()         {}
-func (Failed) event()          {}
-func (Settled) event()         {}
-func (Woken) event()           {}
-func (Unreached) event()       {}
-func (Reached) event()         {}
-func (ServersChanged) event()  {}
-func (ZonesChanged) event()    {}
-func (TableChanged) event()    {}
-func (NodesChanged) event()    {}
-
-func (FindingHeard) event()       {}
+func (Arrived) event()                 {}
+func (Stopping) event()                {}
+func (SettingsChanged) event()         {}
+func (PeerAvailabilityChanged) event() {}
+func (CallerGone) event()              {}
+func (Replied) event()                 {}
+func (Failed) event()                  {}
+func (CrashCheckCompleted) event()     {}
+func (TimerFired) event()              {}
+func (ConnectFailed) event()           {}
+func (Connected) event()               {}
+func (ServersChanged) event()          {}
+func (ZonesChanged) event()            {}
+func (TableChanged) event()            {}
+func (NodesChanged) event()            {}
+
+func (FindingReceived) event()    {}
 func (QuarantinesChanged) event() {}
 
 // Action is something that the owner must do; Step returns them in order.
@@ -157,13 +157,13 @@
 	// Alone says that nothing else of the request is in flight, as it may end servers: whether
 	// the server ended is to be found out before the attempt is reported.
 	Alone bool
-	// Believed is what was thought of the server when it was chosen: its
+	// Estimate is what was thought of the server when it was chosen: its
 	// slowness against what is usual, and the attempts in flight there.
-	Believed Belief
+	Estimate ServerEstimate
 }
 
-// Belief is what decided on a server.
-type Belief struct {
+// ServerEstimate is what decided on a server.
+type ServerEstimate struct {
 	Slowness float64
 	InFlight int
 }
@@ -172,25 +172,25 @@
 // reply that comes all the same is still worth reporting.
 type Cancel struct{ Attempt gather.AttemptID }
 
-// Reach asks the owner to open a connection to the server, again and again, and
+// Connect asks the owner to open a connection to the server, again and again, and
 // to report Reached once there is one. It ends when the server is gone.
-type Reach struct{ Server discovery.Server }
+type Connect struct{ Server discovery.Server }
 
-// AbilityChanged tells whether this node can reach enough servers for every route that
+// ReachabilityChanged tells whether this node can reach enough servers for every route that
 // fans out; it can until it says otherwise. While it can't, other nodes should serve.
-type AbilityChanged struct{ Able bool }
+type ReachabilityChanged struct{ CanServe bool }
 
-// Tell asks the owner to tell other nodes what was found out of a request.
-type Tell struct {
+// PublishFinding asks the owner to tell other nodes what was found out of a request.
+type PublishFinding struct {
 	Finding  quarantine.Finding
 	Audience quarantine.Audience
 }
 
-// Quarantine tells that this node found a content to end servers: all nodes are to remember it.
-type Quarantine struct{ Content quarantine.Content }
+// RecordQuarantine tells that this node found a content to end servers: all nodes are to remember it.
+type RecordQuarantine struct{ Content quarantine.Content }
 
-// CameAgain tells that a request was refused whose content is quarantined.
-type CameAgain struct{ Content quarantine.Content }
+// QuarantinedRequestRejected tells that a request was refused whose content is quarantined.
+type QuarantinedRequestRejected struct{ Content quarantine.Content }
 
 // Finish gives the request's one final answer.
 type Finish struct {
@@ -198,19 +198,19 @@
 	Outcome Outcome
 }
 
-// Wake asks for a Woken event at the given time. A later one replaces it.
-type Wake struct{ At time.Duration }
+// SetTimer asks for a Woken event at the given time. A later one replaces it.
+type SetTimer struct{ At time.Duration }
 
-func (Send) action()   {}
-func (Cancel) action() {}
-func (Reach) action()  {}
+func (Send) action()    {}
+func (Cancel) action()  {}
+func (Connect) action() {}
 
-func (AbilityChanged) action() {}
-func (Tell) action()           {}
-func (Quarantine) action()     {}
-func (CameAgain) action()      {}
-func (Finish) action()         {}
-func (Wake) action()           {}
+func (ReachabilityChanged) action()        {}
+func (PublishFinding) action()             {}
+func (RecordQuarantine) action()           {}
+func (QuarantinedRequestRejected) action() {}
+func (Finish) action()                     {}
+func (SetTimer) action()                   {}
 
 // Outcome is the final answer to a request.
 type Outcome struct {
@@ -225,15 +225,15 @@
 	Failure any
 	// RetryAfter is when to come back; it is set on every refusal.
 	RetryAfter time.Duration
-	// Elsewhere says that other nodes can serve what this one can't: the caller should
+	// RetryElsewhere says that other nodes can serve what this one can't: the caller should
 	// connect to another one.
-	Elsewhere bool
+	RetryElsewhere bool
 	// Sends, Hedges and Retries count what was sent.
 	Sends, Hedges, Retries int
-	// Unaffordable counts the hedges for which there was no budget, Roomless the
+	// HedgesOverBudget counts the hedges for which there was no budget, Roomless the
 	// sends for which no server had room, Hopeless the hedges that could not have
 	// answered in time.
-	Unaffordable, Roomless, Hopeless int
+	HedgesOverBudget, SendsWithoutCapacity, HedgesTooLate int
 	// Attempts tells what was sent, in order.
 	Attempts []AttemptRecord
 }
@@ -245,9 +245,9 @@
 	// SentAt and EndedAt are since the request's arrival; an attempt that had not
 	// ended when the request was answered has no end.
 	SentAt, EndedAt time.Duration
-	Believed        Belief
-	// End is how it ended; empty while it has not.
-	End string
+	Estimate        ServerEstimate
+	// Result is how it ended; empty while it has not.
+	Result string
 }
 
 // Part is one shard's reply.
--- a/routing/incarnation_test.go
+++ b/routing/incarnation_test.go
@@ -54,8 +54,8 @@
 				t.Fatalf("%d sends to the server that is back", len(w.order)-before)
 			}
 			sent := w.order[before]
-			if sent.Server.Born != 2000 || sent.Believed.InFlight != 0 || sent.Believed.Slowness > 1 {
-				t.Errorf("believed %+v of the server born at %d", sent.Believed, sent.Server.Born)
+			if sent.Server.Born != 2000 || sent.Estimate.InFlight != 0 || sent.Estimate.Slowness > 1 {
+				t.Errorf("believed %+v of the server born at %d", sent.Estimate, sent.Server.Born)
 			}
 		})
 	}
@@ -71,18 +71,18 @@
 	w.ask(single("s1", true))
 	first := w.order[0]
 	w.setServers(reborn(all, "s1-0", 2000))
-	w.step(routing.Unreached{Server: all[0].Incarnation()})
+	w.step(routing.ConnectFailed{Server: all[0].Incarnation()})
 	w.step(routing.Failed{Attempt: first.Attempt, Delivery: gather.NotDelivered})
 	before := len(w.order)
 	w.ask(single("s1", true))
 	if len(w.order) == before {
 		t.Fatal("the server that is there is taken for the one that was not reached")
 	}
-	if sent := w.order[len(w.order)-1]; sent.Believed.Slowness > 1 {
-		t.Errorf("believed %+v", sent.Believed)
+	if sent := w.order[len(w.order)-1]; sent.Estimate.Slowness > 1 {
+		t.Errorf("believed %+v", sent.Estimate)
 	}
-	w.step(routing.Unreached{Server: w.order[before].Server.Incarnation()})
-	w.step(routing.Reached{Server: all[0].Incarnation()})
+	w.step(routing.ConnectFailed{Server: w.order[before].Server.Incarnation()})
+	w.step(routing.Connected{Server: all[0].Incarnation()})
 	after := len(w.order)
 	w.ask(single("s1", true))
 	if len(w.order) != after {
--- a/routing/off_test.go
+++ b/routing/off_test.go
@@ -18,7 +18,7 @@
 	for number, name := range mechanism.Names() {
 		t.Run(name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(uint64(number), 5))
-			w := newWorld(t, routing.Options{Off: mechanism.Without(mechanism.Mechanism(number)), Fresh: number%2 == 0})
+			w := newWorld(t, routing.Options{Disabled: mechanism.Disable(mechanism.Mechanism(number)), Restarted: number%2 == 0})
 			w.setServers(servers(3, "s1", "s2", "s3"))
 			w.setTable(20, "s1", "s2", "s3")
 			var asked []routing.RequestID
--- a/routing/options.go
+++ b/routing/options.go
@@ -24,29 +24,29 @@
 	// Rollouts bounds what unproven versions get; the zero value is that versions mean
 	// nothing.
 	Rollouts rollout.Bounds
-	// Fresh says that an earlier incarnation of the node may have spent its
+	// Restarted says that an earlier incarnation of the node may have spent its
 	// fixed share of the budget within the last window: it is kept back that long.
-	Fresh bool
+	Restarted bool
 	// RetryAfter is told to refused callers; default 250 ms.
 	RetryAfter time.Duration
-	// CrowdedRetryAfter is told to callers that are refused because servers are
+	// OverloadRetryAfter is told to callers that are refused because servers are
 	// crowded, which lasts; default 1.5 s.
-	CrowdedRetryAfter time.Duration
-	// ElsewhereRetryAfter is told to callers that another node can serve at once; default
+	OverloadRetryAfter time.Duration
+	// RedirectRetryAfter is told to callers that another node can serve at once; default
 	// 10 ms.
-	ElsewhereRetryAfter time.Duration
-	// MaximumRunning bounds the requests that run at once; default 512.
-	MaximumRunning int
+	RedirectRetryAfter time.Duration
+	// MaxInFlightRequests bounds the requests that run at once; default 512.
+	MaxInFlightRequests int
 	// HedgeQuantile is the quantile of a route's latencies after which a second
 	// server is asked; default 0.9.
 	HedgeQuantile float64
-	// HedgeShareOfAim bounds the wait before a hedge by the route's aim; default 0.3.
-	HedgeShareOfAim float64
+	// MaxHedgeDelayShare bounds the wait before a hedge by the route's aim; default 0.3.
+	MaxHedgeDelayShare float64
 	// AnswerMargin is the time, beside that of the way to the caller, before a route's aim
 	// at which an answer leaves at the latest; default 8 ms.
 	AnswerMargin time.Duration
-	// Off names the mechanisms that are switched off, for diagnosis.
-	Off mechanism.Off
+	// Disabled names the mechanisms that are switched off, for diagnosis.
+	Disabled mechanism.Disabled
 	// SpareConnections is the part of each server's connections that no node
 	// counts on; default 0.1.
 	SpareConnections float64
@@ -54,25 +54,25 @@
 
 // Defaults of Options.
 const (
-	DefaultRetryAfter       = 250 * time.Millisecond
-	DefaultCrowdedRetry     = 1500 * time.Millisecond
-	DefaultElsewhereRetry   = 10 * time.Millisecond
-	DefaultMaximumRunning   = 512
-	DefaultHedgeQuantile    = 0.9
-	DefaultHedgeShareOfAim  = 0.3
-	DefaultAnswerMargin     = 8 * time.Millisecond
-	DefaultSpareConnections = 0.1
-	DefaultBudgetWindow     = 10 * time.Second
+	DefaultRetryAfter          = 250 * time.Millisecond
+	DefaultOverloadRetryAfter  = 1500 * time.Millisecond
+	DefaultRedirectRetryAfter  = 10 * time.Millisecond
+	DefaultMaxInFlightRequests = 512
+	DefaultHedgeQuantile       = 0.9
+	DefaultMaxHedgeDelayShare  = 0.3
+	DefaultAnswerMargin        = 8 * time.Millisecond
+	DefaultSpareConnections    = 0.1
+	DefaultBudgetWindow        = 10 * time.Second
 )
 
 func (o Options) withDefaults() Options {
 	o.Budget.Window = cmp.Or(o.Budget.Window, DefaultBudgetWindow)
 	o.RetryAfter = cmp.Or(o.RetryAfter, DefaultRetryAfter)
-	o.CrowdedRetryAfter = cmp.Or(o.CrowdedRetryAfter, DefaultCrowdedRetry)
-	o.ElsewhereRetryAfter = cmp.Or(o.ElsewhereRetryAfter, DefaultElsewhereRetry)
-	o.MaximumRunning = cmp.Or(o.MaximumRunning, DefaultMaximumRunning)
+	o.OverloadRetryAfter = cmp.Or(o.OverloadRetryAfter, DefaultOverloadRetryAfter)
+	o.RedirectRetryAfter = cmp.Or(o.RedirectRetryAfter, DefaultRedirectRetryAfter)
+	o.MaxInFlightRequests = cmp.Or(o.MaxInFlightRequests, DefaultMaxInFlightRequests)
 	o.HedgeQuantile = cmp.Or(o.HedgeQuantile, DefaultHedgeQuantile)
-	o.HedgeShareOfAim = cmp.Or(o.HedgeShareOfAim, DefaultHedgeShareOfAim)
+	o.MaxHedgeDelayShare = cmp.Or(o.MaxHedgeDelayShare, DefaultMaxHedgeDelayShare)
 	o.AnswerMargin = cmp.Or(o.AnswerMargin, DefaultAnswerMargin)
 	o.SpareConnections = cmp.Or(o.SpareConnections, DefaultSpareConnections)
 	return o
--- a/routing/outages.go
+++ b/routing/outages.go
@@ -72,11 +72,11 @@
 		s := r.serviceNamed(name)
 		r.lookAtOutage(s)
 		if s.lacks {
-			latest = max(latest, r.outages.left(r.now-s.lacksSince, r.options.CrowdedRetryAfter))
+			latest = max(latest, r.outages.left(r.now-s.lacksSince, r.options.OverloadRetryAfter))
 		}
 	}
 	if latest == 0 {
-		latest = r.options.CrowdedRetryAfter // its servers are there, and it may not be sent to them
+		latest = r.options.OverloadRetryAfter // its servers are there, and it may not be sent to them
 	}
 	latest += time.Duration(returnSpread * r.random.Float64() * float64(latest))
 	return min(latest, max(q.asked.Remaining, leastReturn))
--- a/routing/outages_test.go
+++ b/routing/outages_test.go
@@ -12,13 +12,13 @@
 // loseAll lets every server of all shards be out of reach, and bringBack lets them be reached.
 func (w *world) loseAll(all []discovery.Server) {
 	for _, s := range all {
-		w.step(routing.Unreached{Server: s.Incarnation()})
+		w.step(routing.ConnectFailed{Server: s.Incarnation()})
 	}
 }
 
 func (w *world) bringBack(all []discovery.Server) {
 	for _, s := range all {
-		w.step(routing.Reached{Server: s.Incarnation()})
+		w.step(routing.Connected{Server: s.Incarnation()})
 	}
 }
 
@@ -39,7 +39,7 @@
 		told := make(map[time.Duration]struct{})
 		for range 10 {
 			got, done := w.finished[w.ask(r)]
-			if !done || got.Execution != gather.ExecutionNotRun || got.Reason != gather.ReasonNoServer || got.Elsewhere ||
+			if !done || got.Execution != gather.ExecutionNotRun || got.Reason != gather.ReasonNoServer || got.RetryElsewhere ||
 				got.RetryAfter < least || got.RetryAfter > most {
 				t.Errorf("%s: %v %+v, want from %s to %s", when, done, got, least, most)
 			}
@@ -50,7 +50,7 @@
 		}
 	}
 	w.loseAll(all)
-	refused("in the first outage", routing.DefaultCrowdedRetry, routing.DefaultCrowdedRetry*5/4)
+	refused("in the first outage", routing.DefaultOverloadRetryAfter, routing.DefaultOverloadRetryAfter*5/4)
 	w.pass(outage)
 	refused("when it has lasted longer than supposed", outage/4, outage*5/16)
 	w.bringBack(all)
@@ -59,8 +59,8 @@
 	refused("in the second", outage, outage*5/4)
 	w.pass(time.Second)
 	refused("a second later", outage-time.Second, (outage-time.Second)*5/4)
-	w.step(routing.OthersChanged{Serve: true})
-	if got := w.finished[w.ask(r)]; !got.Elsewhere || got.RetryAfter != routing.DefaultElsewhereRetry {
+	w.step(routing.PeerAvailabilityChanged{Available: true})
+	if got := w.finished[w.ask(r)]; !got.RetryElsewhere || got.RetryAfter != routing.DefaultRedirectRetryAfter {
 		t.Errorf("another node serves: %+v", got)
 	}
 }
@@ -70,20 +70,20 @@
 func TestServersThatRefuseAreReachedByNobody(t *testing.T) {
 	for lost, cutOff := range map[int]bool{4: false, 5: true} {
 		w := newWorld(t, routing.Options{})
-		w.step(routing.OthersChanged{Serve: true})
+		w.step(routing.PeerAvailabilityChanged{Available: true})
 		all := servers(2, fiveShards...)
 		w.setServers(all)
 		r := fanOut(0.6, fiveShards...)
 		w.setRoutes(r)
 		for _, s := range all[:2*lost] {
-			w.step(routing.Unreached{Server: s.Incarnation(), Refused: true})
+			w.step(routing.ConnectFailed{Server: s.Incarnation(), Refused: true})
 		}
 		got := w.finished[w.ask(r)]
-		if got.Reason != gather.ReasonNoServer || w.unable != cutOff || got.Elsewhere != cutOff {
+		if got.Reason != gather.ReasonNoServer || w.unable != cutOff || got.RetryElsewhere != cutOff {
 			t.Errorf("%d shards lost: cut off %v, %+v", lost, w.unable, got)
 		}
 		for _, s := range all {
-			w.step(routing.Reached{Server: s.Incarnation()})
+			w.step(routing.Connected{Server: s.Incarnation()})
 		}
 		if w.unable {
 			t.Error("the node still says that it is cut off")
--- a/routing/request.go
+++ b/routing/request.go
@@ -53,7 +53,7 @@
 		return
 	}
 	record := &q.records[a.record]
-	record.EndedAt, record.End = q.router.now-q.began, end
+	record.EndedAt, record.Result = q.router.now-q.began, end
 }
 
 // pinned is the one snapshot of a request: its table's set of shards.
@@ -66,8 +66,8 @@
 	} else {
 		q.names = []string{asked.Route.Target.Pick(q.latency.turn(r.random))}
 	}
-	q.returned = q.latency.patience.returned(asked.Told)
-	q.latency.patience.take(asked.Told)
+	q.returned = q.latency.patience.returned(asked.CallerTimeout)
+	q.latency.patience.take(asked.CallerTimeout)
 	q.parts = make([]part, len(q.names))
 	q.records = make([]AttemptRecord, 0, len(q.names)+spareRecords)
 	return q
@@ -132,7 +132,7 @@
 // HedgeDelay implements gather.Environment.
 func (q *request) HedgeDelay(segment *gather.Segment) (time.Duration, bool) {
 	s := segment.Group.(*service)
-	if len(s.servers) < 2 || q.asked.Route.Attempts < 2 || !q.router.on(mechanism.Hedges) {
+	if len(s.servers) < 2 || q.asked.Route.Attempts < 2 || !q.router.on(mechanism.Hedging) {
 		return 0, false
 	}
 	return q.router.hedgeDelay(q), true
@@ -173,11 +173,11 @@
 	r := q.router
 	s := a.Server.(*server)
 	number := int(a.Range.Start)
-	believed := Belief{Slowness: r.slownessOf(s), InFlight: s.InFlight()}
+	believed := ServerEstimate{Slowness: r.slownessOf(s), InFlight: s.InFlight()}
 	sent := &attempt{Attempt: a, server: s, record: len(q.records)}
 	s.Begin(&sent.flight, r.now, q.latency.usual())
 	q.records = append(q.records, AttemptRecord{
-		Service: s.Service, Server: s.ID, Kind: a.Kind, SentAt: r.now - q.began, Believed: believed,
+		Service: s.Service, Server: s.ID, Kind: a.Kind, SentAt: r.now - q.began, Estimate: believed,
 	})
 	sent.extra = r.countSend(a.Segment.Group.(*service), q, number)
 	sent.limited = r.countTrial(a.Segment.Group.(*service), s, q.asked.Route.Name, a.Kind)
@@ -192,7 +192,7 @@
 		Remaining: q.query.Deadline() - r.now,
 		Kind:      a.Kind,
 		Alone:     a.Alone,
-		Believed:  believed,
+		Estimate:  believed,
 	}
 	r.countCold(s)
 	if !sent.limited { // an unproven version that hangs is no zone that can't be reached
@@ -227,10 +227,10 @@
 		Hedges:    q.hedges,
 		Retries:   q.retries,
 
-		Unaffordable: q.unaffordable,
-		Roomless:     q.roomless,
-		Hopeless:     q.hopeless,
-		Attempts:     q.records,
+		HedgesOverBudget:     q.unaffordable,
+		SendsWithoutCapacity: q.roomless,
+		HedgesTooLate:        q.hopeless,
+		Attempts:             q.records,
 	}
 	for _, p := range outcome.Parts {
 		result.Parts = append(result.Parts, Part{Service: q.names[p.Range.Start], Body: p.Body})
--- a/routing/rollouts.go
+++ b/routing/rollouts.go
@@ -218,7 +218,7 @@
 // RolloutExposure tells what a service's target got from this node, and what it might have.
 type RolloutExposure struct {
 	Service, Target string
-	Given           int
+	Sent            int
 	Allowed         float64
 }
 
@@ -228,7 +228,7 @@
 	for name, s := range r.services {
 		if s.trial != nil && s.trial.Active() {
 			exposures = append(exposures, RolloutExposure{
-				Service: name, Target: s.trial.State().Target, Given: s.trial.Spent(), Allowed: s.trial.Allowed(),
+				Service: name, Target: s.trial.State().Target, Sent: s.trial.Spent(), Allowed: s.trial.Allowed(),
 			})
 		}
 	}
--- a/routing/router.go
+++ b/routing/router.go
@@ -105,13 +105,13 @@
 		r.replied(event)
 	case Failed:
 		r.failed(event)
-	case Settled:
+	case CrashCheckCompleted:
 		r.settled(event)
-	case Woken:
+	case TimerFired:
 		r.wakeAt = never
-	case Unreached:
+	case ConnectFailed:
 		r.unreached(r.living(event.Server), event.Refused)
-	case Reached:
+	case Connected:
 		r.reached(r.living(event.Server))
 	case ServersChanged:
 		r.serversChanged(event.Servers)
@@ -127,9 +127,9 @@
 		r.settingsChanged(event)
 	case NodesChanged:
 		r.shares.Take(r.now, extrabudget.Nodes(event))
-	case OthersChanged:
-		r.othersServe = event.Serve
-	case FindingHeard:
+	case PeerAvailabilityChanged:
+		r.othersServe = event.Available
+	case FindingReceived:
 		r.findingHeard(event.Finding)
 	case QuarantinesChanged:
 		r.quarantinesChanged(event.Contents)
@@ -142,12 +142,12 @@
 }
 
 // on reports whether a mechanism is not switched off.
-func (r *Router) on(m mechanism.Mechanism) bool { return r.options.Off.On(m) }
+func (r *Router) on(m mechanism.Mechanism) bool { return r.options.Disabled.Enabled(m) }
 
 func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
 
-// Running is the number of requests without a final answer.
-func (r *Router) Running() int { return len(r.running) }
+// InFlightRequests is the number of requests without a final answer.
+func (r *Router) InFlightRequests() int { return len(r.running) }
 
 // ConnectionShare is the number of connections that this node may have to a
 // server of the service.
@@ -208,7 +208,7 @@
 	q.ended(a, StatusName(event.Status))
 	r.judgeReply(a, q, event.Status)
 	r.survived(q, event.Status)
-	if event.LoadKnown && r.on(mechanism.Load) {
+	if event.LoadKnown && r.on(mechanism.ReportedLoad) {
 		a.server.TakeLoad(r.now, event.Load.Running, event.Load.Waiting)
 	}
 	switch event.Status {
@@ -299,7 +299,7 @@
 // unreached sets a server aside until a connection to it is open again: requests
 // that try it would wait for connections that do not open.
 func (r *Router) unreached(s *server, refused bool) {
-	if s == nil || s.gone || !r.on(mechanism.Unreachable) {
+	if s == nil || s.gone || !r.on(mechanism.UnreachableServers) {
 		return
 	}
 	if s.unreachable {
@@ -310,7 +310,7 @@
 		return
 	}
 	s.unreachable, s.refuses = true, refused
-	r.emit(Reach{Server: s.Server})
+	r.emit(Connect{Server: s.Server})
 	r.lookAtOutage(r.serviceNamed(s.Service))
 	r.lookAtAbility()
 }
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -172,7 +172,7 @@
 	if again := w.open(w.ask(r)); len(again) != 1 {
 		t.Errorf("%d sends while a server can't be reached", len(again))
 	}
-	w.step(routing.Reached{Server: open[0].Server.Incarnation()})
+	w.step(routing.Connected{Server: open[0].Server.Incarnation()})
 	if again := w.open(w.ask(r)); len(again) != 2 {
 		t.Errorf("%d sends after it was reached", len(again))
 	}
@@ -246,7 +246,7 @@
 	if got := w.finished[id]; got.Reason != gather.ReasonCallerGone {
 		t.Errorf("%+v", got)
 	}
-	if w.router.Running() != 0 {
+	if w.router.InFlightRequests() != 0 {
 		t.Error("it still runs")
 	}
 }
@@ -387,7 +387,7 @@
 			w.setTable(20, "s1", "s2")
 			w.last++
 			asked := fanOut(0.5, "s1", "s2")
-			w.step(routing.Arrived{Request: routing.Request{ID: w.last, Route: asked, Remaining: asked.Timeout, Spent: test.spent, Return: test.back}})
+			w.step(routing.Arrived{Request: routing.Request{ID: w.last, Route: asked, Remaining: asked.Timeout, Elapsed: test.spent, ReturnTime: test.back}})
 			w.end(w.open(w.last)[0].Attempt, gather.ReplyDone)
 			const moment = time.Millisecond
 			w.pass(test.leaves - moment)
--- a/routing/shares.go
+++ b/routing/shares.go
@@ -18,7 +18,7 @@
 		return 1 // nothing is known of what the nodes share
 	}
 	share := limit.ConnectionShare(s.connections, r.shares.Serving(), r.options.SpareConnections)
-	if r.options.Fresh && r.on(mechanism.FreshConnections) && r.now < r.startedAt+connectionsOutlive {
+	if r.options.Restarted && r.on(mechanism.RestartConnectionLimit) && r.now < r.startedAt+connectionsOutlive {
 		share /= 2
 	}
 	return max(share, 1)
@@ -27,7 +27,7 @@
 // fixedShare is the node's part of each budget's fixed number. A fresh
 // incarnation has none for a window.
 func (r *Router) fixedShare() float64 {
-	if r.options.Fresh && r.now < r.startedAt+r.options.Budget.Window {
+	if r.options.Restarted && r.now < r.startedAt+r.options.Budget.Window {
 		return 0
 	}
 	return r.shares.Of(r.now, r.options.Budget.Fixed, r.options.Budget.Window)
--- a/routing/stop.go
+++ b/routing/stop.go
@@ -35,7 +35,7 @@
 // answerBy is the time since the request's arrival at which an answer must
 // leave to be at the caller within the route's aim.
 func (q *request) answerBy() time.Duration {
-	after := q.asked.Route.Aim - q.asked.Spent - q.asked.Return - q.router.options.AnswerMargin
+	after := q.asked.Route.Aim - q.asked.Elapsed - q.asked.ReturnTime - q.router.options.AnswerMargin
 	return max(after, q.asked.Route.Aim/4)
 }
 
--- a/routing/suspects.go
+++ b/routing/suspects.go
@@ -41,7 +41,7 @@
 	outcome := Outcome{Execution: gather.ExecutionNotRun, Reason: gather.ReasonCrashesServers, RetryAfter: left}
 	if standing == quarantine.Quarantined {
 		outcome = Outcome{Execution: gather.ExecutionUnknown, Reason: gather.ReasonCrashesServers}
-		r.emit(CameAgain{Content: asked.Content()})
+		r.emit(QuarantinedRequestRejected{Content: asked.Content()})
 	}
 	r.emit(Finish{Request: asked.ID, Outcome: outcome})
 }
@@ -78,7 +78,7 @@
 
 // settled takes whether the server of an attempt has ended that had failed in doubt. Where
 // another one has run the request and lives, its end speaks against the request no more.
-func (r *Router) settled(event Settled) {
+func (r *Router) settled(event CrashCheckCompleted) {
 	a := r.doubts[event.Attempt]
 	if a == nil {
 		return
@@ -145,7 +145,7 @@
 // tell passes on what others are to know.
 func (r *Router) tell(finding quarantine.Finding, audience quarantine.Audience) {
 	if audience != quarantine.Nobody {
-		r.emit(Tell{Finding: finding, Audience: audience})
+		r.emit(PublishFinding{Finding: finding, Audience: audience})
 	}
 	r.scheduleLedger()
 }
@@ -165,14 +165,14 @@
 		r.ledgerAt = 0
 	}
 	for _, finding := range r.ledger.Tick(r.now) {
-		r.emit(Quarantine{Content: finding.Content})
-		r.emit(Tell{Finding: finding, Audience: quarantine.Everybody})
+		r.emit(RecordQuarantine{Content: finding.Content})
+		r.emit(PublishFinding{Finding: finding, Audience: quarantine.Everybody})
 	}
 	r.scheduleLedger()
 }
 
-// Quarantines is the number of contents that are refused, and Suspects that of those of which
+// QuarantineCounts is the number of contents that are refused, and Suspects that of those of which
 // something is known.
-func (r *Router) Quarantines() (quarantines, suspects int) {
+func (r *Router) QuarantineCounts() (quarantines, suspects int) {
 	return r.ledger.Quarantines(), r.ledger.Suspects()
 }
--- a/routing/suspects_test.go
+++ b/routing/suspects_test.go
@@ -53,7 +53,7 @@
 	w := newShards(t, routing.Options{Seed: 1})
 	r := fanOut(1, fiveShards...)
 	content := quarantine.ContentOf("GET", "host", "/suspected", nil)
-	w.step(routing.FindingHeard{Finding: quarantine.Finding{Content: content, Ends: []quarantine.End{{Life: 7}}}})
+	w.step(routing.FindingReceived{Finding: quarantine.Finding{Content: content, Ends: []quarantine.End{{Life: 7}}}})
 	id := w.askFor(r, "/suspected")
 	if open := w.open(id); len(open) != 1 {
 		t.Fatalf("%d sends", len(open))
@@ -95,7 +95,7 @@
 			if !told.Wide || len(told.Ends) != 3 {
 				t.Fatalf("after three ends: told %+v", told)
 			}
-			other.step(routing.FindingHeard{Finding: told})
+			other.step(routing.FindingReceived{Finding: told})
 			for _, node := range []*world{w, other} {
 				if got := node.finished[node.askFor(r, "/deadly")]; got.Execution != gather.ExecutionNotRun || got.RetryAfter <= 0 {
 					t.Errorf("while the outcome is awaited: %+v", got)
@@ -116,7 +116,7 @@
 	if got := w.finished[w.askFor(r, "/deadly")]; got.Execution != gather.ExecutionUnknown || got.Sends != 0 {
 		t.Errorf("after the review: %+v", got)
 	}
-	other.step(routing.FindingHeard{Finding: w.told[len(w.told)-1].Finding})
+	other.step(routing.FindingReceived{Finding: w.told[len(w.told)-1].Finding})
 	if got := other.finished[running]; got.Reason != gather.ReasonCrashesServers {
 		t.Errorf("what runs elsewhere: %+v", got)
 	}
@@ -143,8 +143,8 @@
 			if _, finished := w.finished[id]; !finished {
 				t.Fatal("the request goes on")
 			}
-			w.step(routing.Settled{Attempt: lost, Ended: test.ended})
-			w.step(routing.Settled{Attempt: lost, Ended: true}) // told twice
+			w.step(routing.CrashCheckCompleted{Attempt: lost, Ended: test.ended})
+			w.step(routing.CrashCheckCompleted{Attempt: lost, Ended: true}) // told twice
 			again := w.askFor(r, "/doubted")
 			if open := w.open(again); len(open) != 1 || open[0].Alone != test.suspected {
 				t.Errorf("%d sends, alone %v; want one, alone %v", len(open), open[0].Alone, test.suspected)
@@ -174,7 +174,7 @@
 }
 
 func TestWithoutTheMechanismNothingIsRefused(t *testing.T) {
-	w := newShards(t, routing.Options{Seed: 1, Off: mechanism.Without(mechanism.Quarantine)})
+	w := newShards(t, routing.Options{Seed: 1, Disabled: mechanism.Disable(mechanism.Quarantine)})
 	r := fanOut(1, fiveShards...)
 	w.endAll(w.askFor(r, "/deadly"))
 	w.step(routing.QuarantinesChanged{Contents: []quarantine.Content{quarantine.ContentOf("GET", "host", "/deadly", nil)}})
--- a/routing/timers.go
+++ b/routing/timers.go
@@ -69,5 +69,5 @@
 		return
 	}
 	r.wakeAt = r.timers.First().at
-	r.emit(Wake{At: r.wakeAt})
+	r.emit(SetTimer{At: r.wakeAt})
 }
--- a/routing/world_test.go
+++ b/routing/world_test.go
@@ -25,7 +25,7 @@
 	unable   bool
 	wakeAt   time.Duration
 	last     routing.RequestID
-	told     []routing.Tell
+	told     []routing.PublishFinding
 	records  []quarantine.Content
 	again    int
 }
@@ -58,20 +58,20 @@
 				w.t.Errorf("request %d is finished twice", action.Request)
 			}
 			w.finished[action.Request] = action.Outcome
-		case routing.Reach:
+		case routing.Connect:
 			w.reached = append(w.reached, action.Server)
-		case routing.AbilityChanged:
-			if action.Able != w.unable {
-				w.t.Errorf("told twice that able is %v", action.Able)
+		case routing.ReachabilityChanged:
+			if action.CanServe != w.unable {
+				w.t.Errorf("told twice that able is %v", action.CanServe)
 			}
-			w.unable = !action.Able
-		case routing.Tell:
+			w.unable = !action.CanServe
+		case routing.PublishFinding:
 			w.told = append(w.told, action)
-		case routing.Quarantine:
+		case routing.RecordQuarantine:
 			w.records = append(w.records, action.Content)
-		case routing.CameAgain:
+		case routing.QuarantinedRequestRejected:
 			w.again++
-		case routing.Wake:
+		case routing.SetTimer:
 			w.wakeAt = action.At
 		}
 	}
@@ -82,7 +82,7 @@
 	until := w.now + duration
 	for w.wakeAt > 0 && w.wakeAt <= until {
 		w.now, w.wakeAt = max(w.now, w.wakeAt), 0
-		w.step(routing.Woken{})
+		w.step(routing.TimerFired{})
 	}
 	w.now = until
 }
