--- a/front/rollouts.go
+++ b/front/rollouts.go
@@ -97,7 +97,7 @@
 }
 
 // on reports whether versions are rolled out on request here.
-func (r *rollouts) on() bool { return r.bounds.On() && r.store != nil }
+func (r *rollouts) on() bool { return r.bounds.Enabled() && r.store != nil }
 
 // take takes what the node believes now, as heard at the given time.
 func (r *rollouts) take(news discovery.News, heardAt time.Time) {
@@ -117,7 +117,7 @@
 		}
 	}
 	if len(states) > 0 {
-		r.front.gateway.SetRollouts(states, r.front.gateway.At(heardAt.Add(r.bounds.FreshTime())))
+		r.front.gateway.SetRollouts(states, r.front.gateway.At(heardAt.Add(r.bounds.MaxViewAge())))
 	}
 }
 
@@ -153,20 +153,20 @@
 		state.Order, state.Target, state.Duration = order.Number, order.Order.Target, order.Order.Duration
 		state.OrderRevision = uint64(order.Stored.Revision)
 		if !order.Since.IsZero() {
-			state.Since, state.SinceKnown = r.front.gateway.At(order.Since), true
+			state.Since, state.OrderTimeKnown = r.front.gateway.At(order.Since), true
 			state.Latest = r.front.gateway.At(order.Latest)
 		}
 	}
 	if record, there := r.directives[discovery.DirectiveKey(discovery.RolloutRecord, service)]; there {
-		state.Record, state.RecordKnownAt, state.RecordLost = record.Record, r.recordAt[service], record.Lost
+		state.Record, state.RecordSeenAt, state.RecordLost = record.Record, r.recordAt[service], record.Lost
 	}
-	if state.Continues() {
+	if state.RecordMatchesRestoredOrder() {
 		state.Order = state.Record.Order
 	}
 	alarm, there := r.directives[discovery.DirectiveKey(discovery.RolloutAlarm, service)]
-	state.Alarm = there && alarm.Record.Order == state.Order
+	state.AlarmHeld = there && alarm.Record.Order == state.Order
 	state.AlarmSeenAt = r.alarmAt[service]
-	state.Granted = state.Grant(now, r.front.self.ID, time.Since(r.front.began))
+	state.Granted = state.GrantFor(now, r.front.self.ID, time.Since(r.front.began))
 	return state
 }
 
@@ -199,7 +199,7 @@
 // active reports whether a roll-out has not ended, or is to be written again. The lock is held.
 func (r *rollouts) active() bool {
 	for _, state := range r.states {
-		if !state.Ended() || state.Unsettled() {
+		if !state.Ended() || state.NeedsRewrite() {
 			return true
 		}
 	}
@@ -267,7 +267,7 @@
 	}
 	for _, leader := range discovery.Leaders(r.front.agent.Nodes(), deciders) {
 		if leader.ID == r.front.self.ID {
-			r.halt(r.HearReports(reports))
+			r.halt(r.ReceiveReports(reports))
 			continue
 		}
 		go r.reportTo(ctx, leader, reports)
@@ -294,8 +294,8 @@
 	}
 }
 
-// HearReports implements relay.Hearer.
-func (r *rollouts) HearReports(reports []rollout.Report) (halts []relay.Halt) {
+// ReceiveReports implements relay.ReportReceiver.
+func (r *rollouts) ReceiveReports(reports []rollout.Report) (halts []relay.Halt) {
 	now := r.now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -304,7 +304,7 @@
 			continue
 		}
 		decider := r.deciderOf(report.Service)
-		decider.Hear(now, report)
+		decider.AddReport(now, report)
 		if decider.Halt() {
 			halts = append(halts, relay.Halt{Service: report.Service, Order: report.Order})
 		}
@@ -331,18 +331,18 @@
 	}
 	now := r.now()
 	nodes := r.front.agent.Nodes()
-	world := rollout.World{
-		Place:       placeOf(r.front.self.ID, discovery.Leaders(nodes, deciders)),
-		Nodes:       idsOf(nodes),
-		GreatestAge: max(r.ages[0].greatest, r.ages[1].greatest),
+	world := rollout.DeciderInput{
+		DeciderIndex: placeOf(r.front.self.ID, discovery.Leaders(nodes, deciders)),
+		Nodes:        idsOf(nodes),
+		MaxViewAge:   max(r.ages[0].greatest, r.ages[1].greatest),
 	}
 	if serving := r.front.serving.Load(); serving != nil {
-		world.Serving = idsOf(*serving)
+		world.ServingNodes = idsOf(*serving)
 	}
 	var writes []rollout.Write
 	for _, service := range slices.Sorted(maps.Keys(r.states)) {
 		decider := r.deciderOf(service)
-		decider.Learn(now, r.worldOf(service, world))
+		decider.Observe(now, r.worldOf(service, world))
 		r.logPhase(service)
 		if write, due := decider.Tick(now); due {
 			writes = append(writes, write)
@@ -352,10 +352,10 @@
 }
 
 // worldOf adds to what is known of the nodes what is known of a service. The lock is held.
-func (r *rollouts) worldOf(service string, world rollout.World) rollout.World {
+func (r *rollouts) worldOf(service string, world rollout.DeciderInput) rollout.DeciderInput {
 	world.State = r.states[service]
 	world.Versions = r.versions[service]
-	_, world.Known = r.known[service]
+	_, world.ServiceKnown = r.known[service]
 	if order, there := r.directives[discovery.DirectiveKey(discovery.RollOut, service)]; there {
 		world.OrderFault = order.Order.Fault
 		world.Epoch = uint64(order.Stored.Epoch)
@@ -389,14 +389,14 @@
 		Str("phase", string(write.Record.Phase)).Str("reason", write.Record.Reason).
 		Dur("elapsed_ms", write.Record.Elapsed).Int("answers", answers).Int("bad", bad)
 	if errors.Is(err, ErrConflict) {
-		r.deciderOf(write.Service).Refused()
+		r.deciderOf(write.Service).WriteRejected()
 	}
 	if err != nil {
 		line.Err(err).Msg("decision on a roll-out not written")
 		return
 	}
 	line.Uint64("revision", revision).Msg("decision on a roll-out written")
-	r.deciderOf(write.Service).Wrote(r.now(), write, revision)
+	r.deciderOf(write.Service).WriteAccepted(r.now(), write, revision)
 }
 
 // placeOf is the place of a node among others; -1 is none.
--- a/relay/rollouts.go
+++ b/relay/rollouts.go
@@ -64,21 +64,21 @@
 	return encoded
 }
 
-// Hearer takes nodes' reports on roll-outs.
-type Hearer interface {
-	// HearReports takes what a node has seen, and lists the orders that are to be halted.
-	HearReports(reports []rollout.Report) []Halt
+// ReportReceiver takes nodes' reports on roll-outs.
+type ReportReceiver interface {
+	// ReceiveReports takes what a node has seen, and lists the orders that are to be halted.
+	ReceiveReports(reports []rollout.Report) []Halt
 }
 
 // ReportsHandler answers nodes that report to this one.
-func ReportsHandler(hearer Hearer) http.Handler {
+func ReportsHandler(hearer ReportReceiver) http.Handler {
 	return evidence.NewRolloutsServer(&reportsServer{hearer})
 }
 
 // ReportsPath begins the paths that ReportsHandler answers.
 const ReportsPath = evidence.RolloutsPathPrefix
 
-type reportsServer struct{ hearer Hearer }
+type reportsServer struct{ hearer ReportReceiver }
 
 // Report implements evidence.Rollouts.
 func (s *reportsServer) Report(_ context.Context, told *evidence.Reports) (*evidence.Halts, error) {
@@ -87,7 +87,7 @@
 		return nil, err
 	}
 	answer := new(evidence.Halts)
-	for _, halt := range s.hearer.HearReports(reports) {
+	for _, halt := range s.hearer.ReceiveReports(reports) {
 		answer.Halts = append(answer.Halts, &evidence.Halt{Service: halt.Service, Order: halt.Order})
 	}
 	return answer, nil
--- a/relay/rollouts_test.go
+++ b/relay/rollouts_test.go
@@ -18,7 +18,7 @@
 // decider hears reports, and halts every order that it hears of.
 type decider struct{ heard []rollout.Report }
 
-func (d *decider) HearReports(reports []rollout.Report) (halts []relay.Halt) {
+func (d *decider) ReceiveReports(reports []rollout.Report) (halts []relay.Halt) {
 	d.heard = append(d.heard, reports...)
 	for _, report := range reports {
 		halts = append(halts, relay.Halt{Service: report.Service, Order: report.Order})
--- a/rollout/decider.go
+++ b/rollout/decider.go
@@ -21,8 +21,8 @@
 	mostGrants = 64
 )
 
-// World is what a decider knows of the service and of the nodes.
-type World struct {
+// DeciderInput is what a decider knows of the service and of the nodes.
+type DeciderInput struct {
 	State
 	// OrderFault is what is wrong with the order; empty is nothing.
 	OrderFault string
@@ -32,14 +32,14 @@
 	RecordRevision uint64
 	// Versions are those of the service's servers that take work, sorted.
 	Versions []string
-	// Known says that the service stands in the table in force.
-	Known bool
-	// Place is this node's among the deciders; negative is that it is none.
-	Place int
+	// ServiceKnown says that the service stands in the table in force.
+	ServiceKnown bool
+	// DeciderIndex is this node's among the deciders; negative is that it is none.
+	DeciderIndex int
 	// Nodes are all that are there, and Serving those to which callers are sent.
-	Nodes, Serving []string
-	// GreatestAge is the greatest age of a belief of the registry of late.
-	GreatestAge time.Duration
+	Nodes, ServingNodes []string
+	// MaxViewAge is the greatest age of a belief of the registry of late.
+	MaxViewAge time.Duration
 }
 
 // Write asks the owner to write a record, and the status that it makes, on the condition
@@ -48,9 +48,9 @@
 	Service                       string
 	Record                        Record
 	OrderRevision, RecordRevision uint64
-	// Alarm asks for an alarm of the order that the registry takes away after so long; zero
+	// AlarmTTL asks for an alarm of the order that the registry takes away after so long; zero
 	// asks for none.
-	Alarm time.Duration
+	AlarmTTL time.Duration
 }
 
 // Decider drives one service's orders through their phases. It is pure, and not safe for
@@ -58,7 +58,7 @@
 type Decider struct {
 	service string
 	bounds  Bounds
-	world   World
+	world   DeciderInput
 	judge   *Judge
 	// order is the one that the judge judges.
 	order uint64
@@ -82,8 +82,8 @@
 	return &Decider{service: service, bounds: bounds, judge: NewJudge(), confirmed: make(map[string]bool)}
 }
 
-// Learn takes what is known now.
-func (d *Decider) Learn(now time.Duration, world World) {
+// Observe takes what is known now.
+func (d *Decider) Observe(now time.Duration, world DeciderInput) {
 	if world.Order != d.order {
 		d.order, d.judge = world.Order, NewJudge()
 	}
@@ -100,12 +100,12 @@
 	d.world = world
 }
 
-// Hear takes a node's report.
-func (d *Decider) Hear(now time.Duration, report Report) {
+// AddReport takes a node's report.
+func (d *Decider) AddReport(now time.Duration, report Report) {
 	if report.Order != d.order || report.Order == 0 {
 		return
 	}
-	d.judge.Take(now, report)
+	d.judge.AddReport(now, report)
 	d.confirmed[report.Node] = report.Moved && report.Remaining == 0
 }
 
@@ -121,35 +121,35 @@
 	return record.Phase == RolledBack || record.Phase == Running && verdict == Bad
 }
 
-// Refused takes the answer that order or record stand at other revisions: what this decider
+// WriteRejected takes the answer that order or record stand at other revisions: what this decider
 // took for written may not be, and what it hears next counts.
-func (d *Decider) Refused() {
+func (d *Decider) WriteRejected() {
 	d.wrote = 0
 	d.world.Record, d.world.RecordRevision = nil, 0
 }
 
-// Wrote takes the answer that a record stands as it was asked for, at a revision.
-func (d *Decider) Wrote(now time.Duration, write Write, revision uint64) {
+// WriteAccepted takes the answer that a record stands as it was asked for, at a revision.
+func (d *Decider) WriteAccepted(now time.Duration, write Write, revision uint64) {
 	isOther := write.Record.Epoch != d.world.Epoch || write.OrderRevision != d.world.OrderRevision
 	if isOther || revision <= d.world.RecordRevision {
 		return
 	}
 	d.wrote = revision
 	world := d.world
-	world.Record, world.RecordRevision, world.RecordLost, world.RecordKnownAt = &write.Record, revision, false, now
-	d.Learn(now, world)
+	world.Record, world.RecordRevision, world.RecordLost, world.RecordSeenAt = &write.Record, revision, false, now
+	d.Observe(now, world)
 }
 
 // Judge is that of the order.
 func (d *Decider) Judge() *Judge { return d.judge }
 
 // Active reports whether there is something to decide.
-func (d *Decider) Active() bool { return !d.world.Ended() || d.world.Unsettled() }
+func (d *Decider) Active() bool { return !d.world.Ended() || d.world.NeedsRewrite() }
 
 // Tick returns what this node should write now; ok is false when that is nothing.
 func (d *Decider) Tick(now time.Duration) (write Write, ok bool) {
 	record, due := d.next(now)
-	if !due || d.world.Place < 0 {
+	if !due || d.world.DeciderIndex < 0 {
 		d.isDue = false
 		return Write{}, false
 	}
@@ -168,8 +168,8 @@
 		OrderRevision:  d.world.OrderRevision,
 		RecordRevision: d.world.RecordRevision,
 	}
-	if record.Phase == Running && record.Alarmed {
-		write.Alarm = record.Decision - record.Elapsed
+	if record.Phase == Running && record.HasAlarm {
+		write.AlarmTTL = record.DecisionAt - record.Elapsed
 	}
 	return write, true
 }
@@ -184,14 +184,14 @@
 	if verdict == Bad || hasTakenOver || isLate {
 		return 0
 	}
-	return time.Duration(d.world.Place) * takeoverTime
+	return time.Duration(d.world.DeciderIndex) * takeoverTime
 }
 
 // next is the record that should stand next. One that the registry has lost is written again,
 // or what follows on it.
 func (d *Decider) next(now time.Duration) (record Record, due bool) {
 	record, due = d.following(now)
-	if !due && d.world.Unsettled() {
+	if !due && d.world.NeedsRewrite() {
 		return d.again(now), true
 	}
 	return record, due
@@ -236,30 +236,30 @@
 func (d *Decider) begin(now time.Duration) Record {
 	age := d.world.Age(now)
 	record := Record{
-		Order:   d.world.Order,
-		Target:  d.world.Target,
-		Phase:   Running,
-		Elapsed: age,
-		Granted: age,
-		Aside:   d.asideOf(d.world.Target),
+		Order:    d.world.Order,
+		Target:   d.world.Target,
+		Phase:    Running,
+		Elapsed:  age,
+		Granted:  age,
+		Excluded: d.asideOf(d.world.Target),
 	}
 	for _, version := range d.world.Versions {
-		if version != record.Target && !slices.Contains(record.Aside, version) {
+		if version != record.Target && !slices.Contains(record.Excluded, version) {
 			record.Before = append(record.Before, version)
 		}
 	}
-	record.Decision = max(decisionAt(d.world.Duration, d.world.GreatestAge), age)
+	record.DecisionAt = max(decisionAt(d.world.Duration, d.world.MaxViewAge), age)
 	switch {
 	case d.world.OrderFault != "":
 		record.Phase, record.Reason = RolledBack, d.world.OrderFault
-	case !d.world.Known:
+	case !d.world.ServiceKnown:
 		record.Phase, record.Reason = RolledBack, "service: "+d.service+" is not known"
 	case len(record.Before) == 0 && slices.Contains(d.world.Versions, record.Target):
 		record.Phase, record.Reason = Completed, "the target is the only version"
 	default:
 		record.Grants = d.grants()
-		left := record.Decision - record.Elapsed
-		record.Alarmed = left > 0 && left <= longestAlarm
+		left := record.DecisionAt - record.Elapsed
+		record.HasAlarm = left > 0 && left <= longestAlarm
 	}
 	return record
 }
@@ -270,7 +270,7 @@
 	if last == nil {
 		return nil
 	}
-	aside := slices.Clone(last.Aside)
+	aside := slices.Clone(last.Excluded)
 	if last.Phase == Completed {
 		aside = append(aside, last.Before...)
 	} else {
@@ -283,7 +283,7 @@
 
 // grants divides the fixed number among the nodes that serve callers.
 func (d *Decider) grants() map[string]int {
-	nodes := slices.Sorted(slices.Values(d.world.Serving))
+	nodes := slices.Sorted(slices.Values(d.world.ServingNodes))
 	nodes = nodes[:min(len(nodes), mostGrants)]
 	whole := int(extrabudget.Usable(d.bounds.ExposureSlack))
 	grants := make(map[string]int, len(nodes))
@@ -306,9 +306,9 @@
 		return d.end(now, RolledBack, why), true
 	case age > d.world.Duration-leastMove-moveNotice:
 		return d.end(now, RolledBack, "no decision in time: "+why), true
-	case age >= d.world.Record.Decision && d.judge.BadUnderLoad():
+	case age >= d.world.Record.DecisionAt && d.judge.BadUnderLoad():
 		return d.end(now, RolledBack, "bad answers under load"), true
-	case (verdict == Sound || verdict == Proven) && age >= d.world.Record.Decision:
+	case (verdict == Healthy || verdict == ProvenHealthy) && age >= d.world.Record.DecisionAt:
 		moveAt, bearable := d.moveAt(now, verdict)
 		return d.move(age, moveAt, why), bearable
 	default:
@@ -323,7 +323,7 @@
 	age := d.world.Age(now)
 	longest := min(d.bearable(now, age, tightDeviations), longestMove)
 	if longest < leastMove {
-		return age, verdict == Proven
+		return age, verdict == ProvenHealthy
 	}
 	length := min(max(d.bearable(now, age, wideDeviations), easyMove), longest)
 	return max(age+moveNotice, d.world.Duration-length), true
@@ -340,12 +340,12 @@
 func (d *Decider) bearable(now, age time.Duration, deviations float64) time.Duration {
 	given, _ := d.judge.Answers()
 	all := float64(d.judge.AllAnswers())
-	perSecond := max(all/age.Seconds(), d.judge.PerSecond(now))
+	perSecond := max(all/age.Seconds(), d.judge.AnswersPerSecond(now))
 	left := (d.world.Duration - age).Seconds()
 	bound := d.bounds.ExposureShare*(all+perSecond*left) + d.bounds.ExposureSlack
 	room := max(bearableShare*bound-float64(given), 0)
 	root := (math.Sqrt(deviations*deviations+4*room) - deviations) / 2 // of expected + deviations * root(expected) = room
-	return time.Duration(root*root/perSecond*float64(time.Second)) - d.world.Doubt()
+	return time.Duration(root*root/perSecond*float64(time.Second)) - d.world.AgeUncertainty()
 }
 
 // move is the record by which traffic moves.
@@ -353,7 +353,7 @@
 	record := *d.world.Record
 	record.Phase, record.Reason, record.Elapsed, record.MoveAt = Moving, why, age, moveAt
 	for _, version := range d.world.Versions {
-		known := slices.Contains(record.Before, version) || slices.Contains(record.Aside, version)
+		known := slices.Contains(record.Before, version) || slices.Contains(record.Excluded, version)
 		if version != record.Target && !known {
 			record.Before = append(slices.Clone(record.Before), version)
 		}
@@ -378,9 +378,9 @@
 		return d.end(now, RolledBack, "the latest answers are worse than before"), true
 	case d.judge.Suspicious():
 		return Record{}, false
-	case verdict != Proven && age >= d.world.Duration-lastChance && !d.bears(now, age):
+	case verdict != ProvenHealthy && age >= d.world.Duration-lastChance && !d.bears(now, age):
 		return d.end(now, RolledBack, "more requests came than the bound bears: "+why), true
-	case verdict != Proven && d.allConfirmed() && age < d.world.Duration-lastChance:
+	case verdict != ProvenHealthy && d.allConfirmed() && age < d.world.Duration-lastChance:
 		return Record{}, false // what it does with all traffic is still being seen
 	case settled:
 		return d.end(now, Completed, "all nodes have moved"), true
--- a/rollout/decider_test.go
+++ b/rollout/decider_test.go
@@ -6,11 +6,11 @@
 )
 
 // orderWorld is what the first decider of two nodes knows of an order that was given at 0.
-func orderWorld() World {
-	return World{
-		State:    State{Order: 7, OrderRevision: 7, Target: "v2", Duration: 20 * time.Second, SinceKnown: true},
-		Versions: []string{"v1", "v2"}, Known: true,
-		Nodes: []string{"a", "b"}, Serving: []string{"a", "b"}, GreatestAge: 1600 * time.Millisecond,
+func orderWorld() DeciderInput {
+	return DeciderInput{
+		State:    State{Order: 7, OrderRevision: 7, Target: "v2", Duration: 20 * time.Second, OrderTimeKnown: true},
+		Versions: []string{"v1", "v2"}, ServiceKnown: true,
+		Nodes: []string{"a", "b"}, ServingNodes: []string{"a", "b"}, MaxViewAge: 1600 * time.Millisecond,
 	}
 }
 
@@ -19,22 +19,22 @@
 func TestRefusedWritesAreWrittenAgain(t *testing.T) {
 	d := NewDecider("x", testBounds)
 	world := orderWorld()
-	d.Learn(0, world)
+	d.Observe(0, world)
 	begin, ok := d.Tick(0)
-	if !ok || begin.Record.Phase != Running || begin.OrderRevision != 7 || begin.RecordRevision != 0 || begin.Alarm == 0 {
+	if !ok || begin.Record.Phase != Running || begin.OrderRevision != 7 || begin.RecordRevision != 0 || begin.AlarmTTL == 0 {
 		t.Fatalf("%+v %t", begin, ok)
 	}
-	d.Wrote(0, begin, 10)
+	d.WriteAccepted(0, begin, 10)
 	world.Record, world.RecordRevision = &begin.Record, 9 // its own, as it is heard of
-	d.Learn(time.Second, world)
+	d.Observe(time.Second, world)
 	world.Order, world.OrderRevision = 0, 0 // taken back
-	d.Learn(2*time.Second, world)
+	d.Observe(2*time.Second, world)
 	end, ok := d.Tick(2 * time.Second)
 	if !ok || end.Record.Phase != RolledBack || end.RecordRevision != 10 && end.RecordRevision != 9 {
 		t.Fatalf("%+v %t", end, ok)
 	}
-	d.Refused()
-	d.Learn(3*time.Second, world)
+	d.WriteRejected()
+	d.Observe(3*time.Second, world)
 	if again, ok := d.Tick(4 * time.Second); !ok || again.RecordRevision != 9 {
 		t.Errorf("%+v %t", again, ok)
 	}
@@ -44,8 +44,8 @@
 func TestTakingOver(t *testing.T) {
 	d := NewDecider("x", testBounds)
 	world := orderWorld()
-	world.Place = 1
-	d.Learn(0, world)
+	world.DeciderIndex = 1
+	d.Observe(0, world)
 	if _, ok := d.Tick(0); ok {
 		t.Error("it acts before its turn")
 	}
@@ -53,10 +53,10 @@
 	if !ok {
 		t.Fatal("it does not take over")
 	}
-	d.Wrote(takeoverTime, begin, 10)
+	d.WriteAccepted(takeoverTime, begin, 10)
 	world.Record, world.RecordRevision = &begin.Record, 10
 	world.Order, world.OrderRevision = 0, 0
-	d.Learn(3*time.Second, world)
+	d.Observe(3*time.Second, world)
 	if _, ok := d.Tick(3 * time.Second); !ok {
 		t.Error("it waits again")
 	}
@@ -66,12 +66,12 @@
 func TestGrantsAddUp(t *testing.T) {
 	for _, nodes := range []int{1, 3, 8, 42, 60, 200} {
 		world := orderWorld()
-		world.Serving = nil
+		world.ServingNodes = nil
 		for number := range nodes {
-			world.Serving = append(world.Serving, time.Duration(number).String())
+			world.ServingNodes = append(world.ServingNodes, time.Duration(number).String())
 		}
 		d := NewDecider("x", testBounds)
-		d.Learn(0, world)
+		d.Observe(0, world)
 		begin, _ := d.Tick(0)
 		sum := 0
 		for _, count := range begin.Record.Grants {
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// Answer is how a server's answer is judged.
-type Answer int
+// AnswerQuality is how a server's answer is judged.
+type AnswerQuality int
 
 const (
 	// Good answers come whole and in time.
-	Good Answer = iota
+	Good AnswerQuality = iota
 	// Failed says that the server answered that it failed, or gave no whole answer.
 	Failed
 	// Slow answers take much longer than is usual for their route.
@@ -30,7 +30,7 @@
 	Slow    int `json:"slow,omitempty"`
 }
 
-func (c *Counts) add(answer Answer) {
+func (c *Counts) add(answer AnswerQuality) {
 	c.Answers++
 	switch answer {
 	case Failed:
@@ -68,16 +68,16 @@
 }
 
 // Target notes an answer of a server of the target.
-func (e *Evidence) Target(route, server string, answer Answer) {
+func (e *Evidence) Target(route, server string, answer AnswerQuality) {
 	note(&e.target, cellKey{route, server}, answer)
 }
 
 // Before notes an answer of a server of the versions before.
-func (e *Evidence) Before(route string, answer Answer) {
+func (e *Evidence) Before(route string, answer AnswerQuality) {
 	note(&e.before, cellKey{route: route}, answer)
 }
 
-func note(cells *map[cellKey]*Counts, key cellKey, answer Answer) {
+func note(cells *map[cellKey]*Counts, key cellKey, answer AnswerQuality) {
 	if *cells == nil {
 		*cells = make(map[cellKey]*Counts)
 	}
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -13,11 +13,11 @@
 const (
 	// Undecided is that too few answers say too little.
 	Undecided Verdict = iota
-	// Sound is that there are enough answers, and none of the sums says otherwise.
-	Sound
-	// Proven is that the answers of each route exclude a version that is bad there, and those
+	// Healthy is that there are enough answers, and none of the sums says otherwise.
+	Healthy
+	// ProvenHealthy is that the answers of each route exclude a version that is bad there, and those
 	// under load one that is bad under load.
-	Proven
+	ProvenHealthy
 	// Bad is that the answers are worse than those of the versions before.
 	Bad
 )
@@ -72,9 +72,9 @@
 	}
 }
 
-// Take weighs what is new in a report. One that tells less than an earlier one of the same
+// AddReport weighs what is new in a report. One that tells less than an earlier one of the same
 // process, or more bad answers than answers, changes nothing.
-func (j *Judge) Take(now time.Duration, report Report) {
+func (j *Judge) AddReport(now time.Duration, report Report) {
 	from := reporter{report.Node, report.Process}
 	known := j.taken[from]
 	if known == nil && len(j.taken) >= mostReporters {
@@ -222,9 +222,9 @@
 	}
 	const sound = "no more failures and slow answers than before"
 	if j.proven() {
-		return Proven, sound
+		return ProvenHealthy, sound
 	}
-	return Sound, sound
+	return Healthy, sound
 }
 
 // proven reports whether the answers of each route, and those under load, exclude a bad target.
@@ -247,8 +247,8 @@
 	return routes > 1 && float64(onRoute) < rareShare*float64(all)/float64(routes)
 }
 
-// PerSecond is the number of the service's requests that were answered a second of late.
-func (j *Judge) PerSecond(now time.Duration) float64 { return j.loads.perSecond(now) }
+// AnswersPerSecond is the number of the service's requests that were answered a second of late.
+func (j *Judge) AnswersPerSecond(now time.Duration) float64 { return j.loads.perSecond(now) }
 
 // Answers counts the target's answers, and those of them that were bad, over all processes.
 func (j *Judge) Answers() (answers, bad int) {
@@ -273,5 +273,5 @@
 	return answers
 }
 
-// Nonsense counts the reports that could not be.
-func (j *Judge) Nonsense() int { return j.nonsense }
+// InvalidReports counts the reports that could not be.
+func (j *Judge) InvalidReports() int { return j.nonsense }
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -24,7 +24,7 @@
 }
 
 // chance is Failed or Slow with the given parts, and Good otherwise.
-func (r *reporting) chance(failed, slow float64) Answer {
+func (r *reporting) chance(failed, slow float64) AnswerQuality {
 	switch value := r.random.Float64(); {
 	case value < failed:
 		return Failed
@@ -36,7 +36,7 @@
 }
 
 // round adds answers of both kinds of versions and tells them.
-func (r *reporting) round(before, target int, answer func(node, route string, server int) Answer) {
+func (r *reporting) round(before, target int, answer func(node, route string, server int) AnswerQuality) {
 	r.now += 500 * time.Millisecond
 	for node, evidence := range r.evidence {
 		for range before {
@@ -47,14 +47,14 @@
 			evidence.Target(route, fmt.Sprint("server-", server), answer(node, route, server))
 		}
 		targets, befores := evidence.Cells()
-		r.judge.Take(r.now, Report{Node: node, Process: "1", Target: targets, Before: befores})
+		r.judge.AddReport(r.now, Report{Node: node, Process: "1", Target: targets, Before: befores})
 	}
 }
 
-func (r *reporting) usual(string, string, int) Answer { return r.chance(0.004, 0.06) }
+func (r *reporting) usual(string, string, int) AnswerQuality { return r.chance(0.004, 0.06) }
 
 // verdictAfter is the verdict after a number of rounds of nine nodes.
-func verdictAfter(seed uint64, rounds int, answer func(r *reporting) func(node, route string, server int) Answer) Verdict {
+func verdictAfter(seed uint64, rounds int, answer func(r *reporting) func(node, route string, server int) AnswerQuality) Verdict {
 	r := newReporting(seed, 9)
 	for range rounds {
 		r.round(4, 1, answer(r))
@@ -67,9 +67,9 @@
 // one: a server, a node, a disruption of all.
 func TestVerdicts(t *testing.T) {
 	const seeds, rounds = 200, 12
-	onRoute := func(answer Answer, part float64) func(r *reporting) func(string, string, int) Answer {
-		return func(r *reporting) func(string, string, int) Answer {
-			return func(_, route string, _ int) Answer {
+	onRoute := func(answer AnswerQuality, part float64) func(r *reporting) func(string, string, int) AnswerQuality {
+		return func(r *reporting) func(string, string, int) AnswerQuality {
+			return func(_, route string, _ int) AnswerQuality {
 				if route == "route-1" && r.random.Float64() < part {
 					return answer
 				}
@@ -78,35 +78,35 @@
 		}
 	}
 	for name, test := range map[string]struct {
-		answer   func(r *reporting) func(node, route string, server int) Answer
+		answer   func(r *reporting) func(node, route string, server int) AnswerQuality
 		want     Verdict
 		mistakes int // most of the seeds
 	}{
-		"good": {func(r *reporting) func(string, string, int) Answer { return r.usual }, Sound, 4},
-		"a quarter fails": {func(r *reporting) func(string, string, int) Answer {
-			return func(string, string, int) Answer { return r.chance(0.25, 0.06) }
+		"good": {func(r *reporting) func(string, string, int) AnswerQuality { return r.usual }, Healthy, 4},
+		"a quarter fails": {func(r *reporting) func(string, string, int) AnswerQuality {
+			return func(string, string, int) AnswerQuality { return r.chance(0.25, 0.06) }
 		}, Bad, 2},
-		"slow": {func(r *reporting) func(string, string, int) Answer {
-			return func(string, string, int) Answer { return r.chance(0.004, 0.9) }
+		"slow": {func(r *reporting) func(string, string, int) AnswerQuality {
+			return func(string, string, int) AnswerQuality { return r.chance(0.004, 0.9) }
 		}, Bad, 0},
 		"half fails on a route": {onRoute(Failed, 0.5), Bad, 1},
 		"slow on a route":       {onRoute(Slow, 0.9), Bad, 1},
-		"one server fails always": {func(r *reporting) func(string, string, int) Answer {
-			return func(_, _ string, server int) Answer {
+		"one server fails always": {func(r *reporting) func(string, string, int) AnswerQuality {
+			return func(_, _ string, server int) AnswerQuality {
 				if server == 1 {
 					return Failed
 				}
 				return r.usual("", "", 0)
 			}
-		}, Sound, 6},
-		"one node sees failures alone": {func(r *reporting) func(string, string, int) Answer {
-			return func(node, _ string, _ int) Answer {
+		}, Healthy, 6},
+		"one node sees failures alone": {func(r *reporting) func(string, string, int) AnswerQuality {
+			return func(node, _ string, _ int) AnswerQuality {
 				if node == "node-3" {
 					return Failed
 				}
 				return r.usual("", "", 0)
 			}
-		}, Sound, 6},
+		}, Healthy, 6},
 	} {
 		wrong := 0
 		for seed := range uint64(seeds) {
@@ -129,7 +129,7 @@
 			r.round(4, 1, r.usual)
 		}
 		for rounds := 1; ; rounds++ {
-			r.round(4, 1, func(string, string, int) Answer { return r.chance(0.5, 0) })
+			r.round(4, 1, func(string, string, int) AnswerQuality { return r.chance(0.5, 0) })
 			if verdict, _ := r.judge.Verdict(); verdict == Bad {
 				break
 			}
@@ -144,7 +144,7 @@
 func TestReportsCountOnce(t *testing.T) {
 	judge := NewJudge()
 	tell := func(answers, failed int) {
-		judge.Take(time.Second, Report{Node: "n", Process: "1", Target: []Cell{
+		judge.AddReport(time.Second, Report{Node: "n", Process: "1", Target: []Cell{
 			{Route: "r", Server: "s", Counts: Counts{Answers: answers, Failed: failed}},
 		}})
 	}
@@ -153,8 +153,8 @@
 	}
 	tell(2, 1) // late
 	tell(6, 9) // more failures than answers
-	if answers, bad := judge.Answers(); answers != 4 || bad != 1 || judge.Nonsense() != 2 {
-		t.Errorf("%d answers, %d bad, %d reports of nonsense", answers, bad, judge.Nonsense())
+	if answers, bad := judge.Answers(); answers != 4 || bad != 1 || judge.InvalidReports() != 2 {
+		t.Errorf("%d answers, %d bad, %d reports of nonsense", answers, bad, judge.InvalidReports())
 	}
 	if verdict, why := judge.Verdict(); verdict != Undecided || why == "" {
 		t.Errorf("verdict %d %q", verdict, why)
@@ -164,7 +164,7 @@
 // A target that was not tried on a route that many requests come on is not sound.
 func TestEveryBusyRouteIsTried(t *testing.T) {
 	judge := NewJudge()
-	judge.Take(time.Second, Report{Node: "n", Process: "1",
+	judge.AddReport(time.Second, Report{Node: "n", Process: "1",
 		Before: []Cell{{Route: "a", Counts: Counts{Answers: 60}}, {Route: "b", Counts: Counts{Answers: 40}}},
 		Target: []Cell{{Route: "a", Server: "s", Counts: Counts{Answers: 20}}},
 	})
--- a/rollout/move_test.go
+++ b/rollout/move_test.go
@@ -13,8 +13,8 @@
 	record := *runningState(Running).Record
 	world.Record, world.RecordRevision = &record, 10
 	d = NewDecider("x", testBounds)
-	d.Learn(0, world)
-	now = record.Decision
+	d.Observe(0, world)
+	now = record.DecisionAt
 	for heard := time.Duration(0); heard < now; heard += 250 * time.Millisecond {
 		part := func(whole int) int { return int(float64(whole) * float64(heard) / float64(now)) }
 		var cells []Cell
@@ -22,7 +22,7 @@
 			cells = append(cells, Cell{Route: "a", Server: fmt.Sprint("server-", server), Counts: Counts{Answers: part(target / 3)}})
 		}
 		for _, node := range []string{"a", "b"} {
-			d.Hear(heard, Report{
+			d.AddReport(heard, Report{
 				Node: node, Process: "1", Service: "x", Order: 7,
 				Target: cells, Before: []Cell{{Route: "a", Counts: Counts{Answers: part(before)}}},
 			})
@@ -122,14 +122,14 @@
 	state := runningState(Moving)
 	state.Record.MoveAt = 16 * time.Second
 	for _, offset := range []float64{0, 0.9} {
-		trial := NewTrial(testBounds, offset)
-		trial.Take(state, time.Hour)
+		trial := NewCanary(testBounds, offset)
+		trial.Update(state, time.Hour)
 		if given, _ := sendAll(trial, 14*time.Second, 16*time.Second, "a"); given != 0 {
 			t.Errorf("%d were given before the move", given)
 		}
 		for _, version := range []string{"v1", "v2"} {
-			early, late := trial.Standing(16*time.Second-1, version), trial.Standing(16*time.Second+rampTime, version)
-			if early == late || version == "v2" && late != Free || version == "v1" && late != Closed {
+			early, late := trial.TrafficMode(16*time.Second-1, version), trial.TrafficMode(16*time.Second+rampTime, version)
+			if early == late || version == "v2" && late != Unrestricted || version == "v1" && late != Blocked {
 				t.Errorf("%s: %d before the move, %d after it", version, early, late)
 			}
 		}
@@ -147,13 +147,13 @@
 		target, before []Cell
 		want           Verdict
 	}{
-		"under load":            {[]Cell{good("1", 30), good("2", 1)}, before, Proven},
-		"spread, without load":  {[]Cell{good("1", 3), good("2", 3), good("3", 3)}, before, Sound},
-		"another route untried": {[]Cell{good("1", 90), {Route: "b", Server: "1", Counts: Counts{Answers: 3}}}, append(before, other), Sound},
-		"a few fail":            {[]Cell{{Route: "a", Server: "1", Counts: Counts{Answers: 30, Failed: 2}}}, before, Sound},
+		"under load":            {[]Cell{good("1", 30), good("2", 1)}, before, ProvenHealthy},
+		"spread, without load":  {[]Cell{good("1", 3), good("2", 3), good("3", 3)}, before, Healthy},
+		"another route untried": {[]Cell{good("1", 90), {Route: "b", Server: "1", Counts: Counts{Answers: 3}}}, append(before, other), Healthy},
+		"a few fail":            {[]Cell{{Route: "a", Server: "1", Counts: Counts{Answers: 30, Failed: 2}}}, before, Healthy},
 	} {
 		j := NewJudge()
-		j.Take(time.Second, Report{Node: "n", Process: "1", Before: test.before, Target: test.target})
+		j.AddReport(time.Second, Report{Node: "n", Process: "1", Before: test.before, Target: test.target})
 		if got, why := j.Verdict(); got != test.want {
 			t.Errorf("%s: verdict %d (%s), want %d", name, got, why, test.want)
 		}
@@ -180,7 +180,7 @@
 				cells = append(cells, failing(server))
 			}
 			cells = append(cells, Cell{Route: "a", Server: "3", Counts: Counts{Answers: 5}})
-			j.Take(time.Duration(second)*time.Second, Report{
+			j.AddReport(time.Duration(second)*time.Second, Report{
 				Node: node, Process: "1", Before: []Cell{{Route: "a", Counts: Counts{Answers: 40}}}, Target: cells,
 			})
 		}
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -46,22 +46,22 @@
 	// Target is the order's version.
 	Target string `json:"target"`
 	Phase  Phase  `json:"phase"`
-	// Aside are the versions that get nothing: targets of earlier orders that were rolled
+	// Excluded are the versions that get nothing: targets of earlier orders that were rolled
 	// back or given up for another.
-	Aside []string `json:"aside,omitempty"`
+	Excluded []string `json:"aside,omitempty"`
 	// Before are the versions that were there beside the target; they get nothing once
 	// traffic moves.
 	Before []string `json:"before,omitempty"`
 	// Elapsed is how old the order was when the record was written, and Decision how old it
 	// is when it is decided.
-	Elapsed  time.Duration `json:"elapsed_ns"`
-	Decision time.Duration `json:"decision_ns,omitempty"`
+	Elapsed    time.Duration `json:"elapsed_ns"`
+	DecisionAt time.Duration `json:"decision_ns,omitempty"`
 	// MoveAt is how old the order is when its traffic moves, once that is decided: all nodes
 	// hear of it before.
 	MoveAt time.Duration `json:"move_at_ns,omitempty"`
-	// Alarmed says that the registry holds an alarm of the order until the decision, by its
+	// HasAlarm says that the registry holds an alarm of the order until the decision, by its
 	// own clock, for nodes that don't know how old the order is.
-	Alarmed bool `json:"alarmed,omitempty"`
+	HasAlarm bool `json:"alarmed,omitempty"`
 	// Grants are the requests that nodes may give the target beyond a share of their own,
 	// by the node, and Granted is how old the order was when they were made.
 	Grants  map[string]int `json:"grants,omitempty"`
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -12,8 +12,8 @@
 	RollbackTime time.Duration
 }
 
-// On reports whether versions are rolled out on request at all.
-func (b Bounds) On() bool { return b.RollbackTime > 0 }
+// Enabled reports whether versions are rolled out on request at all.
+func (b Bounds) Enabled() bool { return b.RollbackTime > 0 }
 
 const (
 	// freshShare is the part of RollbackTime for which a belief of the registry is good
@@ -79,8 +79,8 @@
 	longestAlarm = 10 * time.Minute
 )
 
-// FreshTime is how old a belief may be by which the target gets requests.
-func (b Bounds) FreshTime() time.Duration {
+// MaxViewAge is how old a belief may be by which the target gets requests.
+func (b Bounds) MaxViewAge() time.Duration {
 	return time.Duration(freshShare * float64(b.RollbackTime))
 }
 
--- a/rollout/spending.go
+++ b/rollout/spending.go
@@ -11,8 +11,8 @@
 // tried: answers of the versions before are needed to judge it by.
 const mostChosen = 0.75
 
-// Due reports whether a first send on a route should go to the target.
-func (t *Trial) Due(now time.Duration, route string) bool {
+// ShouldSendToTarget reports whether a first send on a route should go to the target.
+func (t *Canary) ShouldSendToTarget(now time.Duration, route string) bool {
 	if !t.Active() || t.targetStanding(now) != Limited || t.state.moving() || now >= t.freshUntil {
 		return false
 	}
@@ -26,7 +26,7 @@
 
 // dueEarly reports the same before the load is tried: all routes have an even part of what
 // may be spent by then, however many requests come on each.
-func (t *Trial) dueEarly(route string, whole, progress float64) bool {
+func (t *Canary) dueEarly(route string, whole, progress float64) bool {
 	sends, chosen := 0, 0
 	routes := len(t.routes)
 	if known := t.routes[route]; known != nil {
@@ -45,7 +45,7 @@
 }
 
 // isRare reports whether a route with so many first sends is rare.
-func (t *Trial) isRare(sends int) bool {
+func (t *Canary) isRare(sends int) bool {
 	all := 0
 	for _, route := range t.routes {
 		all += route.all
@@ -54,19 +54,19 @@
 }
 
 // part is this node's of what is granted to all.
-func (t *Trial) part() float64 {
+func (t *Canary) part() float64 {
 	return float64(t.state.Granted) / extrabudget.Usable(t.bounds.ExposureSlack)
 }
 
 // progress is the time since the grants, and that from them to the decision.
-func (t *Trial) progress(now time.Duration) (elapsed, span time.Duration) {
+func (t *Canary) progress(now time.Duration) (elapsed, span time.Duration) {
 	granted := t.state.Record.Granted
-	return t.state.Age(now) - granted, t.state.Record.Decision - granted
+	return t.state.Age(now) - granted, t.state.Record.DecisionAt - granted
 }
 
-// UnderLoad reports whether the target is to be seen under load, and the place, modulo
+// LoadTestServer reports whether the target is to be seen under load, and the place, modulo
 // their number, of its server that bears that now; all nodes count the same.
-func (t *Trial) UnderLoad(now time.Duration) (place int, underLoad bool) {
+func (t *Canary) LoadTestServer(now time.Duration) (place int, underLoad bool) {
 	if !t.Active() || t.targetStanding(now) != Limited {
 		return 0, false
 	}
@@ -84,7 +84,7 @@
 
 // serversToLoad is the number of the target's servers that bear the load one after the other,
 // if so much is left for it: two tell a bad server from a bad version, if both come under load.
-func (t *Trial) serversToLoad(now time.Duration, left float64) int {
+func (t *Canary) serversToLoad(now time.Duration, left float64) int {
 	elapsed, _ := t.progress(now)
 	perSecond := float64(t.allowance.Counted()) / max(elapsed.Seconds(), 1)
 	if left < loadServers*(perSecond*loadRise+loadAnswers*t.part()) {
@@ -96,8 +96,8 @@
 // routeSends are the first sends on a route, all and those to the target.
 type routeSends struct{ all, target int }
 
-// FirstSend notes a first send to the service on a route, to the target or not.
-func (t *Trial) FirstSend(route string, target bool) {
+// CountFirstSend notes a first send to the service on a route, to the target or not.
+func (t *Canary) CountFirstSend(route string, target bool) {
 	if !t.Active() {
 		return
 	}
@@ -117,7 +117,7 @@
 
 // beforeMove is what the target may have got so far, less what a move needs, where that leaves
 // enough to try it: then the bound holds whatever the target is.
-func (t *Trial) beforeMove(now time.Duration) float64 {
+func (t *Canary) beforeMove(now time.Duration) float64 {
 	whole := t.Allowed()
 	age := t.state.Age(now)
 	elapsed, left := age-t.state.Record.Granted, t.state.Duration-age
--- a/rollout/trial.go
+++ b/rollout/trial.go
@@ -21,17 +21,17 @@
 	RecordLost    bool
 	// Record is what the nodes have made of the order, or of an earlier one; nil is nothing.
 	Record *Record
-	// Since is when the order was given at the earliest, and RecordKnownAt when this node
+	// Since is when the order was given at the earliest, and RecordSeenAt when this node
 	// heard of the record; both on the node's clock.
-	Since      time.Duration
-	SinceKnown bool
+	Since          time.Duration
+	OrderTimeKnown bool
 	// Latest is when the order was given at the latest: some node had heard of it by then. It
 	// counts where Since is known.
-	Latest        time.Duration
-	RecordKnownAt time.Duration
-	// Alarm says that the registry holds the order's alarm, and AlarmSeenAt when it was seen
+	Latest       time.Duration
+	RecordSeenAt time.Duration
+	// AlarmHeld says that the registry holds the order's alarm, and AlarmSeenAt when it was seen
 	// last; zero is never.
-	Alarm       bool
+	AlarmHeld   bool
 	AlarmSeenAt time.Duration
 	// Granted is what the record grants to this node.
 	Granted int
@@ -51,17 +51,17 @@
 	return s.current() && s.Record.Phase.Ended()
 }
 
-// Continues reports whether the record is of the order that stands in the registry, though that
+// RecordMatchesRestoredOrder reports whether the record is of the order that stands in the registry, though that
 // was written under another number: the registry has come back from a copy since, and this
 // node did not know the order before.
-func (s State) Continues() bool {
+func (s State) RecordMatchesRestoredOrder() bool {
 	return s.Order != 0 && s.Record != nil && s.OrderRevision != 0 &&
 		s.Record.orderRevision() == s.OrderRevision && s.Record.Target == s.Target
 }
 
-// Unsettled reports whether the record must be written again: the registry does not hold it, or
+// NeedsRewrite reports whether the record must be written again: the registry does not hold it, or
 // holds its order elsewhere, so that nodes that start now would take the order for a new one.
-func (s State) Unsettled() bool {
+func (s State) NeedsRewrite() bool {
 	if s.Record == nil {
 		return false
 	}
@@ -80,24 +80,24 @@
 // Age is how old the order is at most.
 func (s State) Age(now time.Duration) time.Duration {
 	switch {
-	case s.SinceKnown:
+	case s.OrderTimeKnown:
 		return now - s.Since
-	case s.current() && s.Record.Alarmed && s.Alarm:
-		return min(s.Record.Elapsed+now-s.RecordKnownAt, s.Record.Decision-loadTime)
-	case s.current() && s.Record.Alarmed && s.AlarmSeenAt > 0:
-		return s.Record.Decision + now - s.AlarmSeenAt
-	case s.current() && s.Record.Alarmed:
-		return s.Record.Decision + restartTime + now - s.RecordKnownAt // gone before this node began
+	case s.current() && s.Record.HasAlarm && s.AlarmHeld:
+		return min(s.Record.Elapsed+now-s.RecordSeenAt, s.Record.DecisionAt-loadTime)
+	case s.current() && s.Record.HasAlarm && s.AlarmSeenAt > 0:
+		return s.Record.DecisionAt + now - s.AlarmSeenAt
+	case s.current() && s.Record.HasAlarm:
+		return s.Record.DecisionAt + restartTime + now - s.RecordSeenAt // gone before this node began
 	case s.current():
-		return s.Record.Elapsed + restartTime + now - s.RecordKnownAt
+		return s.Record.Elapsed + restartTime + now - s.RecordSeenAt
 	default:
 		return restartTime
 	}
 }
 
-// Doubt is by how much the order may be younger than its age tells.
-func (s State) Doubt() time.Duration {
-	if !s.SinceKnown {
+// AgeUncertainty is by how much the order may be younger than its age tells.
+func (s State) AgeUncertainty() time.Duration {
+	if !s.OrderTimeKnown {
 		return restartTime
 	}
 	return max(s.Latest-s.Since, 0)
@@ -107,30 +107,30 @@
 // thought to be older than they are by a reading of the registry at most.
 const grantMargin = 3 * time.Second
 
-// Grant is what a record grants to a node, whose process runs for the time given: one that
+// GrantFor is what a record grants to a node, whose process runs for the time given: one that
 // is younger than the grant may follow one that has used it.
-func (s State) Grant(now time.Duration, node string, running time.Duration) int {
+func (s State) GrantFor(now time.Duration, node string, running time.Duration) int {
 	if !s.current() || running < s.Age(now)-s.Record.Granted+grantMargin {
 		return 0
 	}
 	return s.Record.Grants[node]
 }
 
-// Standing is what a version's servers may get.
-type Standing int
+// TrafficMode is what a version's servers may get.
+type TrafficMode int
 
 const (
-	// Free servers get requests as any other.
-	Free Standing = iota
+	// Unrestricted servers get requests as any other.
+	Unrestricted TrafficMode = iota
 	// Limited servers get what the exposure allows.
 	Limited
-	// Closed servers get nothing.
-	Closed
+	// Blocked servers get nothing.
+	Blocked
 )
 
-// Trial is one node's part in a service's roll-out: what it may give the target. It is not
+// Canary is one node's part in a service's roll-out: what it may give the target. It is not
 // safe for concurrent use.
-type Trial struct {
+type Canary struct {
 	bounds Bounds
 	// offset spreads what all nodes give the target early, of which each has a few only.
 	offset float64
@@ -154,14 +154,14 @@
 	evidence   Evidence
 }
 
-// NewTrial returns a node's part in the roll-outs of one service; offset is from 0 to 1,
+// NewCanary returns a node's part in the roll-outs of one service; offset is from 0 to 1,
 // another one for each node.
-func NewTrial(bounds Bounds, offset float64) *Trial {
-	return &Trial{bounds: bounds, offset: offset, routes: make(map[string]*routeSends)}
+func NewCanary(bounds Bounds, offset float64) *Canary {
+	return &Canary{bounds: bounds, offset: offset, routes: make(map[string]*routeSends)}
 }
 
-// Take notes what is known of the roll-out, until when that is fresh.
-func (t *Trial) Take(state State, freshUntil time.Duration) {
+// Update notes what is known of the roll-out, until when that is fresh.
+func (t *Canary) Update(state State, freshUntil time.Duration) {
 	if state.Order != t.state.Order {
 		t.allowance = extrabudget.Allowance{}
 		t.routes, t.halted, t.loaded = make(map[string]*routeSends), false, false
@@ -169,13 +169,13 @@
 		t.alone = t.only != "" && t.only == state.Target
 	}
 	if state.moving() && (!t.state.moving() || state.Order != t.state.Order) {
-		t.movingAt = state.RecordKnownAt
+		t.movingAt = state.RecordSeenAt
 	}
 	t.state, t.freshUntil = state, freshUntil
 }
 
-// See notes the versions of the service's servers that take work.
-func (t *Trial) See(versions []string) {
+// SetVersions notes the versions of the service's servers that take work.
+func (t *Canary) SetVersions(versions []string) {
 	t.only = ""
 	if len(versions) == 1 {
 		t.only = versions[0]
@@ -183,48 +183,48 @@
 }
 
 // State is what was noted last.
-func (t *Trial) State() State { return t.state }
+func (t *Canary) State() State { return t.state }
 
 // Halt stops what the target gets until there is another order: the decision to roll back
 // is on its way.
-func (t *Trial) Halt(order uint64) {
+func (t *Canary) Halt(order uint64) {
 	if t.state.Order == order {
 		t.halted = true
 	}
 }
 
 // Active reports whether there is an order that has not ended.
-func (t *Trial) Active() bool {
+func (t *Canary) Active() bool {
 	return t.state.Order != 0 && !t.state.Ended()
 }
 
-// Standing is what servers of a version may get now.
-func (t *Trial) Standing(now time.Duration, version string) Standing {
+// TrafficMode is what servers of a version may get now.
+func (t *Canary) TrafficMode(now time.Duration, version string) TrafficMode {
 	record := t.state.Record
 	if t.Active() && version == t.state.Target {
 		return t.targetStanding(now)
 	}
 	switch {
 	case record == nil:
-		return Free
-	case slices.Contains(record.Aside, version):
-		return Closed
+		return Unrestricted
+	case slices.Contains(record.Excluded, version):
+		return Blocked
 	case record.Phase == RolledBack && version == record.Target:
-		return Closed
+		return Blocked
 	case record.Phase == Completed && slices.Contains(record.Before, version):
-		return Closed
+		return Blocked
 	case t.Moved(now) && slices.Contains(record.Before, version):
-		return Closed
+		return Blocked
 	case !record.Phase.Ended() && !t.state.current() && version == record.Target:
-		return Closed // given up for another order, or taken back
+		return Blocked // given up for another order, or taken back
 	default:
-		return Free
+		return Unrestricted
 	}
 }
 
 // Moved reports whether this node sends everything to the target. One that was told to halt
 // has gone back to the versions before.
-func (t *Trial) Moved(now time.Duration) bool {
+func (t *Canary) Moved(now time.Duration) bool {
 	if !t.Active() || !t.state.moving() || t.halted {
 		return false
 	}
@@ -232,42 +232,42 @@
 	return now >= t.movingAt+spread && t.state.Age(now) >= t.state.Record.MoveAt+spread
 }
 
-func (t *Trial) targetStanding(now time.Duration) Standing {
+func (t *Canary) targetStanding(now time.Duration) TrafficMode {
 	switch {
 	case !t.state.current() && t.alone:
-		return Free
+		return Unrestricted
 	case !t.state.current() || t.halted:
-		return Closed
+		return Blocked
 	case t.Moved(now):
-		return Free
+		return Unrestricted
 	default:
 		return Limited
 	}
 }
 
-// Hurried reports whether the target gets so much now that the deciders are to hear of it
+// NeedsFrequentReports reports whether the target gets so much now that the deciders are to hear of it
 // more often.
-func (t *Trial) Hurried(now time.Duration) bool {
-	_, underLoad := t.UnderLoad(now)
+func (t *Canary) NeedsFrequentReports(now time.Duration) bool {
+	_, underLoad := t.LoadTestServer(now)
 	return underLoad || t.Active() && t.state.current() && t.state.Record.Phase == Moving
 }
 
-// Sent notes that a server of the target was sent something.
-func (t *Trial) Sent() { t.allowance.Spend() }
+// CountTargetSend notes that a server of the target was sent something.
+func (t *Canary) CountTargetSend() { t.allowance.Spend() }
 
-// TakeBack notes that nothing of a send to the target was written.
-func (t *Trial) TakeBack() { t.allowance.TakeBack() }
+// UndoTargetSend notes that nothing of a send to the target was written.
+func (t *Canary) UndoTargetSend() { t.allowance.TakeBack() }
 
-// Reached notes that a request has reached a server of the service, whatever its version.
-func (t *Trial) Reached() { t.allowance.Count() }
+// CountRequest notes that a request has reached a server of the service, whatever its version.
+func (t *Canary) CountRequest() { t.allowance.Count() }
 
-// Spent is what the target got from this node.
-func (t *Trial) Spent() int { return t.allowance.Spent() }
+// TargetSends is what the target got from this node.
+func (t *Canary) TargetSends() int { return t.allowance.Spent() }
 
 // Allowed is what the target may have got so far.
-func (t *Trial) Allowed() float64 {
+func (t *Canary) Allowed() float64 {
 	return t.allowance.Whole(t.bounds.ExposureShare, t.state.Granted)
 }
 
 // Evidence is what the node has seen of the order's answers.
-func (t *Trial) Evidence() *Evidence { return &t.evidence }
+func (t *Canary) Evidence() *Evidence { return &t.evidence }
--- a/rollout/trial_test.go
+++ b/rollout/trial_test.go
@@ -11,10 +11,10 @@
 // runningState is a node's of an order of 20 s that was given at 0, at the given phase.
 func runningState(phase Phase) State {
 	return State{
-		Order: 7, Target: "v2", SinceKnown: true, Granted: 10,
+		Order: 7, Target: "v2", OrderTimeKnown: true, Granted: 10,
 		Record: &Record{
-			Order: 7, Target: "v2", Phase: phase, Aside: []string{"v0"}, Before: []string{"v1"},
-			Decision: 14 * time.Second, Grants: map[string]int{"node": 10},
+			Order: 7, Target: "v2", Phase: phase, Excluded: []string{"v0"}, Before: []string{"v1"},
+			DecisionAt: 14 * time.Second, Grants: map[string]int{"node": 10},
 		},
 	}
 }
@@ -30,22 +30,22 @@
 	next.Order, next.Target, next.Granted = 9, "v1", 0
 	for name, test := range map[string]struct {
 		state State
-		want  map[string]Standing
+		want  map[string]TrafficMode
 	}{
-		"nothing":       {State{}, map[string]Standing{"v1": Free, "v2": Free}},
-		"order alone":   {State{Order: 7, Target: "v2"}, map[string]Standing{"v1": Free, "v2": Closed}},
-		"running":       {runningState(Running), map[string]Standing{"v0": Closed, "v1": Free, "v2": Limited, "v9": Free}},
-		"moving":        {runningState(Moving), map[string]Standing{"v0": Closed, "v1": Closed, "v2": Free, "v9": Free}},
-		"completed":     {runningState(Completed), map[string]Standing{"v0": Closed, "v1": Closed, "v2": Free, "v9": Free}},
-		"rolled back":   {runningState(RolledBack), map[string]Standing{"v0": Closed, "v1": Free, "v2": Closed}},
-		"superseded":    {superseded, map[string]Standing{"v1": Free, "v2": Closed, "v3": Closed}},
-		"taken back":    {taken, map[string]Standing{"v1": Free, "v2": Closed}},
-		"next, back v1": {next, map[string]Standing{"v1": Closed, "v2": Free}},
+		"nothing":       {State{}, map[string]TrafficMode{"v1": Unrestricted, "v2": Unrestricted}},
+		"order alone":   {State{Order: 7, Target: "v2"}, map[string]TrafficMode{"v1": Unrestricted, "v2": Blocked}},
+		"running":       {runningState(Running), map[string]TrafficMode{"v0": Blocked, "v1": Unrestricted, "v2": Limited, "v9": Unrestricted}},
+		"moving":        {runningState(Moving), map[string]TrafficMode{"v0": Blocked, "v1": Blocked, "v2": Unrestricted, "v9": Unrestricted}},
+		"completed":     {runningState(Completed), map[string]TrafficMode{"v0": Blocked, "v1": Blocked, "v2": Unrestricted, "v9": Unrestricted}},
+		"rolled back":   {runningState(RolledBack), map[string]TrafficMode{"v0": Blocked, "v1": Unrestricted, "v2": Blocked}},
+		"superseded":    {superseded, map[string]TrafficMode{"v1": Unrestricted, "v2": Blocked, "v3": Blocked}},
+		"taken back":    {taken, map[string]TrafficMode{"v1": Unrestricted, "v2": Blocked}},
+		"next, back v1": {next, map[string]TrafficMode{"v1": Blocked, "v2": Unrestricted}},
 	} {
-		trial := NewTrial(testBounds, 0)
-		trial.Take(test.state, time.Hour)
+		trial := NewCanary(testBounds, 0)
+		trial.Update(test.state, time.Hour)
 		for version, want := range test.want {
-			if got := trial.Standing(10*time.Second, version); got != want {
+			if got := trial.TrafficMode(10*time.Second, version); got != want {
 				t.Errorf("%s: %s stands at %d, want %d", name, version, got, want)
 			}
 		}
@@ -57,26 +57,26 @@
 func TestOrderForTheOnlyVersion(t *testing.T) {
 	for _, test := range []struct {
 		versions []string
-		want     Standing
-	}{{[]string{"v2"}, Free}, {[]string{"v1", "v2"}, Closed}, {nil, Closed}} {
-		trial := NewTrial(testBounds, 0)
-		trial.See(test.versions)
-		trial.Take(State{Order: 7, Target: "v2"}, time.Hour)
-		if got := trial.Standing(time.Second, "v2"); got != test.want {
+		want     TrafficMode
+	}{{[]string{"v2"}, Unrestricted}, {[]string{"v1", "v2"}, Blocked}, {nil, Blocked}} {
+		trial := NewCanary(testBounds, 0)
+		trial.SetVersions(test.versions)
+		trial.Update(State{Order: 7, Target: "v2"}, time.Hour)
+		if got := trial.TrafficMode(time.Second, "v2"); got != test.want {
 			t.Errorf("%v: the target stands at %d, want %d", test.versions, got, test.want)
 		}
 	}
 }
 
 // sendAll offers first sends on a route every 10 ms and counts those that go to the target.
-func sendAll(trial *Trial, from, to time.Duration, route string) (given, offered int) {
+func sendAll(trial *Canary, from, to time.Duration, route string) (given, offered int) {
 	for now := from; now < to; now += 10 * time.Millisecond {
-		due := trial.Due(now, route)
-		trial.FirstSend(route, due)
-		trial.Reached()
+		due := trial.ShouldSendToTarget(now, route)
+		trial.CountFirstSend(route, due)
+		trial.CountRequest()
 		offered++
 		if due {
-			trial.Sent()
+			trial.CountTargetSend()
 			given++
 		}
 	}
@@ -86,8 +86,8 @@
 // The target gets no more than its part at any time, some of it at once, a third by the time
 // at which the load is tried, and the rest then.
 func TestExposureIsSpreadAndBounded(t *testing.T) {
-	trial := NewTrial(testBounds, 0)
-	trial.Take(runningState(Running), time.Hour)
+	trial := NewCanary(testBounds, 0)
+	trial.Update(runningState(Running), time.Hour)
 	early, offered := sendAll(trial, 0, time.Second, "a")
 	if early == 0 {
 		t.Error("nothing is tried in the first second")
@@ -108,23 +108,23 @@
 // A node whose belief has become too old gives the target nothing, nor does one that was
 // told to halt, nor one that has no record yet.
 func TestNothingWithoutFreshKnowledge(t *testing.T) {
-	for name, spoil := range map[string]func(trial *Trial){
-		"stale":    func(trial *Trial) { trial.Take(runningState(Running), 3*time.Second) },
-		"halted":   func(trial *Trial) { trial.Halt(7) },
-		"no order": func(trial *Trial) { trial.Take(State{}, time.Hour) },
-		"no record": func(trial *Trial) {
-			trial.Take(State{Order: 7, Target: "v2", SinceKnown: true, Granted: 10}, time.Hour)
+	for name, spoil := range map[string]func(trial *Canary){
+		"stale":    func(trial *Canary) { trial.Update(runningState(Running), 3*time.Second) },
+		"halted":   func(trial *Canary) { trial.Halt(7) },
+		"no order": func(trial *Canary) { trial.Update(State{}, time.Hour) },
+		"no record": func(trial *Canary) {
+			trial.Update(State{Order: 7, Target: "v2", OrderTimeKnown: true, Granted: 10}, time.Hour)
 		},
 	} {
-		trial := NewTrial(testBounds, 0)
-		trial.Take(runningState(Running), time.Hour)
+		trial := NewCanary(testBounds, 0)
+		trial.Update(runningState(Running), time.Hour)
 		spoil(trial)
 		if given, _ := sendAll(trial, 4*time.Second, 6*time.Second, "a"); given != 0 {
 			t.Errorf("%s: %d were given", name, given)
 		}
 	}
-	trial := NewTrial(testBounds, 0)
-	trial.Take(runningState(Running), time.Hour)
+	trial := NewCanary(testBounds, 0)
+	trial.Update(runningState(Running), time.Hour)
 	trial.Halt(6) // an earlier order
 	if given, _ := sendAll(trial, 4*time.Second, 6*time.Second, "a"); given == 0 {
 		t.Error("a halt of an earlier order stopped this one")
@@ -146,32 +146,32 @@
 		{4 * time.Second, time.Second, true, 0},
 		{4 * time.Second, 8 * time.Second, false, 0},
 	} {
-		state.SinceKnown = test.known
-		if got := state.Grant(test.now, "node", test.running); got != test.want {
+		state.OrderTimeKnown = test.known
+		if got := state.GrantFor(test.now, "node", test.running); got != test.want {
 			t.Errorf("%+v: granted %d", test, got)
 		}
 	}
-	state.SinceKnown = true
-	if got := state.Grant(4*time.Second, "another", time.Hour); got != 0 {
+	state.OrderTimeKnown = true
+	if got := state.GrantFor(4*time.Second, "another", time.Hour); got != 0 {
 		t.Errorf("a node without a grant has %d", got)
 	}
 }
 
 // A route on which few requests come is tried as often as one on which many do.
 func TestRoutesAreTriedAlike(t *testing.T) {
-	trial := NewTrial(testBounds, 0)
-	trial.Take(runningState(Running), time.Hour)
+	trial := NewCanary(testBounds, 0)
+	trial.Update(runningState(Running), time.Hour)
 	given := make(map[string]int)
 	for now, place := time.Duration(0), 0; now < 12*time.Second; now, place = now+5*time.Millisecond, place+1 {
 		route := "busy"
 		if place%20 == 0 {
 			route = "rare"
 		}
-		due := trial.Due(now, route)
-		trial.FirstSend(route, due)
-		trial.Reached()
+		due := trial.ShouldSendToTarget(now, route)
+		trial.CountFirstSend(route, due)
+		trial.CountRequest()
 		if due {
-			trial.Sent()
+			trial.CountTargetSend()
 			given[route]++
 		}
 	}
@@ -185,14 +185,14 @@
 	known := runningState(Running)
 	known.Since = -2 * time.Second
 	unknown := runningState(Running)
-	unknown.SinceKnown, unknown.RecordKnownAt = false, time.Second
+	unknown.OrderTimeKnown, unknown.RecordSeenAt = false, time.Second
 	unknown.Record.Elapsed = 3 * time.Second
 	alarmed := unknown
 	record := *unknown.Record
-	record.Alarmed = true
-	alarmed.Record, alarmed.Alarm, alarmed.AlarmSeenAt = &record, true, 40*time.Second
+	record.HasAlarm = true
+	alarmed.Record, alarmed.AlarmHeld, alarmed.AlarmSeenAt = &record, true, 40*time.Second
 	gone := alarmed
-	gone.Alarm = false
+	gone.AlarmHeld = false
 	unseen := gone
 	unseen.AlarmSeenAt = 0
 	for name, test := range map[string]struct {
@@ -215,21 +215,21 @@
 
 // Servers that bear the load are the same for all nodes, one after the other.
 func TestLoadGoesToOneServerAfterTheOther(t *testing.T) {
-	trial := NewTrial(testBounds, 0)
-	trial.Take(runningState(Running), time.Hour)
-	if _, underLoad := trial.UnderLoad(5 * time.Second); underLoad {
+	trial := NewCanary(testBounds, 0)
+	trial.Update(runningState(Running), time.Hour)
+	if _, underLoad := trial.LoadTestServer(5 * time.Second); underLoad {
 		t.Error("load before its time")
 	}
 	var places []string
-	for now := 12 * time.Second; trial.Due(now, "a"); now += time.Millisecond {
-		place, underLoad := trial.UnderLoad(now)
+	for now := 12 * time.Second; trial.ShouldSendToTarget(now, "a"); now += time.Millisecond {
+		place, underLoad := trial.LoadTestServer(now)
 		if !underLoad {
 			t.Fatal("no load at its time")
 		}
 		if text := fmt.Sprint(place); len(places) == 0 || places[len(places)-1] != text {
 			places = append(places, text)
 		}
-		trial.Sent()
+		trial.CountTargetSend()
 	}
 	if want := fmt.Sprint([]string{"7", "8"}); fmt.Sprint(places) != want {
 		t.Errorf("places %v, want %s", places, want)
--- a/rollout/world_nodes_test.go
+++ b/rollout/world_nodes_test.go
@@ -11,7 +11,7 @@
 	w.learn(n)
 	if n.state.Order != 0 && w.now >= n.reportAt && n.linked(w.now) && n.stuckUntil <= w.now {
 		n.reportAt = w.now + reportGap
-		if n.trial.Hurried(w.now) {
+		if n.trial.NeedsFrequentReports(w.now) {
 			n.reportAt = w.now + reportGap/2
 		}
 		w.report(n)
@@ -20,22 +20,22 @@
 	if place < 0 || !n.heard {
 		return
 	}
-	world := World{
-		State: n.state, RecordRevision: n.belief.record, Versions: []string{oldOne, newOne}, Known: true,
-		Place: place, Nodes: w.names(), Serving: w.names(), GreatestAge: 1600 * time.Millisecond,
+	world := DeciderInput{
+		State: n.state, RecordRevision: n.belief.record, Versions: []string{oldOne, newOne}, ServiceKnown: true,
+		DeciderIndex: place, Nodes: w.names(), ServingNodes: w.names(), MaxViewAge: 1600 * time.Millisecond,
 	}
 	if w.bug == bugNobodyAsked {
 		world.Nodes = nil
 	}
 	if w.bug == bugNoTakeover && place > 0 {
-		world.Place = -1
+		world.DeciderIndex = -1
 	}
 	if w.bug == bugEndIsNoEnd && n.state.current() && n.state.Record.Phase == Completed {
 		reopened := *n.state.Record
 		reopened.Phase = Moving
 		world.Record = &reopened
 	}
-	n.decider.Learn(w.now, world)
+	n.decider.Observe(w.now, world)
 	if due, ok := n.decider.Tick(w.now); ok && n.served(w.now) {
 		w.writes = append(w.writes, write{at: w.now + time.Duration(w.random.IntN(60))*time.Millisecond, what: due, by: n.decider})
 	}
@@ -76,29 +76,29 @@
 		n.lag += 1500 * time.Millisecond // others tell it
 	}
 	if w.store.order != n.belief.order {
-		n.state.SinceKnown = false
+		n.state.OrderTimeKnown = false
 		switch {
 		case heardBefore && before >= w.orderAt-2*w.unheard:
-			n.state.Since, n.state.SinceKnown = w.orderAt-w.unheard, true // a reader's figure
+			n.state.Since, n.state.OrderTimeKnown = w.orderAt-w.unheard, true // a reader's figure
 			if w.heardFirst == 0 {
 				w.heardFirst = w.now
 			}
 			n.state.Latest = w.heardFirst
 		case heardBefore:
-			n.state.Since, n.state.SinceKnown, n.state.Latest = before, true, w.now
+			n.state.Since, n.state.OrderTimeKnown, n.state.Latest = before, true, w.now
 		default:
 			w.askAge(n)
 		}
 	}
 	if w.store.record != n.belief.record {
-		n.state.RecordKnownAt = w.now
+		n.state.RecordSeenAt = w.now
 	}
 	if w.bug == bugEndsNotHeard && w.store.value.Phase == RolledBack && n.number%2 == 1 {
 		w.takeTrial(n)
 		return
 	}
 	n.belief = w.store
-	n.state.Alarm = w.store.alarm
+	n.state.AlarmHeld = w.store.alarm
 	if w.store.alarm {
 		n.state.AlarmSeenAt = w.now
 	}
@@ -113,22 +113,22 @@
 
 // takeTrial tells a node's trial what is known.
 func (w *world) takeTrial(n *simNode) {
-	n.state.Granted = n.state.Grant(w.now, n.name, w.now-n.startedAt)
+	n.state.Granted = n.state.GrantFor(w.now, n.name, w.now-n.startedAt)
 	if n.state.current() && w.bug == bugWholeGrantForEach {
 		n.state.Granted = 42
 	}
-	n.trial.Take(n.state, n.heardAt+w.bounds.FreshTime())
+	n.trial.Update(n.state, n.heardAt+w.bounds.MaxViewAge())
 }
 
 // askAge lets a node take over the order's age from one that knows it.
 func (w *world) askAge(n *simNode) {
 	if w.bug == bugAgeResetByRestart {
-		n.state.Since, n.state.SinceKnown, n.state.Latest = w.now, true, w.now
+		n.state.Since, n.state.OrderTimeKnown, n.state.Latest = w.now, true, w.now
 		return
 	}
 	for _, other := range w.nodes {
-		if other != n && other.linked(w.now) && other.state.SinceKnown && other.state.Order == w.store.order {
-			n.state.Since, n.state.SinceKnown, n.state.Latest = other.state.Since, true, other.state.Latest
+		if other != n && other.linked(w.now) && other.state.OrderTimeKnown && other.state.Order == w.store.order {
+			n.state.Since, n.state.OrderTimeKnown, n.state.Latest = other.state.Since, true, other.state.Latest
 			return
 		}
 	}
@@ -158,7 +158,7 @@
 		if !leader.linked(w.now) {
 			continue
 		}
-		leader.decider.Hear(w.now, told)
+		leader.decider.AddReport(w.now, told)
 		if leader.decider.Halt() && w.bug != bugEndsNotHeard {
 			n.trial.Halt(told.Order)
 		}
--- a/rollout/world_test.go
+++ b/rollout/world_test.go
@@ -77,7 +77,7 @@
 	heard      bool
 	lag        time.Duration
 	state      State
-	trial      *Trial
+	trial      *Canary
 	decider    *Decider
 	reportAt   time.Duration
 	// inFlight are the ends of attempts at the old servers.
@@ -218,7 +218,7 @@
 func (w *world) start(n *simNode) {
 	n.process++
 	n.startedAt, n.heard, n.belief, n.state = w.now, false, kept{}, State{}
-	n.trial, n.decider = NewTrial(w.bounds, w.random.Float64()), NewDecider("service", w.bounds)
+	n.trial, n.decider = NewCanary(w.bounds, w.random.Float64()), NewDecider("service", w.bounds)
 	n.lag = time.Duration(w.random.Float64() * float64(1400*time.Millisecond))
 	n.reportAt, n.inFlight = w.now+time.Duration(w.random.Float64()*float64(reportGap)), nil
 }
@@ -301,11 +301,11 @@
 		}
 		w.revision++
 		w.store.record, w.store.value = w.revision, one.what.Record
-		if one.what.Alarm > 0 {
-			w.store.alarmUntil, w.store.alarm = w.now+one.what.Alarm, true
+		if one.what.AlarmTTL > 0 {
+			w.store.alarmUntil, w.store.alarm = w.now+one.what.AlarmTTL, true
 		}
 		if w.random.IntN(10) > 0 { // else its answer is lost
-			one.by.Wrote(w.now, one.what, w.revision)
+			one.by.WriteAccepted(w.now, one.what, w.revision)
 		}
 		if one.what.Record.Phase.Ended() && w.end == "" {
 			w.end, w.endAt = one.what.Record.Phase, w.now
--- a/rollout/world_traffic_test.go
+++ b/rollout/world_traffic_test.go
@@ -23,16 +23,16 @@
 // request sends one request from a node.
 func (w *world) request(n *simNode) {
 	route := w.routes[int(float64(len(w.routes))*w.random.Float64()*w.random.Float64())]
-	toTarget := n.trial.Standing(w.now, newOne) == Free && n.trial.Standing(w.now, oldOne) == Closed || n.trial.Due(w.now, route)
-	n.trial.FirstSend(route, toTarget)
+	toTarget := n.trial.TrafficMode(w.now, newOne) == Unrestricted && n.trial.TrafficMode(w.now, oldOne) == Blocked || n.trial.ShouldSendToTarget(w.now, route)
+	n.trial.CountFirstSend(route, toTarget)
 	if !toTarget {
 		w.sendOld(n, route)
 		return
 	}
-	if w.sendNew(n, route) == Failed && n.trial.Standing(w.now, oldOne) == Free {
+	if w.sendNew(n, route) == Failed && n.trial.TrafficMode(w.now, oldOne) == Unrestricted {
 		w.sendOld(n, route)
 	}
-	if w.bug == bugRepeatsNotCounted && n.trial.Standing(w.now, newOne) == Limited {
+	if w.bug == bugRepeatsNotCounted && n.trial.TrafficMode(w.now, newOne) == Limited {
 		w.arrive(n, true)
 		w.arrive(n, true)
 	}
@@ -40,7 +40,7 @@
 
 // arrive counts an arrival at a server.
 func (w *world) arrive(n *simNode, target bool) {
-	n.trial.Reached()
+	n.trial.CountRequest()
 	inSpan := w.now >= w.orderAt && w.now < w.orderAt+w.duration
 	if inSpan {
 		w.arrived++
@@ -69,11 +69,11 @@
 	n.trial.Evidence().Before(route, w.usualAnswer())
 }
 
-func (w *world) sendNew(n *simNode, route string) Answer {
-	n.trial.Sent()
+func (w *world) sendNew(n *simNode, route string) AnswerQuality {
+	n.trial.CountTargetSend()
 	w.arrive(n, true)
 	place := w.random.IntN(targetServers)
-	if bears, underLoad := n.trial.UnderLoad(w.now); underLoad {
+	if bears, underLoad := n.trial.LoadTestServer(w.now); underLoad {
 		place = bears % targetServers
 	}
 	server := fmt.Sprint("server-", place)
@@ -96,7 +96,7 @@
 }
 
 // usualAnswer is that of a version that is good.
-func (w *world) usualAnswer() Answer {
+func (w *world) usualAnswer() AnswerQuality {
 	slow := 0.06
 	if w.now >= w.slowFrom && w.now < w.slowUntil {
 		slow = 0.4
@@ -111,7 +111,7 @@
 	}
 }
 
-func (w *world) targetAnswer(route string, server int) Answer {
+func (w *world) targetAnswer(route string, server int) AnswerQuality {
 	applies := w.now >= w.orderAt+w.bad.from && (w.bad.route == "" || w.bad.route == route)
 	if w.bad.underLoad && w.recent[server] < loadShare*w.rate/targetServers {
 		applies = false
--- a/routing/rollouts.go
+++ b/routing/rollouts.go
@@ -37,10 +37,10 @@
 			continue
 		}
 		if s.trial == nil {
-			s.trial = rollout.NewTrial(r.options.Rollouts, r.random.Float64())
+			s.trial = rollout.NewCanary(r.options.Rollouts, r.random.Float64())
 			r.setStandings(s)
 		}
-		s.trial.Take(state, event.FreshUntil)
+		s.trial.Update(state, event.FreshUntil)
 		r.setStandings(s)
 	}
 	r.pumpAll()
@@ -65,16 +65,16 @@
 			versions = append(versions, one.Version)
 		}
 	}
-	s.trial.See(versions)
+	s.trial.SetVersions(versions)
 	for _, one := range s.servers {
-		one.standing = s.trial.Standing(r.now, one.Version)
+		one.standing = s.trial.TrafficMode(r.now, one.Version)
 	}
 }
 
 // chooseForTrial picks the server of a service's target for a first send, if one is due and
 // there is one that it can be seen by; nil when there is none.
 func (r *Router) chooseForTrial(s *service, q *request, done *part, room int) *server {
-	if !s.trial.Due(r.now, q.asked.Route.Name) {
+	if !s.trial.ShouldSendToTarget(r.now, q.asked.Route.Name) {
 		return nil
 	}
 	var able []*server
@@ -86,7 +86,7 @@
 	if len(able) == 0 {
 		return nil
 	}
-	place, underLoad := s.trial.UnderLoad(r.now)
+	place, underLoad := s.trial.LoadTestServer(r.now)
 	if underLoad {
 		slices.SortFunc(able, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
 		return able[place%len(able)]
@@ -111,17 +111,17 @@
 	}
 	target := s.trial.Active() && to.Version == s.trial.State().Target
 	if kind == gather.FirstSend {
-		s.trial.FirstSend(routeName, target)
+		s.trial.CountFirstSend(routeName, target)
 	}
 	if target {
 		to.trials++
-		s.trial.Sent()
+		s.trial.CountTargetSend()
 	}
 	return to.standing == rollout.Limited
 }
 
 // judge counts an answer, or its lack, as evidence on its server's version.
-func (r *Router) judge(a *attempt, q *request, answer rollout.Answer) {
+func (r *Router) judge(a *attempt, q *request, answer rollout.AnswerQuality) {
 	s := a.Segment.Group.(*service)
 	if s.trial == nil || !s.trial.Active() || a.server.Cold(r.now) {
 		return
@@ -141,7 +141,7 @@
 	if s.trial == nil {
 		return
 	}
-	s.trial.Reached()
+	s.trial.CountRequest()
 	switch status {
 	case gather.ReplyDone:
 		r.judge(a, q, r.speedOf(a, q))
@@ -160,7 +160,7 @@
 	case event.Delivery == gather.ServerCrashed && a.Alone: // it speaks against the request
 	case event.Delivery == gather.NotDelivered:
 		if s.trial.Active() && a.server.Version == s.trial.State().Target {
-			s.trial.TakeBack()
+			s.trial.UndoTargetSend()
 		}
 	case a.IsPending():
 		r.judge(a, q, rollout.Failed)
@@ -172,7 +172,7 @@
 }
 
 // speedOf is Slow for an attempt that takes much longer than is usual for its route.
-func (r *Router) speedOf(a *attempt, q *request) rollout.Answer {
+func (r *Router) speedOf(a *attempt, q *request) rollout.AnswerQuality {
 	usual := q.latency.usual()
 	if usual > 0 && float64(r.sinceSent(a)) > rollout.SlowFactor*float64(usual) {
 		return rollout.Slow
@@ -192,10 +192,10 @@
 			Service: name, Order: s.trial.State().Order, Moved: s.trial.Moved(r.now), Remaining: r.remaining(s),
 		}
 		report.Target, report.Before = s.trial.Evidence().Cells()
-		if len(report.Target)+len(report.Before) == 0 && !s.trial.Hurried(r.now) {
+		if len(report.Target)+len(report.Before) == 0 && !s.trial.NeedsFrequentReports(r.now) {
 			continue
 		}
-		hurried = hurried || s.trial.Hurried(r.now)
+		hurried = hurried || s.trial.NeedsFrequentReports(r.now)
 		reports = append(reports, report)
 	}
 	slices.SortFunc(reports, func(a, b rollout.Report) int { return cmp.Compare(a.Service, b.Service) })
@@ -208,7 +208,7 @@
 	count := 0
 	for _, a := range r.attempts {
 		wanted := a.IsPending() || !r.requestOf(a).asked.Route.Repeatable
-		if a.Segment.Group == gather.Group(s) && a.server.standing == rollout.Closed && wanted {
+		if a.Segment.Group == gather.Group(s) && a.server.standing == rollout.Blocked && wanted {
 			count++
 		}
 	}
@@ -228,7 +228,7 @@
 	for name, s := range r.services {
 		if s.trial != nil && s.trial.Active() {
 			exposures = append(exposures, RolloutExposure{
-				Service: name, Target: s.trial.State().Target, Sent: s.trial.Spent(), Allowed: s.trial.Allowed(),
+				Service: name, Target: s.trial.State().Target, Sent: s.trial.TargetSends(), Allowed: s.trial.Allowed(),
 			})
 		}
 	}
--- a/routing/rollouts_test.go
+++ b/routing/rollouts_test.go
@@ -37,9 +37,9 @@
 }
 
 func (w *world) setPhase(phase rollout.Phase, service string) {
-	state := rollout.State{Order: 7, Target: "v2", SinceKnown: true, Granted: 40}
+	state := rollout.State{Order: 7, Target: "v2", OrderTimeKnown: true, Granted: 40}
 	if phase != "" {
-		state.Record = &rollout.Record{Order: 7, Target: "v2", Phase: phase, Before: []string{"v1"}, Decision: 14 * time.Second}
+		state.Record = &rollout.Record{Order: 7, Target: "v2", Phase: phase, Before: []string{"v1"}, DecisionAt: 14 * time.Second}
 	}
 	w.step(routing.RolloutsChanged{States: map[string]rollout.State{service: state}, FreshUntil: time.Hour})
 }
--- a/routing/server.go
+++ b/routing/server.go
@@ -32,7 +32,7 @@
 	coldSends extrabudget.Counter
 	// standing is what its version may get, and trials what it got of what is allowed to a
 	// version that is not proven.
-	standing rollout.Standing
+	standing rollout.TrafficMode
 	trials   int
 }
 
@@ -54,4 +54,4 @@
 func (s *server) usable() bool { return s.offered() && !s.unreachable && !s.way.dark }
 
 // offered reports whether it takes new work of nodes that can reach it.
-func (s *server) offered() bool { return s.there() && s.standing == rollout.Free }
+func (s *server) offered() bool { return s.there() && s.standing == rollout.Unrestricted }
--- a/routing/service.go
+++ b/routing/service.go
@@ -24,7 +24,7 @@
 	waiting  *priority.Queue[waiter]
 	pressure pressure
 	// trial is the node's part in the service's roll-outs; nil is that there was none.
-	trial *rollout.Trial
+	trial *rollout.Canary
 	// served says that a server of it could be asked once, and lacks that none can now, since
 	// lacksSince.
 	served, lacks bool
