--- a/discovery/anchors.go
+++ b/discovery/anchors.go
@@ -6,10 +6,10 @@
 // two of them may be lost at the same moment.
 const leastAnchors = 3
 
-// Anchors returns the nodes that keep an entry in the registry, by which nodes find
+// BootstrapNodes returns the nodes that keep an entry in the registry, by which nodes find
 // each other that know nobody who lives: the most capable one of each zone, and others
 // up to the least number. All nodes that see the same members choose the same.
-func Anchors(nodes []Node) []Node {
+func BootstrapNodes(nodes []Node) []Node {
 	ranked := rankNodes(nodes)
 	var anchors, others []Node
 	zones := make(map[string]struct{})
--- a/discovery/announcer.go
+++ b/discovery/announcer.go
@@ -55,9 +55,9 @@
 	return &Announcer{options: options, wake: make(chan struct{}, 1)}
 }
 
-// SetWanted tells whether the node's entry is to be kept. One that is not wanted any
+// SetEnabled tells whether the node's entry is to be kept. One that is not wanted any
 // more runs out by itself, which costs no call.
-func (a *Announcer) SetWanted(wanted bool) {
+func (a *Announcer) SetEnabled(wanted bool) {
 	a.mutex.Lock()
 	changed := a.wanted != wanted
 	a.wanted = wanted
@@ -75,7 +75,7 @@
 func (a *Announcer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := a.keep(ctx)
-		if errors.Is(err, ErrLeaseOver) {
+		if errors.Is(err, ErrLeaseExpired) {
 			err = a.keep(ctx) // registers anew
 		}
 		if err != nil && ctx.Err() == nil {
@@ -117,7 +117,7 @@
 	switch {
 	case err == nil:
 		a.lease = lease
-	case errors.Is(err, ErrLeaseOver):
+	case errors.Is(err, ErrLeaseExpired):
 		a.lease = nil
 		a.options.Logger.Info().Msg("own lease is over")
 	}
@@ -136,7 +136,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), endTimeout)
 	defer cancel()
-	if err := lease.End(ctx); err != nil {
+	if err := lease.Revoke(ctx); err != nil {
 		a.options.Logger.Debug().Err(err).Msg("own lease could not be ended")
 	}
 }
--- a/discovery/announcer_test.go
+++ b/discovery/announcer_test.go
@@ -56,13 +56,13 @@
 	case r.down:
 		return errDown
 	case !time.Now().Before(r.expiresAt):
-		return discovery.ErrLeaseOver
+		return discovery.ErrLeaseExpired
 	}
 	r.expiresAt = time.Now().Add(l.timeToLive)
 	return nil
 }
 
-func (l *countedLease) End(context.Context) error {
+func (l *countedLease) Revoke(context.Context) error {
 	l.registrar.mutex.Lock()
 	defer l.registrar.mutex.Unlock()
 	l.registrar.ends++
@@ -100,7 +100,7 @@
 func TestUnwantedEntryCostsNothing(t *testing.T) {
 	r := withAnnouncer(t, func(_ *testing.T, _ *registrar, a *discovery.Announcer) {
 		time.Sleep(time.Minute)
-		a.SetWanted(false)
+		a.SetEnabled(false)
 		time.Sleep(time.Minute)
 	})
 	if r.registrations+r.renewals+r.ends > 0 {
@@ -114,10 +114,10 @@
 	const spell = time.Minute
 	r := withAnnouncer(t, func(t *testing.T, r *registrar, a *discovery.Announcer) {
 		for _, when := range []string{"at first", "again"} {
-			a.SetWanted(true)
+			a.SetEnabled(true)
 			synctest.Wait()
 			wantThere(t, r, spell, when)
-			a.SetWanted(false)
+			a.SetEnabled(false)
 			synctest.Wait()
 			renewals := r.renewals
 			time.Sleep(2 * discovery.DefaultTimeToLive)
@@ -135,7 +135,7 @@
 func TestEntryComesBackAfterAnOutage(t *testing.T) {
 	const outage = 30 * time.Second
 	r := withAnnouncer(t, func(t *testing.T, r *registrar, a *discovery.Announcer) {
-		a.SetWanted(true)
+		a.SetEnabled(true)
 		synctest.Wait()
 		setDown := func(down bool) {
 			r.mutex.Lock()
--- a/discovery/asking.go
+++ b/discovery/asking.go
@@ -27,10 +27,10 @@
 // relayed takes in what a reader of the registry believes. It fails when this node is a
 // reader itself, or none of the readers has a fresh belief.
 func (f *Follower) relayed(ctx context.Context) error {
-	if f.options.Publishers == nil || !f.listed && f.options.Nodes == nil {
+	if f.options.Fetcher == nil || !f.listed && f.options.Nodes == nil {
 		return ErrUnavailable
 	}
-	helped, failed := f.askFirst(ctx, f.readersInTurn(), f.options.PublisherTimeout)
+	helped, failed := f.askFirst(ctx, f.readersInTurn(), f.options.FetchTimeout)
 	for _, reader := range failed {
 		f.avoided.add(time.Now(), reader)
 	}
@@ -91,7 +91,7 @@
 // askAnyone takes in what a node believes that hears the registry: it may turn some nodes
 // away, the readers among them, while it serves the others.
 func (f *Follower) askAnyone(ctx context.Context) bool {
-	if f.options.Publishers == nil || !f.listed {
+	if f.options.Fetcher == nil || !f.listed {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, anyoneTime)
@@ -181,11 +181,11 @@
 
 // askInBackground asks a node what it believes.
 func (f *Follower) askInBackground(ctx context.Context, node Node, answers chan<- told) {
-	inquiry := Inquiry{Known: f.markOf(node.ID), Position: f.known(), MostAge: f.options.StaleAfter}
+	inquiry := PublicationRequest{Known: f.markOf(node.ID), Position: f.known(), MaxAge: f.options.StaleAfter}
 	go func() {
-		asking, cancel := context.WithTimeout(ctx, f.options.PublisherTimeout)
+		asking, cancel := context.WithTimeout(ctx, f.options.FetchTimeout)
 		defer cancel()
-		publication, err := f.options.Publishers.Ask(asking, node.Peer, inquiry)
+		publication, err := f.options.Fetcher.Fetch(asking, node.Peer, inquiry)
 		answers <- told{node: node, publication: publication, err: err}
 	}()
 }
@@ -200,9 +200,9 @@
 // markOf is the mark to go on from with a reader: there is none unless all that is
 // believed came from that reader last. What another reader or the registry told
 // may lack what this reader has kept all the time.
-func (f *Follower) markOf(reader string) Mark {
+func (f *Follower) markOf(reader string) Cursor {
 	if f.helped != reader {
-		return Mark{}
+		return Cursor{}
 	}
 	return f.mark
 }
--- a/discovery/atomic_test.go
+++ b/discovery/atomic_test.go
@@ -64,9 +64,9 @@
 	release := make(chan struct{})
 	had := false
 	follower := discovery.NewFollower(discovery.FollowerOptions{
-		Source: source, Self: "node", Logger: zerolog.Nop(), Pace: time.Millisecond,
-		View: discovery.Options{OutageAfter: time.Nanosecond, MissingFor: 20 * time.Millisecond},
-		Changed: func(news discovery.News) {
+		Source: source, Self: "node", Logger: zerolog.Nop(), PollInterval: time.Millisecond,
+		View: discovery.Options{OutageAfter: time.Nanosecond, RemovalGrace: 20 * time.Millisecond},
+		Changed: func(news discovery.ClusterState) {
 			has := slices.ContainsFunc(news.Servers, func(s discovery.Server) bool { return s.ID == "lapses" })
 			if had && !has {
 				close(source.told)
@@ -80,7 +80,7 @@
 	go func() { follower.Run(ctx); close(ended) }()
 	left := <-source.left
 	for range 100 { // the listing is taken in as far as that goes
-		publication, ok := follower.Publish(discovery.Inquiry{})
+		publication, ok := follower.Publish(discovery.PublicationRequest{})
 		believed := slices.ContainsFunc(publication.Servers, func(s discovery.Server) bool { return s.ID == "leaves" })
 		if since := time.Since(left); !ok || believed && publication.Age < since {
 			t.Errorf("%s after a server left it is told with an age of %s (%t)", since, publication.Age, ok)
--- a/discovery/bound_test.go
+++ b/discovery/bound_test.go
@@ -170,5 +170,5 @@
 func (w *relayWorld) allKnow(version uint64) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return !slices.ContainsFunc(w.news, func(news discovery.News) bool { return news.Table.Version < version })
+	return !slices.ContainsFunc(w.news, func(news discovery.ClusterState) bool { return news.Table.Version < version })
 }
--- a/discovery/directive.go
+++ b/discovery/directive.go
@@ -26,8 +26,8 @@
 	QuarantineContent DirectiveKind = "quarantine_content"
 )
 
-// OfRollout reports whether directives of the kind are about roll-outs.
-func (k DirectiveKind) OfRollout() bool {
+// IsRollout reports whether directives of the kind are about roll-outs.
+func (k DirectiveKind) IsRollout() bool {
 	return k == RollOut || k == RolloutAlarm || k == RolloutRecord
 }
 
@@ -44,8 +44,8 @@
 	// back from a copy without it, keeps its number. Nodes of an earlier build, which know of one
 	// epoch only, tell and take it as the revision.
 	Number uint64 `json:"revision"`
-	// Stored is where the registry holds the key now; its revision is zero where it does not.
-	Stored Position `json:"stored,omitzero"`
+	// StoredAt is where the registry holds the key now; its revision is zero where it does not.
+	StoredAt Position `json:"stored,omitzero"`
 	// Lost says that the registry came back from a copy without the entry, and that it has not
 	// been written again yet.
 	Lost bool `json:"lost,omitempty"`
@@ -66,7 +66,7 @@
 
 // sameDirective reports whether two directives are the same entry, which the registry holds alike.
 func sameDirective(a, b Directive) bool {
-	return a.Key() == b.Key() && a.Number == b.Number && a.Stored == b.Stored && a.Lost == b.Lost
+	return a.Key() == b.Key() && a.Number == b.Number && a.StoredAt == b.StoredAt && a.Lost == b.Lost
 }
 
 // repeats reports whether a directive asks for the same as another one about its subject.
--- a/discovery/directive_test.go
+++ b/discovery/directive_test.go
@@ -16,10 +16,10 @@
 	defer r.mutex.Unlock()
 	r.revision++
 	order := discovery.Directive{
-		Kind: discovery.RollOut, Subject: service, Stored: discovery.Position{Epoch: r.epoch, Revision: r.revision},
+		Kind: discovery.RollOut, Subject: service, StoredAt: discovery.Position{Epoch: r.epoch, Revision: r.revision},
 		Order: &rollout.Order{Target: target, Duration: time.Minute},
 	}
-	order.Number = order.Stored.Number()
+	order.Number = order.StoredAt.Number()
 	r.events.Directives = append(r.events.Directives, discovery.Entry[discovery.Directive]{
 		ID: order.Key(), Revision: r.revision, Value: order,
 	})
@@ -140,7 +140,7 @@
 	var earlier struct {
 		Revision uint64 `json:"revision"`
 	}
-	told.Stored = at(9)
+	told.StoredAt = at(9)
 	encoded, err := json.Marshal(told)
 	if err != nil {
 		t.Fatal(err)
--- a/discovery/directives.go
+++ b/discovery/directives.go
@@ -44,14 +44,14 @@
 	case sameDirective(known.value, told):
 	case told.Kind == RolloutRecord && told.Number < known.value.Number:
 		if !told.Lost {
-			known.lose(told.Stored) // the nodes have come farther than what the registry holds
+			known.lose(told.StoredAt) // the nodes have come farther than what the registry holds
 		}
 	case known.value.Lost && told.Lost && told.Number == known.value.Number:
-		known.value.Stored = told.Stored
+		known.value.StoredAt = told.StoredAt
 	case known.value.Lost && told.repeats(known.value) && told.Kind != RolloutRecord:
 		known.regain(told)
-	case known.value.Lost && now < known.keptUntil && v.fromCopy(now, told.Stored):
-		known.value.Stored, known.instead = told.Stored, &told
+	case known.value.Lost && now < known.keptUntil && v.fromCopy(now, told.StoredAt):
+		known.value.StoredAt, known.instead = told.StoredAt, &told
 	default:
 		v.directives[key] = v.hold(now, told, position, since, sinceKnown)
 	}
@@ -62,14 +62,14 @@
 func (v *View) hold(now time.Duration, told Directive, position Position, since time.Duration, sinceKnown bool) *heldDirective {
 	held := &heldDirective{value: told, position: position, since: since, sinceKnown: sinceKnown, latest: now}
 	if told.Lost && !told.Kind.ofNodes() {
-		held.keptUntil = now + v.options.DirectivesMissingFor
+		held.keptUntil = now + v.options.DirectiveGrace
 	}
 	return held
 }
 
 // lose notes that the registry holds something else at the key, or nothing.
 func (h *heldDirective) lose(stored Position) {
-	h.value.Lost, h.value.Stored, h.value.Lease = true, stored, 0
+	h.value.Lost, h.value.StoredAt, h.value.Lease = true, stored, 0
 }
 
 // regain notes that the directive stands in the registry again, as it is told.
@@ -155,11 +155,11 @@
 	return listed
 }
 
-// LostDirectives counts those that the registry has lost as it came back from a copy.
-func (v *View) LostDirectives() int { return v.directives.lost() }
+// LostDirectiveCount counts those that the registry has lost as it came back from a copy.
+func (v *View) LostDirectiveCount() int { return v.directives.lost() }
 
-// Stood notes that a directive stood in the registry at a time, as another node has heard.
-func (v *View) Stood(key string, at time.Duration) {
+// RecordDirectiveSeen notes that a directive stood in the registry at a time, as another node has heard.
+func (v *View) RecordDirectiveSeen(key string, at time.Duration) {
 	if held := v.directives[key]; held != nil {
 		held.latest = min(held.latest, at)
 	}
--- a/discovery/epoch_test.go
+++ b/discovery/epoch_test.go
@@ -41,8 +41,8 @@
 	r.epoch++
 	r.revision, r.events = taken.revision, taken.events
 	for place := range r.events.Directives {
-		r.events.Directives[place].Value.Stored.Epoch = r.epoch
-		r.events.Directives[place].Value.Number = r.events.Directives[place].Value.Stored.Number()
+		r.events.Directives[place].Value.StoredAt.Epoch = r.epoch
+		r.events.Directives[place].Value.Number = r.events.Directives[place].Value.StoredAt.Number()
 	}
 }
 
@@ -130,11 +130,11 @@
 			t.Error("the node that is cut off believes something else")
 		}
 		ahead := w.network.followers["node-00"]
-		publication, _ := ahead.Publish(discovery.Inquiry{})
-		if got, ok := ahead.Publish(discovery.Inquiry{Known: publication.Mark, Position: in(0, 1)}); !ok || got.Since != 0 {
+		publication, _ := ahead.Publish(discovery.PublicationRequest{})
+		if got, ok := ahead.Publish(discovery.PublicationRequest{Known: publication.Cursor, Position: in(0, 1)}); !ok || got.Since != 0 {
 			t.Errorf("a node of the epoch before is told what changed after %d (%t)", got.Since, ok)
 		}
-		if _, ok := w.network.followers["node-04"].Publish(discovery.Inquiry{Position: publication.Position}); ok {
+		if _, ok := w.network.followers["node-04"].Publish(discovery.PublicationRequest{Position: publication.Position}); ok {
 			t.Error("a node that is in the epoch before tells one of the next what it believes")
 		}
 		w.network.cut("node-04", false)
@@ -151,7 +151,7 @@
 	told  map[string]discovery.Publication
 }
 
-func (p *scriptedPublishers) Ask(_ context.Context, address string, inquiry discovery.Inquiry) (discovery.Publication, error) {
+func (p *scriptedPublishers) Fetch(_ context.Context, address string, inquiry discovery.PublicationRequest) (discovery.Publication, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	publication, there := p.told[address]
@@ -175,7 +175,7 @@
 		table := route.Definition{Version: 1, Limits: route.Limits{HeaderBytes: 1, HeaderTimeout: 1, IdleTimeout: 1}}
 		publication := func(publisher string, position discovery.Position, ids ...string) map[string]discovery.Publication {
 			var told discovery.Publication
-			told.Mark, told.Position, told.Table = discovery.Mark{Publisher: publisher, Generation: 1}, position, &table
+			told.Cursor, told.Position, told.Table = discovery.Cursor{Publisher: publisher, Generation: 1}, position, &table
 			for _, id := range ids {
 				told.Servers = append(told.Servers, discovery.Server{ID: id, Service: "x"})
 			}
@@ -185,11 +185,11 @@
 		var mutex sync.Mutex
 		var used []string
 		follower := discovery.NewFollower(discovery.FollowerOptions{
-			Source: &awaySource{}, Self: "self", Publishers: publishers, Logger: zerolog.Nop(),
+			Source: &awaySource{}, Self: "self", Fetcher: publishers, Logger: zerolog.Nop(),
 			Nodes: func() []discovery.Node {
 				return []discovery.Node{{ID: "self"}, {ID: "a", Peer: "a", Capacity: 2}, {ID: "b", Peer: "b", Capacity: 2}}
 			},
-			Changed: func(news discovery.News) {
+			Changed: func(news discovery.ClusterState) {
 				mutex.Lock()
 				defer mutex.Unlock()
 				used = nil
@@ -262,8 +262,8 @@
 	server := func(id string, state discovery.State, born int64) discovery.Server {
 		return discovery.Server{ID: id, Service: "x", State: state, Born: born}
 	}
-	view := discovery.NewView(discovery.Options{RestoredFor: restoredFor})
-	view.HeardAllAlong(0)
+	view := discovery.NewView(discovery.Options{RestoreGrace: restoredFor})
+	view.RecordContinuousSync(0)
 	now := time.Minute
 	for _, id := range []string{"drains", "gone", "reborn", "writes"} {
 		view.PutServer(now, server(id, discovery.Ready, 1), in(1, 50))
@@ -305,7 +305,7 @@
 func recordOf(epoch uint64, phase rollout.Phase, stored discovery.Position) discovery.Directive {
 	written := discovery.Position{Epoch: discovery.Epoch(epoch), Revision: stored.Revision}
 	return discovery.Directive{
-		Kind: discovery.RolloutRecord, Subject: "s", Stored: stored, Number: written.Number(),
+		Kind: discovery.RolloutRecord, Subject: "s", StoredAt: stored, Number: written.Number(),
 		Record: &rollout.Record{Order: 7, Epoch: epoch, Phase: phase},
 	}
 }
@@ -327,18 +327,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			view := discovery.NewView(discovery.Options{})
-			view.HeardAllAlong(0)
+			view.RecordContinuousSync(0)
 			known := recordOf(1, rollout.Completed, in(1, 50))
-			view.PutDirective(0, known, known.Stored, 0, false)
+			view.PutDirective(0, known, known.StoredAt, 0, false)
 			view.BeginEpoch(time.Second, in(2, 52))
 			view.RetainDirectives(map[string]struct{}{}, in(2, 52))
-			if got := view.Directives(); len(got) != 1 || !got[0].Lost || got[0].Stored.Revision != 0 {
+			if got := view.Directives(); len(got) != 1 || !got[0].Lost || got[0].StoredAt.Revision != 0 {
 				t.Fatalf("not listed: %+v", got)
 			}
 			view.PutDirective(time.Second, test.told, in(2, 52), 0, false)
 			view.Expire(time.Hour)
 			got := view.Directives()
-			if len(got) != 1 || got[0].Record.Phase != test.want || got[0].Lost != test.lost || got[0].Stored != test.told.Stored {
+			if len(got) != 1 || got[0].Record.Phase != test.want || got[0].Lost != test.lost || got[0].StoredAt != test.told.StoredAt {
 				t.Errorf("%+v", got)
 			}
 		})
@@ -352,7 +352,7 @@
 	const keptFor = 10 * time.Second
 	order := func(target string, stored discovery.Position) discovery.Directive {
 		return discovery.Directive{
-			Kind: discovery.RollOut, Subject: "s", Stored: stored, Number: stored.Number(),
+			Kind: discovery.RollOut, Subject: "s", StoredAt: stored, Number: stored.Number(),
 			Order: &rollout.Order{Target: target, Duration: time.Minute},
 		}
 	}
@@ -372,10 +372,10 @@
 		"told by one that lost it":   {&lost, "v2", "", in(1, 50).Number()},
 	} {
 		t.Run(name, func(t *testing.T) {
-			view := discovery.NewView(discovery.Options{DirectivesMissingFor: keptFor})
-			view.HeardAllAlong(0)
+			view := discovery.NewView(discovery.Options{DirectiveGrace: keptFor})
+			view.RecordContinuousSync(0)
 			known := order("v2", in(1, 50))
-			view.PutDirective(0, known, known.Stored, 3*time.Second, true)
+			view.PutDirective(0, known, known.StoredAt, 3*time.Second, true)
 			now := time.Minute
 			view.BeginEpoch(now, in(2, 52))
 			view.RetainDirectives(map[string]struct{}{}, in(2, 52))
--- a/discovery/evacuation_test.go
+++ b/discovery/evacuation_test.go
@@ -96,10 +96,10 @@
 // A full listing tells which evacuations were taken back unnoticed.
 func TestEvacuationsEndWithAListing(t *testing.T) {
 	view := discovery.NewView(discovery.Options{})
-	a := discovery.Directive{Kind: discovery.EvacuateZone, Subject: "a", Number: 3, Stored: discovery.Position{Revision: 3}}
-	b := discovery.Directive{Kind: discovery.EvacuateZone, Subject: "b", Number: 9, Stored: discovery.Position{Revision: 9}}
-	view.PutDirective(0, a, a.Stored, 0, false)
-	view.PutDirective(0, b, b.Stored, 0, false)
+	a := discovery.Directive{Kind: discovery.EvacuateZone, Subject: "a", Number: 3, StoredAt: discovery.Position{Revision: 3}}
+	b := discovery.Directive{Kind: discovery.EvacuateZone, Subject: "b", Number: 9, StoredAt: discovery.Position{Revision: 9}}
+	view.PutDirective(0, a, a.StoredAt, 0, false)
+	view.PutDirective(0, b, b.StoredAt, 0, false)
 	view.RetainDirectives(map[string]struct{}{}, discovery.Position{Revision: 5})
 	if got := view.Directives(); len(got) != 1 || got[0].Subject != "b" {
 		t.Errorf("after a listing as of revision 5: %v", got)
--- a/discovery/follower.go
+++ b/discovery/follower.go
@@ -24,25 +24,25 @@
 	Logger zerolog.Logger
 	// Changed is called after every answer that may have changed something, one
 	// call at a time.
-	Changed func(News)
-	// Adopted is told of each change that was taken in how old the belief before it was:
+	Changed func(ClusterState)
+	// OnAdopted is told of each change that was taken in how old the belief before it was:
 	// the change was not known for so long at most. Nil is nobody.
-	Adopted func(age time.Duration)
-	// Pace is the least time between two readings; default 700 ms. What is
+	OnAdopted func(age time.Duration)
+	// PollInterval is the least time between two readings; default 700 ms. What is
 	// believed is at most so much older than the registry, and twice that after
 	// one reading that failed. It is stretched so that all nodes together stay
 	// within ReadsPerSecond.
-	Pace time.Duration
+	PollInterval time.Duration
 	// LapseTime is how long an owner may be silent until its entry lapses; zero is unknown.
 	// A registry that was not heard for so long may have been away for so long, and what
 	// went meanwhile is in doubt. Default: twice Pace, and never more.
 	LapseTime time.Duration
 	// ReadsPerSecond is what all nodes together may spend; default 1,000.
 	ReadsPerSecond float64
-	// Wait is how long the registry may hold a reading until something changes.
-	// Default: where readers tell the others, ReaderPace less ReadPause, so that
+	// LongPollTimeout is how long the registry may hold a reading until something changes.
+	// Default: where readers tell the others, ReaderPollInterval less ReadPause, so that
 	// changes are heard of at once; else 200 ms.
-	Wait time.Duration
+	LongPollTimeout time.Duration
 	// ReadPause is the time between a reader's readings of the registry, which
 	// bounds their rate while much changes; default 150 ms.
 	ReadPause time.Duration
@@ -61,32 +61,32 @@
 	// Nodes lists the nodes that are there, this one among them; the default is those
 	// of the registry.
 	Nodes func() []Node
-	// Publishers asks the nodes that read the registry for all; nil is none: then
+	// Fetcher asks the nodes that read the registry for all; nil is none: then
 	// each node reads for itself.
-	Publishers Publishers
+	Fetcher PublicationFetcher
 	// Seeds are addresses of nodes that are asked while the registry gives no answer
 	// and nothing is known yet; they may be stale or down.
 	Seeds []string
-	// SeedTime is for how long a node that knows nothing asks its seeds before it reads
+	// SeedTimeout is for how long a node that knows nothing asks its seeds before it reads
 	// everything by itself; zero is not at all. It spares the registry a reading for
 	// each node where many start at once and none is in a hurry.
-	SeedTime time.Duration
-	// PublisherTimeout bounds one asking; default 250 ms.
-	PublisherTimeout time.Duration
+	SeedTimeout time.Duration
+	// FetchTimeout bounds one asking; default 250 ms.
+	FetchTimeout time.Duration
 	// StaleAfter is the age from which a publication is not believed; default
-	// 1.5 times ReaderPace.
+	// 1.5 times ReaderPollInterval.
 	StaleAfter time.Duration
 	// Elapsed is the time since some moment, also while the machine is suspended; ages of
 	// beliefs count by it. Default is that since the follower was made.
 	Elapsed func() time.Duration
-	// ReaderPace and AskPace are the times between two readings of the registry
+	// ReaderPollInterval and FetchInterval are the times between two readings of the registry
 	// by a reader, and between two askings by the others; default 1/2 and 4/9 of
 	// Pace, so that a belief is no older than when all nodes read by themselves.
-	ReaderPace, AskPace time.Duration
+	ReaderPollInterval, FetchInterval time.Duration
 }
 
-// News is what a follower believes after an answer.
-type News struct {
+// ClusterState is what a follower believes after an answer.
+type ClusterState struct {
 	Servers []Server
 	Nodes   []Node
 	// Table is the newest that came; nil when none did yet.
@@ -96,20 +96,20 @@
 }
 
 // equal reports whether others need not be told of the difference.
-func (n News) equal(other News) bool {
+func (n ClusterState) equal(other ClusterState) bool {
 	return n.Table == other.Table && slices.Equal(n.Nodes, other.Nodes) && slices.EqualFunc(n.Directives, other.Directives, sameDirective) &&
 		slices.EqualFunc(n.Servers, other.Servers, alike)
 }
 
 // Defaults of FollowerOptions.
 const (
-	DefaultPace           = 700 * time.Millisecond
-	DefaultReadsPerSecond = 1_000
-	DefaultWait           = 200 * time.Millisecond
-	DefaultReadPause      = 150 * time.Millisecond
-	DefaultCallTimeout    = 600 * time.Millisecond
-	DefaultListTimeout    = 2500 * time.Millisecond
-	DefaultAskTimeout     = 250 * time.Millisecond
+	DefaultPollInterval    = 700 * time.Millisecond
+	DefaultReadsPerSecond  = 1_000
+	DefaultLongPollTimeout = 200 * time.Millisecond
+	DefaultReadPause       = 150 * time.Millisecond
+	DefaultCallTimeout     = 600 * time.Millisecond
+	DefaultListTimeout     = 2500 * time.Millisecond
+	DefaultFetchTimeout    = 250 * time.Millisecond
 
 	// readerShare and askShare are the parts of Pace between two readings of a reader and
 	// between two askings of the others, and staleShare is that of a reader's pace from
@@ -155,14 +155,14 @@
 	table    *route.Table
 	failures int
 	// published is what others are told, and history what changed in it of late.
-	published News
+	published ClusterState
 	history   history
 	// expiry tells what is believed anew when a missing entry's time is over.
 	expiry *time.Timer
 	// helped is the reader from which all that is believed came last, and mark is
 	// of what it told; empty after a reading of the registry. Only reading uses them.
 	helped string
-	mark   Mark
+	mark   Cursor
 	// random spreads pauses and askings, turn tells when this node may read the registry
 	// itself, and avoided which readers did not help; only Run uses them.
 	random  *rand.Rand
@@ -175,27 +175,27 @@
 	if options.Elapsed == nil {
 		options.Elapsed = clock.Begin().Elapsed
 	}
-	options.Pace = cmp.Or(options.Pace, DefaultPace)
+	options.PollInterval = cmp.Or(options.PollInterval, DefaultPollInterval)
 	options.ReadsPerSecond = cmp.Or(options.ReadsPerSecond, DefaultReadsPerSecond)
 	options.CallTimeout = cmp.Or(options.CallTimeout, DefaultCallTimeout)
 	options.ListTimeout = cmp.Or(options.ListTimeout, DefaultListTimeout)
-	options.PublisherTimeout = cmp.Or(options.PublisherTimeout, DefaultAskTimeout)
-	options.ReaderPace = cmp.Or(options.ReaderPace, time.Duration(readerShare*float64(options.Pace)))
-	options.AskPace = cmp.Or(options.AskPace, time.Duration(askShare*float64(options.Pace)))
+	options.FetchTimeout = cmp.Or(options.FetchTimeout, DefaultFetchTimeout)
+	options.ReaderPollInterval = cmp.Or(options.ReaderPollInterval, time.Duration(readerShare*float64(options.PollInterval)))
+	options.FetchInterval = cmp.Or(options.FetchInterval, time.Duration(askShare*float64(options.PollInterval)))
 	options.ReadPause = cmp.Or(options.ReadPause, DefaultReadPause)
-	if options.Publishers != nil {
-		options.Wait = cmp.Or(options.Wait, max(options.ReaderPace-options.ReadPause, DefaultWait))
+	if options.Fetcher != nil {
+		options.LongPollTimeout = cmp.Or(options.LongPollTimeout, max(options.ReaderPollInterval-options.ReadPause, DefaultLongPollTimeout))
 	}
-	options.Wait = cmp.Or(options.Wait, DefaultWait)
-	options.StaleAfter = cmp.Or(options.StaleAfter, time.Duration(staleShare*float64(options.ReaderPace)))
+	options.LongPollTimeout = cmp.Or(options.LongPollTimeout, DefaultLongPollTimeout)
+	options.StaleAfter = cmp.Or(options.StaleAfter, time.Duration(staleShare*float64(options.ReaderPollInterval)))
 	options.NodeID = cmp.Or(options.NodeID, options.Self)
-	if options.Adopted == nil {
-		options.Adopted = func(time.Duration) {}
+	if options.OnAdopted == nil {
+		options.OnAdopted = func(time.Duration) {}
 	}
 	if options.LapseTime > 0 {
-		options.View.RestoredFor = cmp.Or(options.View.RestoredFor, options.LapseTime+lapseSlack)
+		options.View.RestoreGrace = cmp.Or(options.View.RestoreGrace, options.LapseTime+lapseSlack)
 	}
-	options.View.OutageAfter = cmp.Or(options.View.OutageAfter, min(2*options.Pace, cmp.Or(options.LapseTime, 2*options.Pace)))
+	options.View.OutageAfter = cmp.Or(options.View.OutageAfter, min(2*options.PollInterval, cmp.Or(options.LapseTime, 2*options.PollInterval)))
 	return &Follower{
 		options:       options,
 		invalidLogger: options.Logger.Sample(&zerolog.BurstSampler{Burst: invalidLines, Period: invalidSpan}),
@@ -241,7 +241,7 @@
 		f.askSeeds(ctx)
 		return f.retryPause()
 	}
-	if f.options.Publishers != nil {
+	if f.options.Fetcher != nil {
 		return f.options.ReadPause // the registry held the reading for the rest
 	}
 	return f.pace() - time.Since(began)
@@ -273,7 +273,7 @@
 // refreshed before it is too old to be believed of another node.
 func (f *Follower) untilAsking(began time.Time) time.Duration {
 	age, _ := f.Age()
-	return max(min(f.options.AskPace-time.Since(began), f.options.StaleAfter-age), leastAskPause)
+	return max(min(f.options.FetchInterval-time.Since(began), f.options.StaleAfter-age), leastAskPause)
 }
 
 // Age is how old the beliefs are; ok is false when there are none.
@@ -302,7 +302,7 @@
 // share what the registry allows.
 func (f *Follower) pace() time.Duration {
 	fair := time.Duration(float64(len(f.peers())) / f.options.ReadsPerSecond * float64(time.Second))
-	return max(f.options.Pace, fair)
+	return max(f.options.PollInterval, fair)
 }
 
 // retryPause doubles with each failure in a row, with jitter.
@@ -340,8 +340,8 @@
 	if !f.listed {
 		return f.list(ctx)
 	}
-	wait := f.options.Wait
-	if f.options.Publishers != nil && !f.reads() {
+	wait := f.options.LongPollTimeout
+	if f.options.Fetcher != nil && !f.reads() {
 		wait = 0 // what is believed may be old already: others are asked if no answer comes
 	}
 	for partial := true; partial; wait = 0 {
@@ -403,13 +403,13 @@
 	f.view.Expire(f.now())
 	f.planExpiry()
 	directives := f.directives()
-	published := News{Servers: f.view.ListedServers(), Nodes: f.view.ListedNodes(), Table: f.table, Directives: directives}
+	published := ClusterState{Servers: f.view.RegisteredServers(), Nodes: f.view.RegisteredNodes(), Table: f.table, Directives: directives}
 	changed = !published.equal(f.published)
 	if changed {
 		f.history.add(f.published, published)
 		f.published = published
 	}
-	news := News{Servers: f.view.Servers(), Nodes: f.view.Nodes(), Table: f.table, Directives: directives}
+	news := ClusterState{Servers: f.view.Servers(), Nodes: f.view.Nodes(), Table: f.table, Directives: directives}
 	f.mutex.Unlock()
 	f.options.Changed(news)
 	return changed
--- a/discovery/history.go
+++ b/discovery/history.go
@@ -23,7 +23,7 @@
 }
 
 // add takes the next generation.
-func (h *history) add(before, after News) {
+func (h *history) add(before, after ClusterState) {
 	h.latest++
 	changed := generationChanges{table: before.Table != after.Table}
 	changed.servers, changed.goneServers = difference(before.Servers, after.Servers, Server.key, alike)
--- a/discovery/intake.go
+++ b/discovery/intake.go
@@ -17,7 +17,7 @@
 // beginEpoch notes that the registry has come back from a copy, if it has. The lock is held.
 func (f *Follower) beginEpoch(now time.Duration, changes Changes) {
 	known := f.position
-	if _, heard := f.view.HeardAt(); !heard || changes.Epoch <= known.Epoch {
+	if _, heard := f.view.SyncedAt(); !heard || changes.Epoch <= known.Epoch {
 		return
 	}
 	f.view.BeginEpoch(now, changes.Position())
@@ -31,7 +31,7 @@
 func (f *Follower) take(now time.Duration, changes Changes) {
 	f.noteInvalid(changes.Invalid)
 	f.adopt(func() {
-		before, heard := f.view.HeardAt()
+		before, heard := f.view.SyncedAt()
 		f.hear(now, changes)
 		f.merge(now, changes, birth{at: before, known: heard && !changes.Relayed})
 	})
@@ -41,7 +41,7 @@
 func (f *Follower) adopt(change func()) {
 	age, known := f.Age()
 	if f.tell(change) && known {
-		f.options.Adopted(age)
+		f.options.OnAdopted(age)
 	}
 }
 
@@ -50,11 +50,11 @@
 func (f *Follower) hear(now time.Duration, changes Changes) {
 	switch {
 	case changes.Partial:
-		f.view.Answered(now)
-	case changes.Certain:
-		f.view.HeardAllAlong(now)
+		f.view.RecordResponse(now)
+	case changes.Continuous:
+		f.view.RecordContinuousSync(now)
 	default:
-		f.view.Heard(now)
+		f.view.RecordSync(now)
 	}
 }
 
@@ -63,11 +63,11 @@
 func (f *Follower) takeWhole(now time.Duration, all Changes) {
 	f.noteInvalid(all.Invalid)
 	f.adopt(func() {
-		before, heard := f.view.HeardAt()
+		before, heard := f.view.SyncedAt()
 		f.beginEpoch(now, all)
 		f.hear(now, all)
 		if all.Relayed {
-			f.view.Retold(now, all.Position())
+			f.view.RecordRelayedListing(now, all.Position())
 		}
 		f.view.RetainServers(now, listedIDs(all.Servers, all.Invalid), all.Position())
 		f.view.RetainNodes(now, listedIDs(all.Nodes, all.Invalid), all.Position())
@@ -93,7 +93,7 @@
 // birthOf is that of one directive: another node tells its age, and what the registry tells
 // was written after it was heard last.
 func (f *Follower) birthOf(key string, changes Changes, newest birth) birth {
-	if age, told := changes.OrderAges[key]; told {
+	if age, told := changes.MaxOrderAges[key]; told {
 		return birth{at: f.now() - age, known: true}
 	}
 	return newest
@@ -122,8 +122,8 @@
 		}
 		born := f.birthOf(e.ID, changes, newest)
 		f.view.PutDirective(now, e.Value, changes.of(e.Revision), born.at, born.known)
-		if age, told := changes.OrderLeastAges[e.ID]; told {
-			f.view.Stood(e.ID, f.now()-age)
+		if age, told := changes.MinOrderAges[e.ID]; told {
+			f.view.RecordDirectiveSeen(e.ID, f.now()-age)
 		}
 	}
 	if f.position.Before(changes.Position()) {
--- a/discovery/listing_test.go
+++ b/discovery/listing_test.go
@@ -31,9 +31,9 @@
 // Entries that can't be read are counted, and change nothing else.
 func TestInvalidEntriesAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var last discovery.News
+		var last discovery.ClusterState
 		follower := discovery.NewFollower(discovery.FollowerOptions{
-			Source: oddSource{}, Logger: zerolog.Nop(), Changed: func(news discovery.News) { last = news },
+			Source: oddSource{}, Logger: zerolog.Nop(), Changed: func(news discovery.ClusterState) { last = news },
 		})
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 		defer stop()
@@ -66,7 +66,7 @@
 		var follower *discovery.Follower
 		follower = discovery.NewFollower(discovery.FollowerOptions{
 			Source: slowSource{listing: listing}, Logger: zerolog.Nop(),
-			Changed: func(discovery.News) {
+			Changed: func(discovery.ClusterState) {
 				age, _ := follower.Age()
 				ages = append(ages, age)
 			},
--- a/discovery/network_test.go
+++ b/discovery/network_test.go
@@ -32,7 +32,7 @@
 	id string
 }
 
-func (a asker) Ask(ctx context.Context, address string, inquiry discovery.Inquiry) (discovery.Publication, error) {
+func (a asker) Fetch(ctx context.Context, address string, inquiry discovery.PublicationRequest) (discovery.Publication, error) {
 	a.mutex.Lock()
 	off := a.cutOff[a.followers[a.id]]
 	a.mutex.Unlock()
@@ -40,10 +40,10 @@
 		<-ctx.Done()
 		return discovery.Publication{}, ctx.Err()
 	}
-	return a.network.Ask(ctx, address, inquiry)
+	return a.network.Fetch(ctx, address, inquiry)
 }
 
-func (n *network) Ask(ctx context.Context, address string, inquiry discovery.Inquiry) (discovery.Publication, error) {
+func (n *network) Fetch(ctx context.Context, address string, inquiry discovery.PublicationRequest) (discovery.Publication, error) {
 	n.mutex.Lock()
 	asked, silent := n.followers[address], n.silent[address]
 	n.mutex.Unlock()
--- a/discovery/publication.go
+++ b/discovery/publication.go
@@ -16,8 +16,8 @@
 // ErrStale is returned for a publication that is too old, or older than what is known already.
 var ErrStale = errors.New("discovery: publication is stale")
 
-// Mark names what a node published last: it changes with what is published.
-type Mark struct {
+// Cursor names what a node published last: it changes with what is published.
+type Cursor struct {
 	// Publisher is the incarnation of the node that publishes.
 	Publisher string `json:"publisher"`
 	// Generation grows whenever what is believed changes.
@@ -26,13 +26,13 @@
 
 // Publication is what a node that reads the registry believes.
 type Publication struct {
-	PublicationState
+	PublicationHeader
 	PublicationContent
 }
 
-// PublicationState tells what a publication is, and how old.
-type PublicationState struct {
-	Mark
+// PublicationHeader tells what a publication is, and how old.
+type PublicationHeader struct {
+	Cursor
 	// Since is the generation after which the publication tells what changed;
 	// zero means that it is whole.
 	Since uint64 `json:"since,omitempty"`
@@ -40,13 +40,13 @@
 	Position
 	// Age is how old the belief was when it was published.
 	Age time.Duration `json:"age_ns"`
-	// Certain says that the publisher has heard the registry all along.
-	Certain bool `json:"certain,omitempty"`
-	// OrderAges tells how old the orders of roll-outs are at most when this is published, by
+	// Continuous says that the publisher has heard the registry all along.
+	Continuous bool `json:"certain,omitempty"`
+	// MaxOrderAges tells how old the orders of roll-outs are at most when this is published, by
 	// their key, where the publisher knows it.
-	OrderAges map[string]time.Duration `json:"order_ages_ns,omitempty"`
-	// OrderLeastAges tells how old they are at least.
-	OrderLeastAges map[string]time.Duration `json:"order_least_ages_ns,omitempty"`
+	MaxOrderAges map[string]time.Duration `json:"order_ages_ns,omitempty"`
+	// MinOrderAges tells how old they are at least.
+	MinOrderAges map[string]time.Duration `json:"order_least_ages_ns,omitempty"`
 }
 
 // PublicationContent is what a publication tells. It is the same for all that
@@ -65,22 +65,22 @@
 	Table *route.Definition `json:"table,omitempty"`
 }
 
-// Inquiry is what a node asks another one with.
-type Inquiry struct {
+// PublicationRequest is what a node asks another one with.
+type PublicationRequest struct {
 	// Known is what the asker has of the publisher already.
-	Known Mark
+	Known Cursor
 	// Position is up to where the asker knows the registry: what is older is of no use to it.
 	Position Position
-	// MostAge is the greatest age that is of use; zero is any.
-	MostAge time.Duration
+	// MaxAge is the greatest age that is of use; zero is any.
+	MaxAge time.Duration
 }
 
-// Publishers asks other nodes for what they believe.
-type Publishers interface {
-	// Ask returns what the node at the address believes: what changed since what
+// PublicationFetcher asks other nodes for what they believe.
+type PublicationFetcher interface {
+	// Fetch returns what the node at the address believes: what changed since what
 	// is known, if the node still knows, and else the whole. It fails when that is
 	// of no use to the asker.
-	Ask(ctx context.Context, address string, inquiry Inquiry) (Publication, error)
+	Fetch(ctx context.Context, address string, inquiry PublicationRequest) (Publication, error)
 }
 
 // nodesPerReader is the number of nodes that one reader of the registry tells. Each of
@@ -109,9 +109,9 @@
 	return ranked
 }
 
-// Leaders returns the first nodes, at most so many, in the order in which duties fall to
+// HighestRanked returns the first nodes, at most so many, in the order in which duties fall to
 // nodes.
-func Leaders(nodes []Node, most int) []Node {
+func HighestRanked(nodes []Node, most int) []Node {
 	ranked := rankNodes(nodes)
 	return ranked[:min(len(ranked), most)]
 }
@@ -140,11 +140,11 @@
 
 // Publish tells what the follower believes; it implements what Publishers ask.
 // ok is false while nothing is known, or nothing that is of use to the asker.
-func (f *Follower) Publish(inquiry Inquiry) (publication Publication, ok bool) {
+func (f *Follower) Publish(inquiry PublicationRequest) (publication Publication, ok bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	age, heard := f.view.Age(f.now())
-	tooOld := inquiry.MostAge > 0 && age > inquiry.MostAge
+	tooOld := inquiry.MaxAge > 0 && age > inquiry.MaxAge
 	if !heard || f.table == nil || tooOld || f.position.Before(inquiry.Position) {
 		return Publication{}, false
 	}
@@ -158,11 +158,11 @@
 		publication.Servers, publication.Nodes, publication.Table = f.published.Servers, f.published.Nodes, &definition
 		publication.Directives = f.published.Directives
 	}
-	publication.Mark = Mark{Publisher: f.options.Self, Generation: f.history.latest}
+	publication.Cursor = Cursor{Publisher: f.options.Self, Generation: f.history.latest}
 	publication.Position = f.position
 	publication.Age = age
-	publication.Certain = f.view.Certain(f.now())
-	publication.OrderAges, publication.OrderLeastAges = f.orderAges(f.view.Since), f.orderAges(f.view.Latest)
+	publication.Continuous = f.view.Continuous(f.now())
+	publication.MaxOrderAges, publication.MinOrderAges = f.orderAges(f.view.Since), f.orderAges(f.view.Latest)
 	return publication, true
 }
 
@@ -199,15 +199,15 @@
 }
 
 // pickServers looks up the servers that changed; those that are not there went.
-func (n News) pickServers(changed generationChanges) (servers []Server, gone []string) {
+func (n ClusterState) pickServers(changed generationChanges) (servers []Server, gone []string) {
 	return pick(n.Servers, Server.key, changed.servers, changed.goneServers)
 }
 
-func (n News) pickNodes(changed generationChanges) (nodes []Node, gone []string) {
+func (n ClusterState) pickNodes(changed generationChanges) (nodes []Node, gone []string) {
 	return pick(n.Nodes, Node.key, changed.nodes, changed.goneNodes)
 }
 
-func (n News) pickDirectives(changed generationChanges) (directives []Directive, gone []string) {
+func (n ClusterState) pickDirectives(changed generationChanges) (directives []Directive, gone []string) {
 	return pick(n.Directives, Directive.Key, changed.directives, changed.goneDirectives)
 }
 
@@ -243,7 +243,7 @@
 	if err := f.believe(publication); err != nil {
 		return err
 	}
-	f.helped, f.mark = reader, publication.Mark
+	f.helped, f.mark = reader, publication.Cursor
 	return nil
 }
 
@@ -264,7 +264,7 @@
 
 // changes are what a publication tells, as of its revision.
 func (p Publication) changes() (Changes, error) {
-	changes := Changes{Epoch: p.Epoch, Revision: p.Revision, Certain: p.Certain, OrderAges: p.OrderAges, OrderLeastAges: p.OrderLeastAges, Relayed: true}
+	changes := Changes{Epoch: p.Epoch, Revision: p.Revision, Continuous: p.Continuous, MaxOrderAges: p.MaxOrderAges, MinOrderAges: p.MinOrderAges, Relayed: true}
 	if p.Table != nil {
 		table, err := route.New(*p.Table)
 		if err != nil {
--- a/discovery/relay_test.go
+++ b/discovery/relay_test.go
@@ -152,8 +152,8 @@
 	defer r.mutex.Unlock()
 	r.revision++
 	evacuation := discovery.Directive{Kind: discovery.EvacuateZone, Subject: zone}
-	evacuation.Stored = discovery.Position{Epoch: r.epoch, Revision: r.revision}
-	evacuation.Number = evacuation.Stored.Number()
+	evacuation.StoredAt = discovery.Position{Epoch: r.epoch, Revision: r.revision}
+	evacuation.Number = evacuation.StoredAt.Number()
 	r.events.Directives = append(r.events.Directives, discovery.Entry[discovery.Directive]{
 		ID: evacuation.Key(), Revision: r.revision, Gone: back, Value: evacuation,
 	})
@@ -176,7 +176,7 @@
 	// gates are the nodes' ways to the registry.
 	gates   []*gate
 	network *network
-	news    []discovery.News
+	news    []discovery.ClusterState
 	context context.Context
 	stop    context.CancelFunc
 	loops   sync.WaitGroup
@@ -215,7 +215,7 @@
 	w := &relayWorld{
 		registry: &registry{t: t},
 		network:  &network{followers: make(map[string]*discovery.Follower), silent: make(map[string]bool)},
-		news:     make([]discovery.News, count),
+		news:     make([]discovery.ClusterState, count),
 	}
 	w.registry.putTable(1)
 	for number := range count {
@@ -239,7 +239,7 @@
 func (w *relayWorld) addNode(t *testing.T, id string) {
 	t.Helper()
 	w.mutex.Lock()
-	w.news = append(w.news, discovery.News{})
+	w.news = append(w.news, discovery.ClusterState{})
 	w.mutex.Unlock()
 	w.run(w.context, len(w.news)-1, id)
 }
@@ -256,10 +256,10 @@
 	}
 	follower := discovery.NewFollower(discovery.FollowerOptions{
 		Nodes: nodes, Seed: uint64(number),
-		Source: w.gates[number], Self: id, Publishers: asker{w.network, id}, Logger: zerolog.Nop(),
-		Pace: time.Duration(0.6 * float64(cmp.Or(w.bound, 3*time.Second))), LapseTime: w.lapse,
-		Seeds: w.seeds, SeedTime: seedTime,
-		Changed: func(news discovery.News) {
+		Source: w.gates[number], Self: id, Fetcher: asker{w.network, id}, Logger: zerolog.Nop(),
+		PollInterval: time.Duration(0.6 * float64(cmp.Or(w.bound, 3*time.Second))), LapseTime: w.lapse,
+		Seeds: w.seeds, SeedTimeout: seedTime,
+		Changed: func(news discovery.ClusterState) {
 			w.mutex.Lock()
 			defer w.mutex.Unlock()
 			w.news[number] = news
--- a/discovery/restored.go
+++ b/discovery/restored.go
@@ -70,17 +70,17 @@
 // up to the position may be of the copy.
 func (v *View) BeginEpoch(now time.Duration, position Position) {
 	if v.options.Disabled.Enabled(mechanism.OutageRetention) {
-		v.doubtUntil = max(v.doubtUntil, now+v.options.MissingFor)
+		v.doubtUntil = max(v.doubtUntil, now+v.options.RemovalGrace)
 	}
 	v.restored.epoch, v.restored.revision = position.Epoch, position.Revision
-	v.restored.until = now + v.options.RestoredFor
+	v.restored.until = now + v.options.RestoreGrace
 	v.restored.forget(now)
-	v.directives.beginEpoch(now+v.options.DirectivesMissingFor, position.Epoch)
+	v.directives.beginEpoch(now+v.options.DirectiveGrace, position.Epoch)
 }
 
-// Retold notes that another node tells all that it believes: it may know less of what was
+// RecordRelayedListing notes that another node tells all that it believes: it may know less of what was
 // before the copy.
-func (v *View) Retold(now time.Duration, position Position) {
+func (v *View) RecordRelayedListing(now time.Duration, position Position) {
 	if now < v.restored.until && position.Epoch == v.restored.epoch {
 		v.restored.revision = max(v.restored.revision, position.Revision)
 	}
--- a/discovery/seeds.go
+++ b/discovery/seeds.go
@@ -13,13 +13,13 @@
 
 // learnFromSeeds begins with what a seed believes, if one hears the registry soon.
 func (f *Follower) learnFromSeeds(ctx context.Context) {
-	if f.options.Publishers == nil || f.options.SeedTime == 0 {
+	if f.options.Fetcher == nil || f.options.SeedTimeout == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, f.options.SeedTime)
+	ctx, cancel := context.WithTimeout(ctx, f.options.SeedTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		publication, ok := f.askAllSeeds(ctx, Inquiry{MostAge: f.options.StaleAfter})
+		publication, ok := f.askAllSeeds(ctx, PublicationRequest{MaxAge: f.options.StaleAfter})
 		if ok && publication.Age <= f.options.StaleAfter && f.believe(publication) == nil {
 			f.listed = true
 			return
@@ -29,14 +29,14 @@
 }
 
 // askAllSeeds asks all seeds at once and returns the first answer.
-func (f *Follower) askAllSeeds(ctx context.Context, inquiry Inquiry) (publication Publication, ok bool) {
-	ctx, cancel := context.WithTimeout(ctx, f.options.PublisherTimeout)
+func (f *Follower) askAllSeeds(ctx context.Context, inquiry PublicationRequest) (publication Publication, ok bool) {
+	ctx, cancel := context.WithTimeout(ctx, f.options.FetchTimeout)
 	defer cancel()
 	answers := make(chan Publication, len(f.options.Seeds))
 	var asking sync.WaitGroup
 	for _, seed := range f.options.Seeds {
 		asking.Go(func() {
-			if answer, err := f.options.Publishers.Ask(ctx, seed, inquiry); err == nil {
+			if answer, err := f.options.Fetcher.Fetch(ctx, seed, inquiry); err == nil {
 				answers <- answer
 			}
 		})
@@ -53,10 +53,10 @@
 // nothing was ever heard of the registry: a node that starts during an outage would
 // otherwise refuse everything, and try the registry as often as one that knows nothing.
 func (f *Follower) askSeeds(ctx context.Context) {
-	if f.listed || f.options.Publishers == nil {
+	if f.listed || f.options.Fetcher == nil {
 		return
 	}
-	publication, ok := f.askAllSeeds(ctx, Inquiry{Position: f.known()})
+	publication, ok := f.askAllSeeds(ctx, PublicationRequest{Position: f.known()})
 	if !ok || f.believe(publication) != nil {
 		return
 	}
--- a/discovery/source.go
+++ b/discovery/source.go
@@ -41,8 +41,8 @@
 	Invalid []InvalidEntry
 	// Partial, Certain and Relayed are false, and the ages are nil: a listing is whole, and
 	// a registry tells neither whether it was away nor when it was written to.
-	Partial, Certain, Relayed bool
-	OrderAges, OrderLeastAges map[string]time.Duration
+	Partial, Continuous, Relayed bool
+	MaxOrderAges, MinOrderAges   map[string]time.Duration
 }
 
 // Changes is what changed up to a revision, in order.
@@ -58,13 +58,13 @@
 	// Partial says that there may be later changes, which this answer has no room for: it
 	// is no word of what there is now.
 	Partial bool
-	// Certain says that the registry was heard all along by whoever tells this: entries
+	// Continuous says that the registry was heard all along by whoever tells this: entries
 	// that went are gone, and have not only lapsed while it was away.
-	Certain bool
-	// Relayed says that another node tells this, and OrderAges and OrderLeastAges how old the
+	Continuous bool
+	// Relayed says that another node tells this, and MaxOrderAges and MinOrderAges how old the
 	// orders of roll-outs are at most and at least, as far as that one knows.
-	Relayed                   bool
-	OrderAges, OrderLeastAges map[string]time.Duration
+	Relayed                    bool
+	MaxOrderAges, MinOrderAges map[string]time.Duration
 }
 
 // Position is up to where the changes go.
@@ -96,11 +96,11 @@
 
 // Lease holds a node's entry.
 type Lease interface {
-	// Renew extends the lease; ErrLeaseOver says that the entry went with it.
+	// Renew extends the lease; ErrLeaseExpired says that the entry went with it.
 	Renew(ctx context.Context) error
-	// End ends the lease and the entry with it.
-	End(ctx context.Context) error
+	// Revoke ends the lease and the entry with it.
+	Revoke(ctx context.Context) error
 }
 
-// ErrLeaseOver is returned for a lease that has ended.
-var ErrLeaseOver = errors.New("discovery: lease is over")
+// ErrLeaseExpired is returned for a lease that has ended.
+var ErrLeaseExpired = errors.New("discovery: lease is over")
--- a/discovery/suspension_test.go
+++ b/discovery/suspension_test.go
@@ -41,7 +41,7 @@
 		var suspended atomic.Int64 // in nanoseconds
 		source := new(tableSource)
 		follower := discovery.NewFollower(discovery.FollowerOptions{
-			Source: source, Logger: zerolog.Nop(), Changed: func(discovery.News) {}, Self: "n",
+			Source: source, Logger: zerolog.Nop(), Changed: func(discovery.ClusterState) {}, Self: "n",
 			Elapsed: func() time.Duration { return time.Since(began) + time.Duration(suspended.Load()) },
 		})
 		ctx, stop := context.WithCancel(t.Context())
@@ -56,10 +56,10 @@
 		if age, known := follower.Age(); !known || age < 10*time.Second {
 			t.Errorf("believed to be %s old", age)
 		}
-		if _, told := follower.Publish(discovery.Inquiry{MostAge: 3 * time.Second}); told {
+		if _, told := follower.Publish(discovery.PublicationRequest{MaxAge: 3 * time.Second}); told {
 			t.Error("a belief of before the suspension is told to one who asks for a fresh one")
 		}
-		if told, _ := follower.Publish(discovery.Inquiry{}); told.Age < 10*time.Second {
+		if told, _ := follower.Publish(discovery.PublicationRequest{}); told.Age < 10*time.Second {
 			t.Errorf("told to be %s old", told.Age)
 		}
 		source.cut.Store(false)
--- a/discovery/turn.go
+++ b/discovery/turn.go
@@ -63,7 +63,7 @@
 
 // turnOf is how long a node of a rank waits for the others, and until it tries again.
 func (f *Follower) turnOf(rank int) (wait, again time.Duration) {
-	slack := time.Duration(scoutShare * float64(f.options.Pace))
+	slack := time.Duration(scoutShare * float64(f.options.PollInterval))
 	if rank < scouts {
 		return slack * time.Duration(rank) / scouts, scoutAgain
 	}
--- a/discovery/view.go
+++ b/discovery/view.go
@@ -74,32 +74,32 @@
 	// entries that go are not proof that their owners left: those could not
 	// renew them. Default 1.5 s.
 	OutageAfter time.Duration
-	// MissingFor is how long after the registry's return such entries of servers
+	// RemovalGrace is how long after the registry's return such entries of servers
 	// are still used: an owner that lives has written its entry again by then.
 	// Default 2 s.
-	MissingFor time.Duration
-	// NodesMissingFor is how long such entries of nodes, which must be registered
+	RemovalGrace time.Duration
+	// NodeRemovalGrace is how long such entries of nodes, which must be registered
 	// anew first, are still used after they went; no bound rests on them. Default 6 s.
-	NodesMissingFor time.Duration
-	// RestoredFor is how long after the registry's return from a copy what the copy says of
+	NodeRemovalGrace time.Duration
+	// RestoreGrace is how long after the registry's return from a copy what the copy says of
 	// servers counts less than what was known of them: by then the entry of one that had
 	// left has lapsed. Default 5 s.
-	RestoredFor time.Duration
-	// DirectivesMissingFor is how long after that directives of the operator are kept that
+	RestoreGrace time.Duration
+	// DirectiveGrace is how long after that directives of the operator are kept that
 	// the copy lacks; who wrote them writes them again. Default 10 s.
-	DirectivesMissingFor time.Duration
+	DirectiveGrace time.Duration
 	// Disabled names the mechanisms that are switched off, for diagnosis.
 	Disabled mechanism.Disabled
 }
 
 // Defaults of Options.
 const (
-	DefaultOutageAfter = 1500 * time.Millisecond
-	DefaultMissingFor  = 2 * time.Second
+	DefaultOutageAfter  = 1500 * time.Millisecond
+	DefaultRemovalGrace = 2 * time.Second
 
-	DefaultNodesMissingFor      = 6 * time.Second
-	DefaultRestoredFor          = 5 * time.Second
-	DefaultDirectivesMissingFor = 10 * time.Second
+	DefaultNodeRemovalGrace = 6 * time.Second
+	DefaultRestoreGrace     = 5 * time.Second
+	DefaultDirectiveGrace   = 10 * time.Second
 )
 
 // View is what a node believes. It is not safe for concurrent use.
@@ -115,7 +115,7 @@
 	// doubtUntil is until when entries that go are kept. It counts from the
 	// registry's return, not from when an entry went: an entry that goes later is
 	// kept for less, so that no entry is used for longer than the time to hear of
-	// the return and MissingFor.
+	// the return and RemovalGrace.
 	doubtUntil time.Duration
 	// heardFirst is when the registry was heard for the first time.
 	heardFirst time.Duration
@@ -124,10 +124,10 @@
 // NewView returns a View that knows nothing.
 func NewView(options Options) *View {
 	options.OutageAfter = cmp.Or(options.OutageAfter, DefaultOutageAfter)
-	options.MissingFor = cmp.Or(options.MissingFor, DefaultMissingFor)
-	options.NodesMissingFor = cmp.Or(options.NodesMissingFor, DefaultNodesMissingFor)
-	options.RestoredFor = cmp.Or(options.RestoredFor, DefaultRestoredFor)
-	options.DirectivesMissingFor = cmp.Or(options.DirectivesMissingFor, DefaultDirectivesMissingFor)
+	options.RemovalGrace = cmp.Or(options.RemovalGrace, DefaultRemovalGrace)
+	options.NodeRemovalGrace = cmp.Or(options.NodeRemovalGrace, DefaultNodeRemovalGrace)
+	options.RestoreGrace = cmp.Or(options.RestoreGrace, DefaultRestoreGrace)
+	options.DirectiveGrace = cmp.Or(options.DirectiveGrace, DefaultDirectiveGrace)
 	return &View{
 		options:    options,
 		servers:    make(map[string]*entry[Server]),
@@ -137,23 +137,23 @@
 	}
 }
 
-// Answered notes that the registry answered at now, which may be after an outage: what
+// RecordResponse notes that the registry answered at now, which may be after an outage: what
 // went meanwhile is in doubt. What is known is no younger than before.
-func (v *View) Answered(now time.Duration) {
+func (v *View) RecordResponse(now time.Duration) {
 	if v.heard && now-v.heardAt > v.options.OutageAfter && v.options.Disabled.Enabled(mechanism.OutageRetention) {
-		v.doubtUntil = now + v.options.MissingFor
+		v.doubtUntil = now + v.options.RemovalGrace
 	}
 }
 
-// Heard notes that the registry answered at now with all that changed.
-func (v *View) Heard(now time.Duration) {
-	v.Answered(now)
-	v.HeardAllAlong(now)
+// RecordSync notes that the registry answered at now with all that changed.
+func (v *View) RecordSync(now time.Duration) {
+	v.RecordResponse(now)
+	v.RecordContinuousSync(now)
 }
 
-// HeardAllAlong notes the same of a node that heard the registry without a gap: it casts
+// RecordContinuousSync notes the same of a node that heard the registry without a gap: it casts
 // no doubt on what it tells.
-func (v *View) HeardAllAlong(now time.Duration) {
+func (v *View) RecordContinuousSync(now time.Duration) {
 	if !v.heard {
 		v.heardFirst, v.heardAt = now, now // before this node's start, if another one heard it
 	}
@@ -161,11 +161,11 @@
 	v.heardAt = max(v.heardAt, now)
 }
 
-// Certain reports whether the registry was heard without a gap for so long that nothing
+// Continuous reports whether the registry was heard without a gap for so long that nothing
 // that went is in doubt: neither after an outage nor after this node's own start, before
 // which it may have been away.
-func (v *View) Certain(now time.Duration) bool {
-	return v.heard && now >= v.doubtUntil && now-v.heardAt <= v.options.OutageAfter && now-v.heardFirst >= v.options.MissingFor
+func (v *View) Continuous(now time.Duration) bool {
+	return v.heard && now >= v.doubtUntil && now-v.heardAt <= v.options.OutageAfter && now-v.heardFirst >= v.options.RemovalGrace
 }
 
 // Age is the time since the registry was last heard; ok is false when it never was.
@@ -229,7 +229,7 @@
 
 // RemoveNode notes that a node's entry went.
 func (v *View) RemoveNode(now time.Duration, id string, position Position) {
-	remove(v, v.nodes, now, now+v.options.NodesMissingFor, id, position)
+	remove(v, v.nodes, now, now+v.options.NodeRemovalGrace, id, position)
 }
 
 // remove drops an entry, or keeps it for a while as missing.
@@ -308,15 +308,15 @@
 // Nodes lists the nodes in the same way.
 func (v *View) Nodes() []Node { return list(v.nodes, true, Node.key) }
 
-// ListedServers lists the servers without those that are missing, by ID. It is
+// RegisteredServers lists the servers without those that are missing, by ID. It is
 // what others may be told: each node keeps what it misses by its own doubt.
-func (v *View) ListedServers() []Server { return list(v.servers, false, Server.key) }
+func (v *View) RegisteredServers() []Server { return list(v.servers, false, Server.key) }
 
-// ListedNodes lists the nodes in the same way.
-func (v *View) ListedNodes() []Node { return list(v.nodes, false, Node.key) }
+// RegisteredNodes lists the nodes in the same way.
+func (v *View) RegisteredNodes() []Node { return list(v.nodes, false, Node.key) }
 
-// HeardAt is when the registry was heard last; ok is false when it never was.
-func (v *View) HeardAt() (at time.Duration, ok bool) { return v.heardAt, v.heard }
+// SyncedAt is when the registry was heard last; ok is false when it never was.
+func (v *View) SyncedAt() (at time.Duration, ok bool) { return v.heardAt, v.heard }
 
 func list[T any](entries map[string]*entry[T], missing bool, key func(T) string) []T {
 	compare := func(a, b T) int { return cmp.Compare(key(a), key(b)) }
--- a/front/addresses.go
+++ b/front/addresses.go
@@ -25,7 +25,7 @@
 }
 
 // presenceOf tells which part of the services in use each zone has a server of.
-func presenceOf(news discovery.News) *directory.Presence {
+func presenceOf(news discovery.ClusterState) *directory.Presence {
 	presence := make(directory.Presence)
 	if news.Table == nil {
 		return &presence
--- a/front/node.go
+++ b/front/node.go
@@ -213,7 +213,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("front: %w", err)
 	}
-	var publishers discovery.Publishers
+	var publishers discovery.PublicationFetcher
 	if settings.Peer != "" {
 		f.relay = relay.NewClient(f.meter.Dial(traffic.Nodes, options.Dial))
 	}
@@ -225,15 +225,15 @@
 		Self:           settings.Node + "." + options.Incarnation,
 		NodeID:         settings.Node,
 		Nodes:          f.agent.Nodes,
-		Publishers:     publishers,
+		Fetcher:        publishers,
 		Seeds:          otherThan(settings.Seeds, settings.Peer),
-		SeedTime:       seedTime(settings),
+		SeedTimeout:    seedTime(settings),
 		Source:         options.Source,
 		Logger:         options.Logger,
 		View:           discovery.Options{Disabled: options.Disabled},
 		Changed:        f.changed,
-		Adopted:        newAdoptionMeter(leastBound(settings), registry, options.Logger).adopted,
-		Pace:           time.Duration(float64(leastBound(settings)) * readPace),
+		OnAdopted:      newAdoptionMeter(leastBound(settings), registry, options.Logger).adopted,
+		PollInterval:   time.Duration(float64(leastBound(settings)) * readPace),
 		LapseTime:      settings.LapseTime,
 		ReadsPerSecond: settings.ReadsPerSecond * readShare,
 	})
@@ -297,7 +297,7 @@
 }
 
 // changed takes what the follower believes.
-func (f *Front) changed(news discovery.News) {
+func (f *Front) changed(news discovery.ClusterState) {
 	f.agent.SetContacts(news.Nodes)
 	f.connections.Store(int64(leastConnections(news.Table)))
 	f.nodesChanged()
--- a/front/nodes.go
+++ b/front/nodes.go
@@ -165,16 +165,16 @@
 	if len(nodes) <= 1 {
 		wait += f.loneAnchorWait
 	}
-	if !slices.ContainsFunc(discovery.Anchors(nodes), f.isSelf) {
+	if !slices.ContainsFunc(discovery.BootstrapNodes(nodes), f.isSelf) {
 		f.anchorSince = time.Time{}
-		f.announcer.SetWanted(false)
+		f.announcer.SetEnabled(false)
 		return
 	}
 	if f.anchorSince.IsZero() {
 		f.anchorSince = time.Now()
 	}
 	if time.Since(f.anchorSince) >= wait {
-		f.announcer.SetWanted(true)
+		f.announcer.SetEnabled(true)
 	}
 }
 
--- a/front/quarantines.go
+++ b/front/quarantines.go
@@ -177,7 +177,7 @@
 			q.logger.Warn().Err(err).Str("subject", directive.Subject).Msg("quarantine not understood")
 			continue
 		}
-		recorded[content] = recordedContent{lease: directive.Lease, epoch: directive.Stored.Epoch, lost: directive.Lost}
+		recorded[content] = recordedContent{lease: directive.Lease, epoch: directive.StoredAt.Epoch, lost: directive.Lost}
 	}
 	q.mutex.Lock()
 	before := q.recorded
--- a/front/rollouts.go
+++ b/front/rollouts.go
@@ -100,7 +100,7 @@
 func (r *rollouts) on() bool { return r.bounds.Enabled() && r.store != nil }
 
 // take takes what the node believes now, as heard at the given time.
-func (r *rollouts) take(news discovery.News, heardAt time.Time) {
+func (r *rollouts) take(news discovery.ClusterState, heardAt time.Time) {
 	if !r.on() {
 		return
 	}
@@ -128,7 +128,7 @@
 	r.directives = make(map[string]discovery.Directive)
 	services := make(map[string]struct{})
 	for _, d := range listed {
-		if !d.Kind.OfRollout() {
+		if !d.Kind.IsRollout() {
 			continue
 		}
 		r.directives[d.Key()] = d
@@ -151,7 +151,7 @@
 	var state rollout.State
 	if order, there := r.directives[discovery.DirectiveKey(discovery.RollOut, service)]; there {
 		state.Order, state.Target, state.Duration = order.Number, order.Order.Target, order.Order.Duration
-		state.OrderRevision = uint64(order.Stored.Revision)
+		state.OrderRevision = uint64(order.StoredAt.Revision)
 		if !order.Since.IsZero() {
 			state.Since, state.OrderTimeKnown = r.front.gateway.At(order.Since), true
 			state.Latest = r.front.gateway.At(order.Latest)
@@ -172,7 +172,7 @@
 
 // takeServices notes the versions of the services with a roll-out, and which of them stand
 // in the table. The lock is held.
-func (r *rollouts) takeServices(news discovery.News) {
+func (r *rollouts) takeServices(news discovery.ClusterState) {
 	r.versions = make(map[string][]string)
 	for _, server := range news.Servers {
 		if _, concerned := r.states[server.Service]; concerned && server.State == discovery.Ready {
@@ -265,7 +265,7 @@
 	for i := range reports {
 		reports[i].Node, reports[i].Process = r.front.self.ID, r.front.options.Incarnation
 	}
-	for _, leader := range discovery.Leaders(r.front.agent.Nodes(), deciders) {
+	for _, leader := range discovery.HighestRanked(r.front.agent.Nodes(), deciders) {
 		if leader.ID == r.front.self.ID {
 			r.halt(r.ReceiveReports(reports))
 			continue
@@ -332,7 +332,7 @@
 	now := r.now()
 	nodes := r.front.agent.Nodes()
 	world := rollout.DeciderInput{
-		DeciderIndex: placeOf(r.front.self.ID, discovery.Leaders(nodes, deciders)),
+		DeciderIndex: placeOf(r.front.self.ID, discovery.HighestRanked(nodes, deciders)),
 		Nodes:        idsOf(nodes),
 		MaxViewAge:   max(r.ages[0].greatest, r.ages[1].greatest),
 	}
@@ -358,10 +358,10 @@
 	_, world.ServiceKnown = r.known[service]
 	if order, there := r.directives[discovery.DirectiveKey(discovery.RollOut, service)]; there {
 		world.OrderFault = order.Order.Fault
-		world.Epoch = uint64(order.Stored.Epoch)
+		world.Epoch = uint64(order.StoredAt.Epoch)
 	}
 	if record, there := r.directives[discovery.DirectiveKey(discovery.RolloutRecord, service)]; there {
-		world.Epoch, world.RecordRevision = uint64(record.Stored.Epoch), uint64(record.Stored.Revision)
+		world.Epoch, world.RecordRevision = uint64(record.StoredAt.Epoch), uint64(record.StoredAt.Revision)
 	}
 	return world
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -56,14 +56,14 @@
 	c.reports.CloseIdleConnections()
 }
 
-// Ask implements discovery.Publishers.
-func (c *Client) Ask(ctx context.Context, address string, inquiry discovery.Inquiry) (discovery.Publication, error) {
+// Fetch implements discovery.Publishers.
+func (c *Client) Fetch(ctx context.Context, address string, inquiry discovery.PublicationRequest) (discovery.Publication, error) {
 	query := url.Values{
 		publisherField:  {inquiry.Known.Publisher},
 		generationField: {strconv.FormatUint(inquiry.Known.Generation, 10)},
 		epochField:      {strconv.FormatUint(uint64(inquiry.Position.Epoch), 10)},
 		revisionField:   {strconv.FormatUint(uint64(inquiry.Position.Revision), 10)},
-		ageField:        {strconv.FormatInt(inquiry.MostAge.Milliseconds(), 10)},
+		ageField:        {strconv.FormatInt(inquiry.MaxAge.Milliseconds(), 10)},
 	}
 	call := httpcall.Call{
 		Address: address,
@@ -88,7 +88,7 @@
 
 func decode(reply httpcall.Reply) (discovery.Publication, error) {
 	var publication discovery.Publication
-	if err := json.Unmarshal([]byte(reply.Header.Get(stateHeader)), &publication.PublicationState); err != nil {
+	if err := json.Unmarshal([]byte(reply.Header.Get(stateHeader)), &publication.PublicationHeader); err != nil {
 		return discovery.Publication{}, fmt.Errorf("%s: %w", stateHeader, err)
 	}
 	body := reply.Body
@@ -106,7 +106,7 @@
 
 // Publisher tells what a node believes.
 type Publisher interface {
-	Publish(inquiry discovery.Inquiry) (discovery.Publication, bool)
+	Publish(inquiry discovery.PublicationRequest) (discovery.Publication, bool)
 }
 
 // Handler answers other nodes.
@@ -132,7 +132,7 @@
 }
 
 // inquiryOf reads an inquiry; its error names the field that is not a number.
-func inquiryOf(query url.Values) (discovery.Inquiry, error) {
+func inquiryOf(query url.Values) (discovery.PublicationRequest, error) {
 	numbers := make(map[string]uint64)
 	for _, field := range []string{generationField, epochField, revisionField, ageField} {
 		if field == epochField && !query.Has(field) {
@@ -140,21 +140,21 @@
 		}
 		number, err := strconv.ParseUint(query.Get(field), 10, 63)
 		if err != nil {
-			return discovery.Inquiry{}, fmt.Errorf("%s must be a number", field)
+			return discovery.PublicationRequest{}, fmt.Errorf("%s must be a number", field)
 		}
 		numbers[field] = number
 	}
-	return discovery.Inquiry{
-		Known: discovery.Mark{Publisher: query.Get(publisherField), Generation: numbers[generationField]},
+	return discovery.PublicationRequest{
+		Known: discovery.Cursor{Publisher: query.Get(publisherField), Generation: numbers[generationField]},
 		Position: discovery.Position{
 			Epoch: discovery.Epoch(numbers[epochField]), Revision: discovery.Revision(numbers[revisionField]),
 		},
-		MostAge: time.Duration(numbers[ageField]) * time.Millisecond,
+		MaxAge: time.Duration(numbers[ageField]) * time.Millisecond,
 	}, nil
 }
 
 func answer(writer http.ResponseWriter, publication discovery.Publication, encoded *cache) error {
-	state, err := json.Marshal(publication.PublicationState)
+	state, err := json.Marshal(publication.PublicationHeader)
 	if err != nil {
 		return err
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -19,10 +19,10 @@
 type publisher struct {
 	publication discovery.Publication
 	silent      bool
-	asked       discovery.Inquiry
+	asked       discovery.PublicationRequest
 }
 
-func (p *publisher) Publish(inquiry discovery.Inquiry) (discovery.Publication, bool) {
+func (p *publisher) Publish(inquiry discovery.PublicationRequest) (discovery.Publication, bool) {
 	p.asked = inquiry
 	return p.publication, !p.silent
 }
@@ -68,7 +68,7 @@
 
 func whole(definition *route.Definition) discovery.Publication {
 	var p discovery.Publication
-	p.Mark = discovery.Mark{Publisher: "node-1", Generation: 4}
+	p.Cursor = discovery.Cursor{Publisher: "node-1", Generation: 4}
 	p.Revision, p.Age = 77, 300*time.Millisecond
 	p.Table = definition
 	p.Servers = []discovery.Server{{ID: "s", Service: "shard-0", Address: "10.0.0.1:1", Slots: 2, State: discovery.Draining}}
@@ -84,10 +84,10 @@
 			address, bytes := serve(t, p)
 			client := relay.NewClient(nil)
 			defer client.Close()
-			known := discovery.Inquiry{
-				Known: discovery.Mark{Publisher: "node-1", Generation: 3}, Position: discovery.Position{Epoch: 2, Revision: 70}, MostAge: 1600 * time.Millisecond,
+			known := discovery.PublicationRequest{
+				Known: discovery.Cursor{Publisher: "node-1", Generation: 3}, Position: discovery.Position{Epoch: 2, Revision: 70}, MaxAge: 1600 * time.Millisecond,
 			}
-			got, err := client.Ask(t.Context(), address, known)
+			got, err := client.Fetch(t.Context(), address, known)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -113,7 +113,7 @@
 	client := relay.NewClient(nil)
 	defer client.Close()
 	ask := func() discovery.Publication {
-		got, err := client.Ask(t.Context(), address, discovery.Inquiry{})
+		got, err := client.Fetch(t.Context(), address, discovery.PublicationRequest{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -142,7 +142,7 @@
 	client := relay.NewClient(nil)
 	defer client.Close()
 	silent, _ := serve(t, &publisher{silent: true})
-	if _, err := client.Ask(t.Context(), silent, discovery.Inquiry{}); err == nil {
+	if _, err := client.Fetch(t.Context(), silent, discovery.PublicationRequest{}); err == nil {
 		t.Error("a node that knows nothing gave an answer")
 	}
 	for name, answer := range map[string]http.HandlerFunc{
@@ -155,7 +155,7 @@
 		},
 	} {
 		server := httptest.NewServer(answer)
-		if _, err := client.Ask(t.Context(), strings.TrimPrefix(server.URL, "http://"), discovery.Inquiry{}); err == nil {
+		if _, err := client.Fetch(t.Context(), strings.TrimPrefix(server.URL, "http://"), discovery.PublicationRequest{}); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 		server.Close()
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -62,8 +62,8 @@
 		if candidate.InFlight() >= room {
 			continue
 		}
-		if kind == gather.FirstSend && r.on(mechanism.SlowServerProbes) && candidate.MayProbe(r.now) && r.affordsProbe(s, q) {
-			candidate.Probed(r.now)
+		if kind == gather.FirstSend && r.on(mechanism.SlowServerProbes) && candidate.ProbeDue(r.now) && r.affordsProbe(s, q) {
+			candidate.RecordProbe(r.now)
 			return candidate, gather.Placed
 		}
 		score := r.score(candidate, q)
@@ -130,19 +130,19 @@
 	if usual == 0 {
 		usual = fallbackUsual
 	}
-	expected := float64(usual) * r.slownessOf(s) * (1 + s.Work(r.now, s.Slots))
+	expected := float64(usual) * r.slownessOf(s) * (1 + s.Utilization(r.now, s.Slots))
 	expected += float64(r.distance(s.Zone, q.asked.Route.Aim))
 	return expected * (1 + equalShare*r.random.Float64())
 }
 
 // slownessOf is the slowness that is expected of a server now.
 func (r *Router) slownessOf(s *server) float64 {
-	slowness := serverstate.Usual
+	slowness := serverstate.NormalSlowness
 	if r.on(mechanism.LatencyRanking) {
 		slowness = s.Slowness(r.now, &r.starts)
 	}
 	if r.on(mechanism.OverdueAttempts) {
-		slowness = max(slowness, s.Overdue(r.now))
+		slowness = max(slowness, s.OverdueSlowness(r.now))
 	}
 	return slowness
 }
--- a/routing/cold.go
+++ b/routing/cold.go
@@ -25,7 +25,7 @@
 // and the same entry is listed again and again: only one that says something else counts.
 func (s *server) takeWarmup(now time.Duration, listed discovery.Server, known bool) {
 	if !known || listed.ColdFor != s.ColdFor {
-		s.SetCold(now + listed.ColdFor)
+		s.SetColdUntil(now + listed.ColdFor)
 	}
 }
 
--- a/routing/request.go
+++ b/routing/request.go
@@ -175,7 +175,7 @@
 	number := int(a.Range.Start)
 	believed := ServerEstimate{Slowness: r.slownessOf(s), InFlight: s.InFlight()}
 	sent := &attempt{Attempt: a, server: s, record: len(q.records)}
-	s.Begin(&sent.flight, r.now, q.latency.usual())
+	s.BeginAttempt(&sent.flight, r.now, q.latency.usual())
 	q.records = append(q.records, AttemptRecord{
 		Service: s.Service, Server: s.ID, Kind: a.Kind, SentAt: r.now - q.began, Estimate: believed,
 	})
--- a/routing/rollouts.go
+++ b/routing/rollouts.go
@@ -99,7 +99,7 @@
 // ableForTrial reports whether an answer of a server would say something of its version.
 func (r *Router) ableForTrial(s *service, one *server, room int) bool {
 	there := one.standing == rollout.Limited && one.there() && !one.unreachable && !one.way.dark
-	free := one.InFlight() < room && one.Work(r.now, one.Slots) < 1 && one.ShedUntil() <= r.now
+	free := one.InFlight() < room && one.Utilization(r.now, one.Slots) < 1 && one.ShedUntil() <= r.now
 	return there && free && !one.Cold(r.now) && r.bearsMore(s, one)
 }
 
--- a/routing/router.go
+++ b/routing/router.go
@@ -46,7 +46,7 @@
 	othersServe bool
 	outages     outages
 	// starts is what is to be expected of servers that have just started.
-	starts serverstate.Starts
+	starts serverstate.ColdStarts
 
 	// ledger is what is known of requests that end servers, and ledgerAt when it is to be
 	// looked at; zero is never.
@@ -193,7 +193,7 @@
 		return nil
 	}
 	delete(r.attempts, id)
-	a.server.End(&a.flight)
+	a.server.EndAttempt(&a.flight)
 	return a
 }
 
@@ -209,18 +209,18 @@
 	r.judgeReply(a, q, event.Status)
 	r.survived(q, event.Status)
 	if event.LoadKnown && r.on(mechanism.ReportedLoad) {
-		a.server.TakeLoad(r.now, event.Load.Running, event.Load.Waiting)
+		a.server.ObserveLoad(r.now, event.Load.Running, event.Load.Waiting)
 	}
 	switch event.Status {
 	case gather.ReplyDone:
 		r.learnAnswer(q, a)
 	case gather.ReplyShed:
-		a.server.Shed(r.now + max(event.RetryAfter, leastShedPause))
+		a.server.SetShedUntil(r.now + max(event.RetryAfter, leastShedPause))
 	case gather.ReplyNotOwner, gather.ReplyDraining:
 		a.server.State = discovery.Draining
 	default:
 		q.failure = event.Body
-		a.server.Learn(r.now, refusedSlowness)
+		a.server.ObserveSlowness(r.now, refusedSlowness)
 	}
 	q.query.HandleReply(r.now, a.Attempt, gather.Reply{
 		Status:   event.Status,
@@ -263,9 +263,9 @@
 	}
 	slowness := float64(latency) / float64(usual)
 	if a.server.Cold(r.now) && !a.limited {
-		r.starts.Take(slowness)
+		r.starts.Observe(slowness)
 	}
-	a.server.Learn(r.now, slowness)
+	a.server.ObserveSlowness(r.now, slowness)
 }
 
 // failed takes the end of an attempt without a reply.
@@ -287,8 +287,8 @@
 	if event.Delivery == gather.NotDelivered {
 		r.uncount(a, q)
 		r.unreached(a.server, event.Refused)
-	} else if a.IsPending() || a.server.Overdue(r.now) > 0 || a.flight.Late(r.now) {
-		a.server.Learn(r.now, failedSlowness)
+	} else if a.IsPending() || a.server.OverdueSlowness(r.now) > 0 || a.flight.IsLate(r.now) {
+		a.server.ObserveSlowness(r.now, failedSlowness)
 	}
 	q.query.HandleFailure(r.now, a.Attempt, event.Delivery, event.Reason)
 	r.spread(q)
--- a/routing/server.go
+++ b/routing/server.go
@@ -11,14 +11,14 @@
 // failedSlowness stands for a failure of a server, and refusedSlowness for an answer that
 // says that it failed.
 const (
-	failedSlowness  = serverstate.Most
+	failedSlowness  = serverstate.MaxSlowness
 	refusedSlowness = failedSlowness / 2
 )
 
 // server is what the router knows of one server.
 type server struct {
 	discovery.Server
-	serverstate.Belief
+	serverstate.Estimate
 	gone bool // is in no listing any more
 	// unreachable says that no connection to it could be opened of late.
 	unreachable bool
@@ -40,7 +40,7 @@
 type attempt struct {
 	*gather.Attempt
 	server *server
-	flight serverstate.Flight
+	flight serverstate.PendingAttempt
 	extra  bool
 	// limited says that it went to a version that is not proven.
 	limited bool
--- a/serverstate/belief.go
+++ b/serverstate/belief.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// Usual is the slowness of a server that answers as quickly as is usual.
-	Usual = 1.0
-	// Most bounds what one answer says, so that a pause is soon forgotten; it stands for a
+	// NormalSlowness is the slowness of a server that answers as quickly as is usual.
+	NormalSlowness = 1.0
+	// MaxSlowness bounds what one answer says, so that a pause is soon forgotten; it stands for a
 	// failure, too.
-	Most = 12.0
-	// Suspect is the slowness above which a server is only probed.
-	Suspect = 2.5
+	MaxSlowness = 12.0
+	// SuspectSlowness is the slowness above which a server is only probed.
+	SuspectSlowness = 2.5
 
 	// slownessWeight is the weight of a new answer beside a fresh average.
 	slownessWeight = 0.35
@@ -33,10 +33,10 @@
 	loadWeight = 0.5
 )
 
-// Belief is what a node believes of one server; of the zero value nothing is known.
-type Belief struct {
+// Estimate is what a node believes of one server; of the zero value nothing is known.
+type Estimate struct {
 	// flights are the attempts that have not ended, also those that are not awaited.
-	flights []*Flight
+	flights []*PendingAttempt
 
 	// slowness is the average of its latencies against what is usual, as of learnedAt;
 	// zero is unknown.
@@ -53,65 +53,65 @@
 	loadAt time.Duration
 }
 
-// Flight is an attempt in flight with what it is measured against.
-type Flight struct {
+// PendingAttempt is an attempt in flight with what it is measured against.
+type PendingAttempt struct {
 	sentAt time.Duration
 	usual  time.Duration // latency that is usual for its kind; zero is unknown
 }
 
-// Late reports whether the attempt takes long enough to make its server suspect.
-func (f *Flight) Late(now time.Duration) bool {
-	return f.usual > 0 && float64(now-f.sentAt) > Suspect*float64(f.usual)
+// IsLate reports whether the attempt takes long enough to make its server suspect.
+func (f *PendingAttempt) IsLate(now time.Duration) bool {
+	return f.usual > 0 && float64(now-f.sentAt) > SuspectSlowness*float64(f.usual)
 }
 
-// Begin notes an attempt that was sent at now, in a flight that the caller keeps until End;
+// BeginAttempt notes an attempt that was sent at now, in a flight that the caller keeps until End;
 // usual is the latency that is usual for its kind, zero when that is not known.
-func (b *Belief) Begin(flight *Flight, now, usual time.Duration) {
+func (b *Estimate) BeginAttempt(flight *PendingAttempt, now, usual time.Duration) {
 	flight.sentAt, flight.usual = now, usual
 	b.flights = append(b.flights, flight)
 }
 
-// End notes that an attempt ended.
-func (b *Belief) End(flight *Flight) {
+// EndAttempt notes that an attempt ended.
+func (b *Estimate) EndAttempt(flight *PendingAttempt) {
 	if i := slices.Index(b.flights, flight); i >= 0 {
 		b.flights = slices.Delete(b.flights, i, i+1)
 	}
 }
 
 // InFlight is the number of attempts that have not ended.
-func (b *Belief) InFlight() int { return len(b.flights) }
+func (b *Estimate) InFlight() int { return len(b.flights) }
 
 // Slowness is what its answers make to be expected now, or those of other servers at their
 // start while it has not answered yet.
-func (b *Belief) Slowness(now time.Duration, starts *Starts) float64 {
+func (b *Estimate) Slowness(now time.Duration, starts *ColdStarts) float64 {
 	switch {
 	case b.slowness > 0:
-		return Usual + (b.slowness-Usual)*math.Exp2(-float64(now-b.learnedAt)/float64(slownessFade))
+		return NormalSlowness + (b.slowness-NormalSlowness)*math.Exp2(-float64(now-b.learnedAt)/float64(slownessFade))
 	case b.Cold(now):
-		return starts.Expected()
+		return starts.ExpectedSlowness()
 	default:
-		return Usual
+		return NormalSlowness
 	}
 }
 
-// Overdue is the greatest slowness that an attempt in flight already proves;
+// OverdueSlowness is the greatest slowness that an attempt in flight already proves;
 // zero when none is late.
-func (b *Belief) Overdue(now time.Duration) float64 {
+func (b *Estimate) OverdueSlowness(now time.Duration) float64 {
 	worst := 0.0
 	for _, flight := range b.flights {
 		if flight.usual > 0 {
 			worst = max(worst, float64(now-flight.sentAt)/float64(flight.usual))
 		}
 	}
-	if worst < Suspect {
+	if worst < SuspectSlowness {
 		return 0
 	}
-	return min(worst, Most)
+	return min(worst, MaxSlowness)
 }
 
-// Learn takes the latency of an answer, as a multiple of what is usual.
-func (b *Belief) Learn(now time.Duration, slowness float64) {
-	slowness = min(max(slowness, 0), Most)
+// ObserveSlowness takes the latency of an answer, as a multiple of what is usual.
+func (b *Estimate) ObserveSlowness(now time.Duration, slowness float64) {
+	slowness = min(max(slowness, 0), MaxSlowness)
 	if b.slowness == 0 {
 		b.slowness = slowness
 	} else {
@@ -123,8 +123,8 @@
 }
 
 // planProbe sets when a slow server is tried again.
-func (b *Belief) planProbe(now time.Duration) {
-	if b.slowness < Suspect {
+func (b *Estimate) planProbe(now time.Duration) {
+	if b.slowness < SuspectSlowness {
 		b.probePause = 0
 		return
 	}
@@ -132,35 +132,35 @@
 	b.probeAt = now + b.probePause
 }
 
-// MayProbe reports whether a slow server should be tried again now.
-func (b *Belief) MayProbe(now time.Duration) bool {
-	return b.slowness >= Suspect && now >= b.probeAt && b.shedUntil <= now && len(b.flights) == 0
+// ProbeDue reports whether a slow server should be tried again now.
+func (b *Estimate) ProbeDue(now time.Duration) bool {
+	return b.slowness >= SuspectSlowness && now >= b.probeAt && b.shedUntil <= now && len(b.flights) == 0
 }
 
-// Probed notes that a slow server is tried again: the next probe waits for its answer.
-func (b *Belief) Probed(now time.Duration) { b.probeAt = now + leastProbePause }
+// RecordProbe notes that a slow server is tried again: the next probe waits for its answer.
+func (b *Estimate) RecordProbe(now time.Duration) { b.probeAt = now + leastProbePause }
 
-// Shed notes that the server turned work away, and until when it is left alone.
-func (b *Belief) Shed(until time.Duration) { b.shedUntil = until }
+// SetShedUntil notes that the server turned work away, and until when it is left alone.
+func (b *Estimate) SetShedUntil(until time.Duration) { b.shedUntil = until }
 
 // ShedUntil is until when the server is left alone.
-func (b *Belief) ShedUntil() time.Duration { return b.shedUntil }
+func (b *Estimate) ShedUntil() time.Duration { return b.shedUntil }
 
-// SetCold notes until when the server is slow from its start.
-func (b *Belief) SetCold(until time.Duration) { b.coldUntil = until }
+// SetColdUntil notes until when the server is slow from its start.
+func (b *Estimate) SetColdUntil(until time.Duration) { b.coldUntil = until }
 
 // Cold reports whether the server is slow from its start.
-func (b *Belief) Cold(now time.Duration) bool { return now < b.coldUntil }
+func (b *Estimate) Cold(now time.Duration) bool { return now < b.coldUntil }
 
-// TakeLoad takes the server's own account of its work: requests running and waiting, those
+// ObserveLoad takes the server's own account of its work: requests running and waiting, those
 // of this node among them.
-func (b *Belief) TakeLoad(now time.Duration, running, waiting int) {
+func (b *Estimate) ObserveLoad(now time.Duration, running, waiting int) {
 	b.load = float64(max(running+waiting-len(b.flights), 0))
 	b.loadAt = now
 }
 
-// Work is the part of its slots that is taken, as far as it is known.
-func (b *Belief) Work(now time.Duration, slots int) float64 {
+// Utilization is the part of its slots that is taken, as far as it is known.
+func (b *Estimate) Utilization(now time.Duration, slots int) float64 {
 	work := float64(len(b.flights))
 	if b.load > 0 {
 		work += b.load * loadWeight * math.Exp2(-float64(now-b.loadAt)/float64(loadHalfLife))
