--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -15,7 +15,7 @@
 
 	queue.Offer(0, admission.Item{ID: 1, Rank: 1, LongestWait: wait, Deadline: deadline}, busy)
 	queue.Offer(1, admission.Item{ID: 2, Rank: 0, Arrived: 1, LongestWait: wait, Deadline: deadline}, busy)
-	next, _ := queue.Next(10*time.Millisecond, free)
+	next, _ := queue.Dequeue(10*time.Millisecond, free)
 	fmt.Println("runs first:", next.ID)
 	for _, expired := range queue.Expire(200 * time.Millisecond) {
 		fmt.Println("not run:", expired.ID)
--- a/admission/order.go
+++ b/admission/order.go
@@ -17,13 +17,13 @@
 	LongestWait time.Duration
 	// Deadline is when the caller stops waiting.
 	Deadline time.Duration
-	// RunTime is how long the query is expected to run once started.
-	RunTime time.Duration
+	// ExpectedRunTime is how long the query is expected to run once started.
+	ExpectedRunTime time.Duration
 }
 
 // expires is the last time at which it is worth starting the query.
 func (i Item) expires() time.Duration {
-	return min(i.Arrived+i.LongestWait, i.Deadline-i.RunTime)
+	return min(i.Arrived+i.LongestWait, i.Deadline-i.ExpectedRunTime)
 }
 
 // Key places a query in a queue: the lowest Tier first, then the lowest Time.
@@ -79,7 +79,7 @@
 		boost = o.ClassBoosts[item.Rank]
 	}
 	if o.DecayRate > 0 {
-		size := max(item.RunTime, smallestSize).Seconds()
+		size := max(item.ExpectedRunTime, smallestSize).Seconds()
 		seconds := -math.Log(1-math.Exp(-o.DecayRate*size)) / o.DecayRate
 		boost += time.Duration(seconds * float64(time.Second))
 	}
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -15,17 +15,17 @@
 	Order QueueOrder
 	// MaximumQueued bounds the queries that wait, per class; default 1,000.
 	MaximumQueued int
-	// LeastRetryAfter and MostRetryAfter bound what refused callers are told;
+	// MinRetryAfter and MaxRetryAfter bound what refused callers are told;
 	// default 50 ms and 30 s.
-	LeastRetryAfter time.Duration
-	MostRetryAfter  time.Duration
+	MinRetryAfter time.Duration
+	MaxRetryAfter time.Duration
 }
 
 // Defaults of Options.
 const (
-	DefaultMaximumQueued   = 1000
-	DefaultLeastRetryAfter = 50 * time.Millisecond
-	DefaultMostRetryAfter  = 30 * time.Second
+	DefaultMaximumQueued = 1000
+	DefaultMinRetryAfter = 50 * time.Millisecond
+	DefaultMaxRetryAfter = 30 * time.Second
 )
 
 // Verdict is the decision on a query.
@@ -50,8 +50,8 @@
 	RetryAfter time.Duration
 }
 
-// Room reports whether a query of the given rank may run now.
-type Room func(rank int) bool
+// CapacityFunc reports whether a query of the given rank may run now.
+type CapacityFunc func(rank int) bool
 
 // Queue holds the queries that wait.
 type Queue struct {
@@ -82,18 +82,18 @@
 	if options.MaximumQueued <= 0 {
 		options.MaximumQueued = DefaultMaximumQueued
 	}
-	if options.LeastRetryAfter <= 0 {
-		options.LeastRetryAfter = DefaultLeastRetryAfter
+	if options.MinRetryAfter <= 0 {
+		options.MinRetryAfter = DefaultMinRetryAfter
 	}
-	if options.MostRetryAfter <= 0 {
-		options.MostRetryAfter = DefaultMostRetryAfter
+	if options.MaxRetryAfter <= 0 {
+		options.MaxRetryAfter = DefaultMaxRetryAfter
 	}
 	return &Queue{options: options, expiry: newExpiryQueue(), waiting: make(map[uint64]*waiting)}
 }
 
 // Offer decides on a query. When the verdict is Queued, the query leaves the
 // queue by Next, Remove, Expire or Drain.
-func (q *Queue) Offer(now time.Duration, item Item, room Room) Decision {
+func (q *Queue) Offer(now time.Duration, item Item, room CapacityFunc) Decision {
 	key := q.options.Order.Key(item)
 	if room(item.Rank) && !q.anyBefore(key, room) {
 		return Decision{Verdict: Run}
@@ -104,7 +104,7 @@
 		return q.refuse(RefusedFull, expected)
 	case now+expected > item.Arrived+item.LongestWait || item.LongestWait <= 0:
 		return q.refuse(RefusedWait, expected-item.LongestWait)
-	case now+expected+item.RunTime > item.Deadline:
+	case now+expected+item.ExpectedRunTime > item.Deadline:
 		return q.refuse(RefusedDeadline, expected)
 	}
 	q.push(item, key)
@@ -117,12 +117,12 @@
 }
 
 func (q *Queue) refuse(verdict Verdict, after time.Duration) Decision {
-	after = min(max(after, q.options.LeastRetryAfter), q.options.MostRetryAfter)
+	after = min(max(after, q.options.MinRetryAfter), q.options.MaxRetryAfter)
 	return Decision{Verdict: verdict, RetryAfter: after}
 }
 
 // anyBefore reports whether a query that waits could run and goes before key.
-func (q *Queue) anyBefore(key Key, room Room) bool {
+func (q *Queue) anyBefore(key Key, room CapacityFunc) bool {
 	for rank := range q.classes {
 		class := q.classes[rank]
 		if class.Len() > 0 && !key.Less(class.First().key) && room(rank) {
@@ -164,8 +164,8 @@
 	q.expiry.Push(w)
 }
 
-// Next takes out the first query that has room; ok is false when none has.
-func (q *Queue) Next(now time.Duration, room Room) (item Item, ok bool) {
+// Dequeue takes out the first query that has room; ok is false when none has.
+func (q *Queue) Dequeue(now time.Duration, room CapacityFunc) (item Item, ok bool) {
 	var first *waiting
 	for rank := range q.classes {
 		class := q.classes[rank]
@@ -239,5 +239,5 @@
 // ExpectedWait estimates how long the last of the queue will wait; use it as
 // the time after which to come back.
 func (q *Queue) ExpectedWait(now time.Duration) time.Duration {
-	return max(q.drain.wait(now, len(q.waiting)), q.options.LeastRetryAfter)
+	return max(q.drain.wait(now, len(q.waiting)), q.options.MinRetryAfter)
 }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -22,10 +22,10 @@
 }
 
 // served returns the IDs in the order in which the queue serves them.
-func served(q *admission.Queue, now time.Duration, room admission.Room) []uint64 {
+func served(q *admission.Queue, now time.Duration, room admission.CapacityFunc) []uint64 {
 	var ids []uint64
 	for {
-		next, ok := q.Next(now, room)
+		next, ok := q.Dequeue(now, room)
 		if !ok {
 			return ids
 		}
@@ -36,9 +36,9 @@
 func TestOrder(t *testing.T) {
 	items := []admission.Item{item(1, 1, 0), item(2, 0, 10), item(3, 1, 5), item(4, 0, 8), item(5, 2, 1)}
 	short := item(6, 2, 9)
-	short.RunTime = time.Millisecond
+	short.ExpectedRunTime = time.Millisecond
 	long := item(7, 2, 2)
-	long.RunTime = 10 * time.Second
+	long.ExpectedRunTime = 10 * time.Second
 	tests := []struct {
 		name  string
 		order admission.QueueOrder
@@ -97,7 +97,7 @@
 			q.Requeue(item(id+100, 0, 0))
 		}
 		for i := range 10 {
-			q.Next(time.Duration(i)*interval, every)
+			q.Dequeue(time.Duration(i)*interval, every)
 		}
 		return q
 	}
@@ -106,7 +106,7 @@
 	hasty.LongestWait = 500 * time.Millisecond
 	late := patient
 	late.Deadline = patient.Arrived + 1500*time.Millisecond
-	late.RunTime = time.Second
+	late.ExpectedRunTime = time.Second
 	never := patient
 	never.LongestWait = 0
 	tests := []struct {
@@ -142,8 +142,8 @@
 	q := admission.NewQueue(admission.Options{})
 	q.Requeue(item(1, 0, 0))
 	q.Requeue(item(2, 0, 0))
-	q.Next(0, every)
-	q.Next(time.Millisecond, none)
+	q.Dequeue(0, every)
+	q.Dequeue(time.Millisecond, none)
 	hasty := item(3, 0, 10*time.Second)
 	hasty.LongestWait = time.Second
 	if d := q.Offer(10*time.Second, hasty, none); d.Verdict != admission.RefusedWait {
@@ -155,7 +155,7 @@
 	q := admission.NewQueue(admission.Options{})
 	short, late, patient := item(1, 0, 0), item(2, 0, 0), item(3, 0, 0)
 	short.LongestWait = 10
-	late.Deadline, late.RunTime = 30, 15
+	late.Deadline, late.ExpectedRunTime = 30, 15
 	for _, i := range []admission.Item{patient, late, short} {
 		q.Offer(0, i, none)
 	}
@@ -182,7 +182,7 @@
 			now, id := time.Duration(i), uint64(i)
 			switch step & 7 {
 			case 0:
-				if next, ok := q.Next(now, func(rank int) bool { return rank <= int(step>>3)%3 }); ok {
+				if next, ok := q.Dequeue(now, func(rank int) bool { return rank <= int(step>>3)%3 }); ok {
 					left[next.ID]++
 				}
 			case 1:
--- a/dispatch/configure.go
+++ b/dispatch/configure.go
@@ -48,7 +48,7 @@
 	for i := range sorted {
 		kept[i] = sorted[i].Headroom
 	}
-	shares := limit.Headroom(kept, d.options.MinimumClassShare)
+	shares := limit.HeadroomShares(kept, d.options.MinimumClassShare)
 	for _, old := range d.ranked {
 		old.rank = max(len(sorted)-1, 0)
 	}
@@ -248,6 +248,6 @@
 	if d.nodes <= 0 {
 		return
 	}
-	s.limiter.SetSharers(d.nodes)
-	s.limiter.SetCeiling(max(limit.ConnectionShare(s.Connections, d.nodes, d.options.SpareConnections), 1))
+	s.limiter.SetClients(d.nodes)
+	s.limiter.SetConnectionLimit(max(limit.ConnectionShare(s.Connections, d.nodes, d.options.SpareConnections), 1))
 }
--- a/dispatch/environment.go
+++ b/dispatch/environment.go
@@ -46,7 +46,7 @@
 	if len(g.servers) < 2 {
 		return 0, false
 	}
-	return e.options.HedgePolicy.Delay(retry.HedgeSituation{
+	return e.options.HedgePolicy.Delay(retry.HedgeInput{
 		Share:   owner(s.Query()).class.HedgeShare,
 		Group:   g.latencies,
 		Service: &e.latencies,
--- a/dispatch/group.go
+++ b/dispatch/group.go
@@ -34,7 +34,7 @@
 	if rank == 0 {
 		return g.reserve > 0
 	}
-	return g.free > 0 && g.inFlight < limit.Allowed(g.limit, share)
+	return g.free > 0 && g.inFlight < limit.AllowedInFlight(g.limit, share)
 }
 
 // reserve is the number of requests above a server's limit that a class may have
@@ -72,7 +72,7 @@
 // want tells the limiters of the group's servers that something waits.
 func (g *group) want() {
 	for _, s := range g.servers {
-		s.limiter.Want()
+		s.limiter.RecordDemand()
 	}
 }
 
--- a/dispatch/query.go
+++ b/dispatch/query.go
@@ -47,12 +47,12 @@
 // offer lets admission decide.
 func (d *Dispatcher) offer(c *class, asked Query) {
 	item := admission.Item{
-		ID:          uint64(asked.ID),
-		Rank:        c.rank,
-		Arrived:     d.now,
-		LongestWait: c.LongestWait.Duration(),
-		Deadline:    d.now + min(asked.Remaining, c.Deadline.Duration()),
-		RunTime:     d.latencies.Quantile(medianQuantile),
+		ID:              uint64(asked.ID),
+		Rank:            c.rank,
+		Arrived:         d.now,
+		LongestWait:     c.LongestWait.Duration(),
+		Deadline:        d.now + min(asked.Remaining, c.Deadline.Duration()),
+		ExpectedRunTime: d.latencies.Quantile(medianQuantile),
 	}
 	decision := d.queue.Offer(d.now, item, d.hasRoom)
 	switch decision.Verdict {
@@ -73,7 +73,7 @@
 // admit starts the queries that wait, while there is room.
 func (d *Dispatcher) admit() {
 	for d.queue.Len() > 0 {
-		item, ok := d.queue.Next(d.now, d.hasRoom)
+		item, ok := d.queue.Dequeue(d.now, d.hasRoom)
 		if !ok {
 			return
 		}
--- a/dispatch/server.go
+++ b/dispatch/server.go
@@ -78,7 +78,7 @@
 // free reports whether the server may take one more request at now, when that
 // many more than its limit may be in flight.
 func (s *server) free(now time.Duration, reserve int) bool {
-	return s.shedUntil <= now && s.limiter.FreeAbove(reserve)
+	return s.shedUntil <= now && s.limiter.CanStartWithReserve(reserve)
 }
 
 // observeLatency takes the latency of an answer.
--- a/extrabudget/allowance.go
+++ b/extrabudget/allowance.go
@@ -19,8 +19,8 @@
 // Spend notes something that is spent.
 func (a *Allowance) Spend() { a.spent++ }
 
-// TakeBack notes that something that was spent has not happened.
-func (a *Allowance) TakeBack() { a.spent-- }
+// Refund notes that something that was spent has not happened.
+func (a *Allowance) Refund() { a.spent-- }
 
 // Spent is what was spent so far.
 func (a *Allowance) Spent() int { return a.spent }
@@ -28,7 +28,7 @@
 // Counted is what the ratio is taken of.
 func (a *Allowance) Counted() int { return a.counted }
 
-// Whole is what may be spent so far, with what was.
-func (a *Allowance) Whole(ratio float64, granted int) float64 {
+// Limit is what may be spent so far, with what was.
+func (a *Allowance) Limit(ratio float64, granted int) float64 {
 	return Usable(ratio)*float64(a.counted) + float64(granted)
 }
--- a/extrabudget/budget.go
+++ b/extrabudget/budget.go
@@ -29,16 +29,16 @@
 // AddExtra counts an extra send at now.
 func (b *Budget) AddExtra(now, window time.Duration) { b.extras.Add(now, window, 1) }
 
-// TakeBackRequest takes back a request that was counted no longer than BucketOf ago.
-func (b *Budget) TakeBackRequest(now, window time.Duration) { b.requests.Add(now, window, -1) }
+// RemoveRequest takes back a request that was counted no longer than BucketWidth ago.
+func (b *Budget) RemoveRequest(now, window time.Duration) { b.requests.Add(now, window, -1) }
 
-// TakeBackExtra takes back an extra send that was counted no longer than BucketOf ago.
-func (b *Budget) TakeBackExtra(now, window time.Duration) { b.extras.Add(now, window, -1) }
+// RemoveExtra takes back an extra send that was counted no longer than BucketWidth ago.
+func (b *Budget) RemoveExtra(now, window time.Duration) { b.extras.Add(now, window, -1) }
 
-// Left is the number of extra sends that are still allowed to a node with the given share
+// Remaining is the number of extra sends that are still allowed to a node with the given share
 // of the fixed number, and the most that ever are at this rate of requests.
-func (b *Budget) Left(now time.Duration, options Options, fixed float64) (left, most float64) {
-	requests := b.requests.Least(now, options.Window)
+func (b *Budget) Remaining(now time.Duration, options Options, fixed float64) (left, most float64) {
+	requests := b.requests.LowerBound(now, options.Window)
 	most = margin * (options.Ratio*float64(requests) + fixed)
-	return most - float64(b.extras.Most(now, options.Window)), most
+	return most - float64(b.extras.UpperBound(now, options.Window)), most
 }
--- a/extrabudget/counter.go
+++ b/extrabudget/counter.go
@@ -13,8 +13,8 @@
 	latest int64
 }
 
-// BucketOf is the span of time that a Counter doesn't tell apart.
-func BucketOf(window time.Duration) time.Duration { return window / buckets }
+// BucketWidth is the span of time that a Counter doesn't tell apart.
+func BucketWidth(window time.Duration) time.Duration { return window / buckets }
 
 // Add counts some events at now; a negative number takes back what was counted just before.
 func (c *Counter) Add(now, window time.Duration, events int) {
@@ -22,9 +22,9 @@
 	c.counts[c.latest%(buckets+1)] += events
 }
 
-// Most is the number of events of the last window and, as the oldest bucket lies partly
+// UpperBound is the number of events of the last window and, as the oldest bucket lies partly
 // outside it, of at most a twentieth of a window before.
-func (c *Counter) Most(now, window time.Duration) int {
+func (c *Counter) UpperBound(now, window time.Duration) int {
 	c.advance(now, window)
 	sum := 0
 	for _, count := range c.counts {
@@ -33,13 +33,13 @@
 	return sum
 }
 
-// Least is the number of events that lie within the last window for certain.
-func (c *Counter) Least(now, window time.Duration) int {
-	return c.Most(now, window) - c.counts[(c.latest+1)%(buckets+1)]
+// LowerBound is the number of events that lie within the last window for certain.
+func (c *Counter) LowerBound(now, window time.Duration) int {
+	return c.UpperBound(now, window) - c.counts[(c.latest+1)%(buckets+1)]
 }
 
 func (c *Counter) advance(now, window time.Duration) {
-	bucket := int64(now / BucketOf(window))
+	bucket := int64(now / BucketWidth(window))
 	for passed := 0; c.latest < bucket && passed <= buckets; passed++ {
 		c.latest++
 		c.counts[c.latest%(buckets+1)] = 0
--- a/extrabudget/extrabudget_test.go
+++ b/extrabudget/extrabudget_test.go
@@ -27,7 +27,7 @@
 		{12 * time.Second, 2, 2},
 		{40 * time.Second, 0, 0},
 	} {
-		if most, least := c.Most(want.at, window), c.Least(want.at, window); most != want.most || least != want.least {
+		if most, least := c.UpperBound(want.at, window), c.LowerBound(want.at, window); most != want.most || least != want.least {
 			t.Errorf("at %s: %d at most and %d at least, want %d and %d", want.at, most, least, want.most, want.least)
 		}
 	}
@@ -38,17 +38,17 @@
 	var c extrabudget.Counter
 	c.Add(0, window, 1)
 	c.Add(0, window, -1)
-	if most := c.Most(0, window); most != 0 {
+	if most := c.UpperBound(0, window); most != 0 {
 		t.Errorf("%d events are left", most)
 	}
 }
 
 func TestSharesOfUnknownNodesAreNone(t *testing.T) {
 	var s extrabudget.Shares
-	if part := s.Of(0, 100, time.Second); part != 0 {
+	if part := s.Portion(0, 100, time.Second); part != 0 {
 		t.Errorf("a part of %g without any word of the nodes", part)
 	}
-	if count := s.CountOf(0, 100, time.Second, 7); count != 0 {
+	if count := s.IntPortion(0, 100, time.Second, 7); count != 0 {
 		t.Errorf("%d of 100 without any word of the nodes", count)
 	}
 }
@@ -69,8 +69,8 @@
 				if node >= serving {
 					place = node - serving
 				}
-				s.Take(0, extrabudget.Nodes{Live: live, Serving: serving, Serves: node < serving, Place: place})
-				sum += s.CountOf(0, float64(whole), time.Second, salt)
+				s.Update(0, extrabudget.Nodes{Live: live, Serving: serving, IsServing: node < serving, Index: place})
+				sum += s.IntPortion(0, float64(whole), time.Second, salt)
 			}
 			return sum <= whole && float64(sum) >= 0.85*float64(whole)-2
 		},
@@ -90,15 +90,15 @@
 		random := rand.New(rand.NewPCG(seed, 2))
 		all := make([]extrabudget.Shares, nodes)
 		for i := range all {
-			all[i].Take(0, extrabudget.Nodes{Live: nodes, Serving: nodes, Serves: true, Place: i})
+			all[i].Update(0, extrabudget.Nodes{Live: nodes, Serving: nodes, IsServing: true, Index: i})
 		}
 		for now := step; now < 20*time.Second; now += step {
 			i := random.IntN(nodes)
 			seen := 1 + random.IntN(nodes)
-			all[i].Take(now, extrabudget.Nodes{Live: seen, Serving: seen, Serves: true, Place: min(i, seen-1)})
+			all[i].Update(now, extrabudget.Nodes{Live: seen, Serving: seen, IsServing: true, Index: min(i, seen-1)})
 			sum := 0
 			for j := range all {
-				sum += all[j].CountOf(now, 20, time.Second, seed)
+				sum += all[j].IntPortion(now, 20, time.Second, seed)
 			}
 			// Two nodes may believe that they have the same place: what is left of the
 			// whole beside the margin is for those.
--- a/extrabudget/shares.go
+++ b/extrabudget/shares.go
@@ -16,11 +16,11 @@
 type Nodes struct {
 	// Live is the number of all nodes, Serving that of those to which callers are sent.
 	Live, Serving int
-	// Serves says that callers are sent to this node.
-	Serves bool
-	// Place is this node's among the nodes that serve, or among the others; it counts
+	// IsServing says that callers are sent to this node.
+	IsServing bool
+	// Index is this node's among the nodes that serve, or among the others; it counts
 	// from 0, and all nodes that see the same members have different ones.
-	Place int
+	Index int
 }
 
 // Shares is one node's part of what all nodes share; the zero value knows no node, and
@@ -52,25 +52,25 @@
 	}
 }
 
-// Take notes the nodes that are there at now. The first word about them is no change of
+// Update notes the nodes that are there at now. The first word about them is no change of
 // roles.
-func (s *Shares) Take(now time.Duration, nodes Nodes) {
+func (s *Shares) Update(now time.Duration, nodes Nodes) {
 	s.live.take(now, nodes.Live)
 	s.serving.take(now, nodes.Serving)
 	s.others.take(now, nodes.Live-nodes.Serving)
-	if nodes.Serves && !s.serves && s.known {
+	if nodes.IsServing && !s.serves && s.known {
 		s.servesSince = now
 	}
-	s.serves, s.place = nodes.Serves, nodes.Place
+	s.serves, s.place = nodes.IsServing, nodes.Index
 	s.known = true
 }
 
-// Serving is about the greatest number of nodes that served callers of late; zero when
+// ServingNodes is about the greatest number of nodes that served callers of late; zero when
 // nothing is known.
-func (s *Shares) Serving() int { return s.serving.value }
+func (s *Shares) ServingNodes() int { return s.serving.value }
 
-// Of is the node's part of a whole that is counted over a window.
-func (s *Shares) Of(now time.Duration, whole float64, window time.Duration) float64 {
+// Portion is the node's part of a whole that is counted over a window.
+func (s *Shares) Portion(now time.Duration, whole float64, window time.Duration) float64 {
 	part, nodes := s.group(now, whole, window)
 	if nodes == 0 {
 		return 0
@@ -78,9 +78,9 @@
 	return part / float64(nodes)
 }
 
-// CountOf is the node's part of a whole number: what does not divide evenly falls to
+// IntPortion is the node's part of a whole number: what does not divide evenly falls to
 // some of the nodes, to others for another salt.
-func (s *Shares) CountOf(now time.Duration, whole float64, window time.Duration, salt uint64) int {
+func (s *Shares) IntPortion(now time.Duration, whole float64, window time.Duration, salt uint64) int {
 	part, nodes := s.group(now, margin*whole, window)
 	if nodes == 0 {
 		return 0
--- a/front/nodes.go
+++ b/front/nodes.go
@@ -70,11 +70,11 @@
 		return
 	}
 	role := routing.NodesChanged{
-		Live:    len(nodes),
-		Serving: max(len(serving), 1),
-		Serves:  slices.ContainsFunc(serving, f.isSelf) || len(serving) == len(nodes),
+		Live:      len(nodes),
+		Serving:   max(len(serving), 1),
+		IsServing: slices.ContainsFunc(serving, f.isSelf) || len(serving) == len(nodes),
 	}
-	role.Place = f.placeAmong(nodes, serving, role.Serves)
+	role.Index = f.placeAmong(nodes, serving, role.IsServing)
 	if role == f.role {
 		return
 	}
@@ -154,8 +154,8 @@
 
 // logRole writes a line when the node's own part among the nodes has changed.
 func (f *Front) logRole(role routing.NodesChanged) {
-	if f.role.Serves != role.Serves || f.role.Live == 0 {
-		f.options.Logger.Info().Bool("serves", role.Serves).Int("serving", role.Serving).Int("live", role.Live).Msg("role changed")
+	if f.role.IsServing != role.IsServing || f.role.Live == 0 {
+		f.options.Logger.Info().Bool("serves", role.IsServing).Int("serving", role.Serving).Int("live", role.Live).Msg("role changed")
 	}
 }
 
--- a/front/quarantines.go
+++ b/front/quarantines.go
@@ -23,7 +23,7 @@
 type QuarantineStore interface {
 	// WriteQuarantine writes a content. Its error wraps ErrConflict when it is there already;
 	// after any other one it may have been written.
-	WriteQuarantine(ctx context.Context, content quarantine.Content) error
+	WriteQuarantine(ctx context.Context, content quarantine.Fingerprint) error
 	// RenewQuarantine makes the content with a lease of an epoch stay.
 	RenewQuarantine(ctx context.Context, lease uint64, epoch discovery.Epoch) error
 }
@@ -59,15 +59,15 @@
 	logger zerolog.Logger
 	// findings wait to be told, and records to be written or renewed.
 	findings chan toldFinding
-	records  chan quarantine.Content
+	records  chan quarantine.Fingerprint
 	limiter  *rate.Limiter
 	dropped  prometheus.Counter
 
 	mutex sync.Mutex
 	// mutex guards the fields below: the contents that the registry holds or has lost, and
 	// when they were renewed last.
-	recorded map[quarantine.Content]recordedContent
-	renewed  map[quarantine.Content]time.Time
+	recorded map[quarantine.Fingerprint]recordedContent
+	renewed  map[quarantine.Fingerprint]time.Time
 }
 
 // recordedContent is a content's record in the registry. One that is lost is believed, and to be
@@ -90,13 +90,13 @@
 		store:    store,
 		logger:   f.options.Logger,
 		findings: make(chan toldFinding, findingsWaiting),
-		records:  make(chan quarantine.Content, recordsWaiting),
+		records:  make(chan quarantine.Fingerprint, recordsWaiting),
 		limiter:  rate.NewLimiter(findingsPerSecond, findingsAtOnce),
 		dropped: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "banksail_findings_dropped_total", Help: "Findings on requests that end servers that were not passed on, as there were too many.",
 		}),
-		recorded: make(map[quarantine.Content]recordedContent),
-		renewed:  make(map[quarantine.Content]time.Time),
+		recorded: make(map[quarantine.Fingerprint]recordedContent),
+		renewed:  make(map[quarantine.Fingerprint]time.Time),
 	}
 	if registry != nil {
 		registry.MustRegister(q.dropped)
@@ -120,7 +120,7 @@
 }
 
 // Record implements gateway.Findings: the record is written, or renewed where it stands.
-func (q *quarantines) Record(content quarantine.Content) {
+func (q *quarantines) Record(content quarantine.Fingerprint) {
 	select {
 	case q.records <- content:
 	default:
@@ -128,7 +128,7 @@
 	}
 }
 
-func (q *quarantines) isRecorded(content quarantine.Content) bool {
+func (q *quarantines) isRecorded(content quarantine.Fingerprint) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	known, there := q.recorded[content]
@@ -136,7 +136,7 @@
 }
 
 // CameAgain implements gateway.Findings.
-func (q *quarantines) CameAgain(content quarantine.Content) {
+func (q *quarantines) CameAgain(content quarantine.Fingerprint) {
 	q.mutex.Lock()
 	due := time.Since(q.renewed[content]) >= renewalPause
 	if due {
@@ -158,7 +158,7 @@
 
 // lookAfter writes a record that its finder has not written, or that the registry has lost, if
 // this node is a keeper.
-func (q *quarantines) lookAfter(content quarantine.Content) {
+func (q *quarantines) lookAfter(content quarantine.Fingerprint) {
 	keepers := gossip.KeepersOf(content, q.front.agent.Nodes())
 	if slices.ContainsFunc(keepers, q.front.isSelf) && !q.isRecorded(content) {
 		q.Record(content)
@@ -167,12 +167,12 @@
 
 // take takes what the registry holds.
 func (q *quarantines) take(directives []discovery.Directive) {
-	recorded := make(map[quarantine.Content]recordedContent)
+	recorded := make(map[quarantine.Fingerprint]recordedContent)
 	for _, directive := range directives {
 		if directive.Kind != discovery.QuarantineContent {
 			continue
 		}
-		content, err := quarantine.ParseContent(directive.Subject)
+		content, err := quarantine.ParseFingerprint(directive.Subject)
 		if err != nil {
 			q.logger.Warn().Err(err).Str("subject", directive.Subject).Msg("quarantine not understood")
 			continue
@@ -215,7 +215,7 @@
 				continue
 			}
 			q.front.agent.Tell(told.finding, told.audience)
-			if told.audience == quarantine.Everybody {
+			if told.audience == quarantine.AudienceAll {
 				q.repeat(ctx, told)
 			}
 		}
@@ -250,7 +250,7 @@
 }
 
 // record writes a content to the registry, or renews it there; it reports whether it stands.
-func (q *quarantines) record(ctx context.Context, content quarantine.Content) bool {
+func (q *quarantines) record(ctx context.Context, content quarantine.Fingerprint) bool {
 	ctx, cancel := context.WithTimeout(ctx, quarantineCall)
 	defer cancel()
 	q.mutex.Lock()
--- a/gateway/fanout_bench_test.go
+++ b/gateway/fanout_bench_test.go
@@ -87,7 +87,7 @@
 		b.Fatal(err)
 	}
 	g.SetTable(table)
-	g.SetNodes(routing.NodesChanged{Live: 1, Serving: 1, Serves: true})
+	g.SetNodes(routing.NodesChanged{Live: 1, Serving: 1, IsServing: true})
 	g.SetServers(servers)
 	ask := func() {
 		recorder := httptest.NewRecorder()
--- a/gateway/findings.go
+++ b/gateway/findings.go
@@ -7,15 +7,15 @@
 )
 
 // contentOf names what a request asks for.
-func contentOf(request *exchange.Request) quarantine.Content {
-	return quarantine.ContentOf(request.Method, request.Host, request.Target, request.Body)
+func contentOf(request *exchange.Request) quarantine.Fingerprint {
+	return quarantine.FingerprintOf(request.Method, request.Host, request.Target, request.Body)
 }
 
 // carryFinding passes on what the router found out of a request.
 func (g *Gateway) carryFinding(action routing.Action) {
 	switch action := action.(type) {
 	case routing.PublishFinding:
-		g.options.Logger.Info().Stringer("content", action.Finding.Content).Int("ends", len(action.Finding.Ends)).
+		g.options.Logger.Info().Stringer("content", action.Finding.Content).Int("ends", len(action.Finding.Crashes)).
 			Bool("answered", action.Finding.Answered).Bool("quarantined", action.Finding.Quarantined).
 			Bool("wide", action.Finding.Wide).Msg("finding on a request that ended servers")
 		if g.options.Findings != nil {
@@ -39,7 +39,7 @@
 func (g *Gateway) Hear(finding quarantine.Finding) { g.step(routing.FindingReceived{Finding: finding}) }
 
 // SetQuarantines takes all contents that the registry says are to be refused.
-func (g *Gateway) SetQuarantines(contents []quarantine.Content) {
+func (g *Gateway) SetQuarantines(contents []quarantine.Fingerprint) {
 	g.step(routing.QuarantinesChanged{Contents: contents})
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -60,9 +60,9 @@
 	// Tell tells other nodes.
 	Tell(finding quarantine.Finding, audience quarantine.Audience)
 	// Record makes all nodes remember that a content is refused.
-	Record(content quarantine.Content)
+	Record(content quarantine.Fingerprint)
 	// CameAgain tells that such a content was refused again.
-	CameAgain(content quarantine.Content)
+	CameAgain(content quarantine.Fingerprint)
 }
 
 // AnswerHeaders names the headers of merged answers.
@@ -234,7 +234,7 @@
 // SetNodes tells of the nodes that are live. One to which no callers are sent
 // keeps no connections that rest.
 func (g *Gateway) SetNodes(nodes routing.NodesChanged) {
-	g.serves.Store(nodes.Serves)
+	g.serves.Store(nodes.IsServing)
 	g.step(nodes)
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.SetNodes(routing.NodesChanged{Live: 1, Serving: 1, Serves: true})
+	g.SetNodes(routing.NodesChanged{Live: 1, Serving: 1, IsServing: true})
 	g.SetServers([]discovery.Server{{
 		ID: "ledger-1", Service: "ledger", Address: strings.TrimPrefix(server.URL, "http://"), Slots: 2,
 	}})
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -159,7 +159,7 @@
 		CallerTimeout: told,
 		Elapsed:       asked.spent() + waited,
 		ReturnTime:    asked.way.back(),
-		Content:       func() quarantine.Content { return contentOf(asked.outgoing) },
+		Content:       func() quarantine.Fingerprint { return contentOf(asked.outgoing) },
 	}})
 	g.mutex.Unlock()
 	select {
--- a/gateway/zones_test.go
+++ b/gateway/zones_test.go
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	g.SetTable(table)
-	g.SetNodes(routing.NodesChanged{Live: 1, Serving: 1, Serves: true})
+	g.SetNodes(routing.NodesChanged{Live: 1, Serving: 1, IsServing: true})
 	g.SetServers([]discovery.Server{{ID: "s", Service: "ledger", Address: strings.TrimPrefix(server.URL, "http://"), Zone: "a", Slots: 2}})
 	ask := func() *httptest.ResponseRecorder {
 		recorder := httptest.NewRecorder()
--- a/gossip/findings.go
+++ b/gossip/findings.go
@@ -22,7 +22,7 @@
 // Tell tells other nodes what this one found out. A datagram that is lost is not sent again.
 func (a *Agent) Tell(finding quarantine.Finding, audience quarantine.Audience) {
 	nodes := a.Nodes()
-	if audience == quarantine.Keepers {
+	if audience == quarantine.AudienceAggregators {
 		nodes = KeepersOf(finding.Content, nodes)
 	}
 	a.mutex.Lock()
@@ -41,7 +41,7 @@
 
 // KeepersOf are the nodes that bring the findings on a content together; all nodes that see
 // the same members choose the same.
-func KeepersOf(content quarantine.Content, nodes []discovery.Node) []discovery.Node {
+func KeepersOf(content quarantine.Fingerprint, nodes []discovery.Node) []discovery.Node {
 	weights := make(map[string]uint64, len(nodes))
 	for _, node := range nodes {
 		weights[node.ID] = xxhash.Sum64String(node.ID + content.String())
@@ -74,12 +74,12 @@
 	encoded := &Finding{
 		Content: finding.Content[:], Answered: finding.Answered, Quarantined: finding.Quarantined, Wide: finding.Wide,
 	}
-	for _, end := range finding.Ends {
+	for _, end := range finding.Crashes {
 		if end.Alone {
-			encoded.Alone = append(encoded.Alone, uint64(end.Life))
+			encoded.Alone = append(encoded.Alone, uint64(end.ServerIncarnation))
 			continue
 		}
-		encoded.Together = append(encoded.Together, uint64(end.Life))
+		encoded.Together = append(encoded.Together, uint64(end.ServerIncarnation))
 	}
 	return encoded
 }
@@ -91,14 +91,14 @@
 		return finding, false
 	}
 	finding = quarantine.Finding{
-		Content: quarantine.Content(content), Answered: told.GetAnswered(),
+		Content: quarantine.Fingerprint(content), Answered: told.GetAnswered(),
 		Quarantined: told.GetQuarantined(), Wide: told.GetWide(),
 	}
 	for _, life := range told.GetAlone() {
-		finding.Ends = append(finding.Ends, quarantine.End{Life: quarantine.Life(life), Alone: true})
+		finding.Crashes = append(finding.Crashes, quarantine.Crash{ServerIncarnation: quarantine.Incarnation(life), Alone: true})
 	}
 	for _, life := range told.GetTogether() {
-		finding.Ends = append(finding.Ends, quarantine.End{Life: quarantine.Life(life)})
+		finding.Crashes = append(finding.Crashes, quarantine.Crash{ServerIncarnation: quarantine.Incarnation(life)})
 	}
 	return finding, true
 }
--- a/gossip/findings_test.go
+++ b/gossip/findings_test.go
@@ -11,10 +11,10 @@
 )
 
 func TestFindingsAreReadAsWritten(t *testing.T) {
-	content := quarantine.ContentOf("GET", "h.example", "/", nil)
+	content := quarantine.FingerprintOf("GET", "h.example", "/", nil)
 	for _, finding := range []quarantine.Finding{
 		{Content: content, Answered: true, Wide: true},
-		{Content: content, Quarantined: true, Ends: []quarantine.End{{Life: 3, Alone: true}, {Life: 1}, {Life: 2}}},
+		{Content: content, Quarantined: true, Crashes: []quarantine.Crash{{ServerIncarnation: 3, Alone: true}, {ServerIncarnation: 1}, {ServerIncarnation: 2}}},
 	} {
 		encoded, err := proto.Marshal(encodeFinding(finding))
 		if err != nil {
@@ -32,7 +32,7 @@
 }
 
 func TestFindingsOutOfBoundsAreNotTaken(t *testing.T) {
-	content := quarantine.ContentOf("GET", "h.example", "/", nil)
+	content := quarantine.FingerprintOf("GET", "h.example", "/", nil)
 	for what, told := range map[string]*Finding{
 		"nothing":       {},
 		"short content": {Content: content[1:]},
@@ -55,7 +55,7 @@
 	}
 	kept := make(map[string]int)
 	for number := range 600 {
-		content := quarantine.ContentOf("GET", "h.example", fmt.Sprint(number), nil)
+		content := quarantine.FingerprintOf("GET", "h.example", fmt.Sprint(number), nil)
 		chosen, again := KeepersOf(content, nodes), KeepersOf(content, reversed)
 		if len(chosen) != keepers || fmt.Sprint(chosen) != fmt.Sprint(again) {
 			t.Fatalf("%v and %v", chosen, again)
@@ -69,7 +69,7 @@
 			t.Errorf("%s keeps %d contents of 600, 30 on average", node.ID, count)
 		}
 	}
-	if few := KeepersOf(quarantine.Content{}, nodes[:2]); len(few) != 2 {
+	if few := KeepersOf(quarantine.Fingerprint{}, nodes[:2]); len(few) != 2 {
 		t.Errorf("%d keepers of 2 nodes", len(few))
 	}
 }
--- a/limit/example_test.go
+++ b/limit/example_test.go
@@ -9,22 +9,22 @@
 
 func ExampleLimiter() {
 	limiter := limit.New(4, limit.Options{})
-	for limiter.Free() {
+	for limiter.CanStart() {
 		limiter.Start()
 	}
 	fmt.Println("in flight:", limiter.InFlight())
 
 	// The server sheds: others use its slots too.
 	limiter.End(3*time.Millisecond, 3*time.Millisecond, limit.Shed)
-	fmt.Println("limit:", limiter.Limit(), "free:", limiter.Free())
+	fmt.Println("limit:", limiter.Limit(), "free:", limiter.CanStart())
 	// Output:
 	// in flight: 4
 	// limit: 3 free: false
 }
 
-func ExampleHeadroom() {
+func ExampleHeadroomShares() {
 	// The first class keeps a fifth of each limit for itself.
-	shares := limit.Headroom([]float64{0.2, 0}, 0.1)
-	fmt.Println(limit.Allowed(10, shares[0]), limit.Allowed(10, shares[1]))
+	shares := limit.HeadroomShares([]float64{0.2, 0}, 0.1)
+	fmt.Println(limit.AllowedInFlight(10, shares[0]), limit.AllowedInFlight(10, shares[1]))
 	// Output: 10 8
 }
--- a/limit/limiter.go
+++ b/limit/limiter.go
@@ -22,10 +22,10 @@
 type Signal int
 
 const (
-	// LowLatency compares a low quantile of a window with that of calm windows:
+	// QuantileLatency compares a low quantile of a window with that of calm windows:
 	// a lasting queue delays quick requests too, and those vary least. It is the
 	// default.
-	LowLatency Signal = iota
+	QuantileLatency Signal = iota
 	// MeanLatency compares the mean of a window with the baseline.
 	MeanLatency
 )
@@ -38,12 +38,12 @@
 	// Growth bounds the limit as a multiple of the server's slots; default 1.2.
 	// Above 1 it makes up for the time that replies spend on the network.
 	Growth float64
-	// Signal is the sign of congestion; default LowLatency.
+	// Signal is the sign of congestion; default QuantileLatency.
 	Signal Signal
-	// QueueShare is for LowLatency: the wait in a server's queue above which it
+	// QueueShare is for QuantileLatency: the wait in a server's queue above which it
 	// counts as congested, as a share of the baseline; default 0.15.
 	QueueShare float64
-	// Quantile is for LowLatency: the part of a window's requests that are quicker
+	// Quantile is for QuantileLatency: the part of a window's requests that are quicker
 	// than the one compared; default 0.25.
 	Quantile float64
 	// Tolerance is for MeanLatency: the ratio of a window's mean latency to the
@@ -158,10 +158,10 @@
 	l.start()
 }
 
-// SetSharers tells how many clients are known to share the server, this one
+// SetClients tells how many clients are known to share the server, this one
 // included. A limit of which nothing is learned yet starts from an even share
 // of the slots; a learned one stays.
-func (l *Limiter) SetSharers(clients int) {
+func (l *Limiter) SetClients(clients int) {
 	l.sharers = max(clients, 1)
 	l.start()
 }
@@ -173,9 +173,9 @@
 	l.clamp()
 }
 
-// SetCeiling bounds the limit by the client's share of the server's
+// SetConnectionLimit bounds the limit by the client's share of the server's
 // connections; zero or less sets no bound.
-func (l *Limiter) SetCeiling(connections int) {
+func (l *Limiter) SetConnectionLimit(connections int) {
 	l.ceiling = max(connections, 0)
 	l.clamp()
 }
@@ -202,12 +202,12 @@
 // InFlight is the number of requests in flight.
 func (l *Limiter) InFlight() int { return l.inFlight }
 
-// Free reports whether one more request may start.
-func (l *Limiter) Free() bool { return l.FreeAbove(0) }
+// CanStart reports whether one more request may start.
+func (l *Limiter) CanStart() bool { return l.CanStartWithReserve(0) }
 
-// FreeAbove reports whether one more request may start when that many more than
+// CanStartWithReserve reports whether one more request may start when that many more than
 // the limit may be in flight. The ceiling by connections holds all the same.
-func (l *Limiter) FreeAbove(reserve int) bool {
+func (l *Limiter) CanStartWithReserve(reserve int) bool {
 	return l.inFlight < l.bounded(l.Limit()+reserve)
 }
 
@@ -218,9 +218,9 @@
 	l.window.peak = max(l.window.peak, l.inFlight)
 }
 
-// Want notes that a request waits which a higher limit would let start, though
+// RecordDemand notes that a request waits which a higher limit would let start, though
 // the limit itself was not reached: its class's share of it was.
-func (l *Limiter) Want() { l.window.wanted = true }
+func (l *Limiter) RecordDemand() { l.window.wanted = true }
 
 // End notes that a request ended at now, latency after it started.
 func (l *Limiter) End(now, latency time.Duration, outcome Outcome) {
--- a/limit/limiter_test.go
+++ b/limit/limiter_test.go
@@ -17,7 +17,7 @@
 // run lets full windows of requests end with the given latency.
 func run(l *limit.Limiter, now time.Duration, windows int, latency time.Duration) time.Duration {
 	for range windows * limit.DefaultWindowSamples {
-		for l.Free() {
+		for l.CanStart() {
 			l.Start()
 		}
 		now += latency
@@ -79,7 +79,7 @@
 
 func TestConnectionShareBoundsTheLimit(t *testing.T) {
 	l := limit.New(5, limit.Options{})
-	l.SetCeiling(2)
+	l.SetConnectionLimit(2)
 	if l.Limit() != 2 {
 		t.Fatalf("limit %d, want 2", l.Limit())
 	}
@@ -96,10 +96,10 @@
 }
 
 func TestHeadroom(t *testing.T) {
-	got := limit.Headroom([]float64{0.2, 0.1, 0.9, 0}, 0.1)
+	got := limit.HeadroomShares([]float64{0.2, 0.1, 0.9, 0}, 0.1)
 	want := []float64{1, 0.8, 0.7, 0.1}
 	for i := range want {
-		if limit.Allowed(1000, got[i]) != limit.Allowed(1000, want[i]) {
+		if limit.AllowedInFlight(1000, got[i]) != limit.AllowedInFlight(1000, want[i]) {
 			t.Fatalf("shares %v, want %v", got, want)
 		}
 	}
@@ -147,13 +147,13 @@
 
 func TestSharersSetTheStartButNotWhatIsLearned(t *testing.T) {
 	l := limit.New(5, limit.Options{})
-	l.SetSharers(2)
+	l.SetClients(2)
 	if l.Limit() != 3 {
 		t.Fatalf("starts from %d, want 3", l.Limit())
 	}
 	run(l, 0, 5, service)
 	learned := l.Limit()
-	l.SetSharers(5)
+	l.SetClients(5)
 	if l.Limit() != learned {
 		t.Fatalf("limit %d, had learned %d", l.Limit(), learned)
 	}
@@ -162,7 +162,7 @@
 func TestLimitGrowsWhenAClassWaitsForItsShare(t *testing.T) {
 	l := limit.New(10, limit.Options{})
 	for i := range 3 * limit.DefaultWindowSamples {
-		l.Want()
+		l.RecordDemand()
 		l.Start()
 		l.End(time.Duration(i)*service, service, limit.Answered)
 	}
--- a/limit/share.go
+++ b/limit/share.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// Headroom returns, for classes listed from the most urgent to the least, the
+// HeadroomShares returns, for classes listed from the most urgent to the least, the
 // share of a limit that each may use. headroom[i] is the share that is kept for
 // class i and those before it: later classes can't use it. No share falls
 // below least.
-func Headroom(headroom []float64, least float64) []float64 {
+func HeadroomShares(headroom []float64, least float64) []float64 {
 	shares := make([]float64, len(headroom))
 	left := 1.0
 	for i, kept := range headroom {
@@ -16,10 +16,10 @@
 	return shares
 }
 
-// Allowed is the number of requests that a class with the given share of a
+// AllowedInFlight is the number of requests that a class with the given share of a
 // limit may have in flight: the nearest whole number, so that small limits lose
 // least, but at least one, so that no class is shut out.
-func Allowed(limit int, share float64) int {
+func AllowedInFlight(limit int, share float64) int {
 	return max(int(math.Round(float64(limit)*share)), 1)
 }
 
--- a/node/once.go
+++ b/node/once.go
@@ -31,7 +31,7 @@
 	mutex sync.Mutex
 	// mutex guards the fields below. Invariant: running holds exactly the
 	// requests that the guard has in progress.
-	guard   *retry.Guard
+	guard   *retry.Deduplicator
 	running map[string]*onceRun
 	// outcomes bounds what the guard's recorded outcomes take.
 	outcomes recordedOutcomes
@@ -48,7 +48,7 @@
 	guard := &once{}
 	perPart := (window.Requests + onceParts - 1) / onceParts
 	for index := range guard.parts {
-		guard.parts[index].guard = retry.NewGuard(retry.GuardOptions{Window: window.Window, Maximum: perPart})
+		guard.parts[index].guard = retry.NewDeduplicator(retry.DeduplicatorOptions{Window: window.Window, MaxEntries: perPart})
 		guard.parts[index].running = make(map[string]*onceRun)
 		guard.parts[index].outcomes = recordedOutcomes{
 			limit:  int(window.ResultBytes / onceParts),
@@ -87,7 +87,7 @@
 	part.mutex.Lock()
 	verdict, recorded := part.guard.Begin(n.now(), key, onceDigest(request))
 	switch verdict {
-	case retry.New:
+	case retry.Accepted:
 		run := &onceRun{ended: make(chan struct{})}
 		part.running[key] = run
 		part.mutex.Unlock()
@@ -99,7 +99,7 @@
 		run := part.running[key]
 		part.mutex.Unlock()
 		return n.joinOnce(ctx, run, request), nil
-	case retry.Recorded:
+	case retry.Completed:
 		result := recorded.(*recordedOutcome).again()
 		part.mutex.Unlock()
 		n.metrics.Duplicates.Inc()
@@ -137,7 +137,7 @@
 	part := o.part(key)
 	part.mutex.Lock()
 	defer part.mutex.Unlock()
-	return part.guard.Knows(now, key)
+	return part.guard.Contains(now, key)
 }
 
 // joinOnce waits for the outcome of the same request in progress, at most until
--- a/quarantine/evidence.go
+++ b/quarantine/evidence.go
@@ -7,7 +7,7 @@
 )
 
 // consider begins a review where the evidence suffices.
-func (l *Ledger) consider(now time.Duration, s *suspect) {
+func (l *Tracker) consider(now time.Duration, s *suspect) {
 	s.touched = now
 	if s.reviewUntil > 0 || s.quarantined || !l.proven(s) {
 		return
@@ -20,7 +20,7 @@
 
 // proven reports whether enough servers ended under a content, one of them alone and under
 // no other suspected content, or several alone at different moments.
-func (l *Ledger) proven(s *suspect) bool {
+func (l *Tracker) proven(s *suspect) bool {
 	switch {
 	case len(s.ends) < endsToQuarantine:
 		return false
@@ -44,18 +44,18 @@
 const mostRecent = 512
 
 // note keeps an end among those of late.
-func (l *Ledger) note(now time.Duration, content Content, end End) {
+func (l *Tracker) note(now time.Duration, content Fingerprint, end Crash) {
 	old := 0
 	for old < len(l.recent) && (now-l.recent[old].at > 2*reviewTime || len(l.recent)-old >= mostRecent) {
 		old++
 	}
-	l.recent = append(slices.Delete(l.recent, 0, old), recentEnd{at: now, life: end.Life, content: content})
+	l.recent = append(slices.Delete(l.recent, 0, old), recentEnd{at: now, life: end.ServerIncarnation, content: content})
 }
 
 // othersEnded reports whether a server that did not run the content ended within the time of a
 // review of the one that got it alone: then something else may have ended that one, too.
-func (l *Ledger) othersEnded(content Content, s *suspect) bool {
-	own := make(map[Life]struct{}, len(s.ends))
+func (l *Tracker) othersEnded(content Fingerprint, s *suspect) bool {
+	own := make(map[Incarnation]struct{}, len(s.ends))
 	for life := range s.ends {
 		own[life] = struct{}{}
 	}
@@ -72,11 +72,11 @@
 	return false
 }
 
-func (l *Ledger) suspectOf(now time.Duration, content Content) *suspect {
+func (l *Tracker) suspectOf(now time.Duration, content Fingerprint) *suspect {
 	s := l.suspects[content]
 	if s == nil {
 		l.makeRoom()
-		s = &suspect{ends: make(map[Life]bool), touched: now}
+		s = &suspect{ends: make(map[Incarnation]bool), touched: now}
 		l.suspects[content] = s
 	}
 	return s
@@ -84,8 +84,8 @@
 
 // add notes an end, and reports whether that is news. One that was alone takes the place of
 // another where there is no room.
-func (l *Ledger) add(now time.Duration, s *suspect, end End) (news bool) {
-	alone, known := s.ends[end.Life]
+func (l *Tracker) add(now time.Duration, s *suspect, end Crash) (news bool) {
+	alone, known := s.ends[end.ServerIncarnation]
 	if end.Alone && !alone {
 		if s.alones == 0 || now-s.aloneAt > reviewTime {
 			s.alones++
@@ -94,7 +94,7 @@
 	}
 	switch {
 	case known:
-		s.ends[end.Life] = alone || end.Alone
+		s.ends[end.ServerIncarnation] = alone || end.Alone
 		return end.Alone && !alone
 	case len(s.ends) < mostLives:
 	case !end.Alone:
@@ -107,12 +107,12 @@
 			}
 		}
 	}
-	s.ends[end.Life] = end.Alone
-	l.claims[end.Life]++
+	s.ends[end.ServerIncarnation] = end.Alone
+	l.claims[end.ServerIncarnation]++
 	return true
 }
 
-func (l *Ledger) drop(s *suspect, life Life) {
+func (l *Tracker) drop(s *suspect, life Incarnation) {
 	delete(s.ends, life)
 	l.claims[life]--
 	if l.claims[life] == 0 {
@@ -120,7 +120,7 @@
 	}
 }
 
-func (l *Ledger) forget(content Content) {
+func (l *Tracker) forget(content Fingerprint) {
 	s := l.suspects[content]
 	for life := range s.ends {
 		l.drop(s, life)
@@ -130,11 +130,11 @@
 
 // makeRoom forgets the content of which nothing was heard for longest, one that is not
 // quarantined if there is one.
-func (l *Ledger) makeRoom() {
+func (l *Tracker) makeRoom() {
 	if len(l.suspects) < mostContents {
 		return
 	}
-	var oldest Content
+	var oldest Fingerprint
 	var found *suspect
 	for content, s := range l.suspects {
 		if found == nil || s.quarantined != found.quarantined && found.quarantined ||
@@ -146,22 +146,22 @@
 }
 
 // contents lists what is known, in an order that repeats.
-func (l *Ledger) contents() []Content {
-	return slices.SortedFunc(maps.Keys(l.suspects), func(a, b Content) int { return slices.Compare(a[:], b[:]) })
+func (l *Tracker) contents() []Fingerprint {
+	return slices.SortedFunc(maps.Keys(l.suspects), func(a, b Fingerprint) int { return slices.Compare(a[:], b[:]) })
 }
 
 // wideFinding is what all nodes are told.
-func (l *Ledger) wideFinding(content Content, s *suspect) Finding {
+func (l *Tracker) wideFinding(content Fingerprint, s *suspect) Finding {
 	s.told = true
 	finding := l.findingOn(content, s)
 	finding.Wide = true
 	return finding
 }
 
-func (l *Ledger) findingOn(content Content, s *suspect) Finding {
+func (l *Tracker) findingOn(content Fingerprint, s *suspect) Finding {
 	finding := Finding{Content: content, Quarantined: s.quarantined}
 	for _, life := range slices.Sorted(maps.Keys(s.ends)) {
-		finding.Ends = append(finding.Ends, End{Life: life, Alone: s.ends[life]})
+		finding.Crashes = append(finding.Crashes, Crash{ServerIncarnation: life, Alone: s.ends[life]})
 	}
 	return finding
 }
--- a/quarantine/finding.go
+++ b/quarantine/finding.go
@@ -6,17 +6,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Life names one life of a server, from its start to its end.
-type Life uint64
+// Incarnation names one life of a server, from its start to its end.
+type Incarnation uint64
 
-// LifeOf names the life of a server by what tells it from the server's other lives.
-func LifeOf(incarnation string) Life { return Life(xxhash.Sum64String(incarnation)) }
+// IncarnationOf names the life of a server by what tells it from the server's other lives.
+func IncarnationOf(incarnation string) Incarnation {
+	return Incarnation(xxhash.Sum64String(incarnation))
+}
 
 // Finding is what a node tells others of a content.
 type Finding struct {
-	Content Content
-	// Ends are the servers that ended under it, and whether each got it alone.
-	Ends []End
+	Content Fingerprint
+	// Crashes are the servers that ended under it, and whether each got it alone.
+	Crashes []Crash
 	// Answered says that a server has answered it: earlier ends speak against it no more.
 	Answered bool
 	// Quarantined says that the node refuses it.
@@ -27,13 +29,13 @@
 
 // unanswered reports whether the finding is of a fan-out whose outcome is awaited.
 func (f Finding) unanswered() bool {
-	alone := slices.ContainsFunc(f.Ends, func(end End) bool { return end.Alone })
-	return f.Wide && !f.Quarantined && !alone && len(f.Ends) >= endsToQuarantine
+	alone := slices.ContainsFunc(f.Crashes, func(end Crash) bool { return end.Alone })
+	return f.Wide && !f.Quarantined && !alone && len(f.Crashes) >= endsToQuarantine
 }
 
-// End is the end of a server under a content.
-type End struct {
-	Life Life
+// Crash is the end of a server under a content.
+type Crash struct {
+	ServerIncarnation Incarnation
 	// Alone says that the server got the content after an earlier end, with nothing else of
 	// the request in flight.
 	Alone bool
@@ -43,10 +45,10 @@
 type Audience int
 
 const (
-	// Nobody need be told.
-	Nobody Audience = iota
-	// Keepers are the few nodes that bring the findings on a content together.
-	Keepers
-	// Everybody is all nodes.
-	Everybody
+	// AudienceNone need be told.
+	AudienceNone Audience = iota
+	// AudienceAggregators are the few nodes that bring the findings on a content together.
+	AudienceAggregators
+	// AudienceAll is all nodes.
+	AudienceAll
 )
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -8,18 +8,18 @@
 )
 
 func TestContentNamesTheWholeRequest(t *testing.T) {
-	base := quarantine.ContentOf("GET", "h.example", "/a/b?c=1", []byte("body"))
-	if again := quarantine.ContentOf("GET", "h.example", "/a/b?c=1", []byte("body")); again != base {
+	base := quarantine.FingerprintOf("GET", "h.example", "/a/b?c=1", []byte("body"))
+	if again := quarantine.FingerprintOf("GET", "h.example", "/a/b?c=1", []byte("body")); again != base {
 		t.Error("the same request has another content")
 	}
-	others := map[string]quarantine.Content{
-		"method":            quarantine.ContentOf("POST", "h.example", "/a/b?c=1", []byte("body")),
-		"host":              quarantine.ContentOf("GET", "g.example", "/a/b?c=1", []byte("body")),
-		"path":              quarantine.ContentOf("GET", "h.example", "/a/d?c=1", []byte("body")),
-		"query":             quarantine.ContentOf("GET", "h.example", "/a/b?c=2", []byte("body")),
-		"body":              quarantine.ContentOf("GET", "h.example", "/a/b?c=1", []byte("bodies")),
-		"no body":           quarantine.ContentOf("GET", "h.example", "/a/b?c=1", nil),
-		"borders of fields": quarantine.ContentOf("GET", "h.example/", "a/b?c=1", []byte("body")),
+	others := map[string]quarantine.Fingerprint{
+		"method":            quarantine.FingerprintOf("POST", "h.example", "/a/b?c=1", []byte("body")),
+		"host":              quarantine.FingerprintOf("GET", "g.example", "/a/b?c=1", []byte("body")),
+		"path":              quarantine.FingerprintOf("GET", "h.example", "/a/d?c=1", []byte("body")),
+		"query":             quarantine.FingerprintOf("GET", "h.example", "/a/b?c=2", []byte("body")),
+		"body":              quarantine.FingerprintOf("GET", "h.example", "/a/b?c=1", []byte("bodies")),
+		"no body":           quarantine.FingerprintOf("GET", "h.example", "/a/b?c=1", nil),
+		"borders of fields": quarantine.FingerprintOf("GET", "h.example/", "a/b?c=1", []byte("body")),
 	}
 	for what, other := range others {
 		if other == base {
@@ -29,12 +29,12 @@
 }
 
 func TestContentIsReadAsWritten(t *testing.T) {
-	content := quarantine.ContentOf("GET", "h.example", "/", nil)
-	if read, err := quarantine.ParseContent(content.String()); err != nil || read != content {
+	content := quarantine.FingerprintOf("GET", "h.example", "/", nil)
+	if read, err := quarantine.ParseFingerprint(content.String()); err != nil || read != content {
 		t.Errorf("read %v, %v; want %v", read, err, content)
 	}
 	for _, text := range []string{"", "zz", content.String()[2:], content.String() + "00"} {
-		if _, err := quarantine.ParseContent(text); !errors.Is(err, quarantine.ErrContent) {
+		if _, err := quarantine.ParseFingerprint(text); !errors.Is(err, quarantine.ErrInvalidFingerprint) {
 			t.Errorf("%q: %v, want ErrContent", text, err)
 		}
 	}
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -27,12 +27,12 @@
 	mostLives = 8
 )
 
-// Standing is how a content may be sent.
-type Standing int
+// Status is how a content may be sent.
+type Status int
 
 const (
 	// Clear contents are sent as usual.
-	Clear Standing = iota
+	Clear Status = iota
 	// Suspected contents are sent to one server at a time.
 	Suspected
 	// UnderReview contents are not sent until the review is over.
@@ -41,14 +41,14 @@
 	Quarantined
 )
 
-// Ledger keeps what is known of contents. It is not safe for concurrent use. Times are
+// Tracker keeps what is known of contents. It is not safe for concurrent use. Times are
 // durations since an epoch of the owner's choice and never decrease.
-type Ledger struct {
-	suspects map[Content]*suspect
+type Tracker struct {
+	suspects map[Fingerprint]*suspect
 	// claims counts the contents under which a life ended.
-	claims map[Life]int
+	claims map[Incarnation]int
 	// recorded are the contents that the registry says are quarantined.
-	recorded map[Content]struct{}
+	recorded map[Fingerprint]struct{}
 	// recent are the ends of late, under whatever content, in order.
 	recent []recentEnd
 }
@@ -56,13 +56,13 @@
 // recentEnd is the end of a server under a content, as it was seen or heard of.
 type recentEnd struct {
 	at      time.Duration
-	life    Life
-	content Content
+	life    Incarnation
+	content Fingerprint
 }
 
 // suspect is what is known of one content.
 type suspect struct {
-	ends map[Life]bool // whether it was alone
+	ends map[Incarnation]bool // whether it was alone
 	// touched is when it was last evidence, or came while it was quarantined.
 	touched time.Duration
 	// aloneAt is when a server that got it alone was last seen or heard to have ended, and
@@ -84,20 +84,20 @@
 	witnessed bool
 }
 
-// NewLedger returns a ledger that knows nothing.
-func NewLedger() *Ledger {
-	return &Ledger{
-		suspects: make(map[Content]*suspect),
-		claims:   make(map[Life]int),
-		recorded: make(map[Content]struct{}),
+// NewTracker returns a ledger that knows nothing.
+func NewTracker() *Tracker {
+	return &Tracker{
+		suspects: make(map[Fingerprint]*suspect),
+		claims:   make(map[Incarnation]int),
+		recorded: make(map[Fingerprint]struct{}),
 	}
 }
 
-// Empty reports whether nothing is known of any content.
-func (l *Ledger) Empty() bool { return len(l.suspects) == 0 && len(l.recorded) == 0 }
+// IsEmpty reports whether nothing is known of any content.
+func (l *Tracker) IsEmpty() bool { return len(l.suspects) == 0 && len(l.recorded) == 0 }
 
-// Quarantines is the number of contents that are refused.
-func (l *Ledger) Quarantines() int {
+// QuarantineCount is the number of contents that are refused.
+func (l *Tracker) QuarantineCount() int {
 	count := len(l.recorded)
 	for content, s := range l.suspects {
 		if _, recorded := l.recorded[content]; s.quarantined && !recorded {
@@ -107,11 +107,11 @@
 	return count
 }
 
-// Suspects is the number of contents of which something is known.
-func (l *Ledger) Suspects() int { return len(l.suspects) }
+// SuspectCount is the number of contents of which something is known.
+func (l *Tracker) SuspectCount() int { return len(l.suspects) }
 
-// Ended notes that a server ended while it ran a content, which it got alone or not.
-func (l *Ledger) Ended(now time.Duration, content Content, end End) (Finding, Audience) {
+// ServerCrashed notes that a server ended while it ran a content, which it got alone or not.
+func (l *Tracker) ServerCrashed(now time.Duration, content Fingerprint, end Crash) (Finding, Audience) {
 	s := l.suspectOf(now, content)
 	before := len(s.ends)
 	l.note(now, content, end)
@@ -121,71 +121,71 @@
 	}
 	switch {
 	case len(s.ends) == before && !end.Alone:
-		return Finding{}, Nobody // known, or more than need be
+		return Finding{}, AudienceNone // known, or more than need be
 	case end.Alone:
-		return l.wideFinding(content, s), Everybody
+		return l.wideFinding(content, s), AudienceAll
 	case before == 0:
-		return l.findingOn(content, s), Keepers
+		return l.findingOn(content, s), AudienceAggregators
 	default:
-		return Finding{}, Nobody
+		return Finding{}, AudienceNone
 	}
 }
 
-// Unanswered tells all nodes of a content that was sent to several servers at once, of which some
+// AwaitFanOut tells all nodes of a content that was sent to several servers at once, of which some
 // have ended, one after the other, and none has answered yet. It is under review until the others
 // have answered or ended.
-func (l *Ledger) Unanswered(now time.Duration, content Content) (Finding, Audience) {
+func (l *Tracker) AwaitFanOut(now time.Duration, content Fingerprint) (Finding, Audience) {
 	s := l.suspects[content]
 	if s == nil || s.told {
-		return Finding{}, Nobody
+		return Finding{}, AudienceNone
 	}
 	s.awaitedUntil = now + outcomeTime
-	return l.wideFinding(content, s), Everybody
+	return l.wideFinding(content, s), AudienceAll
 }
 
 // CrashedAllServers notes that all servers have ended to which a content was sent at once, one after the
 // other: that is proof as if one had got it alone.
-func (l *Ledger) CrashedAllServers(now time.Duration, content Content) (Finding, Audience) {
+func (l *Tracker) CrashedAllServers(now time.Duration, content Fingerprint) (Finding, Audience) {
 	s := l.suspects[content]
 	if s == nil || s.quarantined || s.endedAll {
-		return Finding{}, Nobody
+		return Finding{}, AudienceNone
 	}
 	s.endedAll, s.witnessed, s.aloneAt, s.void = true, true, now, false
 	l.consider(now, s)
-	return l.wideFinding(content, s), Everybody
+	return l.wideFinding(content, s), AudienceAll
 }
 
 // Answered notes that a server ran a content and answered. What is quarantined stays so: the
 // answer may be older than the ends.
-func (l *Ledger) Answered(content Content) (Finding, Audience) {
+func (l *Tracker) Answered(content Fingerprint) (Finding, Audience) {
 	s := l.suspects[content]
 	if s == nil || s.quarantined {
-		return Finding{}, Nobody
+		return Finding{}, AudienceNone
 	}
 	told := s.told
 	l.forget(content)
 	if told {
-		return Finding{Content: content, Answered: true, Wide: true}, Everybody
+		return Finding{Content: content, Answered: true, Wide: true}, AudienceAll
 	}
-	return Finding{Content: content, Answered: true}, Keepers
+	return Finding{Content: content, Answered: true}, AudienceAggregators
 }
 
-// Heard takes another node's finding. It returns what all nodes are to be told of it where
+// MergeFinding takes another node's finding. It returns what all nodes are to be told of it where
 // that follows only from several nodes' findings together.
-func (l *Ledger) Heard(now time.Duration, finding Finding) (Finding, Audience) {
+func (l *Tracker) MergeFinding(now time.Duration, finding Finding) (Finding, Audience) {
 	if finding.Answered {
 		if s := l.suspects[finding.Content]; s != nil && !s.quarantined {
 			l.forget(finding.Content)
 		}
-		return Finding{}, Nobody
+		return Finding{}, AudienceNone
 	}
-	if len(finding.Ends) == 0 && !finding.Quarantined {
-		return Finding{}, Nobody
+	if len(finding.Crashes) == 0 && !finding.Quarantined {
+		return Finding{}, AudienceNone
 	}
 	s := l.suspectOf(now, finding.Content)
 	before, changed := len(s.ends), false
-	for _, end := range finding.Ends[:min(len(finding.Ends), mostLives)] {
-		if _, known := s.ends[end.Life]; !known {
+	for _, end := range finding.Crashes[:min(len(finding.Crashes), mostLives)] {
+		if _, known := s.ends[end.ServerIncarnation]; !known {
 			l.note(now, finding.Content, end)
 		}
 		changed = l.add(now, s, end) || changed
@@ -199,16 +199,16 @@
 		l.consider(now, s)
 	}
 	if s.told || before == 0 || len(s.ends) == before {
-		return Finding{}, Nobody
+		return Finding{}, AudienceNone
 	}
-	return l.wideFinding(finding.Content, s), Everybody
+	return l.wideFinding(finding.Content, s), AudienceAll
 }
 
-// SetRecorded takes all contents that the registry says are quarantined. One that it says so
+// SetRecordedQuarantines takes all contents that the registry says are quarantined. One that it says so
 // of no longer is suspected: it is tried alone once.
-func (l *Ledger) SetRecorded(now time.Duration, recorded []Content) {
+func (l *Tracker) SetRecordedQuarantines(now time.Duration, recorded []Fingerprint) {
 	before := l.recorded
-	l.recorded = make(map[Content]struct{}, len(recorded))
+	l.recorded = make(map[Fingerprint]struct{}, len(recorded))
 	for _, content := range recorded {
 		l.recorded[content] = struct{}{}
 	}
@@ -219,14 +219,14 @@
 		s := l.suspectOf(now, content)
 		s.quarantined, s.reviewUntil = false, 0
 		s.witnessed, s.endedAll, s.alones, s.void = false, false, 0, true
-		for unknown := Life(0); len(s.ends) < endsToQuarantine-1; unknown++ {
-			l.add(now, s, End{Life: math.MaxUint64 - unknown}) // stands for an end that led to the record
+		for unknown := Incarnation(0); len(s.ends) < endsToQuarantine-1; unknown++ {
+			l.add(now, s, Crash{ServerIncarnation: math.MaxUint64 - unknown}) // stands for an end that led to the record
 		}
 	}
 }
 
-// Standing tells how a content that has come may be sent, and for how long a review lasts yet.
-func (l *Ledger) Standing(now time.Duration, content Content) (standing Standing, left time.Duration) {
+// Status tells how a content that has come may be sent, and for how long a review lasts yet.
+func (l *Tracker) Status(now time.Duration, content Fingerprint) (standing Status, left time.Duration) {
 	if _, recorded := l.recorded[content]; recorded {
 		return Quarantined, 0
 	}
@@ -244,8 +244,8 @@
 	}
 }
 
-// Proven reports whether the evidence against a content suffices, also while it is reviewed.
-func (l *Ledger) Proven(content Content) bool {
+// IsProven reports whether the evidence against a content suffices, also while it is reviewed.
+func (l *Tracker) IsProven(content Fingerprint) bool {
 	_, recorded := l.recorded[content]
 	s := l.suspects[content]
 	return recorded || s != nil && (s.quarantined || s.reviewUntil > 0)
@@ -253,7 +253,7 @@
 
 // Tick ends the reviews that are over by now, forgets what is old, and returns what all nodes
 // are to be told of the contents that this node has quarantined by that.
-func (l *Ledger) Tick(now time.Duration) (quarantined []Finding) {
+func (l *Tracker) Tick(now time.Duration) (quarantined []Finding) {
 	for _, content := range l.contents() {
 		s := l.suspects[content]
 		switch {
@@ -274,8 +274,8 @@
 	return quarantined
 }
 
-// Next is when Tick is to be called; ok is false when nothing is awaited.
-func (l *Ledger) Next() (at time.Duration, ok bool) {
+// NextTick is when Tick is to be called; ok is false when nothing is awaited.
+func (l *Tracker) NextTick() (at time.Duration, ok bool) {
 	for _, s := range l.suspects {
 		due := s.touched + memory
 		if s.reviewUntil > 0 {
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -12,43 +12,45 @@
 	"github.com/banksail/banksail/quarantine"
 )
 
-func contentOf(number int) quarantine.Content {
-	return quarantine.ContentOf("GET", "h.example", fmt.Sprintf("/%d", number), nil)
+func contentOf(number int) quarantine.Fingerprint {
+	return quarantine.FingerprintOf("GET", "h.example", fmt.Sprintf("/%d", number), nil)
 }
 
 const review = 100 * time.Millisecond
 
-func wantStanding(t *testing.T, l *quarantine.Ledger, now time.Duration, content quarantine.Content, want quarantine.Standing) {
+func wantStanding(t *testing.T, l *quarantine.Tracker, now time.Duration, content quarantine.Fingerprint, want quarantine.Status) {
 	t.Helper()
-	if got, _ := l.Standing(now, content); got != want {
+	if got, _ := l.Status(now, content); got != want {
 		t.Errorf("at %s: standing %d, want %d", now, got, want)
 	}
 }
 
-func life(number int) quarantine.End { return quarantine.End{Life: quarantine.Life(number)} }
+func life(number int) quarantine.Crash {
+	return quarantine.Crash{ServerIncarnation: quarantine.Incarnation(number)}
+}
 
-func alone(number int) quarantine.End {
-	return quarantine.End{Life: quarantine.Life(number), Alone: true}
+func alone(number int) quarantine.Crash {
+	return quarantine.Crash{ServerIncarnation: quarantine.Incarnation(number), Alone: true}
 }
 
 // A fan-out ends one server of each shard at once, and one that gets it alone.
 func TestThreeEndsOfWhichOneAloneQuarantine(t *testing.T) {
-	l, deadly := quarantine.NewLedger(), contentOf(1)
-	if _, audience := l.Ended(0, deadly, life(11)); audience != quarantine.Keepers {
+	l, deadly := quarantine.NewTracker(), contentOf(1)
+	if _, audience := l.ServerCrashed(0, deadly, life(11)); audience != quarantine.AudienceAggregators {
 		t.Errorf("the first end is told to %d", audience)
 	}
 	for server := 12; server < 31; server++ {
-		if _, audience := l.Ended(0, deadly, life(server)); audience != quarantine.Nobody {
+		if _, audience := l.ServerCrashed(0, deadly, life(server)); audience != quarantine.AudienceNone {
 			t.Errorf("end %d of the same fan-out is told to %d", server, audience)
 		}
 	}
 	wantStanding(t, l, 0, deadly, quarantine.Suspected)
-	finding, audience := l.Ended(10*time.Millisecond, deadly, alone(40))
-	if audience != quarantine.Everybody || !finding.Wide {
+	finding, audience := l.ServerCrashed(10*time.Millisecond, deadly, alone(40))
+	if audience != quarantine.AudienceAll || !finding.Wide {
 		t.Errorf("an end alone is told to %d, wide %v", audience, finding.Wide)
 	}
 	wantStanding(t, l, 10*time.Millisecond, deadly, quarantine.UnderReview)
-	if at, ok := l.Next(); !ok || at != 10*time.Millisecond+review {
+	if at, ok := l.NextTick(); !ok || at != 10*time.Millisecond+review {
 		t.Errorf("the review ends at %s, %v", at, ok)
 	}
 	if told := l.Tick(10*time.Millisecond + review); len(told) != 1 || !told[0].Quarantined {
@@ -61,16 +63,16 @@
 // Servers that end at the same moment, whatever ran there, quarantine nothing: an answer of
 // the next server clears it.
 func TestAnAnswerClears(t *testing.T) {
-	l, innocent := quarantine.NewLedger(), contentOf(1)
+	l, innocent := quarantine.NewTracker(), contentOf(1)
 	for server := range 20 {
-		l.Ended(0, innocent, life(server))
+		l.ServerCrashed(0, innocent, life(server))
 	}
 	wantStanding(t, l, 0, innocent, quarantine.Suspected)
-	if finding, audience := l.Answered(innocent); audience != quarantine.Keepers || !finding.Answered {
+	if finding, audience := l.Answered(innocent); audience != quarantine.AudienceAggregators || !finding.Answered {
 		t.Errorf("told to %d: %+v", audience, finding)
 	}
 	wantStanding(t, l, 0, innocent, quarantine.Clear)
-	if !l.Empty() {
+	if !l.IsEmpty() {
 		t.Error("something is kept of what was cleared")
 	}
 }
@@ -78,20 +80,20 @@
 // What runs beside a request that ends a server ends with it, and may look for the next
 // server at the same moment as that request.
 func TestAnEndThatTwoContentsClaimSpeaksAgainstNeither(t *testing.T) {
-	l, deadly, innocent := quarantine.NewLedger(), contentOf(1), contentOf(2)
+	l, deadly, innocent := quarantine.NewTracker(), contentOf(1), contentOf(2)
 	for server := range 3 {
-		l.Ended(0, deadly, life(server))
-		l.Ended(0, innocent, life(server))
+		l.ServerCrashed(0, deadly, life(server))
+		l.ServerCrashed(0, innocent, life(server))
 	}
-	l.Ended(0, innocent, alone(3))
+	l.ServerCrashed(0, innocent, alone(3))
 	wantStanding(t, l, 0, innocent, quarantine.UnderReview)
-	l.Heard(2*time.Millisecond, quarantine.Finding{Content: deadly, Ends: []quarantine.End{alone(3)}}) // of another node
+	l.MergeFinding(2*time.Millisecond, quarantine.Finding{Content: deadly, Crashes: []quarantine.Crash{alone(3)}}) // of another node
 	if told := l.Tick(review); len(told) != 0 {
 		t.Errorf("quarantined: %+v", told)
 	}
 	wantStanding(t, l, review, innocent, quarantine.Suspected)
 	l.Answered(innocent)
-	l.Ended(review, deadly, alone(4))
+	l.ServerCrashed(review, deadly, alone(4))
 	if told := l.Tick(2 * review); len(told) != 1 || told[0].Content != deadly {
 		t.Errorf("told: %+v", told)
 	}
@@ -100,48 +102,48 @@
 // Each of three nodes loses one server to a request that must not be repeated. The keeper
 // that hears of the second tells all; the third gets it alone.
 func TestKeepersBringFindingsTogether(t *testing.T) {
-	keeper, third, deadly := quarantine.NewLedger(), quarantine.NewLedger(), contentOf(1)
+	keeper, third, deadly := quarantine.NewTracker(), quarantine.NewTracker(), contentOf(1)
 	for node := range 2 {
-		finding, audience := quarantine.NewLedger().Ended(0, deadly, life(node))
-		if audience != quarantine.Keepers {
+		finding, audience := quarantine.NewTracker().ServerCrashed(0, deadly, life(node))
+		if audience != quarantine.AudienceAggregators {
 			t.Errorf("told to %d", audience)
 		}
-		told, audience := keeper.Heard(0, finding)
-		if second := node == 1; second != (audience == quarantine.Everybody) {
+		told, audience := keeper.MergeFinding(0, finding)
+		if second := node == 1; second != (audience == quarantine.AudienceAll) {
 			t.Errorf("after %d findings the keeper tells %d", node+1, audience)
 		}
-		if audience == quarantine.Everybody {
-			if _, again := third.Heard(0, told); again != quarantine.Nobody {
+		if audience == quarantine.AudienceAll {
+			if _, again := third.MergeFinding(0, told); again != quarantine.AudienceNone {
 				t.Errorf("what all were told is told again, to %d", again)
 			}
 		}
 	}
 	wantStanding(t, third, 0, deadly, quarantine.Suspected)
-	third.Ended(0, deadly, alone(2))
+	third.ServerCrashed(0, deadly, alone(2))
 	if told := third.Tick(review); len(told) != 1 {
 		t.Errorf("not quarantined after three ends: %+v", told)
 	}
 }
 
 func TestRecordsHoldAndLeaveASuspicion(t *testing.T) {
-	l, deadly := quarantine.NewLedger(), contentOf(1)
-	l.SetRecorded(0, []quarantine.Content{deadly})
+	l, deadly := quarantine.NewTracker(), contentOf(1)
+	l.SetRecordedQuarantines(0, []quarantine.Fingerprint{deadly})
 	wantStanding(t, l, time.Hour, deadly, quarantine.Quarantined)
-	l.SetRecorded(time.Hour, nil)
+	l.SetRecordedQuarantines(time.Hour, nil)
 	wantStanding(t, l, time.Hour, deadly, quarantine.Suspected)
-	l.Ended(time.Hour, deadly, alone(1))
+	l.ServerCrashed(time.Hour, deadly, alone(1))
 	l.Tick(time.Hour + review)
 	wantStanding(t, l, time.Hour+review, deadly, quarantine.Quarantined)
-	l.SetRecorded(time.Hour+review, []quarantine.Content{deadly})
-	l.SetRecorded(time.Hour+2*review, nil)
+	l.SetRecordedQuarantines(time.Hour+review, []quarantine.Fingerprint{deadly})
+	l.SetRecordedQuarantines(time.Hour+2*review, nil)
 	l.Answered(deadly)
 	wantStanding(t, l, time.Hour+2*review, deadly, quarantine.Clear)
 }
 
 func TestSuspicionsAndQuarantinesAreForgotten(t *testing.T) {
-	l := quarantine.NewLedger()
-	l.Ended(0, contentOf(1), life(1))
-	l.Heard(0, quarantine.Finding{Content: contentOf(2), Quarantined: true})
+	l := quarantine.NewTracker()
+	l.ServerCrashed(0, contentOf(1), life(1))
+	l.MergeFinding(0, quarantine.Finding{Content: contentOf(2), Quarantined: true})
 	wantStanding(t, l, 9*time.Minute, contentOf(2), quarantine.Quarantined) // it came again
 	l.Tick(10 * time.Minute)
 	wantStanding(t, l, 10*time.Minute, contentOf(1), quarantine.Clear)
@@ -149,13 +151,13 @@
 }
 
 func TestAFloodOfContentsKeepsQuarantines(t *testing.T) {
-	l, deadly := quarantine.NewLedger(), contentOf(-1)
-	l.Heard(0, quarantine.Finding{Content: deadly, Quarantined: true})
+	l, deadly := quarantine.NewTracker(), contentOf(-1)
+	l.MergeFinding(0, quarantine.Finding{Content: deadly, Quarantined: true})
 	for number := range 5000 {
-		l.Ended(time.Duration(number), contentOf(number), life(number))
+		l.ServerCrashed(time.Duration(number), contentOf(number), life(number))
 	}
-	if l.Suspects() > 1024 {
-		t.Errorf("%d contents are kept", l.Suspects())
+	if l.SuspectCount() > 1024 {
+		t.Errorf("%d contents are kept", l.SuspectCount())
 	}
 	wantStanding(t, l, 5000, deadly, quarantine.Quarantined)
 }
@@ -170,7 +172,7 @@
 	parameters.Rng.Seed(7)
 	properties := gopter.NewProperties(parameters)
 	properties.Property("proof", prop.ForAll(func(draws []uint32) string {
-		l := quarantine.NewLedger()
+		l := quarantine.NewTracker()
 		ends := make(map[int]map[int]bool) // of each content, what was alone
 		moments, lastAlone := make(map[int]int), make(map[int]time.Duration)
 		now := time.Duration(0)
@@ -179,7 +181,7 @@
 			content, server, what := int(draw%contents), int(draw>>4%lives), draw>>8%8
 			if what == 0 {
 				l.Answered(contentOf(content))
-				if standing, _ := l.Standing(now, contentOf(content)); standing != quarantine.Quarantined {
+				if standing, _ := l.Status(now, contentOf(content)); standing != quarantine.Quarantined {
 					delete(ends, content)
 					delete(moments, content)
 					delete(lastAlone, content)
@@ -188,7 +190,7 @@
 				if ends[content] == nil {
 					ends[content] = make(map[int]bool)
 				}
-				end := quarantine.End{Life: quarantine.Life(server + 1), Alone: what > 5}
+				end := quarantine.Crash{ServerIncarnation: quarantine.Incarnation(server + 1), Alone: what > 5}
 				news := end.Alone && !ends[content][server]
 				ends[content][server] = ends[content][server] || end.Alone
 				if at, was := lastAlone[content]; news && (!was || now-at > review) {
@@ -198,9 +200,9 @@
 					lastAlone[content] = now
 				}
 				if what%2 == 0 {
-					l.Ended(now, contentOf(content), end)
+					l.ServerCrashed(now, contentOf(content), end)
 				} else {
-					l.Heard(now, quarantine.Finding{Content: contentOf(content), Ends: []quarantine.End{end}})
+					l.MergeFinding(now, quarantine.Finding{Content: contentOf(content), Crashes: []quarantine.Crash{end}})
 				}
 			}
 			for _, told := range l.Tick(now) {
@@ -217,14 +219,14 @@
 // Where other servers end at the same moment, the end of one alone proves nothing; the second
 // one, at another moment, does.
 func TestEndsBesideOthersProveLess(t *testing.T) {
-	l, deadly := quarantine.NewLedger(), contentOf(1)
+	l, deadly := quarantine.NewTracker(), contentOf(1)
 	now := time.Duration(0)
 	for round := range 2 {
 		for server := range 3 {
-			l.Ended(now, deadly, life(10*round+server))
+			l.ServerCrashed(now, deadly, life(10*round+server))
 		}
-		l.Ended(now, contentOf(2+round), life(100+round)) // a server that did not run it
-		l.Ended(now, deadly, alone(10*round+5))
+		l.ServerCrashed(now, contentOf(2+round), life(100+round)) // a server that did not run it
+		l.ServerCrashed(now, deadly, alone(10*round+5))
 		wantStanding(t, l, now, deadly, quarantine.UnderReview)
 		now += review
 		told := l.Tick(now)
@@ -236,7 +238,7 @@
 }
 
 // unproven tells what proof is missing for a quarantine.
-func unproven(ends map[int]map[int]bool, moments map[int]int, quarantined quarantine.Content) string {
+func unproven(ends map[int]map[int]bool, moments map[int]int, quarantined quarantine.Fingerprint) string {
 	for content, own := range ends {
 		if contentOf(content) != quarantined {
 			continue
@@ -262,12 +264,12 @@
 const outcome = 250 * time.Millisecond
 
 // unanswered is a ledger that has seen three servers of a fan-out end.
-func unanswered(deadly quarantine.Content) (*quarantine.Ledger, quarantine.Finding) {
-	l := quarantine.NewLedger()
+func unanswered(deadly quarantine.Fingerprint) (*quarantine.Tracker, quarantine.Finding) {
+	l := quarantine.NewTracker()
 	for server := range 3 {
-		l.Ended(0, deadly, life(10+server))
+		l.ServerCrashed(0, deadly, life(10+server))
 	}
-	finding, _ := l.Unanswered(0, deadly)
+	finding, _ := l.AwaitFanOut(0, deadly)
 	return l, finding
 }
 
@@ -276,26 +278,26 @@
 func TestTheOutcomeOfAFanOutIsAwaited(t *testing.T) {
 	deadly := contentOf(1)
 	l, finding := unanswered(deadly)
-	if !finding.Wide || len(finding.Ends) != 3 {
+	if !finding.Wide || len(finding.Crashes) != 3 {
 		t.Fatalf("told %+v", finding)
 	}
-	if _, audience := l.Unanswered(0, deadly); audience != quarantine.Nobody {
+	if _, audience := l.AwaitFanOut(0, deadly); audience != quarantine.AudienceNone {
 		t.Error("it is told twice")
 	}
-	other := quarantine.NewLedger()
-	other.Heard(time.Millisecond, finding)
-	other.Heard(2*time.Millisecond, finding) // it is told several times
-	for _, one := range []*quarantine.Ledger{l, other} {
+	other := quarantine.NewTracker()
+	other.MergeFinding(time.Millisecond, finding)
+	other.MergeFinding(2*time.Millisecond, finding) // it is told several times
+	for _, one := range []*quarantine.Tracker{l, other} {
 		wantStanding(t, one, outcome-time.Millisecond, deadly, quarantine.UnderReview)
 		one.Tick(outcome + 2*time.Millisecond)
 		wantStanding(t, one, outcome+2*time.Millisecond, deadly, quarantine.Suspected)
 	}
 	answered, audience := l.Answered(deadly)
-	if audience != quarantine.Everybody {
+	if audience != quarantine.AudienceAll {
 		t.Errorf("the answer is told to %d", audience)
 	}
-	other.Heard(outcome, answered)
-	for _, one := range []*quarantine.Ledger{l, other} {
+	other.MergeFinding(outcome, answered)
+	for _, one := range []*quarantine.Tracker{l, other} {
 		wantStanding(t, one, outcome+2*time.Millisecond, deadly, quarantine.Clear)
 	}
 }
@@ -307,13 +309,13 @@
 			deadly := contentOf(1)
 			l, _ := unanswered(deadly)
 			if beside {
-				l.Ended(50*time.Millisecond, contentOf(2), life(70))
+				l.ServerCrashed(50*time.Millisecond, contentOf(2), life(70))
 			}
 			const ended = 100 * time.Millisecond
-			if _, audience := l.CrashedAllServers(ended, deadly); audience != quarantine.Everybody {
+			if _, audience := l.CrashedAllServers(ended, deadly); audience != quarantine.AudienceAll {
 				t.Errorf("told to %d", audience)
 			}
-			if !l.Proven(deadly) {
+			if !l.IsProven(deadly) {
 				t.Error("it is not reviewed")
 			}
 			if told := l.Tick(ended + review); (len(told) == 1) == beside {
--- a/retry/deduplicator.go
+++ b/retry/deduplicator.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// GuardOptions sets up a Guard. The zero value of a field stands for its default.
-type GuardOptions struct {
+// DeduplicatorOptions sets up a Guard. The zero value of a field stands for its default.
+type DeduplicatorOptions struct {
 	// Window is how long an ended request is remembered; default ten minutes.
 	Window time.Duration
-	// Maximum is the number of requests that are remembered; default 100,000.
-	Maximum int
+	// MaxEntries is the number of requests that are remembered; default 100,000.
+	MaxEntries int
 }
 
-// Defaults of GuardOptions.
+// Defaults of DeduplicatorOptions.
 const (
-	DefaultGuardWindow  = 10 * time.Minute
-	DefaultGuardMaximum = 100_000
+	DefaultDeduplicationWindow = 10 * time.Minute
+	DefaultMaxEntries          = 100_000
 )
 
 // Digest tells whether two requests are the same; callers hash all that decides
@@ -27,12 +27,12 @@
 type Verdict int
 
 const (
-	// New requests may run; the caller must call Complete or Abandon later.
-	New Verdict = iota + 1
+	// Accepted requests may run; the caller must call Complete or Abandon later.
+	Accepted Verdict = iota + 1
 	// InProgress requests run already.
 	InProgress
-	// Recorded requests ran; the outcome is given.
-	Recorded
+	// Completed requests ran; the outcome is given.
+	Completed
 	// Conflict means that the ID was used for a request with another digest.
 	Conflict
 	// Full means that the guard remembers as many requests as it may. The
@@ -40,10 +40,10 @@
 	Full
 )
 
-// Guard lets each request ID run at most once within a window. It lives in
+// Deduplicator lets each request ID run at most once within a window. It lives in
 // memory only: what a restart of the process does to it is up to its owner.
-type Guard struct {
-	options GuardOptions
+type Deduplicator struct {
+	options DeduplicatorOptions
 	entries map[string]*guarded
 	// ended lists the ended requests, the first to expire at the front.
 	ended list.List
@@ -58,45 +58,45 @@
 	element *list.Element
 }
 
-// NewGuard returns an empty Guard.
-func NewGuard(options GuardOptions) *Guard {
+// NewDeduplicator returns an empty Guard.
+func NewDeduplicator(options DeduplicatorOptions) *Deduplicator {
 	if options.Window <= 0 {
-		options.Window = DefaultGuardWindow
+		options.Window = DefaultDeduplicationWindow
 	}
-	if options.Maximum <= 0 {
-		options.Maximum = DefaultGuardMaximum
+	if options.MaxEntries <= 0 {
+		options.MaxEntries = DefaultMaxEntries
 	}
-	return &Guard{options: options, entries: make(map[string]*guarded)}
+	return &Deduplicator{options: options, entries: make(map[string]*guarded)}
 }
 
 // Begin asks whether the request may run. For Recorded it returns the outcome.
-func (g *Guard) Begin(now time.Duration, id string, digest Digest) (Verdict, any) {
+func (g *Deduplicator) Begin(now time.Duration, id string, digest Digest) (Verdict, any) {
 	g.Expire(now)
 	known := g.entries[id]
 	switch {
-	case known == nil && len(g.entries) >= g.options.Maximum:
+	case known == nil && len(g.entries) >= g.options.MaxEntries:
 		return Full, nil
 	case known == nil:
 		g.entries[id] = &guarded{id: id, digest: digest}
-		return New, nil
+		return Accepted, nil
 	case known.digest != digest:
 		return Conflict, nil
 	case known.done:
-		return Recorded, known.outcome
+		return Completed, known.outcome
 	default:
 		return InProgress, nil
 	}
 }
 
-// Knows reports whether the request is in progress or ended within the window.
-func (g *Guard) Knows(now time.Duration, id string) bool {
+// Contains reports whether the request is in progress or ended within the window.
+func (g *Deduplicator) Contains(now time.Duration, id string) bool {
 	g.Expire(now)
 	return g.entries[id] != nil
 }
 
 // Complete records the outcome of a request that ran or may have run. It is
 // remembered for the window from now on.
-func (g *Guard) Complete(now time.Duration, id string, outcome any) {
+func (g *Deduplicator) Complete(now time.Duration, id string, outcome any) {
 	known := g.entries[id]
 	if known == nil || known.done {
 		return
@@ -109,7 +109,7 @@
 
 // Abandon forgets a request in progress that certainly did not run, so that the
 // caller may try it again. It has no effect on an ended request.
-func (g *Guard) Abandon(id string) {
+func (g *Deduplicator) Abandon(id string) {
 	if known := g.entries[id]; known != nil && !known.done {
 		delete(g.entries, id)
 	}
@@ -117,7 +117,7 @@
 
 // Expire forgets the ended requests whose window has passed. Requests in
 // progress are never forgotten.
-func (g *Guard) Expire(now time.Duration) {
+func (g *Deduplicator) Expire(now time.Duration) {
 	for front := g.ended.Front(); front != nil; front = g.ended.Front() {
 		oldest := front.Value.(*guarded)
 		if oldest.expires > now {
@@ -129,11 +129,11 @@
 }
 
 // Len is the number of requests remembered.
-func (g *Guard) Len() int { return len(g.entries) }
+func (g *Deduplicator) Len() int { return len(g.entries) }
 
 // RetryAfter is when a request that met a full guard may come back: once the
 // oldest ended request expires, or the window when none has ended.
-func (g *Guard) RetryAfter(now time.Duration) time.Duration {
+func (g *Deduplicator) RetryAfter(now time.Duration) time.Duration {
 	front := g.ended.Front()
 	if front == nil {
 		return g.options.Window
--- a/retry/deduplicator_test.go
+++ b/retry/deduplicator_test.go
@@ -14,57 +14,57 @@
 
 func TestGuard(t *testing.T) {
 	one, other := retry.Digest{1}, retry.Digest{2}
-	options := retry.GuardOptions{Window: time.Minute, Maximum: 2}
+	options := retry.DeduplicatorOptions{Window: time.Minute, MaxEntries: 2}
 	type step struct {
 		name    string
 		at      time.Duration
-		do      func(g *retry.Guard, now time.Duration)
+		do      func(g *retry.Deduplicator, now time.Duration)
 		id      string
 		digest  retry.Digest
 		want    retry.Verdict
 		outcome any
 	}
-	complete := func(id string) func(*retry.Guard, time.Duration) {
-		return func(g *retry.Guard, now time.Duration) { g.Complete(now, id, "ran") }
+	complete := func(id string) func(*retry.Deduplicator, time.Duration) {
+		return func(g *retry.Deduplicator, now time.Duration) { g.Complete(now, id, "ran") }
 	}
-	abandon := func(id string) func(*retry.Guard, time.Duration) {
-		return func(g *retry.Guard, _ time.Duration) { g.Abandon(id) }
+	abandon := func(id string) func(*retry.Deduplicator, time.Duration) {
+		return func(g *retry.Deduplicator, _ time.Duration) { g.Abandon(id) }
 	}
 	tests := []struct {
 		name  string
 		steps []step
 	}{
 		{"recorded outcome", []step{
-			{name: "first", id: "a", digest: one, want: retry.New},
+			{name: "first", id: "a", digest: one, want: retry.Accepted},
 			{name: "while it runs", id: "a", digest: one, want: retry.InProgress},
 			{name: "another body while it runs", id: "a", digest: other, want: retry.Conflict},
-			{name: "after it ended", do: complete("a"), id: "a", digest: one, want: retry.Recorded, outcome: "ran"},
+			{name: "after it ended", do: complete("a"), id: "a", digest: one, want: retry.Completed, outcome: "ran"},
 			{name: "another body after it ended", id: "a", digest: other, want: retry.Conflict},
-			{name: "at the end of the window", at: time.Minute - 1, id: "a", digest: one, want: retry.Recorded, outcome: "ran"},
-			{name: "after the window", at: time.Minute, id: "a", digest: other, want: retry.New},
+			{name: "at the end of the window", at: time.Minute - 1, id: "a", digest: one, want: retry.Completed, outcome: "ran"},
+			{name: "after the window", at: time.Minute, id: "a", digest: other, want: retry.Accepted},
 		}},
 		{"not run", []step{
-			{name: "first", id: "a", digest: one, want: retry.New},
-			{name: "abandoned", do: abandon("a"), id: "a", digest: other, want: retry.New},
+			{name: "first", id: "a", digest: one, want: retry.Accepted},
+			{name: "abandoned", do: abandon("a"), id: "a", digest: other, want: retry.Accepted},
 		}},
 		{"an ended request can't be abandoned", []step{
-			{name: "first", id: "a", digest: one, want: retry.New},
-			{name: "ended", do: complete("a"), id: "a", digest: one, want: retry.Recorded, outcome: "ran"},
-			{name: "abandoned", do: abandon("a"), id: "a", digest: one, want: retry.Recorded, outcome: "ran"},
+			{name: "first", id: "a", digest: one, want: retry.Accepted},
+			{name: "ended", do: complete("a"), id: "a", digest: one, want: retry.Completed, outcome: "ran"},
+			{name: "abandoned", do: abandon("a"), id: "a", digest: one, want: retry.Completed, outcome: "ran"},
 		}},
 		{"full", []step{
-			{name: "first", id: "a", digest: one, want: retry.New},
-			{name: "second", id: "b", digest: one, want: retry.New},
+			{name: "first", id: "a", digest: one, want: retry.Accepted},
+			{name: "second", id: "b", digest: one, want: retry.Accepted},
 			{name: "third", id: "c", digest: one, want: retry.Full},
 			{name: "ended ones count", do: complete("a"), id: "c", digest: one, want: retry.Full},
 			{name: "known ones are still known", id: "b", digest: one, want: retry.InProgress},
-			{name: "room after the window", at: time.Minute, id: "c", digest: one, want: retry.New},
+			{name: "room after the window", at: time.Minute, id: "c", digest: one, want: retry.Accepted},
 			{name: "in progress never expires", at: time.Hour, id: "b", digest: one, want: retry.InProgress},
 		}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			g := retry.NewGuard(options)
+			g := retry.NewDeduplicator(options)
 			for _, s := range test.steps {
 				if s.do != nil {
 					s.do(g, s.at)
@@ -84,7 +84,7 @@
 	const maximum, window = 4, 50
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	properties.Property("at most once", prop.ForAll(func(steps []uint8) bool {
-		g := retry.NewGuard(retry.GuardOptions{Window: window, Maximum: maximum})
+		g := retry.NewDeduplicator(retry.DeduplicatorOptions{Window: window, MaxEntries: maximum})
 		running := make(map[string]bool)
 		ended := make(map[string]time.Duration)
 		for i, step := range steps {
@@ -99,7 +99,7 @@
 				}
 			default:
 				verdict, _ := g.Begin(now, id, retry.Digest{})
-				if verdict != retry.New {
+				if verdict != retry.Accepted {
 					continue
 				}
 				if at, ran := ended[id]; running[id] || ran && now-at < window {
--- a/retry/example_test.go
+++ b/retry/example_test.go
@@ -19,18 +19,18 @@
 	for i := range 100 {
 		latencies.Add(time.Duration(i+1) * time.Millisecond)
 	}
-	situation := retry.HedgeSituation{Share: 0.1, Service: &latencies}
+	situation := retry.HedgeInput{Share: 0.1, Service: &latencies}
 	delay, ok := retry.ShareHedge{}.Delay(situation)
 	fmt.Println(delay.Round(10*time.Millisecond), ok)
 	// Output: 90ms true
 }
 
-func ExampleGuard() {
-	guard := retry.NewGuard(retry.GuardOptions{})
+func ExampleDeduplicator() {
+	guard := retry.NewDeduplicator(retry.DeduplicatorOptions{})
 	digest := retry.Digest{0x2a}
 	first, _ := guard.Begin(0, "return-17", digest)
 	guard.Complete(time.Second, "return-17", "entered")
 	again, outcome := guard.Begin(2*time.Second, "return-17", digest)
-	fmt.Println(first == retry.New, again == retry.Recorded, outcome)
+	fmt.Println(first == retry.Accepted, again == retry.Completed, outcome)
 	// Output: true true entered
 }
--- a/retry/hedge.go
+++ b/retry/hedge.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// HedgeSituation is what a HedgePolicy decides on.
-type HedgeSituation struct {
+// HedgeInput is what a HedgePolicy decides on.
+type HedgeInput struct {
 	// Share is the part of the class's first sends that may be sent again.
 	Share float64
 	// Group holds recent latencies of the servers that could answer.
@@ -13,7 +13,7 @@
 }
 
 // latencies returns the group's samples, or the service's while the group has few.
-func (s HedgeSituation) latencies() (*Sketch, bool) {
+func (s HedgeInput) latencies() (*Sketch, bool) {
 	if s.Group != nil && s.Group.Count() >= enoughSamples {
 		return s.Group, true
 	}
@@ -26,36 +26,36 @@
 // HedgePolicy decides how long a request may be awaited before another server
 // is asked beside the first. ok is false when no hedge is worth its price.
 type HedgePolicy interface {
-	Delay(situation HedgeSituation) (delay time.Duration, ok bool)
+	Delay(situation HedgeInput) (delay time.Duration, ok bool)
 }
 
 // NoHedge never hedges.
 type NoHedge struct{}
 
 // Delay implements HedgePolicy.
-func (NoHedge) Delay(HedgeSituation) (time.Duration, bool) { return 0, false }
+func (NoHedge) Delay(HedgeInput) (time.Duration, bool) { return 0, false }
 
 // FixedHedge hedges after a fixed time.
 type FixedHedge struct{ After time.Duration }
 
 // Delay implements HedgePolicy.
-func (p FixedHedge) Delay(HedgeSituation) (time.Duration, bool) { return p.After, true }
+func (p FixedHedge) Delay(HedgeInput) (time.Duration, bool) { return p.After, true }
 
 // QuantileHedge hedges at a quantile of recent latencies.
 type QuantileHedge struct {
 	// Quantile is a share of requests, such as 0.95.
 	Quantile float64
-	// Least bounds the delay from below.
-	Least time.Duration
+	// MinDelay bounds the delay from below.
+	MinDelay time.Duration
 }
 
 // Delay implements HedgePolicy.
-func (p QuantileHedge) Delay(situation HedgeSituation) (time.Duration, bool) {
+func (p QuantileHedge) Delay(situation HedgeInput) (time.Duration, bool) {
 	sketch, known := situation.latencies()
 	if !known {
 		return 0, false
 	}
-	return max(sketch.Quantile(p.Quantile), p.Least), true
+	return max(sketch.Quantile(p.Quantile), p.MinDelay), true
 }
 
 // ShareHedge hedges at the quantile that spends most of the class's share: a
@@ -66,17 +66,17 @@
 	// DefaultShareFactor. Near or above 1, the budget is at times gone when the
 	// slowest requests need it.
 	Factor float64
-	// Lowest bounds the quantile from below; zero stands for 0.5.
-	Lowest float64
-	// Least bounds the delay from below.
-	Least time.Duration
+	// MinQuantile bounds the quantile from below; zero stands for 0.5.
+	MinQuantile float64
+	// MinDelay bounds the delay from below.
+	MinDelay time.Duration
 }
 
 // DefaultShareFactor leaves a fifth of the share for bursts and retries.
 const DefaultShareFactor = 0.8
 
 // Delay implements HedgePolicy.
-func (p ShareHedge) Delay(situation HedgeSituation) (time.Duration, bool) {
+func (p ShareHedge) Delay(situation HedgeInput) (time.Duration, bool) {
 	if situation.Share <= 0 {
 		return 0, false
 	}
@@ -84,10 +84,10 @@
 	if factor <= 0 {
 		factor = DefaultShareFactor
 	}
-	lowest := p.Lowest
+	lowest := p.MinQuantile
 	if lowest <= 0 {
 		lowest = 0.5
 	}
 	quantile := max(1-situation.Share*factor, lowest)
-	return QuantileHedge{Quantile: quantile, Least: p.Least}.Delay(situation)
+	return QuantileHedge{Quantile: quantile, MinDelay: p.MinDelay}.Delay(situation)
 }
--- a/retry/hedge_test.go
+++ b/retry/hedge_test.go
@@ -19,7 +19,7 @@
 
 func TestSketchQuantilesOfExponentialLatencies(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	s := retry.Sketch{Memory: 100_000}
+	s := retry.Sketch{HalfLife: 100_000}
 	for range 100_000 {
 		s.Add(time.Duration(random.ExpFloat64() * float64(10*time.Millisecond)))
 	}
@@ -61,19 +61,19 @@
 	tests := []struct {
 		name      string
 		policy    retry.HedgePolicy
-		situation retry.HedgeSituation
+		situation retry.HedgeInput
 		want      time.Duration // within a tenth; zero is no hedge
 	}{
-		{"never", retry.NoHedge{}, retry.HedgeSituation{Share: 1, Service: service}, 0},
-		{"fixed", retry.FixedHedge{After: time.Second}, retry.HedgeSituation{}, time.Second},
-		{"quantile of the service", retry.QuantileHedge{Quantile: 0.9}, retry.HedgeSituation{Service: service}, 90 * time.Millisecond},
-		{"quantile of the group", retry.QuantileHedge{Quantile: 0.9}, retry.HedgeSituation{Service: service, Group: slow}, 900 * time.Millisecond},
-		{"few samples of the group", retry.QuantileHedge{Quantile: 0.9}, retry.HedgeSituation{Service: service, Group: few}, 90 * time.Millisecond},
-		{"no samples", retry.QuantileHedge{Quantile: 0.9}, retry.HedgeSituation{Service: few}, 0},
-		{"share of a tenth", retry.ShareHedge{}, retry.HedgeSituation{Share: 0.1, Service: service}, 90 * time.Millisecond},
-		{"no share", retry.ShareHedge{}, retry.HedgeSituation{Service: service}, 0},
-		{"whole share", retry.ShareHedge{}, retry.HedgeSituation{Share: 1, Service: service}, 50 * time.Millisecond},
-		{"least delay", retry.QuantileHedge{Quantile: 0.5, Least: time.Second}, retry.HedgeSituation{Service: service}, time.Second},
+		{"never", retry.NoHedge{}, retry.HedgeInput{Share: 1, Service: service}, 0},
+		{"fixed", retry.FixedHedge{After: time.Second}, retry.HedgeInput{}, time.Second},
+		{"quantile of the service", retry.QuantileHedge{Quantile: 0.9}, retry.HedgeInput{Service: service}, 90 * time.Millisecond},
+		{"quantile of the group", retry.QuantileHedge{Quantile: 0.9}, retry.HedgeInput{Service: service, Group: slow}, 900 * time.Millisecond},
+		{"few samples of the group", retry.QuantileHedge{Quantile: 0.9}, retry.HedgeInput{Service: service, Group: few}, 90 * time.Millisecond},
+		{"no samples", retry.QuantileHedge{Quantile: 0.9}, retry.HedgeInput{Service: few}, 0},
+		{"share of a tenth", retry.ShareHedge{}, retry.HedgeInput{Share: 0.1, Service: service}, 90 * time.Millisecond},
+		{"no share", retry.ShareHedge{}, retry.HedgeInput{Service: service}, 0},
+		{"whole share", retry.ShareHedge{}, retry.HedgeInput{Share: 1, Service: service}, 50 * time.Millisecond},
+		{"least delay", retry.QuantileHedge{Quantile: 0.5, MinDelay: time.Second}, retry.HedgeInput{Service: service}, time.Second},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/retry/sketch.go
+++ b/retry/sketch.go
@@ -12,8 +12,8 @@
 	sketchGrowth   = 1.15
 )
 
-// DefaultSketchMemory is the number of recent samples that a Sketch weighs most.
-const DefaultSketchMemory = 500
+// DefaultSketchHalfLife is the number of recent samples that a Sketch weighs most.
+const DefaultSketchHalfLife = 500
 
 // Sketch estimates quantiles of recent latencies from 10 µs to about ten minutes, in
 // constant space, within about 8 percent. Old samples fade by number, not by time.
@@ -21,10 +21,10 @@
 type Sketch struct {
 	counts [sketchBuckets]float32
 	total  float32
-	// Memory is the number of samples after which weights are halved; zero
-	// stands for DefaultSketchMemory.
-	Memory int
-	cached cachedQuantile
+	// HalfLife is the number of samples after which weights are halved; zero
+	// stands for DefaultSketchHalfLife.
+	HalfLife int
+	cached   cachedQuantile
 }
 
 // cachedQuantile is the last answer, reused while few samples came since.
@@ -45,9 +45,9 @@
 	s.counts[bucketOf(latency)]++
 	s.total++
 	s.cached.samples++
-	memory := s.Memory
+	memory := s.HalfLife
 	if memory <= 0 {
-		memory = DefaultSketchMemory
+		memory = DefaultSketchHalfLife
 	}
 	if s.total >= float32(2*memory) {
 		s.fade()
--- a/rollout/trial.go
+++ b/rollout/trial.go
@@ -256,7 +256,7 @@
 func (t *Canary) CountTargetSend() { t.allowance.Spend() }
 
 // UndoTargetSend notes that nothing of a send to the target was written.
-func (t *Canary) UndoTargetSend() { t.allowance.TakeBack() }
+func (t *Canary) UndoTargetSend() { t.allowance.Refund() }
 
 // CountRequest notes that a request has reached a server of the service, whatever its version.
 func (t *Canary) CountRequest() { t.allowance.Count() }
@@ -266,7 +266,7 @@
 
 // Allowed is what the target may have got so far.
 func (t *Canary) Allowed() float64 {
-	return t.allowance.Whole(t.bounds.ExposureShare, t.state.Granted)
+	return t.allowance.Limit(t.bounds.ExposureShare, t.state.Granted)
 }
 
 // Evidence is what the node has seen of the order's answers.
--- a/routing/budget_test.go
+++ b/routing/budget_test.go
@@ -76,7 +76,7 @@
 				Seed: random.Uint64(), Restarted: fresh,
 				Budget: extrabudget.Options{Ratio: ratio, Fixed: fixed, Window: window},
 			})
-			w.step(routing.NodesChanged{Live: nodes, Serving: nodes, Serves: true})
+			w.step(routing.NodesChanged{Live: nodes, Serving: nodes, IsServing: true})
 			return w
 		}
 		all := make([]*world, nodes)
@@ -151,7 +151,7 @@
 					serving[random.IntN(nodes)] = true
 				}
 				for i, w := range all {
-					w.step(routing.NodesChanged{Live: nodes, Serving: len(serving), Serves: serving[i]})
+					w.step(routing.NodesChanged{Live: nodes, Serving: len(serving), IsServing: serving[i]})
 				}
 			}
 			for i, w := range all {
--- a/routing/cold.go
+++ b/routing/cold.go
@@ -40,8 +40,8 @@
 		return false // an earlier incarnation may have spent this second's part
 	}
 	bound := s.coldRate*r.options.Cold.Overshoot + r.options.Cold.Slack
-	part := r.shares.CountOf(r.now, bound, coldRoleTime, xxhash.Sum64String(one.ID))
-	return one.coldSends.Most(r.now, coldWindow) < part
+	part := r.shares.IntPortion(r.now, bound, coldRoleTime, xxhash.Sum64String(one.ID))
+	return one.coldSends.UpperBound(r.now, coldWindow) < part
 }
 
 // countCold counts a send to a cold server.
@@ -52,4 +52,4 @@
 }
 
 // coldRetry is the time after which parts that wait for cold servers are looked at again.
-func coldRetry() time.Duration { return extrabudget.BucketOf(coldWindow) }
+func coldRetry() time.Duration { return extrabudget.BucketWidth(coldWindow) }
--- a/routing/coldrate_test.go
+++ b/routing/coldrate_test.go
@@ -149,7 +149,7 @@
 			if i >= serving {
 				place = i - serving
 			}
-			w.step(routing.NodesChanged{Live: nodes, Serving: serving, Serves: i < serving, Place: place})
+			w.step(routing.NodesChanged{Live: nodes, Serving: serving, IsServing: i < serving, Index: place})
 			w.setServers([]discovery.Server{coldServer("warm", 0), coldServer("cold", left)})
 			w.setColdTable(10)
 			all[i] = w
--- a/routing/event.go
+++ b/routing/event.go
@@ -30,7 +30,7 @@
 	ReturnTime time.Duration
 	// Content names what the request asks for; it is called at most once, and only where
 	// it matters. Nil is that nothing is to be learned of it.
-	Content func() quarantine.Content
+	Content func() quarantine.Fingerprint
 }
 
 // Event is something that happened; Step takes one.
@@ -117,7 +117,7 @@
 type FindingReceived struct{ Finding quarantine.Finding }
 
 // QuarantinesChanged gives all contents that the registry says are to be refused.
-type QuarantinesChanged struct{ Contents []quarantine.Content }
+type QuarantinesChanged struct{ Contents []quarantine.Fingerprint }
 
 // Stopping tells that the node ends: every request that runs gets its final answer
 // now, and those that come later are refused.
@@ -187,10 +187,10 @@
 }
 
 // RecordQuarantine tells that this node found a content to end servers: all nodes are to remember it.
-type RecordQuarantine struct{ Content quarantine.Content }
+type RecordQuarantine struct{ Content quarantine.Fingerprint }
 
 // QuarantinedRequestRejected tells that a request was refused whose content is quarantined.
-type QuarantinedRequestRejected struct{ Content quarantine.Content }
+type QuarantinedRequestRejected struct{ Content quarantine.Fingerprint }
 
 // Finish gives the request's one final answer.
 type Finish struct {
--- a/routing/router.go
+++ b/routing/router.go
@@ -50,7 +50,7 @@
 
 	// ledger is what is known of requests that end servers, and ledgerAt when it is to be
 	// looked at; zero is never.
-	ledger   *quarantine.Ledger
+	ledger   *quarantine.Tracker
 	ledgerAt time.Duration
 
 	running     map[RequestID]*request
@@ -82,7 +82,7 @@
 		servers:   make(map[string]*server),
 		latencies: make(map[string]*latencies),
 		zones:     make(map[string]*zone),
-		ledger:    quarantine.NewLedger(),
+		ledger:    quarantine.NewTracker(),
 		running:   make(map[RequestID]*request),
 		attempts:  make(map[gather.AttemptID]*attempt),
 		doubts:    make(map[gather.AttemptID]*attempt),
@@ -126,7 +126,7 @@
 	case SettingsChanged:
 		r.settingsChanged(event)
 	case NodesChanged:
-		r.shares.Take(r.now, extrabudget.Nodes(event))
+		r.shares.Update(r.now, extrabudget.Nodes(event))
 	case PeerAvailabilityChanged:
 		r.othersServe = event.Available
 	case FindingReceived:
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -257,14 +257,14 @@
 	w := newWorld(t, routing.Options{})
 	w.setServers(servers(1, "s1"))
 	w.setTable(20, "s1")
-	w.step(routing.NodesChanged{Live: 9, Serving: 9, Serves: true})
+	w.step(routing.NodesChanged{Live: 9, Serving: 9, IsServing: true})
 	before := w.router.ConnectionShare("s1")
-	w.step(routing.NodesChanged{Live: 1, Serving: 1, Serves: true})
+	w.step(routing.NodesChanged{Live: 1, Serving: 1, IsServing: true})
 	if got := w.router.ConnectionShare("s1"); got != before {
 		t.Errorf("the share of connections grew from %d to %d at once", before, got)
 	}
 	w.pass(31 * time.Second)
-	w.step(routing.NodesChanged{Live: 1, Serving: 1, Serves: true})
+	w.step(routing.NodesChanged{Live: 1, Serving: 1, IsServing: true})
 	if got := w.router.ConnectionShare("s1"); got <= before {
 		t.Errorf("the share of connections stays at %d", got)
 	}
--- a/routing/service.go
+++ b/routing/service.go
@@ -103,7 +103,7 @@
 
 // mayExtra reports whether one more extra send to the service is allowed.
 func (r *Router) mayExtra(s *service, kind gather.SendKind) bool {
-	left, most := s.budget.Left(r.now, r.options.Budget, r.fixedShare())
+	left, most := s.budget.Remaining(r.now, r.options.Budget, r.fixedShare())
 	if kind == gather.HedgeSend {
 		left -= most * hedgeReserve
 	}
@@ -124,14 +124,14 @@
 func (r *Router) uncount(a *attempt, q *request) {
 	s := a.Segment.Group.(*service)
 	window := r.options.Budget.Window
-	if r.sinceSent(a) > extrabudget.BucketOf(window) {
+	if r.sinceSent(a) > extrabudget.BucketWidth(window) {
 		return
 	}
 	if a.extra {
-		s.budget.TakeBackExtra(r.now, window)
+		s.budget.RemoveExtra(r.now, window)
 		return
 	}
-	s.budget.TakeBackRequest(r.now, window)
+	s.budget.RemoveRequest(r.now, window)
 	q.parts[a.Range.Start].counted = false
 }
 
--- a/routing/shares.go
+++ b/routing/shares.go
@@ -14,10 +14,10 @@
 // share is the number of connections that this node may have to each of the
 // service's servers, and so the attempts in flight there.
 func (r *Router) share(s *service) int {
-	if s.connections == 0 || r.shares.Serving() == 0 {
+	if s.connections == 0 || r.shares.ServingNodes() == 0 {
 		return 1 // nothing is known of what the nodes share
 	}
-	share := limit.ConnectionShare(s.connections, r.shares.Serving(), r.options.SpareConnections)
+	share := limit.ConnectionShare(s.connections, r.shares.ServingNodes(), r.options.SpareConnections)
 	if r.options.Restarted && r.on(mechanism.RestartConnectionLimit) && r.now < r.startedAt+connectionsOutlive {
 		share /= 2
 	}
@@ -30,5 +30,5 @@
 	if r.options.Restarted && r.now < r.startedAt+r.options.Budget.Window {
 		return 0
 	}
-	return r.shares.Of(r.now, r.options.Budget.Fixed, r.options.Budget.Window)
+	return r.shares.Portion(r.now, r.options.Budget.Fixed, r.options.Budget.Window)
 }
--- a/routing/suspects.go
+++ b/routing/suspects.go
@@ -11,18 +11,18 @@
 )
 
 // contentOf is a request's content; ok is false when nothing is to be learned of it.
-func (r *Router) contentOf(asked *Request) (content quarantine.Content, ok bool) {
+func (r *Router) contentOf(asked *Request) (content quarantine.Fingerprint, ok bool) {
 	if asked.Content == nil || !r.on(mechanism.Quarantine) {
 		return content, false
 	}
 	content = asked.Content()
-	asked.Content = func() quarantine.Content { return content }
+	asked.Content = func() quarantine.Fingerprint { return content }
 	return content, true
 }
 
 // standingOf tells how a request that came may be sent, and for how long a review lasts yet.
-func (r *Router) standingOf(asked *Request) (standing quarantine.Standing, left time.Duration) {
-	if r.ledger.Empty() {
+func (r *Router) standingOf(asked *Request) (standing quarantine.Status, left time.Duration) {
+	if r.ledger.IsEmpty() {
 		return quarantine.Clear, 0
 	}
 	if r.ledgerAt > 0 && r.now >= r.ledgerAt {
@@ -32,12 +32,12 @@
 	if !ok {
 		return quarantine.Clear, 0
 	}
-	return r.ledger.Standing(r.now, content)
+	return r.ledger.Status(r.now, content)
 }
 
 // refuseSuspect refuses a request under which servers end: for good, without a word of coming
 // back, as it has run; until the end of a review, where that is not known yet.
-func (r *Router) refuseSuspect(asked Request, standing quarantine.Standing, left time.Duration) {
+func (r *Router) refuseSuspect(asked Request, standing quarantine.Status, left time.Duration) {
 	outcome := Outcome{Execution: gather.ExecutionNotRun, Reason: gather.ReasonCrashesServers, RetryAfter: left}
 	if standing == quarantine.Quarantined {
 		outcome = Outcome{Execution: gather.ExecutionUnknown, Reason: gather.ReasonCrashesServers}
@@ -53,9 +53,9 @@
 	if !ok {
 		return
 	}
-	end := quarantine.End{Life: quarantine.LifeOf(a.server.Incarnation().String()), Alone: a.Alone}
-	r.tell(r.ledger.Ended(r.now, content, end))
-	if r.ledger.Proven(content) {
+	end := quarantine.Crash{ServerIncarnation: quarantine.IncarnationOf(a.server.Incarnation().String()), Alone: a.Alone}
+	r.tell(r.ledger.ServerCrashed(r.now, content, end))
+	if r.ledger.IsProven(content) {
 		q.query.Abort(r.now, gather.ReasonCrashesServers)
 	}
 }
@@ -72,7 +72,7 @@
 	if q.query.CrashedAllServers() {
 		r.tell(r.ledger.CrashedAllServers(r.now, content))
 	} else {
-		r.tell(r.ledger.Unanswered(r.now, content))
+		r.tell(r.ledger.AwaitFanOut(r.now, content))
 	}
 }
 
@@ -97,7 +97,7 @@
 
 // survived notes that a server ran a request and lives.
 func (r *Router) survived(q *request, status gather.ReplyStatus) {
-	if r.ledger.Empty() || status != gather.ReplyDone && status != gather.ReplyError {
+	if r.ledger.IsEmpty() || status != gather.ReplyDone && status != gather.ReplyError {
 		return
 	}
 	if content, ok := r.contentOf(&q.asked); ok {
@@ -108,7 +108,7 @@
 // findingHeard takes what another node found out.
 func (r *Router) findingHeard(finding quarantine.Finding) {
 	if r.on(mechanism.Quarantine) {
-		r.tell(r.ledger.Heard(r.now, finding))
+		r.tell(r.ledger.MergeFinding(r.now, finding))
 		if finding.Wide {
 			r.warn(finding.Content)
 		}
@@ -116,8 +116,8 @@
 }
 
 // warn lets the requests that run with a content go on as its standing asks.
-func (r *Router) warn(content quarantine.Content) {
-	standing, _ := r.ledger.Standing(r.now, content)
+func (r *Router) warn(content quarantine.Fingerprint) {
+	standing, _ := r.ledger.Status(r.now, content)
 	if standing == quarantine.Clear {
 		return
 	}
@@ -135,16 +135,16 @@
 }
 
 // quarantinesChanged takes the contents that the registry says are to be refused.
-func (r *Router) quarantinesChanged(contents []quarantine.Content) {
+func (r *Router) quarantinesChanged(contents []quarantine.Fingerprint) {
 	if r.on(mechanism.Quarantine) {
-		r.ledger.SetRecorded(r.now, contents)
+		r.ledger.SetRecordedQuarantines(r.now, contents)
 		r.scheduleLedger()
 	}
 }
 
 // tell passes on what others are to know.
 func (r *Router) tell(finding quarantine.Finding, audience quarantine.Audience) {
-	if audience != quarantine.Nobody {
+	if audience != quarantine.AudienceNone {
 		r.emit(PublishFinding{Finding: finding, Audience: audience})
 	}
 	r.scheduleLedger()
@@ -152,7 +152,7 @@
 
 // scheduleLedger arranges that the ledger is looked at when it is next due.
 func (r *Router) scheduleLedger() {
-	at, ok := r.ledger.Next()
+	at, ok := r.ledger.NextTick()
 	if ok && (r.ledgerAt == 0 || at < r.ledgerAt) {
 		r.ledgerAt = at
 		r.timers.Push(timer{at: at, ledger: true})
@@ -166,7 +166,7 @@
 	}
 	for _, finding := range r.ledger.Tick(r.now) {
 		r.emit(RecordQuarantine{Content: finding.Content})
-		r.emit(PublishFinding{Finding: finding, Audience: quarantine.Everybody})
+		r.emit(PublishFinding{Finding: finding, Audience: quarantine.AudienceAll})
 	}
 	r.scheduleLedger()
 }
@@ -174,5 +174,5 @@
 // QuarantineCounts is the number of contents that are refused, and Suspects that of those of which
 // something is known.
 func (r *Router) QuarantineCounts() (quarantines, suspects int) {
-	return r.ledger.Quarantines(), r.ledger.Suspects()
+	return r.ledger.QuarantineCount(), r.ledger.SuspectCount()
 }
--- a/routing/suspects_test.go
+++ b/routing/suspects_test.go
@@ -52,8 +52,8 @@
 func TestSuspectedRequestsGoAloneAndAreCleared(t *testing.T) {
 	w := newShards(t, routing.Options{Seed: 1})
 	r := fanOut(1, fiveShards...)
-	content := quarantine.ContentOf("GET", "host", "/suspected", nil)
-	w.step(routing.FindingReceived{Finding: quarantine.Finding{Content: content, Ends: []quarantine.End{{Life: 7}}}})
+	content := quarantine.FingerprintOf("GET", "host", "/suspected", nil)
+	w.step(routing.FindingReceived{Finding: quarantine.Finding{Content: content, Crashes: []quarantine.Crash{{ServerIncarnation: 7}}}})
 	id := w.askFor(r, "/suspected")
 	if open := w.open(id); len(open) != 1 {
 		t.Fatalf("%d sends", len(open))
@@ -92,7 +92,7 @@
 		w.pass(10 * time.Millisecond)
 		if place == 3 {
 			told := w.told[len(w.told)-1].Finding
-			if !told.Wide || len(told.Ends) != 3 {
+			if !told.Wide || len(told.Crashes) != 3 {
 				t.Fatalf("after three ends: told %+v", told)
 			}
 			other.step(routing.FindingReceived{Finding: told})
@@ -157,8 +157,8 @@
 func TestRecordedContentsAreRefused(t *testing.T) {
 	w := newShards(t, routing.Options{Seed: 1})
 	r := single("s1", true)
-	content := quarantine.ContentOf("GET", "host", "/recorded", nil)
-	w.step(routing.QuarantinesChanged{Contents: []quarantine.Content{content}})
+	content := quarantine.FingerprintOf("GET", "host", "/recorded", nil)
+	w.step(routing.QuarantinesChanged{Contents: []quarantine.Fingerprint{content}})
 	if got := w.finished[w.askFor(r, "/recorded")]; got.Reason != gather.ReasonCrashesServers || got.Sends != 0 {
 		t.Errorf("%+v", got)
 	}
@@ -177,7 +177,7 @@
 	w := newShards(t, routing.Options{Seed: 1, Disabled: mechanism.Disable(mechanism.Quarantine)})
 	r := fanOut(1, fiveShards...)
 	w.endAll(w.askFor(r, "/deadly"))
-	w.step(routing.QuarantinesChanged{Contents: []quarantine.Content{quarantine.ContentOf("GET", "host", "/deadly", nil)}})
+	w.step(routing.QuarantinesChanged{Contents: []quarantine.Fingerprint{quarantine.FingerprintOf("GET", "host", "/deadly", nil)}})
 	w.pass(2 * reviewTime)
 	if id := w.askFor(r, "/deadly"); len(w.open(id)) != len(fiveShards) {
 		t.Errorf("%d sends", len(w.open(id)))
--- a/routing/world_test.go
+++ b/routing/world_test.go
@@ -26,7 +26,7 @@
 	wakeAt   time.Duration
 	last     routing.RequestID
 	told     []routing.PublishFinding
-	records  []quarantine.Content
+	records  []quarantine.Fingerprint
 	again    int
 }
 
@@ -43,7 +43,7 @@
 		t: t, router: routing.New(0, options), sends: make(map[gather.AttemptID]routing.Send),
 		finished: make(map[routing.RequestID]routing.Outcome),
 	}
-	w.step(routing.NodesChanged{Live: 1, Serving: 1, Serves: true})
+	w.step(routing.NodesChanged{Live: 1, Serving: 1, IsServing: true})
 	return w
 }
 
@@ -154,7 +154,7 @@
 	w.last++
 	w.step(routing.Arrived{Request: routing.Request{
 		ID: w.last, Route: r, Remaining: r.Timeout,
-		Content: func() quarantine.Content { return quarantine.ContentOf("GET", "host", target, nil) },
+		Content: func() quarantine.Fingerprint { return quarantine.FingerprintOf("GET", "host", target, nil) },
 	}})
 	return w.last
 }
