--- a/gather/attempts.go
+++ b/gather/attempts.go
@@ -10,46 +10,46 @@
 // HandleReply takes a server's reply to an attempt. A reply to an attempt that is
 // no longer wanted changes nothing.
 func (q *Query) HandleReply(now time.Duration, a *Attempt, reply Reply) {
-	if q.finished || !a.live {
+	if q.finished || !a.pending {
 		return
 	}
 	q.now = now
 	switch reply.Status {
 	case ReplyDone:
-		q.done(a, reply)
+		q.recordAnswer(a, reply)
 	case ReplyShed:
-		q.notExecuted(a, "shed", ReasonOverload, ShedPrice)
+		q.handleNotExecuted(a, "shed", ReasonOverload, ShedPrice)
 	case ReplyUnknownSnapshot:
-		q.notExecuted(a, "unknown snapshot", ReasonNoSnapshot, 0)
+		q.handleNotExecuted(a, "unknown snapshot", ReasonNoSnapshot, 0)
 	case ReplyNotOwner:
-		q.notExecuted(a, "not owner", ReasonExhausted, 0)
+		q.handleNotExecuted(a, "not owner", ReasonExhausted, 0)
 	case ReplyDraining:
-		q.notExecuted(a, "draining", ReasonNoServer, 0)
+		q.handleNotExecuted(a, "draining", ReasonNoServer, 0)
 	default:
-		q.survived = true
-		q.mayHaveRun(a, "error", ReasonServerError)
+		q.hasSurvivor = true
+		q.handleUnknownOutcome(a, "error", ReasonServerError)
 	}
-	q.conclude()
+	q.finishIfDone()
 }
 
 // HandleFailure takes the end of an attempt without a reply.
 func (q *Query) HandleFailure(now time.Duration, a *Attempt, delivery Delivery, reason string) {
-	if q.finished || !a.live {
+	if q.finished || !a.pending {
 		return
 	}
 	q.now = now
 	switch delivery {
 	case NotDelivered:
-		q.notExecuted(a, "not delivered: "+reason, ReasonNoServer, 0)
+		q.handleNotExecuted(a, "not delivered: "+reason, ReasonNoServer, 0)
 	case ServerCrashed:
-		q.serverEnded(a, "server ended: "+reason)
+		q.handleServerCrash(a, "server ended: "+reason)
 	case CrashUnconfirmed:
-		q.doubts++
-		q.mayHaveRun(a, "failed: "+reason, ReasonServerError)
+		q.unconfirmedCrashes++
+		q.handleUnknownOutcome(a, "failed: "+reason, ReasonServerError)
 	default:
-		q.mayHaveRun(a, "failed: "+reason, ReasonServerError)
+		q.handleUnknownOutcome(a, "failed: "+reason, ReasonServerError)
 	}
-	q.conclude()
+	q.finishIfDone()
 }
 
 // HandleServerGone tells that the attempt's server is gone, so that its reply is not to be
@@ -57,7 +57,7 @@
 // comes. A query that is not repeatable waits on.
 func (q *Query) HandleServerGone(now time.Duration, a *Attempt) {
 	s := a.Segment
-	if q.finished || !a.live || !q.options.Repeatable || len(s.live) > 1 || s.state != awaited || q.cautious() {
+	if q.finished || !a.pending || !q.options.Repeatable || len(s.pending) > 1 || s.state != active || q.sendsSerially() {
 		return
 	}
 	q.now = now
@@ -67,85 +67,85 @@
 	}
 }
 
-// done takes a result that matches what was asked for.
-func (q *Query) done(a *Attempt, reply Reply) {
+// recordAnswer takes a result that matches what was asked for.
+func (q *Query) recordAnswer(a *Attempt, reply Reply) {
 	if reply.Snapshot != a.Snapshot || reply.Range != a.Range {
-		q.mayHaveRun(a, "mismatched reply", ReasonServerError)
+		q.handleUnknownOutcome(a, "mismatched reply", ReasonServerError)
 		return
 	}
-	q.explain("answered", a)
-	q.ran, q.survived = true, true
+	q.recordStep("answered", a)
+	q.executed, q.hasSurvivor = true, true
 	s := a.Segment
-	s.detach(a)
-	q.cancelLive(s)
-	s.server = a.Server
+	s.removeAttempt(a)
+	q.cancelPending(s)
+	s.answeredBy = a.Server
 	s.body = reply.Body
-	q.covered += s.Range.Size()
-	q.remove(s, answered)
+	q.coveredKeys += s.Range.Size()
+	q.closeSegment(s, answered)
 }
 
-// notExecuted handles an attempt that certainly was not run.
-func (q *Query) notExecuted(a *Attempt, what string, reason Reason, price float64) {
-	q.explain(what, a)
-	q.again(a, reason, price)
+// handleNotExecuted handles an attempt that certainly was not run.
+func (q *Query) handleNotExecuted(a *Attempt, what string, reason Reason, price float64) {
+	q.recordStep(what, a)
+	q.retry(a, reason, price)
 }
 
-// mayHaveRun handles an attempt of which it isn't known whether it ran.
-func (q *Query) mayHaveRun(a *Attempt, what string, reason Reason) {
-	q.explain(what, a)
-	q.unknown = true
+// handleUnknownOutcome handles an attempt of which it isn't known whether it ran.
+func (q *Query) handleUnknownOutcome(a *Attempt, what string, reason Reason) {
+	q.recordStep(what, a)
+	q.outcomeUnknown = true
 	if !q.options.Repeatable {
-		a.Segment.detach(a)
+		a.Segment.removeAttempt(a)
 		q.giveUp(a.Segment, ReasonOutcomeUnknown)
 		q.giveUpUnsent()
 		return
 	}
-	q.again(a, reason, FullPrice)
+	q.retry(a, reason, FullPrice)
 }
 
 // giveUpUnsent gives up the segments of which no attempt is in flight: nothing
 // more may be sent.
 func (q *Query) giveUpUnsent() {
 	for _, s := range slices.Clone(q.open) {
-		if len(s.live) == 0 {
+		if len(s.pending) == 0 {
 			q.giveUp(s, ReasonOutcomeUnknown)
 		}
 	}
 }
 
-// again asks another server, unless another attempt is still awaited.
-func (q *Query) again(a *Attempt, reason Reason, price float64) {
+// retry asks another server, unless another attempt is still awaited.
+func (q *Query) retry(a *Attempt, reason Reason, price float64) {
 	s := a.Segment
-	s.detach(a)
-	if len(s.live) > 0 || s.state != awaited {
+	s.removeAttempt(a)
+	if len(s.pending) > 0 || s.state != active {
 		return
 	}
 	if price > 0 && !q.environment.SpendRetry(q, price) {
 		q.giveUp(s, reason)
 		return
 	}
-	q.noteFailure(reason)
-	q.place(s, RetrySend)
+	q.recordFailure(reason)
+	q.trySend(s, RetrySend)
 }
 
-// noteFailure keeps the first reason, for when the query fails.
-func (q *Query) noteFailure(reason Reason) {
-	if q.failure == "" {
-		q.failure = reason
+// recordFailure keeps the first reason, for when the query fails.
+func (q *Query) recordFailure(reason Reason) {
+	if q.firstFailure == "" {
+		q.firstFailure = reason
 	}
 }
 
-// place sends a sub-request for the segment, or finds what else to do about it.
-func (q *Query) place(s *Segment, kind SendKind) {
-	if q.unknown && !q.options.Repeatable {
+// trySend sends a sub-request for the segment, or finds what else to do about it.
+func (q *Query) trySend(s *Segment, kind SendKind) {
+	if q.outcomeUnknown && !q.options.Repeatable {
 		q.giveUp(s, ReasonOutcomeUnknown)
 		return
 	}
-	if q.mustWait(kind) {
+	if q.mustHold(kind) {
 		q.hold(s, kind)
 		return
 	}
-	if s.generation != q.environment.Generation() && q.reroute(s, kind) {
+	if s.generation != q.environment.Generation() && q.rerouteSegment(s, kind) {
 		return
 	}
 	server, placement := q.environment.Place(s, kind)
@@ -156,17 +156,17 @@
 		q.setState(s, waiting)
 		s.kind = kind
 	case AllTried:
-		q.rest(s, kind)
+		q.startBackoff(s, kind)
 	case Overloaded:
 		q.giveUp(s, ReasonOverload)
 	default:
-		q.unservable(s)
+		q.handleUnservable(s)
 	}
 }
 
-// reroute follows a repartition. It reports whether the segment was divided;
+// rerouteSegment follows a repartition. It reports whether the segment was divided;
 // else the segment goes on, with its new group.
-func (q *Query) reroute(s *Segment, kind SendKind) bool {
+func (q *Query) rerouteSegment(s *Segment, kind SendKind) bool {
 	targets := q.environment.Targets(s.Range)
 	generation := q.environment.Generation()
 	s.generation = generation
@@ -177,28 +177,28 @@
 		}
 		return false
 	}
-	q.remove(s, closed)
+	q.closeSegment(s, closed)
 	unheld := s.Range.Size()
 	divided := make([]*Segment, 0, len(targets))
 	for _, target := range targets {
 		piece := new(Segment)
 		piece.init(q, target, generation)
-		q.add(piece)
+		q.addSegment(piece)
 		divided = append(divided, piece)
 		unheld -= target.Range.Size()
 	}
 	if unheld > 0 {
-		q.lost += unheld
-		q.noteFailure(ReasonNoServer)
+		q.lostKeys += unheld
+		q.recordFailure(ReasonNoServer)
 	}
-	q.explainRange("repartitioned", s.Range)
-	q.placeAll(divided, kind)
+	q.recordRangeStep("repartitioned", s.Range)
+	q.trySendAll(divided, kind)
 	return true
 }
 
 // send sends a sub-request to the server.
 func (q *Query) send(s *Segment, server Server, kind SendKind) {
-	a := s.attempt()
+	a := s.newAttempt()
 	*a = Attempt{
 		ID:       q.environment.NextAttemptID(),
 		Segment:  s,
@@ -207,19 +207,19 @@
 		Range:    s.Range,
 		Snapshot: q.snapshot,
 		SentAt:   q.now,
-		Alone:    q.cautious(),
-		live:     true,
+		Alone:    q.sendsSerially(),
+		pending:  true,
 	}
-	q.setState(s, awaited)
-	s.live = append(s.live, a)
+	q.setState(s, active)
+	s.pending = append(s.pending, a)
 	s.tried = append(s.tried, server)
-	q.planHedge(s, kind)
-	q.explain(kind.step(), a)
+	q.scheduleHedge(s, kind)
+	q.recordStep(kind.label(), a)
 	q.environment.Send(a)
 }
 
-// step names the kind in explanations.
-func (k SendKind) step() string {
+// label names the kind in explanations.
+func (k SendKind) label() string {
 	switch k {
 	case HedgeSend:
 		return "hedge"
@@ -230,8 +230,8 @@
 	}
 }
 
-// planHedge sets when a hedge is due; there is one at a time.
-func (q *Query) planHedge(s *Segment, kind SendKind) {
+// scheduleHedge sets when a hedge is due; there is one at a time.
+func (q *Query) scheduleHedge(s *Segment, kind SendKind) {
 	s.hedgeAt = 0
 	if kind == HedgeSend || !q.options.Repeatable {
 		return
@@ -239,21 +239,21 @@
 	delay, ok := q.environment.HedgeDelay(s)
 	if at := q.now + delay; ok && at < q.options.Deadline {
 		s.hedgeAt = at
-		q.nextAt = min(q.nextAt, at)
+		q.nextTickAt = min(q.nextTickAt, at)
 	}
 }
 
-// leastHedgePause bounds how often a hedge that was denied is tried again.
-const leastHedgePause = time.Millisecond
+// minHedgeRetryDelay bounds how often a hedge that was denied is tried again.
+const minHedgeRetryDelay = time.Millisecond
 
-// hedge asks another server beside the one that is awaited.
-func (q *Query) hedge(s *Segment) {
+// sendHedge asks another server beside the one that is awaited.
+func (q *Query) sendHedge(s *Segment) {
 	s.hedgeAt = 0
-	if len(s.live) != 1 || q.cautious() {
+	if len(s.pending) != 1 || q.sendsSerially() {
 		return
 	}
-	if !q.mayHedge() {
-		q.hedgeLater(s)
+	if !q.hedgeAllowed() {
+		q.postponeHedge(s)
 		return
 	}
 	server, placement := q.environment.Place(s, HedgeSend)
@@ -261,19 +261,19 @@
 	case placement == Placed && q.environment.SpendHedge(q, FullPrice):
 		q.send(s, server, HedgeSend)
 	case placement == Placed || placement == Busy:
-		q.hedgeLater(s)
+		q.postponeHedge(s)
 	}
 }
 
-func (q *Query) hedgeLater(s *Segment) {
-	waited := q.now - s.live[0].SentAt
-	s.hedgeAt = q.now + max(waited/2, leastHedgePause)
-	q.wakeFor(s)
+func (q *Query) postponeHedge(s *Segment) {
+	waited := q.now - s.pending[0].SentAt
+	s.hedgeAt = q.now + max(waited/2, minHedgeRetryDelay)
+	q.scheduleTick(s)
 }
 
-// rest lets the segment wait before servers that were all tried are asked anew.
-func (q *Query) rest(s *Segment, kind SendKind) {
-	if len(s.live) > 0 {
+// startBackoff lets the segment wait before servers that were all tried are asked anew.
+func (q *Query) startBackoff(s *Segment, kind SendKind) {
+	if len(s.pending) > 0 {
 		return
 	}
 	at := q.now + q.environment.Backoff(s.rounds)
@@ -282,15 +282,15 @@
 		return
 	}
 	s.rounds++
-	q.setState(s, resting)
+	q.setState(s, backingOff)
 	s.kind = kind
 	s.retryAt = at
-	q.wakeFor(s)
+	q.scheduleTick(s)
 }
 
-// unservable handles a segment that no server can answer for the pinned snapshot.
-func (q *Query) unservable(s *Segment) {
-	if len(s.live) > 0 || q.restart(s) {
+// handleUnservable handles a segment that no server can answer for the pinned snapshot.
+func (q *Query) handleUnservable(s *Segment) {
+	if len(s.pending) > 0 || q.restart(s) {
 		return
 	}
 	q.giveUp(s, ReasonNoServer)
@@ -298,10 +298,10 @@
 
 // giveUp leaves the segment uncovered.
 func (q *Query) giveUp(s *Segment, reason Reason) {
-	q.noteFailure(reason)
-	q.explainRange("given up", s.Range)
-	q.lost += s.Range.Size()
-	q.remove(s, closed)
+	q.recordFailure(reason)
+	q.recordRangeStep("given up", s.Range)
+	q.lostKeys += s.Range.Size()
+	q.closeSegment(s, closed)
 }
 
 // ResumeSegment tells that there may be room for a segment that waits.
@@ -310,9 +310,9 @@
 		return
 	}
 	q.now = now
-	q.setState(s, awaited)
-	q.place(s, s.kind)
-	q.conclude()
+	q.setState(s, active)
+	q.trySend(s, s.kind)
+	q.finishIfDone()
 }
 
 // GiveUpSegment tells that a segment that waits can't be answered in time.
@@ -322,7 +322,7 @@
 	}
 	q.now = now
 	q.giveUp(s, ReasonOverload)
-	q.conclude()
+	q.finishIfDone()
 }
 
 // Reroute tells that Targets may answer otherwise than before, or that servers
@@ -336,18 +336,18 @@
 		if q.finished {
 			return
 		}
-		if s.state != waiting && s.state != resting {
+		if s.state != waiting && s.state != backingOff {
 			continue
 		}
 		s.retryAt = 0
 		s.tried = s.tried[:0]
-		q.setState(s, awaited)
-		q.place(s, s.kind)
+		q.setState(s, active)
+		q.trySend(s, s.kind)
 	}
-	q.conclude()
+	q.finishIfDone()
 }
 
-func (q *Query) explain(what string, a *Attempt) {
+func (q *Query) recordStep(what string, a *Attempt) {
 	if len(q.steps) >= q.options.MaximumSteps {
 		return
 	}
@@ -360,7 +360,7 @@
 	})
 }
 
-func (q *Query) explainRange(what string, r coverage.Range) {
+func (q *Query) recordRangeStep(what string, r coverage.Range) {
 	if len(q.steps) >= q.options.MaximumSteps {
 		return
 	}
--- a/gather/caution_test.go
+++ b/gather/crash_test.go
@@ -8,15 +8,15 @@
 	"github.com/banksail/banksail/gather"
 )
 
-func repeatable(suspected bool) gather.Options {
+func repeatableOptions(suspected bool) gather.Options {
 	return gather.Options{KeySpace: space, Snapshot: 7, Deadline: time.Second, Repeatable: true, CrashSuspect: suspected, MaximumRounds: 2}
 }
 
 // A query under which a server ended sends nothing more while something is in flight, then
 // one sub-request, and gives up with the third end.
-func TestEndsMakeAQueryCautious(t *testing.T) {
-	f := &fixed{budget: 10}
-	q := gather.New(repeatable(false), f)
+func TestServerCrashSerializesSends(t *testing.T) {
+	f := &stubEnvironment{budget: 10}
+	q := gather.New(repeatableOptions(false), f)
 	q.Start(0)
 	q.HandleFailure(time.Millisecond, f.sent[0], gather.ServerCrashed, "")
 	if len(f.sent) != 2 {
@@ -32,16 +32,16 @@
 	}
 }
 
-func TestAnAnswerEndsTheCaution(t *testing.T) {
-	f := &fixed{budget: 10}
-	q := gather.New(repeatable(false), f)
+func TestAnswerRestoresParallelSends(t *testing.T) {
+	f := &stubEnvironment{budget: 10}
+	q := gather.New(repeatableOptions(false), f)
 	q.Start(0)
 	q.HandleFailure(time.Millisecond, f.sent[0], gather.ServerCrashed, "")
-	q.HandleReply(2*time.Millisecond, f.sent[1], done(f.sent[1]))
+	q.HandleReply(2*time.Millisecond, f.sent[1], doneReply(f.sent[1]))
 	if len(f.sent) != 3 || f.sent[2].Alone {
 		t.Fatalf("%d sent after a part was answered", len(f.sent))
 	}
-	q.HandleReply(3*time.Millisecond, f.sent[2], done(f.sent[2]))
+	q.HandleReply(3*time.Millisecond, f.sent[2], doneReply(f.sent[2]))
 	if f.outcome == nil || !f.outcome.Complete {
 		t.Fatalf("outcome %+v", f.outcome)
 	}
@@ -49,9 +49,9 @@
 
 // A suspected query asks one server, and all others once that one has answered. A server that
 // says that it did not run it proves nothing.
-func TestSuspectedQueriesGoAlone(t *testing.T) {
-	f := &fixed{budget: 10, hedge: time.Millisecond}
-	q := gather.New(repeatable(true), f)
+func TestCrashSuspectSendsOneAtATime(t *testing.T) {
+	f := &stubEnvironment{budget: 10, hedge: time.Millisecond}
+	q := gather.New(repeatableOptions(true), f)
 	q.Start(0)
 	q.Tick(10 * time.Millisecond)
 	if len(f.sent) != 1 || !f.sent[0].Alone {
@@ -61,16 +61,16 @@
 	if len(f.sent) != 2 || !f.sent[1].Alone {
 		t.Fatalf("%d sent after a server shed it", len(f.sent))
 	}
-	q.HandleReply(12*time.Millisecond, f.sent[1], done(f.sent[1]))
+	q.HandleReply(12*time.Millisecond, f.sent[1], doneReply(f.sent[1]))
 	if len(f.sent) != 3 || f.sent[2].Alone {
 		t.Fatalf("%d sent after an answer", len(f.sent))
 	}
 }
 
 // A part that can't be sent alone lets the next one go.
-func TestHeldPartsTakeTurns(t *testing.T) {
-	f := &fixed{}
-	q := gather.New(repeatable(true), f)
+func TestHeldSegmentIsSentAfterAnotherIsGivenUp(t *testing.T) {
+	f := &stubEnvironment{}
+	q := gather.New(repeatableOptions(true), f)
 	q.Start(0)
 	q.HandleFailure(time.Millisecond, f.sent[0], gather.ServerCrashed, "") // no budget for another try
 	if len(f.sent) != 2 || f.sent[1].Range == f.sent[0].Range {
@@ -82,10 +82,10 @@
 	}
 }
 
-// inDoubt starts a query of two parts whose servers both broke their connections off.
-func inDoubt(t *testing.T) (*fixed, *gather.Query) {
-	f := &fixed{budget: 10}
-	q := gather.New(repeatable(false), f)
+// startWithResetConnections starts a query of two parts whose servers both broke their connections off.
+func startWithResetConnections(t *testing.T) (*stubEnvironment, *gather.Query) {
+	f := &stubEnvironment{budget: 10}
+	q := gather.New(repeatableOptions(false), f)
 	q.Start(0)
 	q.HandleFailure(time.Millisecond, f.sent[0], gather.CrashUnconfirmed, "")
 	if len(f.sent) != 3 || f.sent[2].Alone {
@@ -100,9 +100,9 @@
 
 // A lost connection costs its request no time; while nothing was answered and its servers may
 // have ended, one server more is asked.
-func TestDoubtsHoldAllRetriesButOne(t *testing.T) {
+func TestUnconfirmedCrashesAllowOneRetry(t *testing.T) {
 	t.Run("ended", func(t *testing.T) {
-		f, q := inDoubt(t)
+		f, q := startWithResetConnections(t)
 		q.ResolveCrash(3*time.Millisecond, true)
 		q.ResolveCrash(3*time.Millisecond, false)
 		if len(f.sent) != 3 {
@@ -114,7 +114,7 @@
 		}
 	})
 	t.Run("lost", func(t *testing.T) {
-		f, q := inDoubt(t)
+		f, q := startWithResetConnections(t)
 		q.ResolveCrash(3*time.Millisecond, false)
 		q.ResolveCrash(3*time.Millisecond, false)
 		if len(f.sent) != 4 || f.sent[3].Alone {
@@ -122,14 +122,14 @@
 		}
 	})
 	t.Run("answered", func(t *testing.T) {
-		f, q := inDoubt(t)
-		q.HandleReply(3*time.Millisecond, f.sent[2], done(f.sent[2]))
+		f, q := startWithResetConnections(t)
+		q.HandleReply(3*time.Millisecond, f.sent[2], doneReply(f.sent[2]))
 		if len(f.sent) != 4 || !q.HasSurvivor() {
 			t.Fatalf("%d sent after an answer", len(f.sent))
 		}
 	})
 	t.Run("finished", func(t *testing.T) {
-		f, q := inDoubt(t)
+		f, q := startWithResetConnections(t)
 		q.Abort(3*time.Millisecond, gather.ReasonStopping)
 		q.ResolveCrash(4*time.Millisecond, true)
 		q.ResolveCrash(4*time.Millisecond, false)
@@ -140,9 +140,9 @@
 }
 
 // A hedge that is in flight is the one server more.
-func TestDoubtsHoldRetriesBesideAHedge(t *testing.T) {
-	f := &fixed{budget: 10, hedge: time.Millisecond}
-	q := gather.New(repeatable(false), f)
+func TestUnconfirmedCrashHoldsRetriesDuringHedge(t *testing.T) {
+	f := &stubEnvironment{budget: 10, hedge: time.Millisecond}
+	q := gather.New(repeatableOptions(false), f)
 	q.Start(0)
 	q.Tick(2 * time.Millisecond)
 	if len(f.sent) != 3 || f.sent[2].Kind != gather.HedgeSend {
@@ -162,13 +162,13 @@
 	}
 }
 
-// manyParts is an environment of more parts.
-type manyParts struct {
-	fixed
+// partsEnvironment is an environment of more parts.
+type partsEnvironment struct {
+	stubEnvironment
 	parts int
 }
 
-func (m *manyParts) Targets(coverage.Range) []gather.Target {
+func (m *partsEnvironment) Targets(coverage.Range) []gather.Target {
 	var targets []gather.Target
 	for part := range uint64(m.parts) {
 		targets = append(targets, gather.Target{Range: coverage.Range{Start: part * 10, End: (part + 1) * 10}, Group: int(part)})
@@ -176,11 +176,11 @@
 	return targets
 }
 
-// endParts ends the servers of all parts of a query but the first so many, each so long after the
+// crashParts ends the servers of all parts of a query but the first so many, each so long after the
 // one before, and returns the query.
-func endParts(parts, spared int, apart time.Duration) (*manyParts, *gather.Query) {
-	m := &manyParts{parts: parts, fixed: fixed{budget: 100}}
-	options := repeatable(false)
+func crashParts(parts, spared int, apart time.Duration) (*partsEnvironment, *gather.Query) {
+	m := &partsEnvironment{parts: parts, stubEnvironment: stubEnvironment{budget: 100}}
+	options := repeatableOptions(false)
 	options.KeySpace = coverage.Range{End: uint64(parts) * 10}
 	q := gather.New(options, m)
 	q.Start(0)
@@ -193,7 +193,7 @@
 // Where all servers of a fan-out have ended, one after the other, nothing more is sent: a send
 // alone would take the last server of its part with it. Ends at one moment, or of a few parts, are
 // no proof: servers crash.
-func TestFanOutsThatEndAllServersAreProven(t *testing.T) {
+func TestFanOutCrashingAllServersIsProven(t *testing.T) {
 	for what, test := range map[string]struct {
 		parts  int
 		apart  time.Duration
@@ -204,7 +204,7 @@
 		"of a few parts":      {6, 20 * time.Millisecond, false},
 	} {
 		t.Run(what, func(t *testing.T) {
-			m, q := endParts(test.parts, 0, test.apart)
+			m, q := crashParts(test.parts, 0, test.apart)
 			if q.CrashedAllServers() != test.proven {
 				t.Errorf("proven %v", q.CrashedAllServers())
 			}
@@ -216,8 +216,8 @@
 }
 
 // Servers that say nothing have not ended: nothing is proven of a fan-out that runs into its deadline.
-func TestServersThatAreSilentProveNothing(t *testing.T) {
-	m, q := endParts(12, 1, 10*time.Millisecond)
+func TestSilentServersAreNotCrashed(t *testing.T) {
+	m, q := crashParts(12, 1, 10*time.Millisecond)
 	q.Tick(time.Second)
 	if m.outcome == nil || m.outcome.Reason != gather.ReasonDeadline || q.CrashedAllServers() {
 		t.Errorf("outcome %+v, proven %v", m.outcome, q.CrashedAllServers())
@@ -225,18 +225,18 @@
 }
 
 // Three ends, one after the other, speak against a query that nobody has answered.
-func TestQueriesEndangerServersUntilOneAnswers(t *testing.T) {
-	if _, q := endParts(10, 8, 10*time.Millisecond); q.IsCrashSuspect() {
+func TestIsCrashSuspectUntilAnswered(t *testing.T) {
+	if _, q := crashParts(10, 8, 10*time.Millisecond); q.IsCrashSuspect() {
 		t.Error("two ends speak against it")
 	}
-	if _, q := endParts(10, 7, 100*time.Microsecond); q.IsCrashSuspect() {
+	if _, q := crashParts(10, 7, 100*time.Microsecond); q.IsCrashSuspect() {
 		t.Error("ends at one moment speak against it")
 	}
-	m, q := endParts(10, 7, 10*time.Millisecond)
+	m, q := crashParts(10, 7, 10*time.Millisecond)
 	if !q.IsCrashSuspect() {
 		t.Error("three ends, one after the other, don't speak against it")
 	}
-	q.HandleReply(40*time.Millisecond, m.sent[0], done(m.sent[0]))
+	q.HandleReply(40*time.Millisecond, m.sent[0], doneReply(m.sent[0]))
 	if q.IsCrashSuspect() {
 		t.Error("they speak against it though a server has answered")
 	}
--- a/gather/query.go
+++ b/gather/query.go
@@ -42,34 +42,34 @@
 
 // Query is one query that runs.
 type Query struct {
-	options     Options
-	environment Environment
-	now         time.Duration
-	started     time.Duration
-	nextAt      time.Duration
-	snapshot    snapshot.ID
-	dropped     []snapshot.ID // snapshots on which the query gave up
-	segments    []*Segment
-	open        []*Segment // awaited, waiting or resting
-	due         []*Segment // scratch of Tick
-	covered     uint64     // keys of answered segments
-	lost        uint64     // keys of segments given up
-	unsent      int        // segments that no server has room for
-	held        []*Segment // that wait until nothing is in flight
-	ends        int        // servers that ended with a sub-request
-	doubts      int        // servers that may have, which is told soon
-	firstEndAt  time.Duration
-	lastEndAt   time.Duration
-	endedAll    bool // it was given up as all servers had ended that got it
-	survived    bool // a server ran a sub-request and lives
-	restarts    int
-	// ran says that a server certainly ran a sub-request.
-	ran bool
-	// unknown says that a server may have run one whose fate isn't known.
-	unknown  bool
-	finished bool
-	failure  Reason // of the first segment given up
-	steps    []Step
+	options            Options
+	environment        Environment
+	now                time.Duration
+	startedAt          time.Duration
+	nextTickAt         time.Duration
+	snapshot           snapshot.ID
+	abandonedSnapshots []snapshot.ID // snapshots on which the query gave up
+	segments           []*Segment
+	open               []*Segment // awaited, waiting or resting
+	dueSegments        []*Segment // scratch of Tick
+	coveredKeys        uint64     // keys of answered segments
+	lostKeys           uint64     // keys of segments given up
+	unsentSegments     int        // segments that no server has room for
+	held               []*Segment // that wait until nothing is in flight
+	crashes            int        // servers that ended with a sub-request
+	unconfirmedCrashes int        // servers that may have, which is told soon
+	firstCrashAt       time.Duration
+	lastCrashAt        time.Duration
+	crashedAllServers  bool // it was given up as all servers had ended that got it
+	hasSurvivor        bool // a server ran a sub-request and lives
+	restarts           int
+	// executed says that a server certainly ran a sub-request.
+	executed bool
+	// outcomeUnknown says that a server may have run one whose fate isn't known.
+	outcomeUnknown bool
+	finished       bool
+	firstFailure   Reason // of the first segment given up
+	steps          []Step
 }
 
 // New returns a Query that has not started.
@@ -96,18 +96,18 @@
 func (q *Query) Finished() bool { return q.finished }
 
 // NextTickAt is when Tick must be called next, at the latest.
-func (q *Query) NextTickAt() time.Duration { return q.nextAt }
+func (q *Query) NextTickAt() time.Duration { return q.nextTickAt }
 
 // Start sends a sub-request for each part of the key space.
 func (q *Query) Start(now time.Duration) {
 	q.now = now
-	q.started = now
-	q.nextAt = q.options.Deadline
-	q.begin(FirstSend)
+	q.startedAt = now
+	q.nextTickAt = q.options.Deadline
+	q.fanOut(FirstSend)
 }
 
-// begin divides the key space and sends the sub-requests.
-func (q *Query) begin(kind SendKind) {
+// fanOut divides the key space and sends the sub-requests.
+func (q *Query) fanOut(kind SendKind) {
 	targets := q.environment.Targets(q.options.KeySpace)
 	generation := q.environment.Generation()
 	slab := make([]Segment, len(targets))
@@ -119,42 +119,42 @@
 	unheld := q.options.KeySpace.Size()
 	for i, target := range targets {
 		slab[i].init(q, target, generation)
-		q.add(&slab[i])
+		q.addSegment(&slab[i])
 		unheld -= target.Range.Size()
 	}
-	q.lost = unheld
-	q.placeAll(slices.Clone(q.open), kind)
-	q.conclude()
+	q.lostKeys = unheld
+	q.trySendAll(slices.Clone(q.open), kind)
+	q.finishIfDone()
 }
 
-// add makes the segment one that is still awaited.
-func (q *Query) add(s *Segment) {
-	s.place = len(q.open)
+// addSegment makes the segment one that is still awaited.
+func (q *Query) addSegment(s *Segment) {
+	s.openIndex = len(q.open)
 	q.open = append(q.open, s)
 	q.segments = append(q.segments, s)
 }
 
-// remove takes the segment off those still awaited.
-func (q *Query) remove(s *Segment, state segmentState) {
+// closeSegment takes the segment off those still awaited.
+func (q *Query) closeSegment(s *Segment, state segmentState) {
 	q.setState(s, state)
 	s.hedgeAt, s.retryAt = 0, 0
 	last := len(q.open) - 1
-	q.open[s.place] = q.open[last]
-	q.open[s.place].place = s.place
+	q.open[s.openIndex] = q.open[last]
+	q.open[s.openIndex].openIndex = s.openIndex
 	q.open[last] = nil
 	q.open = q.open[:last]
 }
 
 func (s *Segment) isOpen() bool { return s.state < answered }
 
-// placeAll sends a sub-request for each segment that is still open.
-func (q *Query) placeAll(segments []*Segment, kind SendKind) {
+// trySendAll sends a sub-request for each segment that is still open.
+func (q *Query) trySendAll(segments []*Segment, kind SendKind) {
 	for _, s := range segments {
 		if q.finished {
 			return
 		}
 		if s.isOpen() {
-			q.place(s, kind)
+			q.trySend(s, kind)
 		}
 	}
 }
@@ -169,22 +169,22 @@
 		q.finish(ReasonDeadline)
 		return
 	}
-	q.nextAt = q.options.Deadline
-	q.due = q.due[:0]
+	q.nextTickAt = q.options.Deadline
+	q.dueSegments = q.dueSegments[:0]
 	for _, s := range q.open {
 		if s.isDue(now) {
-			q.due = append(q.due, s)
+			q.dueSegments = append(q.dueSegments, s)
 			continue
 		}
-		q.wakeFor(s)
+		q.scheduleTick(s)
 	}
-	for _, s := range q.due {
+	for _, s := range q.dueSegments {
 		if q.finished {
 			return
 		}
 		q.tickSegment(s)
 	}
-	q.conclude()
+	q.finishIfDone()
 }
 
 // hedgeSlack lets hedges that are due soon go together: a query then wakes few times.
@@ -196,22 +196,22 @@
 
 func (q *Query) tickSegment(s *Segment) {
 	switch {
-	case s.state == resting && s.retryAt <= q.now:
+	case s.state == backingOff && s.retryAt <= q.now:
 		s.retryAt = 0
 		s.tried = s.tried[:0]
-		q.place(s, s.kind)
-	case s.state == awaited && s.hedgeAt > 0:
-		q.hedge(s)
+		q.trySend(s, s.kind)
+	case s.state == active && s.hedgeAt > 0:
+		q.sendHedge(s)
 	}
 }
 
-// wakeFor makes the query wake for the segment's next time.
-func (q *Query) wakeFor(s *Segment) {
+// scheduleTick makes the query wake for the segment's next time.
+func (q *Query) scheduleTick(s *Segment) {
 	if s.hedgeAt > 0 {
-		q.nextAt = min(q.nextAt, s.hedgeAt)
+		q.nextTickAt = min(q.nextTickAt, s.hedgeAt)
 	}
 	if s.retryAt > 0 {
-		q.nextAt = min(q.nextAt, s.retryAt)
+		q.nextTickAt = min(q.nextTickAt, s.retryAt)
 	}
 }
 
@@ -227,47 +227,47 @@
 	q.finish(reason)
 }
 
-// conclude finishes the query when nothing is left to wait for, or when waiting
+// finishIfDone finishes the query when nothing is left to wait for, or when waiting
 // on is not worth while.
-func (q *Query) conclude() {
+func (q *Query) finishIfDone() {
 	q.releaseHeld()
 	switch {
 	case q.finished:
-	case q.covered == q.options.KeySpace.Size() && q.covered > 0:
+	case q.coveredKeys == q.options.KeySpace.Size() && q.coveredKeys > 0:
 		q.finish(ReasonComplete)
 	case len(q.open) == 0:
 		q.finish(q.failureReason())
-	case q.hopeless():
+	case q.isCoverageUnreachable():
 		q.finish(q.failureReason())
 	default:
-		q.considerStop()
+		q.considerEarlyStop()
 	}
 }
 
-// hopeless reports that the minimum can't be reached any more. A query that is
+// isCoverageUnreachable reports that the minimum can't be reached any more. A query that is
 // not repeatable waits on, to know what ran.
-func (q *Query) hopeless() bool {
-	if q.lost == 0 || !q.options.Repeatable {
+func (q *Query) isCoverageUnreachable() bool {
+	if q.lostKeys == 0 || !q.options.Repeatable {
 		return false
 	}
-	return q.fraction(q.options.KeySpace.Size()-q.lost) < q.options.RequiredCoverage
+	return q.coverageOf(q.options.KeySpace.Size()-q.lostKeys) < q.options.RequiredCoverage
 }
 
 func (q *Query) failureReason() Reason {
 	switch {
-	case q.unknown && !q.options.Repeatable:
+	case q.outcomeUnknown && !q.options.Repeatable:
 		return ReasonOutcomeUnknown
-	case q.failure != "":
-		return q.failure
+	case q.firstFailure != "":
+		return q.firstFailure
 	default:
 		return ReasonExhausted
 	}
 }
 
-// considerStop asks the stop policy once the minimum is there.
-func (q *Query) considerStop() {
-	fraction := q.fraction(q.covered)
-	if q.covered == 0 || fraction < q.options.RequiredCoverage || !q.options.Repeatable {
+// considerEarlyStop asks the stop policy once the minimum is there.
+func (q *Query) considerEarlyStop() {
+	fraction := q.coverageOf(q.coveredKeys)
+	if q.coveredKeys == 0 || fraction < q.options.RequiredCoverage || !q.options.Repeatable {
 		return
 	}
 	typical := q.environment.TypicalLatency()
@@ -276,24 +276,24 @@
 		Coverage:         fraction,
 		RequiredCoverage: q.options.RequiredCoverage,
 		OpenSegments:     len(q.open),
-		UnsentSegments:   q.unsent,
+		UnsentSegments:   q.unsentSegments,
 		TypicalLatency:   typical,
-		ExpectedLatency:  q.expected(typical),
-		Budget:           q.options.Deadline - q.started,
+		ExpectedLatency:  q.minExpectedLatency(typical),
+		Budget:           q.options.Deadline - q.startedAt,
 	})
 	switch {
 	case !ok:
-	case q.now >= q.started+after:
+	case q.now >= q.startedAt+after:
 		q.finish(ReasonEnoughCoverage)
 	default:
-		q.nextAt = min(q.nextAt, q.started+after)
+		q.nextTickAt = min(q.nextTickAt, q.startedAt+after)
 	}
 }
 
-// expected is the least latency that is expected of an open segment, or that of
+// minExpectedLatency is the least latency that is expected of an open segment, or that of
 // the first one found that is as quick as is typical: a query with many segments
 // must not look at all of them after each reply.
-func (q *Query) expected(typical time.Duration) time.Duration {
+func (q *Query) minExpectedLatency(typical time.Duration) time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for _, s := range q.open {
 		least = min(least, q.environment.ExpectedLatency(s))
@@ -307,14 +307,14 @@
 // setState changes how far the segment got.
 func (q *Query) setState(s *Segment, state segmentState) {
 	if s.state == waiting {
-		q.unsent--
+		q.unsentSegments--
 	}
 	if state == waiting {
-		q.unsent++
+		q.unsentSegments++
 	}
 	s.state = state
 }
 
-func (q *Query) fraction(keys uint64) float64 {
+func (q *Query) coverageOf(keys uint64) float64 {
 	return coverage.Fraction(keys, q.options.KeySpace.Size())
 }
--- a/gather/query_test.go
+++ b/gather/query_test.go
@@ -15,8 +15,8 @@
 
 func (r replica) ServerID() string { return string(r) }
 
-// fixed is an Environment with two halves of a key space and two replicas of each.
-type fixed struct {
+// stubEnvironment is an Environment with two halves of a key space and two replicas of each.
+type stubEnvironment struct {
 	busy     bool
 	budget   float64
 	next     snapshot.ID // to start over on; zero is none
@@ -32,13 +32,13 @@
 	halves = []coverage.Range{{Start: 0, End: 50}, {Start: 50, End: 100}}
 )
 
-func (f *fixed) Generation() uint64 { return 1 }
+func (f *stubEnvironment) Generation() uint64 { return 1 }
 
-func (f *fixed) Targets(coverage.Range) []gather.Target {
+func (f *stubEnvironment) Targets(coverage.Range) []gather.Target {
 	return []gather.Target{{Range: halves[0], Group: 0}, {Range: halves[1], Group: 1}}
 }
 
-func (f *fixed) Place(s *gather.Segment, _ gather.SendKind) (gather.Server, gather.Placement) {
+func (f *stubEnvironment) Place(s *gather.Segment, _ gather.SendKind) (gather.Server, gather.Placement) {
 	if f.busy {
 		return nil, gather.Busy
 	}
@@ -51,11 +51,15 @@
 	return nil, gather.Unservable
 }
 
-func (f *fixed) HedgeDelay(*gather.Segment) (time.Duration, bool) { return f.hedge, f.hedge > 0 }
+func (f *stubEnvironment) HedgeDelay(*gather.Segment) (time.Duration, bool) {
+	return f.hedge, f.hedge > 0
+}
 
-func (f *fixed) SpendHedge(q *gather.Query, price float64) bool { return f.SpendRetry(q, price) }
+func (f *stubEnvironment) SpendHedge(q *gather.Query, price float64) bool {
+	return f.SpendRetry(q, price)
+}
 
-func (f *fixed) SpendRetry(_ *gather.Query, price float64) bool {
+func (f *stubEnvironment) SpendRetry(_ *gather.Query, price float64) bool {
 	if f.budget < price {
 		return false
 	}
@@ -63,40 +67,42 @@
 	return true
 }
 
-func (f *fixed) NextSnapshot([]snapshot.ID, uint64) (snapshot.ID, bool) { return f.next, f.next > 0 }
-func (f *fixed) TypicalLatency() time.Duration                          { return 0 }
-func (f *fixed) ExpectedLatency(*gather.Segment) time.Duration          { return 0 }
-func (f *fixed) Backoff(int) time.Duration                              { return time.Millisecond }
-func (f *fixed) Send(a *gather.Attempt)                                 { f.sent = append(f.sent, a) }
-func (f *fixed) Cancel(a *gather.Attempt)                               { f.canceled = append(f.canceled, a) }
-func (f *fixed) Finish(_ *gather.Query, outcome gather.Outcome)         { f.outcome = &outcome }
-
-func (f *fixed) NextAttemptID() gather.AttemptID {
+func (f *stubEnvironment) NextSnapshot([]snapshot.ID, uint64) (snapshot.ID, bool) {
+	return f.next, f.next > 0
+}
+func (f *stubEnvironment) TypicalLatency() time.Duration                  { return 0 }
+func (f *stubEnvironment) ExpectedLatency(*gather.Segment) time.Duration  { return 0 }
+func (f *stubEnvironment) Backoff(int) time.Duration                      { return time.Millisecond }
+func (f *stubEnvironment) Send(a *gather.Attempt)                         { f.sent = append(f.sent, a) }
+func (f *stubEnvironment) Cancel(a *gather.Attempt)                       { f.canceled = append(f.canceled, a) }
+func (f *stubEnvironment) Finish(_ *gather.Query, outcome gather.Outcome) { f.outcome = &outcome }
+
+func (f *stubEnvironment) NextAttemptID() gather.AttemptID {
 	f.last++
 	return f.last
 }
 
-func done(a *gather.Attempt) gather.Reply {
+func doneReply(a *gather.Attempt) gather.Reply {
 	return gather.Reply{Status: gather.ReplyDone, Snapshot: a.Snapshot, Range: a.Range}
 }
 
-func TestVerdicts(t *testing.T) {
-	type ending func(q *gather.Query, f *fixed)
+func TestExecutionAndReason(t *testing.T) {
+	type ending func(q *gather.Query, f *stubEnvironment)
 	reply := func(attempt int, status gather.ReplyStatus) ending {
-		return func(q *gather.Query, f *fixed) {
+		return func(q *gather.Query, f *stubEnvironment) {
 			a := f.sent[attempt]
 			r := gather.Reply{Status: status}
 			if status == gather.ReplyDone {
-				r = done(a)
+				r = doneReply(a)
 			}
 			q.HandleReply(0, a, r)
 		}
 	}
 	fail := func(attempt int, delivery gather.Delivery) ending {
-		return func(q *gather.Query, f *fixed) { q.HandleFailure(0, f.sent[attempt], delivery, "cut") }
+		return func(q *gather.Query, f *stubEnvironment) { q.HandleFailure(0, f.sent[attempt], delivery, "cut") }
 	}
-	deadline := func(q *gather.Query, _ *fixed) { q.Tick(time.Second) }
-	gone := func(q *gather.Query, _ *fixed) { q.Cancel(0) }
+	deadline := func(q *gather.Query, _ *stubEnvironment) { q.Tick(time.Second) }
+	gone := func(q *gather.Query, _ *stubEnvironment) { q.Cancel(0) }
 	tests := []struct {
 		name       string
 		repeatable bool
@@ -124,7 +130,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			f := &fixed{}
+			f := &stubEnvironment{}
 			q := gather.New(gather.Options{
 				KeySpace: space, Snapshot: 7, Deadline: time.Second, RequiredCoverage: test.minimum, Repeatable: test.repeatable,
 			}, f)
@@ -142,8 +148,8 @@
 	}
 }
 
-func TestSegmentsThatWaitAreSentOnceThereIsRoom(t *testing.T) {
-	f := &fixed{busy: true}
+func TestQueryWithoutCapacityIsNotRun(t *testing.T) {
+	f := &stubEnvironment{busy: true}
 	q := gather.New(gather.Options{KeySpace: space, Snapshot: 7, Deadline: time.Second}, f)
 	q.Start(0)
 	q.Tick(time.Second)
@@ -152,17 +158,17 @@
 	}
 }
 
-func TestStartingOverNeedsBudgetForWhatRan(t *testing.T) {
+func TestRestartSpendsBudgetForExecutedSegments(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		budget float64
 		want   snapshot.ID
 	}{{"enough", 1, 8}, {"none", 0, 7}} {
 		t.Run(test.name, func(t *testing.T) {
-			f := &fixed{next: 8, budget: test.budget}
+			f := &stubEnvironment{next: 8, budget: test.budget}
 			q := gather.New(gather.Options{KeySpace: space, Snapshot: 7, Deadline: time.Second, Repeatable: true, MaximumRestarts: 1}, f)
 			q.Start(0)
-			q.HandleReply(0, f.sent[0], done(f.sent[0]))
+			q.HandleReply(0, f.sent[0], doneReply(f.sent[0]))
 			q.HandleReply(0, f.sent[1], gather.Reply{Status: gather.ReplyUnknownSnapshot})
 			q.HandleReply(0, f.sent[2], gather.Reply{Status: gather.ReplyUnknownSnapshot})
 			if q.Snapshot() != test.want {
@@ -172,8 +178,8 @@
 	}
 }
 
-func TestNextAtIsTheHedgeThenTheDeadline(t *testing.T) {
-	f := &fixed{hedge: time.Millisecond, budget: 10}
+func TestNextTickAtIsHedgeThenDeadline(t *testing.T) {
+	f := &stubEnvironment{hedge: time.Millisecond, budget: 10}
 	q := gather.New(gather.Options{KeySpace: space, Snapshot: 7, Deadline: time.Second, Repeatable: true}, f)
 	q.Start(0)
 	if q.NextTickAt() != time.Millisecond {
@@ -183,7 +189,7 @@
 	if len(f.sent) != 3 || q.NextTickAt() != 2*time.Millisecond {
 		t.Fatalf("%d sent, next at %v; want one hedge until a part is answered", len(f.sent), q.NextTickAt())
 	}
-	q.HandleReply(time.Millisecond, f.sent[2], done(f.sent[2]))
+	q.HandleReply(time.Millisecond, f.sent[2], doneReply(f.sent[2]))
 	q.Tick(2 * time.Millisecond)
 	if len(f.sent) != 4 || q.NextTickAt() != time.Second {
 		t.Fatalf("%d sent, next at %v", len(f.sent), q.NextTickAt())
@@ -191,13 +197,13 @@
 }
 
 func ExampleQuery() {
-	f := &fixed{}
+	f := &stubEnvironment{}
 	query := gather.New(gather.Options{KeySpace: space, Snapshot: 7, Deadline: time.Second, RequiredCoverage: 0.5}, f)
 	query.Start(0)
 	for _, a := range f.sent {
 		fmt.Println("asked", a.Server, "for", a.Range)
 	}
-	query.HandleReply(5*time.Millisecond, f.sent[0], done(f.sent[0]))
+	query.HandleReply(5*time.Millisecond, f.sent[0], doneReply(f.sent[0]))
 	query.Tick(time.Second) // the deadline
 	fmt.Println(f.outcome.Reason, f.outcome.Coverage, f.outcome.Complete)
 	// Output:
--- a/gather/segment.go
+++ b/gather/segment.go
@@ -12,17 +12,17 @@
 type segmentState int
 
 const (
-	awaited  segmentState = iota // an attempt is in flight, or about to be
-	waiting                      // no server had room
-	resting                      // every server was tried; another round follows
-	held                         // nothing more is sent while something is in flight
-	answered                     // the reply was taken
-	closed                       // given up, or divided
+	active     segmentState = iota // an attempt is in flight, or about to be
+	waiting                        // no server had room
+	backingOff                     // every server was tried; another round follows
+	held                           // nothing more is sent while something is in flight
+	answered                       // the reply was taken
+	closed                         // given up, or divided
 )
 
-// replicasInline is the number of attempts per segment that need no allocation
+// inlineAttempts is the number of attempts per segment that need no allocation
 // of their own list.
-const replicasInline = 2
+const inlineAttempts = 2
 
 // Segment is a range of the key space that one sub-request answers.
 type Segment struct {
@@ -31,21 +31,21 @@
 	// Group holds the range as of the generation in which it was routed.
 	Group Group
 
-	query      *Query
-	generation uint64
-	state      segmentState
-	kind       SendKind // of the sub-request that waits or rests
-	place      int      // in the query's open segments
-	live       []*Attempt
-	tried      []Server
-	rounds     int
-	hedgeAt    time.Duration // zero is never
-	retryAt    time.Duration // zero is never
-	server     Server
-	body       any
-	first      Attempt
-	liveInline [replicasInline]*Attempt
-	tryInline  [replicasInline]Server
+	query         *Query
+	generation    uint64
+	state         segmentState
+	kind          SendKind // of the sub-request that waits or rests
+	openIndex     int      // in the query's open segments
+	pending       []*Attempt
+	tried         []Server
+	rounds        int
+	hedgeAt       time.Duration // zero is never
+	retryAt       time.Duration // zero is never
+	answeredBy    Server
+	body          any
+	firstAttempt  Attempt
+	pendingInline [inlineAttempts]*Attempt
+	triedInline   [inlineAttempts]Server
 }
 
 // Attempt is one sub-request.
@@ -62,14 +62,14 @@
 	// of it in flight.
 	Alone bool
 
-	live bool
+	pending bool
 }
 
 // Query is the query to which the attempt belongs.
 func (a *Attempt) Query() *Query { return a.Segment.query }
 
 // IsPending reports whether the attempt's reply is still wanted.
-func (a *Attempt) IsPending() bool { return a.live }
+func (a *Attempt) IsPending() bool { return a.pending }
 
 // Query is the query to which the segment belongs.
 func (s *Segment) Query() *Query { return s.query }
@@ -85,22 +85,22 @@
 	s.Group = target.Group
 	s.query = q
 	s.generation = generation
-	s.live = s.liveInline[:0]
-	s.tried = s.tryInline[:0]
+	s.pending = s.pendingInline[:0]
+	s.tried = s.triedInline[:0]
 }
 
-// attempt returns a new attempt; the first one needs no allocation.
-func (s *Segment) attempt() *Attempt {
-	if s.first.Segment == nil {
-		return &s.first
+// newAttempt returns a new attempt; the first one needs no allocation.
+func (s *Segment) newAttempt() *Attempt {
+	if s.firstAttempt.Segment == nil {
+		return &s.firstAttempt
 	}
 	return new(Attempt)
 }
 
-// detach takes a live attempt off the segment.
-func (s *Segment) detach(a *Attempt) {
-	a.live = false
-	if i := slices.Index(s.live, a); i >= 0 {
-		s.live = slices.Delete(s.live, i, i+1)
+// removeAttempt takes a live attempt off the segment.
+func (s *Segment) removeAttempt(a *Attempt) {
+	a.pending = false
+	if i := slices.Index(s.pending, a); i >= 0 {
+		s.pending = slices.Delete(s.pending, i, i+1)
 	}
 }
--- a/gather/stop_cost_test.go
+++ b/gather/stop_cost_test.go
@@ -8,15 +8,15 @@
 	"github.com/banksail/banksail/gather"
 )
 
-// wide is an Environment with many groups, all as quick as is typical. It
+// wideEnvironment is an Environment with many groups, all as quick as is typical. It
 // counts how often it is asked what to expect.
-type wide struct {
-	fixed
+type wideEnvironment struct {
+	stubEnvironment
 	groups int
 	asked  int
 }
 
-func (w *wide) Targets(coverage.Range) []gather.Target {
+func (w *wideEnvironment) Targets(coverage.Range) []gather.Target {
 	targets := make([]gather.Target, 0, w.groups)
 	for i := range w.groups {
 		targets = append(targets, gather.Target{
@@ -27,18 +27,18 @@
 	return targets
 }
 
-func (w *wide) TypicalLatency() time.Duration { return time.Millisecond }
+func (w *wideEnvironment) TypicalLatency() time.Duration { return time.Millisecond }
 
-func (w *wide) ExpectedLatency(*gather.Segment) time.Duration {
+func (w *wideEnvironment) ExpectedLatency(*gather.Segment) time.Duration {
 	w.asked++
 	return time.Millisecond
 }
 
-// TestStoppingIsWeighedInConstantTime: a query with many segments looks at few
+// TestStopDecisionCostIsConstantPerReply: a query with many segments looks at few
 // of those still awaited after each reply.
-func TestStoppingIsWeighedInConstantTime(t *testing.T) {
+func TestStopDecisionCostIsConstantPerReply(t *testing.T) {
 	const groups = 350
-	w := &wide{groups: groups}
+	w := &wideEnvironment{groups: groups}
 	q := gather.New(gather.Options{
 		KeySpace:   coverage.Range{End: groups},
 		Snapshot:   7,
@@ -48,7 +48,7 @@
 	}, w)
 	q.Start(0)
 	for _, attempt := range w.sent {
-		q.HandleReply(0, attempt, done(attempt))
+		q.HandleReply(0, attempt, doneReply(attempt))
 	}
 	if w.outcome == nil || !w.outcome.Complete {
 		t.Fatalf("outcome %+v", w.outcome)
