--- a/gather/attempts.go
+++ b/gather/attempts.go
@@ -7,8 +7,8 @@
 	"github.com/banksail/banksail/coverage"
 )
 
-// HandleReply takes a server's reply to an attempt. A reply to an attempt that is
-// no longer wanted changes nothing.
+// HandleReply processes a server's reply to an attempt. It ignores replies to attempts that are
+// no longer pending.
 func (q *Query) HandleReply(now time.Duration, a *Attempt, reply Reply) {
 	if q.finished || !a.pending {
 		return
@@ -32,7 +32,8 @@
 	q.finishIfDone()
 }
 
-// HandleFailure takes the end of an attempt without a reply.
+// HandleFailure processes an attempt that ended without a reply. The reason appears in the
+// explanation.
 func (q *Query) HandleFailure(now time.Duration, a *Attempt, delivery Delivery, reason string) {
 	if q.finished || !a.pending {
 		return
@@ -52,9 +53,9 @@
 	q.finishIfDone()
 }
 
-// HandleServerGone tells that the attempt's server is gone, so that its reply is not to be
-// expected. Another server is asked beside it; the reply still counts if it
-// comes. A query that is not repeatable waits on.
+// HandleServerGone is called when the server of a pending attempt has left the cluster and its
+// reply is unlikely to arrive. It retries on another server if the retry budget allows; the
+// original reply still counts if it does arrive. A query that is not repeatable keeps waiting.
 func (q *Query) HandleServerGone(now time.Duration, a *Attempt) {
 	s := a.Segment
 	if q.finished || !a.pending || !q.options.Repeatable || len(s.pending) > 1 || s.state != active || q.sendsSerially() {
@@ -67,7 +68,8 @@
 	}
 }
 
-// recordAnswer takes a result that matches what was asked for.
+// recordAnswer accepts a result whose snapshot and range match the attempt. A mismatch counts
+// as a server error.
 func (q *Query) recordAnswer(a *Attempt, reply Reply) {
 	if reply.Snapshot != a.Snapshot || reply.Range != a.Range {
 		q.handleUnknownOutcome(a, "mismatched reply", ReasonServerError)
@@ -84,15 +86,16 @@
 	q.closeSegment(s, answered)
 }
 
-// handleNotExecuted handles an attempt that certainly was not run.
-func (q *Query) handleNotExecuted(a *Attempt, what string, reason Reason, price float64) {
-	q.recordStep(what, a)
+// handleNotExecuted handles an attempt that is known not to have run.
+func (q *Query) handleNotExecuted(a *Attempt, event string, reason Reason, price float64) {
+	q.recordStep(event, a)
 	q.retry(a, reason, price)
 }
 
-// handleUnknownOutcome handles an attempt of which it isn't known whether it ran.
-func (q *Query) handleUnknownOutcome(a *Attempt, what string, reason Reason) {
-	q.recordStep(what, a)
+// handleUnknownOutcome handles an attempt that may have run. A query that is not repeatable
+// sends nothing more after it.
+func (q *Query) handleUnknownOutcome(a *Attempt, event string, reason Reason) {
+	q.recordStep(event, a)
 	q.outcomeUnknown = true
 	if !q.options.Repeatable {
 		a.Segment.removeAttempt(a)
@@ -103,8 +106,8 @@
 	q.retry(a, reason, FullPrice)
 }
 
-// giveUpUnsent gives up the segments of which no attempt is in flight: nothing
-// more may be sent.
+// giveUpUnsent gives up all segments without an attempt in flight, because nothing more may be
+// sent.
 func (q *Query) giveUpUnsent() {
 	for _, s := range slices.Clone(q.open) {
 		if len(s.pending) == 0 {
@@ -113,7 +116,8 @@
 	}
 }
 
-// retry asks another server, unless another attempt is still awaited.
+// retry removes the failed attempt and sends the segment to another server, unless another
+// attempt for it is still pending or the retry budget is exhausted.
 func (q *Query) retry(a *Attempt, reason Reason, price float64) {
 	s := a.Segment
 	s.removeAttempt(a)
@@ -128,14 +132,15 @@
 	q.trySend(s, RetrySend)
 }
 
-// recordFailure keeps the first reason, for when the query fails.
+// recordFailure keeps the first failure reason, which becomes the reason of a failed query.
 func (q *Query) recordFailure(reason Reason) {
 	if q.firstFailure == "" {
 		q.firstFailure = reason
 	}
 }
 
-// trySend sends a sub-request for the segment, or finds what else to do about it.
+// trySend sends a sub-request for the segment. If that is not possible now, the segment is
+// held, rerouted, left waiting for capacity, backed off or given up.
 func (q *Query) trySend(s *Segment, kind SendKind) {
 	if q.outcomeUnknown && !q.options.Repeatable {
 		q.giveUp(s, ReasonOutcomeUnknown)
@@ -164,8 +169,9 @@
 	}
 }
 
-// rerouteSegment follows a repartition. It reports whether the segment was divided;
-// else the segment goes on, with its new group.
+// rerouteSegment applies a repartition to the segment. If the range now belongs to several
+// groups, the segment is replaced by one per group and rerouteSegment reports true; otherwise
+// the segment continues with its new group.
 func (q *Query) rerouteSegment(s *Segment, kind SendKind) bool {
 	targets := q.environment.Targets(s.Range)
 	generation := q.environment.Generation()
@@ -178,25 +184,25 @@
 		return false
 	}
 	q.closeSegment(s, closed)
-	unheld := s.Range.Size()
-	divided := make([]*Segment, 0, len(targets))
+	unassigned := s.Range.Size()
+	pieces := make([]*Segment, 0, len(targets))
 	for _, target := range targets {
 		piece := new(Segment)
 		piece.init(q, target, generation)
 		q.addSegment(piece)
-		divided = append(divided, piece)
-		unheld -= target.Range.Size()
+		pieces = append(pieces, piece)
+		unassigned -= target.Range.Size()
 	}
-	if unheld > 0 {
-		q.lostKeys += unheld
+	if unassigned > 0 {
+		q.lostKeys += unassigned
 		q.recordFailure(ReasonNoServer)
 	}
 	q.recordRangeStep("repartitioned", s.Range)
-	q.trySendAll(divided, kind)
+	q.trySendAll(pieces, kind)
 	return true
 }
 
-// send sends a sub-request to the server.
+// send starts a new attempt for the segment on the server.
 func (q *Query) send(s *Segment, server Server, kind SendKind) {
 	a := s.newAttempt()
 	*a = Attempt{
@@ -218,7 +224,7 @@
 	q.environment.Send(a)
 }
 
-// label names the kind in explanations.
+// label returns the name of the kind in explanations.
 func (k SendKind) label() string {
 	switch k {
 	case HedgeSend:
@@ -230,7 +236,8 @@
 	}
 }
 
-// scheduleHedge sets when a hedge is due; there is one at a time.
+// scheduleHedge sets the time of the segment's hedge. A segment has at most one hedge in
+// flight, and queries that are not repeatable are never hedged.
 func (q *Query) scheduleHedge(s *Segment, kind SendKind) {
 	s.hedgeAt = 0
 	if kind == HedgeSend || !q.options.Repeatable {
@@ -243,10 +250,11 @@
 	}
 }
 
-// minHedgeRetryDelay bounds how often a hedge that was denied is tried again.
+// minHedgeRetryDelay is the minimum delay before a denied hedge is attempted again.
 const minHedgeRetryDelay = time.Millisecond
 
-// sendHedge asks another server beside the one that is awaited.
+// sendHedge sends a second attempt for a segment that has exactly one pending. If capacity or
+// budget is lacking, it tries again later.
 func (q *Query) sendHedge(s *Segment) {
 	s.hedgeAt = 0
 	if len(s.pending) != 1 || q.sendsSerially() {
@@ -271,7 +279,9 @@
 	q.scheduleTick(s)
 }
 
-// startBackoff lets the segment wait before servers that were all tried are asked anew.
+// startBackoff delays the next retry round after all usable servers have been tried. The
+// segment is given up when the rounds are used up or the next one would start after the
+// deadline.
 func (q *Query) startBackoff(s *Segment, kind SendKind) {
 	if len(s.pending) > 0 {
 		return
@@ -288,7 +298,8 @@
 	q.scheduleTick(s)
 }
 
-// handleUnservable handles a segment that no server can answer for the pinned snapshot.
+// handleUnservable handles a segment for which no server has the pinned snapshot: the query
+// restarts on another snapshot or gives the segment up.
 func (q *Query) handleUnservable(s *Segment) {
 	if len(s.pending) > 0 || q.restart(s) {
 		return
@@ -296,7 +307,7 @@
 	q.giveUp(s, ReasonNoServer)
 }
 
-// giveUp leaves the segment uncovered.
+// giveUp closes the segment without an answer; its keys count as lost.
 func (q *Query) giveUp(s *Segment, reason Reason) {
 	q.recordFailure(reason)
 	q.recordRangeStep("given up", s.Range)
@@ -304,7 +315,7 @@
 	q.closeSegment(s, closed)
 }
 
-// ResumeSegment tells that there may be room for a segment that waits.
+// ResumeSegment is called when there may be capacity for a segment that is waiting for it.
 func (q *Query) ResumeSegment(now time.Duration, s *Segment) {
 	if q.finished || s.state != waiting {
 		return
@@ -315,7 +326,8 @@
 	q.finishIfDone()
 }
 
-// GiveUpSegment tells that a segment that waits can't be answered in time.
+// GiveUpSegment is called when a segment that waits for capacity can no longer be answered in
+// time.
 func (q *Query) GiveUpSegment(now time.Duration, s *Segment) {
 	if q.finished || s.state != waiting {
 		return
@@ -325,8 +337,8 @@
 	q.finishIfDone()
 }
 
-// Reroute tells that Targets may answer otherwise than before, or that servers
-// came: segments that wait or rest are tried again.
+// Reroute is called when the routing generation has changed or servers have become available.
+// Segments that are waiting for capacity or backing off are retried at once.
 func (q *Query) Reroute(now time.Duration) {
 	if q.finished {
 		return
@@ -347,22 +359,22 @@
 	q.finishIfDone()
 }
 
-func (q *Query) recordStep(what string, a *Attempt) {
+func (q *Query) recordStep(event string, a *Attempt) {
 	if len(q.steps) >= q.options.MaximumSteps {
 		return
 	}
 	q.steps = append(q.steps, Step{
 		At:      q.now - q.options.Arrived,
-		Event:   what,
+		Event:   event,
 		Attempt: a.ID,
 		Server:  a.Server.ServerID(),
 		Range:   a.Range,
 	})
 }
 
-func (q *Query) recordRangeStep(what string, r coverage.Range) {
+func (q *Query) recordRangeStep(event string, r coverage.Range) {
 	if len(q.steps) >= q.options.MaximumSteps {
 		return
 	}
-	q.steps = append(q.steps, Step{At: q.now - q.options.Arrived, Event: what, Range: r})
+	q.steps = append(q.steps, Step{At: q.now - q.options.Arrived, Event: event, Range: r})
 }
--- a/gather/crash.go
+++ b/gather/crash.go
@@ -5,30 +5,32 @@
 	"time"
 )
 
-// maxCrashes is the number of servers that a query may end before it is given up: one or two
-// may end by themselves while they run it.
+// maxCrashes is the number of servers that may crash under a query before it is given up. One
+// or two servers may crash for unrelated reasons while they run it.
 const maxCrashes = 3
 
-// sendsSerially reports whether the query may be one that ends the servers that run it. Then one
-// sub-request is in flight at a time: a single one tells as much as many, and an answer to
-// it lets the others go. Without that, all 8 servers of 4 parts ended under one query, and 6
-// with it, after which the query is known.
+// sendsSerially reports whether the query may have at most one sub-request in flight, because
+// it may be the cause of server crashes. A single sub-request is as conclusive as many, and an
+// answer to it releases the others. Without this limit, all 8 servers of 4 parts crashed under
+// one query, and 6 with it, after which the query is identified.
 func (q *Query) sendsSerially() bool {
 	return !q.hasSurvivor && (q.options.CrashSuspect || q.crashes > 0)
 }
 
 const (
-	// minCrashSpan is the least time between the first and the last of the ends that speak against a
-	// query: servers that crash together end at one moment.
+	// minCrashSpan is the minimum time between the first and the last crash that make a query a
+	// suspect. Servers that crash together for an unrelated reason do so at the same moment.
 	minCrashSpan = 2 * time.Millisecond
-	// provenCrashes, of servers that all got the query, are proof without one that gets it alone,
-	// if they are provenCrashSpan. News of one moment is less apart: a broken connection and the look
-	// after its server take three ways, of 24 ms at most between regions.
+	// provenCrashes is the number of crashes that prove a query to be the cause without an
+	// attempt sent alone, provided that every server that received the query has crashed and
+	// that the crashes are spread over at least provenCrashSpan. Reports of simultaneous
+	// crashes arrive closer together than that: a connection reset and the following check of
+	// the server take three one-way trips, of at most 24 ms each between regions.
 	provenCrashes   = 8
 	provenCrashSpan = 75 * time.Millisecond
 )
 
-// recordCrash counts the end of a server.
+// recordCrash counts a server crash.
 func (q *Query) recordCrash() {
 	if q.crashes == 0 {
 		q.firstCrashAt = q.now
@@ -37,69 +39,74 @@
 	q.lastCrashAt = q.now
 }
 
-// IsCrashSuspect reports whether several servers have ended under the query, one after the other, and
-// none has answered it.
+// IsCrashSuspect reports whether at least maxCrashes servers have crashed under the query, not
+// all at once, and none has answered it.
 func (q *Query) IsCrashSuspect() bool { return q.hasCrashed(maxCrashes, minCrashSpan) }
 
-// CrashedAllServers reports whether all servers have ended that got the query, so many and so far apart
-// that it is proof.
+// CrashedAllServers reports whether every server that received the query has crashed, with
+// enough crashes over a long enough time to prove that the query is the cause.
 func (q *Query) CrashedAllServers() bool { return q.crashedAllServers }
 
-// isCrasherProven reports whether that is so with so many sub-requests in flight.
-func (q *Query) isCrasherProven(live int) bool {
-	return live == 0 && q.hasCrashed(provenCrashes, provenCrashSpan)
+// isCrasherProven reports whether the query is proven to crash servers, given its number of
+// pending attempts.
+func (q *Query) isCrasherProven(pending int) bool {
+	return pending == 0 && q.hasCrashed(provenCrashes, provenCrashSpan)
 }
 
-// finishProvenCrasher finishes a query of which that is so.
+// finishProvenCrasher finishes a query that is proven to crash servers.
 func (q *Query) finishProvenCrasher() {
 	q.crashedAllServers, q.outcomeUnknown = true, true
 	q.finish(ReasonCrashesServers)
 }
 
-func (q *Query) hasCrashed(ends int, apart time.Duration) bool {
-	return !q.hasSurvivor && q.crashes >= ends && q.lastCrashAt-q.firstCrashAt >= apart
+// hasCrashed reports whether at least the given number of servers, spread over at least the
+// given time, have crashed under the query and none has survived it.
+func (q *Query) hasCrashed(crashes int, span time.Duration) bool {
+	return !q.hasSurvivor && q.crashes >= crashes && q.lastCrashAt-q.firstCrashAt >= span
 }
 
-// MarkCrashSuspect tells that servers have ended under such a query elsewhere: what is in flight goes on,
-// and nothing more is sent beside it.
+// MarkCrashSuspect is called when servers elsewhere have crashed under the same request.
+// Pending attempts continue; nothing more is sent until they end.
 func (q *Query) MarkCrashSuspect() { q.options.CrashSuspect = true }
 
-// handleServerCrash handles an attempt whose server ended with it.
-func (q *Query) handleServerCrash(a *Attempt, what string) {
+// handleServerCrash handles an attempt whose server crashed while the attempt was in flight.
+func (q *Query) handleServerCrash(a *Attempt, event string) {
 	q.recordCrash()
 	if a.Alone && q.crashes >= maxCrashes {
-		q.recordStep(what, a)
+		q.recordStep(event, a)
 		q.outcomeUnknown = true
 		q.finish(ReasonCrashesServers)
 		return
 	}
 	if q.isCrasherProven(q.pendingCount() - 1) {
-		q.recordStep(what, a)
+		q.recordStep(event, a)
 		q.finishProvenCrasher()
 		return
 	}
-	q.handleUnknownOutcome(a, what, ReasonServerError)
+	q.handleUnknownOutcome(a, event, ReasonServerError)
 }
 
-// ResolveCrash tells whether the server of an attempt that had failed in doubt has ended.
-func (q *Query) ResolveCrash(now time.Duration, ended bool) {
+// ResolveCrash is called when it is known whether the server of an attempt that failed with
+// CrashUnconfirmed has crashed.
+func (q *Query) ResolveCrash(now time.Duration, crashed bool) {
 	q.unconfirmedCrashes--
 	if q.finished {
 		return
 	}
 	q.now = now
-	if ended {
+	if crashed {
 		q.recordCrash()
 	}
 	q.finishIfDone()
 }
 
-// HasSurvivor reports whether a server ran a sub-request and lives.
+// HasSurvivor reports whether a server has run a sub-request of the query without crashing.
 func (q *Query) HasSurvivor() bool { return q.hasSurvivor }
 
-// mustHold reports whether a sub-request must not be sent yet: a cautious query has one in
-// flight, and one in doubt has a retry or a hedge in flight. So a lost connection costs its request
-// no time, and a request that ends servers takes one second server with it, not one of each part.
+// mustHold reports whether a sub-request of the kind must not be sent yet. A query that sends
+// serially has at most one attempt in flight; a query with unconfirmed crashes has at most one
+// retry or hedge in flight. A lost connection thus does not delay the request, and a request
+// that crashes servers takes down one more server, not one more for each segment.
 func (q *Query) mustHold(kind SendKind) bool {
 	if q.sendsSerially() {
 		return q.pendingCount() > 0
@@ -107,7 +114,7 @@
 	return kind == RetrySend && q.unconfirmedCrashes > 0 && !q.hasSurvivor && (q.hasPending(RetrySend) || q.hasPending(HedgeSend))
 }
 
-// hasPending reports whether a sub-request of a kind is awaited.
+// hasPending reports whether an attempt of the kind is pending.
 func (q *Query) hasPending(kind SendKind) bool {
 	for _, s := range q.open {
 		if slices.ContainsFunc(s.pending, func(a *Attempt) bool { return a.Kind == kind }) {
@@ -117,9 +124,9 @@
 	return false
 }
 
-// hedgeAllowed reports whether a second server may be asked for a part now. Until a part of a
-// fan-out was answered there is one hedge at a time: what is slow everywhere is not that one
-// server, and an answer to the first hedge lets the others follow.
+// hedgeAllowed reports whether a hedge may be sent now. Until one segment of a fan-out has been
+// answered, only one hedge may be in flight: if every server is slow, the delay is not specific
+// to one server. The answer to the first hedge releases the others.
 func (q *Query) hedgeAllowed() bool {
 	if q.hasSurvivor || len(q.segments) == 1 {
 		return true
@@ -127,15 +134,16 @@
 	return !q.hasPending(HedgeSend)
 }
 
-// hold lets a segment wait until nothing is in flight.
+// hold puts the segment on the held list until mustHold permits its sub-request.
 func (q *Query) hold(s *Segment, kind SendKind) {
 	q.setState(s, held)
 	s.kind = kind
 	q.held = append(q.held, s)
 }
 
-// releaseHeld sends what is held: all of it once a server has run a part and lives, or no doubt
-// is left, else a single sub-request once nothing is in flight.
+// releaseHeld sends held segments as far as mustHold permits: all of them once a server has
+// survived the query or no crash is unconfirmed, otherwise one once nothing is in flight. A
+// query that is proven to crash servers is finished instead.
 func (q *Query) releaseHeld() {
 	if !q.finished && len(q.held) > 0 && q.isCrasherProven(q.pendingCount()) {
 		q.finishProvenCrasher()
--- a/gather/crash_test.go
+++ b/gather/crash_test.go
@@ -12,187 +12,189 @@
 	return gather.Options{KeySpace: space, Snapshot: 7, Deadline: time.Second, Repeatable: true, CrashSuspect: suspected, MaximumRounds: 2}
 }
 
-// A query under which a server ended sends nothing more while something is in flight, then
-// one sub-request, and gives up with the third end.
+// After a server crash, a query sends nothing while an attempt is in flight and then one
+// sub-request at a time. It is given up at the third crash.
 func TestServerCrashSerializesSends(t *testing.T) {
-	f := &stubEnvironment{budget: 10}
-	q := gather.New(repeatableOptions(false), f)
+	e := &stubEnvironment{budget: 10}
+	q := gather.New(repeatableOptions(false), e)
 	q.Start(0)
-	q.HandleFailure(time.Millisecond, f.sent[0], gather.ServerCrashed, "")
-	if len(f.sent) != 2 {
-		t.Fatalf("%d sent while the other part is in flight", len(f.sent))
+	q.HandleFailure(time.Millisecond, e.sent[0], gather.ServerCrashed, "")
+	if len(e.sent) != 2 {
+		t.Fatalf("%d sub-requests sent while another attempt is in flight; want 2", len(e.sent))
 	}
-	q.HandleFailure(2*time.Millisecond, f.sent[1], gather.ServerCrashed, "")
-	if len(f.sent) != 3 || !f.sent[2].Alone || f.sent[0].Alone || f.sent[1].Alone {
-		t.Fatalf("%d sent after both servers ended; want one alone", len(f.sent))
+	q.HandleFailure(2*time.Millisecond, e.sent[1], gather.ServerCrashed, "")
+	if len(e.sent) != 3 || !e.sent[2].Alone || e.sent[0].Alone || e.sent[1].Alone {
+		t.Fatalf("%d sub-requests sent after both servers crashed; want one more, alone", len(e.sent))
 	}
-	q.HandleFailure(3*time.Millisecond, f.sent[2], gather.ServerCrashed, "")
-	if len(f.sent) != 3 || f.outcome == nil || f.outcome.Reason != gather.ReasonCrashesServers || f.outcome.Execution != gather.ExecutionUnknown {
-		t.Fatalf("%d sent, outcome %+v", len(f.sent), f.outcome)
+	q.HandleFailure(3*time.Millisecond, e.sent[2], gather.ServerCrashed, "")
+	if len(e.sent) != 3 || e.outcome == nil || e.outcome.Reason != gather.ReasonCrashesServers || e.outcome.Execution != gather.ExecutionUnknown {
+		t.Fatalf("%d sub-requests sent, outcome %+v; want 3 and the query given up", len(e.sent), e.outcome)
 	}
 }
 
 func TestAnswerRestoresParallelSends(t *testing.T) {
-	f := &stubEnvironment{budget: 10}
-	q := gather.New(repeatableOptions(false), f)
+	e := &stubEnvironment{budget: 10}
+	q := gather.New(repeatableOptions(false), e)
 	q.Start(0)
-	q.HandleFailure(time.Millisecond, f.sent[0], gather.ServerCrashed, "")
-	q.HandleReply(2*time.Millisecond, f.sent[1], doneReply(f.sent[1]))
-	if len(f.sent) != 3 || f.sent[2].Alone {
-		t.Fatalf("%d sent after a part was answered", len(f.sent))
+	q.HandleFailure(time.Millisecond, e.sent[0], gather.ServerCrashed, "")
+	q.HandleReply(2*time.Millisecond, e.sent[1], doneReply(e.sent[1]))
+	if len(e.sent) != 3 || e.sent[2].Alone {
+		t.Fatalf("%d sub-requests sent after a segment was answered; want 3, none alone", len(e.sent))
 	}
-	q.HandleReply(3*time.Millisecond, f.sent[2], doneReply(f.sent[2]))
-	if f.outcome == nil || !f.outcome.Complete {
-		t.Fatalf("outcome %+v", f.outcome)
+	q.HandleReply(3*time.Millisecond, e.sent[2], doneReply(e.sent[2]))
+	if e.outcome == nil || !e.outcome.Complete {
+		t.Fatalf("outcome %+v, want a complete one", e.outcome)
 	}
 }
 
-// A suspected query asks one server, and all others once that one has answered. A server that
-// says that it did not run it proves nothing.
+// A crash suspect sends to one server first and to all others once that one has answered. A
+// reply that says that the sub-request was not run proves nothing.
 func TestCrashSuspectSendsOneAtATime(t *testing.T) {
-	f := &stubEnvironment{budget: 10, hedge: time.Millisecond}
-	q := gather.New(repeatableOptions(true), f)
+	e := &stubEnvironment{budget: 10, hedge: time.Millisecond}
+	q := gather.New(repeatableOptions(true), e)
 	q.Start(0)
 	q.Tick(10 * time.Millisecond)
-	if len(f.sent) != 1 || !f.sent[0].Alone {
-		t.Fatalf("%d sent", len(f.sent))
+	if len(e.sent) != 1 || !e.sent[0].Alone {
+		t.Fatalf("%d sub-requests sent; want one, alone", len(e.sent))
 	}
-	q.HandleReply(11*time.Millisecond, f.sent[0], gather.Reply{Status: gather.ReplyShed})
-	if len(f.sent) != 2 || !f.sent[1].Alone {
-		t.Fatalf("%d sent after a server shed it", len(f.sent))
+	q.HandleReply(11*time.Millisecond, e.sent[0], gather.Reply{Status: gather.ReplyShed})
+	if len(e.sent) != 2 || !e.sent[1].Alone {
+		t.Fatalf("%d sub-requests sent after a server shed the first; want one more, alone", len(e.sent))
 	}
-	q.HandleReply(12*time.Millisecond, f.sent[1], doneReply(f.sent[1]))
-	if len(f.sent) != 3 || f.sent[2].Alone {
-		t.Fatalf("%d sent after an answer", len(f.sent))
+	q.HandleReply(12*time.Millisecond, e.sent[1], doneReply(e.sent[1]))
+	if len(e.sent) != 3 || e.sent[2].Alone {
+		t.Fatalf("%d sub-requests sent after an answer; want 3, the last not alone", len(e.sent))
 	}
 }
 
-// A part that can't be sent alone lets the next one go.
+// Without a retry budget, a segment that failed is given up and the next held one is sent.
 func TestHeldSegmentIsSentAfterAnotherIsGivenUp(t *testing.T) {
-	f := &stubEnvironment{}
-	q := gather.New(repeatableOptions(true), f)
+	e := &stubEnvironment{}
+	q := gather.New(repeatableOptions(true), e)
 	q.Start(0)
-	q.HandleFailure(time.Millisecond, f.sent[0], gather.ServerCrashed, "") // no budget for another try
-	if len(f.sent) != 2 || f.sent[1].Range == f.sent[0].Range {
-		t.Fatalf("%d sent", len(f.sent))
+	q.HandleFailure(time.Millisecond, e.sent[0], gather.ServerCrashed, "") // no budget for a retry
+	if len(e.sent) != 2 || e.sent[1].Range == e.sent[0].Range {
+		t.Fatalf("%d sub-requests sent; want one for each segment", len(e.sent))
 	}
 	q.Tick(time.Second)
-	if f.outcome == nil || f.outcome.Reason != gather.ReasonDeadline {
-		t.Fatalf("outcome %+v", f.outcome)
+	if e.outcome == nil || e.outcome.Reason != gather.ReasonDeadline {
+		t.Fatalf("outcome %+v, want one at the deadline", e.outcome)
 	}
 }
 
-// startWithResetConnections starts a query of two parts whose servers both broke their connections off.
+// startWithResetConnections starts a query of two segments whose servers both close their
+// connections.
 func startWithResetConnections(t *testing.T) (*stubEnvironment, *gather.Query) {
-	f := &stubEnvironment{budget: 10}
-	q := gather.New(repeatableOptions(false), f)
+	e := &stubEnvironment{budget: 10}
+	q := gather.New(repeatableOptions(false), e)
 	q.Start(0)
-	q.HandleFailure(time.Millisecond, f.sent[0], gather.CrashUnconfirmed, "")
-	if len(f.sent) != 3 || f.sent[2].Alone {
-		t.Fatalf("%d sent after a lost connection; want a retry at once", len(f.sent))
+	q.HandleFailure(time.Millisecond, e.sent[0], gather.CrashUnconfirmed, "")
+	if len(e.sent) != 3 || e.sent[2].Alone {
+		t.Fatalf("%d sub-requests sent after a lost connection; want an immediate retry", len(e.sent))
 	}
-	q.HandleFailure(2*time.Millisecond, f.sent[1], gather.CrashUnconfirmed, "")
-	if len(f.sent) != 3 {
-		t.Fatalf("%d sent while a retry is in flight and it is not known whether servers ended", len(f.sent))
+	q.HandleFailure(2*time.Millisecond, e.sent[1], gather.CrashUnconfirmed, "")
+	if len(e.sent) != 3 {
+		t.Fatalf("%d sub-requests sent while a retry is in flight and crashes are unconfirmed; want 3", len(e.sent))
 	}
-	return f, q
+	return e, q
 }
 
-// A lost connection costs its request no time; while nothing was answered and its servers may
-// have ended, one server more is asked.
+// A lost connection must not delay the request. Until a segment has been answered, and while
+// servers may have crashed, only one further server is tried.
 func TestUnconfirmedCrashesAllowOneRetry(t *testing.T) {
 	t.Run("ended", func(t *testing.T) {
-		f, q := startWithResetConnections(t)
+		e, q := startWithResetConnections(t)
 		q.ResolveCrash(3*time.Millisecond, true)
 		q.ResolveCrash(3*time.Millisecond, false)
-		if len(f.sent) != 3 {
-			t.Fatalf("%d sent beside the retry of a query under which a server ended", len(f.sent))
+		if len(e.sent) != 3 {
+			t.Fatalf("%d sub-requests sent beside the retry of a query that crashed a server; want 3", len(e.sent))
 		}
-		q.HandleFailure(4*time.Millisecond, f.sent[2], gather.ServerCrashed, "")
-		if len(f.sent) != 4 || !f.sent[3].Alone {
-			t.Fatalf("%d sent; want one more, alone", len(f.sent))
+		q.HandleFailure(4*time.Millisecond, e.sent[2], gather.ServerCrashed, "")
+		if len(e.sent) != 4 || !e.sent[3].Alone {
+			t.Fatalf("%d sub-requests sent; want one more, alone", len(e.sent))
 		}
 	})
 	t.Run("lost", func(t *testing.T) {
-		f, q := startWithResetConnections(t)
+		e, q := startWithResetConnections(t)
 		q.ResolveCrash(3*time.Millisecond, false)
 		q.ResolveCrash(3*time.Millisecond, false)
-		if len(f.sent) != 4 || f.sent[3].Alone {
-			t.Fatalf("%d sent after both connections were found to be lost only", len(f.sent))
+		if len(e.sent) != 4 || e.sent[3].Alone {
+			t.Fatalf("%d sub-requests sent after neither server turned out to have crashed; want 4, none alone", len(e.sent))
 		}
 	})
 	t.Run("answered", func(t *testing.T) {
-		f, q := startWithResetConnections(t)
-		q.HandleReply(3*time.Millisecond, f.sent[2], doneReply(f.sent[2]))
-		if len(f.sent) != 4 || !q.HasSurvivor() {
-			t.Fatalf("%d sent after an answer", len(f.sent))
+		e, q := startWithResetConnections(t)
+		q.HandleReply(3*time.Millisecond, e.sent[2], doneReply(e.sent[2]))
+		if len(e.sent) != 4 || !q.HasSurvivor() {
+			t.Fatalf("%d sub-requests sent after an answer; want 4 and a survivor", len(e.sent))
 		}
 	})
 	t.Run("finished", func(t *testing.T) {
-		f, q := startWithResetConnections(t)
+		e, q := startWithResetConnections(t)
 		q.Abort(3*time.Millisecond, gather.ReasonStopping)
 		q.ResolveCrash(4*time.Millisecond, true)
 		q.ResolveCrash(4*time.Millisecond, false)
-		if len(f.sent) != 3 {
-			t.Fatalf("%d sent after the final answer", len(f.sent))
+		if len(e.sent) != 3 {
+			t.Fatalf("%d sub-requests sent after the final outcome; want 3", len(e.sent))
 		}
 	})
 }
 
-// A hedge that is in flight is the one server more.
+// A hedge in flight takes the place of the one retry that is allowed while a crash is
+// unconfirmed.
 func TestUnconfirmedCrashHoldsRetriesDuringHedge(t *testing.T) {
-	f := &stubEnvironment{budget: 10, hedge: time.Millisecond}
-	q := gather.New(repeatableOptions(false), f)
+	e := &stubEnvironment{budget: 10, hedge: time.Millisecond}
+	q := gather.New(repeatableOptions(false), e)
 	q.Start(0)
 	q.Tick(2 * time.Millisecond)
-	if len(f.sent) != 3 || f.sent[2].Kind != gather.HedgeSend {
-		t.Fatalf("%d sent, no hedge", len(f.sent))
+	if len(e.sent) != 3 || e.sent[2].Kind != gather.HedgeSend {
+		t.Fatalf("%d sub-requests sent; want 3, the last a hedge", len(e.sent))
 	}
-	other := f.sent[0]
-	if other.Segment == f.sent[2].Segment {
-		other = f.sent[1]
+	other := e.sent[0]
+	if other.Segment == e.sent[2].Segment {
+		other = e.sent[1]
 	}
 	q.HandleFailure(3*time.Millisecond, other, gather.CrashUnconfirmed, "")
-	if len(f.sent) != 3 {
-		t.Fatalf("%d sent beside a hedge", len(f.sent))
+	if len(e.sent) != 3 {
+		t.Fatalf("%d sub-requests sent beside a hedge; want 3", len(e.sent))
 	}
 	q.ResolveCrash(4*time.Millisecond, false)
-	if len(f.sent) != 4 {
-		t.Fatalf("%d sent once it is known that nothing ended", len(f.sent))
+	if len(e.sent) != 4 {
+		t.Fatalf("%d sub-requests sent after no server turned out to have crashed; want 4", len(e.sent))
 	}
 }
 
-// partsEnvironment is an environment of more parts.
+// partsEnvironment is an Environment with a configurable number of groups.
 type partsEnvironment struct {
 	stubEnvironment
 	parts int
 }
 
-func (m *partsEnvironment) Targets(coverage.Range) []gather.Target {
+func (e *partsEnvironment) Targets(coverage.Range) []gather.Target {
 	var targets []gather.Target
-	for part := range uint64(m.parts) {
+	for part := range uint64(e.parts) {
 		targets = append(targets, gather.Target{Range: coverage.Range{Start: part * 10, End: (part + 1) * 10}, Group: int(part)})
 	}
 	return targets
 }
 
-// crashParts ends the servers of all parts of a query but the first so many, each so long after the
-// one before, and returns the query.
-func crashParts(parts, spared int, apart time.Duration) (*partsEnvironment, *gather.Query) {
-	m := &partsEnvironment{parts: parts, stubEnvironment: stubEnvironment{budget: 100}}
+// crashParts starts a query and crashes the servers of all its segments but the first spared
+// ones, at the given interval.
+func crashParts(parts, spared int, interval time.Duration) (*partsEnvironment, *gather.Query) {
+	e := &partsEnvironment{parts: parts, stubEnvironment: stubEnvironment{budget: 100}}
 	options := repeatableOptions(false)
 	options.KeySpace = coverage.Range{End: uint64(parts) * 10}
-	q := gather.New(options, m)
+	q := gather.New(options, e)
 	q.Start(0)
-	for place, a := range m.sent[spared:parts] {
-		q.HandleFailure(time.Duration(place+1)*apart, a, gather.ServerCrashed, "")
+	for i, a := range e.sent[spared:parts] {
+		q.HandleFailure(time.Duration(i+1)*interval, a, gather.ServerCrashed, "")
 	}
-	return m, q
+	return e, q
 }
 
-// Where all servers of a fan-out have ended, one after the other, nothing more is sent: a send
-// alone would take the last server of its part with it. Ends at one moment, or of a few parts, are
-// no proof: servers crash.
+// If all servers of a fan-out crash one after the other, nothing more is sent, since an attempt
+// sent alone would crash the last server of its group as well. Simultaneous crashes, or crashes
+// of only a few segments, prove nothing: servers also crash for other reasons.
 func TestFanOutCrashingAllServersIsProven(t *testing.T) {
 	for what, test := range map[string]struct {
 		parts  int
@@ -204,40 +206,41 @@
 		"of a few parts":      {6, 20 * time.Millisecond, false},
 	} {
 		t.Run(what, func(t *testing.T) {
-			m, q := crashParts(test.parts, 0, test.apart)
+			e, q := crashParts(test.parts, 0, test.apart)
 			if q.CrashedAllServers() != test.proven {
-				t.Errorf("proven %v", q.CrashedAllServers())
+				t.Errorf("CrashedAllServers is %v", q.CrashedAllServers())
 			}
-			if alone := len(m.sent) - test.parts; test.proven && alone != 0 || !test.proven && alone != 1 {
-				t.Errorf("%d sent after all have ended", alone)
+			if alone := len(e.sent) - test.parts; test.proven && alone != 0 || !test.proven && alone != 1 {
+				t.Errorf("%d sub-requests sent after all servers have crashed", alone)
 			}
 		})
 	}
 }
 
-// Servers that say nothing have not ended: nothing is proven of a fan-out that runs into its deadline.
+// Servers that do not respond have not crashed: a fan-out that runs into its deadline proves
+// nothing.
 func TestSilentServersAreNotCrashed(t *testing.T) {
-	m, q := crashParts(12, 1, 10*time.Millisecond)
+	e, q := crashParts(12, 1, 10*time.Millisecond)
 	q.Tick(time.Second)
-	if m.outcome == nil || m.outcome.Reason != gather.ReasonDeadline || q.CrashedAllServers() {
-		t.Errorf("outcome %+v, proven %v", m.outcome, q.CrashedAllServers())
+	if e.outcome == nil || e.outcome.Reason != gather.ReasonDeadline || q.CrashedAllServers() {
+		t.Errorf("outcome %+v, CrashedAllServers %v; want one at the deadline without proof", e.outcome, q.CrashedAllServers())
 	}
 }
 
-// Three ends, one after the other, speak against a query that nobody has answered.
+// A query without an answer is a crash suspect after three crashes that are spread over time.
 func TestIsCrashSuspectUntilAnswered(t *testing.T) {
 	if _, q := crashParts(10, 8, 10*time.Millisecond); q.IsCrashSuspect() {
-		t.Error("two ends speak against it")
+		t.Error("crash suspect after two crashes")
 	}
 	if _, q := crashParts(10, 7, 100*time.Microsecond); q.IsCrashSuspect() {
-		t.Error("ends at one moment speak against it")
+		t.Error("crash suspect after simultaneous crashes")
 	}
-	m, q := crashParts(10, 7, 10*time.Millisecond)
+	e, q := crashParts(10, 7, 10*time.Millisecond)
 	if !q.IsCrashSuspect() {
-		t.Error("three ends, one after the other, don't speak against it")
+		t.Error("not a crash suspect after three crashes spread over time")
 	}
-	q.HandleReply(40*time.Millisecond, m.sent[0], doneReply(m.sent[0]))
+	q.HandleReply(40*time.Millisecond, e.sent[0], doneReply(e.sent[0]))
 	if q.IsCrashSuspect() {
-		t.Error("they speak against it though a server has answered")
+		t.Error("still a crash suspect after a server has answered")
 	}
 }
--- a/gather/finish.go
+++ b/gather/finish.go
@@ -8,9 +8,10 @@
 	"github.com/banksail/banksail/snapshot"
 )
 
-// restart starts over whole on another snapshot when that can serve more than
-// the pinned one without the segment. It reports whether it did.
-func (q *Query) restart(without *Segment) bool {
+// restart restarts the whole query on another snapshot if that snapshot can serve more keys
+// than the pinned one can without the excluded segment. It reports whether the query was
+// restarted.
+func (q *Query) restart(excluded *Segment) bool {
 	if q.restarts >= q.options.MaximumRestarts || !q.canRestart() {
 		return false
 	}
@@ -18,7 +19,7 @@
 		return false
 	}
 	tried := append(slices.Clone(q.abandonedSnapshots), q.snapshot)
-	servable := q.options.KeySpace.Size() - q.lostKeys - without.Range.Size()
+	servable := q.options.KeySpace.Size() - q.lostKeys - excluded.Range.Size()
 	next, ok := q.environment.NextSnapshot(tried, servable)
 	if !ok {
 		return false
@@ -35,7 +36,7 @@
 	return q.options.Repeatable || !q.executed && !q.outcomeUnknown && q.pendingCount() == 0
 }
 
-// restartPrice is the price of the work that is done again.
+// restartPrice returns the cost of the work that a restart would repeat.
 func (q *Query) restartPrice() float64 {
 	done := 0
 	for _, s := range q.segments {
@@ -54,7 +55,7 @@
 	return count
 }
 
-// restartOn drops all that was gathered and begins on another snapshot.
+// restartOn discards all gathered answers and sends the query again on the next snapshot.
 func (q *Query) restartOn(next snapshot.ID, tried []snapshot.ID) {
 	q.recordRangeStep("started over on another snapshot", q.options.KeySpace)
 	for _, s := range q.segments {
@@ -71,7 +72,7 @@
 	q.fanOut(RetrySend)
 }
 
-// cancelPending cancels the attempts that the segment still awaits.
+// cancelPending cancels the segment's pending attempts. Their outcome remains unknown.
 func (q *Query) cancelPending(s *Segment) {
 	for _, a := range s.pending {
 		a.pending = false
@@ -82,7 +83,7 @@
 	s.pending = s.pending[:0]
 }
 
-// finish gives the final answer.
+// finish cancels all pending attempts and delivers the final outcome.
 func (q *Query) finish(reason Reason) {
 	q.finished = true
 	for _, s := range q.open {
@@ -102,7 +103,7 @@
 	q.environment.Finish(q, outcome)
 }
 
-// collectParts lists the replies taken, sorted, and the union of their ranges.
+// collectParts returns the accepted replies, sorted by range, and the union of their ranges.
 func (q *Query) collectParts() ([]Part, coverage.Set) {
 	var covered coverage.Set
 	parts := make([]Part, 0, len(q.segments))
@@ -118,7 +119,7 @@
 	return parts, covered
 }
 
-// classifyExecution tells what ran.
+// classifyExecution returns whether, and how far, the query was executed.
 func (q *Query) classifyExecution(outcome *Outcome) Execution {
 	enough := len(outcome.Parts) > 0 && outcome.Coverage >= q.options.RequiredCoverage
 	switch {
--- a/gather/message.go
+++ b/gather/message.go
@@ -7,24 +7,23 @@
 	"github.com/banksail/banksail/snapshot"
 )
 
-// AttemptID identifies one sub-request; the Environment picks it and never uses
-// it twice.
+// AttemptID identifies a sub-request. IDs are assigned by the Environment and never reused.
 type AttemptID uint64
 
-// SendKind tells why a sub-request was sent.
+// SendKind is the reason for which a sub-request was sent.
 type SendKind int
 
 const (
-	// FirstSend is the first sub-request for its part of the key space.
+	// FirstSend is the first sub-request for a segment.
 	FirstSend SendKind = iota + 1
-	// HedgeSend runs beside an attempt that is still awaited.
+	// HedgeSend is sent in addition to an attempt that is still pending.
 	HedgeSend
-	// RetrySend follows an attempt that failed or was not executed, or starts
-	// over on another snapshot.
+	// RetrySend follows an attempt that failed or was not executed, or a restart on another
+	// snapshot.
 	RetrySend
 )
 
-// Delivery tells how far a failed attempt got.
+// Delivery is how far a failed attempt got.
 type Delivery int
 
 const (
@@ -32,71 +31,74 @@
 	DeliveryUnknown Delivery = iota
 	// NotDelivered means that no byte of the sub-request was written.
 	NotDelivered
-	// ServerCrashed means that the server ended with the sub-request, which it may have run.
+	// ServerCrashed means that the server crashed while the sub-request was in flight. It may
+	// have run it.
 	ServerCrashed
-	// CrashUnconfirmed means that the server broke the connection off. It may have run the sub-request,
-	// and whether it ended is told later, by ResolveCrash.
+	// CrashUnconfirmed means that the server closed the connection. It may have run the
+	// sub-request; whether it crashed is reported later through Query.ResolveCrash.
 	CrashUnconfirmed
 )
 
-// ReplyStatus is the kind of a server's reply.
+// ReplyStatus is the status of a server's reply.
 type ReplyStatus int
 
 const (
-	// ReplyDone carries the result of the sub-request.
+	// ReplyDone means that the reply carries the result.
 	ReplyDone ReplyStatus = iota + 1
-	// ReplyShed says that the server was too busy and did not run it.
+	// ReplyShed means that the server was overloaded and did not run the sub-request.
 	ReplyShed
-	// ReplyUnknownSnapshot says that the server lacks the snapshot and did not run it.
+	// ReplyUnknownSnapshot means that the server does not have the snapshot and did not run the
+	// sub-request.
 	ReplyUnknownSnapshot
-	// ReplyNotOwner says that the server does not hold the whole range and did not run it.
+	// ReplyNotOwner means that the server does not hold the entire range and did not run the
+	// sub-request.
 	ReplyNotOwner
-	// ReplyDraining says that the server is leaving and did not run it.
+	// ReplyDraining means that the server is draining and did not run the sub-request.
 	ReplyDraining
-	// ReplyError says that the sub-request ran, or may have run, and failed.
+	// ReplyError means that the sub-request ran, or may have run, and failed.
 	ReplyError
 )
 
-// Reply is a server's answer to one attempt. It is counted only when Snapshot
-// and Range equal those of the attempt.
+// Reply is a server's reply to an attempt. Its result is accepted only if Snapshot and Range
+// equal those of the attempt.
 type Reply struct {
 	Status   ReplyStatus
 	Snapshot snapshot.ID
 	Range    coverage.Range
-	// Body is opaque; it is the owner's reference to the result.
+	// Body is the owner's opaque reference to the result.
 	Body any
-	// Snapshots lists what the server holds now; empty when it did not say.
+	// Snapshots lists the snapshots that the server holds; empty if not reported.
 	Snapshots []snapshot.ID
-	// Load is the server's own account; zero when it did not say.
+	// Load is the server's reported load; zero if not reported.
 	Load Load
-	// RetryAfter is when a server that shed asks to be tried again.
+	// RetryAfter is the delay that a server asks for when it sheds a sub-request.
 	RetryAfter time.Duration
 }
 
-// Load is a server's own account of its work.
+// Load is the load that a server reports.
 type Load struct {
 	InFlight int
 	Queued   int
 }
 
-// Execution tells the caller whether a refused or failed request ran.
+// Execution is whether a query ran, for callers that consider a retry.
 type Execution int
 
 const (
-	// ExecutionNotRun means that no shard ran any part, and none will.
+	// ExecutionNotRun means that no shard ran any part of the query, and none will.
 	ExecutionNotRun Execution = iota + 1
 	// ExecutionUnknown means that a shard may have run a part.
 	ExecutionUnknown
-	// ExecutionPartial means that shards ran parts of the request, too few for an answer.
+	// ExecutionPartial means that some shards ran their parts, but too few for an answer.
 	ExecutionPartial
-	// ExecutionDone means that the request ran and the outcome holds its results.
+	// ExecutionDone means that the query ran and the outcome holds its results.
 	ExecutionDone
 )
 
-// Reason tells why a query ended as it did.
+// Reason is why a query ended the way it did.
 type Reason string
 
-// Reasons of an outcome. Those of refusals before a query runs are its owner's.
+// Reasons of outcomes. Those for refusals before a query runs are used by its owner.
 const (
 	ReasonComplete        Reason = "complete"
 	ReasonDeadline        Reason = "deadline"
@@ -116,31 +118,31 @@
 	ReasonCrashesServers  Reason = "ends_servers"
 )
 
-// Part is one reply that the answer holds. Parts are disjoint and sorted by range.
+// Part is one accepted reply of an answer. Parts are disjoint and sorted by range.
 type Part struct {
 	Range  coverage.Range
 	Server string
 	Body   any
 }
 
-// Outcome is the one final answer to a query.
+// Outcome is the final result of a query.
 type Outcome struct {
 	Execution Execution
 	Reason    Reason
-	// Snapshot is the one snapshot of all parts; zero when there are none.
+	// Snapshot is the snapshot of all parts; zero if there are none.
 	Snapshot snapshot.ID
-	// Coverage is the true fraction of the key space that Parts hold.
+	// Coverage is the fraction of the key space that Parts actually cover.
 	Coverage float64
-	// Complete is true when Parts hold the whole key space.
+	// Complete is true if Parts cover the whole key space.
 	Complete bool
 	Parts    []Part
-	// RetryAfter is when to come back; it is set on every refusal.
+	// RetryAfter is when the caller may retry; set on every refusal.
 	RetryAfter time.Duration
-	// Explanation tells what was done, in order.
+	// Explanation lists the steps of the query in order.
 	Explanation []Step
 }
 
-// Step is one entry of a query's explanation.
+// Step is an entry of a query's explanation.
 type Step struct {
 	// At is the time since the query arrived.
 	At      time.Duration  `json:"at_ns"`
--- a/gather/query.go
+++ b/gather/query.go
@@ -9,38 +9,38 @@
 	"github.com/banksail/banksail/snapshot"
 )
 
-// Options sets up a Query.
+// Options configures a Query.
 type Options struct {
-	// Owner is the owner's own reference; the query doesn't use it.
+	// Owner is an opaque reference for the owner, returned by Query.Owner.
 	Owner any
-	// KeySpace is the whole key space, over which coverage is counted.
+	// KeySpace is the range that the query covers; coverage is a fraction of it.
 	KeySpace coverage.Range
-	// Snapshot is the snapshot that the query pins.
+	// Snapshot is the snapshot to which the query is initially pinned.
 	Snapshot snapshot.ID
-	// Arrived is when the query came, from which the explanation counts.
+	// Arrived is when the query arrived; times in the explanation are relative to it.
 	Arrived time.Duration
 	// Deadline is when the caller stops waiting.
 	Deadline time.Duration
-	// RequiredCoverage is the least coverage that makes an answer.
+	// RequiredCoverage is the minimum coverage of a usable answer, as a fraction.
 	RequiredCoverage float64
-	// Rank is the position of the query's class, zero for the most urgent.
+	// Rank is the rank of the query's priority class; zero is the most urgent.
 	Rank int
-	// Repeatable says that sub-requests may run more than once.
+	// Repeatable allows sub-requests to run more than once.
 	Repeatable bool
-	// CrashSuspect says that servers have ended under such a query before: one sub-request is
-	// sent at a time, until one is answered.
+	// CrashSuspect says that servers have crashed under the same request before. Sub-requests
+	// are then sent one at a time until one is answered.
 	CrashSuspect bool
-	// Stop decides when to stop waiting; nil stands for StopAtDeadline.
+	// Stop decides when to stop waiting for missing segments; default StopAtDeadline.
 	Stop StopPolicy
-	// MaximumRestarts bounds how often the query starts over on another snapshot.
+	// MaximumRestarts limits how often the query restarts on another snapshot.
 	MaximumRestarts int
-	// MaximumRounds bounds how often servers that were all tried are asked anew.
+	// MaximumRounds limits how often servers are retried after all of them have been tried.
 	MaximumRounds int
-	// MaximumSteps bounds the explanation; zero gives none.
+	// MaximumSteps limits the length of the explanation; zero disables it.
 	MaximumSteps int
 }
 
-// Query is one query that runs.
+// Query is the state of a single query.
 type Query struct {
 	options            Options
 	environment        Environment
@@ -48,31 +48,31 @@
 	startedAt          time.Duration
 	nextTickAt         time.Duration
 	snapshot           snapshot.ID
-	abandonedSnapshots []snapshot.ID // snapshots on which the query gave up
+	abandonedSnapshots []snapshot.ID // snapshots on which the query could not complete
 	segments           []*Segment
-	open               []*Segment // awaited, waiting or resting
-	dueSegments        []*Segment // scratch of Tick
+	open               []*Segment // neither answered nor closed
+	dueSegments        []*Segment // reused by Tick
 	coveredKeys        uint64     // keys of answered segments
-	lostKeys           uint64     // keys of segments given up
-	unsentSegments     int        // segments that no server has room for
-	held               []*Segment // that wait until nothing is in flight
-	crashes            int        // servers that ended with a sub-request
-	unconfirmedCrashes int        // servers that may have, which is told soon
+	lostKeys           uint64     // keys of segments that were given up
+	unsentSegments     int        // segments waiting for capacity
+	held               []*Segment // segments that must not be sent yet
+	crashes            int        // servers that crashed with a sub-request in flight
+	unconfirmedCrashes int        // attempts that failed with CrashUnconfirmed, not yet resolved
 	firstCrashAt       time.Duration
 	lastCrashAt        time.Duration
-	crashedAllServers  bool // it was given up as all servers had ended that got it
-	hasSurvivor        bool // a server ran a sub-request and lives
+	crashedAllServers  bool // see CrashedAllServers
+	hasSurvivor        bool // a server ran a sub-request without crashing
 	restarts           int
-	// executed says that a server certainly ran a sub-request.
+	// executed is set once a server is known to have run a sub-request.
 	executed bool
-	// outcomeUnknown says that a server may have run one whose fate isn't known.
+	// outcomeUnknown is set once a sub-request may have run without its result being known.
 	outcomeUnknown bool
 	finished       bool
-	firstFailure   Reason // of the first segment given up
+	firstFailure   Reason // reason of the first segment that was given up
 	steps          []Step
 }
 
-// New returns a Query that has not started.
+// New returns a Query that has not been started.
 func New(options Options, environment Environment) *Query {
 	if options.Stop == nil {
 		options.Stop = StopAtDeadline{}
@@ -80,25 +80,25 @@
 	return &Query{options: options, environment: environment, snapshot: options.Snapshot}
 }
 
-// Owner is the reference given in Options.
+// Owner returns Options.Owner.
 func (q *Query) Owner() any { return q.options.Owner }
 
-// Snapshot is the snapshot that the query pins now.
+// Snapshot returns the snapshot to which the query is currently pinned.
 func (q *Query) Snapshot() snapshot.ID { return q.snapshot }
 
-// Deadline is when the caller stops waiting.
+// Deadline returns the time at which the caller stops waiting.
 func (q *Query) Deadline() time.Duration { return q.options.Deadline }
 
 // Repeatable reports whether sub-requests may run more than once.
 func (q *Query) Repeatable() bool { return q.options.Repeatable }
 
-// Finished reports whether the final answer was given.
+// Finished reports whether the final outcome has been delivered.
 func (q *Query) Finished() bool { return q.finished }
 
-// NextTickAt is when Tick must be called next, at the latest.
+// NextTickAt returns the time by which Tick must be called again.
 func (q *Query) NextTickAt() time.Duration { return q.nextTickAt }
 
-// Start sends a sub-request for each part of the key space.
+// Start sends the first sub-request of every segment.
 func (q *Query) Start(now time.Duration) {
 	q.now = now
 	q.startedAt = now
@@ -106,7 +106,7 @@
 	q.fanOut(FirstSend)
 }
 
-// fanOut divides the key space and sends the sub-requests.
+// fanOut splits the key space into segments and sends their sub-requests.
 func (q *Query) fanOut(kind SendKind) {
 	targets := q.environment.Targets(q.options.KeySpace)
 	generation := q.environment.Generation()
@@ -116,25 +116,25 @@
 	if q.options.MaximumSteps > 0 && q.steps == nil {
 		q.steps = make([]Step, 0, min(2*len(targets)+1, q.options.MaximumSteps))
 	}
-	unheld := q.options.KeySpace.Size()
+	unassigned := q.options.KeySpace.Size()
 	for i, target := range targets {
 		slab[i].init(q, target, generation)
 		q.addSegment(&slab[i])
-		unheld -= target.Range.Size()
+		unassigned -= target.Range.Size()
 	}
-	q.lostKeys = unheld
+	q.lostKeys = unassigned
 	q.trySendAll(slices.Clone(q.open), kind)
 	q.finishIfDone()
 }
 
-// addSegment makes the segment one that is still awaited.
+// addSegment registers the segment as open.
 func (q *Query) addSegment(s *Segment) {
 	s.openIndex = len(q.open)
 	q.open = append(q.open, s)
 	q.segments = append(q.segments, s)
 }
 
-// closeSegment takes the segment off those still awaited.
+// closeSegment removes the segment from the open segments and sets its final state.
 func (q *Query) closeSegment(s *Segment, state segmentState) {
 	q.setState(s, state)
 	s.hedgeAt, s.retryAt = 0, 0
@@ -147,7 +147,7 @@
 
 func (s *Segment) isOpen() bool { return s.state < answered }
 
-// trySendAll sends a sub-request for each segment that is still open.
+// trySendAll calls trySend for each of the segments that is still open.
 func (q *Query) trySendAll(segments []*Segment, kind SendKind) {
 	for _, s := range segments {
 		if q.finished {
@@ -159,7 +159,7 @@
 	}
 }
 
-// Tick does what is due by now: the deadline, hedges, another round, stopping.
+// Tick handles everything that is due: the deadline, hedges, retry rounds and stopping early.
 func (q *Query) Tick(now time.Duration) {
 	if q.finished {
 		return
@@ -187,7 +187,8 @@
 	q.finishIfDone()
 }
 
-// hedgeSlack lets hedges that are due soon go together: a query then wakes few times.
+// hedgeSlack groups hedges that are due at about the same time, so that a query wakes up less
+// often.
 const hedgeSlack = 100 * time.Microsecond
 
 func (s *Segment) isDue(now time.Duration) bool {
@@ -205,7 +206,7 @@
 	}
 }
 
-// scheduleTick makes the query wake for the segment's next time.
+// scheduleTick moves the next tick forward to the segment's next hedge or retry.
 func (q *Query) scheduleTick(s *Segment) {
 	if s.hedgeAt > 0 {
 		q.nextTickAt = min(q.nextTickAt, s.hedgeAt)
@@ -215,10 +216,10 @@
 	}
 }
 
-// Cancel ends the query because its caller has gone.
+// Cancel ends the query because its caller has disconnected.
 func (q *Query) Cancel(now time.Duration) { q.Abort(now, ReasonCallerGone) }
 
-// Abort ends the query with what is there, for the reason given.
+// Abort ends the query for the given reason with the parts gathered so far.
 func (q *Query) Abort(now time.Duration, reason Reason) {
 	if q.finished {
 		return
@@ -227,8 +228,8 @@
 	q.finish(reason)
 }
 
-// finishIfDone finishes the query when nothing is left to wait for, or when waiting
-// on is not worth while.
+// finishIfDone finishes the query if it is complete, if nothing is left to wait for, or if
+// waiting longer is not worthwhile.
 func (q *Query) finishIfDone() {
 	q.releaseHeld()
 	switch {
@@ -244,8 +245,8 @@
 	}
 }
 
-// isCoverageUnreachable reports that the minimum can't be reached any more. A query that is
-// not repeatable waits on, to know what ran.
+// isCoverageUnreachable reports whether the required coverage can no longer be reached. A query
+// that is not repeatable keeps waiting, so that it learns what ran.
 func (q *Query) isCoverageUnreachable() bool {
 	if q.lostKeys == 0 || !q.options.Repeatable {
 		return false
@@ -264,7 +265,7 @@
 	}
 }
 
-// considerEarlyStop asks the stop policy once the minimum is there.
+// considerEarlyStop consults the stop policy once the required coverage has been reached.
 func (q *Query) considerEarlyStop() {
 	fraction := q.coverageOf(q.coveredKeys)
 	if q.coveredKeys == 0 || fraction < q.options.RequiredCoverage || !q.options.Repeatable {
@@ -290,9 +291,9 @@
 	}
 }
 
-// minExpectedLatency is the least latency that is expected of an open segment, or that of
-// the first one found that is as quick as is typical: a query with many segments
-// must not look at all of them after each reply.
+// minExpectedLatency returns the lowest latency expected of any open segment, or the first one
+// found that does not exceed the typical latency, so that a query with many segments does not
+// visit all of them after each reply.
 func (q *Query) minExpectedLatency(typical time.Duration) time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for _, s := range q.open {
@@ -304,7 +305,7 @@
 	return least
 }
 
-// setState changes how far the segment got.
+// setState changes the segment's state and maintains the count of unsent segments.
 func (q *Query) setState(s *Segment, state segmentState) {
 	if s.state == waiting {
 		q.unsentSegments--
--- a/gather/query_test.go
+++ b/gather/query_test.go
@@ -10,16 +10,17 @@
 	"github.com/banksail/banksail/snapshot"
 )
 
-// replica is a server's name.
+// replica is a Server that is identified by its name.
 type replica string
 
 func (r replica) ServerID() string { return string(r) }
 
-// stubEnvironment is an Environment with two halves of a key space and two replicas of each.
+// stubEnvironment is an Environment with two groups, each with half of the key space and two
+// replicas.
 type stubEnvironment struct {
 	busy     bool
 	budget   float64
-	next     snapshot.ID // to start over on; zero is none
+	next     snapshot.ID // snapshot to restart on; zero is none
 	hedge    time.Duration
 	last     gather.AttemptID
 	sent     []*gather.Attempt
@@ -32,14 +33,14 @@
 	halves = []coverage.Range{{Start: 0, End: 50}, {Start: 50, End: 100}}
 )
 
-func (f *stubEnvironment) Generation() uint64 { return 1 }
+func (e *stubEnvironment) Generation() uint64 { return 1 }
 
-func (f *stubEnvironment) Targets(coverage.Range) []gather.Target {
+func (e *stubEnvironment) Targets(coverage.Range) []gather.Target {
 	return []gather.Target{{Range: halves[0], Group: 0}, {Range: halves[1], Group: 1}}
 }
 
-func (f *stubEnvironment) Place(s *gather.Segment, _ gather.SendKind) (gather.Server, gather.Placement) {
-	if f.busy {
+func (e *stubEnvironment) Place(s *gather.Segment, _ gather.SendKind) (gather.Server, gather.Placement) {
+	if e.busy {
 		return nil, gather.Busy
 	}
 	for r := range 2 {
@@ -51,35 +52,35 @@
 	return nil, gather.Unservable
 }
 
-func (f *stubEnvironment) HedgeDelay(*gather.Segment) (time.Duration, bool) {
-	return f.hedge, f.hedge > 0
+func (e *stubEnvironment) HedgeDelay(*gather.Segment) (time.Duration, bool) {
+	return e.hedge, e.hedge > 0
 }
 
-func (f *stubEnvironment) SpendHedge(q *gather.Query, price float64) bool {
-	return f.SpendRetry(q, price)
+func (e *stubEnvironment) SpendHedge(q *gather.Query, price float64) bool {
+	return e.SpendRetry(q, price)
 }
 
-func (f *stubEnvironment) SpendRetry(_ *gather.Query, price float64) bool {
-	if f.budget < price {
+func (e *stubEnvironment) SpendRetry(_ *gather.Query, price float64) bool {
+	if e.budget < price {
 		return false
 	}
-	f.budget -= price
+	e.budget -= price
 	return true
 }
 
-func (f *stubEnvironment) NextSnapshot([]snapshot.ID, uint64) (snapshot.ID, bool) {
-	return f.next, f.next > 0
+func (e *stubEnvironment) NextSnapshot([]snapshot.ID, uint64) (snapshot.ID, bool) {
+	return e.next, e.next > 0
 }
-func (f *stubEnvironment) TypicalLatency() time.Duration                  { return 0 }
-func (f *stubEnvironment) ExpectedLatency(*gather.Segment) time.Duration  { return 0 }
-func (f *stubEnvironment) Backoff(int) time.Duration                      { return time.Millisecond }
-func (f *stubEnvironment) Send(a *gather.Attempt)                         { f.sent = append(f.sent, a) }
-func (f *stubEnvironment) Cancel(a *gather.Attempt)                       { f.canceled = append(f.canceled, a) }
-func (f *stubEnvironment) Finish(_ *gather.Query, outcome gather.Outcome) { f.outcome = &outcome }
-
-func (f *stubEnvironment) NextAttemptID() gather.AttemptID {
-	f.last++
-	return f.last
+func (e *stubEnvironment) TypicalLatency() time.Duration                  { return 0 }
+func (e *stubEnvironment) ExpectedLatency(*gather.Segment) time.Duration  { return 0 }
+func (e *stubEnvironment) Backoff(int) time.Duration                      { return time.Millisecond }
+func (e *stubEnvironment) Send(a *gather.Attempt)                         { e.sent = append(e.sent, a) }
+func (e *stubEnvironment) Cancel(a *gather.Attempt)                       { e.canceled = append(e.canceled, a) }
+func (e *stubEnvironment) Finish(_ *gather.Query, outcome gather.Outcome) { e.outcome = &outcome }
+
+func (e *stubEnvironment) NextAttemptID() gather.AttemptID {
+	e.last++
+	return e.last
 }
 
 func doneReply(a *gather.Attempt) gather.Reply {
@@ -87,10 +88,10 @@
 }
 
 func TestExecutionAndReason(t *testing.T) {
-	type ending func(q *gather.Query, f *stubEnvironment)
+	type ending func(q *gather.Query, e *stubEnvironment)
 	reply := func(attempt int, status gather.ReplyStatus) ending {
-		return func(q *gather.Query, f *stubEnvironment) {
-			a := f.sent[attempt]
+		return func(q *gather.Query, e *stubEnvironment) {
+			a := e.sent[attempt]
 			r := gather.Reply{Status: status}
 			if status == gather.ReplyDone {
 				r = doneReply(a)
@@ -99,7 +100,7 @@
 		}
 	}
 	fail := func(attempt int, delivery gather.Delivery) ending {
-		return func(q *gather.Query, f *stubEnvironment) { q.HandleFailure(0, f.sent[attempt], delivery, "cut") }
+		return func(q *gather.Query, e *stubEnvironment) { q.HandleFailure(0, e.sent[attempt], delivery, "cut") }
 	}
 	deadline := func(q *gather.Query, _ *stubEnvironment) { q.Tick(time.Second) }
 	gone := func(q *gather.Query, _ *stubEnvironment) { q.Cancel(0) }
@@ -130,31 +131,31 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			f := &stubEnvironment{}
+			e := &stubEnvironment{}
 			q := gather.New(gather.Options{
 				KeySpace: space, Snapshot: 7, Deadline: time.Second, RequiredCoverage: test.minimum, Repeatable: test.repeatable,
-			}, f)
+			}, e)
 			q.Start(0)
 			for _, end := range test.endings {
-				end(q, f)
+				end(q, e)
 			}
-			if f.outcome == nil {
-				t.Fatal("no final answer")
+			if e.outcome == nil {
+				t.Fatal("no final outcome")
 			}
-			if f.outcome.Execution != test.want || f.outcome.Reason != test.reason {
-				t.Fatalf("execution %d, %s; want %d, %s", f.outcome.Execution, f.outcome.Reason, test.want, test.reason)
+			if e.outcome.Execution != test.want || e.outcome.Reason != test.reason {
+				t.Fatalf("execution %d, %s; want %d, %s", e.outcome.Execution, e.outcome.Reason, test.want, test.reason)
 			}
 		})
 	}
 }
 
 func TestQueryWithoutCapacityIsNotRun(t *testing.T) {
-	f := &stubEnvironment{busy: true}
-	q := gather.New(gather.Options{KeySpace: space, Snapshot: 7, Deadline: time.Second}, f)
+	e := &stubEnvironment{busy: true}
+	q := gather.New(gather.Options{KeySpace: space, Snapshot: 7, Deadline: time.Second}, e)
 	q.Start(0)
 	q.Tick(time.Second)
-	if len(f.sent) != 0 || f.outcome.Execution != gather.ExecutionNotRun {
-		t.Fatalf("outcome %+v", f.outcome)
+	if len(e.sent) != 0 || e.outcome.Execution != gather.ExecutionNotRun {
+		t.Fatalf("outcome %+v, want one that was not run", e.outcome)
 	}
 }
 
@@ -165,12 +166,12 @@
 		want   snapshot.ID
 	}{{"enough", 1, 8}, {"none", 0, 7}} {
 		t.Run(test.name, func(t *testing.T) {
-			f := &stubEnvironment{next: 8, budget: test.budget}
-			q := gather.New(gather.Options{KeySpace: space, Snapshot: 7, Deadline: time.Second, Repeatable: true, MaximumRestarts: 1}, f)
+			e := &stubEnvironment{next: 8, budget: test.budget}
+			q := gather.New(gather.Options{KeySpace: space, Snapshot: 7, Deadline: time.Second, Repeatable: true, MaximumRestarts: 1}, e)
 			q.Start(0)
-			q.HandleReply(0, f.sent[0], doneReply(f.sent[0]))
-			q.HandleReply(0, f.sent[1], gather.Reply{Status: gather.ReplyUnknownSnapshot})
-			q.HandleReply(0, f.sent[2], gather.Reply{Status: gather.ReplyUnknownSnapshot})
+			q.HandleReply(0, e.sent[0], doneReply(e.sent[0]))
+			q.HandleReply(0, e.sent[1], gather.Reply{Status: gather.ReplyUnknownSnapshot})
+			q.HandleReply(0, e.sent[2], gather.Reply{Status: gather.ReplyUnknownSnapshot})
 			if q.Snapshot() != test.want {
 				t.Fatalf("snapshot %d, want %d", q.Snapshot(), test.want)
 			}
@@ -179,33 +180,33 @@
 }
 
 func TestNextTickAtIsHedgeThenDeadline(t *testing.T) {
-	f := &stubEnvironment{hedge: time.Millisecond, budget: 10}
-	q := gather.New(gather.Options{KeySpace: space, Snapshot: 7, Deadline: time.Second, Repeatable: true}, f)
+	e := &stubEnvironment{hedge: time.Millisecond, budget: 10}
+	q := gather.New(gather.Options{KeySpace: space, Snapshot: 7, Deadline: time.Second, Repeatable: true}, e)
 	q.Start(0)
 	if q.NextTickAt() != time.Millisecond {
-		t.Fatalf("next at %v", q.NextTickAt())
+		t.Fatalf("next tick at %v, want the hedge", q.NextTickAt())
 	}
 	q.Tick(time.Millisecond)
-	if len(f.sent) != 3 || q.NextTickAt() != 2*time.Millisecond {
-		t.Fatalf("%d sent, next at %v; want one hedge until a part is answered", len(f.sent), q.NextTickAt())
+	if len(e.sent) != 3 || q.NextTickAt() != 2*time.Millisecond {
+		t.Fatalf("%d sub-requests sent, next tick at %v; want one hedge until a segment is answered", len(e.sent), q.NextTickAt())
 	}
-	q.HandleReply(time.Millisecond, f.sent[2], doneReply(f.sent[2]))
+	q.HandleReply(time.Millisecond, e.sent[2], doneReply(e.sent[2]))
 	q.Tick(2 * time.Millisecond)
-	if len(f.sent) != 4 || q.NextTickAt() != time.Second {
-		t.Fatalf("%d sent, next at %v", len(f.sent), q.NextTickAt())
+	if len(e.sent) != 4 || q.NextTickAt() != time.Second {
+		t.Fatalf("%d sub-requests sent, next tick at %v; want a second hedge, then the deadline", len(e.sent), q.NextTickAt())
 	}
 }
 
 func ExampleQuery() {
-	f := &stubEnvironment{}
-	query := gather.New(gather.Options{KeySpace: space, Snapshot: 7, Deadline: time.Second, RequiredCoverage: 0.5}, f)
+	e := &stubEnvironment{}
+	query := gather.New(gather.Options{KeySpace: space, Snapshot: 7, Deadline: time.Second, RequiredCoverage: 0.5}, e)
 	query.Start(0)
-	for _, a := range f.sent {
+	for _, a := range e.sent {
 		fmt.Println("asked", a.Server, "for", a.Range)
 	}
-	query.HandleReply(5*time.Millisecond, f.sent[0], doneReply(f.sent[0]))
+	query.HandleReply(5*time.Millisecond, e.sent[0], doneReply(e.sent[0]))
 	query.Tick(time.Second) // the deadline
-	fmt.Println(f.outcome.Reason, f.outcome.Coverage, f.outcome.Complete)
+	fmt.Println(e.outcome.Reason, e.outcome.Coverage, e.outcome.Complete)
 	// Output:
 	// asked 0/0 for [0, 50)
 	// asked 1/0 for [50, 100)
--- a/gather/stop.go
+++ b/gather/stop.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Progress is what a StopPolicy decides on.
+// Progress is the input of a StopPolicy.
 type Progress struct {
-	// Rank is the position of the query's class, zero for the most urgent.
+	// Rank is the rank of the query's priority class; zero is the most urgent.
 	Rank int
-	// Coverage is the fraction of the key space that was replied.
+	// Coverage is the fraction of the key space that has been answered.
 	Coverage float64
-	// RequiredCoverage is the least fraction that makes an answer.
+	// RequiredCoverage is the minimum coverage of a usable answer.
 	RequiredCoverage float64
-	// OpenSegments is the number of segments still awaited.
+	// OpenSegments is the number of segments without an answer.
 	OpenSegments int
-	// UnsentSegments is the number of those that no server has room for.
+	// UnsentSegments is the number of open segments that are waiting for capacity.
 	UnsentSegments int
-	// TypicalLatency is the latency that most sub-requests stay below; zero when unknown.
+	// TypicalLatency is the latency that most sub-requests stay below; zero if unknown.
 	TypicalLatency time.Duration
-	// ExpectedLatency is the least latency that is expected of a segment still awaited,
-	// from what its servers took of late; zero when unknown. It may be that of any
-	// segment that is expected to take no longer than TypicalLatency.
+	// ExpectedLatency is the lowest latency expected of any open segment, based on recent
+	// latencies of its servers; zero if unknown. It may be that of any segment that is expected
+	// to take no longer than TypicalLatency.
 	ExpectedLatency time.Duration
-	// Budget is the time from the query's start to its deadline.
+	// Budget is the time from the start of the query to its deadline.
 	Budget time.Duration
 }
 
-// StopPolicy decides how long a query that has its minimum coverage waits for
-// the rest: until after has passed since its start. Without ok it waits until
-// its deadline.
+// StopPolicy decides how long a query that has reached its required coverage waits for the
+// remaining segments. The query stops once the returned time has passed since its start; if ok
+// is false, it waits until its deadline.
 type StopPolicy interface {
 	StopAfter(progress Progress) (after time.Duration, ok bool)
 }
@@ -37,22 +37,22 @@
 // StopAfter implements StopPolicy.
 func (StopAtDeadline) StopAfter(Progress) (time.Duration, bool) { return 0, false }
 
-// StopWhenSlow stops once the rest takes much longer than is typical, so that
-// little can be expected of it.
+// StopWhenSlow stops when the remaining segments take much longer than is typical and are
+// unlikely to be answered soon. Its waiting times are multiples of the typical latency.
 type StopWhenSlow struct {
-	// LatencyFactor is a multiple of the typical latency; zero stands for DefaultLatencyFactor.
+	// LatencyFactor is the multiple to wait in general; default DefaultLatencyFactor.
 	LatencyFactor float64
-	// UnsentLatencyFactor is the multiple while the rest could not even be sent; zero
-	// stands for DefaultUnsentLatencyFactor.
+	// UnsentLatencyFactor is the multiple to wait if none of the remaining segments could be
+	// sent; default DefaultUnsentLatencyFactor.
 	UnsentLatencyFactor float64
-	// SlowLatencyFactor is the multiple while the rest is expected to take longer than
-	// LatencyFactor allows in any case; zero stands for DefaultSlowLatencyFactor.
+	// SlowLatencyFactor is the multiple to wait if the remaining segments are expected to take
+	// longer than LatencyFactor allows; default DefaultSlowLatencyFactor.
 	SlowLatencyFactor float64
-	// EligibleClasses is the number of classes, the most urgent first, that stop early;
-	// the others wait until their deadline. Zero stands for one.
+	// EligibleClasses is the number of priority classes, starting with the most urgent, whose
+	// queries stop early; others wait until their deadline. Default one.
 	EligibleClasses int
-	// MinimumCoverage is the coverage below which it never stops early, also when the
-	// caller accepts less; zero stands for DefaultMinimumCoverage.
+	// MinimumCoverage is the coverage below which a query never stops early, even if the caller
+	// accepts less; default DefaultMinimumCoverage.
 	MinimumCoverage float64
 }
 
@@ -66,23 +66,23 @@
 
 // StopAfter implements StopPolicy.
 func (p StopWhenSlow) StopAfter(progress Progress) (time.Duration, bool) {
-	patience := orDefault(p.LatencyFactor, DefaultLatencyFactor)
+	factor := orDefault(p.LatencyFactor, DefaultLatencyFactor)
 	switch {
-	case float64(progress.ExpectedLatency) > patience*float64(progress.TypicalLatency):
-		patience = orDefault(p.SlowLatencyFactor, DefaultSlowLatencyFactor)
+	case float64(progress.ExpectedLatency) > factor*float64(progress.TypicalLatency):
+		factor = orDefault(p.SlowLatencyFactor, DefaultSlowLatencyFactor)
 	case progress.UnsentSegments == progress.OpenSegments:
-		patience = orDefault(p.UnsentLatencyFactor, DefaultUnsentLatencyFactor)
+		factor = orDefault(p.UnsentLatencyFactor, DefaultUnsentLatencyFactor)
 	}
-	least := orDefault(p.MinimumCoverage, DefaultMinimumCoverage)
-	if progress.Rank >= max(p.EligibleClasses, 1) || progress.TypicalLatency <= 0 || progress.Coverage < least {
+	minimum := orDefault(p.MinimumCoverage, DefaultMinimumCoverage)
+	if progress.Rank >= max(p.EligibleClasses, 1) || progress.TypicalLatency <= 0 || progress.Coverage < minimum {
 		return 0, false
 	}
-	return time.Duration(float64(progress.TypicalLatency) * patience), true
+	return time.Duration(float64(progress.TypicalLatency) * factor), true
 }
 
-func orDefault(value, standard float64) float64 {
+func orDefault(value, fallback float64) float64 {
 	if value <= 0 {
-		return standard
+		return fallback
 	}
 	return value
 }
--- a/gather/stop_cost_test.go
+++ b/gather/stop_cost_test.go
@@ -8,17 +8,17 @@
 	"github.com/banksail/banksail/gather"
 )
 
-// wideEnvironment is an Environment with many groups, all as quick as is typical. It
-// counts how often it is asked what to expect.
+// wideEnvironment is an Environment with many groups that all have the typical latency. It
+// counts the calls of ExpectedLatency.
 type wideEnvironment struct {
 	stubEnvironment
-	groups int
-	asked  int
+	groups        int
+	expectedCalls int
 }
 
-func (w *wideEnvironment) Targets(coverage.Range) []gather.Target {
-	targets := make([]gather.Target, 0, w.groups)
-	for i := range w.groups {
+func (e *wideEnvironment) Targets(coverage.Range) []gather.Target {
+	targets := make([]gather.Target, 0, e.groups)
+	for i := range e.groups {
 		targets = append(targets, gather.Target{
 			Range: coverage.Range{Start: uint64(i), End: uint64(i + 1)},
 			Group: i,
@@ -27,33 +27,32 @@
 	return targets
 }
 
-func (w *wideEnvironment) TypicalLatency() time.Duration { return time.Millisecond }
+func (e *wideEnvironment) TypicalLatency() time.Duration { return time.Millisecond }
 
-func (w *wideEnvironment) ExpectedLatency(*gather.Segment) time.Duration {
-	w.asked++
+func (e *wideEnvironment) ExpectedLatency(*gather.Segment) time.Duration {
+	e.expectedCalls++
 	return time.Millisecond
 }
 
-// TestStopDecisionCostIsConstantPerReply: a query with many segments looks at few
-// of those still awaited after each reply.
+// A query with many segments must not visit all open segments after each reply.
 func TestStopDecisionCostIsConstantPerReply(t *testing.T) {
 	const groups = 350
-	w := &wideEnvironment{groups: groups}
+	e := &wideEnvironment{groups: groups}
 	q := gather.New(gather.Options{
 		KeySpace:   coverage.Range{End: groups},
 		Snapshot:   7,
 		Deadline:   time.Second,
 		Repeatable: true,
 		Stop:       gather.StopWhenSlow{},
-	}, w)
+	}, e)
 	q.Start(0)
-	for _, attempt := range w.sent {
+	for _, attempt := range e.sent {
 		q.HandleReply(0, attempt, doneReply(attempt))
 	}
-	if w.outcome == nil || !w.outcome.Complete {
-		t.Fatalf("outcome %+v", w.outcome)
+	if e.outcome == nil || !e.outcome.Complete {
+		t.Fatalf("outcome %+v, want a complete one", e.outcome)
 	}
-	if w.asked > groups {
-		t.Fatalf("asked %d times what to expect, for %d replies", w.asked, groups)
+	if e.expectedCalls > groups {
+		t.Fatalf("ExpectedLatency called %d times for %d replies", e.expectedCalls, groups)
 	}
 }
