--- a/admission/drain.go
+++ b/admission/drain.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// drainEstimate estimates how fast a queue that is never empty gets shorter.
-type drainEstimate struct {
-	interval time.Duration // mean time between queries that leave to run
-	last     time.Duration // when the last one left
-	busy     bool          // queries have waited since then
+// drainEstimator estimates how fast a queue that is never empty gets shorter.
+type drainEstimator struct {
+	meanInterval time.Duration // mean time between queries that leave to run
+	lastDequeue  time.Duration // when the last one left
+	nonEmpty     bool          // queries have waited since then
 }
 
 const (
@@ -17,25 +17,25 @@
 	stallFactor = 4
 )
 
-// popped notes that a query left to run; more tells whether others still wait.
-func (d *drainEstimate) popped(now time.Duration, more bool) {
-	if d.busy {
-		interval := now - d.last
-		if d.interval == 0 {
-			d.interval = interval
+// recordDequeue notes that a query left to run; more tells whether others still wait.
+func (d *drainEstimator) recordDequeue(now time.Duration, more bool) {
+	if d.nonEmpty {
+		interval := now - d.lastDequeue
+		if d.meanInterval == 0 {
+			d.meanInterval = interval
 		}
-		d.interval += time.Duration(float64(interval-d.interval) * intervalWeight)
+		d.meanInterval += time.Duration(float64(interval-d.meanInterval) * intervalWeight)
 	}
-	d.last = now
-	d.busy = more
+	d.lastDequeue = now
+	d.nonEmpty = more
 }
 
-// wait estimates when the query at the given place, from 1, will leave. It is
+// estimateWait estimates when the query at the given place, from 1, will leave. It is
 // zero while nothing is known.
-func (d *drainEstimate) wait(now time.Duration, place int) time.Duration {
-	interval := d.interval
-	if d.busy {
-		interval = max(interval, (now-d.last)/stallFactor)
+func (d *drainEstimator) estimateWait(now time.Duration, place int) time.Duration {
+	interval := d.meanInterval
+	if d.nonEmpty {
+		interval = max(interval, (now-d.lastDequeue)/stallFactor)
 	}
 	return time.Duration(place) * interval
 }
--- a/admission/heaps.go
+++ b/admission/heaps.go
@@ -3,7 +3,7 @@
 import "github.com/banksail/banksail/internal/priority"
 
 // before reports whether w is served before other.
-func (w *waiting) before(other *waiting) bool {
+func (w *queued) before(other *queued) bool {
 	if w.key != other.key {
 		return w.key.Less(other.key)
 	}
@@ -11,19 +11,19 @@
 }
 
 // expiresBefore reports whether w expires before other.
-func (w *waiting) expiresBefore(other *waiting) bool {
-	if w.expires != other.expires {
-		return w.expires < other.expires
+func (w *queued) expiresBefore(other *queued) bool {
+	if w.latestStart != other.latestStart {
+		return w.latestStart < other.latestStart
 	}
 	return w.sequence < other.sequence
 }
 
 // newClassQueue returns a queue of one class's queries, the next to serve first.
-func newClassQueue() *priority.Queue[*waiting] {
-	return priority.NewQueue((*waiting).before, func(w *waiting, place int) { w.place = place })
+func newClassQueue() *priority.Queue[*queued] {
+	return priority.NewQueue((*queued).before, func(w *queued, place int) { w.classIndex = place })
 }
 
 // newExpiryQueue returns a queue of all queries, the first to expire first.
-func newExpiryQueue() *priority.Queue[*waiting] {
-	return priority.NewQueue((*waiting).expiresBefore, func(w *waiting, place int) { w.expiryPlace = place })
+func newExpiryQueue() *priority.Queue[*queued] {
+	return priority.NewQueue((*queued).expiresBefore, func(w *queued, place int) { w.expiryIndex = place })
 }
--- a/admission/order.go
+++ b/admission/order.go
@@ -21,8 +21,8 @@
 	ExpectedRunTime time.Duration
 }
 
-// expires is the last time at which it is worth starting the query.
-func (i Item) expires() time.Duration {
+// latestStart is the last time at which it is worth starting the query.
+func (i Item) latestStart() time.Duration {
 	return min(i.Arrived+i.LongestWait, i.Deadline-i.ExpectedRunTime)
 }
 
@@ -69,8 +69,8 @@
 	DecayRate float64
 }
 
-// smallestSize keeps the boost of queries of unknown size finite.
-const smallestSize = 100 * time.Microsecond
+// minSize keeps the boost of queries of unknown size finite.
+const minSize = 100 * time.Microsecond
 
 // Key implements QueueOrder.
 func (o BoostedArrival) Key(item Item) Key {
@@ -79,7 +79,7 @@
 		boost = o.ClassBoosts[item.Rank]
 	}
 	if o.DecayRate > 0 {
-		size := max(item.ExpectedRunTime, smallestSize).Seconds()
+		size := max(item.ExpectedRunTime, minSize).Seconds()
 		seconds := -math.Log(1-math.Exp(-o.DecayRate*size)) / o.DecayRate
 		boost += time.Duration(seconds * float64(time.Second))
 	}
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -55,23 +55,23 @@
 
 // Queue holds the queries that wait.
 type Queue struct {
-	options Options
-	classes []*priority.Queue[*waiting] // by rank
-	expiry  *priority.Queue[*waiting]
-	waiting map[uint64]*waiting
-	last    uint64
-	drain   drainEstimate
+	options      Options
+	classes      []*priority.Queue[*queued] // by rank
+	expiry       *priority.Queue[*queued]
+	queued       map[uint64]*queued
+	lastSequence uint64
+	drain        drainEstimator
 }
 
 // waiting is a query in the queue.
-type waiting struct {
-	item     Item
-	key      Key
-	sequence uint64
-	expires  time.Duration
+type queued struct {
+	item        Item
+	key         Key
+	sequence    uint64
+	latestStart time.Duration
 	// Places in the queues of its class and of expiry.
-	place       int
-	expiryPlace int
+	classIndex  int
+	expiryIndex int
 }
 
 // NewQueue returns an empty Queue.
@@ -88,17 +88,17 @@
 	if options.MaxRetryAfter <= 0 {
 		options.MaxRetryAfter = DefaultMaxRetryAfter
 	}
-	return &Queue{options: options, expiry: newExpiryQueue(), waiting: make(map[uint64]*waiting)}
+	return &Queue{options: options, expiry: newExpiryQueue(), queued: make(map[uint64]*queued)}
 }
 
 // Offer decides on a query. When the verdict is Queued, the query leaves the
 // queue by Next, Remove, Expire or Drain.
 func (q *Queue) Offer(now time.Duration, item Item, room CapacityFunc) Decision {
 	key := q.options.Order.Key(item)
-	if room(item.Rank) && !q.anyBefore(key, room) {
+	if room(item.Rank) && !q.hasRunnableBefore(key, room) {
 		return Decision{Verdict: Run}
 	}
-	expected := q.drain.wait(now, q.ahead(item, key)+1)
+	expected := q.drain.estimateWait(now, q.countAhead(item, key)+1)
 	switch {
 	case q.classLen(item.Rank) >= q.options.MaximumQueued:
 		return q.refuse(RefusedFull, expected)
@@ -121,8 +121,8 @@
 	return Decision{Verdict: verdict, RetryAfter: after}
 }
 
-// anyBefore reports whether a query that waits could run and goes before key.
-func (q *Queue) anyBefore(key Key, room CapacityFunc) bool {
+// hasRunnableBefore reports whether a query that waits could run and goes before key.
+func (q *Queue) hasRunnableBefore(key Key, room CapacityFunc) bool {
 	for rank := range q.classes {
 		class := q.classes[rank]
 		if class.Len() > 0 && !key.Less(class.First().key) && room(rank) {
@@ -132,9 +132,9 @@
 	return false
 }
 
-// ahead estimates how many queries go before the given one: all of each class
+// countAhead estimates how many queries go before the given one: all of each class
 // of which a query that came now would not go after it.
-func (q *Queue) ahead(item Item, key Key) int {
+func (q *Queue) countAhead(item Item, key Key) int {
 	count := 0
 	for rank := range q.classes {
 		peer := item
@@ -157,16 +157,16 @@
 	for len(q.classes) <= item.Rank {
 		q.classes = append(q.classes, newClassQueue())
 	}
-	q.last++
-	w := &waiting{item: item, key: key, sequence: q.last, expires: item.expires()}
-	q.waiting[item.ID] = w
+	q.lastSequence++
+	w := &queued{item: item, key: key, sequence: q.lastSequence, latestStart: item.latestStart()}
+	q.queued[item.ID] = w
 	q.classes[item.Rank].Push(w)
 	q.expiry.Push(w)
 }
 
 // Dequeue takes out the first query that has room; ok is false when none has.
 func (q *Queue) Dequeue(now time.Duration, room CapacityFunc) (item Item, ok bool) {
-	var first *waiting
+	var first *queued
 	for rank := range q.classes {
 		class := q.classes[rank]
 		if class.Len() == 0 || first != nil && !class.First().before(first) || !room(rank) {
@@ -178,14 +178,14 @@
 		return Item{}, false
 	}
 	q.remove(first)
-	q.drain.popped(now, len(q.waiting) > 0)
+	q.drain.recordDequeue(now, len(q.queued) > 0)
 	return first.item, true
 }
 
 // Remove takes out a query, whose caller has gone for example. It reports
 // whether the query was queued.
 func (q *Queue) Remove(id uint64) bool {
-	w := q.waiting[id]
+	w := q.queued[id]
 	if w == nil {
 		return false
 	}
@@ -193,16 +193,16 @@
 	return true
 }
 
-func (q *Queue) remove(w *waiting) {
-	delete(q.waiting, w.item.ID)
-	q.classes[w.item.Rank].Remove(w.place)
-	q.expiry.Remove(w.expiryPlace)
+func (q *Queue) remove(w *queued) {
+	delete(q.queued, w.item.ID)
+	q.classes[w.item.Rank].Remove(w.classIndex)
+	q.expiry.Remove(w.expiryIndex)
 }
 
 // Expire takes out the queries that can no longer start in time.
 func (q *Queue) Expire(now time.Duration) []Item {
 	var expired []Item
-	for q.expiry.Len() > 0 && q.expiry.First().expires <= now {
+	for q.expiry.Len() > 0 && q.expiry.First().latestStart <= now {
 		w := q.expiry.First()
 		q.remove(w)
 		expired = append(expired, w.item)
@@ -216,28 +216,28 @@
 	if q.expiry.Len() == 0 {
 		return 0, false
 	}
-	return q.expiry.First().expires, true
+	return q.expiry.First().latestStart, true
 }
 
 // Drain takes out all queries, in the order in which they came.
 func (q *Queue) Drain() []Item {
-	entries := slices.Collect(maps.Values(q.waiting))
-	slices.SortFunc(entries, func(a, b *waiting) int { return cmp.Compare(a.sequence, b.sequence) })
+	entries := slices.Collect(maps.Values(q.queued))
+	slices.SortFunc(entries, func(a, b *queued) int { return cmp.Compare(a.sequence, b.sequence) })
 	items := make([]Item, 0, len(entries))
 	for _, w := range entries {
 		items = append(items, w.item)
 	}
 	q.classes = nil
 	q.expiry = newExpiryQueue()
-	clear(q.waiting)
+	clear(q.queued)
 	return items
 }
 
 // Len is the number of queries that wait.
-func (q *Queue) Len() int { return len(q.waiting) }
+func (q *Queue) Len() int { return len(q.queued) }
 
 // ExpectedWait estimates how long the last of the queue will wait; use it as
 // the time after which to come back.
 func (q *Queue) ExpectedWait(now time.Duration) time.Duration {
-	return max(q.drain.wait(now, len(q.waiting)), q.options.MinRetryAfter)
+	return max(q.drain.estimateWait(now, len(q.queued)), q.options.MinRetryAfter)
 }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -12,8 +12,8 @@
 	"github.com/banksail/banksail/admission"
 )
 
-func none(int) bool  { return false }
-func every(int) bool { return true }
+func noCapacity(int) bool  { return false }
+func allCapacity(int) bool { return true }
 
 const minute = time.Minute
 
@@ -21,8 +21,8 @@
 	return admission.Item{ID: id, Rank: rank, Arrived: arrived, LongestWait: minute, Deadline: arrived + minute}
 }
 
-// served returns the IDs in the order in which the queue serves them.
-func served(q *admission.Queue, now time.Duration, room admission.CapacityFunc) []uint64 {
+// dequeueAll returns the IDs in the order in which the queue serves them.
+func dequeueAll(q *admission.Queue, now time.Duration, room admission.CapacityFunc) []uint64 {
 	var ids []uint64
 	for {
 		next, ok := q.Dequeue(now, room)
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestOrder(t *testing.T) {
+func TestQueueOrders(t *testing.T) {
 	items := []admission.Item{item(1, 1, 0), item(2, 0, 10), item(3, 1, 5), item(4, 0, 8), item(5, 2, 1)}
 	short := item(6, 2, 9)
 	short.ExpectedRunTime = time.Millisecond
@@ -55,37 +55,37 @@
 		t.Run(test.name, func(t *testing.T) {
 			q := admission.NewQueue(admission.Options{Order: test.order})
 			for _, i := range test.items {
-				if d := q.Offer(i.Arrived, i, none); d.Verdict != admission.Queued {
+				if d := q.Offer(i.Arrived, i, noCapacity); d.Verdict != admission.Queued {
 					t.Fatalf("%d: %+v", i.ID, d)
 				}
 			}
-			if got := served(q, minute, every); !slices.Equal(got, test.want) {
+			if got := dequeueAll(q, minute, allCapacity); !slices.Equal(got, test.want) {
 				t.Fatalf("served %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-func TestRunsNowWithRoomAndNothingBefore(t *testing.T) {
+func TestOfferRunsWithCapacityAndNothingAhead(t *testing.T) {
 	q := admission.NewQueue(admission.Options{})
-	if d := q.Offer(0, item(1, 1, 0), every); d.Verdict != admission.Run {
+	if d := q.Offer(0, item(1, 1, 0), allCapacity); d.Verdict != admission.Run {
 		t.Fatalf("got %+v", d)
 	}
-	q.Offer(0, item(2, 1, 0), none)
-	if d := q.Offer(1, item(3, 1, 1), every); d.Verdict != admission.Queued {
+	q.Offer(0, item(2, 1, 0), noCapacity)
+	if d := q.Offer(1, item(3, 1, 1), allCapacity); d.Verdict != admission.Queued {
 		t.Fatalf("overtook one of its class: %+v", d)
 	}
-	if d := q.Offer(1, item(4, 0, 1), every); d.Verdict != admission.Run {
+	if d := q.Offer(1, item(4, 0, 1), allCapacity); d.Verdict != admission.Run {
 		t.Fatalf("waits behind a less urgent class: %+v", d)
 	}
 }
 
-func TestUrgentClassWithHeadroomPassesOneWithout(t *testing.T) {
+func TestClassWithHeadroomOvertakesOneWithout(t *testing.T) {
 	q := admission.NewQueue(admission.Options{Order: admission.ArrivalOrder{}})
-	q.Offer(0, item(1, 1, 0), none)
-	q.Offer(1, item(2, 0, 1), none)
+	q.Offer(0, item(1, 1, 0), noCapacity)
+	q.Offer(1, item(2, 0, 1), noCapacity)
 	urgentOnly := func(rank int) bool { return rank == 0 }
-	if got := served(q, 2, urgentOnly); !slices.Equal(got, []uint64{2}) {
+	if got := dequeueAll(q, 2, urgentOnly); !slices.Equal(got, []uint64{2}) {
 		t.Fatalf("served %v", got)
 	}
 }
@@ -97,7 +97,7 @@
 			q.Requeue(item(id+100, 0, 0))
 		}
 		for i := range 10 {
-			q.Dequeue(time.Duration(i)*interval, every)
+			q.Dequeue(time.Duration(i)*interval, allCapacity)
 		}
 		return q
 	}
@@ -127,7 +127,7 @@
 			for id := range uint64(test.more) {
 				q.Requeue(item(id+200, 0, 0))
 			}
-			d := q.Offer(test.item.Arrived, test.item, none)
+			d := q.Offer(test.item.Arrived, test.item, noCapacity)
 			if d.Verdict != test.want {
 				t.Fatalf("got %+v", d)
 			}
@@ -138,26 +138,26 @@
 	}
 }
 
-func TestStalledQueueRefusesTheNextQueries(t *testing.T) {
+func TestStalledQueueRefusesQueries(t *testing.T) {
 	q := admission.NewQueue(admission.Options{})
 	q.Requeue(item(1, 0, 0))
 	q.Requeue(item(2, 0, 0))
-	q.Dequeue(0, every)
-	q.Dequeue(time.Millisecond, none)
+	q.Dequeue(0, allCapacity)
+	q.Dequeue(time.Millisecond, noCapacity)
 	hasty := item(3, 0, 10*time.Second)
 	hasty.LongestWait = time.Second
-	if d := q.Offer(10*time.Second, hasty, none); d.Verdict != admission.RefusedWait {
+	if d := q.Offer(10*time.Second, hasty, noCapacity); d.Verdict != admission.RefusedWait {
 		t.Fatalf("got %+v", d)
 	}
 }
 
-func TestExpireTakesWhatCannotStartInTime(t *testing.T) {
+func TestExpireRemovesQueriesThatCannotStartInTime(t *testing.T) {
 	q := admission.NewQueue(admission.Options{})
 	short, late, patient := item(1, 0, 0), item(2, 0, 0), item(3, 0, 0)
 	short.LongestWait = 10
 	late.Deadline, late.ExpectedRunTime = 30, 15
 	for _, i := range []admission.Item{patient, late, short} {
-		q.Offer(0, i, none)
+		q.Offer(0, i, noCapacity)
 	}
 	if at, ok := q.NextExpiry(); !ok || at != 10 {
 		t.Fatalf("next expiry %v, %t", at, ok)
@@ -172,7 +172,7 @@
 }
 
 // Each queued query leaves exactly once, whichever way.
-func TestEveryQueryLeavesOnce(t *testing.T) {
+func TestEachQueuedQueryLeavesOnce(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	properties.Property("once", prop.ForAll(func(steps []uint16) bool {
 		q := admission.NewQueue(admission.Options{Order: admission.BoostedArrival{ClassBoosts: []time.Duration{9, 3}}})
@@ -195,7 +195,7 @@
 				}
 			default:
 				it := admission.Item{ID: id, Rank: int(step>>3) % 3, Arrived: now, LongestWait: time.Duration(step >> 6), Deadline: now + 500}
-				queued[id] = q.Offer(now, it, none).Verdict == admission.Queued
+				queued[id] = q.Offer(now, it, noCapacity).Verdict == admission.Queued
 			}
 		}
 		for _, rest := range q.Drain() {
--- a/coverage/set_test.go
+++ b/coverage/set_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestOneMissingKeyOfAHugeSpaceIsPartial(t *testing.T) {
+func TestOneMissingKeyOfLargeSpaceIsPartial(t *testing.T) {
 	var set coverage.Set
 	space := span(0, 1<<64-1)
 	set.Add(span(1, 1<<64-1))
@@ -65,7 +65,7 @@
 }
 
 // A set agrees with a plain table of keys.
-func TestSetEqualsATableOfKeys(t *testing.T) {
+func TestSetMatchesReferenceModel(t *testing.T) {
 	const keys = 64
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	properties.Property("union, size, missing", prop.ForAll(func(bounds []uint8) bool {
--- a/extrabudget/allowance.go
+++ b/extrabudget/allowance.go
@@ -2,7 +2,7 @@
 
 // Usable is the part of a whole that is spent: nodes come and go, and those that count
 // them see that late.
-func Usable(whole float64) float64 { return margin * whole }
+func Usable(whole float64) float64 { return usableShare * whole }
 
 // Allowance is one node's part of what all nodes together may spend over a span that has
 // one beginning, such as an order: a ratio of what the node itself counted in it, and what
--- a/extrabudget/budget.go
+++ b/extrabudget/budget.go
@@ -13,9 +13,9 @@
 	Window time.Duration
 }
 
-// margin is the part of a bound that is used: nodes come and go, and those that count
+// usableShare is the part of a bound that is used: nodes come and go, and those that count
 // them see that late. With 1.3 the property tests over many nodes fail.
-const margin = 0.85
+const usableShare = 0.85
 
 // Budget counts one node's requests and extra sends to one service over a sliding window;
 // the zero value has counted none. Invariant: the extra sends of any window stay within
@@ -39,6 +39,6 @@
 // of the fixed number, and the most that ever are at this rate of requests.
 func (b *Budget) Remaining(now time.Duration, options Options, fixed float64) (left, most float64) {
 	requests := b.requests.LowerBound(now, options.Window)
-	most = margin * (options.Ratio*float64(requests) + fixed)
+	most = usableShare * (options.Ratio*float64(requests) + fixed)
 	return most - float64(b.extras.UpperBound(now, options.Window)), most
 }
--- a/extrabudget/extrabudget_test.go
+++ b/extrabudget/extrabudget_test.go
@@ -12,7 +12,7 @@
 	"github.com/banksail/banksail/extrabudget"
 )
 
-func TestCounterSlides(t *testing.T) {
+func TestCounterSlidingWindow(t *testing.T) {
 	const window = 10 * time.Second
 	var c extrabudget.Counter
 	c.Add(time.Second, window, 3)
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestCounterTakesBack(t *testing.T) {
+func TestCounterSubtractsNegativeEvents(t *testing.T) {
 	const window = time.Second
 	var c extrabudget.Counter
 	c.Add(0, window, 1)
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestSharesOfUnknownNodesAreNone(t *testing.T) {
+func TestSharesAreZeroBeforeFirstUpdate(t *testing.T) {
 	var s extrabudget.Shares
 	if part := s.Portion(0, 100, time.Second); part != 0 {
 		t.Errorf("a part of %g without any word of the nodes", part)
@@ -55,7 +55,7 @@
 
 // The parts of a whole number add up to no more than it, and to most of it where it is
 // not small, whatever the nodes' number and roles.
-func TestCountsAddUp(t *testing.T) {
+func TestIntPortionsAddUp(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(3)
 	parameters.MinSuccessfulTests = 500
 	properties := gopter.NewProperties(parameters)
@@ -81,7 +81,7 @@
 
 // Nodes that hear of a change at different times, and of lost nodes that may be alive,
 // don't spend more than the whole together.
-func TestCountsHoldWhileNodesGo(t *testing.T) {
+func TestIntPortionsStayBoundedWhileNodesLeave(t *testing.T) {
 	const (
 		nodes = 24
 		step  = 100 * time.Millisecond
--- a/extrabudget/shares.go
+++ b/extrabudget/shares.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// nodesForgotten is how long nodes that are not seen any more still count for
+	// nodeRetention is how long nodes that are not seen any more still count for
 	// what all nodes share: their entries may only have lapsed, and shares that grow
 	// at once on all nodes would add up to more than there is.
-	nodesForgotten = 30 * time.Second
-	// otherNodesShare is the part of a whole that the nodes share to which callers are
+	nodeRetention = 30 * time.Second
+	// nonServingShare is the part of a whole that the nodes share to which callers are
 	// not sent.
-	otherNodesShare = 0.15
+	nonServingShare = 0.15
 )
 
 // Nodes tells of the nodes that share a whole, this one included.
@@ -32,22 +32,22 @@
 // takes the part of one that does not for a window: those that served before it may have
 // spent theirs.
 type Shares struct {
-	live, serving, others recentMost
-	place                 int
-	// serves says that callers are sent to this node, since the time given.
-	serves      bool
-	servesSince time.Duration
-	known       bool
+	live, serving, nonServing recentMax
+	index                     int
+	// isServing says that callers are sent to this node, since the time given.
+	isServing    bool
+	servingSince time.Duration
+	initialized  bool
 }
 
-// recentMost is about the greatest of the latest values.
-type recentMost struct {
+// recentMax is about the greatest of the latest values.
+type recentMax struct {
 	value int
 	at    time.Duration
 }
 
-func (m *recentMost) take(now time.Duration, value int) {
-	if value >= m.value || now-m.at > nodesForgotten {
+func (m *recentMax) observe(now time.Duration, value int) {
+	if value >= m.value || now-m.at > nodeRetention {
 		m.value, m.at = value, now
 	}
 }
@@ -55,14 +55,14 @@
 // Update notes the nodes that are there at now. The first word about them is no change of
 // roles.
 func (s *Shares) Update(now time.Duration, nodes Nodes) {
-	s.live.take(now, nodes.Live)
-	s.serving.take(now, nodes.Serving)
-	s.others.take(now, nodes.Live-nodes.Serving)
-	if nodes.IsServing && !s.serves && s.known {
-		s.servesSince = now
+	s.live.observe(now, nodes.Live)
+	s.serving.observe(now, nodes.Serving)
+	s.nonServing.observe(now, nodes.Live-nodes.Serving)
+	if nodes.IsServing && !s.isServing && s.initialized {
+		s.servingSince = now
 	}
-	s.serves, s.place = nodes.IsServing, nodes.Index
-	s.known = true
+	s.isServing, s.index = nodes.IsServing, nodes.Index
+	s.initialized = true
 }
 
 // ServingNodes is about the greatest number of nodes that served callers of late; zero when
@@ -71,7 +71,7 @@
 
 // Portion is the node's part of a whole that is counted over a window.
 func (s *Shares) Portion(now time.Duration, whole float64, window time.Duration) float64 {
-	part, nodes := s.group(now, whole, window)
+	part, nodes := s.rolePortion(now, whole, window)
 	if nodes == 0 {
 		return 0
 	}
@@ -81,28 +81,28 @@
 // IntPortion is the node's part of a whole number: what does not divide evenly falls to
 // some of the nodes, to others for another salt.
 func (s *Shares) IntPortion(now time.Duration, whole float64, window time.Duration, salt uint64) int {
-	part, nodes := s.group(now, margin*whole, window)
+	part, nodes := s.rolePortion(now, usableShare*whole, window)
 	if nodes == 0 {
 		return 0
 	}
 	count := int(part) / nodes
-	if place := (uint64(s.place) + salt%uint64(nodes)) % uint64(nodes); place < uint64(int(part)%nodes) {
+	if place := (uint64(s.index) + salt%uint64(nodes)) % uint64(nodes); place < uint64(int(part)%nodes) {
 		count++
 	}
 	return count
 }
 
-// group is the part of a whole that nodes of this one's role share, and their number.
-func (s *Shares) group(now time.Duration, whole float64, window time.Duration) (part float64, nodes int) {
-	established := s.serves && (s.servesSince == 0 || now-s.servesSince >= window)
+// rolePortion is the part of a whole that nodes of this one's role share, and their number.
+func (s *Shares) rolePortion(now time.Duration, whole float64, window time.Duration) (part float64, nodes int) {
+	established := s.isServing && (s.servingSince == 0 || now-s.servingSince >= window)
 	switch {
 	case s.live.value == 0 || s.serving.value == 0:
 		return 0, 0
-	case s.others.value == 0:
+	case s.nonServing.value == 0:
 		return whole, s.live.value
 	case established:
-		return whole * (1 - otherNodesShare), s.serving.value
+		return whole * (1 - nonServingShare), s.serving.value
 	default:
-		return whole * otherNodesShare, s.others.value
+		return whole * nonServingShare, s.nonServing.value
 	}
 }
--- a/limit/limiter.go
+++ b/limit/limiter.go
@@ -75,32 +75,32 @@
 // Rates at which the baseline follows a window's mean: quickly down, slowly up,
 // so that a lasting queue isn't taken for the server's own latency.
 const (
-	baselineFall = 0.3
-	baselineRise = 0.003
+	baselineFallRate = 0.3
+	baselineRiseRate = 0.003
 )
 
 // Rates of the floor. It follows less quickly down, so that it lies amid calm
 // windows and not at the lowest of them.
 const (
-	floorFall = 0.05
-	floorRise = 0.003
+	quantileFallRate = 0.05
+	quantileRiseRate = 0.003
 )
 
 func (o Options) withDefaults() Options {
-	setDefault(&o.Minimum, DefaultMinimum)
-	setDefault(&o.Growth, DefaultGrowth)
-	setDefault(&o.QueueShare, DefaultQueueShare)
-	setDefault(&o.Quantile, DefaultQuantile)
-	setDefault(&o.Tolerance, DefaultTolerance)
-	setDefault(&o.Step, DefaultStep)
-	setDefault(&o.LatencyBackoff, DefaultLatencyBackoff)
-	setDefault(&o.ShedBackoff, DefaultShedBackoff)
-	setDefault(&o.WindowSamples, DefaultWindowSamples)
+	setIfNotPositive(&o.Minimum, DefaultMinimum)
+	setIfNotPositive(&o.Growth, DefaultGrowth)
+	setIfNotPositive(&o.QueueShare, DefaultQueueShare)
+	setIfNotPositive(&o.Quantile, DefaultQuantile)
+	setIfNotPositive(&o.Tolerance, DefaultTolerance)
+	setIfNotPositive(&o.Step, DefaultStep)
+	setIfNotPositive(&o.LatencyBackoff, DefaultLatencyBackoff)
+	setIfNotPositive(&o.ShedBackoff, DefaultShedBackoff)
+	setIfNotPositive(&o.WindowSamples, DefaultWindowSamples)
 	return o
 }
 
-// setDefault sets a field that is not positive.
-func setDefault[T int | float64](field *T, value T) {
+// setIfNotPositive sets a field that is not positive.
+func setIfNotPositive[T int | float64](field *T, value T) {
 	if *field <= 0 {
 		*field = value
 	}
@@ -120,34 +120,34 @@
 
 // Limiter holds one client's limit for one server.
 type Limiter struct {
-	options  Options
-	slots    int
-	sharers  int // clients of the server, this one included
-	learned  bool
-	ceiling  int // by connections; zero is none
-	limit    float64
-	inFlight int
-	baseline float64
-	// floor is the low quantile of calm windows, in seconds; it rises slowly.
-	floor  float64
-	window window
-	// loweredAt is when the limit was last lowered; requests that started
+	options         Options
+	slots           int
+	clients         int // clients of the server, this one included
+	learned         bool
+	connectionLimit int // by connections; zero is none
+	limit           float64
+	inFlight        int
+	meanBaseline    float64
+	// quantileBaseline is the low quantile of calm windows, in seconds; it rises slowly.
+	quantileBaseline float64
+	window           window
+	// decreasedAt is when the limit was last lowered; requests that started
 	// before then say nothing about the lower limit.
-	loweredAt time.Duration
-	lowered   bool
+	decreasedAt time.Duration
+	decreased   bool
 }
 
 // window gathers samples until they make a verdict.
 type window struct {
-	samples []float64 // latencies, in seconds
-	sum     float64
-	peak    int
-	wanted  bool
+	samples      []float64 // latencies, in seconds
+	sum          float64
+	peakInFlight int
+	unmetDemand  bool
 }
 
 // New returns a Limiter for a server with the given slots.
 func New(slots int, options Options) *Limiter {
-	l := &Limiter{options: options.withDefaults(), sharers: 1}
+	l := &Limiter{options: options.withDefaults(), clients: 1}
 	l.SetSlots(slots)
 	return l
 }
@@ -155,29 +155,29 @@
 // SetSlots changes the hint; a learned limit stays, within its new bounds.
 func (l *Limiter) SetSlots(slots int) {
 	l.slots = max(slots, 1)
-	l.start()
+	l.applyInitialLimit()
 }
 
 // SetClients tells how many clients are known to share the server, this one
 // included. A limit of which nothing is learned yet starts from an even share
 // of the slots; a learned one stays.
 func (l *Limiter) SetClients(clients int) {
-	l.sharers = max(clients, 1)
-	l.start()
+	l.clients = max(clients, 1)
+	l.applyInitialLimit()
 }
 
-func (l *Limiter) start() {
+func (l *Limiter) applyInitialLimit() {
 	if !l.learned {
-		l.limit = math.Ceil(float64(l.slots) / float64(l.sharers))
+		l.limit = math.Ceil(float64(l.slots) / float64(l.clients))
 	}
-	l.clamp()
+	l.clampLimit()
 }
 
 // SetConnectionLimit bounds the limit by the client's share of the server's
 // connections; zero or less sets no bound.
 func (l *Limiter) SetConnectionLimit(connections int) {
-	l.ceiling = max(connections, 0)
-	l.clamp()
+	l.connectionLimit = max(connections, 0)
+	l.clampLimit()
 }
 
 // Limit is the number of requests that may be in flight.
@@ -186,15 +186,15 @@
 	case Unlimited:
 		return math.MaxInt32
 	case Fixed:
-		return l.bounded(l.slots)
+		return l.capByConnections(l.slots)
 	default:
-		return l.bounded(int(math.Round(l.limit)))
+		return l.capByConnections(int(math.Round(l.limit)))
 	}
 }
 
-func (l *Limiter) bounded(limit int) int {
-	if l.ceiling > 0 {
-		limit = min(limit, l.ceiling)
+func (l *Limiter) capByConnections(limit int) int {
+	if l.connectionLimit > 0 {
+		limit = min(limit, l.connectionLimit)
 	}
 	return max(limit, 1)
 }
@@ -208,19 +208,19 @@
 // CanStartWithReserve reports whether one more request may start when that many more than
 // the limit may be in flight. The ceiling by connections holds all the same.
 func (l *Limiter) CanStartWithReserve(reserve int) bool {
-	return l.inFlight < l.bounded(l.Limit()+reserve)
+	return l.inFlight < l.capByConnections(l.Limit()+reserve)
 }
 
 // Start notes that a request started. It may exceed the limit: the caller asks
 // Free before.
 func (l *Limiter) Start() {
 	l.inFlight++
-	l.window.peak = max(l.window.peak, l.inFlight)
+	l.window.peakInFlight = max(l.window.peakInFlight, l.inFlight)
 }
 
 // RecordDemand notes that a request waits which a higher limit would let start, though
 // the limit itself was not reached: its class's share of it was.
-func (l *Limiter) RecordDemand() { l.window.wanted = true }
+func (l *Limiter) RecordDemand() { l.window.unmetDemand = true }
 
 // End notes that a request ended at now, latency after it started.
 func (l *Limiter) End(now, latency time.Duration, outcome Outcome) {
@@ -230,55 +230,55 @@
 	}
 	switch outcome {
 	case Shed:
-		l.lower(now, latency, l.options.ShedBackoff)
+		l.decrease(now, latency, l.options.ShedBackoff)
 	case Answered:
-		l.sample(now, latency)
+		l.addSample(now, latency)
 	case Ignored:
 	}
 }
 
-// sample adds an answer to the window and judges a full window.
-func (l *Limiter) sample(now, latency time.Duration) {
+// addSample adds an answer to the window and judges a full window.
+func (l *Limiter) addSample(now, latency time.Duration) {
 	l.window.samples = append(l.window.samples, latency.Seconds())
 	l.window.sum += latency.Seconds()
 	if len(l.window.samples) < l.options.WindowSamples {
 		return
 	}
 	l.learned = true
-	mean, low := l.window.sum/float64(len(l.window.samples)), l.low()
-	used := l.window.wanted || l.window.peak >= l.Limit()
-	l.window = window{samples: l.window.samples[:0], peak: l.inFlight}
-	congested := l.congested(mean, low)
-	l.baseline = follow(l.baseline, mean, baselineFall, baselineRise)
-	l.floor = follow(l.floor, low, floorFall, floorRise)
+	mean, low := l.window.sum/float64(len(l.window.samples)), l.lowQuantile()
+	used := l.window.unmetDemand || l.window.peakInFlight >= l.Limit()
+	l.window = window{samples: l.window.samples[:0], peakInFlight: l.inFlight}
+	congested := l.isCongested(mean, low)
+	l.meanBaseline = smooth(l.meanBaseline, mean, baselineFallRate, baselineRiseRate)
+	l.quantileBaseline = smooth(l.quantileBaseline, low, quantileFallRate, quantileRiseRate)
 	switch {
 	case congested:
-		l.lower(now, latency, l.options.LatencyBackoff)
+		l.decrease(now, latency, l.options.LatencyBackoff)
 	case used:
 		l.limit += l.options.Step
-		l.clamp()
+		l.clampLimit()
 	}
 }
 
-// low is the low quantile of the window.
-func (l *Limiter) low() float64 {
+// lowQuantile is the low quantile of the window.
+func (l *Limiter) lowQuantile() float64 {
 	slices.Sort(l.window.samples)
 	return l.window.samples[min(int(l.options.Quantile*float64(len(l.window.samples))), len(l.window.samples)-1)]
 }
 
-// congested judges a window by its mean and its low quantile, in seconds.
-func (l *Limiter) congested(mean, low float64) bool {
-	if l.baseline == 0 {
+// isCongested judges a window by its mean and its low quantile, in seconds.
+func (l *Limiter) isCongested(mean, low float64) bool {
+	if l.meanBaseline == 0 {
 		return false
 	}
 	if l.options.Signal == MeanLatency {
-		return mean > l.baseline*l.options.Tolerance
+		return mean > l.meanBaseline*l.options.Tolerance
 	}
-	return low-l.floor > l.baseline*l.options.QueueShare
+	return low-l.quantileBaseline > l.meanBaseline*l.options.QueueShare
 }
 
-// follow moves a known value towards one just seen, down and up at the given rates.
-func follow(known, seen, fall, rise float64) float64 {
+// smooth moves a known value towards one just seen, down and up at the given rates.
+func smooth(known, seen, fall, rise float64) float64 {
 	switch {
 	case known == 0:
 		return seen
@@ -289,19 +289,19 @@
 	}
 }
 
-// lower multiplies the limit, once per generation of requests.
-func (l *Limiter) lower(now, latency time.Duration, factor float64) {
-	if l.lowered && now-latency < l.loweredAt {
+// decrease multiplies the limit, once per generation of requests.
+func (l *Limiter) decrease(now, latency time.Duration, factor float64) {
+	if l.decreased && now-latency < l.decreasedAt {
 		return
 	}
-	l.lowered = true
+	l.decreased = true
 	l.learned = true
-	l.loweredAt = now
+	l.decreasedAt = now
 	l.limit *= factor
-	l.clamp()
+	l.clampLimit()
 }
 
-func (l *Limiter) clamp() {
+func (l *Limiter) clampLimit() {
 	highest := math.Max(float64(l.slots)*l.options.Growth, float64(l.options.Minimum))
 	l.limit = math.Min(math.Max(l.limit, float64(l.options.Minimum)), highest)
 }
--- a/limit/limiter_test.go
+++ b/limit/limiter_test.go
@@ -12,10 +12,10 @@
 	"github.com/banksail/banksail/limit"
 )
 
-const service = 10 * time.Millisecond
+const serviceTime = 10 * time.Millisecond
 
-// run lets full windows of requests end with the given latency.
-func run(l *limit.Limiter, now time.Duration, windows int, latency time.Duration) time.Duration {
+// runWindows lets full windows of requests end with the given latency.
+func runWindows(l *limit.Limiter, now time.Duration, windows int, latency time.Duration) time.Duration {
 	for range windows * limit.DefaultWindowSamples {
 		for l.CanStart() {
 			l.Start()
@@ -26,58 +26,58 @@
 	return now
 }
 
-func TestLimitStartsFromTheSlots(t *testing.T) {
+func TestInitialLimitEqualsSlots(t *testing.T) {
 	if got := limit.New(5, limit.Options{}).Limit(); got != 5 {
 		t.Fatalf("limit %d, want 5", got)
 	}
 }
 
-func TestLatencyAboveTheBaselineLowersTheLimit(t *testing.T) {
+func TestLatencyAboveBaselineLowersLimit(t *testing.T) {
 	l := limit.New(10, limit.Options{})
-	now := run(l, 0, 5, service)
+	now := runWindows(l, 0, 5, serviceTime)
 	before := l.Limit()
-	run(l, now, 5, 3*service)
+	runWindows(l, now, 5, 3*serviceTime)
 	if l.Limit() >= before {
 		t.Fatalf("limit %d, was %d", l.Limit(), before)
 	}
 }
 
-func TestLimitRecoversWhenLatencyDoes(t *testing.T) {
+func TestLimitRecoversWithLatency(t *testing.T) {
 	l := limit.New(10, limit.Options{})
-	now := run(l, 0, 5, service)
-	now = run(l, now, 10, 3*service)
+	now := runWindows(l, 0, 5, serviceTime)
+	now = runWindows(l, now, 10, 3*serviceTime)
 	low := l.Limit()
-	run(l, now, 30, service)
+	runWindows(l, now, 30, serviceTime)
 	if l.Limit() < 10 {
 		t.Fatalf("limit %d, was %d under congestion", l.Limit(), low)
 	}
 }
 
-func TestLimitGrowsOnlyWhenItIsReached(t *testing.T) {
+func TestLimitGrowsOnlyWhenReached(t *testing.T) {
 	l := limit.New(10, limit.Options{})
 	for i := range 200 {
 		l.Start()
-		l.End(time.Duration(i)*service, service, limit.Answered)
+		l.End(time.Duration(i)*serviceTime, serviceTime, limit.Answered)
 	}
 	if l.Limit() != 10 {
 		t.Fatalf("limit %d grew while idle", l.Limit())
 	}
 }
 
-func TestOneGenerationOfShedRepliesLowersTheLimitOnce(t *testing.T) {
+func TestConcurrentShedRepliesLowerLimitOnce(t *testing.T) {
 	l := limit.New(8, limit.Options{})
 	for range 8 {
 		l.Start()
 	}
 	for range 8 {
-		l.End(service, service, limit.Shed)
+		l.End(serviceTime, serviceTime, limit.Shed)
 	}
 	if l.Limit() != 6 {
 		t.Fatalf("limit %d, want 6", l.Limit())
 	}
 }
 
-func TestConnectionShareBoundsTheLimit(t *testing.T) {
+func TestConnectionLimitCapsLimit(t *testing.T) {
 	l := limit.New(5, limit.Options{})
 	l.SetConnectionLimit(2)
 	if l.Limit() != 2 {
@@ -85,17 +85,17 @@
 	}
 }
 
-func TestFixedPolicyKeepsTheSlots(t *testing.T) {
+func TestFixedPolicyUsesSlots(t *testing.T) {
 	l := limit.New(5, limit.Options{Policy: limit.Fixed})
 	l.Start()
-	l.End(service, service, limit.Shed)
-	run(l, service, 5, 9*service)
+	l.End(serviceTime, serviceTime, limit.Shed)
+	runWindows(l, serviceTime, 5, 9*serviceTime)
 	if l.Limit() != 5 {
 		t.Fatalf("limit %d, want 5", l.Limit())
 	}
 }
 
-func TestHeadroom(t *testing.T) {
+func TestHeadroomShares(t *testing.T) {
 	got := limit.HeadroomShares([]float64{0.2, 0.1, 0.9, 0}, 0.1)
 	want := []float64{1, 0.8, 0.7, 0.1}
 	for i := range want {
@@ -127,7 +127,7 @@
 }
 
 // Whatever is reported, the limit stays between one and the growth bound.
-func TestLimitStaysWithinItsBounds(t *testing.T) {
+func TestLimitStaysWithinBounds(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	properties.Property("bounds", prop.ForAll(func(slots int, ends []uint16) bool {
 		l := limit.New(slots, limit.Options{})
@@ -145,13 +145,13 @@
 	properties.TestingRun(t)
 }
 
-func TestSharersSetTheStartButNotWhatIsLearned(t *testing.T) {
+func TestClientCountSetsOnlyInitialLimit(t *testing.T) {
 	l := limit.New(5, limit.Options{})
 	l.SetClients(2)
 	if l.Limit() != 3 {
 		t.Fatalf("starts from %d, want 3", l.Limit())
 	}
-	run(l, 0, 5, service)
+	runWindows(l, 0, 5, serviceTime)
 	learned := l.Limit()
 	l.SetClients(5)
 	if l.Limit() != learned {
@@ -159,12 +159,12 @@
 	}
 }
 
-func TestLimitGrowsWhenAClassWaitsForItsShare(t *testing.T) {
+func TestLimitGrowsOnUnmetDemand(t *testing.T) {
 	l := limit.New(10, limit.Options{})
 	for i := range 3 * limit.DefaultWindowSamples {
 		l.RecordDemand()
 		l.Start()
-		l.End(time.Duration(i)*service, service, limit.Answered)
+		l.End(time.Duration(i)*serviceTime, serviceTime, limit.Answered)
 	}
 	if l.Limit() <= 10 {
 		t.Fatalf("limit %d did not grow", l.Limit())
--- a/quarantine/evidence.go
+++ b/quarantine/evidence.go
@@ -6,162 +6,162 @@
 	"time"
 )
 
-// consider begins a review where the evidence suffices.
-func (l *Tracker) consider(now time.Duration, s *suspect) {
-	s.touched = now
-	if s.reviewUntil > 0 || s.quarantined || !l.proven(s) {
+// startReviewIfProven begins a review where the evidence suffices.
+func (l *Tracker) startReviewIfProven(now time.Duration, s *suspect) {
+	s.lastSeen = now
+	if s.reviewUntil > 0 || s.quarantined || !l.hasProof(s) {
 		return
 	}
-	s.reviewUntil = now + reviewTime
-	if !s.witnessed {
-		s.reviewUntil += reviewTime // until the verdict is here
+	s.reviewUntil = now + reviewPeriod
+	if !s.observedLocally {
+		s.reviewUntil += reviewPeriod // until the verdict is here
 	}
 }
 
-// proven reports whether enough servers ended under a content, one of them alone and under
-// no other suspected content, or several alone at different moments.
-func (l *Tracker) proven(s *suspect) bool {
+// hasProof reports whether enough servers ended under a fingerprint, one of them alone and under
+// no other suspected fingerprint, or several alone at different moments.
+func (l *Tracker) hasProof(s *suspect) bool {
 	switch {
-	case len(s.ends) < endsToQuarantine:
+	case len(s.crashes) < minCrashes:
 		return false
-	case s.alones >= alonesToQuarantine:
+	case s.aloneCrashes >= minAloneCrashes:
 		return true
-	case s.void:
+	case s.evidenceVoid:
 		return false
-	case s.endedAll:
+	case s.allCrashed:
 		return true
 	}
-	for life, alone := range s.ends {
-		if alone && l.claims[life] == 1 {
+	for incarnation, alone := range s.crashes {
+		if alone && l.attributions[incarnation] == 1 {
 			return true
 		}
 	}
 	return false
 }
 
-// mostRecent bounds the ends of late that are kept: as many as one fan-out over the shards of
+// maxRecentCrashes bounds the ends of late that are kept: as many as one fan-out over the shards of
 // the greatest deployment that is planned may cause.
-const mostRecent = 512
+const maxRecentCrashes = 512
 
-// note keeps an end among those of late.
-func (l *Tracker) note(now time.Duration, content Fingerprint, end Crash) {
+// recordRecentCrash keeps an crash among those of late.
+func (l *Tracker) recordRecentCrash(now time.Duration, fingerprint Fingerprint, crash Crash) {
 	old := 0
-	for old < len(l.recent) && (now-l.recent[old].at > 2*reviewTime || len(l.recent)-old >= mostRecent) {
+	for old < len(l.recentCrashes) && (now-l.recentCrashes[old].at > 2*reviewPeriod || len(l.recentCrashes)-old >= maxRecentCrashes) {
 		old++
 	}
-	l.recent = append(slices.Delete(l.recent, 0, old), recentEnd{at: now, life: end.ServerIncarnation, content: content})
+	l.recentCrashes = append(slices.Delete(l.recentCrashes, 0, old), recentCrash{at: now, incarnation: crash.ServerIncarnation, fingerprint: fingerprint})
 }
 
-// othersEnded reports whether a server that did not run the content ended within the time of a
+// otherServersCrashed reports whether a server that did not run the fingerprint ended within the time of a
 // review of the one that got it alone: then something else may have ended that one, too.
-func (l *Tracker) othersEnded(content Fingerprint, s *suspect) bool {
-	own := make(map[Incarnation]struct{}, len(s.ends))
-	for life := range s.ends {
-		own[life] = struct{}{}
-	}
-	for _, end := range l.recent {
-		if end.content == content {
-			own[end.life] = struct{}{}
+func (l *Tracker) otherServersCrashed(fingerprint Fingerprint, s *suspect) bool {
+	own := make(map[Incarnation]struct{}, len(s.crashes))
+	for incarnation := range s.crashes {
+		own[incarnation] = struct{}{}
+	}
+	for _, crash := range l.recentCrashes {
+		if crash.fingerprint == fingerprint {
+			own[crash.incarnation] = struct{}{}
 		}
 	}
-	for _, end := range l.recent {
-		if _, ran := own[end.life]; !ran && (end.at-s.aloneAt).Abs() <= reviewTime {
+	for _, crash := range l.recentCrashes {
+		if _, ran := own[crash.incarnation]; !ran && (crash.at-s.lastAloneAt).Abs() <= reviewPeriod {
 			return true
 		}
 	}
 	return false
 }
 
-func (l *Tracker) suspectOf(now time.Duration, content Fingerprint) *suspect {
-	s := l.suspects[content]
+func (l *Tracker) getOrAddSuspect(now time.Duration, fingerprint Fingerprint) *suspect {
+	s := l.suspects[fingerprint]
 	if s == nil {
-		l.makeRoom()
-		s = &suspect{ends: make(map[Incarnation]bool), touched: now}
-		l.suspects[content] = s
+		l.evictIfFull()
+		s = &suspect{crashes: make(map[Incarnation]bool), lastSeen: now}
+		l.suspects[fingerprint] = s
 	}
 	return s
 }
 
-// add notes an end, and reports whether that is news. One that was alone takes the place of
+// addCrash notes an crash, and reports whether that is news. One that was alone takes the place of
 // another where there is no room.
-func (l *Tracker) add(now time.Duration, s *suspect, end Crash) (news bool) {
-	alone, known := s.ends[end.ServerIncarnation]
-	if end.Alone && !alone {
-		if s.alones == 0 || now-s.aloneAt > reviewTime {
-			s.alones++
+func (l *Tracker) addCrash(now time.Duration, s *suspect, crash Crash) (news bool) {
+	alone, known := s.crashes[crash.ServerIncarnation]
+	if crash.Alone && !alone {
+		if s.aloneCrashes == 0 || now-s.lastAloneAt > reviewPeriod {
+			s.aloneCrashes++
 		}
-		s.aloneAt, s.void = now, false
+		s.lastAloneAt, s.evidenceVoid = now, false
 	}
 	switch {
 	case known:
-		s.ends[end.ServerIncarnation] = alone || end.Alone
-		return end.Alone && !alone
-	case len(s.ends) < mostLives:
-	case !end.Alone:
+		s.crashes[crash.ServerIncarnation] = alone || crash.Alone
+		return crash.Alone && !alone
+	case len(s.crashes) < maxCrashesPerSuspect:
+	case !crash.Alone:
 		return false
 	default:
-		for _, life := range slices.Sorted(maps.Keys(s.ends)) {
-			if !s.ends[life] {
-				l.drop(s, life)
+		for _, incarnation := range slices.Sorted(maps.Keys(s.crashes)) {
+			if !s.crashes[incarnation] {
+				l.removeCrash(s, incarnation)
 				break
 			}
 		}
 	}
-	s.ends[end.ServerIncarnation] = end.Alone
-	l.claims[end.ServerIncarnation]++
+	s.crashes[crash.ServerIncarnation] = crash.Alone
+	l.attributions[crash.ServerIncarnation]++
 	return true
 }
 
-func (l *Tracker) drop(s *suspect, life Incarnation) {
-	delete(s.ends, life)
-	l.claims[life]--
-	if l.claims[life] == 0 {
-		delete(l.claims, life)
+func (l *Tracker) removeCrash(s *suspect, incarnation Incarnation) {
+	delete(s.crashes, incarnation)
+	l.attributions[incarnation]--
+	if l.attributions[incarnation] == 0 {
+		delete(l.attributions, incarnation)
 	}
 }
 
-func (l *Tracker) forget(content Fingerprint) {
-	s := l.suspects[content]
-	for life := range s.ends {
-		l.drop(s, life)
+func (l *Tracker) removeSuspect(fingerprint Fingerprint) {
+	s := l.suspects[fingerprint]
+	for incarnation := range s.crashes {
+		l.removeCrash(s, incarnation)
 	}
-	delete(l.suspects, content)
+	delete(l.suspects, fingerprint)
 }
 
-// makeRoom forgets the content of which nothing was heard for longest, one that is not
+// evictIfFull forgets the fingerprint of which nothing was heard for longest, one that is not
 // quarantined if there is one.
-func (l *Tracker) makeRoom() {
-	if len(l.suspects) < mostContents {
+func (l *Tracker) evictIfFull() {
+	if len(l.suspects) < maxSuspects {
 		return
 	}
 	var oldest Fingerprint
 	var found *suspect
-	for content, s := range l.suspects {
+	for fingerprint, s := range l.suspects {
 		if found == nil || s.quarantined != found.quarantined && found.quarantined ||
-			s.quarantined == found.quarantined && s.touched < found.touched {
-			oldest, found = content, s
+			s.quarantined == found.quarantined && s.lastSeen < found.lastSeen {
+			oldest, found = fingerprint, s
 		}
 	}
-	l.forget(oldest)
+	l.removeSuspect(oldest)
 }
 
-// contents lists what is known, in an order that repeats.
-func (l *Tracker) contents() []Fingerprint {
+// sortedFingerprints lists what is known, in an order that repeats.
+func (l *Tracker) sortedFingerprints() []Fingerprint {
 	return slices.SortedFunc(maps.Keys(l.suspects), func(a, b Fingerprint) int { return slices.Compare(a[:], b[:]) })
 }
 
-// wideFinding is what all nodes are told.
-func (l *Tracker) wideFinding(content Fingerprint, s *suspect) Finding {
-	s.told = true
-	finding := l.findingOn(content, s)
+// broadcastFinding is what all nodes are told.
+func (l *Tracker) broadcastFinding(fingerprint Fingerprint, s *suspect) Finding {
+	s.broadcast = true
+	finding := l.findingFor(fingerprint, s)
 	finding.Wide = true
 	return finding
 }
 
-func (l *Tracker) findingOn(content Fingerprint, s *suspect) Finding {
-	finding := Finding{Content: content, Quarantined: s.quarantined}
-	for _, life := range slices.Sorted(maps.Keys(s.ends)) {
-		finding.Crashes = append(finding.Crashes, Crash{ServerIncarnation: life, Alone: s.ends[life]})
+func (l *Tracker) findingFor(fingerprint Fingerprint, s *suspect) Finding {
+	finding := Finding{Content: fingerprint, Quarantined: s.quarantined}
+	for _, incarnation := range slices.Sorted(maps.Keys(s.crashes)) {
+		finding.Crashes = append(finding.Crashes, Crash{ServerIncarnation: incarnation, Alone: s.crashes[incarnation]})
 	}
 	return finding
 }
--- a/quarantine/finding.go
+++ b/quarantine/finding.go
@@ -6,15 +6,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Incarnation names one life of a server, from its start to its end.
+// Incarnation names one incarnation of a server, from its start to its crash.
 type Incarnation uint64
 
-// IncarnationOf names the life of a server by what tells it from the server's other lives.
+// IncarnationOf names the incarnation of a server by what tells it from the server's other lives.
 func IncarnationOf(incarnation string) Incarnation {
 	return Incarnation(xxhash.Sum64String(incarnation))
 }
 
-// Finding is what a node tells others of a content.
+// Finding is what a node tells others of a fingerprint.
 type Finding struct {
 	Content Fingerprint
 	// Crashes are the servers that ended under it, and whether each got it alone.
@@ -27,16 +27,16 @@
 	Wide bool
 }
 
-// unanswered reports whether the finding is of a fan-out whose outcome is awaited.
-func (f Finding) unanswered() bool {
-	alone := slices.ContainsFunc(f.Crashes, func(end Crash) bool { return end.Alone })
-	return f.Wide && !f.Quarantined && !alone && len(f.Crashes) >= endsToQuarantine
+// isPendingFanOut reports whether the finding is of a fan-out whose outcome is awaited.
+func (f Finding) isPendingFanOut() bool {
+	alone := slices.ContainsFunc(f.Crashes, func(crash Crash) bool { return crash.Alone })
+	return f.Wide && !f.Quarantined && !alone && len(f.Crashes) >= minCrashes
 }
 
-// Crash is the end of a server under a content.
+// Crash is the crash of a server under a fingerprint.
 type Crash struct {
 	ServerIncarnation Incarnation
-	// Alone says that the server got the content after an earlier end, with nothing else of
+	// Alone says that the server got the fingerprint after an earlier crash, with nothing else of
 	// the request in flight.
 	Alone bool
 }
@@ -47,7 +47,7 @@
 const (
 	// AudienceNone need be told.
 	AudienceNone Audience = iota
-	// AudienceAggregators are the few nodes that bring the findings on a content together.
+	// AudienceAggregators are the few nodes that bring the findings on a fingerprint together.
 	AudienceAggregators
 	// AudienceAll is all nodes.
 	AudienceAll
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -7,10 +7,10 @@
 	"github.com/banksail/banksail/quarantine"
 )
 
-func TestContentNamesTheWholeRequest(t *testing.T) {
+func TestFingerprintCoversWholeRequest(t *testing.T) {
 	base := quarantine.FingerprintOf("GET", "h.example", "/a/b?c=1", []byte("body"))
 	if again := quarantine.FingerprintOf("GET", "h.example", "/a/b?c=1", []byte("body")); again != base {
-		t.Error("the same request has another content")
+		t.Error("the same request has another fingerprint")
 	}
 	others := map[string]quarantine.Fingerprint{
 		"method":            quarantine.FingerprintOf("POST", "h.example", "/a/b?c=1", []byte("body")),
@@ -23,17 +23,17 @@
 	}
 	for what, other := range others {
 		if other == base {
-			t.Errorf("%s is not a part of the content", what)
+			t.Errorf("%s is not a part of the fingerprint", what)
 		}
 	}
 }
 
-func TestContentIsReadAsWritten(t *testing.T) {
-	content := quarantine.FingerprintOf("GET", "h.example", "/", nil)
-	if read, err := quarantine.ParseFingerprint(content.String()); err != nil || read != content {
-		t.Errorf("read %v, %v; want %v", read, err, content)
+func TestFingerprintRoundTrip(t *testing.T) {
+	fingerprint := quarantine.FingerprintOf("GET", "h.example", "/", nil)
+	if read, err := quarantine.ParseFingerprint(fingerprint.String()); err != nil || read != fingerprint {
+		t.Errorf("read %v, %v; want %v", read, err, fingerprint)
 	}
-	for _, text := range []string{"", "zz", content.String()[2:], content.String() + "00"} {
+	for _, text := range []string{"", "zz", fingerprint.String()[2:], fingerprint.String() + "00"} {
 		if _, err := quarantine.ParseFingerprint(text); !errors.Is(err, quarantine.ErrInvalidFingerprint) {
 			t.Errorf("%q: %v, want ErrContent", text, err)
 		}
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -87,16 +87,16 @@
 		return false
 	}
 	b.spent += price
-	price -= take(&b.accounts[rank], price)
+	price -= withdraw(&b.accounts[rank], price)
 	for i := len(b.accounts) - 1; i > rank; i-- {
-		price -= take(&b.accounts[i], price)
+		price -= withdraw(&b.accounts[i], price)
 	}
 	b.reserve -= min(price, b.reserve)
 	return true
 }
 
-// take moves up to price out of the account and returns how much.
-func take(account *float64, price float64) float64 {
+// withdraw moves up to price out of the account and returns how much.
+func withdraw(account *float64, price float64) float64 {
 	taken := min(*account, price)
 	*account -= taken
 	return taken
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -10,7 +10,7 @@
 	"github.com/banksail/banksail/retry"
 )
 
-func TestHedgesArePaidFromTheClassAndLessUrgentOnes(t *testing.T) {
+func TestHedgeDrawsOnOwnAndLessUrgentClasses(t *testing.T) {
 	b := retry.NewBudget(3, retry.BudgetOptions{Burst: 10})
 	b.Credit(1, 10, 0.1)
 	if b.SpendHedge(2, 1) {
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestReservePaysForRetriesOnly(t *testing.T) {
+func TestReserveServesOnlyRetries(t *testing.T) {
 	b := retry.NewBudget(1, retry.BudgetOptions{Burst: 2})
 	if b.SpendHedge(0, 1) {
 		t.Fatal("a hedge was paid from the reserve")
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestOverflowRefillsTheReserve(t *testing.T) {
+func TestOverflowRefillsReserve(t *testing.T) {
 	b := retry.NewBudget(1, retry.BudgetOptions{Burst: 2})
 	b.SpendRetry(0, 2)
 	b.Credit(0, 30, 0.1)
--- a/retry/deduplicator.go
+++ b/retry/deduplicator.go
@@ -44,12 +44,12 @@
 // memory only: what a restart of the process does to it is up to its owner.
 type Deduplicator struct {
 	options DeduplicatorOptions
-	entries map[string]*guarded
+	entries map[string]*dedupEntry
 	// ended lists the ended requests, the first to expire at the front.
 	ended list.List
 }
 
-type guarded struct {
+type dedupEntry struct {
 	id      string
 	digest  Digest
 	done    bool
@@ -66,7 +66,7 @@
 	if options.MaxEntries <= 0 {
 		options.MaxEntries = DefaultMaxEntries
 	}
-	return &Deduplicator{options: options, entries: make(map[string]*guarded)}
+	return &Deduplicator{options: options, entries: make(map[string]*dedupEntry)}
 }
 
 // Begin asks whether the request may run. For Recorded it returns the outcome.
@@ -77,7 +77,7 @@
 	case known == nil && len(g.entries) >= g.options.MaxEntries:
 		return Full, nil
 	case known == nil:
-		g.entries[id] = &guarded{id: id, digest: digest}
+		g.entries[id] = &dedupEntry{id: id, digest: digest}
 		return Accepted, nil
 	case known.digest != digest:
 		return Conflict, nil
@@ -119,7 +119,7 @@
 // progress are never forgotten.
 func (g *Deduplicator) Expire(now time.Duration) {
 	for front := g.ended.Front(); front != nil; front = g.ended.Front() {
-		oldest := front.Value.(*guarded)
+		oldest := front.Value.(*dedupEntry)
 		if oldest.expires > now {
 			return
 		}
@@ -138,5 +138,5 @@
 	if front == nil {
 		return g.options.Window
 	}
-	return max(front.Value.(*guarded).expires-now, 0)
+	return max(front.Value.(*dedupEntry).expires-now, 0)
 }
--- a/retry/deduplicator_test.go
+++ b/retry/deduplicator_test.go
@@ -12,7 +12,7 @@
 	"github.com/banksail/banksail/retry"
 )
 
-func TestGuard(t *testing.T) {
+func TestDeduplicator(t *testing.T) {
 	one, other := retry.Digest{1}, retry.Digest{2}
 	options := retry.DeduplicatorOptions{Window: time.Minute, MaxEntries: 2}
 	type step struct {
@@ -80,7 +80,7 @@
 
 // Within the window an ID is never New again once it has run, and the guard
 // never remembers more than it may.
-func TestGuardRunsAnIDAtMostOnce(t *testing.T) {
+func TestDeduplicatorRunsIDAtMostOnce(t *testing.T) {
 	const maximum, window = 4, 50
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	properties.Property("at most once", prop.ForAll(func(steps []uint8) bool {
--- a/retry/hedge.go
+++ b/retry/hedge.go
@@ -12,16 +12,16 @@
 	Service *Sketch
 }
 
-// latencies returns the group's samples, or the service's while the group has few.
-func (s HedgeInput) latencies() (*Sketch, bool) {
-	if s.Group != nil && s.Group.Count() >= enoughSamples {
+// latencySketch returns the group's samples, or the service's while the group has few.
+func (s HedgeInput) latencySketch() (*Sketch, bool) {
+	if s.Group != nil && s.Group.Count() >= minSamples {
 		return s.Group, true
 	}
-	return s.Service, s.Service != nil && s.Service.Count() >= enoughSamples
+	return s.Service, s.Service != nil && s.Service.Count() >= minSamples
 }
 
-// enoughSamples is the weight of samples below which a quantile says little.
-const enoughSamples = 20
+// minSamples is the weight of samples below which a quantile says little.
+const minSamples = 20
 
 // HedgePolicy decides how long a request may be awaited before another server
 // is asked beside the first. ok is false when no hedge is worth its price.
@@ -51,7 +51,7 @@
 
 // Delay implements HedgePolicy.
 func (p QuantileHedge) Delay(situation HedgeInput) (time.Duration, bool) {
-	sketch, known := situation.latencies()
+	sketch, known := situation.latencySketch()
 	if !known {
 		return 0, false
 	}
--- a/retry/hedge_test.go
+++ b/retry/hedge_test.go
@@ -9,7 +9,7 @@
 	"github.com/banksail/banksail/retry"
 )
 
-func filled(samples int, latency func(i int) time.Duration) *retry.Sketch {
+func newSketch(samples int, latency func(i int) time.Duration) *retry.Sketch {
 	var s retry.Sketch
 	for i := range samples {
 		s.Add(latency(i))
@@ -17,7 +17,7 @@
 	return &s
 }
 
-func TestSketchQuantilesOfExponentialLatencies(t *testing.T) {
+func TestSketchQuantilesOfExponentialDistribution(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	s := retry.Sketch{HalfLife: 100_000}
 	for range 100_000 {
@@ -31,8 +31,8 @@
 	}
 }
 
-func TestSketchForgetsOldLatencies(t *testing.T) {
-	s := filled(5000, func(i int) time.Duration {
+func TestSketchDecaysOldSamples(t *testing.T) {
+	s := newSketch(5000, func(i int) time.Duration {
 		if i < 2500 {
 			return time.Second
 		}
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestSketchTakesAnyDuration(t *testing.T) {
+func TestSketchAcceptsAnyDuration(t *testing.T) {
 	var s retry.Sketch
 	for _, latency := range []time.Duration{math.MinInt64, -1, 0, 1, math.MaxInt64} {
 		s.Add(latency)
@@ -55,9 +55,9 @@
 
 func TestHedgePolicies(t *testing.T) {
 	ramp := func(i int) time.Duration { return time.Duration(i+1) * time.Millisecond }
-	service := filled(100, ramp)
-	slow := filled(100, func(i int) time.Duration { return 10 * ramp(i) })
-	few := filled(3, ramp)
+	service := newSketch(100, ramp)
+	slow := newSketch(100, func(i int) time.Duration { return 10 * ramp(i) })
+	few := newSketch(3, ramp)
 	tests := []struct {
 		name      string
 		policy    retry.HedgePolicy
--- a/retry/sketch.go
+++ b/retry/sketch.go
@@ -7,9 +7,9 @@
 
 // Bounds of a Sketch. Its relative error is half of sketchGrowth-1.
 const (
-	sketchBuckets  = 128
-	sketchSmallest = 10 * time.Microsecond
-	sketchGrowth   = 1.15
+	sketchBuckets = 128
+	sketchMin     = 10 * time.Microsecond
+	sketchGrowth  = 1.15
 )
 
 // DefaultSketchHalfLife is the number of recent samples that a Sketch weighs most.
@@ -23,8 +23,8 @@
 	total  float32
 	// HalfLife is the number of samples after which weights are halved; zero
 	// stands for DefaultSketchHalfLife.
-	HalfLife int
-	cached   cachedQuantile
+	HalfLife     int
+	lastQuantile cachedQuantile
 }
 
 // cachedQuantile is the last answer, reused while few samples came since.
@@ -35,35 +35,35 @@
 	valid    bool
 }
 
-// refreshEvery is the number of samples for which a cached quantile is reused.
-const refreshEvery = 16
+// cacheSamples is the number of samples for which a cached quantile is reused.
+const cacheSamples = 16
 
 var logGrowth = math.Log(sketchGrowth)
 
 // Add takes a sample.
 func (s *Sketch) Add(latency time.Duration) {
-	s.counts[bucketOf(latency)]++
+	s.counts[bucketIndex(latency)]++
 	s.total++
-	s.cached.samples++
+	s.lastQuantile.samples++
 	memory := s.HalfLife
 	if memory <= 0 {
 		memory = DefaultSketchHalfLife
 	}
 	if s.total >= float32(2*memory) {
-		s.fade()
+		s.decay()
 	}
 }
 
-func bucketOf(latency time.Duration) int {
-	if latency <= sketchSmallest {
+func bucketIndex(latency time.Duration) int {
+	if latency <= sketchMin {
 		return 0
 	}
-	i := int(math.Log(float64(latency)/float64(sketchSmallest)) / logGrowth)
+	i := int(math.Log(float64(latency)/float64(sketchMin)) / logGrowth)
 	return min(i, sketchBuckets-1)
 }
 
-// fade halves the weight of all samples so far.
-func (s *Sketch) fade() {
+// decay halves the weight of all samples so far.
+func (s *Sketch) decay() {
 	s.total = 0
 	for i := range s.counts {
 		s.counts[i] /= 2
@@ -77,15 +77,15 @@
 // Quantile estimates the latency below which the given share of samples lies;
 // zero when there is no sample.
 func (s *Sketch) Quantile(quantile float64) time.Duration {
-	if s.cached.valid && s.cached.quantile == quantile && s.cached.samples < refreshEvery {
-		return s.cached.value
+	if s.lastQuantile.valid && s.lastQuantile.quantile == quantile && s.lastQuantile.samples < cacheSamples {
+		return s.lastQuantile.value
 	}
-	value := s.compute(quantile)
-	s.cached = cachedQuantile{quantile: quantile, value: value, valid: true}
+	value := s.estimateQuantile(quantile)
+	s.lastQuantile = cachedQuantile{quantile: quantile, value: value, valid: true}
 	return value
 }
 
-func (s *Sketch) compute(quantile float64) time.Duration {
+func (s *Sketch) estimateQuantile(quantile float64) time.Duration {
 	if s.total == 0 {
 		return 0
 	}
@@ -102,5 +102,5 @@
 			break
 		}
 	}
-	return time.Duration(float64(sketchSmallest) * math.Pow(sketchGrowth, position))
+	return time.Duration(float64(sketchMin) * math.Pow(sketchGrowth, position))
 }
