--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,4 +1,6 @@
-// Package quarantine tells requests that crash the servers that run them from those that were
-// on a server when it ended. It is pure: its owner reports what became of attempts, carries
-// findings to other nodes and asks how a request may be sent.
+// Package quarantine distinguishes requests that crash the servers that run them (poison
+// requests) from requests that were running on a server when it crashed for another reason.
+//
+// It does no I/O. The owner reports the outcomes of attempts, sends findings to other nodes,
+// and asks for the Status of a request before sending it.
 package quarantine
--- a/quarantine/evidence.go
+++ b/quarantine/evidence.go
@@ -6,21 +6,23 @@
 	"time"
 )
 
-// startReviewIfProven begins a review where the evidence suffices.
-func (l *Tracker) startReviewIfProven(now time.Duration, s *suspect) {
+// startReviewIfProven starts a review if there is sufficient evidence and none is in progress.
+func (t *Tracker) startReviewIfProven(now time.Duration, s *suspect) {
 	s.lastSeen = now
-	if s.reviewUntil > 0 || s.quarantined || !l.hasProof(s) {
+	if s.reviewUntil > 0 || s.quarantined || !t.hasProof(s) {
 		return
 	}
 	s.reviewUntil = now + reviewPeriod
 	if !s.observedLocally {
-		s.reviewUntil += reviewPeriod // until the verdict is here
+		s.reviewUntil += reviewPeriod // until the result of the node that observed the crash arrives
 	}
 }
 
-// hasProof reports whether enough servers ended under a fingerprint, one of them alone and under
-// no other suspected fingerprint, or several alone at different moments.
-func (l *Tracker) hasProof(s *suspect) bool {
+// hasProof reports whether enough servers crashed while they ran the request and, in addition,
+// several of them ran it alone and crashed at different times. Unless the evidence is void, it is
+// also enough that one ran it alone and crashed under no other suspect, or that all servers of a
+// fan-out crashed.
+func (t *Tracker) hasProof(s *suspect) bool {
 	switch {
 	case len(s.crashes) < minCrashes:
 		return false
@@ -32,39 +34,40 @@
 		return true
 	}
 	for incarnation, alone := range s.crashes {
-		if alone && l.attributions[incarnation] == 1 {
+		if alone && t.attributions[incarnation] == 1 {
 			return true
 		}
 	}
 	return false
 }
 
-// maxRecentCrashes bounds the ends of late that are kept: as many as one fan-out over the shards of
-// the greatest deployment that is planned may cause.
+// maxRecentCrashes bounds the recent crashes that are kept. One fan-out over all shards of the
+// largest planned deployment can cause this many.
 const maxRecentCrashes = 512
 
-// recordRecentCrash keeps an crash among those of late.
-func (l *Tracker) recordRecentCrash(now time.Duration, fingerprint Fingerprint, crash Crash) {
+// recordRecentCrash appends a crash to the recent ones and drops those that are too old or too
+// many.
+func (t *Tracker) recordRecentCrash(now time.Duration, fingerprint Fingerprint, crash Crash) {
 	old := 0
-	for old < len(l.recentCrashes) && (now-l.recentCrashes[old].at > 2*reviewPeriod || len(l.recentCrashes)-old >= maxRecentCrashes) {
+	for old < len(t.recentCrashes) && (now-t.recentCrashes[old].at > 2*reviewPeriod || len(t.recentCrashes)-old >= maxRecentCrashes) {
 		old++
 	}
-	l.recentCrashes = append(slices.Delete(l.recentCrashes, 0, old), recentCrash{at: now, incarnation: crash.ServerIncarnation, fingerprint: fingerprint})
+	t.recentCrashes = append(slices.Delete(t.recentCrashes, 0, old), recentCrash{at: now, incarnation: crash.ServerIncarnation, fingerprint: fingerprint})
 }
 
-// otherServersCrashed reports whether a server that did not run the fingerprint ended within the time of a
-// review of the one that got it alone: then something else may have ended that one, too.
-func (l *Tracker) otherServersCrashed(fingerprint Fingerprint, s *suspect) bool {
+// otherServersCrashed reports whether a server that did not run the request crashed within one
+// review period of the server that ran it alone. Both may then have crashed for another reason.
+func (t *Tracker) otherServersCrashed(fingerprint Fingerprint, s *suspect) bool {
 	own := make(map[Incarnation]struct{}, len(s.crashes))
 	for incarnation := range s.crashes {
 		own[incarnation] = struct{}{}
 	}
-	for _, crash := range l.recentCrashes {
+	for _, crash := range t.recentCrashes {
 		if crash.fingerprint == fingerprint {
 			own[crash.incarnation] = struct{}{}
 		}
 	}
-	for _, crash := range l.recentCrashes {
+	for _, crash := range t.recentCrashes {
 		if _, ran := own[crash.incarnation]; !ran && (crash.at-s.lastAloneAt).Abs() <= reviewPeriod {
 			return true
 		}
@@ -72,19 +75,20 @@
 	return false
 }
 
-func (l *Tracker) getOrAddSuspect(now time.Duration, fingerprint Fingerprint) *suspect {
-	s := l.suspects[fingerprint]
+// getOrAddSuspect returns the suspect for the fingerprint and creates it if needed.
+func (t *Tracker) getOrAddSuspect(now time.Duration, fingerprint Fingerprint) *suspect {
+	s := t.suspects[fingerprint]
 	if s == nil {
-		l.evictIfFull()
+		t.evictIfFull()
 		s = &suspect{crashes: make(map[Incarnation]bool), lastSeen: now}
-		l.suspects[fingerprint] = s
+		t.suspects[fingerprint] = s
 	}
 	return s
 }
 
-// addCrash notes an crash, and reports whether that is news. One that was alone takes the place of
-// another where there is no room.
-func (l *Tracker) addCrash(now time.Duration, s *suspect, crash Crash) (news bool) {
+// addCrash records a crash and reports whether it is new evidence. If the list is full, a crash
+// with Alone set replaces one without it.
+func (t *Tracker) addCrash(now time.Duration, s *suspect, crash Crash) (news bool) {
 	alone, known := s.crashes[crash.ServerIncarnation]
 	if crash.Alone && !alone {
 		if s.aloneCrashes == 0 || now-s.lastAloneAt > reviewPeriod {
@@ -102,63 +106,63 @@
 	default:
 		for _, incarnation := range slices.Sorted(maps.Keys(s.crashes)) {
 			if !s.crashes[incarnation] {
-				l.removeCrash(s, incarnation)
+				t.removeCrash(s, incarnation)
 				break
 			}
 		}
 	}
 	s.crashes[crash.ServerIncarnation] = crash.Alone
-	l.attributions[crash.ServerIncarnation]++
+	t.attributions[crash.ServerIncarnation]++
 	return true
 }
 
-func (l *Tracker) removeCrash(s *suspect, incarnation Incarnation) {
+func (t *Tracker) removeCrash(s *suspect, incarnation Incarnation) {
 	delete(s.crashes, incarnation)
-	l.attributions[incarnation]--
-	if l.attributions[incarnation] == 0 {
-		delete(l.attributions, incarnation)
+	t.attributions[incarnation]--
+	if t.attributions[incarnation] == 0 {
+		delete(t.attributions, incarnation)
 	}
 }
 
-func (l *Tracker) removeSuspect(fingerprint Fingerprint) {
-	s := l.suspects[fingerprint]
+func (t *Tracker) removeSuspect(fingerprint Fingerprint) {
+	s := t.suspects[fingerprint]
 	for incarnation := range s.crashes {
-		l.removeCrash(s, incarnation)
+		t.removeCrash(s, incarnation)
 	}
-	delete(l.suspects, fingerprint)
+	delete(t.suspects, fingerprint)
 }
 
-// evictIfFull forgets the fingerprint of which nothing was heard for longest, one that is not
-// quarantined if there is one.
-func (l *Tracker) evictIfFull() {
-	if len(l.suspects) < maxSuspects {
+// evictIfFull removes the least recently seen suspect when the limit is reached, preferring
+// suspects that are not quarantined.
+func (t *Tracker) evictIfFull() {
+	if len(t.suspects) < maxSuspects {
 		return
 	}
 	var oldest Fingerprint
-	var found *suspect
-	for fingerprint, s := range l.suspects {
-		if found == nil || s.quarantined != found.quarantined && found.quarantined ||
-			s.quarantined == found.quarantined && s.lastSeen < found.lastSeen {
-			oldest, found = fingerprint, s
+	var victim *suspect
+	for fingerprint, s := range t.suspects {
+		if victim == nil || s.quarantined != victim.quarantined && victim.quarantined ||
+			s.quarantined == victim.quarantined && s.lastSeen < victim.lastSeen {
+			oldest, victim = fingerprint, s
 		}
 	}
-	l.removeSuspect(oldest)
+	t.removeSuspect(oldest)
 }
 
-// sortedFingerprints lists what is known, in an order that repeats.
-func (l *Tracker) sortedFingerprints() []Fingerprint {
-	return slices.SortedFunc(maps.Keys(l.suspects), func(a, b Fingerprint) int { return slices.Compare(a[:], b[:]) })
+// sortedFingerprints returns the fingerprints of all suspects in a deterministic order.
+func (t *Tracker) sortedFingerprints() []Fingerprint {
+	return slices.SortedFunc(maps.Keys(t.suspects), func(a, b Fingerprint) int { return slices.Compare(a[:], b[:]) })
 }
 
-// broadcastFinding is what all nodes are told.
-func (l *Tracker) broadcastFinding(fingerprint Fingerprint, s *suspect) Finding {
+// broadcastFinding marks the suspect as broadcast and returns the finding to send to all nodes.
+func (t *Tracker) broadcastFinding(fingerprint Fingerprint, s *suspect) Finding {
 	s.broadcast = true
-	finding := l.findingFor(fingerprint, s)
+	finding := t.findingFor(fingerprint, s)
 	finding.Wide = true
 	return finding
 }
 
-func (l *Tracker) findingFor(fingerprint Fingerprint, s *suspect) Finding {
+func (t *Tracker) findingFor(fingerprint Fingerprint, s *suspect) Finding {
 	finding := Finding{Content: fingerprint, Quarantined: s.quarantined}
 	for _, incarnation := range slices.Sorted(maps.Keys(s.crashes)) {
 		finding.Crashes = append(finding.Crashes, Crash{ServerIncarnation: incarnation, Alone: s.crashes[incarnation]})
--- a/quarantine/finding.go
+++ b/quarantine/finding.go
@@ -6,49 +6,50 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Incarnation names one incarnation of a server, from its start to its crash.
+// Incarnation identifies one run of a server process, from its start to its exit.
 type Incarnation uint64
 
-// IncarnationOf names the incarnation of a server by what tells it from the server's other lives.
+// IncarnationOf hashes the string that identifies a server's incarnation.
 func IncarnationOf(incarnation string) Incarnation {
 	return Incarnation(xxhash.Sum64String(incarnation))
 }
 
-// Finding is what a node tells others of a fingerprint.
+// Finding is a message to other nodes about one fingerprint.
 type Finding struct {
 	Content Fingerprint
-	// Crashes are the servers that ended under it, and whether each got it alone.
+	// Crashes lists the servers that crashed while they ran the request.
 	Crashes []Crash
-	// Answered says that a server has answered it: earlier ends speak against it no more.
+	// Answered is set when a server has answered the request, which invalidates earlier crashes
+	// as evidence.
 	Answered bool
-	// Quarantined says that the node refuses it.
+	// Quarantined is set when the sending node refuses the request.
 	Quarantined bool
-	// Wide says that all nodes are told.
+	// Wide is set when the finding is sent to all nodes.
 	Wide bool
 }
 
-// isPendingFanOut reports whether the finding is of a fan-out whose outcome is awaited.
+// isPendingFanOut reports whether the finding concerns a fan-out whose outcome is pending.
 func (f Finding) isPendingFanOut() bool {
 	alone := slices.ContainsFunc(f.Crashes, func(crash Crash) bool { return crash.Alone })
 	return f.Wide && !f.Quarantined && !alone && len(f.Crashes) >= minCrashes
 }
 
-// Crash is the crash of a server under a fingerprint.
+// Crash is the crash of a server while it ran a request.
 type Crash struct {
 	ServerIncarnation Incarnation
-	// Alone says that the server got the fingerprint after an earlier crash, with nothing else of
-	// the request in flight.
+	// Alone is set when the request was sent to this server after an earlier crash, with no
+	// other attempt of the request in flight.
 	Alone bool
 }
 
-// Audience tells whom a finding concerns.
+// Audience is the set of nodes to which a finding must be sent.
 type Audience int
 
 const (
-	// AudienceNone need be told.
+	// AudienceNone means that the finding need not be sent.
 	AudienceNone Audience = iota
-	// AudienceAggregators are the few nodes that bring the findings on a fingerprint together.
+	// AudienceAggregators are the few nodes that merge the findings on a fingerprint.
 	AudienceAggregators
-	// AudienceAll is all nodes.
+	// AudienceAll means all nodes.
 	AudienceAll
 )
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -7,12 +7,12 @@
 	"errors"
 )
 
-// fingerprintBytes is the length of a Content. Nobody can find another request with the fingerprint
-// of a given one, so that none can be made to be refused in another's place.
+// fingerprintBytes is the length of a Fingerprint: long enough that nobody can construct a
+// request with the fingerprint of another request in order to get that one refused.
 const fingerprintBytes = 16
 
-// Fingerprint names what a request asks for: its method, host, target and body, whole. The rest
-// of its header is not a part of it, as callers choose that anew for each try.
+// Fingerprint is a hash of a request's method, host, target and complete body. Other header
+// fields are left out because callers may change them on every retry.
 type Fingerprint [fingerprintBytes]byte
 
 // FingerprintOf returns the fingerprint of a request.
@@ -21,19 +21,19 @@
 	for _, field := range [][]byte{[]byte(method), []byte(host), []byte(target), body} {
 		var length [8]byte
 		binary.BigEndian.PutUint64(length[:], uint64(len(field)))
-		_, _ = hash.Write(length[:]) // a hash takes everything
+		_, _ = hash.Write(length[:]) // hash.Hash never returns an error
 		_, _ = hash.Write(field)
 	}
 	return Fingerprint(hash.Sum(nil)[:fingerprintBytes])
 }
 
-// String is the fingerprint in hexadecimal digits.
-func (c Fingerprint) String() string { return hex.EncodeToString(c[:]) }
+// String returns the fingerprint as hexadecimal digits.
+func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ErrInvalidFingerprint is returned for a text that names no fingerprint.
-var ErrInvalidFingerprint = errors.New("quarantine: not a fingerprint")
+// ErrInvalidFingerprint is returned for text that is not a fingerprint in the form of String.
+var ErrInvalidFingerprint = errors.New("quarantine: invalid fingerprint")
 
-// ParseFingerprint reads what String wrote.
+// ParseFingerprint parses the output of String.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	decoded, err := hex.DecodeString(text)
 	if err != nil || len(decoded) != fingerprintBytes {
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -10,7 +10,7 @@
 func TestFingerprintCoversWholeRequest(t *testing.T) {
 	base := quarantine.FingerprintOf("GET", "h.example", "/a/b?c=1", []byte("body"))
 	if again := quarantine.FingerprintOf("GET", "h.example", "/a/b?c=1", []byte("body")); again != base {
-		t.Error("the same request has another fingerprint")
+		t.Error("equal requests have different fingerprints")
 	}
 	others := map[string]quarantine.Fingerprint{
 		"method":            quarantine.FingerprintOf("POST", "h.example", "/a/b?c=1", []byte("body")),
@@ -23,7 +23,7 @@
 	}
 	for what, other := range others {
 		if other == base {
-			t.Errorf("%s is not a part of the fingerprint", what)
+			t.Errorf("fingerprint does not depend on: %s", what)
 		}
 	}
 }
@@ -35,7 +35,7 @@
 	}
 	for _, text := range []string{"", "zz", fingerprint.String()[2:], fingerprint.String() + "00"} {
 		if _, err := quarantine.ParseFingerprint(text); !errors.Is(err, quarantine.ErrInvalidFingerprint) {
-			t.Errorf("%q: %v, want ErrContent", text, err)
+			t.Errorf("%q: %v, want ErrInvalidFingerprint", text, err)
 		}
 	}
 }
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -6,85 +6,88 @@
 )
 
 const (
-	// minCrashes is the number of servers that must have ended under a fingerprint: one or
-	// two may crash by themselves while they run it.
+	// minCrashes is the number of servers that must have crashed while they ran the request. One
+	// or two may crash for another reason during that time.
 	minCrashes = 3
-	// minAloneCrashes is the number of servers that got a fingerprint alone, and ended at moments
-	// apart, that speak against it whatever else ended then: where sixteen fingerprints that crash
-	// servers come at a time, each voided the others' reviews, and one was sent on four times.
+	// minAloneCrashes is the number of crashes at different times, each of a server that ran the
+	// request alone, that are proof even if other servers crashed at the same time. Without this
+	// rule, sixteen poison requests that arrived together voided each other's reviews, and one of
+	// them was sent on four times.
 	minAloneCrashes = 2
-	// reviewPeriod is how long other nodes' findings are awaited before a fingerprint is
-	// quarantined: four times the longest way between regions on the users' sites (24 ms).
+	// reviewPeriod is the time to wait for other nodes' findings before a request is quarantined:
+	// four times the longest delay between regions in deployments (24 ms).
 	reviewPeriod = 100 * time.Millisecond
-	// fanOutTimeout is how long it is awaited what becomes of a fan-out under which servers crash.
+	// fanOutTimeout is the time to wait for the outcome of a fan-out during which servers crash.
 	fanOutTimeout = 250 * time.Millisecond
-	// retention is how long a suspicion lasts after its last evidence, and a quarantine that no
-	// registry keeps after the fingerprint came last.
+	// retention is how long a suspect is kept after the last evidence, and a quarantine that is
+	// not recorded in the registry after the last such request.
 	retention = 10 * time.Minute
-	// maxSuspects bounds the fingerprints that are kept; each takes some 300 bytes.
+	// maxSuspects bounds the suspects that are kept; each takes about 300 bytes.
 	maxSuspects = 1024
-	// maxCrashesPerSuspect bounds the ends that are kept of a fingerprint.
+	// maxCrashesPerSuspect bounds the crashes that are kept for each suspect.
 	maxCrashesPerSuspect = 8
 )
 
-// Status is how a fingerprint may be sent.
+// Status says whether and how a request may be sent.
 type Status int
 
 const (
-	// Clear fingerprints are sent as usual.
+	// Clear means that the request may be sent normally.
 	Clear Status = iota
-	// Suspected fingerprints are sent to one server at a time.
+	// Suspected means that the request may be sent to only one server at a time.
 	Suspected
-	// UnderReview fingerprints are not sent until the review is over.
+	// UnderReview means that the request must not be sent until the review has ended.
 	UnderReview
-	// Quarantined fingerprints are not sent.
+	// Quarantined means that the request must not be sent.
 	Quarantined
 )
 
-// Tracker keeps what is known of fingerprints. It is not safe for concurrent use. Times are
-// durations since an epoch of the owner's choice and never decrease.
+// Tracker records the evidence against requests by fingerprint and decides which requests to
+// quarantine. It is not safe for concurrent use. Times are durations since an epoch that the owner
+// chooses, and must not decrease.
 type Tracker struct {
 	suspects map[Fingerprint]*suspect
-	// attributions counts the fingerprints under which a incarnation ended.
+	// attributions counts, for each crashed incarnation, the suspects that it was running.
 	attributions map[Incarnation]int
-	// recorded are the fingerprints that the registry says are quarantined.
+	// recorded holds the fingerprints of the quarantines recorded in the registry.
 	recorded map[Fingerprint]struct{}
-	// recentCrashes are the ends of late, under whatever fingerprint, in order.
+	// recentCrashes holds the recent crashes under any fingerprint, oldest first.
 	recentCrashes []recentCrash
 }
 
-// recentCrash is the crash of a server under a fingerprint, as it was seen or heard of.
+// recentCrash is a crash that this node observed or learned of from another node.
 type recentCrash struct {
 	at          time.Duration
 	incarnation Incarnation
 	fingerprint Fingerprint
 }
 
-// suspect is what is known of one fingerprint.
+// suspect is the evidence against one fingerprint and its review state.
 type suspect struct {
-	crashes map[Incarnation]bool // whether it was alone
-	// lastSeen is when it was last evidence, or came while it was quarantined.
+	crashes map[Incarnation]bool // the value is Crash.Alone
+	// lastSeen is the time of the latest evidence, or of the latest request while quarantined.
 	lastSeen time.Duration
-	// lastAloneAt is when a server that got it alone was last seen or heard to have ended, and
-	// alones how often that was, at moments that lie a review or more apart.
+	// lastAloneAt is when this node last learned of a crash with Alone set. aloneCrashes counts
+	// those that were more than one review period apart.
 	lastAloneAt  time.Duration
 	aloneCrashes int
-	// evidenceVoid says that the ends until now are no proof.
+	// evidenceVoid is set when the crashes so far do not count as proof.
 	evidenceVoid bool
-	// reviewUntil is when a review ends; zero is that there is none.
+	// reviewUntil is when the current review ends; zero if there is none.
 	reviewUntil time.Duration
-	// fanOutUntil is until when the outcome of a fan-out is awaited.
+	// fanOutUntil is the time until which the outcome of a fan-out is awaited.
 	fanOutUntil time.Duration
 	quarantined bool
-	// broadcast says that all nodes were told of it.
+	// broadcast is set when a finding on the suspect was sent to all nodes.
 	broadcast bool
-	// allCrashed says that all servers ended to which this node had sent it at once.
+	// allCrashed is set when all servers of one of this node's fan-outs crashed.
 	allCrashed bool
-	// observedLocally says that a server to which this node sent it alone ended.
+	// observedLocally is set when this node observed the decisive evidence: the crash of a server
+	// that ran the request alone, or of all servers of a fan-out.
 	observedLocally bool
 }
 
-// NewTracker returns a ledger that knows nothing.
+// NewTracker returns an empty Tracker.
 func NewTracker() *Tracker {
 	return &Tracker{
 		suspects:     make(map[Fingerprint]*suspect),
@@ -93,102 +96,103 @@
 	}
 }
 
-// IsEmpty reports whether nothing is known of any fingerprint.
-func (l *Tracker) IsEmpty() bool { return len(l.suspects) == 0 && len(l.recorded) == 0 }
+// IsEmpty reports whether there are no suspects and no recorded quarantines.
+func (t *Tracker) IsEmpty() bool { return len(t.suspects) == 0 && len(t.recorded) == 0 }
 
-// QuarantineCount is the number of fingerprints that are refused.
-func (l *Tracker) QuarantineCount() int {
-	count := len(l.recorded)
-	for fingerprint, s := range l.suspects {
-		if _, recorded := l.recorded[fingerprint]; s.quarantined && !recorded {
+// QuarantineCount returns the number of fingerprints that are quarantined.
+func (t *Tracker) QuarantineCount() int {
+	count := len(t.recorded)
+	for fingerprint, s := range t.suspects {
+		if _, recorded := t.recorded[fingerprint]; s.quarantined && !recorded {
 			count++
 		}
 	}
 	return count
 }
 
-// SuspectCount is the number of fingerprints of which something is known.
-func (l *Tracker) SuspectCount() int { return len(l.suspects) }
+// SuspectCount returns the number of fingerprints with evidence against them.
+func (t *Tracker) SuspectCount() int { return len(t.suspects) }
 
-// ServerCrashed notes that a server ended while it ran a fingerprint, which it got alone or not.
-func (l *Tracker) ServerCrashed(now time.Duration, fingerprint Fingerprint, crash Crash) (Finding, Audience) {
-	s := l.getOrAddSuspect(now, fingerprint)
+// ServerCrashed records that a server crashed while it ran a request. It returns the finding to
+// send and to whom.
+func (t *Tracker) ServerCrashed(now time.Duration, fingerprint Fingerprint, crash Crash) (Finding, Audience) {
+	s := t.getOrAddSuspect(now, fingerprint)
 	before := len(s.crashes)
-	l.recordRecentCrash(now, fingerprint, crash)
+	t.recordRecentCrash(now, fingerprint, crash)
 	s.observedLocally = s.observedLocally || crash.Alone
-	if l.addCrash(now, s, crash) {
-		l.startReviewIfProven(now, s)
+	if t.addCrash(now, s, crash) {
+		t.startReviewIfProven(now, s)
 	}
 	switch {
 	case len(s.crashes) == before && !crash.Alone:
-		return Finding{}, AudienceNone // known, or more than need be
+		return Finding{}, AudienceNone // known already, or the list is full
 	case crash.Alone:
-		return l.broadcastFinding(fingerprint, s), AudienceAll
+		return t.broadcastFinding(fingerprint, s), AudienceAll
 	case before == 0:
-		return l.findingFor(fingerprint, s), AudienceAggregators
+		return t.findingFor(fingerprint, s), AudienceAggregators
 	default:
 		return Finding{}, AudienceNone
 	}
 }
 
-// AwaitFanOut tells all nodes of a fingerprint that was sent to several servers at once, of which some
-// have ended, one after the other, and none has answered yet. It is under review until the others
-// have answered or ended.
-func (l *Tracker) AwaitFanOut(now time.Duration, fingerprint Fingerprint) (Finding, Audience) {
-	s := l.suspects[fingerprint]
+// AwaitFanOut puts under review a request that was sent to several servers at once, of which some
+// have crashed one after the other and none has answered yet. The review lasts until the others
+// have answered or crashed, at most fanOutTimeout. It returns a finding for all nodes.
+func (t *Tracker) AwaitFanOut(now time.Duration, fingerprint Fingerprint) (Finding, Audience) {
+	s := t.suspects[fingerprint]
 	if s == nil || s.broadcast {
 		return Finding{}, AudienceNone
 	}
 	s.fanOutUntil = now + fanOutTimeout
-	return l.broadcastFinding(fingerprint, s), AudienceAll
+	return t.broadcastFinding(fingerprint, s), AudienceAll
 }
 
-// CrashedAllServers notes that all servers have ended to which a fingerprint was sent at once, one after the
-// other: that is proof as if one had got it alone.
-func (l *Tracker) CrashedAllServers(now time.Duration, fingerprint Fingerprint) (Finding, Audience) {
-	s := l.suspects[fingerprint]
+// CrashedAllServers records that all servers of a fan-out crashed, one after the other. This
+// proves as much as the crash of a server that ran the request alone.
+func (t *Tracker) CrashedAllServers(now time.Duration, fingerprint Fingerprint) (Finding, Audience) {
+	s := t.suspects[fingerprint]
 	if s == nil || s.quarantined || s.allCrashed {
 		return Finding{}, AudienceNone
 	}
 	s.allCrashed, s.observedLocally, s.lastAloneAt, s.evidenceVoid = true, true, now, false
-	l.startReviewIfProven(now, s)
-	return l.broadcastFinding(fingerprint, s), AudienceAll
+	t.startReviewIfProven(now, s)
+	return t.broadcastFinding(fingerprint, s), AudienceAll
 }
 
-// Answered notes that a server ran a fingerprint and answered. What is quarantined stays so: the
-// answer may be older than the ends.
-func (l *Tracker) Answered(fingerprint Fingerprint) (Finding, Audience) {
-	s := l.suspects[fingerprint]
+// Answered records that a server ran a request and answered. A quarantined fingerprint stays
+// quarantined, because the answer may be older than the crashes.
+func (t *Tracker) Answered(fingerprint Fingerprint) (Finding, Audience) {
+	s := t.suspects[fingerprint]
 	if s == nil || s.quarantined {
 		return Finding{}, AudienceNone
 	}
-	told := s.broadcast
-	l.removeSuspect(fingerprint)
-	if told {
+	wasBroadcast := s.broadcast
+	t.removeSuspect(fingerprint)
+	if wasBroadcast {
 		return Finding{Content: fingerprint, Answered: true, Wide: true}, AudienceAll
 	}
 	return Finding{Content: fingerprint, Answered: true}, AudienceAggregators
 }
 
-// MergeFinding takes another node's finding. It returns what all nodes are to be told of it where
-// that follows only from several nodes' findings together.
-func (l *Tracker) MergeFinding(now time.Duration, finding Finding) (Finding, Audience) {
+// MergeFinding merges a finding from another node. It returns a finding for all nodes if only the
+// combination of several nodes' findings supports it.
+func (t *Tracker) MergeFinding(now time.Duration, finding Finding) (Finding, Audience) {
 	if finding.Answered {
-		if s := l.suspects[finding.Content]; s != nil && !s.quarantined {
-			l.removeSuspect(finding.Content)
+		if s := t.suspects[finding.Content]; s != nil && !s.quarantined {
+			t.removeSuspect(finding.Content)
 		}
 		return Finding{}, AudienceNone
 	}
 	if len(finding.Crashes) == 0 && !finding.Quarantined {
 		return Finding{}, AudienceNone
 	}
-	s := l.getOrAddSuspect(now, finding.Content)
+	s := t.getOrAddSuspect(now, finding.Content)
 	before, changed := len(s.crashes), false
 	for _, crash := range finding.Crashes[:min(len(finding.Crashes), maxCrashesPerSuspect)] {
 		if _, known := s.crashes[crash.ServerIncarnation]; !known {
-			l.recordRecentCrash(now, finding.Content, crash)
+			t.recordRecentCrash(now, finding.Content, crash)
 		}
-		changed = l.addCrash(now, s, crash) || changed
+		changed = t.addCrash(now, s, crash) || changed
 	}
 	s.quarantined = s.quarantined || finding.Quarantined
 	if finding.isPendingFanOut() && !s.broadcast {
@@ -196,41 +200,42 @@
 	}
 	s.broadcast = s.broadcast || finding.Wide
 	if changed {
-		l.startReviewIfProven(now, s)
+		t.startReviewIfProven(now, s)
 	}
 	if s.broadcast || before == 0 || len(s.crashes) == before {
 		return Finding{}, AudienceNone
 	}
-	return l.broadcastFinding(finding.Content, s), AudienceAll
+	return t.broadcastFinding(finding.Content, s), AudienceAll
 }
 
-// SetRecordedQuarantines takes all fingerprints that the registry says are quarantined. One that it says so
-// of no longer is suspected: it is tried alone once.
-func (l *Tracker) SetRecordedQuarantines(now time.Duration, recorded []Fingerprint) {
-	before := l.recorded
-	l.recorded = make(map[Fingerprint]struct{}, len(recorded))
+// SetRecordedQuarantines replaces the set of quarantines recorded in the registry. A fingerprint
+// that is no longer recorded becomes a suspect and is sent to a single server once.
+func (t *Tracker) SetRecordedQuarantines(now time.Duration, recorded []Fingerprint) {
+	before := t.recorded
+	t.recorded = make(map[Fingerprint]struct{}, len(recorded))
 	for _, fingerprint := range recorded {
-		l.recorded[fingerprint] = struct{}{}
+		t.recorded[fingerprint] = struct{}{}
 	}
 	for fingerprint := range before {
-		if _, stands := l.recorded[fingerprint]; stands {
+		if _, stillRecorded := t.recorded[fingerprint]; stillRecorded {
 			continue
 		}
-		s := l.getOrAddSuspect(now, fingerprint)
+		s := t.getOrAddSuspect(now, fingerprint)
 		s.quarantined, s.reviewUntil = false, 0
 		s.observedLocally, s.allCrashed, s.aloneCrashes, s.evidenceVoid = false, false, 0, true
 		for unknown := Incarnation(0); len(s.crashes) < minCrashes-1; unknown++ {
-			l.addCrash(now, s, Crash{ServerIncarnation: math.MaxUint64 - unknown}) // stands for an crash that led to the record
+			t.addCrash(now, s, Crash{ServerIncarnation: math.MaxUint64 - unknown}) // placeholder for a crash that led to the record
 		}
 	}
 }
 
-// Status tells how a fingerprint that has come may be sent, and for how long a review lasts yet.
-func (l *Tracker) Status(now time.Duration, fingerprint Fingerprint) (standing Status, left time.Duration) {
-	if _, recorded := l.recorded[fingerprint]; recorded {
+// Status returns whether and how a request that has arrived may be sent, and how long a review
+// will still last.
+func (t *Tracker) Status(now time.Duration, fingerprint Fingerprint) (status Status, remaining time.Duration) {
+	if _, recorded := t.recorded[fingerprint]; recorded {
 		return Quarantined, 0
 	}
-	s := l.suspects[fingerprint]
+	s := t.suspects[fingerprint]
 	switch {
 	case s == nil:
 		return Clear, 0
@@ -244,39 +249,40 @@
 	}
 }
 
-// IsProven reports whether the evidence against a fingerprint suffices, also while it is reviewed.
-func (l *Tracker) IsProven(fingerprint Fingerprint) bool {
-	_, recorded := l.recorded[fingerprint]
-	s := l.suspects[fingerprint]
+// IsProven reports whether there is sufficient evidence against a fingerprint, including one that
+// is still under review.
+func (t *Tracker) IsProven(fingerprint Fingerprint) bool {
+	_, recorded := t.recorded[fingerprint]
+	s := t.suspects[fingerprint]
 	return recorded || s != nil && (s.quarantined || s.reviewUntil > 0)
 }
 
-// Tick ends the reviews that are over by now, forgets what is old, and returns what all nodes
-// are to be told of the fingerprints that this node has quarantined by that.
-func (l *Tracker) Tick(now time.Duration) (quarantined []Finding) {
-	for _, fingerprint := range l.sortedFingerprints() {
-		s := l.suspects[fingerprint]
+// Tick ends the reviews that are due and removes expired suspects. It returns the findings to send
+// to all nodes about fingerprints that this node has quarantined in this call.
+func (t *Tracker) Tick(now time.Duration) (quarantined []Finding) {
+	for _, fingerprint := range t.sortedFingerprints() {
+		s := t.suspects[fingerprint]
 		switch {
 		case now-s.lastSeen >= retention:
-			l.removeSuspect(fingerprint)
+			t.removeSuspect(fingerprint)
 		case s.reviewUntil > 0 && now >= s.reviewUntil:
 			s.reviewUntil = 0
 			switch {
-			case !s.observedLocally: // who saw the proof judges it, and tells
-			case s.aloneCrashes < minAloneCrashes && l.otherServersCrashed(fingerprint, s):
-				s.evidenceVoid = true // it is to be tried again
-			case l.hasProof(s):
+			case !s.observedLocally: // the node that observed the evidence decides and sends the result
+			case s.aloneCrashes < minAloneCrashes && t.otherServersCrashed(fingerprint, s):
+				s.evidenceVoid = true // the request is to be sent to a single server again
+			case t.hasProof(s):
 				s.quarantined = true
-				quarantined = append(quarantined, l.broadcastFinding(fingerprint, s))
+				quarantined = append(quarantined, t.broadcastFinding(fingerprint, s))
 			}
 		}
 	}
 	return quarantined
 }
 
-// NextTick is when Tick is to be called; ok is false when nothing is awaited.
-func (l *Tracker) NextTick() (at time.Duration, ok bool) {
-	for _, s := range l.suspects {
+// NextTick returns when Tick must be called next; ok is false when nothing is pending.
+func (t *Tracker) NextTick() (at time.Duration, ok bool) {
+	for _, s := range t.suspects {
 		due := s.lastSeen + retention
 		if s.reviewUntil > 0 {
 			due = min(due, s.reviewUntil)
