--- a/mechanism/mechanism_test.go
+++ b/mechanism/mechanism_test.go
@@ -27,7 +27,7 @@
 }
 
 // Every mechanism has a name of its own, by which it can be switched off.
-func TestNames(t *testing.T) {
+func TestNamesAreUnique(t *testing.T) {
 	all := mechanism.Names()
 	for number, name := range all {
 		off, err := mechanism.Parse(name)
--- a/routing/budget_test.go
+++ b/routing/budget_test.go
@@ -14,15 +14,15 @@
 	"github.com/banksail/banksail/routing"
 )
 
-// arrival is one send to a service, by any node.
-type arrival struct {
+// sendRecord is one send to a service, by any node.
+type sendRecord struct {
 	at    time.Duration
 	extra bool
 }
 
 // worstExcess is the greatest number by which the extra sends of any window
 // exceed ratio times its requests and the fixed number.
-func worstExcess(arrivals []arrival, ratio, fixed float64, window time.Duration) float64 {
+func worstExcess(arrivals []sendRecord, ratio, fixed float64, window time.Duration) float64 {
 	worst := -fixed
 	first, requests, extras := 0, 0, 0
 	for _, a := range arrivals {
@@ -44,23 +44,23 @@
 	return worst
 }
 
-// newRoomyWorld has one service whose servers never lack room or connections.
-func newRoomyWorld(t *testing.T, options routing.Options) *world {
+// newUnboundedHarness has one service whose servers never lack room or connections.
+func newUnboundedHarness(t *testing.T, options routing.Options) *harness {
 	t.Helper()
-	w := newWorld(t, options)
+	h := newHarness(t, options)
 	roomy := servers(2, "s1")
 	for i := range roomy {
 		roomy[i].Slots = 1_000
 	}
-	w.setServers(roomy)
-	w.setTable(10_000, "s1")
-	return w
+	h.setServers(roomy)
+	h.setTable(10_000, "s1")
+	return h
 }
 
 // Many nodes, each of whose requests wants a second server, keep the
 // budget together, though they know nothing of each other's spending, come,
 // restart, and get loads of their own.
-func TestBudgetHoldsOverManyNodes(t *testing.T) {
+func TestNodesStayWithinSharedBudget(t *testing.T) {
 	const (
 		ratio  = 0.2
 		fixed  = 56.0
@@ -71,40 +71,40 @@
 	)
 	run := func(seed uint64, nodes, restarts int, perTick float64, herd bool) bool {
 		random := rand.New(rand.NewPCG(seed, 1))
-		start := func(fresh bool) *world {
-			w := newRoomyWorld(t, routing.Options{
+		start := func(fresh bool) *harness {
+			h := newUnboundedHarness(t, routing.Options{
 				Seed: random.Uint64(), Restarted: fresh,
 				Budget: extrabudget.Options{Ratio: ratio, Fixed: fixed, Window: window},
 			})
-			w.step(routing.NodesChanged{Live: nodes, Serving: nodes, IsServing: true})
-			return w
+			h.step(routing.NodesChanged{Live: nodes, Serving: nodes, IsServing: true})
+			return h
 		}
-		all := make([]*world, nodes)
+		all := make([]*harness, nodes)
 		offsets := make([]time.Duration, nodes)
 		for i := range all {
 			all[i] = start(false)
 		}
-		var arrivals []arrival
+		var arrivals []sendRecord
 		for now := time.Duration(0); now < 30*time.Second; now += tick {
-			for i, w := range all {
+			for i, h := range all {
 				if herd && (now == herdAt || now == herdAt+2*time.Second) || restarts > 0 && random.Float64() < float64(restarts)/600/float64(nodes) {
 					all[i], offsets[i] = start(true), now
-					w = all[i]
+					h = all[i]
 				}
 				load := random.IntN(int(2*perTick)+1) * random.IntN(2)
-				before := len(w.order)
+				before := len(h.allSends)
 				for range load {
-					w.ask(single("s1", true))
+					h.submit(single("s1", true))
 				}
-				w.pass(now + tick - offsets[i] - w.now)
+				h.advance(now + tick - offsets[i] - h.now)
 				seen := make(map[routing.RequestID]bool)
-				for _, send := range w.order[before:] {
-					arrivals = append(arrivals, arrival{at: now, extra: send.Kind != gather.FirstSend})
+				for _, send := range h.allSends[before:] {
+					arrivals = append(arrivals, sendRecord{at: now, extra: send.Kind != gather.FirstSend})
 					seen[send.Request] = true
 				}
 				for id := range seen {
-					for _, send := range w.open(id) {
-						w.end(send.Attempt, gather.ReplyDone)
+					for _, send := range h.inFlight(id) {
+						h.complete(send.Attempt, gather.ReplyDone)
 					}
 				}
 			}
@@ -123,7 +123,7 @@
 // Nodes take turns in serving callers, all of them eager for extra sends: what
 // those that served before have spent and what their successors spend keeps the
 // budget, however often roles change.
-func TestBudgetHoldsWhileRolesChange(t *testing.T) {
+func TestNodesStayWithinBudgetAcrossRoleChanges(t *testing.T) {
 	const (
 		ratio  = 0.2
 		fixed  = 56.0
@@ -133,14 +133,14 @@
 	)
 	run := func(seed uint64, most int, lasting time.Duration) bool {
 		random := rand.New(rand.NewPCG(seed, 1))
-		all := make([]*world, nodes)
+		all := make([]*harness, nodes)
 		for i := range all {
-			all[i] = newRoomyWorld(t, routing.Options{
+			all[i] = newUnboundedHarness(t, routing.Options{
 				Seed:   random.Uint64(),
 				Budget: extrabudget.Options{Ratio: ratio, Fixed: fixed, Window: window},
 			})
 		}
-		var arrivals []arrival
+		var arrivals []sendRecord
 		serving := make(map[int]bool)
 		changeAt := time.Duration(0)
 		for now := time.Duration(0); now < 60*time.Second; now += tick {
@@ -150,24 +150,24 @@
 				for range 1 + random.IntN(most) {
 					serving[random.IntN(nodes)] = true
 				}
-				for i, w := range all {
-					w.step(routing.NodesChanged{Live: nodes, Serving: len(serving), IsServing: serving[i]})
+				for i, h := range all {
+					h.step(routing.NodesChanged{Live: nodes, Serving: len(serving), IsServing: serving[i]})
 				}
 			}
-			for i, w := range all {
-				before := len(w.order)
+			for i, h := range all {
+				before := len(h.allSends)
 				if serving[i] {
 					for range 4 {
-						w.ask(single("s1", true))
+						h.submit(single("s1", true))
 					}
 				}
-				w.pass(tick)
-				for _, send := range w.order[before:] {
-					arrivals = append(arrivals, arrival{at: now, extra: send.Kind != gather.FirstSend})
+				h.advance(tick)
+				for _, send := range h.allSends[before:] {
+					arrivals = append(arrivals, sendRecord{at: now, extra: send.Kind != gather.FirstSend})
 				}
-				for _, send := range w.order[before:] {
-					if _, open := w.sends[send.Attempt]; open {
-						w.end(send.Attempt, gather.ReplyDone)
+				for _, send := range h.allSends[before:] {
+					if _, open := h.openSends[send.Attempt]; open {
+						h.complete(send.Attempt, gather.ReplyDone)
 					}
 				}
 			}
--- a/routing/cold_test.go
+++ b/routing/cold_test.go
@@ -12,7 +12,7 @@
 
 // How slow a server is at its start is learned from others that said that they had
 // just started; without any, it is taken for one as any other.
-func TestSlownessOfStartsIsLearned(t *testing.T) {
+func TestLearnsSlownessOfColdServers(t *testing.T) {
 	const (
 		usual = 10 * time.Millisecond
 		// slow is over the way to the other zone, which is charged as 15 ms here.
@@ -28,26 +28,26 @@
 		{"starts are slow", slow, "b"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w := newWorld(t, routing.Options{})
+			h := newHarness(t, routing.Options{})
 			known := servers(2, "s1")
-			w.setServers(known)
-			w.setTable(20, "s1", "s2")
-			w.warm(fanOut(1, "s1"), usual)
+			h.setServers(known)
+			h.setTable(20, "s1", "s2")
+			h.learnLatency(fanOut(1, "s1"), usual)
 			// Servers of s1 start one after the other, and take so long at first.
 			for number := range 20 {
 				starting := discovery.Server{ID: fmt.Sprintf("new-%d", number), Service: "s1", Zone: "a", Slots: 2, ColdFor: coldFor}
-				w.setServers([]discovery.Server{starting})
-				id := w.ask(fanOut(1, "s1"))
-				w.pass(test.takes)
-				for _, send := range w.open(id) {
-					w.end(send.Attempt, gather.ReplyDone)
+				h.setServers([]discovery.Server{starting})
+				id := h.submit(fanOut(1, "s1"))
+				h.advance(test.takes)
+				for _, send := range h.inFlight(id) {
+					h.complete(send.Attempt, gather.ReplyDone)
 				}
 			}
 			// Of the two of s2 the near one has just started.
 			choice := servers(2, "s2")
 			choice[0].ColdFor = coldFor
-			w.setServers(choice)
-			if sends := w.open(w.ask(fanOut(1, "s2"))); len(sends) != 1 || sends[0].Server.Zone != test.want {
+			h.setServers(choice)
+			if sends := h.inFlight(h.submit(fanOut(1, "s2"))); len(sends) != 1 || sends[0].Server.Zone != test.want {
 				t.Errorf("asked %v, want one in zone %s", sends, test.want)
 			}
 		})
--- a/routing/shares.go
+++ b/routing/connection_share.go
@@ -7,26 +7,26 @@
 	"github.com/banksail/banksail/mechanism"
 )
 
-// connectionsOutlive is how long servers may still count the connections of an earlier
+// staleConnectionTime is how long servers may still count the connections of an earlier
 // incarnation whose machine lost power: beside those a node has half.
-const connectionsOutlive = 3 * time.Second
+const staleConnectionTime = 3 * time.Second
 
-// share is the number of connections that this node may have to each of the
+// connectionShare is the number of connections that this node may have to each of the
 // service's servers, and so the attempts in flight there.
-func (r *Router) share(s *service) int {
+func (r *Router) connectionShare(s *service) int {
 	if s.connections == 0 || r.shares.ServingNodes() == 0 {
 		return 1 // nothing is known of what the nodes share
 	}
 	share := limit.ConnectionShare(s.connections, r.shares.ServingNodes(), r.options.SpareConnections)
-	if r.options.Restarted && r.on(mechanism.RestartConnectionLimit) && r.now < r.startedAt+connectionsOutlive {
+	if r.options.Restarted && r.enabled(mechanism.RestartConnectionLimit) && r.now < r.startedAt+staleConnectionTime {
 		share /= 2
 	}
 	return max(share, 1)
 }
 
-// fixedShare is the node's part of each budget's fixed number. A fresh
+// fixedBudgetShare is the node's part of each budget's fixed number. A fresh
 // incarnation has none for a window.
-func (r *Router) fixedShare() float64 {
+func (r *Router) fixedBudgetShare() float64 {
 	if r.options.Restarted && r.now < r.startedAt+r.options.Budget.Window {
 		return 0
 	}
--- a/routing/off_test.go
+++ b/routing/disabled_test.go
@@ -14,57 +14,57 @@
 // Whatever mechanism is switched off, every request gets one final answer by its
 // deadline, no part is sent to more servers than its route allows, and a request
 // that may not be repeated is not sent again once a server may have run it.
-func TestPromisesHoldWithoutAnyMechanism(t *testing.T) {
+func TestInvariantsHoldWithEachMechanismDisabled(t *testing.T) {
 	for number, name := range mechanism.Names() {
 		t.Run(name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(uint64(number), 5))
-			w := newWorld(t, routing.Options{Disabled: mechanism.Disable(mechanism.Mechanism(number)), Restarted: number%2 == 0})
-			w.setServers(servers(3, "s1", "s2", "s3"))
-			w.setTable(20, "s1", "s2", "s3")
+			h := newHarness(t, routing.Options{Disabled: mechanism.Disable(mechanism.Mechanism(number)), Restarted: number%2 == 0})
+			h.setServers(servers(3, "s1", "s2", "s3"))
+			h.setTable(20, "s1", "s2", "s3")
 			var asked []routing.RequestID
 			once := make(map[routing.RequestID]bool)
 			mayHaveRun := make(map[routing.RequestID]bool)
 			for range 400 {
 				switch random.IntN(3) {
 				case 0:
-					asked = append(asked, w.ask(fanOut(0.5, "s1", "s2", "s3")))
+					asked = append(asked, h.submit(fanOut(0.5, "s1", "s2", "s3")))
 				case 1:
-					id := w.ask(single("s1", false))
+					id := h.submit(single("s1", false))
 					asked, once[id] = append(asked, id), true
 				}
-				for _, send := range w.order {
-					if _, open := w.sends[send.Attempt]; !open || random.IntN(3) == 0 {
+				for _, send := range h.allSends {
+					if _, open := h.openSends[send.Attempt]; !open || random.IntN(3) == 0 {
 						continue
 					}
 					switch random.IntN(6) {
 					case 0:
-						w.end(send.Attempt, gather.ReplyShed)
+						h.complete(send.Attempt, gather.ReplyShed)
 					case 1:
 						mayHaveRun[send.Request] = true
-						w.fail(send.Attempt, gather.DeliveryUnknown)
+						h.fail(send.Attempt, gather.DeliveryUnknown)
 					case 2:
-						w.fail(send.Attempt, gather.NotDelivered)
+						h.fail(send.Attempt, gather.NotDelivered)
 					default:
 						mayHaveRun[send.Request] = true
-						w.end(send.Attempt, gather.ReplyDone)
+						h.complete(send.Attempt, gather.ReplyDone)
 					}
 				}
-				before := len(w.order)
-				w.pass(time.Duration(random.IntN(30)) * time.Millisecond)
-				for _, send := range w.order[before:] {
+				before := len(h.allSends)
+				h.advance(time.Duration(random.IntN(30)) * time.Millisecond)
+				for _, send := range h.allSends[before:] {
 					if once[send.Request] && mayHaveRun[send.Request] {
 						t.Fatalf("request %d is sent again", send.Request)
 					}
 				}
 			}
-			w.pass(2 * time.Second)
+			h.advance(2 * time.Second)
 			for _, id := range asked {
-				if _, finished := w.finished[id]; !finished {
+				if _, finished := h.finished[id]; !finished {
 					t.Errorf("request %d has no answer", id)
 				}
 			}
 			servers := make(map[string]map[string]bool)
-			for _, send := range w.order {
+			for _, send := range h.allSends {
 				part := fmt.Sprintf("%d/%s", send.Request, send.Server.Service)
 				if servers[part] == nil {
 					servers[part] = make(map[string]bool)
--- a/routing/pressure_test.go
+++ b/routing/overload_test.go
@@ -10,28 +10,28 @@
 // that pauses for a while.
 func TestBriefCrowding(t *testing.T) {
 	const step = 100 * time.Millisecond
-	var p pressure
-	if !p.brief(0) {
+	var p overloadStats
+	if !p.isBrief(0) {
 		t.Error("servers that were never crowded are crowded for long")
 	}
 	now := time.Duration(0)
-	for ; now < briefCrowding; now += step {
-		p.count(now, 0, true)
-		if !p.brief(now) {
+	for ; now < briefOverload; now += step {
+		p.record(now, 0, true)
+		if !p.isBrief(now) {
 			t.Fatalf("crowded for long after %s", now)
 		}
 	}
-	for ; now < 3*crowdingPause; now += step {
+	for ; now < 3*overloadGap; now += step {
 		if now%(2*time.Second) < time.Second { // it pauses now and then
-			p.count(now, 0, true)
+			p.record(now, 0, true)
 		}
-		if p.brief(now) {
+		if p.isBrief(now) {
 			t.Fatalf("crowded for a moment only after %s", now)
 		}
 	}
-	now += crowdingPause + step
-	p.count(now, 0, true)
-	if !p.brief(now) {
+	now += overloadGap + step
+	p.record(now, 0, true)
+	if !p.isBrief(now) {
 		t.Error("an earlier crowding counts after a pause")
 	}
 }
--- a/routing/request.go
+++ b/routing/request.go
@@ -13,63 +13,63 @@
 // request is one that runs. It implements gather.Environment: the key space of
 // its query has one key for each shard.
 type request struct {
-	router   *Router
-	asked    Request
-	query    *gather.Query
-	names    []string // of the services, one for each part
-	parts    []part
-	latency  *latencies
-	began    time.Duration
-	finished bool
-	// returned says that the caller has probably tried before, and may have no try left.
-	returned bool
+	router       *Router
+	asked        Request
+	query        *gather.Query
+	serviceNames []string // of the services, one for each part
+	parts        []part
+	stats        *routeStats
+	arrivedAt    time.Duration
+	finished     bool
+	// isRetry says that the caller has probably tried before, and may have no try left.
+	isRetry bool
 	// suspected says that servers have ended under its content before.
-	suspected bool
-	failure   any // last failure that a server itself answered with
-	timerAt   time.Duration
+	suspected   bool
+	lastFailure any // last failure that a server itself answered with
+	timerAt     time.Duration
 
 	sends, hedges, retries int
 	records                []AttemptRecord
-	// unaffordable counts the extra sends for which there was no budget, roomless
+	// hedgesOverBudget counts the extra sends for which there was no budget, roomless
 	// the sends for which no server had room, and hopeless the hedges that could
 	// not have answered in time.
-	unaffordable, roomless, hopeless int
+	hedgesOverBudget, sendsWithoutCapacity, hedgesTooLate int
 }
 
 // part is what was done for one shard.
 type part struct {
-	// counted says that the part counts as a request to its service.
-	counted bool
+	// countedInBudget says that the part counts as a request to its service.
+	countedInBudget bool
 	// asked are the servers to which it was sent.
 	asked []*server
 }
 
-// spareRecords is the room for the records of extra sends.
-const spareRecords = 4
+// extraSendRecords is the room for the records of extra sends.
+const extraSendRecords = 4
 
-// ended notes how an attempt ended, unless the request was answered before.
-func (q *request) ended(a *attempt, end string) {
+// recordEnd notes how an attempt ended, unless the request was answered before.
+func (q *request) recordEnd(a *attempt, result string) {
 	if q.finished {
 		return
 	}
-	record := &q.records[a.record]
-	record.EndedAt, record.Result = q.router.now-q.began, end
+	record := &q.records[a.recordIndex]
+	record.EndedAt, record.Result = q.router.now-q.arrivedAt, result
 }
 
-// pinned is the one snapshot of a request: its table's set of shards.
-const pinned snapshot.ID = 1
+// pinnedSnapshot is the one snapshot of a request: its table's set of shards.
+const pinnedSnapshot snapshot.ID = 1
 
 func (r *Router) newRequest(asked Request) *request {
-	q := &request{router: r, asked: asked, began: r.now, latency: r.latenciesOf(asked.Route)}
+	q := &request{router: r, asked: asked, arrivedAt: r.now, stats: r.ensureRouteStats(asked.Route)}
 	if asked.Route.Target.FanOut() {
-		q.names = asked.Route.Target.Shards
+		q.serviceNames = asked.Route.Target.Shards
 	} else {
-		q.names = []string{asked.Route.Target.Pick(q.latency.turn(r.random))}
+		q.serviceNames = []string{asked.Route.Target.Pick(q.stats.nextShareOffset(r.random))}
 	}
-	q.returned = q.latency.patience.returned(asked.CallerTimeout)
-	q.latency.patience.take(asked.CallerTimeout)
-	q.parts = make([]part, len(q.names))
-	q.records = make([]AttemptRecord, 0, len(q.names)+spareRecords)
+	q.isRetry = q.stats.timeouts.isRetry(asked.CallerTimeout)
+	q.stats.timeouts.observe(asked.CallerTimeout)
+	q.parts = make([]part, len(q.serviceNames))
+	q.records = make([]AttemptRecord, 0, len(q.serviceNames)+extraSendRecords)
 	return q
 }
 
@@ -83,23 +83,23 @@
 	}
 	q.query = gather.New(gather.Options{
 		Owner:            q,
-		KeySpace:         coverage.Range{Start: 0, End: uint64(len(q.names))},
-		Snapshot:         pinned,
+		KeySpace:         coverage.Range{Start: 0, End: uint64(len(q.serviceNames))},
+		Snapshot:         pinnedSnapshot,
 		Arrived:          r.now,
 		Deadline:         r.now + q.asked.Remaining,
 		RequiredCoverage: minimum,
 		Rank:             q.asked.Route.Priority,
 		Repeatable:       q.asked.Route.Repeatable,
 		CrashSuspect:     q.suspected,
-		Stop:             stopByAim{q},
-		MaximumRounds:    maximumRounds,
+		Stop:             aimStopPolicy{q},
+		MaximumRounds:    maxRounds,
 	}, q)
 	q.query.Start(r.now)
 	r.schedule(q)
 }
 
-// maximumRounds is how often servers that were all tried are asked anew.
-const maximumRounds = 2
+// maxRounds is how often servers that were all tried are asked anew.
+const maxRounds = 2
 
 // Generation implements gather.Environment.
 func (q *request) Generation() uint64 { return 1 }
@@ -110,7 +110,7 @@
 	for key := span.Start; key < span.End; key++ {
 		targets = append(targets, gather.Target{
 			Range: coverage.Range{Start: key, End: key + 1},
-			Group: q.router.serviceNamed(q.names[key]),
+			Group: q.router.ensureService(q.serviceNames[key]),
 		})
 	}
 	return targets
@@ -119,7 +119,7 @@
 // Place implements gather.Environment.
 func (q *request) Place(segment *gather.Segment, kind gather.SendKind) (gather.Server, gather.Placement) {
 	s := segment.Group.(*service)
-	chosen, placement := q.router.choose(s, q, segment, kind)
+	chosen, placement := q.router.chooseServer(s, q, segment, kind)
 	if placement == gather.Placed {
 		return chosen, placement
 	}
@@ -132,7 +132,7 @@
 // HedgeDelay implements gather.Environment.
 func (q *request) HedgeDelay(segment *gather.Segment) (time.Duration, bool) {
 	s := segment.Group.(*service)
-	if len(s.servers) < 2 || q.asked.Route.Attempts < 2 || !q.router.on(mechanism.Hedging) {
+	if len(s.servers) < 2 || q.asked.Route.Attempts < 2 || !q.router.enabled(mechanism.Hedging) {
 		return 0, false
 	}
 	return q.router.hedgeDelay(q), true
@@ -148,17 +148,17 @@
 func (q *request) NextSnapshot([]snapshot.ID, uint64) (snapshot.ID, bool) { return 0, false }
 
 // TypicalLatency implements gather.Environment.
-func (q *request) TypicalLatency() time.Duration { return q.latency.usual() }
+func (q *request) TypicalLatency() time.Duration { return q.stats.median() }
 
 // ExpectedLatency implements gather.Environment.
 func (q *request) ExpectedLatency(*gather.Segment) time.Duration { return 0 }
 
-// leastBackoff is the time before servers that were all tried are asked anew.
-const leastBackoff = 20 * time.Millisecond
+// minBackoff is the time before servers that were all tried are asked anew.
+const minBackoff = 20 * time.Millisecond
 
 // Backoff implements gather.Environment.
 func (q *request) Backoff(round int) time.Duration {
-	pause := leastBackoff << min(round, 4)
+	pause := minBackoff << min(round, 4)
 	return pause + time.Duration(q.router.random.Float64()*float64(pause))
 }
 
@@ -172,19 +172,19 @@
 func (q *request) Send(a *gather.Attempt) {
 	r := q.router
 	s := a.Server.(*server)
-	number := int(a.Range.Start)
-	believed := ServerEstimate{Slowness: r.slownessOf(s), InFlight: s.InFlight()}
-	sent := &attempt{Attempt: a, server: s, record: len(q.records)}
-	s.BeginAttempt(&sent.flight, r.now, q.latency.usual())
+	index := int(a.Range.Start)
+	estimate := ServerEstimate{Slowness: r.expectedSlowness(s), InFlight: s.InFlight()}
+	sent := &attempt{Attempt: a, server: s, recordIndex: len(q.records)}
+	s.BeginAttempt(&sent.flight, r.now, q.stats.median())
 	q.records = append(q.records, AttemptRecord{
-		Service: s.Service, Server: s.ID, Kind: a.Kind, SentAt: r.now - q.began, Estimate: believed,
+		Service: s.Service, Server: s.ID, Kind: a.Kind, SentAt: r.now - q.arrivedAt, Estimate: estimate,
 	})
-	sent.extra = r.countSend(a.Segment.Group.(*service), q, number)
-	sent.limited = r.countTrial(a.Segment.Group.(*service), s, q.asked.Route.Name, a.Kind)
-	if !slices.Contains(q.parts[number].asked, s) {
-		q.parts[number].asked = append(q.parts[number].asked, s)
+	sent.isExtra = r.countSend(a.Segment.Group.(*service), q, index)
+	sent.toLimitedVersion = r.countCanarySend(a.Segment.Group.(*service), s, q.asked.Route.Name, a.Kind)
+	if !slices.Contains(q.parts[index].asked, s) {
+		q.parts[index].asked = append(q.parts[index].asked, s)
 	}
-	q.count(a.Kind)
+	q.countByKind(a.Kind)
 	action := Send{
 		Attempt:   a.ID,
 		Request:   q.asked.ID,
@@ -192,17 +192,17 @@
 		Remaining: q.query.Deadline() - r.now,
 		Kind:      a.Kind,
 		Alone:     a.Alone,
-		Estimate:  believed,
+		Estimate:  estimate,
 	}
-	r.countCold(s)
-	if !sent.limited { // an unproven version that hangs is no zone that can't be reached
-		r.askedIn(s.way, s)
+	r.countColdSend(s)
+	if !sent.toLimitedVersion { // an unproven version that hangs is no zone that can't be reached
+		r.recordZoneSend(s.zone, s)
 	}
 	r.attempts[a.ID] = sent
 	r.emit(action)
 }
 
-func (q *request) count(kind gather.SendKind) {
+func (q *request) countByKind(kind gather.SendKind) {
 	q.sends++
 	switch kind {
 	case gather.HedgeSend:
@@ -218,27 +218,27 @@
 // Finish implements gather.Environment.
 func (q *request) Finish(_ *gather.Query, outcome gather.Outcome) {
 	q.finished = true
-	delete(q.router.running, q.asked.ID)
+	delete(q.router.requests, q.asked.ID)
 	result := Outcome{
 		Execution: outcome.Execution,
 		Reason:    outcome.Reason,
-		Missing:   len(q.names) - len(outcome.Parts),
+		Missing:   len(q.serviceNames) - len(outcome.Parts),
 		Sends:     q.sends,
 		Hedges:    q.hedges,
 		Retries:   q.retries,
 
-		HedgesOverBudget:     q.unaffordable,
-		SendsWithoutCapacity: q.roomless,
-		HedgesTooLate:        q.hopeless,
+		HedgesOverBudget:     q.hedgesOverBudget,
+		SendsWithoutCapacity: q.sendsWithoutCapacity,
+		HedgesTooLate:        q.hedgesTooLate,
 		Attempts:             q.records,
 	}
 	for _, p := range outcome.Parts {
-		result.Parts = append(result.Parts, Part{Service: q.names[p.Range.Start], Body: p.Body})
+		result.Parts = append(result.Parts, Part{Service: q.serviceNames[p.Range.Start], Body: p.Body})
 	}
 	if outcome.Execution != gather.ExecutionDone {
 		result.RetryAfter = q.router.options.RetryAfter
-		if len(q.names) == 1 {
-			result.Failure = q.failure
+		if len(q.serviceNames) == 1 {
+			result.Failure = q.lastFailure
 		}
 	}
 	q.router.emit(Finish{Request: q.asked.ID, Outcome: result})
--- a/routing/rollouts.go
+++ b/routing/rollouts.go
@@ -26,155 +26,155 @@
 func (RolloutsChanged) event() {}
 func (RolloutHalted) event()   {}
 
-// rolloutsChanged takes what is known of the roll-outs.
-func (r *Router) rolloutsChanged(event RolloutsChanged) {
+// updateRollouts takes what is known of the roll-outs.
+func (r *Router) updateRollouts(event RolloutsChanged) {
 	for name := range event.States {
-		r.serviceNamed(name)
+		r.ensureService(name)
 	}
 	for name, s := range r.services {
 		state, known := event.States[name]
-		if !known && s.trial == nil {
+		if !known && s.canary == nil {
 			continue
 		}
-		if s.trial == nil {
-			s.trial = rollout.NewCanary(r.options.Rollouts, r.random.Float64())
-			r.setStandings(s)
+		if s.canary == nil {
+			s.canary = rollout.NewCanary(r.options.Rollouts, r.random.Float64())
+			r.updateTrafficModes(s)
 		}
-		s.trial.Update(state, event.FreshUntil)
-		r.setStandings(s)
+		s.canary.Update(state, event.FreshUntil)
+		r.updateTrafficModes(s)
 	}
-	r.pumpAll()
+	r.dispatchAllQueued()
 }
 
-func (r *Router) rolloutHalted(event RolloutHalted) {
-	if s := r.services[event.Service]; s != nil && s.trial != nil {
-		s.trial.Halt(event.Order)
-		r.setStandings(s)
-		r.pump(s)
+func (r *Router) haltRollout(event RolloutHalted) {
+	if s := r.services[event.Service]; s != nil && s.canary != nil {
+		s.canary.Halt(event.Order)
+		r.updateTrafficModes(s)
+		r.dispatchQueued(s)
 	}
 }
 
-// setStandings tells each server of a service what it may get.
-func (r *Router) setStandings(s *service) {
-	if s.trial == nil {
+// updateTrafficModes tells each server of a service what it may get.
+func (r *Router) updateTrafficModes(s *service) {
+	if s.canary == nil {
 		return
 	}
 	var versions []string
-	for _, one := range s.servers {
-		if one.there() && !slices.Contains(versions, one.Version) {
-			versions = append(versions, one.Version)
+	for _, srv := range s.servers {
+		if srv.acceptsWork() && !slices.Contains(versions, srv.Version) {
+			versions = append(versions, srv.Version)
 		}
 	}
-	s.trial.SetVersions(versions)
-	for _, one := range s.servers {
-		one.standing = s.trial.TrafficMode(r.now, one.Version)
+	s.canary.SetVersions(versions)
+	for _, srv := range s.servers {
+		srv.standing = s.canary.TrafficMode(r.now, srv.Version)
 	}
 }
 
-// chooseForTrial picks the server of a service's target for a first send, if one is due and
+// chooseCanaryServer picks the server of a service's target for a first send, if one is due and
 // there is one that it can be seen by; nil when there is none.
-func (r *Router) chooseForTrial(s *service, q *request, done *part, room int) *server {
-	if !s.trial.ShouldSendToTarget(r.now, q.asked.Route.Name) {
+func (r *Router) chooseCanaryServer(s *service, q *request, p *part, capacity int) *server {
+	if !s.canary.ShouldSendToTarget(r.now, q.asked.Route.Name) {
 		return nil
 	}
-	var able []*server
-	for _, one := range s.servers {
-		if r.ableForTrial(s, one, room) && q.allows(one.Zone) && done.mayAsk(one, q.asked.Route.Attempts) {
-			able = append(able, one)
+	var candidates []*server
+	for _, srv := range s.servers {
+		if r.isCanaryCandidate(s, srv, capacity) && q.allowsZone(srv.Zone) && p.maySendTo(srv, q.asked.Route.Attempts) {
+			candidates = append(candidates, srv)
 		}
 	}
-	if len(able) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	place, underLoad := s.trial.LoadTestServer(r.now)
+	index, underLoad := s.canary.LoadTestServer(r.now)
 	if underLoad {
-		slices.SortFunc(able, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
-		return able[place%len(able)]
+		slices.SortFunc(candidates, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
+		return candidates[index%len(candidates)]
 	}
-	return slices.MinFunc(able, func(a, b *server) int {
-		return cmp.Or(cmp.Compare(a.trials, b.trials), cmp.Compare(a.ID, b.ID))
+	return slices.MinFunc(candidates, func(a, b *server) int {
+		return cmp.Or(cmp.Compare(a.canarySends, b.canarySends), cmp.Compare(a.ID, b.ID))
 	})
 }
 
-// ableForTrial reports whether an answer of a server would say something of its version.
-func (r *Router) ableForTrial(s *service, one *server, room int) bool {
-	there := one.standing == rollout.Limited && one.there() && !one.unreachable && !one.way.dark
-	free := one.InFlight() < room && one.Utilization(r.now, one.Slots) < 1 && one.ShedUntil() <= r.now
-	return there && free && !one.Cold(r.now) && r.bearsMore(s, one)
+// isCanaryCandidate reports whether an answer of a server would say something of its version.
+func (r *Router) isCanaryCandidate(s *service, srv *server, capacity int) bool {
+	reachable := srv.standing == rollout.Limited && srv.acceptsWork() && !srv.unreachable && !srv.zone.cutOff
+	hasCapacity := srv.InFlight() < capacity && srv.Utilization(r.now, srv.Slots) < 1 && srv.ShedUntil() <= r.now
+	return reachable && hasCapacity && !srv.Cold(r.now) && r.coldLimitAllows(s, srv)
 }
 
-// countTrial counts a send in the service's roll-out, and reports whether it is of what the
+// countCanarySend counts a send in the service's roll-out, and reports whether it is of what the
 // exposure allows.
-func (r *Router) countTrial(s *service, to *server, routeName string, kind gather.SendKind) (limited bool) {
-	if s.trial == nil {
+func (r *Router) countCanarySend(s *service, srv *server, routeName string, kind gather.SendKind) (limited bool) {
+	if s.canary == nil {
 		return false
 	}
-	target := s.trial.Active() && to.Version == s.trial.State().Target
+	target := s.canary.Active() && srv.Version == s.canary.State().Target
 	if kind == gather.FirstSend {
-		s.trial.CountFirstSend(routeName, target)
+		s.canary.CountFirstSend(routeName, target)
 	}
 	if target {
-		to.trials++
-		s.trial.CountTargetSend()
+		srv.canarySends++
+		s.canary.CountTargetSend()
 	}
-	return to.standing == rollout.Limited
+	return srv.standing == rollout.Limited
 }
 
-// judge counts an answer, or its lack, as evidence on its server's version.
-func (r *Router) judge(a *attempt, q *request, answer rollout.AnswerQuality) {
+// recordEvidence counts an answer, or its lack, as evidence on its server's version.
+func (r *Router) recordEvidence(a *attempt, q *request, answer rollout.AnswerQuality) {
 	s := a.Segment.Group.(*service)
-	if s.trial == nil || !s.trial.Active() || a.server.Cold(r.now) {
+	if s.canary == nil || !s.canary.Active() || a.server.Cold(r.now) {
 		return
 	}
-	state := s.trial.State()
+	state := s.canary.State()
 	switch {
 	case a.server.Version == state.Target:
-		s.trial.Evidence().Target(q.asked.Route.Name, a.server.Incarnation().String(), answer)
+		s.canary.Evidence().Target(q.asked.Route.Name, a.server.Incarnation().String(), answer)
 	case state.Record != nil && slices.Contains(state.Record.Before, a.server.Version):
-		s.trial.Evidence().Before(q.asked.Route.Name, answer)
+		s.canary.Evidence().Before(q.asked.Route.Name, answer)
 	}
 }
 
-// judgeReply judges a whole reply. What did not run says nothing of a version.
-func (r *Router) judgeReply(a *attempt, q *request, status gather.ReplyStatus) {
+// recordReplyEvidence judges a whole reply. What did not run says nothing of a version.
+func (r *Router) recordReplyEvidence(a *attempt, q *request, status gather.ReplyStatus) {
 	s := a.Segment.Group.(*service)
-	if s.trial == nil {
+	if s.canary == nil {
 		return
 	}
-	s.trial.CountRequest()
+	s.canary.CountRequest()
 	switch status {
 	case gather.ReplyDone:
-		r.judge(a, q, r.speedOf(a, q))
+		r.recordEvidence(a, q, r.classifyLatency(a, q))
 	case gather.ReplyError:
-		r.judge(a, q, rollout.Failed)
+		r.recordEvidence(a, q, rollout.Failed)
 	case gather.ReplyShed, gather.ReplyNotOwner, gather.ReplyDraining:
 	}
 }
 
-// judgeFailure judges an attempt that ended without a reply. One that was given up before it
+// recordFailureEvidence judges an attempt that ended without a reply. One that was given up before it
 // was late says nothing.
-func (r *Router) judgeFailure(a *attempt, q *request, event Failed) {
+func (r *Router) recordFailureEvidence(a *attempt, q *request, event Failed) {
 	s := a.Segment.Group.(*service)
 	switch {
-	case s.trial == nil || event.Reason == zoneUnreachable:
+	case s.canary == nil || event.Reason == zoneUnreachable:
 	case event.Delivery == gather.ServerCrashed && a.Alone: // it speaks against the request
 	case event.Delivery == gather.NotDelivered:
-		if s.trial.Active() && a.server.Version == s.trial.State().Target {
-			s.trial.UndoTargetSend()
+		if s.canary.Active() && a.server.Version == s.canary.State().Target {
+			s.canary.UndoTargetSend()
 		}
 	case a.IsPending():
-		r.judge(a, q, rollout.Failed)
+		r.recordEvidence(a, q, rollout.Failed)
 	default:
-		if answer := r.speedOf(a, q); answer == rollout.Slow {
-			r.judge(a, q, answer)
+		if answer := r.classifyLatency(a, q); answer == rollout.Slow {
+			r.recordEvidence(a, q, answer)
 		}
 	}
 }
 
-// speedOf is Slow for an attempt that takes much longer than is usual for its route.
-func (r *Router) speedOf(a *attempt, q *request) rollout.AnswerQuality {
-	usual := q.latency.usual()
-	if usual > 0 && float64(r.sinceSent(a)) > rollout.SlowFactor*float64(usual) {
+// classifyLatency is Slow for an attempt that takes much longer than is usual for its route.
+func (r *Router) classifyLatency(a *attempt, q *request) rollout.AnswerQuality {
+	median := q.stats.median()
+	if median > 0 && float64(r.sinceSent(a)) > rollout.SlowFactor*float64(median) {
 		return rollout.Slow
 	}
 	return rollout.Good
@@ -185,30 +185,30 @@
 // deciders are to hear of one more often.
 func (r *Router) RolloutReports() (reports []rollout.Report, hurried bool) {
 	for name, s := range r.services {
-		if s.trial == nil || !s.trial.Active() {
+		if s.canary == nil || !s.canary.Active() {
 			continue
 		}
 		report := rollout.Report{
-			Service: name, Order: s.trial.State().Order, Moved: s.trial.Moved(r.now), Remaining: r.remaining(s),
+			Service: name, Order: s.canary.State().Order, Moved: s.canary.Moved(r.now), Remaining: r.remainingAttempts(s),
 		}
-		report.Target, report.Before = s.trial.Evidence().Cells()
-		if len(report.Target)+len(report.Before) == 0 && !s.trial.NeedsFrequentReports(r.now) {
+		report.Target, report.Before = s.canary.Evidence().Cells()
+		if len(report.Target)+len(report.Before) == 0 && !s.canary.NeedsFrequentReports(r.now) {
 			continue
 		}
-		hurried = hurried || s.trial.NeedsFrequentReports(r.now)
+		hurried = hurried || s.canary.NeedsFrequentReports(r.now)
 		reports = append(reports, report)
 	}
 	slices.SortFunc(reports, func(a, b rollout.Report) int { return cmp.Compare(a.Service, b.Service) })
 	return reports, hurried
 }
 
-// remaining counts what runs at servers that get nothing more and is still wanted, or may
+// remainingAttempts counts what runs at servers that get nothing more and is still wanted, or may
 // not be run again.
-func (r *Router) remaining(s *service) int {
+func (r *Router) remainingAttempts(s *service) int {
 	count := 0
 	for _, a := range r.attempts {
-		wanted := a.IsPending() || !r.requestOf(a).asked.Route.Repeatable
-		if a.Segment.Group == gather.Group(s) && a.server.standing == rollout.Blocked && wanted {
+		counted := a.IsPending() || !r.requestOf(a).asked.Route.Repeatable
+		if a.Segment.Group == gather.Group(s) && a.server.standing == rollout.Blocked && counted {
 			count++
 		}
 	}
@@ -226,14 +226,14 @@
 func (r *Router) RolloutExposures() []RolloutExposure {
 	var exposures []RolloutExposure
 	for name, s := range r.services {
-		if s.trial != nil && s.trial.Active() {
+		if s.canary != nil && s.canary.Active() {
 			exposures = append(exposures, RolloutExposure{
-				Service: name, Target: s.trial.State().Target, Sent: s.trial.TargetSends(), Allowed: s.trial.Allowed(),
+				Service: name, Target: s.canary.State().Target, Sent: s.canary.TargetSends(), Allowed: s.canary.Allowed(),
 			})
 		}
 	}
 	return exposures
 }
 
-// there reports whether a server takes work at all.
-func (s *server) there() bool { return !s.gone && !s.evacuated && s.State == discovery.Ready }
+// acceptsWork reports whether a server takes work at all.
+func (s *server) acceptsWork() bool { return !s.removed && !s.evacuated && s.State == discovery.Ready }
--- a/routing/router.go
+++ b/routing/router.go
@@ -27,42 +27,42 @@
 	startedAt time.Duration
 	actions   []Action
 
-	shares    extrabudget.Shares
-	services  map[string]*service
-	servers   map[string]*server
-	latencies map[string]*latencies
+	shares     extrabudget.Shares
+	services   map[string]*service
+	servers    map[string]*server
+	routeStats map[string]*routeStats
 	// evacuated are the zones to which nothing may be sent.
 	evacuated map[string]struct{}
 	zones     map[string]*zone
-	// heardAt is when a server answered last.
-	heardAt time.Duration
+	// lastReplyAt is when a server answered last.
+	lastReplyAt time.Duration
 	// fanOuts are routes that stand for all that fan out, and unable says that one of them
 	// can't be served from here.
-	fanOuts []*route.Route
-	unable  bool
+	fanOuts     []*route.Route
+	cannotServe bool
 	// connected says that this node is not behind a cut, by the servers that it reaches.
 	connected bool
-	// othersServe says that another node is known to reach enough servers.
-	othersServe bool
-	outages     outages
+	// peerAvailable says that another node is known to reach enough servers.
+	peerAvailable bool
+	outages       outageDurations
 	// starts is what is to be expected of servers that have just started.
 	starts serverstate.ColdStarts
 
-	// ledger is what is known of requests that end servers, and ledgerAt when it is to be
+	// ledger is what is known of requests that end servers, and ledgerDueAt when it is to be
 	// looked at; zero is never.
-	ledger   *quarantine.Tracker
-	ledgerAt time.Duration
+	ledger      *quarantine.Tracker
+	ledgerDueAt time.Duration
 
-	running     map[RequestID]*request
+	requests    map[RequestID]*request
 	attempts    map[gather.AttemptID]*attempt
-	doubts      map[gather.AttemptID]*attempt // that failed in doubt
+	inDoubt     map[gather.AttemptID]*attempt // that failed in doubt
 	lastAttempt gather.AttemptID
 	sequence    uint64
-	pumping     *service
-	passed      []waiter
+	dispatching *service
+	requeued    []queuedSegment
 
-	timers *priority.Queue[timer]
-	wakeAt time.Duration
+	timers  *priority.Queue[timer]
+	timerAt time.Duration
 	// stopping says that the node ends.
 	stopping bool
 }
@@ -74,20 +74,20 @@
 func New(now time.Duration, options Options) *Router {
 	options = options.withDefaults()
 	return &Router{
-		options:   options,
-		now:       now,
-		startedAt: now,
-		random:    rand.New(rand.NewPCG(options.Seed, 0)),
-		services:  make(map[string]*service),
-		servers:   make(map[string]*server),
-		latencies: make(map[string]*latencies),
-		zones:     make(map[string]*zone),
-		ledger:    quarantine.NewTracker(),
-		running:   make(map[RequestID]*request),
-		attempts:  make(map[gather.AttemptID]*attempt),
-		doubts:    make(map[gather.AttemptID]*attempt),
-		timers:    priority.NewQueue(func(a, b timer) bool { return a.at < b.at }, nil),
-		wakeAt:    never,
+		options:    options,
+		now:        now,
+		startedAt:  now,
+		random:     rand.New(rand.NewPCG(options.Seed, 0)),
+		services:   make(map[string]*service),
+		servers:    make(map[string]*server),
+		routeStats: make(map[string]*routeStats),
+		zones:      make(map[string]*zone),
+		ledger:     quarantine.NewTracker(),
+		requests:   make(map[RequestID]*request),
+		attempts:   make(map[gather.AttemptID]*attempt),
+		inDoubt:    make(map[gather.AttemptID]*attempt),
+		timers:     priority.NewQueue(func(a, b timer) bool { return a.at < b.at }, nil),
+		timerAt:    never,
 	}
 }
 
@@ -98,96 +98,96 @@
 	r.actions = nil
 	switch event := event.(type) {
 	case Arrived:
-		r.arrive(event.Request)
+		r.handleArrival(event.Request)
 	case CallerGone:
-		r.callerGone(event.Request)
+		r.abandon(event.Request)
 	case Replied:
-		r.replied(event)
+		r.handleReply(event)
 	case Failed:
-		r.failed(event)
+		r.handleFailure(event)
 	case CrashCheckCompleted:
-		r.settled(event)
+		r.handleCrashCheck(event)
 	case TimerFired:
-		r.wakeAt = never
+		r.timerAt = never
 	case ConnectFailed:
-		r.unreached(r.living(event.Server), event.Refused)
+		r.handleConnectFailure(r.serverOf(event.Server), event.Refused)
 	case Connected:
-		r.reached(r.living(event.Server))
+		r.handleConnected(r.serverOf(event.Server))
 	case ServersChanged:
-		r.serversChanged(event.Servers)
+		r.updateServers(event.Servers)
 	case ZonesChanged:
-		r.zonesChanged(event)
+		r.updateEvacuatedZones(event)
 	case RolloutsChanged:
-		r.rolloutsChanged(event)
+		r.updateRollouts(event)
 	case RolloutHalted:
-		r.rolloutHalted(event)
+		r.haltRollout(event)
 	case TableChanged:
-		r.tableChanged(event.Table)
+		r.updateTable(event.Table)
 	case SettingsChanged:
-		r.settingsChanged(event)
+		r.updateSettings(event)
 	case NodesChanged:
 		r.shares.Update(r.now, extrabudget.Nodes(event))
 	case PeerAvailabilityChanged:
-		r.othersServe = event.Available
+		r.peerAvailable = event.Available
 	case FindingReceived:
-		r.findingHeard(event.Finding)
+		r.handleFinding(event.Finding)
 	case QuarantinesChanged:
-		r.quarantinesChanged(event.Contents)
+		r.updateQuarantines(event.Contents)
 	case Stopping:
-		r.stop()
+		r.shutDown()
 	}
-	r.expire()
-	r.wake()
+	r.runTimers()
+	r.updateTimer()
 	return r.actions
 }
 
-// on reports whether a mechanism is not switched off.
-func (r *Router) on(m mechanism.Mechanism) bool { return r.options.Disabled.Enabled(m) }
+// enabled reports whether a mechanism is not switched off.
+func (r *Router) enabled(m mechanism.Mechanism) bool { return r.options.Disabled.Enabled(m) }
 
 func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
 
 // InFlightRequests is the number of requests without a final answer.
-func (r *Router) InFlightRequests() int { return len(r.running) }
+func (r *Router) InFlightRequests() int { return len(r.requests) }
 
 // ConnectionShare is the number of connections that this node may have to a
 // server of the service.
-func (r *Router) ConnectionShare(name string) int { return r.share(r.serviceNamed(name)) }
+func (r *Router) ConnectionShare(name string) int { return r.connectionShare(r.ensureService(name)) }
 
-// arrive decides on a request.
-func (r *Router) arrive(asked Request) {
-	standing, left := r.standingOf(&asked)
+// handleArrival decides on a request.
+func (r *Router) handleArrival(spec Request) {
+	standing, left := r.standingOf(&spec)
 	if standing >= quarantine.UnderReview {
-		r.refuseSuspect(asked, standing, left)
+		r.rejectSuspect(spec, standing, left)
 		return
 	}
-	q := r.newRequest(asked)
+	q := r.newRequest(spec)
 	q.suspected = standing == quarantine.Suspected
-	if reason := r.refusal(q); reason != "" {
-		r.refuse(q, reason)
+	if reason := r.rejectionReason(q); reason != "" {
+		r.reject(q, reason)
 		return
 	}
-	r.running[asked.ID] = q
+	r.requests[spec.ID] = q
 	q.start()
 }
 
-// callerGone ends a request whose caller no longer waits. One that may not be
+// abandon ends a request whose caller no longer waits. One that may not be
 // repeated goes on: stopping it would not undo it.
-func (r *Router) callerGone(id RequestID) {
-	if q := r.running[id]; q != nil {
+func (r *Router) abandon(id RequestID) {
+	if q := r.requests[id]; q != nil {
 		q.query.Cancel(r.now)
 	}
 }
 
-// stop gives every request that runs its final answer.
-func (r *Router) stop() {
+// shutDown gives every request that runs its final answer.
+func (r *Router) shutDown() {
 	r.stopping = true
-	for _, id := range slices.Sorted(maps.Keys(r.running)) {
-		r.running[id].query.Abort(r.now, gather.ReasonStopping)
+	for _, id := range slices.Sorted(maps.Keys(r.requests)) {
+		r.requests[id].query.Abort(r.now, gather.ReasonStopping)
 	}
 }
 
-// settle takes an attempt whose end was reported; nil when it is not known.
-func (r *Router) settle(id gather.AttemptID) *attempt {
+// takeAttempt takes an attempt whose end was reported; nil when it is not known.
+func (r *Router) takeAttempt(id gather.AttemptID) *attempt {
 	a := r.attempts[id]
 	if a == nil {
 		return nil
@@ -197,30 +197,30 @@
 	return a
 }
 
-// replied takes a server's reply.
-func (r *Router) replied(event Replied) {
-	a := r.settle(event.Attempt)
+// handleReply takes a server's reply.
+func (r *Router) handleReply(event Replied) {
+	a := r.takeAttempt(event.Attempt)
 	if a == nil {
 		return
 	}
 	q := r.requestOf(a)
-	r.heard(a.server.way)
-	q.ended(a, StatusName(event.Status))
-	r.judgeReply(a, q, event.Status)
-	r.survived(q, event.Status)
-	if event.LoadKnown && r.on(mechanism.ReportedLoad) {
+	r.recordZoneReply(a.server.zone)
+	q.recordEnd(a, StatusName(event.Status))
+	r.recordReplyEvidence(a, q, event.Status)
+	r.recordSurvival(q, event.Status)
+	if event.LoadKnown && r.enabled(mechanism.ReportedLoad) {
 		a.server.ObserveLoad(r.now, event.Load.Running, event.Load.Waiting)
 	}
 	switch event.Status {
 	case gather.ReplyDone:
-		r.learnAnswer(q, a)
+		r.learnLatency(q, a)
 	case gather.ReplyShed:
-		a.server.SetShedUntil(r.now + max(event.RetryAfter, leastShedPause))
+		a.server.SetShedUntil(r.now + max(event.RetryAfter, minShedPause))
 	case gather.ReplyNotOwner, gather.ReplyDraining:
 		a.server.State = discovery.Draining
 	default:
-		q.failure = event.Body
-		a.server.ObserveSlowness(r.now, refusedSlowness)
+		q.lastFailure = event.Body
+		a.server.ObserveSlowness(r.now, errorReplySlowness)
 	}
 	q.query.HandleReply(r.now, a.Attempt, gather.Reply{
 		Status:   event.Status,
@@ -229,7 +229,7 @@
 		Body:     event.Body,
 	})
 	r.schedule(q)
-	r.pump(a.Segment.Group.(*service))
+	r.dispatchQueued(a.Segment.Group.(*service))
 }
 
 // StatusName names a reply's status in records and metrics.
@@ -248,198 +248,198 @@
 	}
 }
 
-// leastShedPause is how long a server that shed is left alone at least.
-const leastShedPause = 10 * time.Millisecond
+// minShedPause is how long a server that shed is left alone at least.
+const minShedPause = 10 * time.Millisecond
 
-// learnAnswer takes the latency of an answer into the route's and the server's.
-func (r *Router) learnAnswer(q *request, a *attempt) {
+// learnLatency takes the latency of an answer into the route's and the server's.
+func (r *Router) learnLatency(q *request, a *attempt) {
 	latency := r.sinceSent(a)
-	if !a.limited { // what is usual is not learned of an unproven version
-		q.latency.add(latency)
+	if !a.toLimitedVersion { // what is usual is not learned of an unproven version
+		q.stats.add(latency)
 	}
-	usual := q.latency.usual()
-	if usual == 0 {
+	median := q.stats.median()
+	if median == 0 {
 		return
 	}
-	slowness := float64(latency) / float64(usual)
-	if a.server.Cold(r.now) && !a.limited {
+	slowness := float64(latency) / float64(median)
+	if a.server.Cold(r.now) && !a.toLimitedVersion {
 		r.starts.Observe(slowness)
 	}
 	a.server.ObserveSlowness(r.now, slowness)
 }
 
-// failed takes the end of an attempt without a reply.
-func (r *Router) failed(event Failed) {
-	a := r.settle(event.Attempt)
+// handleFailure takes the end of an attempt without a reply.
+func (r *Router) handleFailure(event Failed) {
+	a := r.takeAttempt(event.Attempt)
 	if a == nil {
 		return
 	}
 	q := r.requestOf(a)
-	q.ended(a, event.Reason)
-	r.judgeFailure(a, q, event)
+	q.recordEnd(a, event.Reason)
+	r.recordFailureEvidence(a, q, event)
 	switch event.Delivery {
 	case gather.ServerCrashed:
-		r.serverEnded(a, q)
+		r.recordCrash(a, q)
 	case gather.CrashUnconfirmed:
-		r.doubts[event.Attempt] = a
+		r.inDoubt[event.Attempt] = a
 	default:
 	}
 	if event.Delivery == gather.NotDelivered {
-		r.uncount(a, q)
-		r.unreached(a.server, event.Refused)
+		r.uncountSend(a, q)
+		r.handleConnectFailure(a.server, event.Refused)
 	} else if a.IsPending() || a.server.OverdueSlowness(r.now) > 0 || a.flight.IsLate(r.now) {
 		a.server.ObserveSlowness(r.now, failedSlowness)
 	}
 	q.query.HandleFailure(r.now, a.Attempt, event.Delivery, event.Reason)
-	r.spread(q)
+	r.publishCrashes(q)
 	r.schedule(q)
-	r.pump(a.Segment.Group.(*service))
+	r.dispatchQueued(a.Segment.Group.(*service))
 }
 
-// unreached sets a server aside until a connection to it is open again: requests
+// handleConnectFailure sets a server aside until a connection to it is open again: requests
 // that try it would wait for connections that do not open.
-func (r *Router) unreached(s *server, refused bool) {
-	if s == nil || s.gone || !r.on(mechanism.UnreachableServers) {
+func (r *Router) handleConnectFailure(s *server, refused bool) {
+	if s == nil || s.removed || !r.enabled(mechanism.UnreachableServers) {
 		return
 	}
 	if s.unreachable {
-		if refused && !s.refuses {
-			s.refuses = true
-			r.lookAtAbility()
+		if refused && !s.refusesConnections {
+			s.refusesConnections = true
+			r.updateReachability()
 		}
 		return
 	}
-	s.unreachable, s.refuses = true, refused
+	s.unreachable, s.refusesConnections = true, refused
 	r.emit(Connect{Server: s.Server})
-	r.lookAtOutage(r.serviceNamed(s.Service))
-	r.lookAtAbility()
+	r.updateOutage(r.ensureService(s.Service))
+	r.updateReachability()
 }
 
-// reached takes a server back, as one that is tried with care.
-func (r *Router) reached(s *server) {
+// handleConnected takes a server back, as one that is tried with care.
+func (r *Router) handleConnected(s *server) {
 	if s == nil || !s.unreachable {
 		return
 	}
-	s.unreachable, s.refuses = false, false
-	r.lookAtOutage(r.serviceNamed(s.Service))
-	r.heard(s.way)
-	r.pump(r.serviceNamed(s.Service))
-	r.lookAtAbility()
+	s.unreachable, s.refusesConnections = false, false
+	r.updateOutage(r.ensureService(s.Service))
+	r.recordZoneReply(s.zone)
+	r.dispatchQueued(r.ensureService(s.Service))
+	r.updateReachability()
 }
 
 func (r *Router) requestOf(a *attempt) *request {
 	return a.Query().Owner().(*request)
 }
 
-// living is the server of an incarnation; nil when that is not there, or not any more.
-func (r *Router) living(one discovery.Incarnation) *server {
-	if s := r.servers[one.ID]; s != nil && s.Incarnation() == one {
+// serverOf is the server of an incarnation; nil when that is not there, or not any more.
+func (r *Router) serverOf(incarnation discovery.Incarnation) *server {
+	if s := r.servers[incarnation.ID]; s != nil && s.Incarnation() == incarnation {
 		return s
 	}
 	return nil
 }
 
-// serversChanged takes the servers that are there now. What was learned of a
+// updateServers takes the servers that are there now. What was learned of a
 // server stays while it does.
-func (r *Router) serversChanged(listed []discovery.Server) {
-	before := r.servers
+func (r *Router) updateServers(listed []discovery.Server) {
+	previous := r.servers
 	r.servers = make(map[string]*server, len(listed))
 	for _, s := range r.services {
 		s.servers = s.servers[:0]
 	}
-	for _, l := range listed {
-		known := before[l.ID]
-		isNew := known == nil || known.Incarnation() != l.Incarnation() || known.Address != l.Address
+	for _, entry := range listed {
+		srv := previous[entry.ID]
+		isNew := srv == nil || srv.Incarnation() != entry.Incarnation() || srv.Address != entry.Address
 		if isNew {
-			known = new(server) // also where another life had its ID: nothing of that one counts
+			srv = new(server) // also where another life had its ID: nothing of that one counts
 		}
-		known.takeWarmup(r.now, l, !isNew)
-		known.Server = l
-		known.evacuated = r.isEvacuated(l.Zone)
-		known.way = r.zoneNamed(l.Zone)
-		r.servers[l.ID] = known
-		s := r.serviceNamed(l.Service)
-		s.servers = append(s.servers, known)
+		srv.updateWarmup(r.now, entry, !isNew)
+		srv.Server = entry
+		srv.evacuated = r.isEvacuated(entry.Zone)
+		srv.zone = r.ensureZone(entry.Zone)
+		r.servers[entry.ID] = srv
+		s := r.ensureService(entry.Service)
+		s.servers = append(s.servers, srv)
 	}
-	for id, known := range before {
-		known.gone = r.servers[id] != known
+	for id, srv := range previous {
+		srv.removed = r.servers[id] != srv
 	}
 	for _, s := range r.services {
-		r.setStandings(s)
-		r.lookAtOutage(s)
+		r.updateTrafficModes(s)
+		r.updateOutage(s)
 	}
-	r.followDarkZones()
-	r.pumpAll()
-	r.lookAtAbility()
+	r.updateZoneProbes()
+	r.dispatchAllQueued()
+	r.updateReachability()
 }
 
-// tableChanged takes the bounds of the services.
-func (r *Router) tableChanged(table *route.Table) {
+// updateTable takes the bounds of the services.
+func (r *Router) updateTable(table *route.Table) {
 	for name, settings := range table.Services {
-		s := r.serviceNamed(name)
+		s := r.ensureService(name)
 		s.connections, s.coldRate = settings.Connections, settings.ColdRate
 	}
-	r.fanOuts = fanOutsOf(table)
-	r.lookAtAbility()
+	r.fanOuts = distinctFanOuts(table)
+	r.updateReachability()
 }
 
-// settingsChanged takes bounds that were set anew. The window of budgets stays:
+// updateSettings takes bounds that were set anew. The window of budgets stays:
 // what was counted in another one would not fit.
-func (r *Router) settingsChanged(event SettingsChanged) {
+func (r *Router) updateSettings(event SettingsChanged) {
 	event.Budget.Window = r.options.Budget.Window
 	r.options.Budget = event.Budget
 	r.options.Cold = event.Cold
 	r.options.Regions = event.Regions
 }
 
-func (r *Router) serviceNamed(name string) *service {
+func (r *Router) ensureService(name string) *service {
 	s := r.services[name]
 	if s == nil {
-		s = &service{name: name, waiting: priority.NewQueue(waiter.before, nil)}
+		s = &service{name: name, queue: priority.NewQueue(queuedSegment.less, nil)}
 		r.services[name] = s
 	}
 	return s
 }
 
-// enoughSamples is the weight of samples below which a quantile says little.
-const enoughSamples = 20
+// minSamples is the weight of samples below which a quantile says little.
+const minSamples = 20
 
-// latencies are those of one route.
-type latencies struct {
+// routeStats are those of one route.
+type routeStats struct {
 	sketch retry.Sketch
-	// point is where the last request fell among the route's weighted services.
-	point    float64
-	patience patience
+	// shareOffset is where the last request fell among the route's weighted services.
+	shareOffset float64
+	timeouts    callerTimeouts
 }
 
-// goldenStep spreads consecutive points evenly over an interval of one.
-const goldenStep = 0.6180339887498949
+// goldenRatioStep spreads consecutive points evenly over an interval of one.
+const goldenRatioStep = 0.6180339887498949
 
-// turn returns the next request's point in [0, 1). The points of any span of
+// nextShareOffset returns the next request's point in [0, 1). The points of any span of
 // requests are spread evenly, so that weights are kept over short spans, too.
-func (l *latencies) turn(random *rand.Rand) float64 {
-	if l.point == 0 {
-		l.point = random.Float64()
+func (s *routeStats) nextShareOffset(random *rand.Rand) float64 {
+	if s.shareOffset == 0 {
+		s.shareOffset = random.Float64()
 	}
-	_, l.point = math.Modf(l.point + goldenStep)
-	return l.point
+	_, s.shareOffset = math.Modf(s.shareOffset + goldenRatioStep)
+	return s.shareOffset
 }
 
-func (l *latencies) add(latency time.Duration) { l.sketch.Add(latency) }
+func (s *routeStats) add(latency time.Duration) { s.sketch.Add(latency) }
 
-// usual is the latency that half of the answers stay below; zero when unknown.
-func (l *latencies) usual() time.Duration {
-	if l.sketch.Count() < enoughSamples {
+// median is the latency that half of the answers stay below; zero when unknown.
+func (s *routeStats) median() time.Duration {
+	if s.sketch.Count() < minSamples {
 		return 0
 	}
-	return l.sketch.Quantile(0.5)
+	return s.sketch.Quantile(0.5)
 }
 
-func (r *Router) latenciesOf(target *route.Route) *latencies {
-	known := r.latencies[target.Name]
-	if known == nil {
-		known = new(latencies)
-		r.latencies[target.Name] = known
+func (r *Router) ensureRouteStats(target *route.Route) *routeStats {
+	stats := r.routeStats[target.Name]
+	if stats == nil {
+		stats = new(routeStats)
+		r.routeStats[target.Name] = stats
 	}
-	return known
+	return stats
 }
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -10,12 +10,12 @@
 	"github.com/banksail/banksail/routing"
 )
 
-func TestEveryShardIsAskedOnce(t *testing.T) {
-	w := newWorld(t, routing.Options{})
-	w.setServers(servers(2, "s1", "s2", "s3"))
-	w.setTable(20, "s1", "s2", "s3")
-	id := w.ask(fanOut(0.5, "s1", "s2", "s3"))
-	open := w.open(id)
+func TestEachShardIsQueriedOnce(t *testing.T) {
+	h := newHarness(t, routing.Options{})
+	h.setServers(servers(2, "s1", "s2", "s3"))
+	h.setTable(20, "s1", "s2", "s3")
+	id := h.submit(fanOut(0.5, "s1", "s2", "s3"))
+	open := h.inFlight(id)
 	if len(open) != 3 {
 		t.Fatalf("%d sends", len(open))
 	}
@@ -23,68 +23,68 @@
 		if send.Server.Zone != "a" {
 			t.Errorf("%s is not near", send.Server.ID)
 		}
-		w.end(send.Attempt, gather.ReplyDone)
+		h.complete(send.Attempt, gather.ReplyDone)
 	}
-	got, finished := w.finished[id]
+	got, finished := h.finished[id]
 	if !finished || got.Execution != gather.ExecutionDone || len(got.Parts) != 3 || got.Missing != 0 {
 		t.Fatalf("%+v", got)
 	}
 }
 
-func TestAnswerLeavesAtTheAim(t *testing.T) {
-	w := newWorld(t, routing.Options{})
-	w.setServers(servers(1, "s1", "s2"))
-	w.setTable(20, "s1", "s2")
-	id := w.ask(fanOut(0.5, "s1", "s2"))
-	w.end(w.open(id)[0].Attempt, gather.ReplyDone)
-	w.pass(testAim - 20*time.Millisecond)
-	if _, finished := w.finished[id]; finished {
+func TestPartialAnswerAtLatencyTarget(t *testing.T) {
+	h := newHarness(t, routing.Options{})
+	h.setServers(servers(1, "s1", "s2"))
+	h.setTable(20, "s1", "s2")
+	id := h.submit(fanOut(0.5, "s1", "s2"))
+	h.complete(h.inFlight(id)[0].Attempt, gather.ReplyDone)
+	h.advance(testAim - 20*time.Millisecond)
+	if _, finished := h.finished[id]; finished {
 		t.Fatal("it stopped before its aim")
 	}
-	w.pass(20 * time.Millisecond)
-	got := w.finished[id]
+	h.advance(20 * time.Millisecond)
+	got := h.finished[id]
 	if got.Execution != gather.ExecutionDone || got.Missing != 1 || len(got.Parts) != 1 {
 		t.Fatalf("%+v", got)
 	}
 }
 
-func TestTooLittleCoverageIsNoAnswer(t *testing.T) {
-	w := newWorld(t, routing.Options{})
-	w.setServers(servers(1, "s1", "s2"))
-	w.setTable(20, "s1", "s2")
-	id := w.ask(fanOut(0.9, "s1", "s2"))
-	open := w.open(id)
-	w.end(open[0].Attempt, gather.ReplyDone)
-	w.fail(open[1].Attempt, gather.DeliveryUnknown)
-	w.pass(2 * time.Second)
-	if got := w.finished[id]; got.Execution != gather.ExecutionPartial {
+func TestInsufficientCoverageIsPartial(t *testing.T) {
+	h := newHarness(t, routing.Options{})
+	h.setServers(servers(1, "s1", "s2"))
+	h.setTable(20, "s1", "s2")
+	id := h.submit(fanOut(0.9, "s1", "s2"))
+	open := h.inFlight(id)
+	h.complete(open[0].Attempt, gather.ReplyDone)
+	h.fail(open[1].Attempt, gather.DeliveryUnknown)
+	h.advance(2 * time.Second)
+	if got := h.finished[id]; got.Execution != gather.ExecutionPartial {
 		t.Fatalf("%+v", got)
 	}
 }
 
 // A request that may not be repeated goes on only while it certainly has not run.
-func TestNotRepeatable(t *testing.T) {
+func TestNonRepeatableRequests(t *testing.T) {
 	for name, test := range map[string]struct {
-		end    func(w *world, id gather.AttemptID)
-		sends  int
-		finish gather.Execution
+		complete func(h *harness, id gather.AttemptID)
+		sends    int
+		finish   gather.Execution
 	}{
-		"shed":          {func(w *world, id gather.AttemptID) { w.end(id, gather.ReplyShed) }, 2, 0},
-		"not delivered": {func(w *world, id gather.AttemptID) { w.fail(id, gather.NotDelivered) }, 2, 0},
-		"lost":          {func(w *world, id gather.AttemptID) { w.fail(id, gather.DeliveryUnknown) }, 1, gather.ExecutionUnknown},
-		"failed":        {func(w *world, id gather.AttemptID) { w.end(id, gather.ReplyError) }, 1, gather.ExecutionUnknown},
-		"slow":          {func(w *world, _ gather.AttemptID) { w.pass(500 * time.Millisecond) }, 1, 0},
+		"shed":          {func(h *harness, id gather.AttemptID) { h.complete(id, gather.ReplyShed) }, 2, 0},
+		"not delivered": {func(h *harness, id gather.AttemptID) { h.fail(id, gather.NotDelivered) }, 2, 0},
+		"lost":          {func(h *harness, id gather.AttemptID) { h.fail(id, gather.DeliveryUnknown) }, 1, gather.ExecutionUnknown},
+		"failed":        {func(h *harness, id gather.AttemptID) { h.complete(id, gather.ReplyError) }, 1, gather.ExecutionUnknown},
+		"slow":          {func(h *harness, _ gather.AttemptID) { h.advance(500 * time.Millisecond) }, 1, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, routing.Options{})
-			w.setServers(servers(3, "s1"))
-			w.setTable(20, "s1")
-			id := w.ask(single("s1", false))
-			test.end(w, w.open(id)[0].Attempt)
-			if len(w.order) != test.sends {
-				t.Errorf("%d sends, want %d", len(w.order), test.sends)
+			h := newHarness(t, routing.Options{})
+			h.setServers(servers(3, "s1"))
+			h.setTable(20, "s1")
+			id := h.submit(single("s1", false))
+			test.complete(h, h.inFlight(id)[0].Attempt)
+			if len(h.allSends) != test.sends {
+				t.Errorf("%d sends, want %d", len(h.allSends), test.sends)
 			}
-			got, finished := w.finished[id]
+			got, finished := h.finished[id]
 			if finished != (test.finish != 0) || finished && got.Execution != test.finish {
 				t.Errorf("finished %v %+v", finished, got)
 			}
@@ -93,58 +93,58 @@
 }
 
 // No part is sent to more servers than the route allows, whatever they answer.
-func TestNoMoreServersThanAllowed(t *testing.T) {
-	w := newWorld(t, routing.Options{})
-	w.setServers(servers(3, "s1"))
-	w.setTable(20, "s1")
-	id := w.ask(single("s1", true))
+func TestServerCountPerPartIsLimited(t *testing.T) {
+	h := newHarness(t, routing.Options{})
+	h.setServers(servers(3, "s1"))
+	h.setTable(20, "s1")
+	id := h.submit(single("s1", true))
 	asked := make(map[string]bool)
 	for range 20 {
-		for _, send := range w.open(id) {
+		for _, send := range h.inFlight(id) {
 			asked[send.Server.ID] = true
-			w.end(send.Attempt, gather.ReplyShed)
+			h.complete(send.Attempt, gather.ReplyShed)
 		}
-		w.pass(50 * time.Millisecond)
+		h.advance(50 * time.Millisecond)
 	}
 	if len(asked) != 2 {
 		t.Errorf("%d servers were asked, two are allowed", len(asked))
 	}
-	if got := w.finished[id]; got.Execution != gather.ExecutionNotRun || got.RetryAfter == 0 {
+	if got := h.finished[id]; got.Execution != gather.ExecutionNotRun || got.RetryAfter == 0 {
 		t.Errorf("%+v", got)
 	}
 }
 
 // An attempt that is late is evidence before it ends: the next requests go to
 // another server, and the slow one is tried again later by one of them.
-func TestLateAttemptsAreEvidence(t *testing.T) {
-	w := newWorld(t, routing.Options{})
-	w.setServers(servers(2, "s1"))
-	w.setTable(40, "s1")
+func TestOverdueAttemptsCountAsSlow(t *testing.T) {
+	h := newHarness(t, routing.Options{})
+	h.setServers(servers(2, "s1"))
+	h.setTable(40, "s1")
 	r := single("s1", true)
-	w.warm(r, 5*time.Millisecond)
-	late := w.ask(r)
-	first := w.open(late)[0]
-	w.pass(40 * time.Millisecond)
-	w.end(w.open(late)[1].Attempt, gather.ReplyDone) // the hedge
+	h.learnLatency(r, 5*time.Millisecond)
+	late := h.submit(r)
+	first := h.inFlight(late)[0]
+	h.advance(40 * time.Millisecond)
+	h.complete(h.inFlight(late)[1].Attempt, gather.ReplyDone) // the hedge
 	for range 10 {
-		id := w.ask(r)
-		next := w.open(id)[0]
+		id := h.submit(r)
+		next := h.inFlight(id)[0]
 		if next.Server.ID == first.Server.ID {
 			t.Fatalf("%s is asked although it is late", next.Server.ID)
 		}
-		w.pass(5 * time.Millisecond)
-		w.end(next.Attempt, gather.ReplyDone)
+		h.advance(5 * time.Millisecond)
+		h.complete(next.Attempt, gather.ReplyDone)
 	}
-	w.end(first.Attempt, gather.ReplyDone)
+	h.complete(first.Attempt, gather.ReplyDone)
 	back := false
 	for range 40 {
-		w.pass(50 * time.Millisecond)
-		id := w.ask(r)
-		next := w.open(id)[0]
+		h.advance(50 * time.Millisecond)
+		id := h.submit(r)
+		next := h.inFlight(id)[0]
 		back = back || next.Server.ID == first.Server.ID
-		w.pass(5 * time.Millisecond)
-		for _, send := range w.open(id) {
-			w.end(send.Attempt, gather.ReplyDone)
+		h.advance(5 * time.Millisecond)
+		for _, send := range h.inFlight(id) {
+			h.complete(send.Attempt, gather.ReplyDone)
 		}
 	}
 	if !back {
@@ -154,78 +154,78 @@
 
 // A server to which no connection opens gets nothing until one does; a shard
 // without another server is given up at once.
-func TestServersThatCannotBeReached(t *testing.T) {
-	w := newWorld(t, routing.Options{})
-	w.setServers(servers(1, "s1", "s2"))
-	w.setTable(20, "s1", "s2")
+func TestUnreachableServerIsExcluded(t *testing.T) {
+	h := newHarness(t, routing.Options{})
+	h.setServers(servers(1, "s1", "s2"))
+	h.setTable(20, "s1", "s2")
 	r := fanOut(0.5, "s1", "s2")
-	id := w.ask(r)
-	open := w.open(id)
-	w.fail(open[0].Attempt, gather.NotDelivered)
-	if len(w.reached) != 1 || w.reached[0].ID != open[0].Server.ID {
-		t.Fatalf("to be reached: %v", w.reached)
-	}
-	w.end(open[1].Attempt, gather.ReplyDone)
-	if got := w.finished[id]; got.Missing != 1 {
+	id := h.submit(r)
+	open := h.inFlight(id)
+	h.fail(open[0].Attempt, gather.NotDelivered)
+	if len(h.connects) != 1 || h.connects[0].ID != open[0].Server.ID {
+		t.Fatalf("to be reached: %v", h.connects)
+	}
+	h.complete(open[1].Attempt, gather.ReplyDone)
+	if got := h.finished[id]; got.Missing != 1 {
 		t.Errorf("%+v", got)
 	}
-	if again := w.open(w.ask(r)); len(again) != 1 {
+	if again := h.inFlight(h.submit(r)); len(again) != 1 {
 		t.Errorf("%d sends while a server can't be reached", len(again))
 	}
-	w.step(routing.Connected{Server: open[0].Server.Incarnation()})
-	if again := w.open(w.ask(r)); len(again) != 2 {
+	h.step(routing.Connected{Server: open[0].Server.Incarnation()})
+	if again := h.inFlight(h.submit(r)); len(again) != 2 {
 		t.Errorf("%d sends after it was reached", len(again))
 	}
 }
 
-func TestLeavingServersGetNothing(t *testing.T) {
-	w := newWorld(t, routing.Options{})
+func TestDrainingServersReceiveNothing(t *testing.T) {
+	h := newHarness(t, routing.Options{})
 	all := servers(2, "s1")
-	w.setServers(all)
-	w.setTable(20, "s1")
+	h.setServers(all)
+	h.setTable(20, "s1")
 	all[0].State = discovery.Draining
-	w.setServers(all)
+	h.setServers(all)
 	for range 10 {
-		if got := w.open(w.ask(single("s1", true)))[0].Server.ID; got != all[1].ID {
+		if got := h.inFlight(h.submit(single("s1", true)))[0].Server.ID; got != all[1].ID {
 			t.Errorf("%s is asked", got)
 		}
 	}
-	w.setServers(nil)
-	id := w.ask(single("s1", true))
-	if got := w.finished[id]; got.Execution != gather.ExecutionNotRun || got.Reason != gather.ReasonNoServer {
+	h.setServers(nil)
+	id := h.submit(single("s1", true))
+	if got := h.finished[id]; got.Execution != gather.ExecutionNotRun || got.Reason != gather.ReasonNoServer {
 		t.Errorf("%+v", got)
 	}
 }
 
 // A node holds no more attempts at a server than its share of the connections;
 // what waits goes by priority, and what is late goes last.
-func TestPartsThatWaitGoByPriority(t *testing.T) {
-	w := newWorld(t, routing.Options{})
-	w.setServers(servers(1, "s1"))
-	w.setTable(2, "s1") // a share of one
+func TestQueuedPartsDispatchByPriority(t *testing.T) {
+	h := newHarness(t, routing.Options{})
+	h.setServers(servers(1, "s1"))
+	h.setTable(2, "s1") // a share of one
 	slow, urgent, usual := single("s1", true), single("s1", true), single("s1", true)
 	slow.Priority, urgent.Priority, usual.Priority = 2, 0, 1
-	running := w.ask(slow)
-	second, first := w.ask(usual), w.ask(urgent)
-	if len(w.order) != 1 {
-		t.Fatalf("%d sends over a share of one", len(w.order))
+	running := h.submit(slow)
+	second, first := h.submit(usual), h.submit(urgent)
+	if len(h.allSends) != 1 {
+		t.Fatalf("%d sends over a share of one", len(h.allSends))
 	}
-	w.end(w.open(running)[0].Attempt, gather.ReplyDone)
-	if len(w.open(first)) != 1 || len(w.open(second)) != 0 {
+	h.complete(h.inFlight(running)[0].Attempt, gather.ReplyDone)
+	if len(h.inFlight(first)) != 1 || len(h.inFlight(second)) != 0 {
 		t.Error("the urgent one does not go first")
 	}
 }
 
-func TestCrowdedRequestsAreRefusedAtOnce(t *testing.T) {
-	w := newWorld(t, routing.Options{})
-	w.setServers(servers(1, "s1"))
-	w.setTable(2, "s1")
+func TestRejectsImmediatelyUnderOverload(t *testing.T) {
+	h := newHarness(t, routing.Options{})
+	h.setServers(servers(1, "s1"))
+	h.setTable(2, "s1")
 	r := single("s1", true)
-	w.warm(r, 20*time.Millisecond)
+	h.learnLatency(r, 20*time.Millisecond)
 	refused := 0
 	for range 20 {
-		id := w.ask(r)
-		if got, finished := w.finished[id]; finished {
+		id := h.submit(r)
+		if got, finished := h.finished[id]; finished {
 			refused++
 			if got.Execution != gather.ExecutionNotRun || got.RetryAfter == 0 {
 				t.Fatalf("%+v", got)
@@ -237,65 +237,65 @@
 	}
 }
 
-func TestCallerGoneCancels(t *testing.T) {
-	w := newWorld(t, routing.Options{})
-	w.setServers(servers(1, "s1"))
-	w.setTable(20, "s1")
-	id := w.ask(single("s1", true))
-	w.step(routing.CallerGone{Request: id})
-	if got := w.finished[id]; got.Reason != gather.ReasonCallerGone {
+func TestCallerGoneCancelsRequest(t *testing.T) {
+	h := newHarness(t, routing.Options{})
+	h.setServers(servers(1, "s1"))
+	h.setTable(20, "s1")
+	id := h.submit(single("s1", true))
+	h.step(routing.CallerGone{Request: id})
+	if got := h.finished[id]; got.Reason != gather.ReasonCallerGone {
 		t.Errorf("%+v", got)
 	}
-	if w.router.InFlightRequests() != 0 {
+	if h.router.InFlightRequests() != 0 {
 		t.Error("it still runs")
 	}
 }
 
 // Entries of nodes that lapse make no share grow at once: all nodes would take
 // more together than there is.
-func TestSharesDoNotGrowWhenNodesVanish(t *testing.T) {
-	w := newWorld(t, routing.Options{})
-	w.setServers(servers(1, "s1"))
-	w.setTable(20, "s1")
-	w.step(routing.NodesChanged{Live: 9, Serving: 9, IsServing: true})
-	before := w.router.ConnectionShare("s1")
-	w.step(routing.NodesChanged{Live: 1, Serving: 1, IsServing: true})
-	if got := w.router.ConnectionShare("s1"); got != before {
+func TestConnectionShareDoesNotGrowWhenNodesVanish(t *testing.T) {
+	h := newHarness(t, routing.Options{})
+	h.setServers(servers(1, "s1"))
+	h.setTable(20, "s1")
+	h.step(routing.NodesChanged{Live: 9, Serving: 9, IsServing: true})
+	before := h.router.ConnectionShare("s1")
+	h.step(routing.NodesChanged{Live: 1, Serving: 1, IsServing: true})
+	if got := h.router.ConnectionShare("s1"); got != before {
 		t.Errorf("the share of connections grew from %d to %d at once", before, got)
 	}
-	w.pass(31 * time.Second)
-	w.step(routing.NodesChanged{Live: 1, Serving: 1, IsServing: true})
-	if got := w.router.ConnectionShare("s1"); got <= before {
+	h.advance(31 * time.Second)
+	h.step(routing.NodesChanged{Live: 1, Serving: 1, IsServing: true})
+	if got := h.router.ConnectionShare("s1"); got <= before {
 		t.Errorf("the share of connections stays at %d", got)
 	}
 }
 
 // Where urgent requests are refused because servers are crowded, less urgent ones
 // to the same servers are refused at least as often, though they are shorter.
-func TestLessUrgentRequestsAreRefusedAsOften(t *testing.T) {
-	w := newWorld(t, routing.Options{Seed: 1})
-	w.setServers(servers(1, "s1"))
-	w.setTable(2, "s1")
+func TestLowerPriorityIsRejectedAtLeastAsOften(t *testing.T) {
+	h := newHarness(t, routing.Options{Seed: 1})
+	h.setServers(servers(1, "s1"))
+	h.setTable(2, "s1")
 	urgent, short := single("s1", true), single("s1", true)
 	urgent.Name, urgent.Priority = "urgent", 1
 	short.Name, short.Priority = "short", 2
-	w.warm(urgent, 25*time.Millisecond)
-	w.warm(short, 3*time.Millisecond)
+	h.learnLatency(urgent, 25*time.Millisecond)
+	h.learnLatency(short, 3*time.Millisecond)
 	refused := make(map[string]int)
 	const rounds = 400
 	for round := range rounds {
 		for _, r := range []*route.Route{urgent, short} {
-			if _, finished := w.finished[w.ask(r)]; finished {
+			if _, finished := h.finished[h.submit(r)]; finished {
 				refused[r.Name]++
 			}
 		}
-		w.pass(5 * time.Millisecond)
-		for _, send := range w.order {
+		h.advance(5 * time.Millisecond)
+		for _, send := range h.allSends {
 			if round%4 != 0 {
 				break // the server answers once in 20 ms
 			}
-			if _, open := w.sends[send.Attempt]; open {
-				w.end(send.Attempt, gather.ReplyDone)
+			if _, open := h.openSends[send.Attempt]; open {
+				h.complete(send.Attempt, gather.ReplyDone)
 				break
 			}
 		}
@@ -309,22 +309,22 @@
 }
 
 // Requests are shared by weight over short spans, too.
-func TestWeightsAreKeptOverShortSpans(t *testing.T) {
+func TestWeightsHoldOverShortRuns(t *testing.T) {
 	for seed := range uint64(20) {
-		w := newWorld(t, routing.Options{Seed: seed})
-		w.setServers(servers(2, "few", "many"))
-		w.setTable(1_000, "few", "many")
+		h := newHarness(t, routing.Options{Seed: seed})
+		h.setServers(servers(2, "few", "many"))
+		h.setTable(1_000, "few", "many")
 		r := single("few", true)
 		r.Target.Shares = []route.Share{{Service: "few", Weight: 3}, {Service: "many", Weight: 7}}
 		few := 0
 		const requests = 100
 		for range requests {
-			id := w.ask(r)
-			for _, send := range w.open(id) {
+			id := h.submit(r)
+			for _, send := range h.inFlight(id) {
 				if send.Server.Service == "few" {
 					few++
 				}
-				w.end(send.Attempt, gather.ReplyDone)
+				h.complete(send.Attempt, gather.ReplyDone)
 			}
 		}
 		if few < 28 || few > 32 {
@@ -335,67 +335,67 @@
 
 // A node that has just started, or whose registry was away, may know no server of some
 // shards yet: parts wait for them, and the request is answered when they come.
-func TestPartsWaitForServersThatAreNotKnownYet(t *testing.T) {
+func TestPartsQueueForUndiscoveredServers(t *testing.T) {
 	shards := []string{"s1", "s2", "s3"}
-	w := newWorld(t, routing.Options{})
-	w.setServers(servers(2, "s1"))
-	w.setTable(20, shards...)
-	answered, expired := w.ask(fanOut(0.9, shards...)), w.ask(fanOut(0.9, shards...))
+	h := newHarness(t, routing.Options{})
+	h.setServers(servers(2, "s1"))
+	h.setTable(20, shards...)
+	answered, expired := h.submit(fanOut(0.9, shards...)), h.submit(fanOut(0.9, shards...))
 	for _, id := range []routing.RequestID{answered, expired} {
-		for _, send := range w.open(id) {
-			w.end(send.Attempt, gather.ReplyDone)
+		for _, send := range h.inFlight(id) {
+			h.complete(send.Attempt, gather.ReplyDone)
 		}
 	}
-	w.pass(300 * time.Millisecond)
-	if len(w.finished) > 0 {
-		t.Fatalf("answered without servers: %+v", w.finished)
+	h.advance(300 * time.Millisecond)
+	if len(h.finished) > 0 {
+		t.Fatalf("answered without servers: %+v", h.finished)
 	}
-	w.setServers(servers(2, shards...))
-	for _, send := range w.open(answered) {
-		w.end(send.Attempt, gather.ReplyDone)
+	h.setServers(servers(2, shards...))
+	for _, send := range h.inFlight(answered) {
+		h.complete(send.Attempt, gather.ReplyDone)
 	}
-	if got := w.finished[answered]; got.Execution != gather.ExecutionDone || got.Missing != 0 {
+	if got := h.finished[answered]; got.Execution != gather.ExecutionDone || got.Missing != 0 {
 		t.Errorf("once the servers are known: %+v", got)
 	}
-	w.pass(2 * time.Second)
-	if got, finished := w.finished[expired]; !finished || got.Reason != gather.ReasonDeadline {
+	h.advance(2 * time.Second)
+	if got, finished := h.finished[expired]; !finished || got.Reason != gather.ReasonDeadline {
 		t.Errorf("at its deadline: %+v", got)
 	}
 }
 
 // A request to one service of which no server is known is refused at once.
-func TestNoServerOfAServiceIsRefusedAtOnce(t *testing.T) {
-	w := newWorld(t, routing.Options{})
-	w.setTable(20, "s1")
-	id := w.ask(single("s1", true))
-	if got, finished := w.finished[id]; !finished || got.Execution != gather.ExecutionNotRun || got.RetryAfter == 0 {
+func TestUnknownServiceIsRejectedImmediately(t *testing.T) {
+	h := newHarness(t, routing.Options{})
+	h.setTable(20, "s1")
+	id := h.submit(single("s1", true))
+	if got, finished := h.finished[id]; !finished || got.Execution != gather.ExecutionNotRun || got.RetryAfter == 0 {
 		t.Errorf("%t, %+v", finished, got)
 	}
 }
 
 // An answer leaves so early that it is at its caller by the aim, however long the way there
 // is; where that is longer than the aim allows, servers still have a quarter of it.
-func TestAnswersLeaveInTimeForTheirWay(t *testing.T) {
+func TestAnswerAllowsForNetworkTime(t *testing.T) {
 	for name, test := range map[string]struct{ spent, back, leaves time.Duration }{
 		"a caller nearby":          {0, 0, testAim - routing.DefaultAnswerMargin},
 		"a caller in another zone": {9 * time.Millisecond, 12 * time.Millisecond, testAim - 21*time.Millisecond - routing.DefaultAnswerMargin},
 		"a caller far away":        {testAim, testAim, testAim / 4},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, routing.Options{})
-			w.setServers(servers(1, "s1", "s2"))
-			w.setTable(20, "s1", "s2")
-			w.last++
+			h := newHarness(t, routing.Options{})
+			h.setServers(servers(1, "s1", "s2"))
+			h.setTable(20, "s1", "s2")
+			h.lastID++
 			asked := fanOut(0.5, "s1", "s2")
-			w.step(routing.Arrived{Request: routing.Request{ID: w.last, Route: asked, Remaining: asked.Timeout, Elapsed: test.spent, ReturnTime: test.back}})
-			w.end(w.open(w.last)[0].Attempt, gather.ReplyDone)
+			h.step(routing.Arrived{Request: routing.Request{ID: h.lastID, Route: asked, Remaining: asked.Timeout, Elapsed: test.spent, ReturnTime: test.back}})
+			h.complete(h.inFlight(h.lastID)[0].Attempt, gather.ReplyDone)
 			const moment = time.Millisecond
-			w.pass(test.leaves - moment)
-			if _, finished := w.finished[w.last]; finished {
+			h.advance(test.leaves - moment)
+			if _, finished := h.finished[h.lastID]; finished {
 				t.Fatal("it left earlier than it must")
 			}
-			w.pass(2 * moment)
-			if got := w.finished[w.last]; got.Execution != gather.ExecutionDone || got.Missing != 1 {
+			h.advance(2 * moment)
+			if got := h.finished[h.lastID]; got.Execution != gather.ExecutionDone || got.Missing != 1 {
 				t.Fatalf("it did not leave in time: %+v", got)
 			}
 		})
--- a/routing/timers.go
+++ b/routing/timers.go
@@ -12,15 +12,15 @@
 	ledger  bool
 }
 
-// counts reports whether the timer was not replaced by another one.
-func (t timer) counts() bool {
+// isCurrent reports whether the timer was not replaced by another one.
+func (t timer) isCurrent() bool {
 	switch {
 	case t.ledger:
 		return true
 	case t.service != nil:
-		return t.at == t.service.pumpAt
+		return t.at == t.service.dispatchAt
 	case t.zone != nil:
-		return t.at == t.zone.since+darkAfter && len(t.zone.unanswered) > 0
+		return t.at == t.zone.silentSince+zoneSilenceTimeout && len(t.zone.silent) > 0
 	}
 	return !t.request.finished && t.at == t.request.timerAt
 }
@@ -34,21 +34,21 @@
 	r.timers.Push(timer{at: q.timerAt, request: q})
 }
 
-// expire looks at the requests whose time has come.
-func (r *Router) expire() {
+// runTimers looks at the requests whose time has come.
+func (r *Router) runTimers() {
 	for r.timers.Len() > 0 && r.timers.First().at <= r.now {
 		due := r.timers.Pop()
-		if !due.counts() {
+		if !due.isCurrent() {
 			continue
 		}
 		switch {
 		case due.ledger:
-			r.lookAtLedger(due.at)
+			r.tickLedger(due.at)
 		case due.service != nil:
-			due.service.pumpAt = 0
-			r.pump(due.service)
+			due.service.dispatchAt = 0
+			r.dispatchQueued(due.service)
 		case due.zone != nil:
-			r.lookAtZone(due.zone, due.at)
+			r.checkZone(due.zone, due.at)
 		default:
 			due.request.timerAt = 0
 			due.request.query.Tick(r.now)
@@ -57,17 +57,17 @@
 	}
 }
 
-// wake asks to be woken for the first timer that still counts.
-func (r *Router) wake() {
+// updateTimer asks to be woken for the first timer that still counts.
+func (r *Router) updateTimer() {
 	for r.timers.Len() > 0 {
-		if r.timers.First().counts() {
+		if r.timers.First().isCurrent() {
 			break
 		}
 		r.timers.Pop()
 	}
-	if r.timers.Len() == 0 || r.timers.First().at >= r.wakeAt {
+	if r.timers.Len() == 0 || r.timers.First().at >= r.timerAt {
 		return
 	}
-	r.wakeAt = r.timers.First().at
-	r.emit(SetTimer{At: r.wakeAt})
+	r.timerAt = r.timers.First().at
+	r.emit(SetTimer{At: r.timerAt})
 }
