--- a/retry/budget.go
+++ b/retry/budget.go
@@ -1,28 +1,28 @@
 package retry
 
-// BudgetOptions sets up a Budget. The zero value of a field stands for its default.
+// BudgetOptions configures a Budget. Zero fields take their defaults.
 type BudgetOptions struct {
-	// Burst is what the budget starts with, and the most that is saved up per
-	// class and in the reserve; default 20.
+	// Burst is the initial balance of the reserve, and the maximum balance of the
+	// reserve and of each class's account; default 20.
 	Burst float64
 }
 
 // DefaultBurst is the default of BudgetOptions.Burst.
 const DefaultBurst = 20
 
-// Budget pays for extra requests out of shares of first sends. Each class has
-// an account. A class may draw on the accounts of less urgent classes, never on
-// those of more urgent ones. What an account can't hold goes to a reserve that
-// serves retries of every class, but no hedge.
+// Budget is a token budget for hedges and retries, credited with a share of first
+// sends. Each class has an account. A class may draw on the accounts of less urgent
+// classes, but not on those of more urgent ones. Credit beyond an account's maximum
+// goes to a reserve that pays for retries of every class, but not for hedges.
 type Budget struct {
 	burst    float64
-	accounts []float64 // by rank, the most urgent first
+	accounts []float64 // by rank, most urgent class first
 	reserve  float64
 	spent    float64
 	credited float64
 }
 
-// NewBudget returns a Budget for a number of classes.
+// NewBudget returns a Budget for the given number of classes.
 func NewBudget(classes int, options BudgetOptions) *Budget {
 	if options.Burst <= 0 {
 		options.Burst = DefaultBurst
@@ -34,20 +34,20 @@
 	}
 }
 
-// SetClasses changes the number of classes; what removed classes had saved is lost.
+// SetClasses changes the number of classes. Balances of removed classes are lost.
 func (b *Budget) SetClasses(classes int) {
 	accounts := make([]float64, classes)
 	copy(accounts, b.accounts)
 	b.accounts = accounts
 }
 
-// SetBurst changes the most that is saved up; the reserve is not refilled by it.
+// SetBurst changes the maximum balance. It does not refill the reserve.
 func (b *Budget) SetBurst(burst float64) {
 	b.burst = burst
 }
 
-// Credit notes first sends of the class with the given rank, of which the given
-// share may be sent again.
+// Credit adds the given share of a number of first sends to the account of the
+// class with the given rank.
 func (b *Budget) Credit(rank, sends int, share float64) {
 	if rank < 0 || rank >= len(b.accounts) || share <= 0 {
 		return
@@ -61,20 +61,21 @@
 	}
 }
 
-// SpendHedge pays for a hedge of the class with the given rank. It reports
-// whether the hedge may be sent.
+// SpendHedge pays for a hedge of the class with the given rank. It reports false,
+// and charges nothing, if the balance does not suffice.
 func (b *Budget) SpendHedge(rank int, price float64) bool {
 	return b.spend(rank, price, 0)
 }
 
-// SpendRetry pays for a retry, if need be out of the reserve. It reports whether
-// the retry may be sent.
+// SpendRetry is like SpendHedge, but for a retry, which may also draw on the
+// reserve.
 func (b *Budget) SpendRetry(rank int, price float64) bool {
 	return b.spend(rank, price, b.reserve)
 }
 
-// spend takes the price from the class's account, then from those of less urgent
-// classes, the least urgent first, then from the reserve up to its given part.
+// spend withdraws the price from the class's account, then from the accounts of less
+// urgent classes, least urgent first, then from the reserve. The reserve argument is
+// the part of the reserve that may be used.
 func (b *Budget) spend(rank int, price, reserve float64) bool {
 	if rank < 0 || rank >= len(b.accounts) {
 		return false
@@ -95,15 +96,15 @@
 	return true
 }
 
-// withdraw moves up to price out of the account and returns how much.
+// withdraw takes up to price from the account and returns the amount taken.
 func withdraw(account *float64, price float64) float64 {
 	taken := min(*account, price)
 	*account -= taken
 	return taken
 }
 
-// Spent is the sum of all prices paid.
+// Spent returns the sum of all prices paid.
 func (b *Budget) Spent() float64 { return b.spent }
 
-// Credited is the sum of all shares credited.
+// Credited returns the sum of all credits, including those beyond the maximum balances.
 func (b *Budget) Credited() float64 { return b.credited }
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -20,7 +20,7 @@
 		t.Fatal("the most urgent class could not draw on a less urgent one")
 	}
 	if b.SpendHedge(1, 1) {
-		t.Fatal("the account was drawn on twice")
+		t.Fatal("one credit paid for two hedges")
 	}
 }
 
@@ -31,7 +31,7 @@
 	}
 	for i, want := range []bool{true, true, false} {
 		if got := b.SpendRetry(0, 1); got != want {
-			t.Fatalf("retry %d paid: %t", i, got)
+			t.Fatalf("retry %d: paid = %t", i, got)
 		}
 	}
 }
@@ -41,11 +41,11 @@
 	b.SpendRetry(0, 2)
 	b.Credit(0, 30, 0.1)
 	if !b.SpendRetry(0, 3) {
-		t.Fatal("three sends again were credited and can't be spent")
+		t.Fatal("credit beyond the account's maximum did not reach the reserve")
 	}
 }
 
-// Over any run, what is spent never exceeds the shares credited plus the burst.
+// In any sequence of operations, the amount spent never exceeds the credits plus the burst.
 func TestBudgetBound(t *testing.T) {
 	const burst = 5
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
--- a/retry/deduplicator.go
+++ b/retry/deduplicator.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// DeduplicatorOptions sets up a Guard. The zero value of a field stands for its default.
+// DeduplicatorOptions configures a Deduplicator. Zero fields take their defaults.
 type DeduplicatorOptions struct {
-	// Window is how long an ended request is remembered; default ten minutes.
+	// Window is how long a completed request is remembered; default 10 minutes.
 	Window time.Duration
-	// MaxEntries is the number of requests that are remembered; default 100,000.
+	// MaxEntries bounds the requests that are remembered; default 100,000.
 	MaxEntries int
 }
 
@@ -19,33 +19,34 @@
 	DefaultMaxEntries          = 100_000
 )
 
-// Digest tells whether two requests are the same; callers hash all that decides
-// what the request does.
+// Digest identifies the content of a request. Callers hash everything that
+// determines the effect of the request.
 type Digest [32]byte
 
-// Verdict is a Guard's answer to a request ID.
+// Verdict is the result of Begin.
 type Verdict int
 
 const (
-	// Accepted requests may run; the caller must call Complete or Abandon later.
+	// Accepted means that the request may run; the caller must call Complete or
+	// Abandon later.
 	Accepted Verdict = iota + 1
-	// InProgress requests run already.
+	// InProgress means that the request is running already.
 	InProgress
-	// Completed requests ran; the outcome is given.
+	// Completed means that the request has run; Begin returns its outcome.
 	Completed
-	// Conflict means that the ID was used for a request with another digest.
+	// Conflict means that the ID belongs to a request with another digest.
 	Conflict
-	// Full means that the guard remembers as many requests as it may. The
-	// request must be refused: forgetting another could let that one run twice.
+	// Full means that MaxEntries requests are remembered. The request must be
+	// refused: evicting another one could let that one run twice.
 	Full
 )
 
-// Deduplicator lets each request ID run at most once within a window. It lives in
-// memory only: what a restart of the process does to it is up to its owner.
+// Deduplicator lets each request ID run at most once within a time window. Its
+// state is held in memory only; the owner must handle restarts of the process.
 type Deduplicator struct {
 	options DeduplicatorOptions
 	entries map[string]*dedupEntry
-	// ended lists the ended requests, the first to expire at the front.
+	// ended lists the completed requests in order of expiry.
 	ended list.List
 }
 
@@ -58,7 +59,7 @@
 	element *list.Element
 }
 
-// NewDeduplicator returns an empty Guard.
+// NewDeduplicator returns an empty Deduplicator.
 func NewDeduplicator(options DeduplicatorOptions) *Deduplicator {
 	if options.Window <= 0 {
 		options.Window = DefaultDeduplicationWindow
@@ -69,74 +70,76 @@
 	return &Deduplicator{options: options, entries: make(map[string]*dedupEntry)}
 }
 
-// Begin asks whether the request may run. For Recorded it returns the outcome.
-func (g *Deduplicator) Begin(now time.Duration, id string, digest Digest) (Verdict, any) {
-	g.Expire(now)
-	known := g.entries[id]
+// Begin decides whether the request may run. With Completed it returns the
+// recorded outcome.
+func (d *Deduplicator) Begin(now time.Duration, id string, digest Digest) (Verdict, any) {
+	d.Expire(now)
+	entry := d.entries[id]
 	switch {
-	case known == nil && len(g.entries) >= g.options.MaxEntries:
+	case entry == nil && len(d.entries) >= d.options.MaxEntries:
 		return Full, nil
-	case known == nil:
-		g.entries[id] = &dedupEntry{id: id, digest: digest}
+	case entry == nil:
+		d.entries[id] = &dedupEntry{id: id, digest: digest}
 		return Accepted, nil
-	case known.digest != digest:
+	case entry.digest != digest:
 		return Conflict, nil
-	case known.done:
-		return Completed, known.outcome
+	case entry.done:
+		return Completed, entry.outcome
 	default:
 		return InProgress, nil
 	}
 }
 
-// Contains reports whether the request is in progress or ended within the window.
-func (g *Deduplicator) Contains(now time.Duration, id string) bool {
-	g.Expire(now)
-	return g.entries[id] != nil
+// Contains reports whether the request is in progress or was completed within the
+// window.
+func (d *Deduplicator) Contains(now time.Duration, id string) bool {
+	d.Expire(now)
+	return d.entries[id] != nil
 }
 
-// Complete records the outcome of a request that ran or may have run. It is
-// remembered for the window from now on.
-func (g *Deduplicator) Complete(now time.Duration, id string, outcome any) {
-	known := g.entries[id]
-	if known == nil || known.done {
+// Complete records the outcome of a request that ran or may have run. The request
+// is remembered for one window from now.
+func (d *Deduplicator) Complete(now time.Duration, id string, outcome any) {
+	entry := d.entries[id]
+	if entry == nil || entry.done {
 		return
 	}
-	known.done = true
-	known.outcome = outcome
-	known.expires = now + g.options.Window
-	known.element = g.ended.PushBack(known)
+	entry.done = true
+	entry.outcome = outcome
+	entry.expires = now + d.options.Window
+	entry.element = d.ended.PushBack(entry)
 }
 
-// Abandon forgets a request in progress that certainly did not run, so that the
-// caller may try it again. It has no effect on an ended request.
-func (g *Deduplicator) Abandon(id string) {
-	if known := g.entries[id]; known != nil && !known.done {
-		delete(g.entries, id)
+// Abandon removes a request in progress that is known not to have run, so that the
+// caller may retry it. It has no effect on a completed request.
+func (d *Deduplicator) Abandon(id string) {
+	if entry := d.entries[id]; entry != nil && !entry.done {
+		delete(d.entries, id)
 	}
 }
 
-// Expire forgets the ended requests whose window has passed. Requests in
-// progress are never forgotten.
-func (g *Deduplicator) Expire(now time.Duration) {
-	for front := g.ended.Front(); front != nil; front = g.ended.Front() {
+// Expire removes the completed requests whose window has passed. Requests in
+// progress never expire.
+func (d *Deduplicator) Expire(now time.Duration) {
+	for front := d.ended.Front(); front != nil; front = d.ended.Front() {
 		oldest := front.Value.(*dedupEntry)
 		if oldest.expires > now {
 			return
 		}
-		g.ended.Remove(front)
-		delete(g.entries, oldest.id)
+		d.ended.Remove(front)
+		delete(d.entries, oldest.id)
 	}
 }
 
-// Len is the number of requests remembered.
-func (g *Deduplicator) Len() int { return len(g.entries) }
+// Len returns the number of requests remembered.
+func (d *Deduplicator) Len() int { return len(d.entries) }
 
-// RetryAfter is when a request that met a full guard may come back: once the
-// oldest ended request expires, or the window when none has ended.
-func (g *Deduplicator) RetryAfter(now time.Duration) time.Duration {
-	front := g.ended.Front()
+// RetryAfter returns how long a request that got Full should wait: until the oldest
+// completed request expires, or one window if none has completed.
+func (d *Deduplicator) RetryAfter(now time.Duration) time.Duration {
+	front := d.ended.Front()
 	if front == nil {
-		return g.options.Window
+		return d.options.Window
 	}
 	return max(front.Value.(*dedupEntry).expires-now, 0)
 }
--- a/retry/deduplicator_test.go
+++ b/retry/deduplicator_test.go
@@ -18,17 +18,17 @@
 	type step struct {
 		name    string
 		at      time.Duration
-		do      func(g *retry.Deduplicator, now time.Duration)
+		do      func(d *retry.Deduplicator, now time.Duration)
 		id      string
 		digest  retry.Digest
 		want    retry.Verdict
 		outcome any
 	}
 	complete := func(id string) func(*retry.Deduplicator, time.Duration) {
-		return func(g *retry.Deduplicator, now time.Duration) { g.Complete(now, id, "ran") }
+		return func(d *retry.Deduplicator, now time.Duration) { d.Complete(now, id, "ran") }
 	}
 	abandon := func(id string) func(*retry.Deduplicator, time.Duration) {
-		return func(g *retry.Deduplicator, _ time.Duration) { g.Abandon(id) }
+		return func(d *retry.Deduplicator, _ time.Duration) { d.Abandon(id) }
 	}
 	tests := []struct {
 		name  string
@@ -64,27 +64,27 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			g := retry.NewDeduplicator(options)
+			d := retry.NewDeduplicator(options)
 			for _, s := range test.steps {
 				if s.do != nil {
-					s.do(g, s.at)
+					s.do(d, s.at)
 				}
-				verdict, outcome := g.Begin(s.at, s.id, s.digest)
+				verdict, outcome := d.Begin(s.at, s.id, s.digest)
 				if verdict != s.want || outcome != s.outcome {
-					t.Fatalf("%s: %d %v, want %d %v", s.name, verdict, outcome, s.want, s.outcome)
+					t.Fatalf("%s: verdict %d, outcome %v; want %d, %v", s.name, verdict, outcome, s.want, s.outcome)
 				}
 			}
 		})
 	}
 }
 
-// Within the window an ID is never New again once it has run, and the guard
-// never remembers more than it may.
+// Once an ID has run, it is never Accepted again within the window, and the deduplicator
+// never holds more than MaxEntries requests.
 func TestDeduplicatorRunsIDAtMostOnce(t *testing.T) {
 	const maximum, window = 4, 50
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	properties.Property("at most once", prop.ForAll(func(steps []uint8) bool {
-		g := retry.NewDeduplicator(retry.DeduplicatorOptions{Window: window, MaxEntries: maximum})
+		d := retry.NewDeduplicator(retry.DeduplicatorOptions{Window: window, MaxEntries: maximum})
 		running := make(map[string]bool)
 		ended := make(map[string]time.Duration)
 		for i, step := range steps {
@@ -93,12 +93,12 @@
 			switch step & 3 {
 			case 0:
 				if running[id] {
-					g.Complete(now, id, nil)
+					d.Complete(now, id, nil)
 					ended[id] = now
 					delete(running, id)
 				}
 			default:
-				verdict, _ := g.Begin(now, id, retry.Digest{})
+				verdict, _ := d.Begin(now, id, retry.Digest{})
 				if verdict != retry.Accepted {
 					continue
 				}
@@ -107,7 +107,7 @@
 				}
 				running[id] = true
 			}
-			if g.Len() > maximum {
+			if d.Len() > maximum {
 				return false
 			}
 		}
--- a/retry/doc.go
+++ b/retry/doc.go
@@ -1,14 +1,14 @@
-// Package retry bounds the extra requests that a client makes, and keeps
-// requests that must not repeat from running twice.
+// Package retry limits the retries and hedges that a client sends, and ensures
+// that requests that are not idempotent run at most once.
 //
-//   - Budget pays for hedges and retries: a share of first sends, by priority
-//     class. Whatever happens, extra sends never exceed the shares that were
-//     credited plus the burst that the budget started with.
-//   - Sketch is a streaming estimate of latency quantiles, and HedgePolicy turns
-//     it into the time after which a hedge is worth its price.
-//   - Guard remembers request IDs, so that a request that is not repeatable runs
-//     at most once within the guard's window.
+//   - Budget is a token budget for hedges and retries. It is credited with a
+//     share of first sends per priority class; extra sends never exceed the
+//     credited shares plus the initial burst.
+//   - Sketch estimates latency quantiles from a stream of samples. A HedgePolicy
+//     derives from it the delay after which a hedge is sent.
+//   - Deduplicator remembers request IDs, so that a request that is not
+//     idempotent runs at most once within a time window.
 //
-// The package has no I/O, clock or goroutine; the caller passes the time. Its
-// types are not safe for concurrent use.
+// The package does no I/O, starts no goroutines and reads no clock; the caller
+// passes the current time. Its types are not safe for concurrent use.
 package retry
--- a/retry/hedge_test.go
+++ b/retry/hedge_test.go
@@ -39,7 +39,7 @@
 		return time.Millisecond
 	})
 	if got := s.Quantile(0.9); got > 2*time.Millisecond {
-		t.Fatalf("old latencies still count: %v", got)
+		t.Fatalf("0.9 quantile %v, want only recent samples to count", got)
 	}
 }
 
@@ -49,7 +49,7 @@
 		s.Add(latency)
 	}
 	if s.Count() != 5 {
-		t.Fatalf("%v samples, want 5", s.Count())
+		t.Fatalf("weight %v, want 5", s.Count())
 	}
 }
 
@@ -59,10 +59,10 @@
 	slow := newSketch(100, func(i int) time.Duration { return 10 * ramp(i) })
 	few := newSketch(3, ramp)
 	tests := []struct {
-		name      string
-		policy    retry.HedgePolicy
-		situation retry.HedgeInput
-		want      time.Duration // within a tenth; zero is no hedge
+		name   string
+		policy retry.HedgePolicy
+		input  retry.HedgeInput
+		want   time.Duration // within 10 percent; zero means no hedge
 	}{
 		{"never", retry.NoHedge{}, retry.HedgeInput{Share: 1, Service: service}, 0},
 		{"fixed", retry.FixedHedge{After: time.Second}, retry.HedgeInput{}, time.Second},
@@ -77,9 +77,9 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			got, ok := test.policy.Delay(test.situation)
+			got, ok := test.policy.Delay(test.input)
 			if ok != (test.want > 0) {
-				t.Fatalf("hedge %t", ok)
+				t.Fatalf("ok = %t", ok)
 			}
 			if ok && math.Abs(float64(got-test.want)) > 0.1*float64(test.want) {
 				t.Fatalf("delay %v, want %v", got, test.want)
--- a/retry/sketch.go
+++ b/retry/sketch.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// Bounds of a Sketch. Its relative error is half of sketchGrowth-1.
+// Bucket layout of a Sketch. The relative error is half of sketchGrowth-1.
 const (
 	sketchBuckets = 128
 	sketchMin     = 10 * time.Microsecond
 	sketchGrowth  = 1.15
 )
 
-// DefaultSketchHalfLife is the number of recent samples that a Sketch weighs most.
+// DefaultSketchHalfLife is the default of Sketch.HalfLife.
 const DefaultSketchHalfLife = 500
 
-// Sketch estimates quantiles of recent latencies from 10 µs to about ten minutes, in
-// constant space, within about 8 percent. Old samples fade by number, not by time.
-// The zero Sketch is empty and ready for use.
+// Sketch estimates quantiles of recent latencies between 10 µs and about 10 minutes, in
+// constant space and with a relative error of about 8 percent. Old samples decay with
+// the number of newer samples, not with time. The zero Sketch is empty and ready for use.
 type Sketch struct {
 	counts [sketchBuckets]float32
 	total  float32
-	// HalfLife is the number of samples after which weights are halved; zero
-	// stands for DefaultSketchHalfLife.
+	// HalfLife is the number of samples after which the weights of earlier samples
+	// are halved; zero means DefaultSketchHalfLife.
 	HalfLife     int
 	lastQuantile cachedQuantile
 }
 
-// cachedQuantile is the last answer, reused while few samples came since.
+// cachedQuantile is the last result of Quantile, reused until enough new samples
+// have been added.
 type cachedQuantile struct {
 	quantile float64
 	value    time.Duration
@@ -40,7 +41,7 @@
 
 var logGrowth = math.Log(sketchGrowth)
 
-// Add takes a sample.
+// Add adds a sample.
 func (s *Sketch) Add(latency time.Duration) {
 	s.counts[bucketIndex(latency)]++
 	s.total++
@@ -62,7 +63,7 @@
 	return min(i, sketchBuckets-1)
 }
 
-// decay halves the weight of all samples so far.
+// decay halves the weights of all samples.
 func (s *Sketch) decay() {
 	s.total = 0
 	for i := range s.counts {
@@ -71,11 +72,11 @@
 	}
 }
 
-// Count is the weight of the samples.
+// Count returns the total weight of the samples.
 func (s *Sketch) Count() float64 { return float64(s.total) }
 
-// Quantile estimates the latency below which the given share of samples lies;
-// zero when there is no sample.
+// Quantile estimates the given quantile, such as 0.95, of the latencies. It returns
+// zero if there are no samples.
 func (s *Sketch) Quantile(quantile float64) time.Duration {
 	if s.lastQuantile.valid && s.lastQuantile.quantile == quantile && s.lastQuantile.samples < cacheSamples {
 		return s.lastQuantile.value
