--- a/extrabudget/allowance.go
+++ b/extrabudget/allowance.go
@@ -1,34 +1,34 @@
 package extrabudget
 
-// Usable is the part of a whole that is spent: nodes come and go, and those that count
-// them see that late.
-func Usable(whole float64) float64 { return usableShare * whole }
+// Usable returns the part of a total that may be used. The rest is a safety margin because
+// nodes learn late that others joined or left.
+func Usable(total float64) float64 { return usableShare * total }
 
-// Allowance is one node's part of what all nodes together may spend over a span that has
-// one beginning, such as an order: a ratio of what the node itself counted in it, and what
-// was granted to it. The zero value has counted and spent nothing.
+// Allowance limits what one node may spend during a period that starts at the same event for
+// all nodes, such as an order. The limit is a ratio of the events that the node itself has
+// counted in the period, plus what was granted to the node. The zero value is ready for use.
 //
-// Invariant: what all nodes spend stays within the ratio of all that was counted and the sum
-// of the grants, however nodes come, go and restart, if no grant is used by two processes
-// and a process that restarts begins with the zero value.
+// Invariant: the spending of all nodes stays within the ratio of all counted events plus the
+// sum of the grants, even if nodes join, leave or restart, provided that no grant is used by
+// two processes and that a restarted process begins with the zero value.
 type Allowance struct{ counted, spent int }
 
-// Count notes something that the ratio is taken of.
+// Count counts one event toward the ratio.
 func (a *Allowance) Count() { a.counted++ }
 
-// Spend notes something that is spent.
+// Spend records one unit of spending.
 func (a *Allowance) Spend() { a.spent++ }
 
-// Refund notes that something that was spent has not happened.
+// Refund undoes one Spend whose action did not take place.
 func (a *Allowance) Refund() { a.spent-- }
 
-// Spent is what was spent so far.
+// Spent returns the spending so far.
 func (a *Allowance) Spent() int { return a.spent }
 
-// Counted is what the ratio is taken of.
+// Counted returns the number of events counted so far.
 func (a *Allowance) Counted() int { return a.counted }
 
-// Limit is what may be spent so far, with what was.
+// Limit returns the maximum spending so far, including what was spent already.
 func (a *Allowance) Limit(ratio float64, granted int) float64 {
 	return Usable(ratio)*float64(a.counted) + float64(granted)
 }
--- a/extrabudget/doc.go
+++ b/extrabudget/doc.go
@@ -1,8 +1,9 @@
-// Package extrabudget bounds what many nodes do together without asking each other:
-// the extra sends to a service in any window, and the requests to a server that is cold
-// in any second.
+// Package extrabudget enforces limits over many nodes without coordination between
+// them: on the extra sends to a service in any window, and on the requests to a cold
+// server in any second.
 //
-// Each node counts its own part over a sliding window (Counter, Budget) and spends its
-// share of what all nodes have (Shares). The package has no clock, goroutine or I/O;
-// times are durations since an epoch that the caller picks and never decrease.
+// Each node counts its own events over a sliding window (Counter, Budget) and uses only
+// its portion of the cluster-wide limit (Shares). The package reads no clock, starts no
+// goroutines and does no I/O; times are durations since an epoch that the caller chooses,
+// and must not decrease.
 package extrabudget
--- a/extrabudget/extrabudget_test.go
+++ b/extrabudget/extrabudget_test.go
@@ -18,8 +18,8 @@
 	c.Add(time.Second, window, 3)
 	c.Add(9*time.Second, window, 2)
 	for _, want := range []struct {
-		at          time.Duration
-		most, least int
+		at           time.Duration
+		upper, lower int
 	}{
 		{9 * time.Second, 5, 5},
 		{10*time.Second + 900*time.Millisecond, 5, 5},
@@ -27,8 +27,8 @@
 		{12 * time.Second, 2, 2},
 		{40 * time.Second, 0, 0},
 	} {
-		if most, least := c.UpperBound(want.at, window), c.LowerBound(want.at, window); most != want.most || least != want.least {
-			t.Errorf("at %s: %d at most and %d at least, want %d and %d", want.at, most, least, want.most, want.least)
+		if upper, lower := c.UpperBound(want.at, window), c.LowerBound(want.at, window); upper != want.upper || lower != want.lower {
+			t.Errorf("at %s: upper bound %d and lower bound %d, want %d and %d", want.at, upper, lower, want.upper, want.lower)
 		}
 	}
 }
@@ -38,49 +38,49 @@
 	var c extrabudget.Counter
 	c.Add(0, window, 1)
 	c.Add(0, window, -1)
-	if most := c.UpperBound(0, window); most != 0 {
-		t.Errorf("%d events are left", most)
+	if upper := c.UpperBound(0, window); upper != 0 {
+		t.Errorf("upper bound %d after the event was removed, want 0", upper)
 	}
 }
 
 func TestSharesAreZeroBeforeFirstUpdate(t *testing.T) {
 	var s extrabudget.Shares
-	if part := s.Portion(0, 100, time.Second); part != 0 {
-		t.Errorf("a part of %g without any word of the nodes", part)
+	if portion := s.Portion(0, 100, time.Second); portion != 0 {
+		t.Errorf("portion %g before the first update, want 0", portion)
 	}
 	if count := s.IntPortion(0, 100, time.Second, 7); count != 0 {
-		t.Errorf("%d of 100 without any word of the nodes", count)
+		t.Errorf("integer portion %d of 100 before the first update, want 0", count)
 	}
 }
 
-// The parts of a whole number add up to no more than it, and to most of it where it is
-// not small, whatever the nodes' number and roles.
+// Whatever the number and the roles of the nodes, the integer portions of a total add up to
+// no more than the total, and to at least 85 percent of it minus 2.
 func TestIntPortionsAddUp(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(3)
 	parameters.MinSuccessfulTests = 500
 	properties := gopter.NewProperties(parameters)
 	properties.Property("the sum holds", prop.ForAll(
-		func(live, serving int, whole int, salt uint64) bool {
+		func(live, serving int, total int, salt uint64) bool {
 			serving = min(serving, live)
 			sum := 0
 			for node := range live {
 				var s extrabudget.Shares
-				place := node
+				index := node
 				if node >= serving {
-					place = node - serving
+					index = node - serving
 				}
-				s.Update(0, extrabudget.Nodes{Live: live, Serving: serving, IsServing: node < serving, Index: place})
-				sum += s.IntPortion(0, float64(whole), time.Second, salt)
+				s.Update(0, extrabudget.Nodes{Live: live, Serving: serving, IsServing: node < serving, Index: index})
+				sum += s.IntPortion(0, float64(total), time.Second, salt)
 			}
-			return sum <= whole && float64(sum) >= 0.85*float64(whole)-2
+			return sum <= total && float64(sum) >= 0.85*float64(total)-2
 		},
 		gen.IntRange(1, 120), gen.IntRange(1, 40), gen.IntRange(0, 300), gen.UInt64(),
 	))
 	properties.TestingRun(t)
 }
 
-// Nodes that hear of a change at different times, and of lost nodes that may be alive,
-// don't spend more than the whole together.
+// Nodes see changes at different times and may consider nodes lost that are alive. The
+// portions must not grow beyond the bound meanwhile.
 func TestIntPortionsStayBoundedWhileNodesLeave(t *testing.T) {
 	const (
 		nodes = 24
@@ -100,10 +100,10 @@
 			for j := range all {
 				sum += all[j].IntPortion(now, 20, time.Second, seed)
 			}
-			// Two nodes may believe that they have the same place: what is left of the
-			// whole beside the margin is for those.
+			// Two nodes may believe that they have the same index. The safety margin of
+			// the total leaves room for them.
 			if sum > nodes {
-				t.Fatalf("seed %d at %s: %d of 20", seed, now, sum)
+				t.Fatalf("seed %d at %s: portions add up to %d of 20", seed, now, sum)
 			}
 		}
 	}
--- a/extrabudget/shares.go
+++ b/extrabudget/shares.go
@@ -3,44 +3,46 @@
 import "time"
 
 const (
-	// nodeRetention is how long nodes that are not seen any more still count for
-	// what all nodes share: their entries may only have lapsed, and shares that grow
-	// at once on all nodes would add up to more than there is.
+	// nodeRetention is how long nodes that have disappeared still count when a total
+	// is divided. Their registry entries may merely have expired while they still run,
+	// and portions that grew on all nodes at once would exceed the total.
 	nodeRetention = 30 * time.Second
-	// nonServingShare is the part of a whole that the nodes share to which callers are
-	// not sent.
+	// nonServingShare is the part of a total that is divided among the non-serving
+	// nodes.
 	nonServingShare = 0.15
 )
 
-// Nodes tells of the nodes that share a whole, this one included.
+// Nodes describes the nodes among which totals are divided, including this one. Serving
+// nodes are those to which callers are sent.
 type Nodes struct {
-	// Live is the number of all nodes, Serving that of those to which callers are sent.
+	// Live is the number of all nodes, Serving the number of serving nodes.
 	Live, Serving int
-	// IsServing says that callers are sent to this node.
+	// IsServing is set if this node is a serving node.
 	IsServing bool
-	// Index is this node's among the nodes that serve, or among the others; it counts
-	// from 0, and all nodes that see the same members have different ones.
+	// Index is the zero-based position of this node among the nodes with the same
+	// role. It is unique among nodes that see the same members.
 	Index int
 }
 
-// Shares is one node's part of what all nodes share; the zero value knows no node, and
-// has none.
+// Shares computes one node's portion of cluster-wide totals. The zero value knows no nodes
+// and returns zero portions.
 //
-// Invariant: the parts that all nodes may spend within one window add up to no more than
-// the whole, as nodes come, go and change their roles, provided that they see such a
-// change within a window of each other. A node that begins to serve callers therefore
-// takes the part of one that does not for a window: those that served before it may have
-// spent theirs.
+// Invariant: the portions that all nodes use within one window do not exceed the total,
+// even if nodes join, leave or change roles, provided that all nodes see such a change
+// within one window of each other. For this reason a node that becomes a serving node keeps
+// a non-serving node's portion for one window: the nodes that served before may have used
+// theirs already.
 type Shares struct {
 	live, serving, nonServing recentMax
 	index                     int
-	// isServing says that callers are sent to this node, since the time given.
+	// isServing is set if this node is a serving node, and servingSince is when it became
+	// one; zero if it was one from the first Update.
 	isServing    bool
 	servingSince time.Duration
 	initialized  bool
 }
 
-// recentMax is about the greatest of the latest values.
+// recentMax approximates the maximum of the values observed within nodeRetention.
 type recentMax struct {
 	value int
 	at    time.Duration
@@ -52,8 +54,7 @@
 	}
 }
 
-// Update notes the nodes that are there at now. The first word about them is no change of
-// roles.
+// Update records the nodes known at now. The first call does not count as a change of role.
 func (s *Shares) Update(now time.Duration, nodes Nodes) {
 	s.live.observe(now, nodes.Live)
 	s.serving.observe(now, nodes.Serving)
@@ -65,44 +66,45 @@
 	s.initialized = true
 }
 
-// ServingNodes is about the greatest number of nodes that served callers of late; zero when
-// nothing is known.
+// ServingNodes returns the approximate maximum of the recent numbers of serving nodes; zero
+// before the first Update.
 func (s *Shares) ServingNodes() int { return s.serving.value }
 
-// Portion is the node's part of a whole that is counted over a window.
-func (s *Shares) Portion(now time.Duration, whole float64, window time.Duration) float64 {
-	part, nodes := s.rolePortion(now, whole, window)
+// Portion returns this node's portion of a total that is counted over a window.
+func (s *Shares) Portion(now time.Duration, total float64, window time.Duration) float64 {
+	portion, nodes := s.rolePortion(now, total, window)
 	if nodes == 0 {
 		return 0
 	}
-	return part / float64(nodes)
+	return portion / float64(nodes)
 }
 
-// IntPortion is the node's part of a whole number: what does not divide evenly falls to
-// some of the nodes, to others for another salt.
-func (s *Shares) IntPortion(now time.Duration, whole float64, window time.Duration, salt uint64) int {
-	part, nodes := s.rolePortion(now, usableShare*whole, window)
+// IntPortion returns this node's portion of a total as an integer, after the safety margin.
+// The remainder of the division goes to some of the nodes, selected by salt.
+func (s *Shares) IntPortion(now time.Duration, total float64, window time.Duration, salt uint64) int {
+	portion, nodes := s.rolePortion(now, usableShare*total, window)
 	if nodes == 0 {
 		return 0
 	}
-	count := int(part) / nodes
-	if place := (uint64(s.index) + salt%uint64(nodes)) % uint64(nodes); place < uint64(int(part)%nodes) {
+	count := int(portion) / nodes
+	if index := (uint64(s.index) + salt%uint64(nodes)) % uint64(nodes); index < uint64(int(portion)%nodes) {
 		count++
 	}
 	return count
 }
 
-// rolePortion is the part of a whole that nodes of this one's role share, and their number.
-func (s *Shares) rolePortion(now time.Duration, whole float64, window time.Duration) (part float64, nodes int) {
+// rolePortion returns the part of a total that is divided among the nodes with this node's
+// role, and the number of those nodes.
+func (s *Shares) rolePortion(now time.Duration, total float64, window time.Duration) (portion float64, nodes int) {
 	established := s.isServing && (s.servingSince == 0 || now-s.servingSince >= window)
 	switch {
 	case s.live.value == 0 || s.serving.value == 0:
 		return 0, 0
 	case s.nonServing.value == 0:
-		return whole, s.live.value
+		return total, s.live.value
 	case established:
-		return whole * (1 - nonServingShare), s.serving.value
+		return total * (1 - nonServingShare), s.serving.value
 	default:
-		return whole * nonServingShare, s.nonServing.value
+		return total * nonServingShare, s.nonServing.value
 	}
 }
