--- a/routing/admission.go
+++ b/routing/admission.go
@@ -7,15 +7,15 @@
 	"github.com/banksail/banksail/mechanism"
 )
 
-// priorityStep is the part of the bound on running requests that each rank of
-// priority leaves to those above it.
+// priorityStep is the share of MaxInFlightRequests that each priority level leaves to more urgent
+// ones.
 const priorityStep = 0.15
 
-// saturatedTailFactor is the multiple of the usual latency that the slowest part of a
-// request takes once it is sent, while servers are crowded.
+// saturatedTailFactor is how many times the median latency the slowest part of a request takes
+// once it is sent, while servers are overloaded.
 const saturatedTailFactor = 3
 
-// rejectionReason tells why a request can't be taken now; empty when it can.
+// rejectionReason returns why the request cannot be accepted now; empty if it can.
 func (r *Router) rejectionReason(q *request) gather.Reason {
 	bound := float64(r.options.MaxInFlightRequests) * max(1-priorityStep*float64(q.asked.Route.Priority), priorityStep)
 	switch {
@@ -34,8 +34,9 @@
 	}
 }
 
-// reject gives the final answer to a request of which nothing was sent. That this node can't reach
-// enough servers says nothing of others: a caller is sent elsewhere only if another one serves.
+// reject sends the final answer to a request of which nothing was sent. That this node cannot
+// reach enough servers does not mean that others can: the caller is redirected only if another
+// node is known to serve.
 func (r *Router) reject(q *request, reason gather.Reason) {
 	elsewhere := reason == gather.ReasonNoServer && r.cannotServe && r.peerAvailable
 	retryAfter := r.options.OverloadRetryAfter
@@ -53,13 +54,13 @@
 	}})
 }
 
-// shouldRejectForOverload reports whether the request is to be refused because its servers are
-// crowded. Less urgent requests to the same servers are refused at the rate of
-// the more urgent ones at least: their own parts may be short enough to pass
-// where those of urgent requests are not. One whose caller has tried before is taken
-// as long as the crowding is brief: it may be its last try, and late is better than never.
+// shouldRejectForOverload reports whether to reject the request because its servers are
+// overloaded. Lower-priority requests to the same servers are rejected at least at the rate of
+// more urgent ones, because their parts may be short enough to fit where those of urgent requests
+// do not. A retry by the caller is accepted while the overload is brief: it may be the caller's
+// last attempt, and a late answer is better than none.
 func (r *Router) shouldRejectForOverload(q *request) bool {
-	// Routes over the same shards name the same first one.
+	// Routes over the same shards share the statistics of their first shard.
 	p := &r.ensureService(q.serviceNames[0]).overload
 	priority := q.asked.Route.Priority
 	refused := r.enabled(mechanism.EarlyRejection) && r.serversSaturated(q) ||
@@ -69,9 +70,9 @@
 	return refused && !lastTry
 }
 
-// serversSaturated reports whether so many parts would wait for room beyond the route's
-// aim that too few were left for an answer. Such a request is refused before
-// any of it runs: taken, it would be late, and so would those behind it.
+// serversSaturated reports whether so many parts would queue beyond the route's latency target
+// that the rest is too few for an answer. Such a request is rejected before any part runs: if
+// accepted, it would be late and delay those behind it.
 func (r *Router) serversSaturated(q *request) bool {
 	limit := q.answerTimeout()
 	if q.asked.Route.Aim == 0 {
@@ -92,7 +93,7 @@
 	return false
 }
 
-// minParts is the number of parts that make an answer.
+// minParts returns the number of parts that are enough for an answer.
 func (q *request) minParts() int {
 	if !q.asked.Route.Target.FanOut() {
 		return 1
@@ -100,7 +101,8 @@
 	return minPartsFor(len(q.serviceNames), q.asked.Route.Target.MinimumCoverage)
 }
 
-// minPartsFor is the number of parts that make an answer of so many shards.
+// minPartsFor returns the number of parts that reaches the minimum coverage of the given number of
+// shards.
 func minPartsFor(shards int, minimum float64) int {
 	for parts := 1; parts < shards; parts++ {
 		if float64(parts)/float64(shards) >= minimum {
@@ -110,7 +112,7 @@
 	return shards
 }
 
-// expectedQueueWait is how long a part of the given priority would wait for room.
+// expectedQueueWait returns the expected queueing time of a part with the given priority.
 func (r *Router) expectedQueueWait(s *service, priority int, median time.Duration) time.Duration {
 	ahead := 0
 	for _, w := range s.queue.All() {
--- a/routing/caller_timeouts.go
+++ b/routing/caller_timeouts.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	// timeoutResolution is the resolution in which the times are told apart that callers
-	// wait: opening a connection takes some of it, too.
+	// timeoutResolution is the granularity of recorded timeouts. Opening a connection uses up some
+	// of the timeout, so that equal settings arrive slightly different.
 	timeoutResolution = 50 * time.Millisecond
-	// maxTimeoutEntries is the number of times that are kept apart.
+	// maxTimeoutEntries is the number of distinct timeouts tracked.
 	maxTimeoutEntries = 8
-	// minTimeoutShare is the part of the callers that must tell a time before it is
-	// taken for what callers begin with. It must be over 1/(maxTimeoutEntries+1).
+	// minTimeoutShare is the share of requests that must declare a timeout for it to count as an
+	// initial one. It must exceed 1/(maxTimeoutEntries+1).
 	minTimeoutShare = 0.15
-	// minTimeoutCount is the least weight of callers that must tell it.
+	// minTimeoutCount is the minimum weight of requests that must declare it.
 	minTimeoutCount = 3
 	// timeoutDecayInterval is the number of requests after which weights are halved.
 	timeoutDecayInterval = 200
-	// retryTimeoutShare is the part of the time that callers begin with by which that of
-	// a caller which tried before is shorter at least.
+	// retryTimeoutShare is the minimum share of the initial timeout by which that of a retry is
+	// shorter.
 	retryTimeoutShare = 0.02
 )
 
-// callerTimeouts learns how long the callers of a route wait when they first ask. It keeps
-// the frequent times by the algorithm of Misra and Gries ("Finding repeated elements",
-// 1982), so that few callers that tell nonsense don't sway it.
+// callerTimeouts estimates the timeout with which a route's callers send their first attempt. It
+// tracks frequent values with the Misra-Gries algorithm ("Finding repeated elements", 1982), so
+// that a few callers with arbitrary timeouts do not distort the estimate.
 type callerTimeouts struct {
 	entries [maxTimeoutEntries]struct {
 		step  int64
@@ -31,7 +31,7 @@
 	total float64
 }
 
-// observe notes the time that a caller says it waits.
+// observe records a declared timeout.
 func (p *callerTimeouts) observe(timeout time.Duration) {
 	step := int64((timeout + timeoutResolution - 1) / timeoutResolution)
 	p.total++
@@ -65,7 +65,8 @@
 	}
 }
 
-// initialTimeout is the longest time that a good part of the callers tell; zero when unknown.
+// initialTimeout returns the longest timeout that a sufficient share of the callers declare; zero
+// if unknown.
 func (p *callerTimeouts) initialTimeout() time.Duration {
 	longest := int64(0)
 	for _, entry := range p.entries {
@@ -76,8 +77,8 @@
 	return time.Duration(longest) * timeoutResolution
 }
 
-// isRetry reports whether a caller that says it waits for the given time has
-// probably tried before.
+// isRetry reports whether a request with the given declared timeout is probably a retry. It is if
+// the timeout is noticeably shorter than the initial one.
 func (p *callerTimeouts) isRetry(timeout time.Duration) bool {
 	first := p.initialTimeout()
 	return timeout > 0 && timeout < first-max(time.Duration(retryTimeoutShare*float64(first)), timeoutResolution)
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// otherZonePenalty and otherRegionPenalty are added to the expected latency of a server
-	// that is not near, and otherZonePenaltyShare and otherRegionPenaltyShare of the route's
-	// aim: as long as an answer comes in time, the bytes between zones cost more
-	// than the time.
+	// otherZonePenalty and otherRegionPenalty are added to the expected latency of a server in
+	// another zone or region, together with otherZonePenaltyShare or otherRegionPenaltyShare of
+	// the route's latency target: as long as answers meet the target, traffic between zones costs
+	// more than the time it takes.
 	otherZonePenalty        = 3 * time.Millisecond
 	otherRegionPenalty      = 25 * time.Millisecond
 	otherZonePenaltyShare   = 0.12
 	otherRegionPenaltyShare = 0.2
-	// defaultLatency is the latency expected of a route of which nothing is known.
+	// defaultLatency is the expected latency of a route without statistics.
 	defaultLatency = 10 * time.Millisecond
-	// scoreJitter is the part of the best score within which servers are equal.
+	// scoreJitter is the relative difference in score within which servers are chosen at random.
 	scoreJitter = 0.05
 )
 
-// chooseServer picks a server for a part of a request.
+// chooseServer selects a server for a part of a request, or returns why there is none.
 func (r *Router) chooseServer(s *service, q *request, segment *gather.Segment, kind gather.SendKind) (*server, gather.Placement) {
 	p := &q.parts[segment.Range.Start]
 	anyUsable, anyUntried, affordable := false, false, true
@@ -94,17 +94,17 @@
 	}
 }
 
-// waitsForDiscovery reports whether a part waits for a service of which no server is known
-// at all: entries that lapsed while the registry was away come back soon after it, and
-// a node that has just started knows no others. A request to one service is refused
+// waitsForDiscovery reports whether a part should wait because no server of its service is known
+// at all: entries that expired during a registry outage reappear soon after it, and a node that
+// has just started does not know all servers yet. A request to a single service is rejected
 // instead, before it costs anything.
 func (q *request) waitsForDiscovery(s *service) bool {
 	return len(s.servers) == 0 && q.asked.Route.Repeatable && q.asked.Route.Target.FanOut()
 }
 
-// canAnswerInTime reports whether an attempt that takes the given time may still answer
-// before the request stops waiting: half of the answers come in half of it. A
-// hedge that does not is wasted.
+// canAnswerInTime reports whether an attempt with the given expected latency may still answer
+// before the request stops waiting. Half of the replies take at most half of the expected latency.
+// A hedge that cannot is wasted work.
 func (q *request) canAnswerInTime(expected time.Duration) bool {
 	answerBy := q.arrivedAt + q.answerTimeout()
 	if q.asked.Route.Aim == 0 || q.router.now > answerBy || !q.router.enabled(mechanism.TimelyHedges) {
@@ -113,18 +113,19 @@
 	return q.router.now+expected/2 <= answerBy
 }
 
-// canHedgeProbe reports whether a hedge may follow if the probe is slow.
+// canHedgeProbe reports whether a hedge is allowed if the probe turns out slow.
 func (r *Router) canHedgeProbe(s *service, q *request) bool {
 	return q.asked.Route.Repeatable && q.asked.Route.Attempts > 1 && r.extraSendAllowed(s, gather.HedgeSend)
 }
 
-// maySendTo reports whether the part may be sent to the server: it may be sent to
-// no more servers than the route allows.
+// maySendTo reports whether the part may be sent to the server without exceeding the route's limit
+// on servers per part.
 func (p *part) maySendTo(s *server, attempts int) bool {
 	return len(p.asked) < attempts || slices.Contains(p.asked, s)
 }
 
-// score is the latency that is expected of a server.
+// score returns the expected latency of a request at the server in nanoseconds, including a
+// penalty for its distance.
 func (r *Router) score(s *server, q *request) float64 {
 	median := q.stats.median()
 	if median == 0 {
@@ -135,7 +136,7 @@
 	return expected * (1 + scoreJitter*r.random.Float64())
 }
 
-// expectedSlowness is the slowness that is expected of a server now.
+// expectedSlowness returns the server's current expected slowness.
 func (r *Router) expectedSlowness(s *server) float64 {
 	slowness := serverstate.NormalSlowness
 	if r.enabled(mechanism.LatencyRanking) {
@@ -147,7 +148,7 @@
 	return slowness
 }
 
-// distancePenalty is what is added for the way to a zone.
+// distancePenalty returns the latency penalty for a server in the given zone.
 func (r *Router) distancePenalty(zone string, aim time.Duration) time.Duration {
 	switch {
 	case zone == r.options.Zone, !r.enabled(mechanism.Locality):
@@ -160,19 +161,19 @@
 }
 
 const (
-	// minHedgeDelay is the shortest wait before a hedge.
 	minHedgeDelay = 4 * time.Millisecond
-	// minHedgeQuantile is the quantile of a route's latencies before which no second server is
-	// asked, however short the route's aim is: where most parts take longer than a share of
-	// the aim, as on a node that is late by itself, hedges would double its work. On nodes
-	// of 0.12 core the worth of a day of high load grows from 0.23 to 0.30 (two seeds),
-	// and changes by less than 0.01 on larger ones.
+	// minHedgeQuantile is the latency quantile before which no hedge is sent, however short the
+	// route's latency target. Where most parts take longer than the share of the target after
+	// which hedges are sent, as on a node that is itself slow, hedges would double its load. On
+	// nodes with 0.12 core this raises the score of a day of high load from 0.23 to 0.30 (two
+	// seeds); on larger nodes it changes by less than 0.01.
 	minHedgeQuantile = 0.6
-	// maxHedgeDelayTimeoutShare bounds the wait by the time-out of a route without aim.
+	// maxHedgeDelayTimeoutShare caps the hedge delay as a share of the timeout, for routes without
+	// a latency target.
 	maxHedgeDelayTimeoutShare = 0.1
 )
 
-// hedgeDelay is how long an attempt is awaited before a second server is asked.
+// hedgeDelay returns how long to wait for an attempt before sending a hedge.
 func (r *Router) hedgeDelay(q *request) time.Duration {
 	longest := time.Duration(float64(q.asked.Route.Aim) * r.options.MaxHedgeDelayShare)
 	if longest == 0 {
--- a/routing/connection_share.go
+++ b/routing/connection_share.go
@@ -8,14 +8,14 @@
 )
 
 // staleConnectionTime is how long servers may still count the connections of an earlier
-// incarnation whose machine lost power: beside those a node has half.
+// incarnation of this node whose machine lost power. Until then, this node uses half of its share.
 const staleConnectionTime = 3 * time.Second
 
-// connectionShare is the number of connections that this node may have to each of the
-// service's servers, and so the attempts in flight there.
+// connectionShare returns the number of connections that this node may open to each server of the
+// service, which also limits its attempts in flight to that server.
 func (r *Router) connectionShare(s *service) int {
 	if s.connections == 0 || r.shares.ServingNodes() == 0 {
-		return 1 // nothing is known of what the nodes share
+		return 1 // the limit or the number of nodes sharing it is unknown
 	}
 	share := limit.ConnectionShare(s.connections, r.shares.ServingNodes(), r.options.SpareConnections)
 	if r.options.Restarted && r.enabled(mechanism.RestartConnectionLimit) && r.now < r.startedAt+staleConnectionTime {
@@ -24,8 +24,8 @@
 	return max(share, 1)
 }
 
-// fixedBudgetShare is the node's part of each budget's fixed number. A fresh
-// incarnation has none for a window.
+// fixedBudgetShare returns this node's share of the fixed part of each budget. A restarted node
+// has none for one budget window.
 func (r *Router) fixedBudgetShare() float64 {
 	if r.options.Restarted && r.now < r.startedAt+r.options.Budget.Window {
 		return 0
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -1,19 +1,20 @@
-// Package routing is the pure state machine that carries the requests of all
-// routes on one node: which server is asked for each part of a request, when a
-// second one is asked beside it, when to stop waiting, and what is refused.
+// Package routing implements the state machine that executes the requests of all routes on one
+// node. It decides which server (replica) receives each part of a request, when to hedge, when to
+// stop waiting, and which requests to reject.
 //
-// Requests of all routes share what is learned of the servers. A route that
-// fans out asks one server of each of its shards and gathers the parts with
-// package gather; a route to one service is a fan-out of one part.
+// Knowledge about servers is shared by all routes. A fan-out route queries one server of each of
+// its shards and merges the parts with package gather; a route to a single service is a fan-out
+// with one part.
 //
-// The machine has no goroutine, clock or I/O. Its owner calls Step with the
-// events that happened, serialised by the owner's lock, and carries out the
-// actions that Step returns. Times are durations since an epoch that the owner
-// picks; they never decrease between calls.
+// The state machine has no goroutines, clock or I/O. Its owner serializes calls to Step with the
+// events that occurred, and carries out the actions that Step returns. Times are durations since
+// an epoch chosen by the owner and never decrease between calls.
 //
-// Invariants: a request that may not be repeated is sent again only after a
-// server said that it did not execute it, or when no byte of it was written; no
-// part of a request is sent to more servers than its route allows; the extra
-// sends to a service stay within the node's budget for it; all parts of an
-// answer come from the shards of the route that the request arrived with.
+// A route's aim (Route.Aim) is its latency target. A server is cold while it warms up after a
+// start, and a service is overloaded when its servers have no free capacity.
+//
+// Invariants: a non-repeatable request is resent only after a server reported that it did not
+// execute it, or if no byte of it was written; no part of a request is sent to more servers than
+// its route allows; extra sends (hedges and retries) to a service stay within the node's budget
+// for it; all parts of an answer come from the shards of the route with which the request arrived.
 package routing
--- a/routing/evacuation.go
+++ b/routing/evacuation.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// updateEvacuatedZones takes the zones to whose servers nothing more may be sent. What runs there
-// ends; what waits is looked at again.
+// updateEvacuatedZones replaces the set of zones to whose servers nothing may be sent. Attempts in
+// flight there are left to finish; queued parts are dispatched elsewhere.
 func (r *Router) updateEvacuatedZones(event ZonesChanged) {
 	r.evacuated = make(map[string]struct{}, len(event.Evacuated))
 	for _, zone := range event.Evacuated {
@@ -21,21 +21,22 @@
 	return evacuated
 }
 
-// allowsZone reports whether a server of the zone may be asked for the request.
+// allowsZone reports whether the route's home regions permit servers of the zone.
 func (q *request) allowsZone(zone string) bool {
 	homes := q.asked.Route.Homes
 	return len(homes) == 0 || slices.Contains(homes, q.router.options.Regions[zone])
 }
 
-// hasUsableServer reports whether a service has a server that could be asked for the request.
+// hasUsableServer reports whether the service has, or is expected to discover, a server for the
+// request.
 func (q *request) hasUsableServer(s *service) bool {
 	return q.waitsForDiscovery(s) || slices.ContainsFunc(s.servers, func(srv *server) bool {
 		return srv.isUsable() && q.allowsZone(srv.Zone)
 	})
 }
 
-// lacksServers reports whether so many parts have no server that too few are left for an
-// answer. Such a request is refused before any of it runs.
+// lacksServers reports whether so many parts have no usable server that the rest is too few for an
+// answer. Such a request is rejected before any part runs.
 func (r *Router) lacksServers(q *request) bool {
 	spare := len(q.serviceNames) - q.minParts()
 	for _, name := range q.serviceNames {
--- a/routing/event.go
+++ b/routing/event.go
@@ -10,117 +10,119 @@
 	"github.com/banksail/banksail/route"
 )
 
-// RequestID identifies a request towards the owner, which picks it and never
-// uses it twice.
+// RequestID identifies a request between the router and its owner. The owner assigns it and never
+// reuses it.
 type RequestID uint64
 
-// Request is one caller's request.
+// Request is a caller's request.
 type Request struct {
 	ID    RequestID
 	Route *route.Route
 	// Remaining is the time until the caller's deadline.
 	Remaining time.Duration
-	// CallerTimeout is the time that the caller itself says it waits, from when it sent the
-	// request; zero is unknown.
+	// CallerTimeout is the timeout that the caller declared, counted from when it sent the
+	// request; zero means unknown.
 	CallerTimeout time.Duration
-	// Elapsed is the time that the request is thought to have used before it
-	// arrived, which counts against the route's aim.
+	// Elapsed is the estimated time spent on the request before it arrived. It counts against the
+	// route's latency target.
 	Elapsed time.Duration
-	// ReturnTime is the time that the answer is thought to take to the caller.
+	// ReturnTime is the estimated time for the answer to travel back to the caller.
 	ReturnTime time.Duration
-	// Content names what the request asks for; it is called at most once, and only where
-	// it matters. Nil is that nothing is to be learned of it.
+	// Content returns the fingerprint of the request's content. It is called at most once, and
+	// only if needed. A nil function excludes the request from crash tracking.
 	Content func() quarantine.Fingerprint
 }
 
-// Event is something that happened; Step takes one.
+// Event is an input of Step.
 type Event interface{ event() }
 
-// Arrived reports a caller's request.
+// Arrived reports a new request from a caller.
 type Arrived struct{ Request Request }
 
-// CallerGone reports that nobody waits for the request any more.
+// CallerGone reports that the caller no longer waits for the request.
 type CallerGone struct{ Request RequestID }
 
-// Replied reports a server's whole reply to an attempt.
+// Replied reports a server's complete reply to an attempt.
 type Replied struct {
 	Attempt gather.AttemptID
 	Status  gather.ReplyStatus
-	// Body is opaque; it is the owner's reference to the reply.
+	// Body is opaque to the router: the owner's reference to the reply.
 	Body any
-	// Load is the server's own account; LoadKnown says that it gave one.
+	// Load is the load that the server reported; it is valid only if LoadKnown is set.
 	Load      Load
 	LoadKnown bool
-	// RetryAfter is when a server that shed asks to be tried again.
+	// RetryAfter is the pause that a server asked for when it shed the request.
 	RetryAfter time.Duration
 }
 
-// Load is a server's own account of its work.
+// Load is the load that a server reports: running and queued requests, and its number of execution
+// slots.
 type Load struct{ Running, Waiting, Slots int }
 
-// Failed reports that an attempt ended without a whole reply.
+// Failed reports that an attempt ended without a complete reply.
 type Failed struct {
 	Attempt  gather.AttemptID
 	Delivery gather.Delivery
-	// Refused says that nobody listens at the server's address.
+	// Refused reports that the server's address refused the connection: nothing listens there.
 	Refused bool
-	// Reason is a short text for the explanation.
+	// Reason is a short description for request records.
 	Reason string
 }
 
-// CrashCheckCompleted reports whether the server of an attempt that had failed in doubt has ended. It follows
-// each such Failed, once.
+// CrashCheckCompleted reports whether the server of an attempt that had failed with gather.InDoubt
+// turned out to have terminated. It follows each such Failed event exactly once.
 type CrashCheckCompleted struct {
 	Attempt gather.AttemptID
 	Ended   bool
 }
 
-// ConnectFailed reports that no connection to the server could be opened. Refused says that nobody
-// listens at its address, rather than that nothing came back.
+// ConnectFailed reports that no connection to the server could be opened. Refused distinguishes a
+// refused connection (nothing listens at the address) from a timeout.
 type ConnectFailed struct {
 	Server  discovery.Incarnation
 	Refused bool
 }
 
-// Connected reports that a connection to the server was opened after a Reach.
+// Connected reports that a connection to the server was opened after a Connect action.
 type Connected struct{ Server discovery.Incarnation }
 
-// TimerFired reports that the time named by a Wake action has come.
+// TimerFired reports that the time requested by SetTimer has come.
 type TimerFired struct{}
 
-// ServersChanged gives all servers that may be there now.
+// ServersChanged provides the complete list of servers that may currently exist.
 type ServersChanged struct{ Servers []discovery.Server }
 
-// ZonesChanged gives all zones to whose servers nothing more may be sent.
+// ZonesChanged provides the complete list of evacuated zones, to whose servers nothing may be
+// sent.
 type ZonesChanged struct{ Evacuated []string }
 
-// TableChanged gives the table that is in force, for the bounds of its services.
+// TableChanged provides the route table in force, from which the limits of the services are taken.
 type TableChanged struct{ Table *route.Table }
 
-// NodesChanged tells how many nodes are live, this one included, and to how many
-// of them callers are sent. Those share each server's connections and most of
-// each service's budget.
+// NodesChanged reports how many nodes are live, including this one, and how many of them serve
+// callers. These nodes share each server's connections and most of each service's budget.
 type NodesChanged extrabudget.Nodes
 
-// PeerAvailabilityChanged tells whether another node is known that reaches enough servers and takes
-// callers.
+// PeerAvailabilityChanged reports whether another node is known that reaches enough servers and
+// accepts callers.
 type PeerAvailabilityChanged struct{ Available bool }
 
-// SettingsChanged gives the bounds that were set anew.
+// SettingsChanged provides new values for limits that can change at run time.
 type SettingsChanged struct {
 	Budget  extrabudget.Options
 	Cold    ColdOptions
 	Regions map[string]string
 }
 
-// FindingReceived gives what another node found out of a request that ends servers.
+// FindingReceived provides another node's finding about a request that crashes servers.
 type FindingReceived struct{ Finding quarantine.Finding }
 
-// QuarantinesChanged gives all contents that the registry says are to be refused.
+// QuarantinesChanged provides the complete list of fingerprints whose requests must be rejected,
+// according to the registry.
 type QuarantinesChanged struct{ Contents []quarantine.Fingerprint }
 
-// Stopping tells that the node ends: every request that runs gets its final answer
-// now, and those that come later are refused.
+// Stopping reports that the node is shutting down: all in-flight requests get their final answer
+// now, and later ones are rejected.
 type Stopping struct{}
 
 func (Arrived) event()                 {}
@@ -142,11 +144,12 @@
 func (FindingReceived) event()    {}
 func (QuarantinesChanged) event() {}
 
-// Action is something that the owner must do; Step returns them in order.
+// Action is something that the owner must do. Step returns actions in the order in which to carry
+// them out.
 type Action interface{ action() }
 
-// Send asks a server. The owner reports back exactly one Replied or Failed for
-// the attempt, also after a Cancel.
+// Send asks the owner to send an attempt to a server. The owner reports exactly one Replied or
+// Failed event for it, even after a Cancel.
 type Send struct {
 	Attempt gather.AttemptID
 	Request RequestID
@@ -154,51 +157,53 @@
 	// Remaining is the time left until the request's deadline.
 	Remaining time.Duration
 	Kind      gather.SendKind
-	// Alone says that nothing else of the request is in flight, as it may end servers: whether
-	// the server ended is to be found out before the attempt is reported.
+	// Alone reports that no other attempt of the request is in flight, because the request is
+	// suspected of crashing servers. The owner must then determine whether the server crashed
+	// before it reports the attempt.
 	Alone bool
-	// Estimate is what was thought of the server when it was chosen: its
-	// slowness against what is usual, and the attempts in flight there.
+	// Estimate is the router's estimate of the server when it was chosen.
 	Estimate ServerEstimate
 }
 
-// ServerEstimate is what decided on a server.
+// ServerEstimate is the basis on which a server was chosen: its slowness relative to the route's
+// typical latency, and the number of attempts in flight to it.
 type ServerEstimate struct {
 	Slowness float64
 	InFlight int
 }
 
-// Cancel tells that an attempt's reply is no longer wanted by its request. A
-// reply that comes all the same is still worth reporting.
+// Cancel reports that the request no longer needs the attempt's reply. A reply that arrives anyway
+// must still be reported.
 type Cancel struct{ Attempt gather.AttemptID }
 
-// Connect asks the owner to open a connection to the server, again and again, and
-// to report Reached once there is one. It ends when the server is gone.
+// Connect asks the owner to keep trying to open a connection to the server and to report Connected
+// once it succeeds. The owner stops trying when the server is removed.
 type Connect struct{ Server discovery.Server }
 
-// ReachabilityChanged tells whether this node can reach enough servers for every route that
-// fans out; it can until it says otherwise. While it can't, other nodes should serve.
+// ReachabilityChanged reports whether this node can reach enough servers for all fan-out routes.
+// It is assumed to until the first such action; while it cannot, other nodes should serve callers.
 type ReachabilityChanged struct{ CanServe bool }
 
-// PublishFinding asks the owner to tell other nodes what was found out of a request.
+// PublishFinding asks the owner to send a finding about a request to other nodes.
 type PublishFinding struct {
 	Finding  quarantine.Finding
 	Audience quarantine.Audience
 }
 
-// RecordQuarantine tells that this node found a content to end servers: all nodes are to remember it.
+// RecordQuarantine asks the owner to record for all nodes that requests with this fingerprint
+// crash servers.
 type RecordQuarantine struct{ Content quarantine.Fingerprint }
 
-// QuarantinedRequestRejected tells that a request was refused whose content is quarantined.
+// QuarantinedRequestRejected reports that a request with a quarantined fingerprint was rejected.
 type QuarantinedRequestRejected struct{ Content quarantine.Fingerprint }
 
-// Finish gives the request's one final answer.
+// Finish provides the one final answer to a request.
 type Finish struct {
 	Request RequestID
 	Outcome Outcome
 }
 
-// SetTimer asks for a Woken event at the given time. A later one replaces it.
+// SetTimer requests a TimerFired event at the given time. It replaces any earlier SetTimer.
 type SetTimer struct{ At time.Duration }
 
 func (Send) action()    {}
@@ -216,37 +221,37 @@
 type Outcome struct {
 	Execution gather.Execution
 	Reason    gather.Reason
-	// Parts are the replies that count, in the order of the route's shards.
+	// Parts are the replies that make up the answer, in the order of the route's shards.
 	Parts []Part
-	// Missing is the number of shards that are left out.
+	// Missing is the number of shards that are missing from the answer.
 	Missing int
-	// Failure is the last failure that a server itself answered with, when the
-	// route has one service and no reply counts; nil when there is none.
+	// Failure is the last error reply of a server. It is set only if the route has a single
+	// service and no successful reply; nil otherwise.
 	Failure any
-	// RetryAfter is when to come back; it is set on every refusal.
+	// RetryAfter is when the caller should retry. It is set on every rejection.
 	RetryAfter time.Duration
-	// RetryElsewhere says that other nodes can serve what this one can't: the caller should
-	// connect to another one.
+	// RetryElsewhere reports that other nodes can serve the request although this one cannot: the
+	// caller should connect to another node.
 	RetryElsewhere bool
-	// Sends, Hedges and Retries count what was sent.
+	// Sends, Hedges and Retries count the attempts, and how many of them were hedges and retries.
 	Sends, Hedges, Retries int
-	// HedgesOverBudget counts the hedges for which there was no budget, Roomless the
-	// sends for which no server had room, Hopeless the hedges that could not have
-	// answered in time.
+	// HedgesOverBudget counts hedges denied by the budget, SendsWithoutCapacity sends for which no
+	// server had free capacity, and HedgesTooLate hedges that could not have been answered in
+	// time.
 	HedgesOverBudget, SendsWithoutCapacity, HedgesTooLate int
-	// Attempts tells what was sent, in order.
+	// Attempts lists the attempts in the order in which they were sent.
 	Attempts []AttemptRecord
 }
 
-// AttemptRecord tells of one attempt of a request.
+// AttemptRecord describes one attempt of a request.
 type AttemptRecord struct {
 	Service, Server string
 	Kind            gather.SendKind
-	// SentAt and EndedAt are since the request's arrival; an attempt that had not
-	// ended when the request was answered has no end.
+	// SentAt and EndedAt are relative to the request's arrival. EndedAt is zero if the attempt was
+	// still in flight when the request was answered.
 	SentAt, EndedAt time.Duration
 	Estimate        ServerEstimate
-	// Result is how it ended; empty while it has not.
+	// Result describes how the attempt ended; empty if it had not ended.
 	Result string
 }
 
--- a/routing/options.go
+++ b/routing/options.go
@@ -9,50 +9,49 @@
 	"github.com/banksail/banksail/rollout"
 )
 
-// Options sets up a Router. Zero fields get defaults.
+// Options configures a Router. Zero fields are replaced by defaults.
 type Options struct {
-	// Seed makes random choices repeatable.
+	// Seed seeds the random generator, for reproducible runs.
 	Seed uint64
-	// Zone is the node's own, and Regions names the region of each zone: servers
-	// that are near are preferred.
+	// Zone is the node's zone, and Regions maps zones to regions. Nearby servers are preferred.
 	Zone    string
 	Regions map[string]string
-	// Budget bounds extra sends.
+	// Budget limits extra sends (hedges and retries).
 	Budget extrabudget.Options
-	// Cold bounds what servers get that have just started.
+	// Cold limits the load on servers that have just started.
 	Cold ColdOptions
-	// Rollouts bounds what unproven versions get; the zero value is that versions mean
-	// nothing.
+	// Rollouts limits traffic to unproven versions. The zero value disables version handling.
 	Rollouts rollout.Bounds
-	// Restarted says that an earlier incarnation of the node may have spent its
-	// fixed share of the budget within the last window: it is kept back that long.
+	// Restarted reports that an earlier incarnation of this node may have spent its fixed share of
+	// the budget within the last window. That share is withheld for one window.
 	Restarted bool
-	// RetryAfter is told to refused callers; default 250 ms.
+	// RetryAfter is sent to rejected callers; default 250 ms.
 	RetryAfter time.Duration
-	// OverloadRetryAfter is told to callers that are refused because servers are
-	// crowded, which lasts; default 1.5 s.
+	// OverloadRetryAfter is sent to callers rejected because servers are overloaded, which tends
+	// to last; default 1.5 s.
 	OverloadRetryAfter time.Duration
-	// RedirectRetryAfter is told to callers that another node can serve at once; default
-	// 10 ms.
+	// RedirectRetryAfter is sent to callers that another node can serve immediately; default 10
+	// ms.
 	RedirectRetryAfter time.Duration
-	// MaxInFlightRequests bounds the requests that run at once; default 512.
+	// MaxInFlightRequests limits the number of concurrent requests; default 512.
 	MaxInFlightRequests int
-	// HedgeQuantile is the quantile of a route's latencies after which a second
-	// server is asked; default 0.9.
+	// HedgeQuantile is the quantile of a route's latencies that is used as the hedge delay;
+	// default 0.9.
 	HedgeQuantile float64
-	// MaxHedgeDelayShare bounds the wait before a hedge by the route's aim; default 0.3.
+	// MaxHedgeDelayShare caps the hedge delay as a share of the route's latency target; default
+	// 0.3.
 	MaxHedgeDelayShare float64
-	// AnswerMargin is the time, beside that of the way to the caller, before a route's aim
-	// at which an answer leaves at the latest; default 8 ms.
+	// AnswerMargin is subtracted, in addition to the network time back to the caller, from the
+	// route's latency target to obtain the latest time at which an answer is sent; default 8 ms.
 	AnswerMargin time.Duration
-	// Disabled names the mechanisms that are switched off, for diagnosis.
+	// Disabled is the set of mechanisms that are switched off, for diagnosis.
 	Disabled mechanism.Disabled
-	// SpareConnections is the part of each server's connections that no node
-	// counts on; default 0.1.
+	// SpareConnections is the share of each server's connections that nodes leave unused; default
+	// 0.1.
 	SpareConnections float64
 }
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultRetryAfter          = 250 * time.Millisecond
 	DefaultOverloadRetryAfter  = 1500 * time.Millisecond
--- a/routing/outages.go
+++ b/routing/outages.go
@@ -3,27 +3,27 @@
 import "time"
 
 const (
-	// minOutageRetryAfter and maxOutageRetryAfter bound when a caller is asked to come back for servers that are
-	// awaited.
+	// minOutageRetryAfter and maxOutageRetryAfter limit the retry delay sent to callers while a
+	// service has no usable server.
 	minOutageRetryAfter = 250 * time.Millisecond
 	maxOutageRetryAfter = 5 * time.Second
-	// lastOutageWeight is the weight of the last outage in what is usual.
+	// lastOutageWeight is the weight of the latest outage in the moving average.
 	lastOutageWeight = 0.3
-	// overrunShare is how much longer an outage is believed to last that has lasted longer than is
-	// usual, as a part of its time until now.
+	// overrunShare is the expected remaining time of an outage that already exceeds the average,
+	// as a share of its duration so far.
 	overrunShare = 0.25
-	// retryAfterJitter is the part of a wait by which callers are spread, so that they don't come back
-	// at one moment.
+	// retryAfterJitter is the maximum random extension of a retry delay, as a share of it, so that
+	// callers do not all retry at the same moment.
 	retryAfterJitter = 0.25
 )
 
-// outageDurations learns how long services are without a server that can be asked.
+// outageDurations estimates how long services remain without a usable server.
 type outageDurations struct {
-	// typical is how long that is; zero is that none has been seen to end.
+	// typical is the moving average of outage durations; zero before any outage ended.
 	typical time.Duration
 }
 
-// record notes how long one has lasted.
+// record adds the duration of an outage that ended.
 func (o *outageDurations) record(duration time.Duration) {
 	duration = min(max(duration, minOutageRetryAfter), maxOutageRetryAfter)
 	if o.typical == 0 {
@@ -33,8 +33,8 @@
 	o.typical += time.Duration(lastOutageWeight * float64(duration-o.typical))
 }
 
-// remaining is how much longer one is expected to last that has lasted for so long; untold is what is
-// supposed where none has been seen to end.
+// remaining returns the expected remaining time of an outage that has lasted for elapsed. fallback
+// is the assumed total duration if no outage has ended yet.
 func (o *outageDurations) remaining(elapsed, fallback time.Duration) time.Duration {
 	expected := o.typical
 	if expected == 0 {
@@ -47,8 +47,7 @@
 	return min(max(left, minOutageRetryAfter), maxOutageRetryAfter)
 }
 
-// updateOutage notes when a service has come to be without a server that can be asked, or to have
-// one again.
+// updateOutage records when a service loses its last usable server and when it has one again.
 func (r *Router) updateOutage(s *service) {
 	unavailable := true
 	for _, srv := range s.servers {
@@ -64,8 +63,8 @@
 	s.hadServer = s.hadServer || !unavailable
 }
 
-// outageRetryAfter is when a caller should come back whose request lacks servers: when so many of its
-// services are expected to have one again that an answer can be made, but not later than it waits.
+// outageRetryAfter returns the retry delay for a request that lacks servers: until the outages of
+// all its services are expected to have ended, but no longer than the caller waits.
 func (r *Router) outageRetryAfter(q *request) time.Duration {
 	var latest time.Duration
 	for _, name := range q.serviceNames {
@@ -76,7 +75,7 @@
 		}
 	}
 	if latest == 0 {
-		latest = r.options.OverloadRetryAfter // its servers are there, and it may not be sent to them
+		latest = r.options.OverloadRetryAfter // the servers exist, but the request may not be sent to them
 	}
 	latest += time.Duration(retryAfterJitter * r.random.Float64() * float64(latest))
 	return min(latest, max(q.asked.Remaining, minOutageRetryAfter))
--- a/routing/overload.go
+++ b/routing/overload.go
@@ -6,34 +6,34 @@
 )
 
 const (
-	// priorityLevels is the number of priorities that are told apart; all others count as
-	// the last.
+	// priorityLevels is the number of distinct priorities; less urgent ones count as the last.
 	priorityLevels = 8
-	// overloadHalfLife is the time in which what was refused loses half its weight.
+	// overloadHalfLife is the half-life of the request counts.
 	overloadHalfLife = 500 * time.Millisecond
-	// briefOverload is how long servers may be crowded until callers that have tried
-	// before are refused like all others: what is over by then, as after a loss of
-	// nodes, is worth waiting for, and more requests than servers can carry are not.
+	// briefOverload is how long servers may be overloaded before retries by callers are rejected
+	// like other requests. A short overload, as after a loss of nodes, is worth waiting out; a
+	// sustained one is not.
 	briefOverload = time.Second
-	// overloadGap is the time without a refusal after which crowding is over.
+	// overloadGap is the time without a rejection after which an overload is considered over.
 	overloadGap = 5 * time.Second
-	// minRequestsForShare is the weight of requests below which a share says little.
+	// minRequestsForShare is the weight of requests below which a rejection share is unreliable.
 	minRequestsForShare = 4
 )
 
-// overloadStats counts, for each priority, the requests of late and those that were
-// refused because servers were crowded.
+// overloadStats counts recent requests by priority, and how many of them were rejected because
+// servers were overloaded.
 type overloadStats struct {
 	requests, rejected [priorityLevels]float64
 	decayedAt          time.Duration
-	// overloadedSince and latest are when the servers began to be crowded, and were so last.
+	// overloadedSince is when the current overload began, and lastRejectionAt when a request was
+	// last rejected; both are valid only if hasRejected is set.
 	overloadedSince, lastRejectionAt time.Duration
 	hasRejected                      bool
 }
 
 func levelOf(priority int) int { return min(priority, priorityLevels-1) }
 
-// decay brings the counts up to now.
+// decay ages the counts to the given time.
 func (p *overloadStats) decay(now time.Duration) {
 	kept := math.Exp2(-float64(now-p.decayedAt) / float64(overloadHalfLife))
 	for rank := range p.requests {
@@ -43,7 +43,6 @@
 	p.decayedAt = now
 }
 
-// record notes a request.
 func (p *overloadStats) record(now time.Duration, priority int, refused bool) {
 	p.decay(now)
 	p.requests[levelOf(priority)]++
@@ -57,13 +56,13 @@
 	p.lastRejectionAt, p.hasRejected = now, true
 }
 
-// isBrief reports whether the servers have been crowded for a short time only.
+// isBrief reports whether any overload has so far been brief.
 func (p *overloadStats) isBrief(now time.Duration) bool {
 	return !p.hasRejected || now-p.lastRejectionAt > overloadGap || now-p.overloadedSince < briefOverload
 }
 
-// maxRejectedShareAbove is the greatest share of the requests of any more urgent priority
-// that were refused of late.
+// maxRejectedShareAbove returns the highest share of recently rejected requests among all more
+// urgent priorities.
 func (p *overloadStats) maxRejectedShareAbove(now time.Duration, priority int) float64 {
 	p.decay(now)
 	share := 0.0
--- a/routing/quarantine.go
+++ b/routing/quarantine.go
@@ -10,7 +10,8 @@
 	"github.com/banksail/banksail/quarantine"
 )
 
-// contentOf is a request's content; ok is false when nothing is to be learned of it.
+// contentOf returns the fingerprint of a request's content; ok is false if the request is excluded
+// from crash tracking.
 func (r *Router) contentOf(spec *Request) (content quarantine.Fingerprint, ok bool) {
 	if spec.Content == nil || !r.enabled(mechanism.Quarantine) {
 		return content, false
@@ -20,7 +21,8 @@
 	return content, true
 }
 
-// standingOf tells how a request that came may be sent, and for how long a review lasts yet.
+// standingOf returns whether a new request may be sent, and how long a review of its content still
+// lasts.
 func (r *Router) standingOf(spec *Request) (standing quarantine.Status, left time.Duration) {
 	if r.ledger.IsEmpty() {
 		return quarantine.Clear, 0
@@ -35,8 +37,9 @@
 	return r.ledger.Status(r.now, content)
 }
 
-// rejectSuspect refuses a request under which servers end: for good, without a word of coming
-// back, as it has run; until the end of a review, where that is not known yet.
+// rejectSuspect rejects a request that crashes servers. If its content is quarantined, the
+// rejection is final, with no retry time, because the request has been executed before. If it is
+// under review, the caller may retry at the end of the review.
 func (r *Router) rejectSuspect(spec Request, standing quarantine.Status, left time.Duration) {
 	outcome := Outcome{Execution: gather.ExecutionNotRun, Reason: gather.ReasonCrashesServers, RetryAfter: left}
 	if standing == quarantine.Quarantined {
@@ -46,8 +49,8 @@
 	r.emit(Finish{Request: spec.ID, Outcome: outcome})
 }
 
-// recordCrash notes that a server ended with an attempt. A request that is under review since
-// is given up.
+// recordCrash records that a server crashed during an attempt. The request is given up if its
+// content is then under review.
 func (r *Router) recordCrash(a *attempt, q *request) {
 	content, ok := r.contentOf(&q.asked)
 	if !ok {
@@ -60,7 +63,8 @@
 	}
 }
 
-// publishCrashes tells all nodes of a request that has ended several servers, one after the other.
+// publishCrashes publishes a request that has crashed several servers, one after the other, to all
+// nodes.
 func (r *Router) publishCrashes(q *request) {
 	if !q.query.IsCrashSuspect() {
 		return
@@ -76,8 +80,9 @@
 	}
 }
 
-// handleCrashCheck takes whether the server of an attempt has ended that had failed in doubt. Where
-// another one has run the request and lives, its end speaks against the request no more.
+// handleCrashCheck handles the result of the crash check for an attempt that failed with
+// gather.InDoubt. A crash does not count against the request if another server executed it and
+// survived.
 func (r *Router) handleCrashCheck(event CrashCheckCompleted) {
 	a := r.inDoubt[event.Attempt]
 	if a == nil {
@@ -95,7 +100,7 @@
 	}
 }
 
-// recordSurvival notes that a server ran a request and lives.
+// recordSurvival records that a server executed a request and survived.
 func (r *Router) recordSurvival(q *request, status gather.ReplyStatus) {
 	if r.ledger.IsEmpty() || status != gather.ReplyDone && status != gather.ReplyError {
 		return
@@ -105,7 +110,7 @@
 	}
 }
 
-// handleFinding takes what another node found out.
+// handleFinding applies a finding of another node.
 func (r *Router) handleFinding(finding quarantine.Finding) {
 	if r.enabled(mechanism.Quarantine) {
 		r.publish(r.ledger.MergeFinding(r.now, finding))
@@ -115,7 +120,7 @@
 	}
 }
 
-// applyStanding lets the requests that run with a content go on as its standing asks.
+// applyStanding applies a changed status of a content to the in-flight requests with that content.
 func (r *Router) applyStanding(content quarantine.Fingerprint) {
 	standing, _ := r.ledger.Status(r.now, content)
 	if standing == quarantine.Clear {
@@ -134,7 +139,8 @@
 	}
 }
 
-// updateQuarantines takes the contents that the registry says are to be refused.
+// updateQuarantines replaces the fingerprints whose requests must be rejected according to the
+// registry.
 func (r *Router) updateQuarantines(contents []quarantine.Fingerprint) {
 	if r.enabled(mechanism.Quarantine) {
 		r.ledger.SetRecordedQuarantines(r.now, contents)
@@ -142,7 +148,7 @@
 	}
 }
 
-// publish passes on what others are to know.
+// publish sends a finding to its audience, if any, and reschedules the tracker.
 func (r *Router) publish(finding quarantine.Finding, audience quarantine.Audience) {
 	if audience != quarantine.AudienceNone {
 		r.emit(PublishFinding{Finding: finding, Audience: audience})
@@ -150,7 +156,7 @@
 	r.scheduleLedger()
 }
 
-// scheduleLedger arranges that the ledger is looked at when it is next due.
+// scheduleLedger sets a timer for the time at which the tracker must be called next.
 func (r *Router) scheduleLedger() {
 	at, ok := r.ledger.NextTick()
 	if ok && (r.ledgerDueAt == 0 || at < r.ledgerDueAt) {
@@ -159,7 +165,7 @@
 	}
 }
 
-// tickLedger ends the reviews that are over.
+// tickLedger quarantines contents whose review has ended.
 func (r *Router) tickLedger(due time.Duration) {
 	if due == r.ledgerDueAt {
 		r.ledgerDueAt = 0
@@ -171,8 +177,8 @@
 	r.scheduleLedger()
 }
 
-// QuarantineCounts is the number of contents that are refused, and Suspects that of those of which
-// something is known.
+// QuarantineCounts returns the number of quarantined contents and the number of suspected ones,
+// including those.
 func (r *Router) QuarantineCounts() (quarantines, suspects int) {
 	return r.ledger.QuarantineCount(), r.ledger.SuspectCount()
 }
--- a/routing/request.go
+++ b/routing/request.go
@@ -10,44 +10,45 @@
 	"github.com/banksail/banksail/snapshot"
 )
 
-// request is one that runs. It implements gather.Environment: the key space of
-// its query has one key for each shard.
+// request is an in-flight request. It implements gather.Environment with a key space that has one
+// key per shard.
 type request struct {
 	router       *Router
 	asked        Request
 	query        *gather.Query
-	serviceNames []string // of the services, one for each part
+	serviceNames []string // service of each part
 	parts        []part
 	stats        *routeStats
 	arrivedAt    time.Duration
 	finished     bool
-	// isRetry says that the caller has probably tried before, and may have no try left.
+	// isRetry is set if this is probably a retry by the caller, who may not try again.
 	isRetry bool
-	// suspected says that servers have ended under its content before.
+	// suspected is set if servers crashed while executing requests of the same content.
 	suspected   bool
-	lastFailure any // last failure that a server itself answered with
+	lastFailure any // last error reply of a server
 	timerAt     time.Duration
 
 	sends, hedges, retries int
 	records                []AttemptRecord
-	// hedgesOverBudget counts the extra sends for which there was no budget, roomless
-	// the sends for which no server had room, and hopeless the hedges that could
-	// not have answered in time.
+	// hedgesOverBudget counts hedges denied by the budget, sendsWithoutCapacity sends for which no
+	// server had free capacity, and hedgesTooLate hedges that could not have been answered in
+	// time.
 	hedgesOverBudget, sendsWithoutCapacity, hedgesTooLate int
 }
 
-// part is what was done for one shard.
+// part is the state of a request's part for one shard.
 type part struct {
-	// countedInBudget says that the part counts as a request to its service.
+	// countedInBudget is set once the part has been counted as a request to its service. Later
+	// sends are extra sends.
 	countedInBudget bool
-	// asked are the servers to which it was sent.
+	// asked lists the servers to which the part was sent.
 	asked []*server
 }
 
-// extraSendRecords is the room for the records of extra sends.
+// extraSendRecords is the capacity reserved for records of extra sends.
 const extraSendRecords = 4
 
-// recordEnd notes how an attempt ended, unless the request was answered before.
+// recordEnd records how an attempt ended, unless the request has been answered.
 func (q *request) recordEnd(a *attempt, result string) {
 	if q.finished {
 		return
@@ -56,7 +57,7 @@
 	record.EndedAt, record.Result = q.router.now-q.arrivedAt, result
 }
 
-// pinnedSnapshot is the one snapshot of a request: its table's set of shards.
+// pinnedSnapshot is the only snapshot of a request: the set of shards in its route table.
 const pinnedSnapshot snapshot.ID = 1
 
 func (r *Router) newRequest(asked Request) *request {
@@ -98,7 +99,7 @@
 	r.schedule(q)
 }
 
-// maxRounds is how often servers that were all tried are asked anew.
+// maxRounds is the number of rounds in which servers that were already tried are tried again.
 const maxRounds = 2
 
 // Generation implements gather.Environment.
@@ -138,13 +139,13 @@
 	return q.router.hedgeDelay(q), true
 }
 
-// SpendHedge implements gather.Environment: Place has looked at the budget.
+// SpendHedge implements gather.Environment. Place has already checked the budget.
 func (q *request) SpendHedge(*gather.Query, float64) bool { return true }
 
-// SpendRetry implements gather.Environment: Place has looked at the budget.
+// SpendRetry implements gather.Environment. Place has already checked the budget.
 func (q *request) SpendRetry(*gather.Query, float64) bool { return true }
 
-// NextSnapshot implements gather.Environment: the set of shards is pinned.
+// NextSnapshot implements gather.Environment. The set of shards is pinned.
 func (q *request) NextSnapshot([]snapshot.ID, uint64) (snapshot.ID, bool) { return 0, false }
 
 // TypicalLatency implements gather.Environment.
@@ -153,7 +154,7 @@
 // ExpectedLatency implements gather.Environment.
 func (q *request) ExpectedLatency(*gather.Segment) time.Duration { return 0 }
 
-// minBackoff is the time before servers that were all tried are asked anew.
+// minBackoff is the minimum back-off before servers that were all tried are tried again.
 const minBackoff = 20 * time.Millisecond
 
 // Backoff implements gather.Environment.
@@ -195,7 +196,7 @@
 		Estimate:  estimate,
 	}
 	r.countColdSend(s)
-	if !sent.toLimitedVersion { // an unproven version that hangs is no zone that can't be reached
+	if !sent.toLimitedVersion { // a hanging unproven version must not make its zone look unreachable
 		r.recordZoneSend(s.zone, s)
 	}
 	r.attempts[a.ID] = sent
--- a/routing/rollouts.go
+++ b/routing/rollouts.go
@@ -10,14 +10,14 @@
 	"github.com/banksail/banksail/rollout"
 )
 
-// RolloutsChanged gives what is known of the roll-outs of all services that have an order or
-// a record of one, on the router's clock, and until when that is fresh.
+// RolloutsChanged provides the known state, on the router's clock, of all roll-outs that have an
+// order or a record, keyed by service, and until when it counts as fresh.
 type RolloutsChanged struct {
 	States     map[string]rollout.State
 	FreshUntil time.Duration
 }
 
-// RolloutHalted tells that the target of a service's order is to get nothing more.
+// RolloutHalted reports that the target version of an order must receive no more traffic.
 type RolloutHalted struct {
 	Service string
 	Order   uint64
@@ -26,7 +26,7 @@
 func (RolloutsChanged) event() {}
 func (RolloutHalted) event()   {}
 
-// updateRollouts takes what is known of the roll-outs.
+// updateRollouts replaces the known states of roll-outs.
 func (r *Router) updateRollouts(event RolloutsChanged) {
 	for name := range event.States {
 		r.ensureService(name)
@@ -54,7 +54,7 @@
 	}
 }
 
-// updateTrafficModes tells each server of a service what it may get.
+// updateTrafficModes recalculates what traffic each server of a service may receive.
 func (r *Router) updateTrafficModes(s *service) {
 	if s.canary == nil {
 		return
@@ -71,8 +71,8 @@
 	}
 }
 
-// chooseCanaryServer picks the server of a service's target for a first send, if one is due and
-// there is one that it can be seen by; nil when there is none.
+// chooseCanaryServer selects a server of the target version for a first send, if the target is due
+// a request and has a suitable server; nil otherwise.
 func (r *Router) chooseCanaryServer(s *service, q *request, p *part, capacity int) *server {
 	if !s.canary.ShouldSendToTarget(r.now, q.asked.Route.Name) {
 		return nil
@@ -96,15 +96,16 @@
 	})
 }
 
-// isCanaryCandidate reports whether an answer of a server would say something of its version.
+// isCanaryCandidate reports whether an answer of the server would be evidence on its version: it
+// must be limited, reachable and warm, with free capacity.
 func (r *Router) isCanaryCandidate(s *service, srv *server, capacity int) bool {
 	reachable := srv.standing == rollout.Limited && srv.acceptsWork() && !srv.unreachable && !srv.zone.cutOff
 	hasCapacity := srv.InFlight() < capacity && srv.Utilization(r.now, srv.Slots) < 1 && srv.ShedUntil() <= r.now
 	return reachable && hasCapacity && !srv.Cold(r.now) && r.coldLimitAllows(s, srv)
 }
 
-// countCanarySend counts a send in the service's roll-out, and reports whether it is of what the
-// exposure allows.
+// countCanarySend counts a send in the service's roll-out and reports whether it falls under the
+// exposure limit.
 func (r *Router) countCanarySend(s *service, srv *server, routeName string, kind gather.SendKind) (limited bool) {
 	if s.canary == nil {
 		return false
@@ -120,7 +121,7 @@
 	return srv.standing == rollout.Limited
 }
 
-// recordEvidence counts an answer, or its lack, as evidence on its server's version.
+// recordEvidence counts an answer or failure as evidence on the server's version.
 func (r *Router) recordEvidence(a *attempt, q *request, answer rollout.AnswerQuality) {
 	s := a.Segment.Group.(*service)
 	if s.canary == nil || !s.canary.Active() || a.server.Cold(r.now) {
@@ -135,7 +136,8 @@
 	}
 }
 
-// recordReplyEvidence judges a whole reply. What did not run says nothing of a version.
+// recordReplyEvidence counts a complete reply as evidence. A request that was not executed says
+// nothing about a version.
 func (r *Router) recordReplyEvidence(a *attempt, q *request, status gather.ReplyStatus) {
 	s := a.Segment.Group.(*service)
 	if s.canary == nil {
@@ -151,13 +153,13 @@
 	}
 }
 
-// recordFailureEvidence judges an attempt that ended without a reply. One that was given up before it
-// was late says nothing.
+// recordFailureEvidence counts an attempt that ended without a reply as evidence. One that was
+// cancelled before it was slow says nothing about the version.
 func (r *Router) recordFailureEvidence(a *attempt, q *request, event Failed) {
 	s := a.Segment.Group.(*service)
 	switch {
 	case s.canary == nil || event.Reason == zoneUnreachable:
-	case event.Delivery == gather.ServerCrashed && a.Alone: // it speaks against the request
+	case event.Delivery == gather.ServerCrashed && a.Alone: // evidence against the request, not the version
 	case event.Delivery == gather.NotDelivered:
 		if s.canary.Active() && a.server.Version == s.canary.State().Target {
 			s.canary.UndoTargetSend()
@@ -171,7 +173,8 @@
 	}
 }
 
-// classifyLatency is Slow for an attempt that takes much longer than is usual for its route.
+// classifyLatency returns rollout.Slow for an attempt that takes rollout.SlowFactor times the
+// route's median latency, and rollout.Good otherwise.
 func (r *Router) classifyLatency(a *attempt, q *request) rollout.AnswerQuality {
 	median := q.stats.median()
 	if median > 0 && float64(r.sinceSent(a)) > rollout.SlowFactor*float64(median) {
@@ -180,9 +183,9 @@
 	return rollout.Good
 }
 
-// RolloutReports lists what this node has to tell of the roll-outs that have not ended: what
-// it has seen, and how far it has moved. The owner adds who it is. Hurried says that the
-// deciders are to hear of one more often.
+// RolloutReports returns this node's reports on active roll-outs: the evidence that it collected
+// and whether it has moved its traffic. The owner adds the node's identity. hurried asks to report
+// more frequently to the deciders.
 func (r *Router) RolloutReports() (reports []rollout.Report, hurried bool) {
 	for name, s := range r.services {
 		if s.canary == nil || !s.canary.Active() {
@@ -202,8 +205,8 @@
 	return reports, hurried
 }
 
-// remainingAttempts counts what runs at servers that get nothing more and is still wanted, or may
-// not be run again.
+// remainingAttempts counts attempts in flight at servers of blocked versions whose replies are
+// still needed or which must not be repeated.
 func (r *Router) remainingAttempts(s *service) int {
 	count := 0
 	for _, a := range r.attempts {
@@ -215,14 +218,15 @@
 	return count
 }
 
-// RolloutExposure tells what a service's target got from this node, and what it might have.
+// RolloutExposure is the number of requests that this node sent to a roll-out's target version,
+// and the number allowed.
 type RolloutExposure struct {
 	Service, Target string
 	Sent            int
 	Allowed         float64
 }
 
-// RolloutExposures lists those of the roll-outs that have not ended.
+// RolloutExposures returns the exposure of all active roll-outs.
 func (r *Router) RolloutExposures() []RolloutExposure {
 	var exposures []RolloutExposure
 	for name, s := range r.services {
@@ -235,5 +239,5 @@
 	return exposures
 }
 
-// acceptsWork reports whether a server takes work at all.
+// acceptsWork reports whether the server is listed, ready and not in an evacuated zone.
 func (s *server) acceptsWork() bool { return !s.removed && !s.evacuated && s.State == discovery.Ready }
--- a/routing/router.go
+++ b/routing/router.go
@@ -18,8 +18,8 @@
 	"github.com/banksail/banksail/serverstate"
 )
 
-// Router carries the requests of one node. It is not safe for concurrent use:
-// its owner serialises calls to Step.
+// Router executes the requests of one node. It is not safe for concurrent use: its owner
+// serializes calls to Step.
 type Router struct {
 	options   Options
 	random    *rand.Rand
@@ -31,31 +31,32 @@
 	services   map[string]*service
 	servers    map[string]*server
 	routeStats map[string]*routeStats
-	// evacuated are the zones to which nothing may be sent.
+	// evacuated holds the zones to which nothing may be sent.
 	evacuated map[string]struct{}
 	zones     map[string]*zone
-	// lastReplyAt is when a server answered last.
+	// lastReplyAt is when any server last replied or accepted a connection.
 	lastReplyAt time.Duration
-	// fanOuts are routes that stand for all that fan out, and unable says that one of them
-	// can't be served from here.
+	// fanOuts holds one route per distinct fan-out target. cannotServe is set if at least one of
+	// them lacks reachable servers.
 	fanOuts     []*route.Route
 	cannotServe bool
-	// connected says that this node is not behind a cut, by the servers that it reaches.
+	// connected reports that this node reaches enough servers not to be considered disconnected
+	// from the network.
 	connected bool
-	// peerAvailable says that another node is known to reach enough servers.
+	// peerAvailable reports that another node is known to reach enough servers.
 	peerAvailable bool
 	outages       outageDurations
-	// starts is what is to be expected of servers that have just started.
+	// starts estimates the slowness of servers that have just started.
 	starts serverstate.ColdStarts
 
-	// ledger is what is known of requests that end servers, and ledgerDueAt when it is to be
-	// looked at; zero is never.
+	// ledger tracks requests that crash servers. ledgerDueAt is when it must be called next; zero
+	// means never.
 	ledger      *quarantine.Tracker
 	ledgerDueAt time.Duration
 
 	requests    map[RequestID]*request
 	attempts    map[gather.AttemptID]*attempt
-	inDoubt     map[gather.AttemptID]*attempt // that failed in doubt
+	inDoubt     map[gather.AttemptID]*attempt // failed with gather.InDoubt, awaiting a crash check
 	lastAttempt gather.AttemptID
 	sequence    uint64
 	dispatching *service
@@ -63,14 +64,14 @@
 
 	timers  *priority.Queue[timer]
 	timerAt time.Duration
-	// stopping says that the node ends.
+	// stopping is set once the node shuts down.
 	stopping bool
 }
 
-// never is later than any time.
+// never is a time later than any other.
 const never = time.Duration(math.MaxInt64)
 
-// New returns a Router that knows no server.
+// New returns a Router without any known servers.
 func New(now time.Duration, options Options) *Router {
 	options = options.withDefaults()
 	return &Router{
@@ -91,8 +92,8 @@
 	}
 }
 
-// Step takes one event at the given time and returns the actions to carry out,
-// in order. The caller owns the result.
+// Step handles one event at the given time and returns the actions to carry out, in order. The
+// caller owns the returned slice.
 func (r *Router) Step(now time.Duration, event Event) []Action {
 	r.now = max(r.now, now)
 	r.actions = nil
@@ -141,19 +142,18 @@
 	return r.actions
 }
 
-// enabled reports whether a mechanism is not switched off.
 func (r *Router) enabled(m mechanism.Mechanism) bool { return r.options.Disabled.Enabled(m) }
 
 func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
 
-// InFlightRequests is the number of requests without a final answer.
+// InFlightRequests returns the number of requests without a final answer.
 func (r *Router) InFlightRequests() int { return len(r.requests) }
 
-// ConnectionShare is the number of connections that this node may have to a
-// server of the service.
+// ConnectionShare returns the number of connections that this node may open to each server of the
+// service.
 func (r *Router) ConnectionShare(name string) int { return r.connectionShare(r.ensureService(name)) }
 
-// handleArrival decides on a request.
+// handleArrival starts or rejects a new request.
 func (r *Router) handleArrival(spec Request) {
 	standing, left := r.standingOf(&spec)
 	if standing >= quarantine.UnderReview {
@@ -170,15 +170,15 @@
 	q.start()
 }
 
-// abandon ends a request whose caller no longer waits. One that may not be
-// repeated goes on: stopping it would not undo it.
+// abandon ends a request whose caller no longer waits. A non-repeatable request continues, since
+// cancelling it would not undo its effects.
 func (r *Router) abandon(id RequestID) {
 	if q := r.requests[id]; q != nil {
 		q.query.Cancel(r.now)
 	}
 }
 
-// shutDown gives every request that runs its final answer.
+// shutDown gives all in-flight requests their final answer.
 func (r *Router) shutDown() {
 	r.stopping = true
 	for _, id := range slices.Sorted(maps.Keys(r.requests)) {
@@ -186,7 +186,7 @@
 	}
 }
 
-// takeAttempt takes an attempt whose end was reported; nil when it is not known.
+// takeAttempt removes and returns an attempt whose end was reported; nil if it is unknown.
 func (r *Router) takeAttempt(id gather.AttemptID) *attempt {
 	a := r.attempts[id]
 	if a == nil {
@@ -197,7 +197,6 @@
 	return a
 }
 
-// handleReply takes a server's reply.
 func (r *Router) handleReply(event Replied) {
 	a := r.takeAttempt(event.Attempt)
 	if a == nil {
@@ -232,7 +231,7 @@
 	r.dispatchQueued(a.Segment.Group.(*service))
 }
 
-// StatusName names a reply's status in records and metrics.
+// StatusName returns the name of a reply status in records and metrics.
 func StatusName(status gather.ReplyStatus) string {
 	switch status {
 	case gather.ReplyDone:
@@ -248,13 +247,14 @@
 	}
 }
 
-// minShedPause is how long a server that shed is left alone at least.
+// minShedPause is the minimum time for which nothing is sent to a server after it shed a request.
 const minShedPause = 10 * time.Millisecond
 
-// learnLatency takes the latency of an answer into the route's and the server's.
+// learnLatency adds the latency of a successful reply to the statistics of the route and the
+// server.
 func (r *Router) learnLatency(q *request, a *attempt) {
 	latency := r.sinceSent(a)
-	if !a.toLimitedVersion { // what is usual is not learned of an unproven version
+	if !a.toLimitedVersion { // an unproven version must not shift the route's baseline
 		q.stats.add(latency)
 	}
 	median := q.stats.median()
@@ -268,7 +268,7 @@
 	a.server.ObserveSlowness(r.now, slowness)
 }
 
-// handleFailure takes the end of an attempt without a reply.
+// handleFailure handles the end of an attempt without a reply.
 func (r *Router) handleFailure(event Failed) {
 	a := r.takeAttempt(event.Attempt)
 	if a == nil {
@@ -296,8 +296,8 @@
 	r.dispatchQueued(a.Segment.Group.(*service))
 }
 
-// handleConnectFailure sets a server aside until a connection to it is open again: requests
-// that try it would wait for connections that do not open.
+// handleConnectFailure excludes a server until a connection to it is open again, so that requests
+// do not wait for connections that fail to open.
 func (r *Router) handleConnectFailure(s *server, refused bool) {
 	if s == nil || s.removed || !r.enabled(mechanism.UnreachableServers) {
 		return
@@ -315,7 +315,7 @@
 	r.updateReachability()
 }
 
-// handleConnected takes a server back, as one that is tried with care.
+// handleConnected makes a server available again. What was learned about it before is kept.
 func (r *Router) handleConnected(s *server) {
 	if s == nil || !s.unreachable {
 		return
@@ -331,7 +331,7 @@
 	return a.Query().Owner().(*request)
 }
 
-// serverOf is the server of an incarnation; nil when that is not there, or not any more.
+// serverOf returns the server with the given incarnation, or nil if it is not listed.
 func (r *Router) serverOf(incarnation discovery.Incarnation) *server {
 	if s := r.servers[incarnation.ID]; s != nil && s.Incarnation() == incarnation {
 		return s
@@ -339,8 +339,8 @@
 	return nil
 }
 
-// updateServers takes the servers that are there now. What was learned of a
-// server stays while it does.
+// updateServers replaces the list of servers. What was learned about a server is kept as long as
+// the same incarnation stays listed at the same address.
 func (r *Router) updateServers(listed []discovery.Server) {
 	previous := r.servers
 	r.servers = make(map[string]*server, len(listed))
@@ -351,7 +351,7 @@
 		srv := previous[entry.ID]
 		isNew := srv == nil || srv.Incarnation() != entry.Incarnation() || srv.Address != entry.Address
 		if isNew {
-			srv = new(server) // also where another life had its ID: nothing of that one counts
+			srv = new(server) // also if the ID is reused by a new incarnation, to which nothing learned before applies
 		}
 		srv.updateWarmup(r.now, entry, !isNew)
 		srv.Server = entry
@@ -373,7 +373,7 @@
 	r.updateReachability()
 }
 
-// updateTable takes the bounds of the services.
+// updateTable applies the service limits of a route table.
 func (r *Router) updateTable(table *route.Table) {
 	for name, settings := range table.Services {
 		s := r.ensureService(name)
@@ -383,8 +383,8 @@
 	r.updateReachability()
 }
 
-// updateSettings takes bounds that were set anew. The window of budgets stays:
-// what was counted in another one would not fit.
+// updateSettings applies new limits. The budget window cannot change, because existing counts
+// refer to the old one.
 func (r *Router) updateSettings(event SettingsChanged) {
 	event.Budget.Window = r.options.Budget.Window
 	r.options.Budget = event.Budget
@@ -401,22 +401,22 @@
 	return s
 }
 
-// minSamples is the weight of samples below which a quantile says little.
+// minSamples is the weight of samples below which quantiles are unreliable.
 const minSamples = 20
 
-// routeStats are those of one route.
+// routeStats holds the statistics of one route.
 type routeStats struct {
 	sketch retry.Sketch
-	// shareOffset is where the last request fell among the route's weighted services.
+	// shareOffset is the position of the last request among the route's weighted services.
 	shareOffset float64
 	timeouts    callerTimeouts
 }
 
-// goldenRatioStep spreads consecutive points evenly over an interval of one.
+// goldenRatioStep distributes consecutive offsets evenly over [0, 1).
 const goldenRatioStep = 0.6180339887498949
 
-// nextShareOffset returns the next request's point in [0, 1). The points of any span of
-// requests are spread evenly, so that weights are kept over short spans, too.
+// nextShareOffset returns the offset of the next request in [0, 1). Consecutive offsets are spread
+// evenly, so that weights hold over short runs of requests, too.
 func (s *routeStats) nextShareOffset(random *rand.Rand) float64 {
 	if s.shareOffset == 0 {
 		s.shareOffset = random.Float64()
@@ -427,7 +427,7 @@
 
 func (s *routeStats) add(latency time.Duration) { s.sketch.Add(latency) }
 
-// median is the latency that half of the answers stay below; zero when unknown.
+// median returns the median latency of the route's replies; zero if unknown.
 func (s *routeStats) median() time.Duration {
 	if s.sketch.Count() < minSamples {
 		return 0
--- a/routing/server.go
+++ b/routing/server.go
@@ -8,30 +8,31 @@
 	"github.com/banksail/banksail/serverstate"
 )
 
-// failedSlowness stands for a failure of a server, and errorReplySlowness for an answer that
-// says that it failed.
+// failedSlowness is the slowness recorded for a failed attempt, and errorReplySlowness that for an
+// error reply.
 const (
 	failedSlowness     = serverstate.MaxSlowness
 	errorReplySlowness = failedSlowness / 2
 )
 
-// server is what the router knows of one server.
+// server is the router's state for one server.
 type server struct {
 	discovery.Server
 	serverstate.Estimate
-	removed bool // is in no listing any more
-	// unreachable says that no connection to it could be opened of late.
+	removed bool // no longer listed
+	// unreachable is set after a connection to the server failed to open, until one opens again.
 	unreachable bool
-	// refusesConnections says that nobody listened at its address then, so that no other node reaches it.
+	// refusesConnections is set if the address refused the connection (nothing listens there), in
+	// which case other nodes cannot reach the server either.
 	refusesConnections bool
-	// evacuated says that nothing may be sent to its zone.
+	// evacuated is set if the server's zone is evacuated.
 	evacuated bool
-	// zone is its zone, as far as this node can reach that.
+	// zone is the state of the server's zone.
 	zone *zone
-	// coldSends counts what it got while it was cold.
+	// coldSends counts the sends to the server while it was cold.
 	coldSends extrabudget.Counter
-	// standing is what its version may get, and trials what it got of what is allowed to a
-	// version that is not proven.
+	// standing is the traffic that the server's version may receive. canarySends counts sends to
+	// it while its version was the target of a roll-out.
 	standing    rollout.TrafficMode
 	canarySends int
 }
@@ -42,16 +43,17 @@
 	server  *server
 	flight  serverstate.PendingAttempt
 	isExtra bool
-	// toLimitedVersion says that it went to a version that is not proven.
+	// toLimitedVersion is set if the attempt went to an unproven version, whose traffic is
+	// limited.
 	toLimitedVersion bool
-	recordIndex      int // its place in the request's records
+	recordIndex      int // index into request.records
 }
 
 // ServerID implements gather.Server.
 func (s *server) ServerID() string { return s.ID }
 
-// isUsable reports whether the server takes new work.
+// isUsable reports whether this node may send new work to the server.
 func (s *server) isUsable() bool { return s.isEligible() && !s.unreachable && !s.zone.cutOff }
 
-// isEligible reports whether it takes new work of nodes that can reach it.
+// isEligible reports whether a node that can reach the server may send new work to it.
 func (s *server) isEligible() bool { return s.acceptsWork() && s.standing == rollout.Unrestricted }
--- a/routing/service.go
+++ b/routing/service.go
@@ -10,31 +10,34 @@
 	"github.com/banksail/banksail/rollout"
 )
 
-// service is a set of servers that answer alike.
+// service is a set of interchangeable servers.
 type service struct {
 	name    string
 	servers []*server
-	// connections is what each server accepts from all nodes; zero is unknown.
+	// connections is the number of connections that each server accepts from all nodes; zero means
+	// unknown.
 	connections int
-	// coldRate is the number of requests a second that a cold server bears; zero is no bound.
+	// coldRate is the number of requests per second that a cold server can handle; zero means
+	// unlimited.
 	coldRate float64
-	// dispatchAt is when what waits is looked at again; zero is when something happens.
+	// dispatchAt is when to retry queued segments; zero means only on the next event.
 	dispatchAt time.Duration
 	budget     extrabudget.Budget
 	queue      *priority.Queue[queuedSegment]
 	overload   overloadStats
-	// canary is the node's part in the service's roll-outs; nil is that there was none.
+	// canary limits this node's traffic to the target version of a roll-out; nil if the service
+	// never had a roll-out.
 	canary *rollout.Canary
-	// hadServer says that a server of it could be asked once, and lacks that none can now, since
-	// outageSince.
+	// hadServer is set once the service had a usable server. inOutage is set while it has none,
+	// since outageSince.
 	hadServer, inOutage bool
 	outageSince         time.Duration
 }
 
-// queuedSegment is a segment that waits until a server of the service has room.
+// queuedSegment is a segment that waits until a server of the service has free capacity.
 type queuedSegment struct {
-	// isLate says that its request will miss its aim anyway; it goes behind those
-	// that may still keep it.
+	// isLate is set if the request will miss its latency target anyway. It is then queued behind
+	// requests that can still meet theirs.
 	isLate   bool
 	priority int
 	sequence uint64
@@ -42,7 +45,8 @@
 	request  *request
 }
 
-// less puts what may still be in time first, then by priority, then by age.
+// less orders segments by whether they can still meet the latency target, then by priority, then
+// by age.
 func (w queuedSegment) less(other queuedSegment) bool {
 	if w.isLate != other.isLate {
 		return other.isLate
@@ -50,7 +54,7 @@
 	return cmp.Or(cmp.Compare(w.priority, other.priority), cmp.Compare(w.sequence, other.sequence)) < 0
 }
 
-// enqueue lets a segment wait for room.
+// enqueue queues a segment until a server has free capacity.
 func (r *Router) enqueue(s *service, segment *gather.Segment, q *request) {
 	r.sequence++
 	w := queuedSegment{isLate: q.isLate(), priority: q.asked.Route.Priority, sequence: r.sequence, segment: segment, request: q}
@@ -61,8 +65,8 @@
 	s.queue.Push(w)
 }
 
-// scheduleDispatch arranges that what waits is looked at again when a server may have room that
-// nothing else tells of.
+// scheduleDispatch schedules a retry of queued segments for when a server may have capacity again,
+// if no event will signal that.
 func (r *Router) scheduleDispatch(s *service, at time.Duration) {
 	if s.dispatchAt == 0 || at < s.dispatchAt {
 		s.dispatchAt = at
@@ -70,7 +74,7 @@
 	}
 }
 
-// dispatchQueued sends what waits in a service in which a server may have room now.
+// dispatchQueued sends queued segments of a service while its servers have free capacity.
 func (r *Router) dispatchQueued(s *service) {
 	if s.queue.Len() == 0 {
 		return
@@ -97,11 +101,11 @@
 	r.dispatching = nil
 }
 
-// retryReserve is the part of the budget that is kept for retries: a retry saves a
-// request, a hedge only time.
+// retryReserve is the share of the budget reserved for retries. A retry saves a request, whereas a
+// hedge only saves time.
 const retryReserve = 0.15
 
-// extraSendAllowed reports whether one more extra send to the service is allowed.
+// extraSendAllowed reports whether the budget allows one more extra send to the service.
 func (r *Router) extraSendAllowed(s *service, kind gather.SendKind) bool {
 	left, most := s.budget.Remaining(r.now, r.options.Budget, r.fixedBudgetShare())
 	if kind == gather.HedgeSend {
@@ -120,7 +124,7 @@
 	return false
 }
 
-// uncountSend takes an attempt back of which no byte was written: it was no send.
+// uncountSend reverts countSend for an attempt of which no byte was written.
 func (r *Router) uncountSend(a *attempt, q *request) {
 	s := a.Segment.Group.(*service)
 	window := r.options.Budget.Window
@@ -135,5 +139,4 @@
 	q.parts[a.Range.Start].countedInBudget = false
 }
 
-// sinceSent is the time since an attempt was sent.
 func (r *Router) sinceSent(a *attempt) time.Duration { return r.now - a.SentAt }
--- a/routing/stop_policy.go
+++ b/routing/stop_policy.go
@@ -6,13 +6,13 @@
 	"github.com/banksail/banksail/gather"
 )
 
-// aimStopPolicy stops at the route's aim once the minimum coverage is there: until
-// then waiting costs nothing, and afterwards an answer is worth little more for
-// another part. An answer that is late anyway waits longer for the rest.
+// aimStopPolicy stops a request at its route's latency target once the minimum coverage is
+// reached: until then waiting costs nothing, and afterwards another part adds little value. A
+// request that already missed the target waits longer for the remaining parts.
 type aimStopPolicy struct{ request *request }
 
-// lateWaitFactor is the multiple of the aim until which an answer that is late
-// anyway waits for full coverage.
+// lateWaitFactor is the multiple of the latency target until which a late request waits for full
+// coverage.
 const lateWaitFactor = 1.3
 
 // StopAfter implements gather.StopPolicy.
@@ -29,17 +29,17 @@
 	return after, true
 }
 
-// timerSlack is how late a timer may be.
+// timerSlack is the maximum expected delay of a timer.
 const timerSlack = 2 * time.Millisecond
 
-// answerTimeout is the time since the request's arrival at which an answer must
-// leave to be at the caller within the route's aim.
+// answerTimeout returns the time since the request's arrival at which the answer must be sent to
+// reach the caller within the route's latency target. It is at least a quarter of the target.
 func (q *request) answerTimeout() time.Duration {
 	after := q.asked.Route.Aim - q.asked.Elapsed - q.asked.ReturnTime - q.router.options.AnswerMargin
 	return max(after, q.asked.Route.Aim/4)
 }
 
-// isLate reports whether the request has missed its route's aim.
+// isLate reports whether the request has missed its route's latency target.
 func (q *request) isLate() bool {
 	return q.asked.Route.Aim > 0 && q.router.now > q.arrivedAt+q.answerTimeout()
 }
--- a/routing/timers.go
+++ b/routing/timers.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// timer is when a request must be looked at, what waits in a service, a zone from which
-// nothing has come, or the ledger.
+// timer is a pending deadline of exactly one of: a request, the queue of a service, the silence
+// check of a zone, or the crash ledger.
 type timer struct {
 	at      time.Duration
 	request *request
@@ -12,7 +12,7 @@
 	ledger  bool
 }
 
-// isCurrent reports whether the timer was not replaced by another one.
+// isCurrent reports whether the timer has not been superseded.
 func (t timer) isCurrent() bool {
 	switch {
 	case t.ledger:
@@ -25,7 +25,7 @@
 	return !t.request.finished && t.at == t.request.timerAt
 }
 
-// schedule sets a request's timer.
+// schedule updates a request's timer.
 func (r *Router) schedule(q *request) {
 	if q.finished || q.query.NextTickAt() == q.timerAt {
 		return
@@ -34,7 +34,7 @@
 	r.timers.Push(timer{at: q.timerAt, request: q})
 }
 
-// runTimers looks at the requests whose time has come.
+// runTimers handles all timers that are due.
 func (r *Router) runTimers() {
 	for r.timers.Len() > 0 && r.timers.First().at <= r.now {
 		due := r.timers.Pop()
@@ -57,7 +57,7 @@
 	}
 }
 
-// updateTimer asks to be woken for the first timer that still counts.
+// updateTimer emits SetTimer if the earliest current timer is due before the one requested last.
 func (r *Router) updateTimer() {
 	for r.timers.Len() > 0 {
 		if r.timers.First().isCurrent() {
--- a/routing/zone_reachability.go
+++ b/routing/zone_reachability.go
@@ -12,30 +12,32 @@
 )
 
 const (
-	// zoneSilenceTimeout is the time without any answer from a zone after which this node takes the
-	// way there for cut. Servers pause for 0.3 s at most, each at a time of its own, and
-	// slow ones take a tenth of a second; a zone answers many times in it.
+	// zoneSilenceTimeout is the time without any reply from a zone after which this node considers
+	// the zone unreachable. Servers pause for at most 0.3 s, independently of each other, and slow
+	// ones take 0.1 s to answer; a zone normally answers many times within the timeout.
 	zoneSilenceTimeout = 300 * time.Millisecond
-	// minSilentServers is the number of servers that must have been asked in vain: one or two
-	// may be slow or down.
+	// minSilentServers is the minimum number of servers that must have failed to answer; one or
+	// two may be slow or down.
 	minSilentServers = 4
-	// maxTimerDelay is how late a timer is on a node that works as usual.
+	// maxTimerDelay is the maximum delay of a timer on a node that is not stalled.
 	maxTimerDelay = 50 * time.Millisecond
-	// maxZoneProbes is the number of its servers to which connections are tried meanwhile.
+	// maxZoneProbes is the number of servers in an unreachable zone to which connections are
+	// tried.
 	maxZoneProbes = 3
 )
 
-// zoneUnreachable is the reason by which attempts in a dark zone end.
+// zoneUnreachable is the failure reason of attempts in a zone that became unreachable.
 const zoneUnreachable = "zone_unreachable"
 
-// zone is what the router knows of the way to a zone's servers.
+// zone is the router's view of whether it can reach a zone's servers.
 type zone struct {
 	name string
-	// silent are the servers that were asked since one of the zone answered last, and
-	// since is when the first of them was.
+	// silent holds the servers that were sent something since the zone's last reply. silentSince
+	// is when the first of them was.
 	silent      map[*server]struct{}
 	silentSince time.Duration
-	// cutOff says that no server of it can be reached; probed are those that are tried.
+	// cutOff is set while none of the zone's servers can be reached. probes are the servers to
+	// which connections are tried meanwhile.
 	cutOff bool
 	probes []*server
 }
@@ -49,7 +51,7 @@
 	return z
 }
 
-// recordZoneSend notes that a server of a zone was sent something.
+// recordZoneSend records that something was sent to a server of the zone.
 func (r *Router) recordZoneSend(z *zone, s *server) {
 	if len(z.silent) == 0 {
 		z.silentSince = r.now
@@ -58,7 +60,7 @@
 	z.silent[s] = struct{}{}
 }
 
-// recordZoneReply notes that a server of the zone answered, or that a connection to it opened.
+// recordZoneReply records that a server of the zone replied or accepted a connection.
 func (r *Router) recordZoneReply(z *zone) {
 	r.lastReplyAt = r.now
 	clear(z.silent)
@@ -70,9 +72,9 @@
 	r.updateReachability()
 }
 
-// checkZone takes a zone from which nothing came for dark, when servers of other zones
-// answered meanwhile. It is looked at again later where few servers were asked, and where
-// this node may itself have been late: frozen, or with nothing heard from anywhere.
+// checkZone marks a silent zone as unreachable if servers elsewhere have replied meanwhile. It
+// checks again later if too few servers were asked, or if this node itself may have stalled or
+// lost all connectivity.
 func (r *Router) checkZone(z *zone, due time.Duration) {
 	delayed := r.now-due > maxTimerDelay
 	switch {
@@ -85,8 +87,8 @@
 	}
 }
 
-// markZoneUnreachable sets a zone's servers aside until one of them can be reached. What was sent there
-// is not awaited any longer where it may be sent again: elsewhere it may still be in time.
+// markZoneUnreachable excludes a zone's servers until one of them can be reached. Repeatable
+// attempts in flight there are failed immediately, since a retry elsewhere may still be in time.
 func (r *Router) markZoneUnreachable(z *zone) {
 	z.cutOff = true
 	r.probeZone(z, slices.Collect(maps.Keys(z.silent)))
@@ -101,7 +103,7 @@
 	}
 }
 
-// probeZone tries to reach some servers of a dark zone.
+// probeZone starts connection attempts to some servers of an unreachable zone.
 func (r *Router) probeZone(z *zone, candidates []*server) {
 	candidates = slices.DeleteFunc(candidates, func(s *server) bool { return s.removed })
 	slices.SortFunc(candidates, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
@@ -114,8 +116,8 @@
 	}
 }
 
-// updateZoneProbes goes on with other servers of a dark zone when those that were tried
-// are gone, and forgets a zone that has none any more.
+// updateZoneProbes probes other servers of an unreachable zone once all probed ones were removed,
+// and marks a zone without servers as reachable again.
 func (r *Router) updateZoneProbes() {
 	for _, name := range slices.Sorted(maps.Keys(r.zones)) {
 		z := r.zones[name]
@@ -136,14 +138,14 @@
 	}
 }
 
-// dispatchAllQueued looks at all that waits.
+// dispatchAllQueued dispatches the queued segments of all services.
 func (r *Router) dispatchAllQueued() {
 	for _, name := range slices.Sorted(maps.Keys(r.services)) {
 		r.dispatchQueued(r.services[name])
 	}
 }
 
-// distinctFanOuts lists routes that fan out, one for each set of shards and least coverage.
+// distinctFanOuts returns one fan-out route for each distinct set of shards and minimum coverage.
 func distinctFanOuts(table *route.Table) []*route.Route {
 	type fanOutKind struct {
 		set     *string
@@ -166,9 +168,10 @@
 	return distinct
 }
 
-// updateReachability tells the owner when this node becomes unable to reach enough servers for
-// some route, or able again. Servers that other nodes can't ask either don't count: one at whose
-// address nobody listens is such a one, unless next to all are so, as behind a cut that refuses.
+// updateReachability emits ReachabilityChanged when this node becomes unable to reach enough
+// servers for some fan-out route, or able again. Servers that are unavailable to all nodes do not
+// count. A server that refuses connections is assumed to be one of them, unless nearly all do, as
+// behind a network partition that rejects connections.
 func (r *Router) updateReachability() {
 	r.connected = r.isConnected()
 	unable := slices.ContainsFunc(r.fanOuts, r.lacksReachableShards)
@@ -179,7 +182,7 @@
 	r.emit(ReachabilityChanged{CanServe: !unable})
 }
 
-// lacksReachableShards reports whether too few shards of a route can be reached from here.
+// lacksReachableShards reports whether too few shards of a route can be reached from this node.
 func (r *Router) lacksReachableShards(target *route.Route) bool {
 	shards := target.Target.Shards
 	spare := len(shards) - minPartsFor(len(shards), target.Target.MinimumCoverage)
@@ -191,7 +194,8 @@
 	return spare < 0
 }
 
-// isConnected reports whether this node reaches so many servers that it is not behind a cut.
+// isConnected reports whether this node reaches enough servers not to be considered partitioned
+// from the network.
 func (r *Router) isConnected() bool {
 	reached := 0
 	for _, srv := range r.servers {
@@ -202,11 +206,12 @@
 	return reached > 0 && float64(reached) >= minConnectedShare*float64(len(r.servers))
 }
 
-// minConnectedShare is the part of all servers that a node reaches at least that is not behind a cut.
+// minConnectedShare is the minimum share of all servers that a node reaches unless it is
+// partitioned.
 const minConnectedShare = 0.125
 
-// isUnreachable reports whether a service has servers that others may reach, and none that this node,
-// which is connected or behind a cut, can.
+// isUnreachable reports whether a service has servers that other nodes may reach but none that
+// this node can. connected is the result of isConnected.
 func (s *service) isUnreachable(connected bool) bool {
 	anyEligible := false
 	for _, srv := range s.servers {
