--- a/rollout/trial.go
+++ b/rollout/canary.go
@@ -37,18 +37,18 @@
 	Granted int
 }
 
-// current reports whether the record is that of the order.
-func (s State) current() bool { return s.Record != nil && s.Record.Order == s.Order }
+// hasCurrentRecord reports whether the record is that of the order.
+func (s State) hasCurrentRecord() bool { return s.Record != nil && s.Record.Order == s.Order }
 
-// moving reports whether the order's traffic moves.
-func (s State) moving() bool { return s.current() && s.Record.Phase == Moving }
+// isMoving reports whether the order's traffic moves.
+func (s State) isMoving() bool { return s.hasCurrentRecord() && s.Record.Phase == Moving }
 
 // Ended reports whether there is nothing to do: no order, or one that has come to its end.
 func (s State) Ended() bool {
 	if s.Order == 0 {
 		return s.Record == nil || s.Record.Phase.Ended()
 	}
-	return s.current() && s.Record.Phase.Ended()
+	return s.hasCurrentRecord() && s.Record.Phase.Ended()
 }
 
 // RecordMatchesRestoredOrder reports whether the record is of the order that stands in the registry, though that
@@ -65,7 +65,7 @@
 	if s.Record == nil {
 		return false
 	}
-	moved := s.current() && s.OrderRevision != 0 && s.Record.orderRevision() != s.OrderRevision
+	moved := s.hasCurrentRecord() && s.OrderRevision != 0 && s.Record.orderRevision() != s.OrderRevision
 	return s.RecordLost || moved
 }
 
@@ -82,23 +82,23 @@
 	switch {
 	case s.OrderTimeKnown:
 		return now - s.Since
-	case s.current() && s.Record.HasAlarm && s.AlarmHeld:
-		return min(s.Record.Elapsed+now-s.RecordSeenAt, s.Record.DecisionAt-loadTime)
-	case s.current() && s.Record.HasAlarm && s.AlarmSeenAt > 0:
+	case s.hasCurrentRecord() && s.Record.HasAlarm && s.AlarmHeld:
+		return min(s.Record.Elapsed+now-s.RecordSeenAt, s.Record.DecisionAt-loadTestTime)
+	case s.hasCurrentRecord() && s.Record.HasAlarm && s.AlarmSeenAt > 0:
 		return s.Record.DecisionAt + now - s.AlarmSeenAt
-	case s.current() && s.Record.HasAlarm:
-		return s.Record.DecisionAt + restartTime + now - s.RecordSeenAt // gone before this node began
-	case s.current():
-		return s.Record.Elapsed + restartTime + now - s.RecordSeenAt
+	case s.hasCurrentRecord() && s.Record.HasAlarm:
+		return s.Record.DecisionAt + restartAllowance + now - s.RecordSeenAt // gone before this node began
+	case s.hasCurrentRecord():
+		return s.Record.Elapsed + restartAllowance + now - s.RecordSeenAt
 	default:
-		return restartTime
+		return restartAllowance
 	}
 }
 
 // AgeUncertainty is by how much the order may be younger than its age tells.
 func (s State) AgeUncertainty() time.Duration {
 	if !s.OrderTimeKnown {
-		return restartTime
+		return restartAllowance
 	}
 	return max(s.Latest-s.Since, 0)
 }
@@ -110,7 +110,7 @@
 // GrantFor is what a record grants to a node, whose process runs for the time given: one that
 // is younger than the grant may follow one that has used it.
 func (s State) GrantFor(now time.Duration, node string, running time.Duration) int {
-	if !s.current() || running < s.Age(now)-s.Record.Granted+grantMargin {
+	if !s.hasCurrentRecord() || running < s.Age(now)-s.Record.Granted+grantMargin {
 		return 0
 	}
 	return s.Record.Grants[node]
@@ -139,16 +139,16 @@
 	allowance extrabudget.Allowance
 	routes    map[string]*routeSends
 	halted    bool
-	// loaded says that the load has begun, before which spentBefore were spent, and loadServers
+	// loadTestStarted says that the load has begun, before which sendsBeforeLoadTest were spent, and loadServers
 	// is the number of servers that bear it.
-	loaded                   bool
-	spentBefore, loadServers int
-	// only is the one version that is there, empty if there are several, and alone says that
+	loadTestStarted                      bool
+	sendsBeforeLoadTest, loadTestServers int
+	// soleVersion is the one version that is there, empty if there are several, and alone says that
 	// it is the order's: then there is nothing to move.
-	only  string
-	alone bool
-	// movingAt is when this node heard that traffic moves; the record may be written again.
-	movingAt time.Duration
+	soleVersion  string
+	targetIsSole bool
+	// moveSeenAt is when this node heard that traffic moves; the record may be written again.
+	moveSeenAt time.Duration
 	// freshUntil is until when the belief is good enough.
 	freshUntil time.Duration
 	evidence   Evidence
@@ -161,48 +161,48 @@
 }
 
 // Update notes what is known of the roll-out, until when that is fresh.
-func (t *Canary) Update(state State, freshUntil time.Duration) {
-	if state.Order != t.state.Order {
-		t.allowance = extrabudget.Allowance{}
-		t.routes, t.halted, t.loaded = make(map[string]*routeSends), false, false
-		t.evidence = Evidence{}
-		t.alone = t.only != "" && t.only == state.Target
+func (c *Canary) Update(state State, freshUntil time.Duration) {
+	if state.Order != c.state.Order {
+		c.allowance = extrabudget.Allowance{}
+		c.routes, c.halted, c.loadTestStarted = make(map[string]*routeSends), false, false
+		c.evidence = Evidence{}
+		c.targetIsSole = c.soleVersion != "" && c.soleVersion == state.Target
 	}
-	if state.moving() && (!t.state.moving() || state.Order != t.state.Order) {
-		t.movingAt = state.RecordSeenAt
+	if state.isMoving() && (!c.state.isMoving() || state.Order != c.state.Order) {
+		c.moveSeenAt = state.RecordSeenAt
 	}
-	t.state, t.freshUntil = state, freshUntil
+	c.state, c.freshUntil = state, freshUntil
 }
 
 // SetVersions notes the versions of the service's servers that take work.
-func (t *Canary) SetVersions(versions []string) {
-	t.only = ""
+func (c *Canary) SetVersions(versions []string) {
+	c.soleVersion = ""
 	if len(versions) == 1 {
-		t.only = versions[0]
+		c.soleVersion = versions[0]
 	}
 }
 
 // State is what was noted last.
-func (t *Canary) State() State { return t.state }
+func (c *Canary) State() State { return c.state }
 
 // Halt stops what the target gets until there is another order: the decision to roll back
 // is on its way.
-func (t *Canary) Halt(order uint64) {
-	if t.state.Order == order {
-		t.halted = true
+func (c *Canary) Halt(order uint64) {
+	if c.state.Order == order {
+		c.halted = true
 	}
 }
 
 // Active reports whether there is an order that has not ended.
-func (t *Canary) Active() bool {
-	return t.state.Order != 0 && !t.state.Ended()
+func (c *Canary) Active() bool {
+	return c.state.Order != 0 && !c.state.Ended()
 }
 
 // TrafficMode is what servers of a version may get now.
-func (t *Canary) TrafficMode(now time.Duration, version string) TrafficMode {
-	record := t.state.Record
-	if t.Active() && version == t.state.Target {
-		return t.targetStanding(now)
+func (c *Canary) TrafficMode(now time.Duration, version string) TrafficMode {
+	record := c.state.Record
+	if c.Active() && version == c.state.Target {
+		return c.targetTrafficMode(now)
 	}
 	switch {
 	case record == nil:
@@ -213,9 +213,9 @@
 		return Blocked
 	case record.Phase == Completed && slices.Contains(record.Before, version):
 		return Blocked
-	case t.Moved(now) && slices.Contains(record.Before, version):
+	case c.Moved(now) && slices.Contains(record.Before, version):
 		return Blocked
-	case !record.Phase.Ended() && !t.state.current() && version == record.Target:
+	case !record.Phase.Ended() && !c.state.hasCurrentRecord() && version == record.Target:
 		return Blocked // given up for another order, or taken back
 	default:
 		return Unrestricted
@@ -224,21 +224,21 @@
 
 // Moved reports whether this node sends everything to the target. One that was told to halt
 // has gone back to the versions before.
-func (t *Canary) Moved(now time.Duration) bool {
-	if !t.Active() || !t.state.moving() || t.halted {
+func (c *Canary) Moved(now time.Duration) bool {
+	if !c.Active() || !c.state.isMoving() || c.halted {
 		return false
 	}
-	spread := time.Duration(t.offset * float64(rampTime))
-	return now >= t.movingAt+spread && t.state.Age(now) >= t.state.Record.MoveAt+spread
+	spread := time.Duration(c.offset * float64(rampTime))
+	return now >= c.moveSeenAt+spread && c.state.Age(now) >= c.state.Record.MoveAt+spread
 }
 
-func (t *Canary) targetStanding(now time.Duration) TrafficMode {
+func (c *Canary) targetTrafficMode(now time.Duration) TrafficMode {
 	switch {
-	case !t.state.current() && t.alone:
+	case !c.state.hasCurrentRecord() && c.targetIsSole:
 		return Unrestricted
-	case !t.state.current() || t.halted:
+	case !c.state.hasCurrentRecord() || c.halted:
 		return Blocked
-	case t.Moved(now):
+	case c.Moved(now):
 		return Unrestricted
 	default:
 		return Limited
@@ -247,27 +247,27 @@
 
 // NeedsFrequentReports reports whether the target gets so much now that the deciders are to hear of it
 // more often.
-func (t *Canary) NeedsFrequentReports(now time.Duration) bool {
-	_, underLoad := t.LoadTestServer(now)
-	return underLoad || t.Active() && t.state.current() && t.state.Record.Phase == Moving
+func (c *Canary) NeedsFrequentReports(now time.Duration) bool {
+	_, underLoad := c.LoadTestServer(now)
+	return underLoad || c.Active() && c.state.hasCurrentRecord() && c.state.Record.Phase == Moving
 }
 
 // CountTargetSend notes that a server of the target was sent something.
-func (t *Canary) CountTargetSend() { t.allowance.Spend() }
+func (c *Canary) CountTargetSend() { c.allowance.Spend() }
 
 // UndoTargetSend notes that nothing of a send to the target was written.
-func (t *Canary) UndoTargetSend() { t.allowance.Refund() }
+func (c *Canary) UndoTargetSend() { c.allowance.Refund() }
 
 // CountRequest notes that a request has reached a server of the service, whatever its version.
-func (t *Canary) CountRequest() { t.allowance.Count() }
+func (c *Canary) CountRequest() { c.allowance.Count() }
 
 // TargetSends is what the target got from this node.
-func (t *Canary) TargetSends() int { return t.allowance.Spent() }
+func (c *Canary) TargetSends() int { return c.allowance.Spent() }
 
 // Allowed is what the target may have got so far.
-func (t *Canary) Allowed() float64 {
-	return t.allowance.Limit(t.bounds.ExposureShare, t.state.Granted)
+func (c *Canary) Allowed() float64 {
+	return c.allowance.Limit(c.bounds.ExposureShare, c.state.Granted)
 }
 
 // Evidence is what the node has seen of the order's answers.
-func (t *Canary) Evidence() *Evidence { return &t.evidence }
+func (c *Canary) Evidence() *Evidence { return &c.evidence }
--- a/rollout/trial_test.go
+++ b/rollout/canary_test.go
@@ -8,8 +8,8 @@
 
 var testBounds = Bounds{ExposureShare: 0.1, ExposureSlack: 50, RollbackTime: 5 * time.Second}
 
-// runningState is a node's of an order of 20 s that was given at 0, at the given phase.
-func runningState(phase Phase) State {
+// stateInPhase is a node's of an order of 20 s that was given at 0, at the given phase.
+func stateInPhase(phase Phase) State {
 	return State{
 		Order: 7, Target: "v2", OrderTimeKnown: true, Granted: 10,
 		Record: &Record{
@@ -21,12 +21,12 @@
 
 // What each version's servers may get, in every phase of an order, and while the record is
 // of an earlier one.
-func TestStandings(t *testing.T) {
-	superseded := runningState(Moving)
+func TestTrafficModes(t *testing.T) {
+	superseded := stateInPhase(Moving)
 	superseded.Order, superseded.Target, superseded.Granted = 9, "v3", 0
-	taken := runningState(Moving)
+	taken := stateInPhase(Moving)
 	taken.Order = 0
-	next := runningState(Completed)
+	next := stateInPhase(Completed)
 	next.Order, next.Target, next.Granted = 9, "v1", 0
 	for name, test := range map[string]struct {
 		state State
@@ -34,18 +34,18 @@
 	}{
 		"nothing":       {State{}, map[string]TrafficMode{"v1": Unrestricted, "v2": Unrestricted}},
 		"order alone":   {State{Order: 7, Target: "v2"}, map[string]TrafficMode{"v1": Unrestricted, "v2": Blocked}},
-		"running":       {runningState(Running), map[string]TrafficMode{"v0": Blocked, "v1": Unrestricted, "v2": Limited, "v9": Unrestricted}},
-		"moving":        {runningState(Moving), map[string]TrafficMode{"v0": Blocked, "v1": Blocked, "v2": Unrestricted, "v9": Unrestricted}},
-		"completed":     {runningState(Completed), map[string]TrafficMode{"v0": Blocked, "v1": Blocked, "v2": Unrestricted, "v9": Unrestricted}},
-		"rolled back":   {runningState(RolledBack), map[string]TrafficMode{"v0": Blocked, "v1": Unrestricted, "v2": Blocked}},
+		"running":       {stateInPhase(Running), map[string]TrafficMode{"v0": Blocked, "v1": Unrestricted, "v2": Limited, "v9": Unrestricted}},
+		"moving":        {stateInPhase(Moving), map[string]TrafficMode{"v0": Blocked, "v1": Blocked, "v2": Unrestricted, "v9": Unrestricted}},
+		"completed":     {stateInPhase(Completed), map[string]TrafficMode{"v0": Blocked, "v1": Blocked, "v2": Unrestricted, "v9": Unrestricted}},
+		"rolled back":   {stateInPhase(RolledBack), map[string]TrafficMode{"v0": Blocked, "v1": Unrestricted, "v2": Blocked}},
 		"superseded":    {superseded, map[string]TrafficMode{"v1": Unrestricted, "v2": Blocked, "v3": Blocked}},
 		"taken back":    {taken, map[string]TrafficMode{"v1": Unrestricted, "v2": Blocked}},
 		"next, back v1": {next, map[string]TrafficMode{"v1": Blocked, "v2": Unrestricted}},
 	} {
-		trial := NewCanary(testBounds, 0)
-		trial.Update(test.state, time.Hour)
+		canary := NewCanary(testBounds, 0)
+		canary.Update(test.state, time.Hour)
 		for version, want := range test.want {
-			if got := trial.TrafficMode(10*time.Second, version); got != want {
+			if got := canary.TrafficMode(10*time.Second, version); got != want {
 				t.Errorf("%s: %s stands at %d, want %d", name, version, got, want)
 			}
 		}
@@ -59,24 +59,24 @@
 		versions []string
 		want     TrafficMode
 	}{{[]string{"v2"}, Unrestricted}, {[]string{"v1", "v2"}, Blocked}, {nil, Blocked}} {
-		trial := NewCanary(testBounds, 0)
-		trial.SetVersions(test.versions)
-		trial.Update(State{Order: 7, Target: "v2"}, time.Hour)
-		if got := trial.TrafficMode(time.Second, "v2"); got != test.want {
+		canary := NewCanary(testBounds, 0)
+		canary.SetVersions(test.versions)
+		canary.Update(State{Order: 7, Target: "v2"}, time.Hour)
+		if got := canary.TrafficMode(time.Second, "v2"); got != test.want {
 			t.Errorf("%v: the target stands at %d, want %d", test.versions, got, test.want)
 		}
 	}
 }
 
-// sendAll offers first sends on a route every 10 ms and counts those that go to the target.
-func sendAll(trial *Canary, from, to time.Duration, route string) (given, offered int) {
+// offerSends offers first sends on a route every 10 ms and counts those that go to the target.
+func offerSends(canary *Canary, from, to time.Duration, route string) (given, offered int) {
 	for now := from; now < to; now += 10 * time.Millisecond {
-		due := trial.ShouldSendToTarget(now, route)
-		trial.CountFirstSend(route, due)
-		trial.CountRequest()
+		due := canary.ShouldSendToTarget(now, route)
+		canary.CountFirstSend(route, due)
+		canary.CountRequest()
 		offered++
 		if due {
-			trial.CountTargetSend()
+			canary.CountTargetSend()
 			given++
 		}
 	}
@@ -86,19 +86,19 @@
 // The target gets no more than its part at any time, some of it at once, a third by the time
 // at which the load is tried, and the rest then.
 func TestExposureIsSpreadAndBounded(t *testing.T) {
-	trial := NewCanary(testBounds, 0)
-	trial.Update(runningState(Running), time.Hour)
-	early, offered := sendAll(trial, 0, time.Second, "a")
+	canary := NewCanary(testBounds, 0)
+	canary.Update(stateInPhase(Running), time.Hour)
+	early, offered := offerSends(canary, 0, time.Second, "a")
 	if early == 0 {
 		t.Error("nothing is tried in the first second")
 	}
-	more, count := sendAll(trial, time.Second, 12*time.Second, "a")
+	more, count := offerSends(canary, time.Second, 12*time.Second, "a")
 	early, offered = early+more, offered+count
 	whole := 0.085*float64(offered) + 10
 	if float64(early) < 0.3*whole || float64(early) > earlyShare*whole+1 {
 		t.Errorf("%d of %.1f were given before the load", early, whole)
 	}
-	late, count := sendAll(trial, 12*time.Second, 14*time.Second, "a")
+	late, count := offerSends(canary, 12*time.Second, 14*time.Second, "a")
 	whole = 0.085*float64(offered+count) + 10
 	if given := early + late; float64(given) > whole || float64(given) < whole-2 {
 		t.Errorf("%d were given of %.1f", given, whole)
@@ -107,34 +107,34 @@
 
 // A node whose belief has become too old gives the target nothing, nor does one that was
 // told to halt, nor one that has no record yet.
-func TestNothingWithoutFreshKnowledge(t *testing.T) {
-	for name, spoil := range map[string]func(trial *Canary){
-		"stale":    func(trial *Canary) { trial.Update(runningState(Running), 3*time.Second) },
-		"halted":   func(trial *Canary) { trial.Halt(7) },
-		"no order": func(trial *Canary) { trial.Update(State{}, time.Hour) },
-		"no record": func(trial *Canary) {
-			trial.Update(State{Order: 7, Target: "v2", OrderTimeKnown: true, Granted: 10}, time.Hour)
+func TestNoTargetSendsWithoutFreshView(t *testing.T) {
+	for name, spoil := range map[string]func(canary *Canary){
+		"stale":    func(canary *Canary) { canary.Update(stateInPhase(Running), 3*time.Second) },
+		"halted":   func(canary *Canary) { canary.Halt(7) },
+		"no order": func(canary *Canary) { canary.Update(State{}, time.Hour) },
+		"no record": func(canary *Canary) {
+			canary.Update(State{Order: 7, Target: "v2", OrderTimeKnown: true, Granted: 10}, time.Hour)
 		},
 	} {
-		trial := NewCanary(testBounds, 0)
-		trial.Update(runningState(Running), time.Hour)
-		spoil(trial)
-		if given, _ := sendAll(trial, 4*time.Second, 6*time.Second, "a"); given != 0 {
+		canary := NewCanary(testBounds, 0)
+		canary.Update(stateInPhase(Running), time.Hour)
+		spoil(canary)
+		if given, _ := offerSends(canary, 4*time.Second, 6*time.Second, "a"); given != 0 {
 			t.Errorf("%s: %d were given", name, given)
 		}
 	}
-	trial := NewCanary(testBounds, 0)
-	trial.Update(runningState(Running), time.Hour)
-	trial.Halt(6) // an earlier order
-	if given, _ := sendAll(trial, 4*time.Second, 6*time.Second, "a"); given == 0 {
+	canary := NewCanary(testBounds, 0)
+	canary.Update(stateInPhase(Running), time.Hour)
+	canary.Halt(6) // an earlier order
+	if given, _ := offerSends(canary, 4*time.Second, 6*time.Second, "a"); given == 0 {
 		t.Error("a halt of an earlier order stopped this one")
 	}
 }
 
 // A process that is younger than a grant may follow one that used it, and has none of it;
 // so has one that does not know how old the order is.
-func TestGrantsAreForTheProcessThatWasThere(t *testing.T) {
-	state := runningState(Running)
+func TestGrantsRequireOlderProcess(t *testing.T) {
+	state := stateInPhase(Running)
 	for _, test := range []struct {
 		now, running time.Duration
 		known        bool
@@ -158,20 +158,20 @@
 }
 
 // A route on which few requests come is tried as often as one on which many do.
-func TestRoutesAreTriedAlike(t *testing.T) {
-	trial := NewCanary(testBounds, 0)
-	trial.Update(runningState(Running), time.Hour)
+func TestRareRoutesGetTargetSends(t *testing.T) {
+	canary := NewCanary(testBounds, 0)
+	canary.Update(stateInPhase(Running), time.Hour)
 	given := make(map[string]int)
 	for now, place := time.Duration(0), 0; now < 12*time.Second; now, place = now+5*time.Millisecond, place+1 {
 		route := "busy"
 		if place%20 == 0 {
 			route = "rare"
 		}
-		due := trial.ShouldSendToTarget(now, route)
-		trial.CountFirstSend(route, due)
-		trial.CountRequest()
+		due := canary.ShouldSendToTarget(now, route)
+		canary.CountFirstSend(route, due)
+		canary.CountRequest()
 		if due {
-			trial.CountTargetSend()
+			canary.CountTargetSend()
 			given[route]++
 		}
 	}
@@ -181,10 +181,10 @@
 }
 
 // However nodes that share grants come, go and restart, they give no more than the bound.
-func TestAgesOfOrders(t *testing.T) {
-	known := runningState(Running)
+func TestOrderAge(t *testing.T) {
+	known := stateInPhase(Running)
 	known.Since = -2 * time.Second
-	unknown := runningState(Running)
+	unknown := stateInPhase(Running)
 	unknown.OrderTimeKnown, unknown.RecordSeenAt = false, time.Second
 	unknown.Record.Elapsed = 3 * time.Second
 	alarmed := unknown
@@ -214,22 +214,22 @@
 }
 
 // Servers that bear the load are the same for all nodes, one after the other.
-func TestLoadGoesToOneServerAfterTheOther(t *testing.T) {
-	trial := NewCanary(testBounds, 0)
-	trial.Update(runningState(Running), time.Hour)
-	if _, underLoad := trial.LoadTestServer(5 * time.Second); underLoad {
+func TestLoadTestVisitsServersInTurn(t *testing.T) {
+	canary := NewCanary(testBounds, 0)
+	canary.Update(stateInPhase(Running), time.Hour)
+	if _, underLoad := canary.LoadTestServer(5 * time.Second); underLoad {
 		t.Error("load before its time")
 	}
 	var places []string
-	for now := 12 * time.Second; trial.ShouldSendToTarget(now, "a"); now += time.Millisecond {
-		place, underLoad := trial.LoadTestServer(now)
+	for now := 12 * time.Second; canary.ShouldSendToTarget(now, "a"); now += time.Millisecond {
+		place, underLoad := canary.LoadTestServer(now)
 		if !underLoad {
 			t.Fatal("no load at its time")
 		}
 		if text := fmt.Sprint(place); len(places) == 0 || places[len(places)-1] != text {
 			places = append(places, text)
 		}
-		trial.CountTargetSend()
+		canary.CountTargetSend()
 	}
 	if want := fmt.Sprint([]string{"7", "8"}); fmt.Sprint(places) != want {
 		t.Errorf("places %v, want %s", places, want)
--- a/rollout/decider.go
+++ b/rollout/decider.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// takeoverTime is how much later each decider acts than the one before it, if what is
+	// takeoverDelay is how much later each decider acts than the one before it, if what is
 	// due has not happened: a write to the registry and until all have heard of it.
-	takeoverTime = time.Second
-	// againTime is the time until a write that was answered with a failure, or whose answer
+	takeoverDelay = time.Second
+	// retryDelay is the time until a write that was answered with a failure, or whose answer
 	// was lost, is tried again: by then its effect has been heard of.
-	againTime = time.Second
-	// mostGrants bounds the nodes of a record's grants.
-	mostGrants = 64
+	retryDelay = time.Second
+	// maxGrants bounds the nodes of a record's grants.
+	maxGrants = 64
 )
 
 // DeciderInput is what a decider knows of the service and of the nodes.
@@ -58,23 +58,23 @@
 type Decider struct {
 	service string
 	bounds  Bounds
-	world   DeciderInput
+	input   DeciderInput
 	judge   *Judge
 	// order is the one that the judge judges.
 	order uint64
 	// confirmed tells which nodes know that traffic moves and have nothing of value left
 	// at the versions before.
 	confirmed map[string]bool
-	// movedAt is since when all have confirmed; zero is that some have not.
-	movedAt time.Duration
-	// due is what is to be written, since when.
-	due      Record
-	dueSince time.Duration
-	isDue    bool
-	// wrote is the revision of the record that this decider wrote last.
-	wrote uint64
-	// waitUntil is until when a write that was sent is awaited.
-	waitUntil time.Duration
+	// allConfirmedAt is since when all have confirmed; zero is that some have not.
+	allConfirmedAt time.Duration
+	// pending is what is to be written, since when.
+	pending      Record
+	pendingSince time.Duration
+	hasPending   bool
+	// lastWritten is the revision of the record that this decider wrote last.
+	lastWritten uint64
+	// retryAt is until when a write that was sent is awaited.
+	retryAt time.Duration
 }
 
 // NewDecider returns a decider for a service.
@@ -83,21 +83,21 @@
 }
 
 // Observe takes what is known now.
-func (d *Decider) Observe(now time.Duration, world DeciderInput) {
-	if world.Order != d.order {
-		d.order, d.judge = world.Order, NewJudge()
+func (d *Decider) Observe(now time.Duration, input DeciderInput) {
+	if input.Order != d.order {
+		d.order, d.judge = input.Order, NewJudge()
 	}
-	if world.Epoch == d.world.Epoch && world.RecordRevision < d.world.RecordRevision && world.Order == d.world.Order {
-		world.Record, world.RecordRevision, world.RecordLost = d.world.Record, d.world.RecordRevision, d.world.RecordLost // what was written is not heard of yet
+	if input.Epoch == d.input.Epoch && input.RecordRevision < d.input.RecordRevision && input.Order == d.input.Order {
+		input.Record, input.RecordRevision, input.RecordLost = d.input.Record, d.input.RecordRevision, d.input.RecordLost // what was written is not heard of yet
 	}
-	if world.RecordRevision != d.world.RecordRevision || world.Epoch != d.world.Epoch {
-		d.isDue, d.waitUntil = false, 0
-		if !world.sameStage(d.world.State) { // else it is the record that was lost, or is written again
+	if input.RecordRevision != d.input.RecordRevision || input.Epoch != d.input.Epoch {
+		d.hasPending, d.retryAt = false, 0
+		if !input.sameStage(d.input.State) { // else it is the record that was lost, or is written again
 			clear(d.confirmed)
-			d.movedAt = 0
+			d.allConfirmedAt = 0
 		}
 	}
-	d.world = world
+	d.input = input
 }
 
 // AddReport takes a node's report.
@@ -113,8 +113,8 @@
 // the registry. Once traffic moves that is so only when the record has ended: another
 // decider may have made the move final meanwhile, and the servers before it have stopped.
 func (d *Decider) Halt() bool {
-	record := d.world.Record
-	if !d.world.current() {
+	record := d.input.Record
+	if !d.input.hasCurrentRecord() {
 		return false
 	}
 	verdict, _ := d.judge.Verdict()
@@ -124,49 +124,49 @@
 // WriteRejected takes the answer that order or record stand at other revisions: what this decider
 // took for written may not be, and what it hears next counts.
 func (d *Decider) WriteRejected() {
-	d.wrote = 0
-	d.world.Record, d.world.RecordRevision = nil, 0
+	d.lastWritten = 0
+	d.input.Record, d.input.RecordRevision = nil, 0
 }
 
 // WriteAccepted takes the answer that a record stands as it was asked for, at a revision.
 func (d *Decider) WriteAccepted(now time.Duration, write Write, revision uint64) {
-	isOther := write.Record.Epoch != d.world.Epoch || write.OrderRevision != d.world.OrderRevision
-	if isOther || revision <= d.world.RecordRevision {
+	isOther := write.Record.Epoch != d.input.Epoch || write.OrderRevision != d.input.OrderRevision
+	if isOther || revision <= d.input.RecordRevision {
 		return
 	}
-	d.wrote = revision
-	world := d.world
-	world.Record, world.RecordRevision, world.RecordLost, world.RecordSeenAt = &write.Record, revision, false, now
-	d.Observe(now, world)
+	d.lastWritten = revision
+	input := d.input
+	input.Record, input.RecordRevision, input.RecordLost, input.RecordSeenAt = &write.Record, revision, false, now
+	d.Observe(now, input)
 }
 
 // Judge is that of the order.
 func (d *Decider) Judge() *Judge { return d.judge }
 
 // Active reports whether there is something to decide.
-func (d *Decider) Active() bool { return !d.world.Ended() || d.world.NeedsRewrite() }
+func (d *Decider) Active() bool { return !d.input.Ended() || d.input.NeedsRewrite() }
 
 // Tick returns what this node should write now; ok is false when that is nothing.
 func (d *Decider) Tick(now time.Duration) (write Write, ok bool) {
-	record, due := d.next(now)
-	if !due || d.world.DeciderIndex < 0 {
-		d.isDue = false
+	record, pending := d.nextRecord(now)
+	if !pending || d.input.DeciderIndex < 0 {
+		d.hasPending = false
 		return Write{}, false
 	}
-	if !d.isDue || record.Phase != d.due.Phase || record.Order != d.due.Order {
-		d.isDue, d.dueSince = true, now
+	if !d.hasPending || record.Phase != d.pending.Phase || record.Order != d.pending.Order {
+		d.hasPending, d.pendingSince = true, now
 	}
-	d.due = record
-	if now < d.dueSince+d.delay(now) || now < d.waitUntil {
+	d.pending = record
+	if now < d.pendingSince+d.delay(now) || now < d.retryAt {
 		return Write{}, false
 	}
-	d.waitUntil = now + againTime
-	record.Epoch, record.OrderRevision = d.world.Epoch, d.world.OrderRevision
+	d.retryAt = now + retryDelay
+	record.Epoch, record.OrderRevision = d.input.Epoch, d.input.OrderRevision
 	write = Write{
 		Service:        d.service,
 		Record:         record,
-		OrderRevision:  d.world.OrderRevision,
-		RecordRevision: d.world.RecordRevision,
+		OrderRevision:  d.input.OrderRevision,
+		RecordRevision: d.input.RecordRevision,
 	}
 	if record.Phase == Running && record.HasAlarm {
 		write.AlarmTTL = record.DecisionAt - record.Elapsed
@@ -179,117 +179,117 @@
 // acted in the others' place.
 func (d *Decider) delay(now time.Duration) time.Duration {
 	verdict, _ := d.judge.Verdict()
-	hasTakenOver := d.wrote > 0 && d.wrote == d.world.RecordRevision
-	isLate := d.world.Order != 0 && d.world.Age(now) >= d.world.Duration-lastMoment-takeoverTime
+	hasTakenOver := d.lastWritten > 0 && d.lastWritten == d.input.RecordRevision
+	isLate := d.input.Order != 0 && d.input.Age(now) >= d.input.Duration-endWriteMargin-takeoverDelay
 	if verdict == Bad || hasTakenOver || isLate {
 		return 0
 	}
-	return time.Duration(d.world.DeciderIndex) * takeoverTime
+	return time.Duration(d.input.DeciderIndex) * takeoverDelay
 }
 
-// next is the record that should stand next. One that the registry has lost is written again,
+// nextRecord is the record that should stand next. One that the registry has lost is written again,
 // or what follows on it.
-func (d *Decider) next(now time.Duration) (record Record, due bool) {
-	record, due = d.following(now)
-	if !due && d.world.NeedsRewrite() {
-		return d.again(now), true
+func (d *Decider) nextRecord(now time.Duration) (record Record, due bool) {
+	record, due = d.nextStage(now)
+	if !due && d.input.NeedsRewrite() {
+		return d.unchangedRecord(now), true
 	}
 	return record, due
 }
 
-// again is the record as it stood.
-func (d *Decider) again(now time.Duration) Record {
-	record := *d.world.Record
+// unchangedRecord is the record as it stood.
+func (d *Decider) unchangedRecord(now time.Duration) Record {
+	record := *d.input.Record
 	if !record.Phase.Ended() {
-		record.Elapsed = d.world.Age(now)
+		record.Elapsed = d.input.Age(now)
 	}
 	return record
 }
 
-// following is the record that follows on the one that stands.
-func (d *Decider) following(now time.Duration) (record Record, due bool) {
+// nextStage is the record that follows on the one that stands.
+func (d *Decider) nextStage(now time.Duration) (record Record, due bool) {
 	switch {
-	case d.world.Ended():
+	case d.input.Ended():
 		return Record{}, false
-	case d.world.Order == 0:
-		return d.end(now, RolledBack, "the order was taken back"), true
-	case !d.world.current():
-		return d.begin(now), true
-	case d.world.Record.Phase == Moving:
-		return d.whileMoving(now)
+	case d.input.Order == 0:
+		return d.endRecord(now, RolledBack, "the order was taken back"), true
+	case !d.input.hasCurrentRecord():
+		return d.firstRecord(now), true
+	case d.input.Record.Phase == Moving:
+		return d.decideMoving(now)
 	default:
-		return d.whileRunning(now)
+		return d.decideRunning(now)
 	}
 }
 
-// end is the record with its last phase.
-func (d *Decider) end(now time.Duration, phase Phase, reason string) Record {
-	record := *d.world.Record
+// endRecord is the record with its last phase.
+func (d *Decider) endRecord(now time.Duration, phase Phase, reason string) Record {
+	record := *d.input.Record
 	record.Phase, record.Reason, record.Grants = phase, reason, nil
-	if d.world.Order != 0 {
-		record.Elapsed = d.world.Age(now)
+	if d.input.Order != 0 {
+		record.Elapsed = d.input.Age(now)
 	}
 	return record
 }
 
-// begin is the first record of an order.
-func (d *Decider) begin(now time.Duration) Record {
-	age := d.world.Age(now)
+// firstRecord is the first record of an order.
+func (d *Decider) firstRecord(now time.Duration) Record {
+	age := d.input.Age(now)
 	record := Record{
-		Order:    d.world.Order,
-		Target:   d.world.Target,
+		Order:    d.input.Order,
+		Target:   d.input.Target,
 		Phase:    Running,
 		Elapsed:  age,
 		Granted:  age,
-		Excluded: d.asideOf(d.world.Target),
+		Excluded: d.excludedVersions(d.input.Target),
 	}
-	for _, version := range d.world.Versions {
+	for _, version := range d.input.Versions {
 		if version != record.Target && !slices.Contains(record.Excluded, version) {
 			record.Before = append(record.Before, version)
 		}
 	}
-	record.DecisionAt = max(decisionAt(d.world.Duration, d.world.MaxViewAge), age)
+	record.DecisionAt = max(decisionAt(d.input.Duration, d.input.MaxViewAge), age)
 	switch {
-	case d.world.OrderFault != "":
-		record.Phase, record.Reason = RolledBack, d.world.OrderFault
-	case !d.world.ServiceKnown:
+	case d.input.OrderFault != "":
+		record.Phase, record.Reason = RolledBack, d.input.OrderFault
+	case !d.input.ServiceKnown:
 		record.Phase, record.Reason = RolledBack, "service: "+d.service+" is not known"
-	case len(record.Before) == 0 && slices.Contains(d.world.Versions, record.Target):
+	case len(record.Before) == 0 && slices.Contains(d.input.Versions, record.Target):
 		record.Phase, record.Reason = Completed, "the target is the only version"
 	default:
 		record.Grants = d.grants()
 		left := record.DecisionAt - record.Elapsed
-		record.HasAlarm = left > 0 && left <= longestAlarm
+		record.HasAlarm = left > 0 && left <= maxAlarmTTL
 	}
 	return record
 }
 
-// asideOf lists the versions that get nothing beside a new target.
-func (d *Decider) asideOf(target string) []string {
-	last := d.world.Record
+// excludedVersions lists the versions that get nothing beside a new target.
+func (d *Decider) excludedVersions(target string) []string {
+	last := d.input.Record
 	if last == nil {
 		return nil
 	}
-	aside := slices.Clone(last.Excluded)
+	excluded := slices.Clone(last.Excluded)
 	if last.Phase == Completed {
-		aside = append(aside, last.Before...)
+		excluded = append(excluded, last.Before...)
 	} else {
-		aside = append(aside, last.Target)
+		excluded = append(excluded, last.Target)
 	}
-	slices.Sort(aside)
-	aside = slices.Compact(aside)
-	return slices.DeleteFunc(aside, func(version string) bool { return version == target || version == "" })
+	slices.Sort(excluded)
+	excluded = slices.Compact(excluded)
+	return slices.DeleteFunc(excluded, func(version string) bool { return version == target || version == "" })
 }
 
 // grants divides the fixed number among the nodes that serve callers.
 func (d *Decider) grants() map[string]int {
-	nodes := slices.Sorted(slices.Values(d.world.ServingNodes))
-	nodes = nodes[:min(len(nodes), mostGrants)]
-	whole := int(extrabudget.Usable(d.bounds.ExposureSlack))
+	nodes := slices.Sorted(slices.Values(d.input.ServingNodes))
+	nodes = nodes[:min(len(nodes), maxGrants)]
+	total := int(extrabudget.Usable(d.bounds.ExposureSlack))
 	grants := make(map[string]int, len(nodes))
-	for place, node := range nodes {
-		grants[node] = whole / len(nodes)
-		if place < whole%len(nodes) {
+	for index, node := range nodes {
+		grants[node] = total / len(nodes)
+		if index < total%len(nodes) {
 			grants[node]++
 		}
 	}
@@ -297,20 +297,20 @@
 	return grants
 }
 
-// whileRunning decides on the target's evidence.
-func (d *Decider) whileRunning(now time.Duration) (record Record, due bool) {
-	age := d.world.Age(now)
-	verdict, why := d.judge.Verdict()
+// decideRunning decides on the target's evidence.
+func (d *Decider) decideRunning(now time.Duration) (record Record, due bool) {
+	age := d.input.Age(now)
+	verdict, reason := d.judge.Verdict()
 	switch {
 	case verdict == Bad:
-		return d.end(now, RolledBack, why), true
-	case age > d.world.Duration-leastMove-moveNotice:
-		return d.end(now, RolledBack, "no decision in time: "+why), true
-	case age >= d.world.Record.DecisionAt && d.judge.BadUnderLoad():
-		return d.end(now, RolledBack, "bad answers under load"), true
-	case (verdict == Healthy || verdict == ProvenHealthy) && age >= d.world.Record.DecisionAt:
-		moveAt, bearable := d.moveAt(now, verdict)
-		return d.move(age, moveAt, why), bearable
+		return d.endRecord(now, RolledBack, reason), true
+	case age > d.input.Duration-minMoveTime-moveNotice:
+		return d.endRecord(now, RolledBack, "no decision in time: "+reason), true
+	case age >= d.input.Record.DecisionAt && d.judge.BadUnderLoad():
+		return d.endRecord(now, RolledBack, "bad answers under load"), true
+	case (verdict == Healthy || verdict == ProvenHealthy) && age >= d.input.Record.DecisionAt:
+		moveAt, ok := d.moveAt(now, verdict)
+		return d.moveRecord(age, moveAt, reason), ok
 	default:
 		return Record{}, false
 	}
@@ -320,39 +320,39 @@
 // bound even if it is bad. Where that leaves no time for the move, one that is proven moves now,
 // and ok is false for another.
 func (d *Decider) moveAt(now time.Duration, verdict Verdict) (at time.Duration, ok bool) {
-	age := d.world.Age(now)
-	longest := min(d.bearable(now, age, tightDeviations), longestMove)
-	if longest < leastMove {
+	age := d.input.Age(now)
+	longest := min(d.affordableMoveTime(now, age, minDeviations), maxMoveTime)
+	if longest < minMoveTime {
 		return age, verdict == ProvenHealthy
 	}
-	length := min(max(d.bearable(now, age, wideDeviations), easyMove), longest)
-	return max(age+moveNotice, d.world.Duration-length), true
+	length := min(max(d.affordableMoveTime(now, age, preferredDeviations), preferredMoveTime), longest)
+	return max(age+moveNotice, d.input.Duration-length), true
 }
 
-// bears reports whether the bound bears the traffic that is expected until the deadline.
-func (d *Decider) bears(now, age time.Duration) bool {
-	return d.bearable(now, age, 0) >= d.world.Duration-age
+// boundAllowsRest reports whether the bound bears the traffic that is expected until the deadline.
+func (d *Decider) boundAllowsRest(now, age time.Duration) bool {
+	return d.affordableMoveTime(now, age, 0) >= d.input.Duration-age
 }
 
-// bearable is how long before the deadline the target may get all traffic, as far as the bound
+// affordableMoveTime is how long before the deadline the target may get all traffic, as far as the bound
 // goes. Requests come by chance: some standard deviations more of them are counted, too, and the
 // order may be younger than it is thought to be.
-func (d *Decider) bearable(now, age time.Duration, deviations float64) time.Duration {
-	given, _ := d.judge.Answers()
+func (d *Decider) affordableMoveTime(now, age time.Duration, deviations float64) time.Duration {
+	targetAnswers, _ := d.judge.Answers()
 	all := float64(d.judge.AllAnswers())
 	perSecond := max(all/age.Seconds(), d.judge.AnswersPerSecond(now))
-	left := (d.world.Duration - age).Seconds()
+	left := (d.input.Duration - age).Seconds()
 	bound := d.bounds.ExposureShare*(all+perSecond*left) + d.bounds.ExposureSlack
-	room := max(bearableShare*bound-float64(given), 0)
+	room := max(usableBoundShare*bound-float64(targetAnswers), 0)
 	root := (math.Sqrt(deviations*deviations+4*room) - deviations) / 2 // of expected + deviations * root(expected) = room
-	return time.Duration(root*root/perSecond*float64(time.Second)) - d.world.AgeUncertainty()
+	return time.Duration(root*root/perSecond*float64(time.Second)) - d.input.AgeUncertainty()
 }
 
-// move is the record by which traffic moves.
-func (d *Decider) move(age, moveAt time.Duration, why string) Record {
-	record := *d.world.Record
-	record.Phase, record.Reason, record.Elapsed, record.MoveAt = Moving, why, age, moveAt
-	for _, version := range d.world.Versions {
+// moveRecord is the record by which traffic moves.
+func (d *Decider) moveRecord(age, moveAt time.Duration, reason string) Record {
+	record := *d.input.Record
+	record.Phase, record.Reason, record.Elapsed, record.MoveAt = Moving, reason, age, moveAt
+	for _, version := range d.input.Versions {
 		known := slices.Contains(record.Before, version) || slices.Contains(record.Excluded, version)
 		if version != record.Target && !known {
 			record.Before = append(slices.Clone(record.Before), version)
@@ -361,49 +361,49 @@
 	return record
 }
 
-// whileMoving decides when the move is final.
-func (d *Decider) whileMoving(now time.Duration) (record Record, due bool) {
-	verdict, why := d.judge.Verdict()
-	age := d.world.Age(now)
+// decideMoving decides when the move is final.
+func (d *Decider) decideMoving(now time.Duration) (record Record, due bool) {
+	verdict, reason := d.judge.Verdict()
+	age := d.input.Age(now)
 	if !d.allConfirmed() {
-		d.movedAt = 0
-	} else if d.movedAt == 0 {
-		d.movedAt = now
+		d.allConfirmedAt = 0
+	} else if d.allConfirmedAt == 0 {
+		d.allConfirmedAt = now
 	}
-	settled := d.movedAt > 0 && now-d.movedAt >= settleTime
+	settled := d.allConfirmedAt > 0 && now-d.allConfirmedAt >= settleTime
 	switch {
 	case verdict == Bad:
-		return d.end(now, RolledBack, why), true
-	case d.judge.Suspicious() && age >= d.world.Duration-lastChance:
-		return d.end(now, RolledBack, "the latest answers are worse than before"), true
+		return d.endRecord(now, RolledBack, reason), true
+	case d.judge.Suspicious() && age >= d.input.Duration-moveDecisionMargin:
+		return d.endRecord(now, RolledBack, "the latest answers are worse than before"), true
 	case d.judge.Suspicious():
 		return Record{}, false
-	case verdict != ProvenHealthy && age >= d.world.Duration-lastChance && !d.bears(now, age):
-		return d.end(now, RolledBack, "more requests came than the bound bears: "+why), true
-	case verdict != ProvenHealthy && d.allConfirmed() && age < d.world.Duration-lastChance:
+	case verdict != ProvenHealthy && age >= d.input.Duration-moveDecisionMargin && !d.boundAllowsRest(now, age):
+		return d.endRecord(now, RolledBack, "more requests came than the bound bears: "+reason), true
+	case verdict != ProvenHealthy && d.allConfirmed() && age < d.input.Duration-moveDecisionMargin:
 		return Record{}, false // what it does with all traffic is still being seen
 	case settled:
-		return d.end(now, Completed, "all nodes have moved"), true
-	case age >= d.world.Duration-lastMoment && d.allConfirmed():
-		return d.end(now, Completed, "all nodes have moved, the deadline is near"), true
-	case age >= d.world.Duration-lastMoment:
-		return d.end(now, RolledBack, d.progress()), true
+		return d.endRecord(now, Completed, "all nodes have moved"), true
+	case age >= d.input.Duration-endWriteMargin && d.allConfirmed():
+		return d.endRecord(now, Completed, "all nodes have moved, the deadline is near"), true
+	case age >= d.input.Duration-endWriteMargin:
+		return d.endRecord(now, RolledBack, d.moveProgress()), true
 	default:
 		return Record{}, false
 	}
 }
 
-// progress tells how many nodes have moved.
-func (d *Decider) progress() string {
-	return fmt.Sprintf("the deadline is near, %d of %d nodes have moved", d.confirmations(), len(d.world.Nodes))
+// moveProgress tells how many nodes have moved.
+func (d *Decider) moveProgress() string {
+	return fmt.Sprintf("the deadline is near, %d of %d nodes have moved", d.confirmations(), len(d.input.Nodes))
 }
 
-func (d *Decider) allConfirmed() bool { return d.confirmations() == len(d.world.Nodes) }
+func (d *Decider) allConfirmed() bool { return d.confirmations() == len(d.input.Nodes) }
 
 // confirmations counts the nodes that have moved.
 func (d *Decider) confirmations() int {
 	count := 0
-	for _, node := range d.world.Nodes {
+	for _, node := range d.input.Nodes {
 		if d.confirmed[node] {
 			count++
 		}
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// minus is what was added since other; ok is false when that is nonsense.
-func (c Counts) minus(other Counts) (added Counts, ok bool) {
+// subtract is what was added since other; ok is false when that is nonsense.
+func (c Counts) subtract(other Counts) (added Counts, ok bool) {
 	added = Counts{Answers: c.Answers - other.Answers, Failed: c.Failed - other.Failed, Slow: c.Slow - other.Slow}
 	ok = added.Failed >= 0 && added.Slow >= 0 && added.Failed+added.Slow <= added.Answers
 	return added, ok
@@ -58,8 +58,8 @@
 
 type cellKey struct{ route, server string }
 
-// mostCells bounds what one node tells of one order: the cells with the most answers.
-const mostCells = 64
+// maxCells bounds what one node tells of one order: the cells with the most answers.
+const maxCells = 64
 
 // Evidence counts what one node has seen of an order's answers since it knew of it; the
 // zero value has seen none.
@@ -69,15 +69,15 @@
 
 // Target notes an answer of a server of the target.
 func (e *Evidence) Target(route, server string, answer AnswerQuality) {
-	note(&e.target, cellKey{route, server}, answer)
+	countAnswer(&e.target, cellKey{route, server}, answer)
 }
 
 // Before notes an answer of a server of the versions before.
 func (e *Evidence) Before(route string, answer AnswerQuality) {
-	note(&e.before, cellKey{route: route}, answer)
+	countAnswer(&e.before, cellKey{route: route}, answer)
 }
 
-func note(cells *map[cellKey]*Counts, key cellKey, answer AnswerQuality) {
+func countAnswer(cells *map[cellKey]*Counts, key cellKey, answer AnswerQuality) {
 	if *cells == nil {
 		*cells = make(map[cellKey]*Counts)
 	}
@@ -90,15 +90,15 @@
 }
 
 // Cells lists what was counted, most answers first.
-func (e *Evidence) Cells() (target, before []Cell) { return cells(e.target), cells(e.before) }
+func (e *Evidence) Cells() (target, before []Cell) { return listCells(e.target), listCells(e.before) }
 
-func cells(counted map[cellKey]*Counts) []Cell {
+func listCells(counted map[cellKey]*Counts) []Cell {
 	listed := make([]Cell, 0, len(counted))
 	for _, key := range slices.SortedFunc(maps.Keys(counted), compareKeys) {
 		listed = append(listed, Cell{Route: key.route, Server: key.server, Counts: *counted[key]})
 	}
 	slices.SortStableFunc(listed, func(a, b Cell) int { return cmp.Compare(b.Answers, a.Answers) })
-	return listed[:min(len(listed), mostCells)]
+	return listed[:min(len(listed), maxCells)]
 }
 
 func compareKeys(a, b cellKey) int {
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -23,37 +23,37 @@
 )
 
 const (
-	// leastAnswers is the number of answers without which nothing is sound, and
-	// leastOnRoute the same on each route that had busyShare of the answers.
-	leastAnswers = 8
-	leastOnRoute = 2
-	busyShare    = 0.1
-	// rareShare is the part of an even part of the requests below which a route is rare.
-	rareShare = 0.5
-	// mostReporters bounds the processes that are remembered.
-	mostReporters = 4096
-	// mostRoutes bounds the routes that are judged apart.
-	mostRoutes = 32
+	// minAnswers is the number of answers without which nothing is sound, and
+	// minRouteAnswers the same on each route that had busyShare of the answers.
+	minAnswers      = 8
+	minRouteAnswers = 2
+	busyRouteShare  = 0.1
+	// rareRouteShare is the part of an even part of the requests below which a route is rare.
+	rareRouteShare = 0.5
+	// maxReporters bounds the processes that are remembered.
+	maxReporters = 4096
+	// maxRoutes bounds the routes that are judged apart.
+	maxRoutes = 32
 )
 
 // Judge weighs what all nodes have seen of one order. It is not safe for concurrent use.
 type Judge struct {
-	// taken is what each process told last, by node and process.
-	taken map[reporter]map[cellKey]Counts
-	// whole and routes are of the target, and base and bases of the versions before.
-	whole  *sums
-	routes map[string]*sums
-	base   shares
-	bases  map[string]*shares
-	fresh  shares // of all routes
-	// loaded is of the answers of servers under load, and loads tell those.
-	loaded *sums
-	loads  loads
-	fadeAt time.Duration
-	// nonsense counts the reports that could not be.
-	nonsense int
-	bad      bool
-	why      string
+	// lastCounts is what each process told last, by node and process.
+	lastCounts map[reporter]map[cellKey]Counts
+	// overall and routes are of the target, and base and bases of the versions before.
+	overall        *cusums
+	routes         map[string]*cusums
+	baseline       baselineShares
+	routeBaselines map[string]*baselineShares
+	recentBaseline baselineShares // of all routes
+	// underLoad is of the answers of servers under load, and loads tell those.
+	underLoad  *cusums
+	serverLoad serverLoad
+	decayedAt  time.Duration
+	// invalidReports counts the reports that could not be.
+	invalidReports int
+	isBad          bool
+	reason         string
 }
 
 // reporter is a process that reports; its cells of the target and of the versions before
@@ -63,12 +63,12 @@
 // NewJudge returns a judge that has heard nothing.
 func NewJudge() *Judge {
 	return &Judge{
-		taken:  make(map[reporter]map[cellKey]Counts),
-		whole:  newSums(),
-		loaded: newSums(),
-		loads:  loads{of: make(map[string]float64)},
-		routes: make(map[string]*sums),
-		bases:  make(map[string]*shares),
+		lastCounts:     make(map[reporter]map[cellKey]Counts),
+		overall:        newCusums(),
+		underLoad:      newCusums(),
+		serverLoad:     serverLoad{byServer: make(map[string]float64)},
+		routes:         make(map[string]*cusums),
+		routeBaselines: make(map[string]*baselineShares),
 	}
 }
 
@@ -76,91 +76,91 @@
 // process, or more bad answers than answers, changes nothing.
 func (j *Judge) AddReport(now time.Duration, report Report) {
 	from := reporter{report.Node, report.Process}
-	known := j.taken[from]
-	if known == nil && len(j.taken) >= mostReporters {
+	known := j.lastCounts[from]
+	if known == nil && len(j.lastCounts) >= maxReporters {
 		return
 	}
-	before, soundBefore := added(known, report.Before)
-	target, soundTarget := added(known, report.Target)
+	before, soundBefore := subtractKnown(known, report.Before)
+	target, soundTarget := subtractKnown(known, report.Target)
 	if !soundBefore || !soundTarget {
-		j.nonsense++
+		j.invalidReports++
 		return
 	}
 	if known == nil {
 		known = make(map[cellKey]Counts)
-		j.taken[from] = known
+		j.lastCounts[from] = known
 	}
 	for _, cell := range slices.Concat(report.Before, report.Target) {
 		known[cellKey{cell.Route, cell.Server}] = cell.Counts
 	}
-	j.fade(now)
-	j.loads.add(now, before, target)
+	j.decay(now)
+	j.serverLoad.add(now, before, target)
 	for _, cell := range before {
-		j.base.add(cell.Counts)
-		j.fresh.add(cell.Counts)
-		j.baseOf(cell.Route).add(cell.Counts)
+		j.baseline.add(cell.Counts)
+		j.recentBaseline.add(cell.Counts)
+		j.baselineOf(cell.Route).add(cell.Counts)
 	}
 	for _, cell := range target {
-		j.weigh(report.Node, cell)
+		j.addTargetAnswers(report.Node, cell)
 	}
-	j.conclude()
+	j.checkBad()
 }
 
-// added lists what cells tell beyond what is known; ok is false when that is nonsense.
-func added(known map[cellKey]Counts, told []Cell) (more []Cell, ok bool) {
-	for _, cell := range told {
-		difference, sound := cell.minus(known[cellKey{cell.Route, cell.Server}])
+// subtractKnown lists what cells tell beyond what is known; ok is false when that is nonsense.
+func subtractKnown(known map[cellKey]Counts, reported []Cell) (added []Cell, ok bool) {
+	for _, cell := range reported {
+		difference, sound := cell.subtract(known[cellKey{cell.Route, cell.Server}])
 		if !sound {
 			return nil, false
 		}
 		if difference.Answers > 0 {
-			more = append(more, Cell{Route: cell.Route, Server: cell.Server, Counts: difference})
+			added = append(added, Cell{Route: cell.Route, Server: cell.Server, Counts: difference})
 		}
 	}
-	return more, true
+	return added, true
 }
 
-func (j *Judge) fade(now time.Duration) {
-	passed := float64(max(now-j.fadeAt, 0))
-	j.fadeAt = max(j.fadeAt, now)
-	kept := math.Exp2(-passed / float64(baseHalfLife))
-	j.base.fade(kept, leastKept)
-	for _, base := range j.bases {
-		base.fade(kept, leastKept)
+func (j *Judge) decay(now time.Duration) {
+	passed := float64(max(now-j.decayedAt, 0))
+	j.decayedAt = max(j.decayedAt, now)
+	factor := math.Exp2(-passed / float64(baselineHalfLife))
+	j.baseline.decay(factor, minBaselineWeight)
+	for _, baseline := range j.routeBaselines {
+		baseline.decay(factor, minBaselineWeight)
 	}
-	j.fresh.fade(math.Exp2(-passed/float64(freshHalfLife)), 0)
+	j.recentBaseline.decay(math.Exp2(-passed/float64(recentHalfLife)), 0)
 }
 
-func (j *Judge) baseOf(route string) *shares {
-	base := j.bases[route]
-	if base == nil {
-		base = new(shares)
-		if len(j.bases) < mostRoutes {
-			j.bases[route] = base
+func (j *Judge) baselineOf(route string) *baselineShares {
+	baseline := j.routeBaselines[route]
+	if baseline == nil {
+		baseline = new(baselineShares)
+		if len(j.routeBaselines) < maxRoutes {
+			j.routeBaselines[route] = baseline
 		}
 	}
-	return base
+	return baseline
 }
 
-// weigh adds new answers of the target to the sums.
-func (j *Judge) weigh(node string, cell Cell) {
-	base := j.baseOf(cell.Route)
-	var ratios [kinds]float64
-	for k := range kinds {
-		usual := base.most(k, j.base.of(k, least[k]))
-		if j.fresh.answers >= freshAnswers {
-			usual = max(usual, j.fresh.most(k, least[k]))
+// addTargetAnswers adds new answers of the target to the sums.
+func (j *Judge) addTargetAnswers(node string, cell Cell) {
+	baseline := j.baselineOf(cell.Route)
+	var ratios [numKinds]float64
+	for k := range numKinds {
+		baseShare := baseline.upperBound(k, j.baseline.estimate(k, minBaselineShare[k]))
+		if j.recentBaseline.answers >= minRecentAnswers {
+			baseShare = max(baseShare, j.recentBaseline.upperBound(k, minBaselineShare[k]))
 		}
-		ratios[k] = logRatio(cell.Counts, k, usual)
+		ratios[k] = logRatio(cell.Counts, k, baseShare)
 	}
 	scope := j.routes[cell.Route]
-	if scope == nil && len(j.routes) < mostRoutes {
-		scope = newSums()
+	if scope == nil && len(j.routes) < maxRoutes {
+		scope = newCusums()
 		j.routes[cell.Route] = scope
 	}
-	scopes := []*sums{j.whole, scope}
-	if j.loads.loaded(cell.Server) {
-		scopes = append(scopes, j.loaded)
+	scopes := []*cusums{j.overall, scope}
+	if j.serverLoad.underLoad(cell.Server) {
+		scopes = append(scopes, j.underLoad)
 	}
 	for _, one := range scopes {
 		if one != nil {
@@ -171,33 +171,33 @@
 
 // BadUnderLoad reports whether the answers under load are bad, whichever servers gave them.
 func (j *Judge) BadUnderLoad() bool {
-	return slices.Max(j.loaded.all[:]) >= badThreshold && !j.loaded.clear(loadedThreshold)
+	return slices.Max(j.underLoad.unhealthy[:]) >= badThreshold && !j.underLoad.clear(loadedThreshold)
 }
 
 // Suspicious reports whether the latest answers speak against the target, whichever one
 // server's or node's are left out, though they don't prove it bad.
 func (j *Judge) Suspicious() bool {
-	return slices.ContainsFunc([]*sums{j.whole, j.loaded}, func(s *sums) bool {
-		return s.over(failures, suspicion, withoutSuspicion) || s.over(slowness, suspicion, withoutSuspicion)
+	return slices.ContainsFunc([]*cusums{j.overall, j.underLoad}, func(s *cusums) bool {
+		return s.exceeds(failures, suspicionThreshold, othersSuspicionThreshold) || s.exceeds(slowness, suspicionThreshold, othersSuspicionThreshold)
 	})
 }
 
-var kindNames = [kinds]string{failures: "failures", slowness: "slow answers"}
+var kindNames = [numKinds]string{failures: "failures", slowness: "slow answers"}
 
-// conclude looks whether the target is bad; it stays so.
-func (j *Judge) conclude() {
-	if j.bad {
+// checkBad looks whether the target is bad; it stays so.
+func (j *Judge) checkBad() {
+	if j.isBad {
 		return
 	}
 	onRoute := badThreshold + math.Log(float64(max(len(j.routes), 1)))
-	for k := range kinds {
-		if j.whole.bad(k, badThreshold) {
-			j.bad, j.why = true, kindNames[k]
+	for k := range numKinds {
+		if j.overall.isBad(k, badThreshold) {
+			j.isBad, j.reason = true, kindNames[k]
 			return
 		}
 		for _, route := range slices.Sorted(maps.Keys(j.routes)) {
-			if j.routes[route].bad(k, onRoute) {
-				j.bad, j.why = true, kindNames[k]+" on route "+route
+			if j.routes[route].isBad(k, onRoute) {
+				j.isBad, j.reason = true, kindNames[k]+" on route "+route
 				return
 			}
 		}
@@ -205,54 +205,56 @@
 }
 
 // Verdict is what the evidence says up to now, and what decided it.
-func (j *Judge) Verdict() (verdict Verdict, why string) {
-	if j.bad {
-		return Bad, j.why
+func (j *Judge) Verdict() (verdict Verdict, reason string) {
+	if j.isBad {
+		return Bad, j.reason
 	}
-	if j.whole.answers < leastAnswers {
+	if j.overall.answers < minAnswers {
 		return Undecided, "too few answers of the target"
 	}
-	for _, route := range slices.Sorted(maps.Keys(j.bases)) {
-		if float64(j.bases[route].all) < busyShare*float64(j.base.all) {
+	for _, route := range slices.Sorted(maps.Keys(j.routeBaselines)) {
+		if float64(j.routeBaselines[route].total) < busyRouteShare*float64(j.baseline.total) {
 			continue
 		}
-		if tried := j.routes[route]; tried == nil || tried.answers < leastOnRoute {
+		if target := j.routes[route]; target == nil || target.answers < minRouteAnswers {
 			return Undecided, "too few answers of the target on route " + route
 		}
 	}
 	const sound = "no more failures and slow answers than before"
-	if j.proven() {
+	if j.isProven() {
 		return ProvenHealthy, sound
 	}
 	return Healthy, sound
 }
 
-// proven reports whether the answers of each route, and those under load, exclude a bad target.
-func (j *Judge) proven() bool {
-	for route, base := range j.bases {
+// isProven reports whether the answers of each route, and those under load, exclude a bad target.
+func (j *Judge) isProven() bool {
+	for route, baseline := range j.routeBaselines {
 		threshold := clearThreshold
-		if isRare(base.all, j.base.all, len(j.bases)) {
+		if isRareRoute(baseline.total, j.baseline.total, len(j.routeBaselines)) {
 			threshold = rareThreshold
 		}
-		if tried := j.routes[route]; tried == nil || !tried.clear(threshold) {
+		if target := j.routes[route]; target == nil || !target.clear(threshold) {
 			return false
 		}
 	}
-	return j.loaded.clear(loadedThreshold)
+	return j.underLoad.clear(loadedThreshold)
 }
 
-// isRare reports whether so few of a service's requests come on one of its routes that each is
+// isRareRoute reports whether so few of a service's requests come on one of its routes that each is
 // needed to judge a target by.
-func isRare(onRoute, all, routes int) bool {
-	return routes > 1 && float64(onRoute) < rareShare*float64(all)/float64(routes)
+func isRareRoute(onRoute, all, routes int) bool {
+	return routes > 1 && float64(onRoute) < rareRouteShare*float64(all)/float64(routes)
 }
 
 // AnswersPerSecond is the number of the service's requests that were answered a second of late.
-func (j *Judge) AnswersPerSecond(now time.Duration) float64 { return j.loads.perSecond(now) }
+func (j *Judge) AnswersPerSecond(now time.Duration) float64 {
+	return j.serverLoad.answersPerSecond(now)
+}
 
 // Answers counts the target's answers, and those of them that were bad, over all processes.
 func (j *Judge) Answers() (answers, bad int) {
-	for _, cells := range j.taken {
+	for _, cells := range j.lastCounts {
 		for key, counts := range cells {
 			if key.server != "" {
 				answers += counts.Answers
@@ -265,7 +267,7 @@
 
 // AllAnswers counts the answers of all versions, over all processes.
 func (j *Judge) AllAnswers() (answers int) {
-	for _, cells := range j.taken {
+	for _, cells := range j.lastCounts {
 		for _, counts := range cells {
 			answers += counts.Answers
 		}
@@ -274,4 +276,4 @@
 }
 
 // InvalidReports counts the reports that could not be.
-func (j *Judge) InvalidReports() int { return j.nonsense }
+func (j *Judge) InvalidReports() int { return j.invalidReports }
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// reporting tells a judge, each half second, of what some nodes have seen.
-type reporting struct {
+// reportFeed tells a judge, each half second, of what some nodes have seen.
+type reportFeed struct {
 	judge    *Judge
 	random   *rand.Rand
 	evidence map[string]*Evidence
 	now      time.Duration
 }
 
-func newReporting(seed uint64, nodes int) *reporting {
-	r := &reporting{judge: NewJudge(), random: rand.New(rand.NewPCG(seed, 9)), evidence: make(map[string]*Evidence)}
+func newReportFeed(seed uint64, nodes int) *reportFeed {
+	r := &reportFeed{judge: NewJudge(), random: rand.New(rand.NewPCG(seed, 9)), evidence: make(map[string]*Evidence)}
 	for number := range nodes {
 		r.evidence[fmt.Sprint("node-", number)] = new(Evidence)
 	}
 	return r
 }
 
-// chance is Failed or Slow with the given parts, and Good otherwise.
-func (r *reporting) chance(failed, slow float64) AnswerQuality {
+// drawAnswer is Failed or Slow with the given parts, and Good otherwise.
+func (r *reportFeed) drawAnswer(failed, slow float64) AnswerQuality {
 	switch value := r.random.Float64(); {
 	case value < failed:
 		return Failed
@@ -36,11 +36,11 @@
 }
 
 // round adds answers of both kinds of versions and tells them.
-func (r *reporting) round(before, target int, answer func(node, route string, server int) AnswerQuality) {
+func (r *reportFeed) round(before, target int, answer func(node, route string, server int) AnswerQuality) {
 	r.now += 500 * time.Millisecond
 	for node, evidence := range r.evidence {
 		for range before {
-			evidence.Before(fmt.Sprint("route-", r.random.IntN(2)), r.chance(0.004, 0.06))
+			evidence.Before(fmt.Sprint("route-", r.random.IntN(2)), r.drawAnswer(0.004, 0.06))
 		}
 		for range target {
 			route, server := fmt.Sprint("route-", r.random.IntN(2)), r.random.IntN(3)
@@ -51,11 +51,13 @@
 	}
 }
 
-func (r *reporting) usual(string, string, int) AnswerQuality { return r.chance(0.004, 0.06) }
+func (r *reportFeed) healthyAnswer(string, string, int) AnswerQuality {
+	return r.drawAnswer(0.004, 0.06)
+}
 
 // verdictAfter is the verdict after a number of rounds of nine nodes.
-func verdictAfter(seed uint64, rounds int, answer func(r *reporting) func(node, route string, server int) AnswerQuality) Verdict {
-	r := newReporting(seed, 9)
+func verdictAfter(seed uint64, rounds int, answer func(r *reportFeed) func(node, route string, server int) AnswerQuality) Verdict {
+	r := newReportFeed(seed, 9)
 	for range rounds {
 		r.round(4, 1, answer(r))
 	}
@@ -67,44 +69,44 @@
 // one: a server, a node, a disruption of all.
 func TestVerdicts(t *testing.T) {
 	const seeds, rounds = 200, 12
-	onRoute := func(answer AnswerQuality, part float64) func(r *reporting) func(string, string, int) AnswerQuality {
-		return func(r *reporting) func(string, string, int) AnswerQuality {
+	onRoute := func(answer AnswerQuality, part float64) func(r *reportFeed) func(string, string, int) AnswerQuality {
+		return func(r *reportFeed) func(string, string, int) AnswerQuality {
 			return func(_, route string, _ int) AnswerQuality {
 				if route == "route-1" && r.random.Float64() < part {
 					return answer
 				}
-				return r.usual("", "", 0)
+				return r.healthyAnswer("", "", 0)
 			}
 		}
 	}
 	for name, test := range map[string]struct {
-		answer   func(r *reporting) func(node, route string, server int) AnswerQuality
+		answer   func(r *reportFeed) func(node, route string, server int) AnswerQuality
 		want     Verdict
 		mistakes int // most of the seeds
 	}{
-		"good": {func(r *reporting) func(string, string, int) AnswerQuality { return r.usual }, Healthy, 4},
-		"a quarter fails": {func(r *reporting) func(string, string, int) AnswerQuality {
-			return func(string, string, int) AnswerQuality { return r.chance(0.25, 0.06) }
+		"good": {func(r *reportFeed) func(string, string, int) AnswerQuality { return r.healthyAnswer }, Healthy, 4},
+		"a quarter fails": {func(r *reportFeed) func(string, string, int) AnswerQuality {
+			return func(string, string, int) AnswerQuality { return r.drawAnswer(0.25, 0.06) }
 		}, Bad, 2},
-		"slow": {func(r *reporting) func(string, string, int) AnswerQuality {
-			return func(string, string, int) AnswerQuality { return r.chance(0.004, 0.9) }
+		"slow": {func(r *reportFeed) func(string, string, int) AnswerQuality {
+			return func(string, string, int) AnswerQuality { return r.drawAnswer(0.004, 0.9) }
 		}, Bad, 0},
 		"half fails on a route": {onRoute(Failed, 0.5), Bad, 1},
 		"slow on a route":       {onRoute(Slow, 0.9), Bad, 1},
-		"one server fails always": {func(r *reporting) func(string, string, int) AnswerQuality {
+		"one server fails always": {func(r *reportFeed) func(string, string, int) AnswerQuality {
 			return func(_, _ string, server int) AnswerQuality {
 				if server == 1 {
 					return Failed
 				}
-				return r.usual("", "", 0)
+				return r.healthyAnswer("", "", 0)
 			}
 		}, Healthy, 6},
-		"one node sees failures alone": {func(r *reporting) func(string, string, int) AnswerQuality {
+		"one node sees failures alone": {func(r *reportFeed) func(string, string, int) AnswerQuality {
 			return func(node, _ string, _ int) AnswerQuality {
 				if node == "node-3" {
 					return Failed
 				}
-				return r.usual("", "", 0)
+				return r.healthyAnswer("", "", 0)
 			}
 		}, Healthy, 6},
 	} {
@@ -122,14 +124,14 @@
 
 // A version that turns bad after many good answers is found as soon as one that is bad at
 // once.
-func TestLateBadnessIsFoundSoon(t *testing.T) {
+func TestLateDefectIsDetectedQuickly(t *testing.T) {
 	for seed := range uint64(50) {
-		r := newReporting(seed, 9)
+		r := newReportFeed(seed, 9)
 		for range 30 {
-			r.round(4, 1, r.usual)
+			r.round(4, 1, r.healthyAnswer)
 		}
 		for rounds := 1; ; rounds++ {
-			r.round(4, 1, func(string, string, int) AnswerQuality { return r.chance(0.5, 0) })
+			r.round(4, 1, func(string, string, int) AnswerQuality { return r.drawAnswer(0.5, 0) })
 			if verdict, _ := r.judge.Verdict(); verdict == Bad {
 				break
 			}
@@ -141,7 +143,7 @@
 }
 
 // Reports that come twice or late count once, and nonsense counts for nothing.
-func TestReportsCountOnce(t *testing.T) {
+func TestRepeatedReportsCountOnce(t *testing.T) {
 	judge := NewJudge()
 	tell := func(answers, failed int) {
 		judge.AddReport(time.Second, Report{Node: "n", Process: "1", Target: []Cell{
@@ -162,7 +164,7 @@
 }
 
 // A target that was not tried on a route that many requests come on is not sound.
-func TestEveryBusyRouteIsTried(t *testing.T) {
+func TestBusyRouteWithoutTargetAnswersIsUndecided(t *testing.T) {
 	judge := NewJudge()
 	judge.AddReport(time.Second, Report{Node: "n", Process: "1",
 		Before: []Cell{{Route: "a", Counts: Counts{Answers: 60}}, {Route: "b", Counts: Counts{Answers: 40}}},
--- a/rollout/move_test.go
+++ b/rollout/move_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// decided is a decider of a running order of 20 s, as old as the decision, that has heard so many
+// deciderAtDecision is a decider of a running order of 20 s, as old as the decision, that has heard so many
 // good answers of the target and of the version before, on one route.
-func decided(target, before int) (d *Decider, now time.Duration) {
-	world := orderWorld()
-	record := *runningState(Running).Record
-	world.Record, world.RecordRevision = &record, 10
+func deciderAtDecision(target, before int) (d *Decider, now time.Duration) {
+	input := orderInput()
+	record := *stateInPhase(Running).Record
+	input.Record, input.RecordRevision = &record, 10
 	d = NewDecider("x", testBounds)
-	d.Observe(0, world)
+	d.Observe(0, input)
 	now = record.DecisionAt
 	for heard := time.Duration(0); heard < now; heard += 250 * time.Millisecond {
 		part := func(whole int) int { return int(float64(whole) * float64(heard) / float64(now)) }
@@ -35,7 +35,7 @@
 // bound (one 865 requests of 257), as traffic moved 6.6 s before the deadline on the word of eight
 // answers. Now the move is so
 // late that even then the bound holds, and where no time is left for one it takes proof.
-func TestMovesKeepTheBoundWhateverTheTargetIs(t *testing.T) {
+func TestMovesKeepTheBoundForBadTargets(t *testing.T) {
 	for name, test := range map[string]struct {
 		target, before int
 		moves          bool
@@ -45,7 +45,7 @@
 		"many, too few answers":  {12, 1500, false},
 		"few, but much is given": {30, 60, false},
 	} {
-		d, now := decided(test.target, test.before)
+		d, now := deciderAtDecision(test.target, test.before)
 		write, due := d.Tick(now)
 		if !due {
 			if test.moves {
@@ -61,7 +61,7 @@
 		left := (20*time.Second - write.Record.MoveAt).Seconds()
 		perSecond := all / now.Seconds()
 		bound := 0.1*(all+perSecond*6) + 50
-		if write.Record.Phase != Moving || given+perSecond*left > bound || left < leastMove.Seconds() {
+		if write.Record.Phase != Moving || given+perSecond*left > bound || left < minMoveTime.Seconds() {
 			t.Errorf("%s: %s, %.1f s before the deadline: %.0f of %.0f", name, write.Record.Phase, left, given+perSecond*left, bound)
 		}
 		if write.Record.MoveAt < now+moveNotice {
@@ -74,8 +74,8 @@
 // more: by what is not known of it, and no more.
 func TestMovesAreShorterWhereTheOrderMayBeYounger(t *testing.T) {
 	lengthOf := func(doubt time.Duration) time.Duration {
-		d, now := decided(9, 60)
-		d.world.Latest = d.world.Since + doubt
+		d, now := deciderAtDecision(9, 60)
+		d.input.Latest = d.input.Since + doubt
 		write, due := d.Tick(now)
 		if !due || write.Record.Phase != Moving {
 			t.Fatalf("with %s of doubt: %v %s", doubt, due, write.Record.Phase)
@@ -93,7 +93,7 @@
 // came while traffic moved than had been counted beforehand: 37 where 25 were expected, two standard
 // deviations and a half, as chance brings in one of a hundred moves. Where they are more than the
 // bound bears, the move is no longer made final.
-func TestMovesThatTakeMoreThanWasCountedAreRolledBack(t *testing.T) {
+func TestMovesOverTheBoundAreRolledBack(t *testing.T) {
 	for _, seed := range []uint64{2026120523, 2026128490} {
 		var seen tally
 		seen.play(seed, noBug)
@@ -105,7 +105,7 @@
 
 // Without a decision the order ends in time.
 func TestUndecidedOrdersAreRolledBack(t *testing.T) {
-	d, now := decided(12, 1500)
+	d, now := deciderAtDecision(12, 1500)
 	for ; now < 20*time.Second; now += 100 * time.Millisecond {
 		if write, due := d.Tick(now); due {
 			if write.Record.Phase != RolledBack {
@@ -118,17 +118,17 @@
 }
 
 // All nodes give the target nothing more once the move is decided, and everything at its time.
-func TestTargetsWaitForTheMove(t *testing.T) {
-	state := runningState(Moving)
+func TestTargetGetsNothingBeforeTheMove(t *testing.T) {
+	state := stateInPhase(Moving)
 	state.Record.MoveAt = 16 * time.Second
 	for _, offset := range []float64{0, 0.9} {
-		trial := NewCanary(testBounds, offset)
-		trial.Update(state, time.Hour)
-		if given, _ := sendAll(trial, 14*time.Second, 16*time.Second, "a"); given != 0 {
+		canary := NewCanary(testBounds, offset)
+		canary.Update(state, time.Hour)
+		if given, _ := offerSends(canary, 14*time.Second, 16*time.Second, "a"); given != 0 {
 			t.Errorf("%d were given before the move", given)
 		}
 		for _, version := range []string{"v1", "v2"} {
-			early, late := trial.TrafficMode(16*time.Second-1, version), trial.TrafficMode(16*time.Second+rampTime, version)
+			early, late := canary.TrafficMode(16*time.Second-1, version), canary.TrafficMode(16*time.Second+rampTime, version)
 			if early == late || version == "v2" && late != Unrestricted || version == "v1" && late != Blocked {
 				t.Errorf("%s: %d before the move, %d after it", version, early, late)
 			}
@@ -137,7 +137,7 @@
 }
 
 // Only answers of each route and of servers under load prove a target.
-func TestProofTakesEachRouteAndLoad(t *testing.T) {
+func TestProofRequiresEachRouteAndLoad(t *testing.T) {
 	good := func(server string, answers int) Cell {
 		return Cell{Route: "a", Server: server, Counts: Counts{Answers: answers}}
 	}
@@ -162,7 +162,7 @@
 
 // A move is not made final while the latest answers speak against the target, unless one server or
 // one node alone gave them.
-func TestDoubtfulAnswersHoldAMove(t *testing.T) {
+func TestSuspiciousAnswersHoldAMove(t *testing.T) {
 	failing := func(server string) Cell {
 		return Cell{Route: "a", Server: server, Counts: Counts{Answers: 2, Failed: 1}}
 	}
--- a/rollout/property_test.go
+++ b/rollout/property_test.go
@@ -12,11 +12,11 @@
 // Environment variables by which other histories are played: the first seed, and the number
 // of histories.
 const (
-	seedVariable    = "ROLLOUT_SEED"
-	historyVariable = "ROLLOUT_HISTORIES"
+	seedVariable      = "ROLLOUT_SEED"
+	historiesVariable = "ROLLOUT_HISTORIES"
 )
 
-func numberOf(t *testing.T, variable string, usual uint64) uint64 {
+func envNumber(t *testing.T, variable string, usual uint64) uint64 {
 	t.Helper()
 	text := os.Getenv(variable)
 	if text == "" {
@@ -46,9 +46,9 @@
 }
 
 const (
-	// leastRequests is the number of requests, on the route on which a version is bad, that
+	// minRequests is the number of requests, on the route on which a version is bad, that
 	// a decision needs until then: the target gets a few of a hundred.
-	leastRequests = 60
+	minRequests = 60
 	// loadRoom is how much more than what shows a version under load the bound must allow,
 	// and loadDuration the shortest order in which that is tried before half of its time.
 	loadRoom     = 1.5
@@ -58,47 +58,47 @@
 // decidable reports whether a history had what a decision needs: enough requests, for a bad
 // version where and when it shows, a registry around the deadline, and evidence that did not
 // go with all nodes.
-func (w *world) decidable() bool {
-	early := 0.6 * w.duration.Seconds()
-	requests := w.rate * early * w.shareOf(w.bad.route)
-	return requests >= leastRequests && w.loadShows(early) && !w.awayAtTheEnd() && !w.allWentDown() && !w.stuckAtTheEnd()
+func (c *cluster) decidable() bool {
+	early := 0.6 * c.duration.Seconds()
+	requests := c.rate * early * c.routeShare(c.bad.route)
+	return requests >= minRequests && c.loadIsReachable(early) && !c.registryDownNearDeadline() && !c.allNodesRestarted() && !c.nodeStalledNearDeadline()
 }
 
 // provable reports whether a decidable history of a good version had what tells it from each
 // version that is bad: on its rarest route, and under load.
-func (w *world) provable() bool {
-	early := 0.6 * w.duration.Seconds()
-	loaded := *w
+func (c *cluster) provable() bool {
+	early := 0.6 * c.duration.Seconds()
+	loaded := *c
 	loaded.bad.underLoad = true
-	return w.rate*early*w.shareOf(w.routes[len(w.routes)-1]) >= leastRequests && loaded.loadShows(early)
+	return c.rate*early*c.routeShare(c.routes[len(c.routes)-1]) >= minRequests && loaded.loadIsReachable(early)
 }
 
-// stuckAtTheEnd reports whether a node could tell nobody, for most of the time in which all
+// nodeStalledNearDeadline reports whether a node could tell nobody, for most of the time in which all
 // have to, that it has moved.
-func (w *world) stuckAtTheEnd() bool {
-	return slices.ContainsFunc(w.nodes, func(n *simNode) bool { return n.stuckUntil > w.orderAt+w.duration/2 })
+func (c *cluster) nodeStalledNearDeadline() bool {
+	return slices.ContainsFunc(c.nodes, func(n *simNode) bool { return n.stalledUntil > c.orderAt+c.duration/2 })
 }
 
-// awayAtTheEnd reports whether the registry was away within some seconds of the deadline.
-func (w *world) awayAtTheEnd() bool {
-	return w.outage[1] > w.orderAt+w.duration-4*time.Second && w.outage[0] < w.orderAt+w.duration
+// registryDownNearDeadline reports whether the registry was away within some seconds of the deadline.
+func (c *cluster) registryDownNearDeadline() bool {
+	return c.outage[1] > c.orderAt+c.duration-4*time.Second && c.outage[0] < c.orderAt+c.duration
 }
 
-// loadShows reports whether the bound allows enough requests to bring the load about by
+// loadIsReachable reports whether the bound allows enough requests to bring the load about by
 // which a version is bad.
-func (w *world) loadShows(early float64) bool {
-	if !w.bad.underLoad {
+func (c *cluster) loadIsReachable(early float64) bool {
+	if !c.bad.underLoad {
 		return true
 	}
-	if w.duration < loadDuration {
+	if c.duration < loadDuration {
 		return false
 	}
-	allowed := 0.85 * (w.bounds.ExposureShare*w.rate*early + w.bounds.ExposureSlack) * (1 - earlyShare)
-	return allowed/loadServers >= loadRoom*loadShare*w.rate/targetServers
+	allowed := 0.85 * (c.bounds.ExposureShare*c.rate*early + c.bounds.ExposureSlack) * (1 - earlyShare)
+	return allowed/maxLoadTestServers >= loadRoom*loadShare*c.rate/targetServers
 }
 
-// shareOf is the part of the requests that come on a route; empty is all.
-func (w *world) shareOf(route string) float64 {
+// routeShare is the part of the requests that come on a route; empty is all.
+func (c *cluster) routeShare(route string) float64 {
 	if route == "" {
 		return 1
 	}
@@ -109,12 +109,12 @@
 		}
 		return z * (1 - math.Log(z))
 	}
-	place, routes := float64(slices.Index(w.routes, route)), float64(len(w.routes))
+	place, routes := float64(slices.Index(c.routes, route)), float64(len(c.routes))
 	return below((place+1)/routes) - below(place/routes)
 }
 
-func (w *world) allWentDown() bool {
-	for _, n := range w.nodes {
+func (c *cluster) allNodesRestarted() bool {
+	for _, n := range c.nodes {
 		if n.process < 2 {
 			return false
 		}
@@ -126,44 +126,44 @@
 func (t *tally) play(seed uint64, seeded bug) {
 	w := newWorld(seed, seeded)
 	w.run()
-	t.lost += count(w.lost > 0)
-	t.changed += count(w.changedAfterEnd > 0)
-	t.overLimited += count(w.overLimited > 0)
+	t.lost += boolToInt(w.lost > 0)
+	t.changed += boolToInt(w.changedAfterEnd > 0)
+	t.overLimited += boolToInt(w.overLimited > 0)
 	inTime := w.end != "" && w.endAt <= w.orderAt+w.duration
-	t.noEnd += count(!inTime && !w.awayAtTheEnd())
-	isBad := w.bad != (badness{})
-	overShare := isBad && float64(w.given) > w.bounds.ExposureShare*float64(w.arrived)+w.bounds.ExposureSlack
+	t.noEnd += boolToInt(!inTime && !w.registryDownNearDeadline())
+	isBad := w.bad != (defectSpec{})
+	overShare := isBad && float64(w.targetRequests) > w.bounds.ExposureShare*float64(w.requests)+w.bounds.ExposureSlack
 	if !w.decidable() {
 		t.undecidable++
-		t.overUndecided += count(overShare)
-		t.noteBreach(overShare, seed)
+		t.overUndecided += boolToInt(overShare)
+		t.recordBreach(overShare, seed)
 		return
 	}
-	t.overShare += count(overShare)
-	late := isBad && w.givenLate > 0 && w.end != Completed
-	t.late += count(late)
-	t.noteBreach(overShare || late, seed)
+	t.overShare += boolToInt(overShare)
+	late := isBad && w.lateTargetRequests > 0 && w.end != Completed
+	t.late += boolToInt(late)
+	t.recordBreach(overShare || late, seed)
 	if !isBad {
 		t.good++
-		t.completed += count(inTime && w.end == Completed)
-		t.provable += count(w.provable())
-		t.provableCompleted += count(w.provable() && inTime && w.end == Completed)
-		t.falseRollbacks += count(w.end == RolledBack)
+		t.completed += boolToInt(inTime && w.end == Completed)
+		t.provable += boolToInt(w.provable())
+		t.provableCompleted += boolToInt(w.provable() && inTime && w.end == Completed)
+		t.falseRollbacks += boolToInt(w.end == RolledBack)
 		return
 	}
 	t.bad++
-	t.rolledBack += count(inTime && w.end == RolledBack)
-	t.falseCompletions += count(w.end == Completed)
+	t.rolledBack += boolToInt(inTime && w.end == RolledBack)
+	t.falseCompletions += boolToInt(w.end == Completed)
 }
 
-// noteBreach keeps the first seed that broke a bound.
-func (t *tally) noteBreach(broken bool, seed uint64) {
+// recordBreach keeps the first seed that broke a bound.
+func (t *tally) recordBreach(broken bool, seed uint64) {
 	if broken && t.firstBreach == 0 {
 		t.firstBreach = seed
 	}
 }
 
-func count(is bool) int {
+func boolToInt(is bool) int {
 	if is {
 		return 1
 	}
@@ -171,11 +171,11 @@
 }
 
 const (
-	// mostNotCompleted is the part of the good versions that may not be completed in time where a
+	// maxNotCompletedShare is the part of the good versions that may not be completed in time where a
 	// bad one is decidable: of those that can be told from each bad one, and of all.
-	mostNotCompleted = 0.05
-	// mostNotRolledBack is the part of the bad versions that may not come to their end in time.
-	mostNotRolledBack = 0.01
+	maxNotCompletedShare = 0.05
+	// maxNotRolledBackShare is the part of the bad versions that may not come to their end in time.
+	maxNotRolledBackShare = 0.01
 )
 
 // exceeds reports whether a count of so many is above a part by more than two standard
@@ -200,9 +200,9 @@
 		return "requests were lost at the old servers' end"
 	case t.changed > 0:
 		return "a roll-out that had ended was changed"
-	case exceeds(t.provable-t.provableCompleted, t.provable, mostNotCompleted):
+	case exceeds(t.provable-t.provableCompleted, t.provable, maxNotCompletedShare):
 		return "too few good versions were completed in time that could be proven"
-	case exceeds(t.bad-t.rolledBack, t.bad, mostNotRolledBack):
+	case exceeds(t.bad-t.rolledBack, t.bad, maxNotRolledBackShare):
 		return "too few bad versions were rolled back in time"
 	default:
 		return ""
@@ -212,7 +212,7 @@
 // Drawn histories of good and bad versions, of traffic and of failures: what the nodes do
 // together keeps the bounds, loses nothing, and ends as it should.
 func TestRolloutsOverManyNodes(t *testing.T) {
-	first, histories := numberOf(t, seedVariable, 1), numberOf(t, historyVariable, 400)
+	first, histories := envNumber(t, seedVariable, 1), envNumber(t, historiesVariable, 400)
 	var seen tally
 	for seed := first; seed < first+histories; seed++ {
 		seen.play(seed, noBug)
@@ -228,12 +228,12 @@
 // doesn't bear the move: a route brings fewer requests than exclude a version that is bad there, or
 // there is no room for the load. On seeds 990177 to 991676 359 of 449 are.
 func TestGoodVersionsAreCompleted(t *testing.T) {
-	first, histories := numberOf(t, seedVariable, 1), numberOf(t, historyVariable, 400)
+	first, histories := envNumber(t, seedVariable, 1), envNumber(t, historiesVariable, 400)
 	var seen tally
 	for seed := first; seed < first+histories; seed++ {
 		seen.play(seed, noBug)
 	}
-	if exceeds(seen.good-seen.completed, seen.good, mostNotCompleted) {
+	if exceeds(seen.good-seen.completed, seen.good, maxNotCompletedShare) {
 		t.Errorf("%d of %d good versions were completed in time", seen.completed, seen.good)
 	}
 }
@@ -241,17 +241,17 @@
 // Each seeded bug is caught by the same properties over histories that keep them without it.
 func TestSeededBugsAreCaught(t *testing.T) {
 	names := map[bug]string{
-		bugWholeGrantForEach: "each node has the whole grant",
-		bugNoCondition:       "writes without a condition",
-		bugRepeatsNotCounted: "repeats are not counted",
-		bugAgeResetByRestart: "a restart resets the order's age",
-		bugNobodyAsked:       "completed before the nodes moved",
-		bugEvidenceTwice:     "evidence counts twice",
-		bugNodesNotToldApart: "one node decides alone",
-		bugNoTakeover:        "nobody takes over from a decider",
-		bugEndsNotHeard:      "half of the nodes don't hear of the end",
-		bugSlowNotSeen:       "slow answers are not seen",
-		bugEndIsNoEnd:        "an ended order is decided again",
+		bugFullGrantForEach:      "each node has the whole grant",
+		bugNoCondition:           "writes without a condition",
+		bugRepeatsNotCounted:     "repeats are not counted",
+		bugAgeResetByRestart:     "a restart resets the order's age",
+		bugNoConfirmations:       "completed before the nodes moved",
+		bugEvidenceCountedTwice:  "evidence counts twice",
+		bugNodesNotDistinguished: "one node decides alone",
+		bugNoTakeover:            "nobody takes over from a decider",
+		bugEndsMissed:            "half of the nodes don't hear of the end",
+		bugSlowIgnored:           "slow answers are not seen",
+		bugEndedReopened:         "an ended order is decided again",
 	}
 	const histories, step = 300, 50
 	for seeded := noBug + 1; seeded < bugs; seeded++ {
--- /dev/null
+++ b/rollout/simulation_nodes_test.go
@@ -0,0 +1,166 @@
+package rollout
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// step lets a node learn, report and decide.
+func (c *cluster) step(n *simNode) {
+	c.refreshView(n)
+	if n.state.Order != 0 && c.now >= n.reportAt && n.reachesNodes(c.now) && n.stalledUntil <= c.now {
+		n.reportAt = c.now + reportGap
+		if n.canary.NeedsFrequentReports(c.now) {
+			n.reportAt = c.now + reportGap/2
+		}
+		c.report(n)
+	}
+	place := slices.IndexFunc(c.leaders(), func(l *simNode) bool { return l == n })
+	if place < 0 || !n.hasView {
+		return
+	}
+	cluster := DeciderInput{
+		State: n.state, RecordRevision: n.view.record, Versions: []string{previousVersion, targetVersion}, ServiceKnown: true,
+		DeciderIndex: place, Nodes: c.nodeNames(), ServingNodes: c.nodeNames(), MaxViewAge: 1600 * time.Millisecond,
+	}
+	if c.bug == bugNoConfirmations {
+		cluster.Nodes = nil
+	}
+	if c.bug == bugNoTakeover && place > 0 {
+		cluster.DeciderIndex = -1
+	}
+	if c.bug == bugEndedReopened && n.state.hasCurrentRecord() && n.state.Record.Phase == Completed {
+		reopened := *n.state.Record
+		reopened.Phase = Moving
+		cluster.Record = &reopened
+	}
+	n.decider.Observe(c.now, cluster)
+	if due, ok := n.decider.Tick(c.now); ok && n.reachesRegistry(c.now) {
+		c.writes = append(c.writes, write{at: c.now + time.Duration(c.random.IntN(60))*time.Millisecond, what: due, by: n.decider})
+	}
+}
+
+// leaders are the first three that others see: nodes that are gone or cut off are passed
+// over after some time, which is left out here for those that are frozen or deaf.
+func (c *cluster) leaders() []*simNode {
+	var seen []*simNode
+	for _, n := range c.nodes {
+		if n.up(c.now) && n.cutUntil <= c.now && len(seen) < 3 {
+			seen = append(seen, n)
+		}
+	}
+	return seen
+}
+
+// nodeNames are those of the nodes that are not known to be gone.
+func (c *cluster) nodeNames() []string {
+	var names []string
+	for _, n := range c.nodes {
+		if n.up(c.now) && n.cutUntil <= c.now {
+			names = append(names, n.name)
+		}
+	}
+	return names
+}
+
+// refreshView brings a node's belief to what the registry held some time ago.
+func (c *cluster) refreshView(n *simNode) {
+	if c.now < n.viewAt+n.lag || !n.reachesNodes(c.now) || !c.registryUp() || n.stalledUntil > c.now {
+		return
+	}
+	before, heardBefore := n.viewAt, n.hasView
+	n.viewAt, n.hasView = c.now, true
+	n.lag = time.Duration(c.random.Float64() * float64(1400*time.Millisecond))
+	if n.registryCutUntil > c.now {
+		n.lag += 1500 * time.Millisecond // others tell it
+	}
+	if c.store.order != n.view.order {
+		n.state.OrderTimeKnown = false
+		switch {
+		case heardBefore && before >= c.orderAt-2*c.orderDetectionDelay:
+			n.state.Since, n.state.OrderTimeKnown = c.orderAt-c.orderDetectionDelay, true // a reader's figure
+			if c.firstSeenAt == 0 {
+				c.firstSeenAt = c.now
+			}
+			n.state.Latest = c.firstSeenAt
+		case heardBefore:
+			n.state.Since, n.state.OrderTimeKnown, n.state.Latest = before, true, c.now
+		default:
+			c.copyOrderAge(n)
+		}
+	}
+	if c.store.record != n.view.record {
+		n.state.RecordSeenAt = c.now
+	}
+	if c.bug == bugEndsMissed && c.store.value.Phase == RolledBack && n.number%2 == 1 {
+		c.updateCanary(n)
+		return
+	}
+	n.view = c.store
+	n.state.AlarmHeld = c.store.alarm
+	if c.store.alarm {
+		n.state.AlarmSeenAt = c.now
+	}
+	n.state.Order, n.state.OrderRevision, n.state.Target = c.store.order, c.store.order, targetVersion
+	n.state.Duration = c.duration
+	if n.view.record != 0 {
+		record := n.view.value
+		n.state.Record = &record
+	}
+	c.updateCanary(n)
+}
+
+// updateCanary tells a node's trial what is known.
+func (c *cluster) updateCanary(n *simNode) {
+	n.state.Granted = n.state.GrantFor(c.now, n.name, c.now-n.startedAt)
+	if n.state.hasCurrentRecord() && c.bug == bugFullGrantForEach {
+		n.state.Granted = 42
+	}
+	n.canary.Update(n.state, n.viewAt+c.bounds.MaxViewAge())
+}
+
+// copyOrderAge lets a node take over the order's age from one that knows it.
+func (c *cluster) copyOrderAge(n *simNode) {
+	if c.bug == bugAgeResetByRestart {
+		n.state.Since, n.state.OrderTimeKnown, n.state.Latest = c.now, true, c.now
+		return
+	}
+	for _, other := range c.nodes {
+		if other != n && other.reachesNodes(c.now) && other.state.OrderTimeKnown && other.state.Order == c.store.order {
+			n.state.Since, n.state.OrderTimeKnown, n.state.Latest = other.state.Since, true, other.state.Latest
+			return
+		}
+	}
+}
+
+// report tells the deciders what a node has seen.
+func (c *cluster) report(n *simNode) {
+	n.inFlight = slices.DeleteFunc(n.inFlight, func(until time.Duration) bool { return until <= c.now })
+	target, before := n.canary.Evidence().Cells()
+	told := Report{
+		Node: n.name, Process: fmt.Sprint(n.process), Service: "service", Order: n.state.Order,
+		Moved: n.canary.Moved(c.now), Remaining: len(n.inFlight), Target: target, Before: before,
+	}
+	if n.reportsFalseFailures {
+		told.Target = slices.Clone(target)
+		for i := range told.Target {
+			told.Target[i].Failed, told.Target[i].Slow = told.Target[i].Answers, 0
+		}
+	}
+	switch c.bug {
+	case bugEvidenceCountedTwice:
+		told.Process += fmt.Sprint(c.now)
+	case bugNodesNotDistinguished:
+		told.Node += fmt.Sprint(c.random.Uint32())
+	}
+	for _, leader := range c.leaders() {
+		if !leader.reachesNodes(c.now) {
+			continue
+		}
+		leader.decider.AddReport(c.now, told)
+		if leader.decider.Halt() && c.bug != bugEndsMissed {
+			n.canary.Halt(told.Order)
+		}
+	}
+}
