--- a/rollout/baseline.go
+++ b/rollout/baseline.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// baselineHalfLife is the time in which answers of the versions before lose half their
-	// weight against later ones: they are to be of the same seconds.
+	// baselineHalfLife is the time after which answers of the previous versions have half the
+	// weight of new ones. It is short because target and baseline must be compared over the same
+	// seconds.
 	baselineHalfLife = 1500 * time.Millisecond
-	// recentHalfLife is the same for those by which a disruption of all servers is noticed at
-	// once, where minRecentAnswers of them are there.
+	// recentHalfLife is the half-life of a second baseline, which shows a disruption of all servers
+	// at once. It is used while its weight is at least minRecentAnswers.
 	recentHalfLife   = 400 * time.Millisecond
 	minRecentAnswers = 10
-	// minBaselineWeight is the weight of answers that is kept of them in any case: without it a share
-	// could not be told any more once traffic has moved.
+	// minBaselineWeight is the weight below which baseline answers do not decay: otherwise no share
+	// could be computed once traffic has moved to the target.
 	minBaselineWeight = 25
-	// priorWeight is that of what stands in for a share, in answers.
+	// priorWeight is the weight of the prior share, in answers.
 	priorWeight = 4
 )
 
-// kind is what may be wrong with an answer.
+// kind is a kind of bad answer.
 type kind int
 
 const (
@@ -32,15 +33,17 @@
 // worse is what a bad version adds at least to the share of bad answers, by kind, and
 // least the share that is supposed where none was seen.
 var (
+	// minBadIncrease is by how much a bad version at least raises the share of bad answers, per kind.
+	// minBaselineShare is the share assumed when no bad answers were seen.
 	minBadIncrease   = [numKinds]float64{failures: 0.2, slowness: 0.35}
 	minBaselineShare = [numKinds]float64{failures: 0.01, slowness: 0.05}
 )
 
-// baselineShares are the answers of the versions before of late, by weight.
+// baselineShares holds the decayed numbers of the previous versions' answers.
 type baselineShares struct {
 	answers float64
 	bad     [numKinds]float64
-	// total are all answers, without weights.
+	// total counts all answers without decay.
 	total int
 }
 
@@ -51,7 +54,7 @@
 	s.bad[slowness] += float64(counts.Slow)
 }
 
-// decay lets older answers weigh less, down to a weight that is left in any case.
+// decay multiplies the weight of earlier answers by factor, but not to less than minWeight.
 func (s *baselineShares) decay(factor, minWeight float64) {
 	if s.answers*factor < minWeight {
 		factor = min(minWeight/max(s.answers, minWeight), 1)
@@ -62,12 +65,12 @@
 	}
 }
 
-// estimate is the share of one kind; few answers say little, and another share stands in.
+// estimate returns the share of bad answers of one kind. With few answers it is close to prior.
 func (s *baselineShares) estimate(k kind, prior float64) float64 {
 	return (s.bad[k] + prior*priorWeight) / (s.answers + priorWeight)
 }
 
-// upperBound is the greatest share that is likely, a standard error above the one that was seen.
+// upperBound returns the estimated share plus one standard error.
 func (s *baselineShares) upperBound(k kind, prior float64) float64 {
 	share := max(s.estimate(k, prior), minBaselineShare[k])
 	return min(share+math.Sqrt(share*(1-share)/(s.answers+priorWeight)), 0.9)
--- a/rollout/canary.go
+++ b/rollout/canary.go
@@ -7,43 +7,43 @@
 	"github.com/banksail/banksail/extrabudget"
 )
 
-// State is what a node knows of a service's roll-out.
+// State is a node's view of a service's roll-out. Times are on the node's clock.
 type State struct {
-	// Order is the number of the order; zero is that there is none. Target is its version,
-	// also while there is no record.
+	// Order is the number of the order; zero means that there is none. Target is the order's version. It
+	// is also set while there is no record.
 	Order  uint64
 	Target string
-	// Duration is the time from the order until its deadline.
+	// Duration is the time from the order to its deadline.
 	Duration time.Duration
-	// OrderRevision is where the registry holds the order now; zero is nowhere, as it has come
-	// back from a copy without it. RecordLost says the same of the record.
+	// OrderRevision is the order's current revision in the registry; zero means that the registry was
+	// restored from a backup without it. RecordLost means the same for the record.
 	OrderRevision uint64
 	RecordLost    bool
-	// Record is what the nodes have made of the order, or of an earlier one; nil is nothing.
+	// Record is the latest record of this order or of an earlier one; nil if there is none.
 	Record *Record
-	// Since is when the order was given at the earliest, and RecordSeenAt when this node
-	// heard of the record; both on the node's clock.
+	// Since is the earliest time at which the order can have been given, and is valid if OrderTimeKnown
+	// is set. RecordSeenAt is when this node first saw the record.
 	Since          time.Duration
 	OrderTimeKnown bool
-	// Latest is when the order was given at the latest: some node had heard of it by then. It
-	// counts where Since is known.
+	// Latest is the latest time at which the order can have been given, because some node had seen it by
+	// then. It is valid if OrderTimeKnown is set.
 	Latest       time.Duration
 	RecordSeenAt time.Duration
-	// AlarmHeld says that the registry holds the order's alarm, and AlarmSeenAt when it was seen
-	// last; zero is never.
+	// AlarmHeld says that the registry holds the order's alarm, and AlarmSeenAt when it was last seen
+	// there; zero means never.
 	AlarmHeld   bool
 	AlarmSeenAt time.Duration
-	// Granted is what the record grants to this node.
+	// Granted is the number of requests that the record grants to this node.
 	Granted int
 }
 
-// hasCurrentRecord reports whether the record is that of the order.
+// hasCurrentRecord reports whether the record belongs to the order.
 func (s State) hasCurrentRecord() bool { return s.Record != nil && s.Record.Order == s.Order }
 
-// isMoving reports whether the order's traffic moves.
+// isMoving reports whether the order is in the phase Moving.
 func (s State) isMoving() bool { return s.hasCurrentRecord() && s.Record.Phase == Moving }
 
-// Ended reports whether there is nothing to do: no order, or one that has come to its end.
+// Ended reports whether there is no order, or one whose roll-out has ended.
 func (s State) Ended() bool {
 	if s.Order == 0 {
 		return s.Record == nil || s.Record.Phase.Ended()
@@ -51,16 +51,17 @@
 	return s.hasCurrentRecord() && s.Record.Phase.Ended()
 }
 
-// RecordMatchesRestoredOrder reports whether the record is of the order that stands in the registry, though that
-// was written under another number: the registry has come back from a copy since, and this
-// node did not know the order before.
+// RecordMatchesRestoredOrder reports whether the record belongs to the order in the registry although
+// the order's number differs: the registry was restored from a backup and the order written again,
+// and this node did not know the order before.
 func (s State) RecordMatchesRestoredOrder() bool {
 	return s.Order != 0 && s.Record != nil && s.OrderRevision != 0 &&
 		s.Record.orderRevision() == s.OrderRevision && s.Record.Target == s.Target
 }
 
-// NeedsRewrite reports whether the record must be written again: the registry does not hold it, or
-// holds its order elsewhere, so that nodes that start now would take the order for a new one.
+// NeedsRewrite reports whether the record must be written again because the registry does not hold
+// it, or holds its order at another revision. Otherwise nodes that start now would take the order for
+// a new one.
 func (s State) NeedsRewrite() bool {
 	if s.Record == nil {
 		return false
@@ -69,7 +70,7 @@
 	return s.RecordLost || moved
 }
 
-// sameStage reports whether two records are of the same order and phase.
+// sameStage reports whether the records of two states have the same order and phase.
 func (s State) sameStage(other State) bool {
 	if s.Record == nil || other.Record == nil {
 		return s.Record == other.Record
@@ -77,7 +78,7 @@
 	return s.Record.Order == other.Record.Order && s.Record.Phase == other.Record.Phase
 }
 
-// Age is how old the order is at most.
+// Age returns an upper bound of the order's age.
 func (s State) Age(now time.Duration) time.Duration {
 	switch {
 	case s.OrderTimeKnown:
@@ -87,7 +88,7 @@
 	case s.hasCurrentRecord() && s.Record.HasAlarm && s.AlarmSeenAt > 0:
 		return s.Record.DecisionAt + now - s.AlarmSeenAt
 	case s.hasCurrentRecord() && s.Record.HasAlarm:
-		return s.Record.DecisionAt + restartAllowance + now - s.RecordSeenAt // gone before this node began
+		return s.Record.DecisionAt + restartAllowance + now - s.RecordSeenAt // the alarm expired before this node started
 	case s.hasCurrentRecord():
 		return s.Record.Elapsed + restartAllowance + now - s.RecordSeenAt
 	default:
@@ -95,7 +96,7 @@
 	}
 }
 
-// AgeUncertainty is by how much the order may be younger than its age tells.
+// AgeUncertainty returns by how much the order may be younger than Age.
 func (s State) AgeUncertainty() time.Duration {
 	if !s.OrderTimeKnown {
 		return restartAllowance
@@ -103,12 +104,13 @@
 	return max(s.Latest-s.Since, 0)
 }
 
-// grantMargin is by how much a process must be older than a grant to have it: orders are
-// thought to be older than they are by a reading of the registry at most.
+// grantMargin is by how much a process must be older than a grant to use it. An order's age may be
+// overestimated by up to one poll of the registry.
 const grantMargin = 3 * time.Second
 
-// GrantFor is what a record grants to a node, whose process runs for the time given: one that
-// is younger than the grant may follow one that has used it.
+// GrantFor returns the number of requests that the record grants to a node whose process has been
+// running for the given time. It is zero for a process younger than the grant, since an earlier
+// process of the node may have used it.
 func (s State) GrantFor(now time.Duration, node string, running time.Duration) int {
 	if !s.hasCurrentRecord() || running < s.Age(now)-s.Record.Granted+grantMargin {
 		return 0
@@ -116,51 +118,51 @@
 	return s.Record.Grants[node]
 }
 
-// TrafficMode is what a version's servers may get.
+// TrafficMode says what traffic the servers of a version may receive.
 type TrafficMode int
 
 const (
-	// Unrestricted servers get requests as any other.
+	// Unrestricted servers receive requests like any other.
 	Unrestricted TrafficMode = iota
-	// Limited servers get what the exposure allows.
+	// Limited servers receive requests within the limits of the Canary.
 	Limited
-	// Blocked servers get nothing.
+	// Blocked servers receive no requests.
 	Blocked
 )
 
-// Canary is one node's part in a service's roll-out: what it may give the target. It is not
-// safe for concurrent use.
+// Canary limits what one node sends to the target version of a service's roll-out, and collects
+// evidence about it. It is not safe for concurrent use.
 type Canary struct {
 	bounds Bounds
-	// offset spreads what all nodes give the target early, of which each has a few only.
+	// offset staggers the early sends to the target between nodes, each of which has only a few.
 	offset float64
 	state  State
-	// allowance and routes are of the order.
+	// allowance, routes and halted are reset for each order.
 	allowance extrabudget.Allowance
 	routes    map[string]*routeSends
 	halted    bool
-	// loadTestStarted says that the load has begun, before which sendsBeforeLoadTest were spent, and loadServers
-	// is the number of servers that bear it.
+	// loadTestStarted says that the load test has begun. sendsBeforeLoadTest is the number of requests
+	// sent to the target before it, and loadTestServers the number of servers that it uses in turn.
 	loadTestStarted                      bool
 	sendsBeforeLoadTest, loadTestServers int
-	// soleVersion is the one version that is there, empty if there are several, and alone says that
-	// it is the order's: then there is nothing to move.
+	// soleVersion is the only version of the service's servers, or empty if there are several.
+	// targetIsSole says that it is the order's target, so that there is nothing to move.
 	soleVersion  string
 	targetIsSole bool
-	// moveSeenAt is when this node heard that traffic moves; the record may be written again.
+	// moveSeenAt is when this node learned of the move. It is not updated when the record is rewritten.
 	moveSeenAt time.Duration
-	// freshUntil is until when the belief is good enough.
+	// freshUntil is when the node's view of the registry becomes too old to send to the target.
 	freshUntil time.Duration
 	evidence   Evidence
 }
 
-// NewCanary returns a node's part in the roll-outs of one service; offset is from 0 to 1,
-// another one for each node.
+// NewCanary returns a canary for the roll-outs of one service. offset is between 0 and 1 and must
+// differ between nodes.
 func NewCanary(bounds Bounds, offset float64) *Canary {
 	return &Canary{bounds: bounds, offset: offset, routes: make(map[string]*routeSends)}
 }
 
-// Update notes what is known of the roll-out, until when that is fresh.
+// Update sets the state of the roll-out, which may be used until freshUntil.
 func (c *Canary) Update(state State, freshUntil time.Duration) {
 	if state.Order != c.state.Order {
 		c.allowance = extrabudget.Allowance{}
@@ -174,7 +176,7 @@
 	c.state, c.freshUntil = state, freshUntil
 }
 
-// SetVersions notes the versions of the service's servers that take work.
+// SetVersions sets the versions of the service's servers that accept work.
 func (c *Canary) SetVersions(versions []string) {
 	c.soleVersion = ""
 	if len(versions) == 1 {
@@ -182,11 +184,11 @@
 	}
 }
 
-// State is what was noted last.
+// State returns the state set by the last call of Update.
 func (c *Canary) State() State { return c.state }
 
-// Halt stops what the target gets until there is another order: the decision to roll back
-// is on its way.
+// Halt stops all sends to the target of the given order. It is called when a decider is about to roll
+// the order back.
 func (c *Canary) Halt(order uint64) {
 	if c.state.Order == order {
 		c.halted = true
@@ -198,7 +200,7 @@
 	return c.state.Order != 0 && !c.state.Ended()
 }
 
-// TrafficMode is what servers of a version may get now.
+// TrafficMode returns what traffic the servers of a version may receive now.
 func (c *Canary) TrafficMode(now time.Duration, version string) TrafficMode {
 	record := c.state.Record
 	if c.Active() && version == c.state.Target {
@@ -216,14 +218,14 @@
 	case c.Moved(now) && slices.Contains(record.Before, version):
 		return Blocked
 	case !record.Phase.Ended() && !c.state.hasCurrentRecord() && version == record.Target:
-		return Blocked // given up for another order, or taken back
+		return Blocked // replaced by another order, or withdrawn
 	default:
 		return Unrestricted
 	}
 }
 
-// Moved reports whether this node sends everything to the target. One that was told to halt
-// has gone back to the versions before.
+// Moved reports whether this node sends all traffic to the target. After Halt, it sends to the
+// previous versions again.
 func (c *Canary) Moved(now time.Duration) bool {
 	if !c.Active() || !c.state.isMoving() || c.halted {
 		return false
@@ -232,6 +234,7 @@
 	return now >= c.moveSeenAt+spread && c.state.Age(now) >= c.state.Record.MoveAt+spread
 }
 
+// targetTrafficMode returns the traffic mode of the active order's target.
 func (c *Canary) targetTrafficMode(now time.Duration) TrafficMode {
 	switch {
 	case !c.state.hasCurrentRecord() && c.targetIsSole:
@@ -245,29 +248,29 @@
 	}
 }
 
-// NeedsFrequentReports reports whether the target gets so much now that the deciders are to hear of it
-// more often.
+// NeedsFrequentReports reports whether the target receives so much traffic now that the node must
+// report to the deciders more often.
 func (c *Canary) NeedsFrequentReports(now time.Duration) bool {
 	_, underLoad := c.LoadTestServer(now)
 	return underLoad || c.Active() && c.state.hasCurrentRecord() && c.state.Record.Phase == Moving
 }
 
-// CountTargetSend notes that a server of the target was sent something.
+// CountTargetSend counts a send to a server of the target.
 func (c *Canary) CountTargetSend() { c.allowance.Spend() }
 
-// UndoTargetSend notes that nothing of a send to the target was written.
+// UndoTargetSend takes back a send to the target of which nothing was written.
 func (c *Canary) UndoTargetSend() { c.allowance.Refund() }
 
-// CountRequest notes that a request has reached a server of the service, whatever its version.
+// CountRequest counts a request that reached a server of the service, of whatever version.
 func (c *Canary) CountRequest() { c.allowance.Count() }
 
-// TargetSends is what the target got from this node.
+// TargetSends returns the number of sends to the target by this node.
 func (c *Canary) TargetSends() int { return c.allowance.Spent() }
 
-// Allowed is what the target may have got so far.
+// Allowed returns the number of sends to the target that this node's bound has allowed so far.
 func (c *Canary) Allowed() float64 {
 	return c.allowance.Limit(c.bounds.ExposureShare, c.state.Granted)
 }
 
-// Evidence is what the node has seen of the order's answers.
+// Evidence returns the answers that this node has seen since it learned of the order.
 func (c *Canary) Evidence() *Evidence { return &c.evidence }
--- a/rollout/canary_test.go
+++ b/rollout/canary_test.go
@@ -8,7 +8,7 @@
 
 var testBounds = Bounds{ExposureShare: 0.1, ExposureSlack: 50, RollbackTime: 5 * time.Second}
 
-// stateInPhase is a node's of an order of 20 s that was given at 0, at the given phase.
+// stateInPhase is a node's state in the given phase, for an order that was given at 0.
 func stateInPhase(phase Phase) State {
 	return State{
 		Order: 7, Target: "v2", OrderTimeKnown: true, Granted: 10,
@@ -19,8 +19,8 @@
 	}
 }
 
-// What each version's servers may get, in every phase of an order, and while the record is
-// of an earlier one.
+// The traffic mode of each version, in every phase of an order and while the record belongs to an
+// earlier order.
 func TestTrafficModes(t *testing.T) {
 	superseded := stateInPhase(Moving)
 	superseded.Order, superseded.Target, superseded.Granted = 9, "v3", 0
@@ -46,14 +46,13 @@
 		canary.Update(test.state, time.Hour)
 		for version, want := range test.want {
 			if got := canary.TrafficMode(10*time.Second, version); got != want {
-				t.Errorf("%s: %s stands at %d, want %d", name, version, got, want)
+				t.Errorf("%s: traffic mode of %s is %d, want %d", name, version, got, want)
 			}
 		}
 	}
 }
 
-// An order for the only version that is there closes nothing until the record says that there
-// is nothing to move.
+// An order for the only version must not block it before a record says that there is nothing to move.
 func TestOrderForTheOnlyVersion(t *testing.T) {
 	for _, test := range []struct {
 		versions []string
@@ -63,12 +62,12 @@
 		canary.SetVersions(test.versions)
 		canary.Update(State{Order: 7, Target: "v2"}, time.Hour)
 		if got := canary.TrafficMode(time.Second, "v2"); got != test.want {
-			t.Errorf("%v: the target stands at %d, want %d", test.versions, got, test.want)
+			t.Errorf("versions %v: traffic mode of the target is %d, want %d", test.versions, got, test.want)
 		}
 	}
 }
 
-// offerSends offers first sends on a route every 10 ms and counts those that go to the target.
+// offerSends offers a first send on a route every 10 ms and counts those that go to the target.
 func offerSends(canary *Canary, from, to time.Duration, route string) (given, offered int) {
 	for now := from; now < to; now += 10 * time.Millisecond {
 		due := canary.ShouldSendToTarget(now, route)
@@ -83,30 +82,30 @@
 	return given, offered
 }
 
-// The target gets no more than its part at any time, some of it at once, a third by the time
-// at which the load is tried, and the rest then.
+// The target must never exceed its limit. Some of it must be used at once, a third before the load
+// test, and the rest in the load test.
 func TestExposureIsSpreadAndBounded(t *testing.T) {
 	canary := NewCanary(testBounds, 0)
 	canary.Update(stateInPhase(Running), time.Hour)
 	early, offered := offerSends(canary, 0, time.Second, "a")
 	if early == 0 {
-		t.Error("nothing is tried in the first second")
+		t.Error("nothing was sent to the target in the first second")
 	}
 	more, count := offerSends(canary, time.Second, 12*time.Second, "a")
 	early, offered = early+more, offered+count
 	whole := 0.085*float64(offered) + 10
 	if float64(early) < 0.3*whole || float64(early) > earlyShare*whole+1 {
-		t.Errorf("%d of %.1f were given before the load", early, whole)
+		t.Errorf("%d requests of a limit of %.1f went to the target before the load test", early, whole)
 	}
 	late, count := offerSends(canary, 12*time.Second, 14*time.Second, "a")
 	whole = 0.085*float64(offered+count) + 10
 	if given := early + late; float64(given) > whole || float64(given) < whole-2 {
-		t.Errorf("%d were given of %.1f", given, whole)
+		t.Errorf("%d requests of a limit of %.1f went to the target", given, whole)
 	}
 }
 
-// A node whose belief has become too old gives the target nothing, nor does one that was
-// told to halt, nor one that has no record yet.
+// A node must send nothing to the target if its view of the registry is too old, after Halt, and while
+// there is no order or no record.
 func TestNoTargetSendsWithoutFreshView(t *testing.T) {
 	for name, spoil := range map[string]func(canary *Canary){
 		"stale":    func(canary *Canary) { canary.Update(stateInPhase(Running), 3*time.Second) },
@@ -120,19 +119,19 @@
 		canary.Update(stateInPhase(Running), time.Hour)
 		spoil(canary)
 		if given, _ := offerSends(canary, 4*time.Second, 6*time.Second, "a"); given != 0 {
-			t.Errorf("%s: %d were given", name, given)
+			t.Errorf("%s: %d requests went to the target", name, given)
 		}
 	}
 	canary := NewCanary(testBounds, 0)
 	canary.Update(stateInPhase(Running), time.Hour)
-	canary.Halt(6) // an earlier order
+	canary.Halt(6) // Halt for an earlier order
 	if given, _ := offerSends(canary, 4*time.Second, 6*time.Second, "a"); given == 0 {
-		t.Error("a halt of an earlier order stopped this one")
+		t.Error("Halt for an earlier order stopped this one")
 	}
 }
 
-// A process that is younger than a grant may follow one that used it, and has none of it;
-// so has one that does not know how old the order is.
+// A process that is younger than a grant may follow one that used it, so the grant must not apply to
+// it, nor to one that does not know the order's age.
 func TestGrantsRequireOlderProcess(t *testing.T) {
 	state := stateInPhase(Running)
 	for _, test := range []struct {
@@ -148,16 +147,16 @@
 	} {
 		state.OrderTimeKnown = test.known
 		if got := state.GrantFor(test.now, "node", test.running); got != test.want {
-			t.Errorf("%+v: granted %d", test, got)
+			t.Errorf("%+v: %d requests granted", test, got)
 		}
 	}
 	state.OrderTimeKnown = true
 	if got := state.GrantFor(4*time.Second, "another", time.Hour); got != 0 {
-		t.Errorf("a node without a grant has %d", got)
+		t.Errorf("a node without a grant may send %d requests", got)
 	}
 }
 
-// A route on which few requests come is tried as often as one on which many do.
+// A route with few requests must get about as many sends to the target as one with many.
 func TestRareRoutesGetTargetSends(t *testing.T) {
 	canary := NewCanary(testBounds, 0)
 	canary.Update(stateInPhase(Running), time.Hour)
@@ -176,11 +175,12 @@
 		}
 	}
 	if given["rare"] < given["busy"]*2/3 {
-		t.Errorf("given by route: %v", given)
+		t.Errorf("sends to the target by route: %v", given)
 	}
 }
 
-// However nodes that share grants come, go and restart, they give no more than the bound.
+// The upper bound of an order's age, with and without a known order time, record and alarm. An age
+// that is too low would extend the deadline and let restarted nodes exceed the bound.
 func TestOrderAge(t *testing.T) {
 	known := stateInPhase(Running)
 	known.Since = -2 * time.Second
@@ -213,18 +213,18 @@
 	}
 }
 
-// Servers that bear the load are the same for all nodes, one after the other.
+// All nodes must load the same servers, one after the other.
 func TestLoadTestVisitsServersInTurn(t *testing.T) {
 	canary := NewCanary(testBounds, 0)
 	canary.Update(stateInPhase(Running), time.Hour)
 	if _, underLoad := canary.LoadTestServer(5 * time.Second); underLoad {
-		t.Error("load before its time")
+		t.Error("the load test started too early")
 	}
 	var places []string
 	for now := 12 * time.Second; canary.ShouldSendToTarget(now, "a"); now += time.Millisecond {
 		place, underLoad := canary.LoadTestServer(now)
 		if !underLoad {
-			t.Fatal("no load at its time")
+			t.Fatal("the load test did not start in time")
 		}
 		if text := fmt.Sprint(place); len(places) == 0 || places[len(places)-1] != text {
 			places = append(places, text)
@@ -232,6 +232,6 @@
 		canary.CountTargetSend()
 	}
 	if want := fmt.Sprint([]string{"7", "8"}); fmt.Sprint(places) != want {
-		t.Errorf("places %v, want %s", places, want)
+		t.Errorf("server indexes %v, want %s", places, want)
 	}
 }
--- a/rollout/decider.go
+++ b/rollout/decider.go
@@ -11,69 +11,68 @@
 )
 
 const (
-	// takeoverDelay is how much later each decider acts than the one before it, if what is
-	// due has not happened: a write to the registry and until all have heard of it.
+	// takeoverDelay is how much later each decider acts than the one ranked before it. It covers a write
+	// to the registry and the time until all nodes have seen it.
 	takeoverDelay = time.Second
-	// retryDelay is the time until a write that was answered with a failure, or whose answer
-	// was lost, is tried again: by then its effect has been heard of.
+	// retryDelay is the time after which a write that failed or got no answer is tried again. By then
+	// its effect, if any, is visible.
 	retryDelay = time.Second
-	// maxGrants bounds the nodes of a record's grants.
+	// maxGrants bounds the number of nodes in a record's grants.
 	maxGrants = 64
 )
 
 // DeciderInput is what a decider knows of the service and of the nodes.
 type DeciderInput struct {
 	State
-	// OrderFault is what is wrong with the order; empty is nothing.
+	// OrderFault says what is wrong with the order, empty if it is valid.
 	OrderFault string
-	// Epoch is the registry's, and RecordRevision its revision of the record, or of what stands
-	// in its place since it came back from a copy; zero is that there is none.
+	// Epoch is the registry's epoch. RecordRevision is the revision of the record in it, or of the entry
+	// in its place since the registry was restored from a backup; zero means that there is none.
 	Epoch          uint64
 	RecordRevision uint64
-	// Versions are those of the service's servers that take work, sorted.
+	// Versions lists the versions of the service's servers that accept work, sorted.
 	Versions []string
-	// ServiceKnown says that the service stands in the table in force.
+	// ServiceKnown says that the service is defined in the active routing table.
 	ServiceKnown bool
-	// DeciderIndex is this node's among the deciders; negative is that it is none.
+	// DeciderIndex is this node's rank among the deciders, from 0; negative means that it is none.
 	DeciderIndex int
-	// Nodes are all that are there, and Serving those to which callers are sent.
+	// Nodes lists the live nodes, and ServingNodes those to which callers are sent.
 	Nodes, ServingNodes []string
-	// MaxViewAge is the greatest age of a belief of the registry of late.
+	// MaxViewAge is the greatest recent age of a node's view of the registry.
 	MaxViewAge time.Duration
 }
 
-// Write asks the owner to write a record, and the status that it makes, on the condition
-// that order and record stand at the revisions given; zero is that there is none.
+// Write asks the owner to write a record, and the status derived from it, on the condition that the
+// registry holds the order and the record at the given revisions; zero means not at all.
 type Write struct {
 	Service                       string
 	Record                        Record
 	OrderRevision, RecordRevision uint64
-	// AlarmTTL asks for an alarm of the order that the registry takes away after so long; zero
-	// asks for none.
+	// AlarmTTL asks for an alarm of the order that the registry removes after this time; zero asks for
+	// none.
 	AlarmTTL time.Duration
 }
 
-// Decider drives one service's orders through their phases. It is pure, and not safe for
-// concurrent use.
+// Decider drives one service's orders through their phases. It is a pure state machine and not safe
+// for concurrent use.
 type Decider struct {
 	service string
 	bounds  Bounds
 	input   DeciderInput
 	judge   *Judge
-	// order is the one that the judge judges.
+	// order is the order that judge evaluates.
 	order uint64
-	// confirmed tells which nodes know that traffic moves and have nothing of value left
-	// at the versions before.
+	// confirmed says which nodes have moved and have no relevant requests left at the previous versions.
 	confirmed map[string]bool
-	// allConfirmedAt is since when all have confirmed; zero is that some have not.
+	// allConfirmedAt is when all nodes had confirmed; zero means that some have not.
 	allConfirmedAt time.Duration
-	// pending is what is to be written, since when.
+	// pending is the record to be written, and pendingSince since when.
 	pending      Record
 	pendingSince time.Duration
 	hasPending   bool
 	// lastWritten is the revision of the record that this decider wrote last.
 	lastWritten uint64
-	// retryAt is until when a write that was sent is awaited.
+	// retryAt is until when the result of a write is awaited.
 	retryAt time.Duration
 }
 
@@ -82,17 +81,17 @@
 	return &Decider{service: service, bounds: bounds, judge: NewJudge(), confirmed: make(map[string]bool)}
 }
 
-// Observe takes what is known now.
+// Observe updates the decider with the current state of the service and nodes.
 func (d *Decider) Observe(now time.Duration, input DeciderInput) {
 	if input.Order != d.order {
 		d.order, d.judge = input.Order, NewJudge()
 	}
 	if input.Epoch == d.input.Epoch && input.RecordRevision < d.input.RecordRevision && input.Order == d.input.Order {
-		input.Record, input.RecordRevision, input.RecordLost = d.input.Record, d.input.RecordRevision, d.input.RecordLost // what was written is not heard of yet
+		input.Record, input.RecordRevision, input.RecordLost = d.input.Record, d.input.RecordRevision, d.input.RecordLost // the view does not include the last write yet
 	}
 	if input.RecordRevision != d.input.RecordRevision || input.Epoch != d.input.Epoch {
 		d.hasPending, d.retryAt = false, 0
-		if !input.sameStage(d.input.State) { // else it is the record that was lost, or is written again
+		if !input.sameStage(d.input.State) { // otherwise the record was lost or rewritten
 			clear(d.confirmed)
 			d.allConfirmedAt = 0
 		}
@@ -100,7 +99,7 @@
 	d.input = input
 }
 
-// AddReport takes a node's report.
+// AddReport adds a node's report to the evidence. Reports on other orders are ignored.
 func (d *Decider) AddReport(now time.Duration, report Report) {
 	if report.Order != d.order || report.Order == 0 {
 		return
@@ -109,9 +108,9 @@
 	d.confirmed[report.Node] = report.Moved && report.Remaining == 0
 }
 
-// Halt reports whether nodes must give the target nothing more, before they hear it from
-// the registry. Once traffic moves that is so only when the record has ended: another
-// decider may have made the move final meanwhile, and the servers before it have stopped.
+// Halt reports whether nodes must stop sending to the target before they learn it from the
+// registry. Once traffic moves, that holds only after the roll-out was rolled back: another decider
+// may have completed the move meanwhile, and the previous servers may have stopped.
 func (d *Decider) Halt() bool {
 	record := d.input.Record
 	if !d.input.hasCurrentRecord() {
@@ -121,14 +120,15 @@
 	return record.Phase == RolledBack || record.Phase == Running && verdict == Bad
 }
 
-// WriteRejected takes the answer that order or record stand at other revisions: what this decider
-// took for written may not be, and what it hears next counts.
+// WriteRejected handles the response that order or record are at other revisions. What this decider
+// assumed to be written may not be, so the next observed state counts.
 func (d *Decider) WriteRejected() {
 	d.lastWritten = 0
 	d.input.Record, d.input.RecordRevision = nil, 0
 }
 
-// WriteAccepted takes the answer that a record stands as it was asked for, at a revision.
+// WriteAccepted handles the response that the registry holds the record as requested, at the given
+// revision.
 func (d *Decider) WriteAccepted(now time.Duration, write Write, revision uint64) {
 	isOther := write.Record.Epoch != d.input.Epoch || write.OrderRevision != d.input.OrderRevision
 	if isOther || revision <= d.input.RecordRevision {
@@ -140,13 +140,13 @@
 	d.Observe(now, input)
 }
 
-// Judge is that of the order.
+// Judge returns the judge of the current order.
 func (d *Decider) Judge() *Judge { return d.judge }
 
-// Active reports whether there is something to decide.
+// Active reports whether there is anything to decide or to write again.
 func (d *Decider) Active() bool { return !d.input.Ended() || d.input.NeedsRewrite() }
 
-// Tick returns what this node should write now; ok is false when that is nothing.
+// Tick returns the write that this node should send now; ok is false if there is none.
 func (d *Decider) Tick(now time.Duration) (write Write, ok bool) {
 	record, pending := d.nextRecord(now)
 	if !pending || d.input.DeciderIndex < 0 {
@@ -174,9 +174,9 @@
 	return write, true
 }
 
-// delay is how long what is due waits for the deciders before this one. That the target is
-// bad waits for nobody, nor does what is due near the deadline, nor a decider that has
-// acted in the others' place.
+// delay returns how long a pending write waits for the deciders ranked before this one. There is no
+// delay if the target is bad, near the deadline, or if this decider wrote the current record and so
+// has taken over already.
 func (d *Decider) delay(now time.Duration) time.Duration {
 	verdict, _ := d.judge.Verdict()
 	hasTakenOver := d.lastWritten > 0 && d.lastWritten == d.input.RecordRevision
@@ -187,8 +187,8 @@
 	return time.Duration(d.input.DeciderIndex) * takeoverDelay
 }
 
-// nextRecord is the record that should stand next. One that the registry has lost is written again,
-// or what follows on it.
+// nextRecord returns the record to write next. A record that the registry has lost is written again,
+// unless another one follows it.
 func (d *Decider) nextRecord(now time.Duration) (record Record, due bool) {
 	record, due = d.nextStage(now)
 	if !due && d.input.NeedsRewrite() {
@@ -197,7 +197,7 @@
 	return record, due
 }
 
-// unchangedRecord is the record as it stood.
+// unchangedRecord returns the current record, with its age updated unless it has ended.
 func (d *Decider) unchangedRecord(now time.Duration) Record {
 	record := *d.input.Record
 	if !record.Phase.Ended() {
@@ -206,7 +206,7 @@
 	return record
 }
 
-// nextStage is the record that follows on the one that stands.
+// nextStage returns the record that follows the current one.
 func (d *Decider) nextStage(now time.Duration) (record Record, due bool) {
 	switch {
 	case d.input.Ended():
@@ -222,7 +222,7 @@
 	}
 }
 
-// endRecord is the record with its last phase.
+// endRecord returns the record with a final phase.
 func (d *Decider) endRecord(now time.Duration, phase Phase, reason string) Record {
 	record := *d.input.Record
 	record.Phase, record.Reason, record.Grants = phase, reason, nil
@@ -232,7 +232,7 @@
 	return record
 }
 
-// firstRecord is the first record of an order.
+// firstRecord returns the first record of an order.
 func (d *Decider) firstRecord(now time.Duration) Record {
 	age := d.input.Age(now)
 	record := Record{
@@ -264,7 +264,7 @@
 	return record
 }
 
-// excludedVersions lists the versions that get nothing beside a new target.
+// excludedVersions lists the versions that receive nothing during an order for target.
 func (d *Decider) excludedVersions(target string) []string {
 	last := d.input.Record
 	if last == nil {
@@ -281,7 +281,7 @@
 	return slices.DeleteFunc(excluded, func(version string) bool { return version == target || version == "" })
 }
 
-// grants divides the fixed number among the nodes that serve callers.
+// grants divides the usable part of ExposureSlack among the nodes that serve callers.
 func (d *Decider) grants() map[string]int {
 	nodes := slices.Sorted(slices.Values(d.input.ServingNodes))
 	nodes = nodes[:min(len(nodes), maxGrants)]
@@ -316,9 +316,9 @@
 	}
 }
 
-// moveAt is how old the order is to be when traffic moves: so late that the target keeps its
-// bound even if it is bad. Where that leaves no time for the move, one that is proven moves now,
-// and ok is false for another.
+// moveAt returns the age at which traffic moves: late enough that the target keeps its bound even if
+// it is bad. If that leaves no time for a move, a target that is proven healthy moves now; for any
+// other, ok is false.
 func (d *Decider) moveAt(now time.Duration, verdict Verdict) (at time.Duration, ok bool) {
 	age := d.input.Age(now)
 	longest := min(d.affordableMoveTime(now, age, minDeviations), maxMoveTime)
@@ -329,14 +329,14 @@
 	return max(age+moveNotice, d.input.Duration-length), true
 }
 
-// boundAllowsRest reports whether the bound bears the traffic that is expected until the deadline.
+// boundAllowsRest reports whether the bound covers the requests expected until the deadline.
 func (d *Decider) boundAllowsRest(now, age time.Duration) bool {
 	return d.affordableMoveTime(now, age, 0) >= d.input.Duration-age
 }
 
-// affordableMoveTime is how long before the deadline the target may get all traffic, as far as the bound
-// goes. Requests come by chance: some standard deviations more of them are counted, too, and the
-// order may be younger than it is thought to be.
+// affordableMoveTime returns for how long before the deadline the bound allows the target to receive
+// all traffic. Since the number of requests varies, the expected number plus the given number of
+// standard deviations is assumed. The result is reduced by the uncertainty of the order's age.
 func (d *Decider) affordableMoveTime(now, age time.Duration, deviations float64) time.Duration {
 	targetAnswers, _ := d.judge.Answers()
 	all := float64(d.judge.AllAnswers())
@@ -344,11 +344,11 @@
 	left := (d.input.Duration - age).Seconds()
 	bound := d.bounds.ExposureShare*(all+perSecond*left) + d.bounds.ExposureSlack
 	room := max(usableBoundShare*bound-float64(targetAnswers), 0)
-	root := (math.Sqrt(deviations*deviations+4*room) - deviations) / 2 // of expected + deviations * root(expected) = room
+	root := (math.Sqrt(deviations*deviations+4*room) - deviations) / 2 // solves expected + deviations * root(expected) = room
 	return time.Duration(root*root/perSecond*float64(time.Second)) - d.input.AgeUncertainty()
 }
 
-// moveRecord is the record by which traffic moves.
+// moveRecord returns the record that moves traffic at moveAt.
 func (d *Decider) moveRecord(age, moveAt time.Duration, reason string) Record {
 	record := *d.input.Record
 	record.Phase, record.Reason, record.Elapsed, record.MoveAt = Moving, reason, age, moveAt
@@ -361,7 +361,7 @@
 	return record
 }
 
-// decideMoving decides when the move is final.
+// decideMoving decides when a move is completed or rolled back.
 func (d *Decider) decideMoving(now time.Duration) (record Record, due bool) {
 	verdict, reason := d.judge.Verdict()
 	age := d.input.Age(now)
@@ -381,7 +381,7 @@
 	case verdict != ProvenHealthy && age >= d.input.Duration-moveDecisionMargin && !d.boundAllowsRest(now, age):
 		return d.endRecord(now, RolledBack, "more requests came than the bound bears: "+reason), true
 	case verdict != ProvenHealthy && d.allConfirmed() && age < d.input.Duration-moveDecisionMargin:
-		return Record{}, false // what it does with all traffic is still being seen
+		return Record{}, false // keep observing the target with all traffic
 	case settled:
 		return d.endRecord(now, Completed, "all nodes have moved"), true
 	case age >= d.input.Duration-endWriteMargin && d.allConfirmed():
@@ -393,14 +393,15 @@
 	}
 }
 
-// moveProgress tells how many nodes have moved.
+// moveProgress returns the reason for a roll-back at the deadline, with the number of nodes that have
+// moved.
 func (d *Decider) moveProgress() string {
 	return fmt.Sprintf("the deadline is near, %d of %d nodes have moved", d.confirmations(), len(d.input.Nodes))
 }
 
 func (d *Decider) allConfirmed() bool { return d.confirmations() == len(d.input.Nodes) }
 
-// confirmations counts the nodes that have moved.
+// confirmations returns the number of live nodes that have moved.
 func (d *Decider) confirmations() int {
 	count := 0
 	for _, node := range d.input.Nodes {
--- a/rollout/decider_test.go
+++ b/rollout/decider_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// orderInput is what the first decider of two nodes knows of an order that was given at 0.
+// orderInput is the input of the first of two deciders, for an order that was given at 0.
 func orderInput() DeciderInput {
 	return DeciderInput{
 		State:    State{Order: 7, OrderRevision: 7, Target: "v2", Duration: 20 * time.Second, OrderTimeKnown: true},
@@ -14,8 +14,8 @@
 	}
 }
 
-// A decider whose write is refused, as the record stands at another revision than it was told
-// of, goes by what it hears next and writes again.
+// A decider whose write is rejected, because the record has another revision than it assumed, must use
+// the next observed revision and write again.
 func TestRejectedWritesAreRetried(t *testing.T) {
 	d := NewDecider("x", testBounds)
 	input := orderInput()
@@ -25,9 +25,9 @@
 		t.Fatalf("%+v %t", begin, ok)
 	}
 	d.WriteAccepted(0, begin, 10)
-	input.Record, input.RecordRevision = &begin.Record, 9 // its own, as it is heard of
+	input.Record, input.RecordRevision = &begin.Record, 9 // its own record, observed at another revision
 	d.Observe(time.Second, input)
-	input.Order, input.OrderRevision = 0, 0 // taken back
+	input.Order, input.OrderRevision = 0, 0 // withdrawn
 	d.Observe(2*time.Second, input)
 	end, ok := d.Tick(2 * time.Second)
 	if !ok || end.Record.Phase != RolledBack || end.RecordRevision != 10 && end.RecordRevision != 9 {
@@ -40,29 +40,29 @@
 	}
 }
 
-// The second decider acts when the first has not, and does not wait again for what follows.
+// The second decider must act if the first does not, and then must not wait again.
 func TestSecondDeciderTakesOver(t *testing.T) {
 	d := NewDecider("x", testBounds)
 	input := orderInput()
 	input.DeciderIndex = 1
 	d.Observe(0, input)
 	if _, ok := d.Tick(0); ok {
-		t.Error("it acts before its turn")
+		t.Error("the second decider acts without waiting for the first")
 	}
 	begin, ok := d.Tick(takeoverDelay)
 	if !ok {
-		t.Fatal("it does not take over")
+		t.Fatal("the second decider does not take over")
 	}
 	d.WriteAccepted(takeoverDelay, begin, 10)
 	input.Record, input.RecordRevision = &begin.Record, 10
 	input.Order, input.OrderRevision = 0, 0
 	d.Observe(3*time.Second, input)
 	if _, ok := d.Tick(3 * time.Second); !ok {
-		t.Error("it waits again")
+		t.Error("the second decider waits again after it took over")
 	}
 }
 
-// The grants are what is to be spent of the fixed number, whatever the number of nodes.
+// The grants of all nodes must add up to the usable part of ExposureSlack, for any number of nodes.
 func TestGrantsAddUp(t *testing.T) {
 	for _, nodes := range []int{1, 3, 8, 42, 60, 200} {
 		input := orderInput()
@@ -78,7 +78,7 @@
 			sum += count
 		}
 		if sum != 42 {
-			t.Errorf("%d nodes: %d granted, want 42", nodes, sum)
+			t.Errorf("%d nodes: grants add up to %d, want 42", nodes, sum)
 		}
 	}
 }
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -6,24 +6,24 @@
 	"slices"
 )
 
-// AnswerQuality is how a server's answer is judged.
+// AnswerQuality classifies a server's answer.
 type AnswerQuality int
 
 const (
-	// Good answers come whole and in time.
+	// Good answers are complete and on time.
 	Good AnswerQuality = iota
-	// Failed says that the server answered that it failed, or gave no whole answer.
+	// Failed means that the server reported an error or gave no complete answer.
 	Failed
-	// Slow answers take much longer than is usual for their route.
+	// Slow answers took much longer than is usual for their route.
 	Slow
 )
 
-// SlowFactor is the multiple of what is usual for a route from which on an answer is slow.
-// Servers of one kind differ by 1.3 at most, and a version that takes three times as long
-// for a work of 4 ms still takes 2.2 times as long with the way there.
+// SlowFactor is the multiple of a route's usual latency from which an answer is slow. Servers of
+// one type differ by a factor of up to 1.3, and a version that needs three times as long for work of
+// 4 ms is still slower by a factor of 2.2 when the network time is included.
 const SlowFactor = 1.8
 
-// Counts are answers by how they were judged.
+// Counts holds numbers of answers by quality. Failed and Slow are included in Answers.
 type Counts struct {
 	Answers int `json:"answers"`
 	Failed  int `json:"failed,omitempty"`
@@ -41,15 +41,15 @@
 	}
 }
 
-// subtract is what was added since other; ok is false when that is nonsense.
+// subtract returns the answers counted since other. ok is false if the difference is impossible.
 func (c Counts) subtract(other Counts) (added Counts, ok bool) {
 	added = Counts{Answers: c.Answers - other.Answers, Failed: c.Failed - other.Failed, Slow: c.Slow - other.Slow}
 	ok = added.Failed >= 0 && added.Slow >= 0 && added.Failed+added.Slow <= added.Answers
 	return added, ok
 }
 
-// Cell counts the answers of one server of the target on one route, or of all servers of
-// the versions before on that route, whose Server is empty.
+// Cell counts the answers on one route: those of one server of the target, or, if Server is empty,
+// those of all servers of the previous versions.
 type Cell struct {
 	Route  string `json:"route"`
 	Server string `json:"server,omitempty"`
@@ -58,21 +58,22 @@
 
 type cellKey struct{ route, server string }
 
-// maxCells bounds what one node tells of one order: the cells with the most answers.
+// maxCells bounds the cells per order and version in a node's report. Those with the most answers
+// are reported.
 const maxCells = 64
 
-// Evidence counts what one node has seen of an order's answers since it knew of it; the
-// zero value has seen none.
+// Evidence counts the answers that one node has seen since it learned of an order. The zero value
+// is ready to use.
 type Evidence struct {
 	target, before map[cellKey]*Counts
 }
 
-// Target notes an answer of a server of the target.
+// Target counts an answer of a server of the target version.
 func (e *Evidence) Target(route, server string, answer AnswerQuality) {
 	countAnswer(&e.target, cellKey{route, server}, answer)
 }
 
-// Before notes an answer of a server of the versions before.
+// Before counts an answer of a server of the previous versions.
 func (e *Evidence) Before(route string, answer AnswerQuality) {
 	countAnswer(&e.before, cellKey{route: route}, answer)
 }
@@ -89,7 +90,8 @@
 	counts.add(answer)
 }
 
-// Cells lists what was counted, most answers first.
+// Cells returns at most maxCells cells of the target and of the previous versions, those with the
+// most answers first.
 func (e *Evidence) Cells() (target, before []Cell) { return listCells(e.target), listCells(e.before) }
 
 func listCells(counted map[cellKey]*Counts) []Cell {
@@ -105,18 +107,19 @@
 	return cmp.Or(cmp.Compare(a.route, b.route), cmp.Compare(a.server, b.server))
 }
 
-// Report is what one node tells the deciders of one order.
+// Report is what one node reports to the deciders about one order.
 type Report struct {
-	// Node is the node, and Process tells this process from earlier ones of it.
+	// Process distinguishes the processes that ran as this node.
 	Node    string `json:"node"`
 	Process string `json:"process"`
 	Service string `json:"service"`
 	Order   uint64 `json:"order"`
-	// Moved says that the node sends everything to the target, and Remaining how much of
-	// value still runs at the servers of the versions before.
+	// Moved says that the node sends all traffic to the target. Remaining is the number of requests
+	// that still run at servers of the previous versions and are still wanted or not repeatable.
 	Moved     bool `json:"moved,omitempty"`
 	Remaining int  `json:"remaining,omitempty"`
-	// Target and Before count the answers since the node knew of the order.
+	// Target and Before count the answers of the target and of the previous versions since the node
+	// learned of the order.
 	Target []Cell `json:"target,omitempty"`
 	Before []Cell `json:"before,omitempty"`
 }
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -7,60 +7,62 @@
 	"time"
 )
 
-// Verdict is what the evidence says of a target.
+// Verdict is the judge's current conclusion about a target version.
 type Verdict int
 
 const (
-	// Undecided is that too few answers say too little.
+	// Undecided means that there are too few answers for a conclusion.
 	Undecided Verdict = iota
-	// Healthy is that there are enough answers, and none of the sums says otherwise.
+	// Healthy means that there are enough answers and no sum indicates a regression.
 	Healthy
-	// ProvenHealthy is that the answers of each route exclude a version that is bad there, and those
-	// under load one that is bad under load.
+	// ProvenHealthy means that the answers on every route exclude a version that is bad on that
+	// route, and the answers under load exclude one that is bad under load.
 	ProvenHealthy
-	// Bad is that the answers are worse than those of the versions before.
+	// Bad means that the answers are worse than those of the previous versions.
 	Bad
 )
 
 const (
-	// minAnswers is the number of answers without which nothing is sound, and
-	// minRouteAnswers the same on each route that had busyShare of the answers.
+	// minAnswers is the number of answers below which the verdict is Undecided. minRouteAnswers
+	// is the minimum for each route that has at least busyRouteShare of the answers.
 	minAnswers      = 8
 	minRouteAnswers = 2
 	busyRouteShare  = 0.1
-	// rareRouteShare is the part of an even part of the requests below which a route is rare.
+	// rareRouteShare is the fraction of an equal share of the requests below which a route is
+	// rare.
 	rareRouteShare = 0.5
-	// maxReporters bounds the processes that are remembered.
+	// maxReporters bounds the number of processes whose reports are kept.
 	maxReporters = 4096
-	// maxRoutes bounds the routes that are judged apart.
+	// maxRoutes bounds the number of routes that are judged separately.
 	maxRoutes = 32
 )
 
-// Judge weighs what all nodes have seen of one order. It is not safe for concurrent use.
+// Judge evaluates the reports of all nodes on one order. It is not safe for concurrent use.
 type Judge struct {
-	// lastCounts is what each process told last, by node and process.
+	// lastCounts holds the latest counts reported by each process.
 	lastCounts map[reporter]map[cellKey]Counts
-	// overall and routes are of the target, and base and bases of the versions before.
+	// overall and routes are sums over the target's answers. baseline and routeBaselines hold the
+	// answers of the previous versions.
 	overall        *cusums
 	routes         map[string]*cusums
 	baseline       baselineShares
 	routeBaselines map[string]*baselineShares
-	recentBaseline baselineShares // of all routes
-	// underLoad is of the answers of servers under load, and loads tell those.
+	recentBaseline baselineShares // over all routes
+	// underLoad sums the answers of those servers that serverLoad finds to be under load.
 	underLoad  *cusums
 	serverLoad serverLoad
 	decayedAt  time.Duration
-	// invalidReports counts the reports that could not be.
+	// invalidReports counts the reports with impossible counts.
 	invalidReports int
 	isBad          bool
 	reason         string
 }
 
-// reporter is a process that reports; its cells of the target and of the versions before
-// are told apart by their server.
+// reporter identifies a reporting process. Its cells of the target and of the previous versions
+// differ in their server, which is empty for the previous versions.
 type reporter struct{ node, process string }
 
-// NewJudge returns a judge that has heard nothing.
+// NewJudge returns a judge without any reports.
 func NewJudge() *Judge {
 	return &Judge{
 		lastCounts:     make(map[reporter]map[cellKey]Counts),
@@ -72,8 +74,8 @@
 	}
 }
 
-// AddReport weighs what is new in a report. One that tells less than an earlier one of the same
-// process, or more bad answers than answers, changes nothing.
+// AddReport evaluates what a report adds to the previous one of the same process. A report whose
+// counts are lower than before, or that has more bad answers than answers, is ignored.
 func (j *Judge) AddReport(now time.Duration, report Report) {
 	from := reporter{report.Node, report.Process}
 	known := j.lastCounts[from]
@@ -106,7 +108,8 @@
 	j.checkBad()
 }
 
-// subtractKnown lists what cells tell beyond what is known; ok is false when that is nonsense.
+// subtractKnown returns the answers that were reported in addition to the known ones. ok is false
+// if the counts are impossible.
 func subtractKnown(known map[cellKey]Counts, reported []Cell) (added []Cell, ok bool) {
 	for _, cell := range reported {
 		difference, sound := cell.subtract(known[cellKey{cell.Route, cell.Server}])
@@ -120,6 +123,7 @@
 	return added, true
 }
 
+// decay reduces the weight of earlier baseline answers for the time that has passed.
 func (j *Judge) decay(now time.Duration) {
 	passed := float64(max(now-j.decayedAt, 0))
 	j.decayedAt = max(j.decayedAt, now)
@@ -131,6 +135,8 @@
 	j.recentBaseline.decay(math.Exp2(-passed/float64(recentHalfLife)), 0)
 }
 
+// baselineOf returns the baseline of a route. Beyond maxRoutes it returns an empty one that is
+// not kept.
 func (j *Judge) baselineOf(route string) *baselineShares {
 	baseline := j.routeBaselines[route]
 	if baseline == nil {
@@ -169,13 +175,14 @@
 	}
 }
 
-// BadUnderLoad reports whether the answers under load are bad, whichever servers gave them.
+// BadUnderLoad reports whether the answers under load indicate a bad version, even if all of them
+// came from one server or node, unless the answers without one of these sources exclude it.
 func (j *Judge) BadUnderLoad() bool {
 	return slices.Max(j.underLoad.unhealthy[:]) >= badThreshold && !j.underLoad.clear(loadedThreshold)
 }
 
-// Suspicious reports whether the latest answers speak against the target, whichever one
-// server's or node's are left out, though they don't prove it bad.
+// Suspicious reports whether the latest answers indicate a bad target even if those of any one
+// server or node are left out, without being sufficient for the verdict Bad.
 func (j *Judge) Suspicious() bool {
 	return slices.ContainsFunc([]*cusums{j.overall, j.underLoad}, func(s *cusums) bool {
 		return s.exceeds(failures, suspicionThreshold, othersSuspicionThreshold) || s.exceeds(slowness, suspicionThreshold, othersSuspicionThreshold)
@@ -184,7 +191,7 @@
 
 var kindNames = [numKinds]string{failures: "failures", slowness: "slow answers"}
 
-// checkBad looks whether the target is bad; it stays so.
+// checkBad sets the verdict Bad if a sum exceeds its threshold. The verdict is never taken back.
 func (j *Judge) checkBad() {
 	if j.isBad {
 		return
@@ -204,7 +211,7 @@
 	}
 }
 
-// Verdict is what the evidence says up to now, and what decided it.
+// Verdict returns the current verdict and its reason.
 func (j *Judge) Verdict() (verdict Verdict, reason string) {
 	if j.isBad {
 		return Bad, j.reason
@@ -227,7 +234,7 @@
 	return Healthy, sound
 }
 
-// isProven reports whether the answers of each route, and those under load, exclude a bad target.
+// isProven reports whether the answers on every route and those under load exclude a bad target.
 func (j *Judge) isProven() bool {
 	for route, baseline := range j.routeBaselines {
 		threshold := clearThreshold
@@ -241,18 +248,19 @@
 	return j.underLoad.clear(loadedThreshold)
 }
 
-// isRareRoute reports whether so few of a service's requests come on one of its routes that each is
-// needed to judge a target by.
+// isRareRoute reports whether a route receives so few of the service's requests that each of them
+// is needed to judge a target.
 func isRareRoute(onRoute, all, routes int) bool {
 	return routes > 1 && float64(onRoute) < rareRouteShare*float64(all)/float64(routes)
 }
 
-// AnswersPerSecond is the number of the service's requests that were answered a second of late.
+// AnswersPerSecond returns the recent rate of the service's answers, over all versions.
 func (j *Judge) AnswersPerSecond(now time.Duration) float64 {
 	return j.serverLoad.answersPerSecond(now)
 }
 
-// Answers counts the target's answers, and those of them that were bad, over all processes.
+// Answers returns the number of the target's answers reported by all processes, and how many of
+// them were failed or slow.
 func (j *Judge) Answers() (answers, bad int) {
 	for _, cells := range j.lastCounts {
 		for key, counts := range cells {
@@ -265,7 +273,7 @@
 	return answers, bad
 }
 
-// AllAnswers counts the answers of all versions, over all processes.
+// AllAnswers returns the number of answers of all versions reported by all processes.
 func (j *Judge) AllAnswers() (answers int) {
 	for _, cells := range j.lastCounts {
 		for _, counts := range cells {
@@ -275,5 +283,5 @@
 	return answers
 }
 
-// InvalidReports counts the reports that could not be.
+// InvalidReports returns the number of reports with impossible counts.
 func (j *Judge) InvalidReports() int { return j.invalidReports }
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// reportFeed tells a judge, each half second, of what some nodes have seen.
+// reportFeed reports the answers seen by a number of simulated nodes to a judge every half second.
 type reportFeed struct {
 	judge    *Judge
 	random   *rand.Rand
@@ -23,7 +23,7 @@
 	return r
 }
 
-// drawAnswer is Failed or Slow with the given parts, and Good otherwise.
+// drawAnswer returns Failed or Slow with the given probabilities, and Good otherwise.
 func (r *reportFeed) drawAnswer(failed, slow float64) AnswerQuality {
 	switch value := r.random.Float64(); {
 	case value < failed:
@@ -35,7 +35,7 @@
 	}
 }
 
-// round adds answers of both kinds of versions and tells them.
+// round adds answers of the previous versions and of the target on each node and reports them.
 func (r *reportFeed) round(before, target int, answer func(node, route string, server int) AnswerQuality) {
 	r.now += 500 * time.Millisecond
 	for node, evidence := range r.evidence {
@@ -55,7 +55,7 @@
 	return r.drawAnswer(0.004, 0.06)
 }
 
-// verdictAfter is the verdict after a number of rounds of nine nodes.
+// verdictAfter returns the verdict after a number of rounds with nine nodes.
 func verdictAfter(seed uint64, rounds int, answer func(r *reportFeed) func(node, route string, server int) AnswerQuality) Verdict {
 	r := newReportFeed(seed, 9)
 	for range rounds {
@@ -65,8 +65,8 @@
 	return verdict
 }
 
-// Versions of each kind of badness are found, and what is no bad version is not taken for
-// one: a server, a node, a disruption of all.
+// Each kind of bad version must be detected. A single faulty server or node, which affects all
+// versions alike or the target by chance, must not be taken for a bad version.
 func TestVerdicts(t *testing.T) {
 	const seeds, rounds = 200, 12
 	onRoute := func(answer AnswerQuality, part float64) func(r *reportFeed) func(string, string, int) AnswerQuality {
@@ -82,7 +82,7 @@
 	for name, test := range map[string]struct {
 		answer   func(r *reportFeed) func(node, route string, server int) AnswerQuality
 		want     Verdict
-		mistakes int // most of the seeds
+		mistakes int // largest number of seeds with another verdict
 	}{
 		"good": {func(r *reportFeed) func(string, string, int) AnswerQuality { return r.healthyAnswer }, Healthy, 4},
 		"a quarter fails": {func(r *reportFeed) func(string, string, int) AnswerQuality {
@@ -117,13 +117,13 @@
 			}
 		}
 		if wrong > test.mistakes {
-			t.Errorf("%s: %d of %d verdicts are not %d", name, wrong, seeds, test.want)
+			t.Errorf("%s: %d of %d seeds have another verdict than %d", name, wrong, seeds, test.want)
 		}
 	}
 }
 
-// A version that turns bad after many good answers is found as soon as one that is bad at
-// once.
+// A version that turns bad after many good answers must be detected as quickly as one that is bad from
+// the start.
 func TestLateDefectIsDetectedQuickly(t *testing.T) {
 	for seed := range uint64(50) {
 		r := newReportFeed(seed, 9)
@@ -136,13 +136,13 @@
 				break
 			}
 			if rounds > 4 {
-				t.Fatalf("seed %d: not found after %d rounds", seed, rounds)
+				t.Fatalf("seed %d: bad version not detected after %d rounds", seed, rounds)
 			}
 		}
 	}
 }
 
-// Reports that come twice or late count once, and nonsense counts for nothing.
+// Reports that arrive twice or late must count once, and reports with impossible counts not at all.
 func TestRepeatedReportsCountOnce(t *testing.T) {
 	judge := NewJudge()
 	tell := func(answers, failed int) {
@@ -153,17 +153,17 @@
 	for range 5 {
 		tell(4, 1)
 	}
-	tell(2, 1) // late
+	tell(2, 1) // arrives late
 	tell(6, 9) // more failures than answers
 	if answers, bad := judge.Answers(); answers != 4 || bad != 1 || judge.InvalidReports() != 2 {
-		t.Errorf("%d answers, %d bad, %d reports of nonsense", answers, bad, judge.InvalidReports())
+		t.Errorf("%d answers, %d bad, %d invalid reports; want 4, 1, 2", answers, bad, judge.InvalidReports())
 	}
 	if verdict, why := judge.Verdict(); verdict != Undecided || why == "" {
 		t.Errorf("verdict %d %q", verdict, why)
 	}
 }
 
-// A target that was not tried on a route that many requests come on is not sound.
+// The verdict must be Undecided while the target has no answers on a route with many requests.
 func TestBusyRouteWithoutTargetAnswersIsUndecided(t *testing.T) {
 	judge := NewJudge()
 	judge.AddReport(time.Second, Report{Node: "n", Process: "1",
--- a/rollout/load.go
+++ b/rollout/load.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// loadWindow is the time over which a server's load is told.
+	// loadWindow is the time constant of the exponential decay over which load is averaged.
 	loadWindow = time.Second
-	// loadedServerShare is the part of its even share of the service's traffic from which on a
-	// server is under load.
+	// loadedServerShare is the fraction of an equal share of the service's traffic from which a
+	// server counts as under load.
 	loadedServerShare = 0.5
 )
 
-// serverLoad tells which of the target's servers have had enough of the service's traffic of late
+// serverLoad tracks which of the target's servers recently received enough of the service's traffic
 // to be under load.
 type serverLoad struct {
-	byServer  map[string]float64 // answers of late, by server
-	total     float64            // those of all versions
+	byServer  map[string]float64 // recent answers by server
+	total     float64            // recent answers of all versions
 	updatedAt time.Duration
 }
 
@@ -37,12 +37,12 @@
 	}
 }
 
-// underLoad reports whether a server is under load.
+// underLoad reports whether a server of the target is under load.
 func (l *serverLoad) underLoad(server string) bool {
 	return l.byServer[server] >= loadedServerShare*l.total/float64(len(l.byServer)) && l.byServer[server] >= 1
 }
 
-// answersPerSecond is the number of answers a second of late.
+// answersPerSecond returns the recent rate of answers of all versions.
 func (l *serverLoad) answersPerSecond(now time.Duration) float64 {
 	return l.total * math.Exp(-float64(max(now-l.updatedAt, 0))/float64(loadWindow)) / loadWindow.Seconds()
 }
--- a/rollout/move_test.go
+++ b/rollout/move_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// deciderAtDecision is a decider of a running order of 20 s, as old as the decision, that has heard so many
-// good answers of the target and of the version before, on one route.
+// deciderAtDecision returns a decider of a running order of 20 s at the time of the decision. Each of
+// two nodes has reported the given numbers of good answers of the target and of the previous version,
+// on one route.
 func deciderAtDecision(target, before int) (d *Decider, now time.Duration) {
 	input := orderInput()
 	record := *stateInPhase(Running).Record
@@ -31,10 +32,10 @@
 	return d, now
 }
 
-// Versions that turned out to be bad only once all traffic had moved got up to three times their
-// bound (one 865 requests of 257), as traffic moved 6.6 s before the deadline on the word of eight
-// answers. Now the move is so
-// late that even then the bound holds, and where no time is left for one it takes proof.
+// Versions that turn out to be bad only under all traffic received up to three times their bound (865
+// requests instead of 257) when traffic moved 6.6 s before the deadline after only eight answers. The
+// move must be so late that the bound holds even for a bad target. If there is no time left for such a
+// move, only a target that is proven healthy may move.
 func TestMovesKeepTheBoundForBadTargets(t *testing.T) {
 	for name, test := range map[string]struct {
 		target, before int
@@ -49,12 +50,12 @@
 		write, due := d.Tick(now)
 		if !due {
 			if test.moves {
-				t.Errorf("%s: nothing is decided", name)
+				t.Errorf("%s: no decision", name)
 			}
 			continue
 		}
 		if !test.moves {
-			t.Errorf("%s: %s %s", name, write.Record.Phase, write.Record.Reason)
+			t.Errorf("%s: decided %s (%s), want no decision", name, write.Record.Phase, write.Record.Reason)
 			continue
 		}
 		all, given := float64(2*(test.target+test.before)), float64(2*test.target)
@@ -62,37 +63,37 @@
 		perSecond := all / now.Seconds()
 		bound := 0.1*(all+perSecond*6) + 50
 		if write.Record.Phase != Moving || given+perSecond*left > bound || left < minMoveTime.Seconds() {
-			t.Errorf("%s: %s, %.1f s before the deadline: %.0f of %.0f", name, write.Record.Phase, left, given+perSecond*left, bound)
+			t.Errorf("%s: phase %s, move %.1f s before the deadline, %.0f requests of a bound of %.0f", name, write.Record.Phase, left, given+perSecond*left, bound)
 		}
 		if write.Record.MoveAt < now+moveNotice {
-			t.Errorf("%s: the move at %s is not known before", name, write.Record.MoveAt)
+			t.Errorf("%s: nodes don't learn of the move at %s in time", name, write.Record.MoveAt)
 		}
 	}
 }
 
-// An order that may be younger than it is thought to be has a later deadline, and its move takes
-// more: by what is not known of it, and no more.
+// If an order may be younger than assumed, its deadline may be later and the move longer. The move must
+// be planned shorter by that uncertainty, and by no more.
 func TestMovesAreShorterWhereTheOrderMayBeYounger(t *testing.T) {
 	lengthOf := func(doubt time.Duration) time.Duration {
 		d, now := deciderAtDecision(9, 60)
 		d.input.Latest = d.input.Since + doubt
 		write, due := d.Tick(now)
 		if !due || write.Record.Phase != Moving {
-			t.Fatalf("with %s of doubt: %v %s", doubt, due, write.Record.Phase)
+			t.Fatalf("with an uncertainty of %s: due %v, phase %s", doubt, due, write.Record.Phase)
 		}
 		return 20*time.Second - write.Record.MoveAt
 	}
 	sure, unsure := lengthOf(0), lengthOf(1500*time.Millisecond)
 	if sure <= unsure || sure-unsure > 1500*time.Millisecond {
-		t.Errorf("moves of %s and %s", sure, unsure)
+		t.Errorf("move times of %s and %s without and with uncertainty", sure, unsure)
 	}
 }
 
-// Two bad versions of 10,000 drawn ones got one or two requests too many: one whose route brings
-// few requests, 68 of 66.8, and one 67 of 64.3. Neither could be told from a good one. More requests
-// came while traffic moved than had been counted beforehand: 37 where 25 were expected, two standard
-// deviations and a half, as chance brings in one of a hundred moves. Where they are more than the
-// bound bears, the move is no longer made final.
+// In two of 10,000 simulated roll-outs a bad version exceeded its bound by one to three requests: one
+// that was bad on a rare route (68 of 66.8) and one with 67 of 64.3. Neither could be distinguished from
+// a good version, and more requests came during the move than expected (37 instead of 25, two and a half
+// standard deviations, as happens in one move of a hundred). A move that takes more than the bound
+// allows must not be completed.
 func TestMovesOverTheBoundAreRolledBack(t *testing.T) {
 	for _, seed := range []uint64{2026120523, 2026128490} {
 		var seen tally
@@ -103,21 +104,22 @@
 	}
 }
 
-// Without a decision the order ends in time.
+// An order without a decision must be rolled back before its deadline.
 func TestUndecidedOrdersAreRolledBack(t *testing.T) {
 	d, now := deciderAtDecision(12, 1500)
 	for ; now < 20*time.Second; now += 100 * time.Millisecond {
 		if write, due := d.Tick(now); due {
 			if write.Record.Phase != RolledBack {
-				t.Errorf("%s at %s", write.Record.Phase, now)
+				t.Errorf("phase %s at %s, want a roll-back", write.Record.Phase, now)
 			}
 			return
 		}
 	}
-	t.Error("no end")
+	t.Error("the order did not end before its deadline")
 }
 
-// All nodes give the target nothing more once the move is decided, and everything at its time.
+// After the decision to move, nodes must send nothing to the target until the move, and everything
+// afterwards.
 func TestTargetGetsNothingBeforeTheMove(t *testing.T) {
 	state := stateInPhase(Moving)
 	state.Record.MoveAt = 16 * time.Second
@@ -125,18 +127,18 @@
 		canary := NewCanary(testBounds, offset)
 		canary.Update(state, time.Hour)
 		if given, _ := offerSends(canary, 14*time.Second, 16*time.Second, "a"); given != 0 {
-			t.Errorf("%d were given before the move", given)
+			t.Errorf("%d requests went to the target before the move", given)
 		}
 		for _, version := range []string{"v1", "v2"} {
 			early, late := canary.TrafficMode(16*time.Second-1, version), canary.TrafficMode(16*time.Second+rampTime, version)
 			if early == late || version == "v2" && late != Unrestricted || version == "v1" && late != Blocked {
-				t.Errorf("%s: %d before the move, %d after it", version, early, late)
+				t.Errorf("%s: traffic mode %d before the move, %d after it", version, early, late)
 			}
 		}
 	}
 }
 
-// Only answers of each route and of servers under load prove a target.
+// A target is proven healthy only by answers on each route and of servers under load.
 func TestProofRequiresEachRouteAndLoad(t *testing.T) {
 	good := func(server string, answers int) Cell {
 		return Cell{Route: "a", Server: server, Counts: Counts{Answers: answers}}
@@ -160,8 +162,8 @@
 	}
 }
 
-// A move is not made final while the latest answers speak against the target, unless one server or
-// one node alone gave them.
+// A move must not be completed while the latest answers are suspicious, unless all of them came from
+// one server or node.
 func TestSuspiciousAnswersHoldAMove(t *testing.T) {
 	failing := func(server string) Cell {
 		return Cell{Route: "a", Server: server, Counts: Counts{Answers: 2, Failed: 1}}
@@ -185,7 +187,7 @@
 			})
 		}
 		if got := j.Suspicious(); got != test.want {
-			t.Errorf("%s: suspicious %v", name, got)
+			t.Errorf("%s: Suspicious is %v, want the opposite", name, got)
 		}
 	}
 }
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -7,68 +7,70 @@
 
 // Order is an operator's request to move a service's traffic to servers of one version.
 type Order struct {
-	// Target is the version.
+	// Target is the version to move to.
 	Target string `json:"target,omitempty"`
-	// Duration is the time from the order until its deadline.
+	// Duration is the time from the order to its deadline.
 	Duration time.Duration `json:"duration_ns,omitempty"`
-	// Fault names what is wrong with the order; empty is nothing. Such an order ends at
-	// once.
+	// Fault says what is wrong with the order, empty if it is valid. An invalid order is rolled back
+	// immediately.
 	Fault string `json:"fault,omitempty"`
 }
 
-// Phase is how far a roll-out has come.
+// Phase is the phase of a roll-out.
 type Phase string
 
-// The phases.
+// Phases of a roll-out.
 const (
-	// Running is that the target gets what the nodes' exposure allows.
+	// Running means that the target receives no more than the nodes' limits allow.
 	Running Phase = "running"
-	// Moving is that the target gets all new requests, and the versions before it none.
+	// Moving means that the target receives all new requests and the previous versions none, from
+	// MoveAt on.
 	Moving Phase = "moving"
-	// Completed is the same, for good.
+	// Completed means that the target permanently receives all requests.
 	Completed Phase = "completed"
-	// RolledBack is that the target gets nothing, for good.
+	// RolledBack means that the target permanently receives no requests.
 	RolledBack Phase = "rolled_back"
 )
 
 // Ended reports whether the phase is final.
 func (p Phase) Ended() bool { return p == Completed || p == RolledBack }
 
-// Record is what the nodes have made of an order; they keep it in the registry.
+// Record is the state of an order as decided by the nodes. It is stored in the registry. Ages are
+// times since the order was given.
 type Record struct {
-	// Order is the number of the order, which it keeps when the registry comes back from a copy
-	// and it is written again.
+	// Order is the number of the order. It is kept when the registry is restored from a backup and the
+	// order is written again.
 	Order uint64 `json:"order"`
-	// Epoch is the registry's at which the record was written, and OrderRevision the revision
-	// at which the order stood then; zero is that it did not, or that it is Order.
+	// Epoch is the registry's epoch when the record was written. OrderRevision is the revision of the
+	// order in that epoch; zero means that the registry did not hold the order, or that the revision is
+	// Order.
 	Epoch         uint64 `json:"epoch,omitempty"`
 	OrderRevision uint64 `json:"order_revision,omitempty"`
 	// Target is the order's version.
 	Target string `json:"target"`
 	Phase  Phase  `json:"phase"`
-	// Excluded are the versions that get nothing: targets of earlier orders that were rolled
-	// back or given up for another.
+	// Excluded lists the versions that receive nothing: targets of earlier orders that were rolled back
+	// or replaced by another order, and the versions before a completed one.
 	Excluded []string `json:"aside,omitempty"`
-	// Before are the versions that were there beside the target; they get nothing once
-	// traffic moves.
+	// Before lists the previous versions, which receive nothing once traffic has moved.
 	Before []string `json:"before,omitempty"`
-	// Elapsed is how old the order was when the record was written, and Decision how old it
-	// is when it is decided.
+	// Elapsed is the age of the order when the record was written, and DecisionAt the age at which the
+	// order is decided.
 	Elapsed    time.Duration `json:"elapsed_ns"`
 	DecisionAt time.Duration `json:"decision_ns,omitempty"`
-	// MoveAt is how old the order is when its traffic moves, once that is decided: all nodes
-	// hear of it before.
+	// MoveAt is the age at which traffic moves. It is set once the move is decided, far enough ahead for
+	// all nodes to learn of it.
 	MoveAt time.Duration `json:"move_at_ns,omitempty"`
-	// HasAlarm says that the registry holds an alarm of the order until the decision, by its
-	// own clock, for nodes that don't know how old the order is.
+	// HasAlarm says that the registry holds an alarm for the order: an entry that expires by the
+	// registry's own clock at the time of the decision. Nodes that don't know the order's age go by it.
 	HasAlarm bool `json:"alarmed,omitempty"`
-	// Grants are the requests that nodes may give the target beyond a share of their own,
-	// by the node, and Granted is how old the order was when they were made.
+	// Grants is the number of requests that each node may send to the target beyond its share, by node.
+	// Granted is the age of the order when they were assigned.
 	Grants  map[string]int `json:"grants,omitempty"`
 	Granted time.Duration  `json:"granted_ns,omitempty"`
-	// Reason tells what decided on the end.
+	// Reason says why the order ended or moved.
 	Reason string `json:"reason,omitempty"`
 }
 
-// orderRevision is the registry's revision of the order when the record was written.
+// orderRevision returns the registry's revision of the order when the record was written.
 func (r *Record) orderRevision() uint64 { return cmp.Or(r.OrderRevision, r.Order) }
--- a/rollout/send_limit.go
+++ b/rollout/send_limit.go
@@ -7,8 +7,8 @@
 	"github.com/banksail/banksail/extrabudget"
 )
 
-// maxTargetShare is the part of a route's first sends that the target gets before the load is
-// tried: answers of the versions before are needed to judge it by.
+// maxTargetShare is the largest share of a route's first sends that goes to the target before the
+// load test. The rest provides answers of the previous versions to compare with.
 const maxTargetShare = 0.75
 
 // ShouldSendToTarget reports whether a first send on a route should go to the target.
@@ -24,8 +24,8 @@
 	return elapsed >= span-loadTestTime || c.isDueEarly(route, limit, float64(elapsed)/float64(span-loadTestTime))
 }
 
-// isDueEarly reports the same before the load is tried: all routes have an even part of what
-// may be spent by then, however many requests come on each.
+// isDueEarly is ShouldSendToTarget for the time before the load test. All routes have an equal part
+// of what may be sent by then, however many requests they receive.
 func (c *Canary) isDueEarly(route string, limit, progress float64) bool {
 	sends, chosen := 0, 0
 	routes := len(c.routes)
@@ -44,7 +44,7 @@
 	return float64(chosen)+c.offset <= early/float64(routes)
 }
 
-// isRareRoute reports whether a route with so many first sends is rare.
+// isRareRoute reports whether a route with the given number of first sends is rare.
 func (c *Canary) isRareRoute(sends int) bool {
 	all := 0
 	for _, route := range c.routes {
@@ -53,19 +53,19 @@
 	return isRareRoute(sends, all, len(c.routes))
 }
 
-// nodeShare is this node's of what is granted to all.
+// nodeShare returns the fraction of the grants of all nodes that this node has.
 func (c *Canary) nodeShare() float64 {
 	return float64(c.state.Granted) / extrabudget.Usable(c.bounds.ExposureSlack)
 }
 
-// trialTime is the time since the grants, and that from them to the decision.
+// trialTime returns the time since the grants were made, and the time from then to the decision.
 func (c *Canary) trialTime(now time.Duration) (elapsed, span time.Duration) {
 	granted := c.state.Record.Granted
 	return c.state.Age(now) - granted, c.state.Record.DecisionAt - granted
 }
 
-// LoadTestServer reports whether the target is to be seen under load, and the place, modulo
-// their number, of its server that bears that now; all nodes count the same.
+// LoadTestServer reports whether the target is being tested under load, and the index, modulo their
+// number, of the server that receives the load now. All nodes compute the same sequence.
 func (c *Canary) LoadTestServer(now time.Duration) (index int, underLoad bool) {
 	if !c.Active() || c.targetTrafficMode(now) != Limited {
 		return 0, false
@@ -82,8 +82,8 @@
 	return int(c.state.Order%math.MaxInt32) + turn, true
 }
 
-// countLoadTestServers is the number of the target's servers that bear the load one after the other,
-// if so much is left for it: two tell a bad server from a bad version, if both come under load.
+// countLoadTestServers returns the number of servers to load one after the other with the remaining
+// sends. Two distinguish a bad server from a bad version, but only if both come under load.
 func (c *Canary) countLoadTestServers(now time.Duration, left float64) int {
 	elapsed, _ := c.trialTime(now)
 	perSecond := float64(c.allowance.Counted()) / max(elapsed.Seconds(), 1)
@@ -93,10 +93,10 @@
 	return maxLoadTestServers
 }
 
-// routeSends are the first sends on a route, all and those to the target.
+// routeSends counts the first sends on a route, all of them and those to the target.
 type routeSends struct{ total, target int }
 
-// CountFirstSend notes a first send to the service on a route, to the target or not.
+// CountFirstSend counts a first send to the service on a route, to the target or to another version.
 func (c *Canary) CountFirstSend(route string, target bool) {
 	if !c.Active() {
 		return
@@ -115,8 +115,8 @@
 	}
 }
 
-// sendLimit is what the target may have got so far, less what a move needs, where that leaves
-// enough to try it: then the bound holds whatever the target is.
+// sendLimit returns the number of sends to the target that is allowed before the move. It reserves
+// what the move needs, so that the bound holds even for a bad target, if enough remains to test it.
 func (c *Canary) sendLimit(now time.Duration) float64 {
 	limit := c.Allowed()
 	age := c.state.Age(now)
@@ -128,8 +128,9 @@
 	perSecond := counted / elapsed.Seconds()
 	bound := c.bounds.ExposureShare*(counted+perSecond*left.Seconds()) + c.bounds.ExposureSlack*c.nodeShare()
 	move := perSecond * reservedMoveTime.Seconds()
-	// A node counts few requests: one standard deviation less of them tells what a move takes at
-	// least, as nodes that hold nothing back spend what the others do.
+	// Reserve nothing if the move is too large a part of the bound. A node counts few requests, so its
+	// estimate is reduced by one standard deviation for this check: nodes that reserve nothing use what
+	// the others reserve.
 	if move*(1-1/math.Sqrt(max(counted, 1))) > maxReservedShare*bound {
 		return limit
 	}
