--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -82,9 +82,9 @@
 	if known == nil && len(j.lastCounts) >= maxReporters {
 		return
 	}
-	before, soundBefore := subtractKnown(known, report.Before)
-	target, soundTarget := subtractKnown(known, report.Target)
-	if !soundBefore || !soundTarget {
+	before, beforeOK := subtractKnown(known, report.Before)
+	target, targetOK := subtractKnown(known, report.Target)
+	if !beforeOK || !targetOK {
 		j.invalidReports++
 		return
 	}
@@ -112,8 +112,8 @@
 // if the counts are impossible.
 func subtractKnown(known map[cellKey]Counts, reported []Cell) (added []Cell, ok bool) {
 	for _, cell := range reported {
-		difference, sound := cell.subtract(known[cellKey{cell.Route, cell.Server}])
-		if !sound {
+		difference, valid := cell.subtract(known[cellKey{cell.Route, cell.Server}])
+		if !valid {
 			return nil, false
 		}
 		if difference.Answers > 0 {
@@ -227,11 +227,11 @@
 			return Undecided, "too few answers of the target on route " + route
 		}
 	}
-	const sound = "no more failures and slow answers than before"
+	const noRegression = "no more failures and slow answers than before"
 	if j.isProven() {
-		return ProvenHealthy, sound
+		return ProvenHealthy, noRegression
 	}
-	return Healthy, sound
+	return Healthy, noRegression
 }
 
 // isProven reports whether the answers on every route and those under load exclude a bad target.
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -145,16 +145,16 @@
 // Reports that arrive twice or late must count once, and reports with impossible counts not at all.
 func TestRepeatedReportsCountOnce(t *testing.T) {
 	judge := NewJudge()
-	tell := func(answers, failed int) {
+	report := func(answers, failed int) {
 		judge.AddReport(time.Second, Report{Node: "n", Process: "1", Target: []Cell{
 			{Route: "r", Server: "s", Counts: Counts{Answers: answers, Failed: failed}},
 		}})
 	}
 	for range 5 {
-		tell(4, 1)
+		report(4, 1)
 	}
-	tell(2, 1) // arrives late
-	tell(6, 9) // more failures than answers
+	report(2, 1) // arrives late
+	report(6, 9) // more failures than answers
 	if answers, bad := judge.Answers(); answers != 4 || bad != 1 || judge.InvalidReports() != 2 {
 		t.Errorf("%d answers, %d bad, %d invalid reports; want 4, 1, 2", answers, bad, judge.InvalidReports())
 	}
--- a/rollout/property_test.go
+++ b/rollout/property_test.go
@@ -16,11 +16,11 @@
 	historiesVariable = "ROLLOUT_HISTORIES"
 )
 
-func envNumber(t *testing.T, variable string, usual uint64) uint64 {
+func envNumber(t *testing.T, variable string, fallback uint64) uint64 {
 	t.Helper()
 	text := os.Getenv(variable)
 	if text == "" {
-		return usual
+		return fallback
 	}
 	number, err := strconv.ParseUint(text, 10, 63)
 	if err != nil {
@@ -38,7 +38,7 @@
 	bad, rolledBack, falseCompletions int
 	// overShare and late count decidable histories, late those in which the version was not
 	// taken for a good one; all others count all histories.
-	overShare, late, lost, changed, noEnd, overLimited int
+	overShare, late, lost, changed, notEnded, overLimited int
 	// undecidable counts the histories in which a decision was not possible, and
 	// overUndecided those of them in which a bad version got more than its bound.
 	undecidable, overUndecided int
@@ -49,10 +49,10 @@
 	// minRequests is the number of requests, on the route on which a version is bad, that
 	// a decision needs until then: the target gets a few of a hundred.
 	minRequests = 60
-	// loadRoom is how much more than what shows a version under load the bound must allow,
-	// and loadDuration the shortest order in which that is tried before half of its time.
-	loadRoom     = 1.5
-	loadDuration = 16 * time.Second
+	// loadTestMargin is how much more than what shows a version under load the bound must allow,
+	// and minLoadTestDuration the shortest order in which that is tried before half of its time.
+	loadTestMargin      = 1.5
+	minLoadTestDuration = 16 * time.Second
 )
 
 // decidable reports whether a history had what a decision needs: enough requests, for a bad
@@ -90,11 +90,11 @@
 	if !c.bad.underLoad {
 		return true
 	}
-	if c.duration < loadDuration {
+	if c.duration < minLoadTestDuration {
 		return false
 	}
 	allowed := 0.85 * (c.bounds.ExposureShare*c.rate*early + c.bounds.ExposureSlack) * (1 - earlyShare)
-	return allowed/maxLoadTestServers >= loadRoom*loadShare*c.rate/targetServers
+	return allowed/maxLoadTestServers >= loadTestMargin*loadShare*c.rate/targetServers
 }
 
 // routeShare is the part of the requests that come on a route; empty is all.
@@ -109,8 +109,8 @@
 		}
 		return z * (1 - math.Log(z))
 	}
-	place, routes := float64(slices.Index(c.routes, route)), float64(len(c.routes))
-	return below((place+1)/routes) - below(place/routes)
+	index, routes := float64(slices.Index(c.routes, route)), float64(len(c.routes))
+	return below((index+1)/routes) - below(index/routes)
 }
 
 func (c *cluster) allNodesRestarted() bool {
@@ -124,36 +124,36 @@
 
 // play plays a history and adds it to the tally.
 func (t *tally) play(seed uint64, seeded bug) {
-	w := newWorld(seed, seeded)
-	w.run()
-	t.lost += boolToInt(w.lost > 0)
-	t.changed += boolToInt(w.changedAfterEnd > 0)
-	t.overLimited += boolToInt(w.overLimited > 0)
-	inTime := w.end != "" && w.endAt <= w.orderAt+w.duration
-	t.noEnd += boolToInt(!inTime && !w.registryDownNearDeadline())
-	isBad := w.bad != (defectSpec{})
-	overShare := isBad && float64(w.targetRequests) > w.bounds.ExposureShare*float64(w.requests)+w.bounds.ExposureSlack
-	if !w.decidable() {
+	c := newCluster(seed, seeded)
+	c.run()
+	t.lost += boolToInt(c.lost > 0)
+	t.changed += boolToInt(c.changedAfterEnd > 0)
+	t.overLimited += boolToInt(c.overLimited > 0)
+	inTime := c.end != "" && c.endAt <= c.orderAt+c.duration
+	t.notEnded += boolToInt(!inTime && !c.registryDownNearDeadline())
+	isBad := c.bad != (defectSpec{})
+	overShare := isBad && float64(c.targetRequests) > c.bounds.ExposureShare*float64(c.requests)+c.bounds.ExposureSlack
+	if !c.decidable() {
 		t.undecidable++
 		t.overUndecided += boolToInt(overShare)
 		t.recordBreach(overShare, seed)
 		return
 	}
 	t.overShare += boolToInt(overShare)
-	late := isBad && w.lateTargetRequests > 0 && w.end != Completed
+	late := isBad && c.lateTargetRequests > 0 && c.end != Completed
 	t.late += boolToInt(late)
 	t.recordBreach(overShare || late, seed)
 	if !isBad {
 		t.good++
-		t.completed += boolToInt(inTime && w.end == Completed)
-		t.provable += boolToInt(w.provable())
-		t.provableCompleted += boolToInt(w.provable() && inTime && w.end == Completed)
-		t.falseRollbacks += boolToInt(w.end == RolledBack)
+		t.completed += boolToInt(inTime && c.end == Completed)
+		t.provable += boolToInt(c.provable())
+		t.provableCompleted += boolToInt(c.provable() && inTime && c.end == Completed)
+		t.falseRollbacks += boolToInt(c.end == RolledBack)
 		return
 	}
 	t.bad++
-	t.rolledBack += boolToInt(inTime && w.end == RolledBack)
-	t.falseCompletions += boolToInt(w.end == Completed)
+	t.rolledBack += boolToInt(inTime && c.end == RolledBack)
+	t.falseCompletions += boolToInt(c.end == Completed)
 }
 
 // recordBreach keeps the first seed that broke a bound.
@@ -163,8 +163,8 @@
 	}
 }
 
-func boolToInt(is bool) int {
-	if is {
+func boolToInt(value bool) int {
+	if value {
 		return 1
 	}
 	return 0
@@ -192,7 +192,7 @@
 		return "more than the bound was given to a version before a decision"
 	case t.overShare+t.overUndecided > 0:
 		return "more than the bound was given to a bad version"
-	case t.noEnd > 0:
+	case t.notEnded > 0:
 		return "an order had no end in time"
 	case t.late > 0:
 		return "a bad version was given requests after the roll-back's bound"
@@ -257,12 +257,12 @@
 	for seeded := noBug + 1; seeded < bugs; seeded++ {
 		t.Run(names[seeded], func(t *testing.T) {
 			t.Parallel()
-			var seen, sound tally
+			var seen, control tally
 			for seed := uint64(1); seed <= histories; seed++ {
 				seen.play(seed, seeded)
-				sound.play(seed, noBug)
+				control.play(seed, noBug)
 				breach := seen.breaches()
-				if seed%step == 0 && breach != "" && sound.breaches() == "" {
+				if seed%step == 0 && breach != "" && control.breaches() == "" {
 					t.Logf("%d histories: %s: %+v", seed, breach, seen)
 					return
 				}
--- a/rollout/simulation_nodes_test.go
+++ b/rollout/simulation_nodes_test.go
@@ -10,24 +10,24 @@
 func (c *cluster) step(n *simNode) {
 	c.refreshView(n)
 	if n.state.Order != 0 && c.now >= n.reportAt && n.reachesNodes(c.now) && n.stalledUntil <= c.now {
-		n.reportAt = c.now + reportGap
+		n.reportAt = c.now + reportInterval
 		if n.canary.NeedsFrequentReports(c.now) {
-			n.reportAt = c.now + reportGap/2
+			n.reportAt = c.now + reportInterval/2
 		}
 		c.report(n)
 	}
-	place := slices.IndexFunc(c.leaders(), func(l *simNode) bool { return l == n })
-	if place < 0 || !n.hasView {
+	index := slices.IndexFunc(c.leaders(), func(l *simNode) bool { return l == n })
+	if index < 0 || !n.hasView {
 		return
 	}
 	cluster := DeciderInput{
 		State: n.state, RecordRevision: n.view.record, Versions: []string{previousVersion, targetVersion}, ServiceKnown: true,
-		DeciderIndex: place, Nodes: c.nodeNames(), ServingNodes: c.nodeNames(), MaxViewAge: 1600 * time.Millisecond,
+		DeciderIndex: index, Nodes: c.nodeNames(), ServingNodes: c.nodeNames(), MaxViewAge: 1600 * time.Millisecond,
 	}
 	if c.bug == bugNoConfirmations {
 		cluster.Nodes = nil
 	}
-	if c.bug == bugNoTakeover && place > 0 {
+	if c.bug == bugNoTakeover && index > 0 {
 		cluster.DeciderIndex = -1
 	}
 	if c.bug == bugEndedReopened && n.state.hasCurrentRecord() && n.state.Record.Phase == Completed {
@@ -69,7 +69,7 @@
 	if c.now < n.viewAt+n.lag || !n.reachesNodes(c.now) || !c.registryUp() || n.stalledUntil > c.now {
 		return
 	}
-	before, heardBefore := n.viewAt, n.hasView
+	lastViewAt, hadView := n.viewAt, n.hasView
 	n.viewAt, n.hasView = c.now, true
 	n.lag = time.Duration(c.random.Float64() * float64(1400*time.Millisecond))
 	if n.registryCutUntil > c.now {
@@ -78,14 +78,14 @@
 	if c.store.order != n.view.order {
 		n.state.OrderTimeKnown = false
 		switch {
-		case heardBefore && before >= c.orderAt-2*c.orderDetectionDelay:
+		case hadView && lastViewAt >= c.orderAt-2*c.orderDetectionDelay:
 			n.state.Since, n.state.OrderTimeKnown = c.orderAt-c.orderDetectionDelay, true // a reader's figure
 			if c.firstSeenAt == 0 {
 				c.firstSeenAt = c.now
 			}
 			n.state.Latest = c.firstSeenAt
-		case heardBefore:
-			n.state.Since, n.state.OrderTimeKnown, n.state.Latest = before, true, c.now
+		case hadView:
+			n.state.Since, n.state.OrderTimeKnown, n.state.Latest = lastViewAt, true, c.now
 		default:
 			c.copyOrderAge(n)
 		}
@@ -138,29 +138,29 @@
 func (c *cluster) report(n *simNode) {
 	n.inFlight = slices.DeleteFunc(n.inFlight, func(until time.Duration) bool { return until <= c.now })
 	target, before := n.canary.Evidence().Cells()
-	told := Report{
+	report := Report{
 		Node: n.name, Process: fmt.Sprint(n.process), Service: "service", Order: n.state.Order,
 		Moved: n.canary.Moved(c.now), Remaining: len(n.inFlight), Target: target, Before: before,
 	}
 	if n.reportsFalseFailures {
-		told.Target = slices.Clone(target)
-		for i := range told.Target {
-			told.Target[i].Failed, told.Target[i].Slow = told.Target[i].Answers, 0
+		report.Target = slices.Clone(target)
+		for i := range report.Target {
+			report.Target[i].Failed, report.Target[i].Slow = report.Target[i].Answers, 0
 		}
 	}
 	switch c.bug {
 	case bugEvidenceCountedTwice:
-		told.Process += fmt.Sprint(c.now)
+		report.Process += fmt.Sprint(c.now)
 	case bugNodesNotDistinguished:
-		told.Node += fmt.Sprint(c.random.Uint32())
+		report.Node += fmt.Sprint(c.random.Uint32())
 	}
 	for _, leader := range c.leaders() {
 		if !leader.reachesNodes(c.now) {
 			continue
 		}
-		leader.decider.AddReport(c.now, told)
+		leader.decider.AddReport(c.now, report)
 		if leader.decider.Halt() && c.bug != bugEndsMissed {
-			n.canary.Halt(told.Order)
+			n.canary.Halt(report.Order)
 		}
 	}
 }
--- a/rollout/simulation_test.go
+++ b/rollout/simulation_test.go
@@ -35,8 +35,8 @@
 }
 
 const (
-	tick      = 20 * time.Millisecond
-	reportGap = 500 * time.Millisecond
+	tick           = 20 * time.Millisecond
+	reportInterval = 500 * time.Millisecond
 	// leadTime is the time before the order, in which nodes learn of each other.
 	leadTime = 5 * time.Second
 	// loadShare is the part of a server's even part of the traffic from which on it is under
@@ -134,9 +134,9 @@
 	recent [targetServers]float64
 }
 
-func newWorld(seed uint64, seeded bug) *cluster {
+func newCluster(seed uint64, seeded bug) *cluster {
 	random := rand.New(rand.NewPCG(seed, 34))
-	w := &cluster{
+	c := &cluster{
 		random:              random,
 		bug:                 seeded,
 		bounds:              Bounds{ExposureShare: 0.1, ExposureSlack: 50, RollbackTime: 5 * time.Second},
@@ -146,19 +146,19 @@
 		orderDetectionDelay: time.Duration(random.Float64() * float64(1500*time.Millisecond)),
 	}
 	for number := range 1 + random.IntN(5) {
-		w.routes = append(w.routes, fmt.Sprintf("route-%d", number))
+		c.routes = append(c.routes, fmt.Sprintf("route-%d", number))
 	}
 	for number := range 3 + random.IntN(14) {
 		n := &simNode{name: fmt.Sprintf("node-%02d", number), number: number}
-		w.start(n)
-		w.nodes = append(w.nodes, n)
+		c.start(n)
+		c.nodes = append(c.nodes, n)
 	}
-	w.drawBadness()
-	w.drawFaults()
-	return w
+	c.drawDefect()
+	c.drawFaults()
+	return c
 }
 
-func (c *cluster) drawBadness() {
+func (c *cluster) drawDefect() {
 	if c.random.IntN(2) == 0 {
 		return
 	}
@@ -220,12 +220,12 @@
 	n.startedAt, n.hasView, n.view, n.state = c.now, false, registryState{}, State{}
 	n.canary, n.decider = NewCanary(c.bounds, c.random.Float64()), NewDecider("service", c.bounds)
 	n.lag = time.Duration(c.random.Float64() * float64(1400*time.Millisecond))
-	n.reportAt, n.inFlight = c.now+time.Duration(c.random.Float64()*float64(reportGap)), nil
+	n.reportAt, n.inFlight = c.now+time.Duration(c.random.Float64()*float64(reportInterval)), nil
 }
 
-// begins reports whether a fault that was drawn as a negative time begins now, and lets it
+// startsFault reports whether a fault that was drawn as a negative time begins now, and lets it
 // last until a drawn time.
-func (c *cluster) begins(until *time.Duration, longest time.Duration) bool {
+func (c *cluster) startsFault(until *time.Duration, longest time.Duration) bool {
 	if *until >= 0 || c.now < -*until {
 		return false
 	}
@@ -272,15 +272,15 @@
 		if !n.reachesRegistry(c.now) || !c.registryUp() {
 			n.disconnectedAt = c.now
 		}
-		c.begins(&n.cutUntil, 6*time.Second)
-		deaf := 6 * time.Second
+		c.startsFault(&n.cutUntil, 6*time.Second)
+		cutTime := 6 * time.Second
 		if c.longRegistryCut {
-			deaf = 2 * c.duration
+			cutTime = 2 * c.duration
 		}
-		c.begins(&n.registryCutUntil, deaf)
-		c.begins(&n.stalledUntil, 20*time.Second)
-		c.begins(&n.frozenUntil, 4*time.Second)
-		if c.begins(&n.upAt, 3*time.Second) {
+		c.startsFault(&n.registryCutUntil, cutTime)
+		c.startsFault(&n.stalledUntil, 20*time.Second)
+		c.startsFault(&n.frozenUntil, 4*time.Second)
+		if c.startsFault(&n.upAt, 3*time.Second) {
 			c.start(n)
 			n.startedAt = n.upAt
 		}
--- a/rollout/simulation_traffic_test.go
+++ b/rollout/simulation_traffic_test.go
@@ -72,20 +72,20 @@
 func (c *cluster) sendToTarget(n *simNode, route string) AnswerQuality {
 	n.canary.CountTargetSend()
 	c.countRequest(n, true)
-	place := c.random.IntN(targetServers)
-	if bears, underLoad := n.canary.LoadTestServer(c.now); underLoad {
-		place = bears % targetServers
+	index := c.random.IntN(targetServers)
+	if loadTestIndex, underLoad := n.canary.LoadTestServer(c.now); underLoad {
+		index = loadTestIndex % targetServers
 	}
-	server := fmt.Sprint("server-", place)
-	c.recent[place]++
-	answer := c.targetAnswer(route, place)
+	server := fmt.Sprint("server-", index)
+	c.recent[index]++
+	answer := c.targetAnswer(route, index)
 	if answer != Good && c.bad != (defectSpec{}) {
 		c.badAnswers++
 		if c.badAnswers == 50 {
 			c.fiftiethAt = c.now
 		}
 	}
-	if c.badServer && place == 1 && c.random.IntN(2) == 0 {
+	if c.badServer && index == 1 && c.random.IntN(2) == 0 {
 		answer = Failed
 	}
 	if answer == Slow && c.bug == bugSlowIgnored {
