--- a/rollout/canary.go
+++ b/rollout/canary.go
@@ -156,7 +156,7 @@
 	evidence   Evidence
 }
 
-// NewCanary returns a canary for the roll-outs of one service. offset is between 0 and 1 and must
+// NewCanary returns a canary for the roll-outs of one service. offset is between 0 and 1 and should
 // differ between nodes.
 func NewCanary(bounds Bounds, offset float64) *Canary {
 	return &Canary{bounds: bounds, offset: offset, routes: make(map[string]*routeSends)}
--- a/rollout/canary_test.go
+++ b/rollout/canary_test.go
@@ -179,8 +179,9 @@
 	}
 }
 
-// The upper bound of an order's age, with and without a known order time, record and alarm. An age
-// that is too low would extend the deadline and let restarted nodes exceed the bound.
+// The upper bound of an order's age, with and without a known order time, record and alarm. It must
+// not start over when nodes restart: nodes that share grants must stay within the bound however they
+// come, go and restart.
 func TestOrderAge(t *testing.T) {
 	known := stateInPhase(Running)
 	known.Since = -2 * time.Second
--- a/rollout/decider.go
+++ b/rollout/decider.go
@@ -109,7 +109,7 @@
 }
 
 // Halt reports whether nodes must stop sending to the target before they learn it from the
-// registry. Once traffic moves, that holds only after the roll-out was rolled back: another decider
+// registry. Once traffic moves, that holds only if the roll-out was rolled back: another decider
 // may have completed the move meanwhile, and the previous servers may have stopped.
 func (d *Decider) Halt() bool {
 	record := d.input.Record
--- a/rollout/decider_test.go
+++ b/rollout/decider_test.go
@@ -22,7 +22,7 @@
 	d.Observe(0, input)
 	begin, ok := d.Tick(0)
 	if !ok || begin.Record.Phase != Running || begin.OrderRevision != 7 || begin.RecordRevision != 0 || begin.AlarmTTL == 0 {
-		t.Fatalf("%+v %t", begin, ok)
+		t.Fatalf("first write: %+v, ok %t", begin, ok)
 	}
 	d.WriteAccepted(0, begin, 10)
 	input.Record, input.RecordRevision = &begin.Record, 9 // its own record, observed at another revision
@@ -31,12 +31,12 @@
 	d.Observe(2*time.Second, input)
 	end, ok := d.Tick(2 * time.Second)
 	if !ok || end.Record.Phase != RolledBack || end.RecordRevision != 10 && end.RecordRevision != 9 {
-		t.Fatalf("%+v %t", end, ok)
+		t.Fatalf("write of the roll-back: %+v, ok %t", end, ok)
 	}
 	d.WriteRejected()
 	d.Observe(3*time.Second, input)
 	if again, ok := d.Tick(4 * time.Second); !ok || again.RecordRevision != 9 {
-		t.Errorf("%+v %t", again, ok)
+		t.Errorf("write after a rejection: %+v, ok %t", again, ok)
 	}
 }
 
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -65,8 +65,8 @@
 	return verdict
 }
 
-// Each kind of bad version must be detected. A single faulty server or node, which affects all
-// versions alike or the target by chance, must not be taken for a bad version.
+// Each kind of bad version must be detected. A single faulty server or node must not be taken for a
+// bad version.
 func TestVerdicts(t *testing.T) {
 	const seeds, rounds = 200, 12
 	onRoute := func(answer AnswerQuality, part float64) func(r *reportFeed) func(string, string, int) AnswerQuality {
@@ -159,7 +159,7 @@
 		t.Errorf("%d answers, %d bad, %d invalid reports; want 4, 1, 2", answers, bad, judge.InvalidReports())
 	}
 	if verdict, why := judge.Verdict(); verdict != Undecided || why == "" {
-		t.Errorf("verdict %d %q", verdict, why)
+		t.Errorf("verdict %d (%s), want Undecided", verdict, why)
 	}
 }
 
@@ -171,6 +171,6 @@
 		Target: []Cell{{Route: "a", Server: "s", Counts: Counts{Answers: 20}}},
 	})
 	if verdict, why := judge.Verdict(); verdict != Undecided {
-		t.Errorf("verdict %d %q", verdict, why)
+		t.Errorf("verdict %d (%s), want Undecided", verdict, why)
 	}
 }
--- a/rollout/property_test.go
+++ b/rollout/property_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Environment variables by which other histories are played: the first seed, and the number
-// of histories.
+// Environment variables that select other simulated roll-outs: the first seed, and the number of
+// histories. A history is one simulated roll-out.
 const (
 	seedVariable      = "ROLLOUT_SEED"
 	historiesVariable = "ROLLOUT_HISTORIES"
@@ -29,43 +29,43 @@
 	return number
 }
 
-// tally counts how histories ended.
+// tally counts the outcomes of histories.
 type tally struct {
 	good, completed, falseRollbacks int
-	// provable counts those good ones that can be told from each version that is bad, and
+	// provable counts the good versions that can be distinguished from every bad one, and
 	// provableCompleted those of them that were completed in time.
 	provable, provableCompleted       int
 	bad, rolledBack, falseCompletions int
-	// overShare and late count decidable histories, late those in which the version was not
-	// taken for a good one; all others count all histories.
+	// overShare and late count decidable histories only; late excludes those in which the bad version
+	// was completed. The others count all histories.
 	overShare, late, lost, changed, notEnded, overLimited int
-	// undecidable counts the histories in which a decision was not possible, and
-	// overUndecided those of them in which a bad version got more than its bound.
+	// undecidable counts the histories that do not allow a decision, and overUndecided those of them
+	// in which a bad version exceeded its bound.
 	undecidable, overUndecided int
 	firstBreach                uint64
 }
 
 const (
-	// minRequests is the number of requests, on the route on which a version is bad, that
-	// a decision needs until then: the target gets a few of a hundred.
+	// minRequests is the number of requests needed for a decision, on the route on which the version is
+	// bad: only a few of a hundred go to the target.
 	minRequests = 60
-	// loadTestMargin is how much more than what shows a version under load the bound must allow,
-	// and minLoadTestDuration the shortest order in which that is tried before half of its time.
+	// loadTestMargin is the factor by which the bound must exceed what shows a version under load, and
+	// minLoadTestDuration the shortest order in which the load test begins before half of its time.
 	loadTestMargin      = 1.5
 	minLoadTestDuration = 16 * time.Second
 )
 
-// decidable reports whether a history had what a decision needs: enough requests, for a bad
-// version where and when it shows, a registry around the deadline, and evidence that did not
-// go with all nodes.
+// decidable reports whether a history has what a decision needs: enough requests where and when a bad
+// version shows, a registry that is available around the deadline, and evidence that was not lost by
+// restarting all nodes.
 func (c *cluster) decidable() bool {
 	early := 0.6 * c.duration.Seconds()
 	requests := c.rate * early * c.routeShare(c.bad.route)
 	return requests >= minRequests && c.loadIsReachable(early) && !c.registryDownNearDeadline() && !c.allNodesRestarted() && !c.nodeStalledNearDeadline()
 }
 
-// provable reports whether a decidable history of a good version had what tells it from each
-// version that is bad: on its rarest route, and under load.
+// provable reports whether a decidable history of a good version allows to distinguish it from every
+// bad one: on its rarest route, and under load.
 func (c *cluster) provable() bool {
 	early := 0.6 * c.duration.Seconds()
 	loaded := *c
@@ -73,19 +73,19 @@
 	return c.rate*early*c.routeShare(c.routes[len(c.routes)-1]) >= minRequests && loaded.loadIsReachable(early)
 }
 
-// nodeStalledNearDeadline reports whether a node could tell nobody, for most of the time in which all
-// have to, that it has moved.
+// nodeStalledNearDeadline reports whether a node was unable to report that it had moved for most of
+// the time in which all nodes have to.
 func (c *cluster) nodeStalledNearDeadline() bool {
 	return slices.ContainsFunc(c.nodes, func(n *simNode) bool { return n.stalledUntil > c.orderAt+c.duration/2 })
 }
 
-// registryDownNearDeadline reports whether the registry was away within some seconds of the deadline.
+// registryDownNearDeadline reports whether the registry was down within 4 s before the deadline.
 func (c *cluster) registryDownNearDeadline() bool {
 	return c.outage[1] > c.orderAt+c.duration-4*time.Second && c.outage[0] < c.orderAt+c.duration
 }
 
-// loadIsReachable reports whether the bound allows enough requests to bring the load about by
-// which a version is bad.
+// loadIsReachable reports whether the bound allows enough requests to cause the load under which the
+// version is bad.
 func (c *cluster) loadIsReachable(early float64) bool {
 	if !c.bad.underLoad {
 		return true
@@ -97,12 +97,12 @@
 	return allowed/maxLoadTestServers >= loadTestMargin*loadShare*c.rate/targetServers
 }
 
-// routeShare is the part of the requests that come on a route; empty is all.
+// routeShare returns the share of the requests on a route, or 1 for the empty route.
 func (c *cluster) routeShare(route string) float64 {
 	if route == "" {
 		return 1
 	}
-	// A route's place is the product of two even numbers: P(xy < z) = z(1 - ln z).
+	// A route's index is drawn as the product of two uniform numbers: P(xy < z) = z(1 - ln z).
 	below := func(z float64) float64 {
 		if z == 0 {
 			return 0
@@ -113,6 +113,7 @@
 	return below((index+1)/routes) - below(index/routes)
 }
 
+// allNodesRestarted reports whether every node was restarted.
 func (c *cluster) allNodesRestarted() bool {
 	for _, n := range c.nodes {
 		if n.process < 2 {
@@ -122,7 +123,7 @@
 	return true
 }
 
-// play plays a history and adds it to the tally.
+// play simulates a history and adds its outcome to the tally.
 func (t *tally) play(seed uint64, seeded bug) {
 	c := newCluster(seed, seeded)
 	c.run()
@@ -156,7 +157,7 @@
 	t.falseCompletions += boolToInt(c.end == Completed)
 }
 
-// recordBreach keeps the first seed that broke a bound.
+// recordBreach records the first seed that broke a bound.
 func (t *tally) recordBreach(broken bool, seed uint64) {
 	if broken && t.firstBreach == 0 {
 		t.firstBreach = seed
@@ -171,21 +172,20 @@
 }
 
 const (
-	// maxNotCompletedShare is the part of the good versions that may not be completed in time where a
-	// bad one is decidable: of those that can be told from each bad one, and of all.
+	// maxNotCompletedShare is the share of good versions that may fail to be completed in time in
+	// decidable histories. It applies to the provable ones and, as an aim, to all.
 	maxNotCompletedShare = 0.05
-	// maxNotRolledBackShare is the part of the bad versions that may not come to their end in time.
+	// maxNotRolledBackShare is the share of bad versions that may fail to be rolled back in time.
 	maxNotRolledBackShare = 0.01
 )
 
-// exceeds reports whether a count of so many is above a part by more than two standard
-// deviations.
+// exceeds reports whether a count is above a share of the total by more than two standard deviations.
 func exceeds(count, of int, part float64) bool {
 	most := part * float64(of)
 	return float64(count) > most+2*math.Sqrt(most)
 }
 
-// breaches names what a tally breaks; empty is nothing.
+// breaches describes the first property that the tally violates; empty means none.
 func (t *tally) breaches() string {
 	switch {
 	case t.overLimited > 0:
@@ -209,8 +209,8 @@
 	}
 }
 
-// Drawn histories of good and bad versions, of traffic and of failures: what the nodes do
-// together keeps the bounds, loses nothing, and ends as it should.
+// Random histories of good and bad versions, traffic and failures. Together the nodes must keep the
+// bounds, lose no requests and end each roll-out as they should.
 func TestRolloutsOverManyNodes(t *testing.T) {
 	first, histories := envNumber(t, seedVariable, 1), envNumber(t, historiesVariable, 400)
 	var seen tally
@@ -223,10 +223,10 @@
 	}
 }
 
-// The aim is that 0.95 of all good versions are completed in time, beside the bound that no bad one
-// exceeds. Those that are not can't be told from a bad one before traffic moves, and the bound
-// doesn't bear the move: a route brings fewer requests than exclude a version that is bad there, or
-// there is no room for the load. On seeds 990177 to 991676 359 of 449 are.
+// 0.95 of all good versions should be completed in time, while no bad one exceeds its bound. The
+// others cannot be distinguished from a bad version before traffic moves, and the bound does not allow
+// the move: either a route has too few requests to exclude a version that is bad there, or there is no
+// room for the load test. On seeds 990177 to 991676, 359 of 449 are completed.
 func TestGoodVersionsAreCompleted(t *testing.T) {
 	first, histories := envNumber(t, seedVariable, 1), envNumber(t, historiesVariable, 400)
 	var seen tally
@@ -234,11 +234,11 @@
 		seen.play(seed, noBug)
 	}
 	if exceeds(seen.good-seen.completed, seen.good, maxNotCompletedShare) {
-		t.Errorf("%d of %d good versions were completed in time", seen.completed, seen.good)
+		t.Errorf("%d of %d good versions were completed in time, want 0.95 of them", seen.completed, seen.good)
 	}
 }
 
-// Each seeded bug is caught by the same properties over histories that keep them without it.
+// Each seeded bug must violate the properties in histories that satisfy them without the bug.
 func TestSeededBugsAreCaught(t *testing.T) {
 	names := map[bug]string{
 		bugFullGrantForEach:      "each node has the whole grant",
@@ -267,7 +267,7 @@
 					return
 				}
 			}
-			t.Errorf("not caught: %+v", seen)
+			t.Errorf("the seeded bug violates no property: %+v", seen)
 		})
 	}
 }
--- a/rollout/simulation_nodes_test.go
+++ b/rollout/simulation_nodes_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// step lets a node learn, report and decide.
+// step lets a node update its view, report and decide.
 func (c *cluster) step(n *simNode) {
 	c.refreshView(n)
 	if n.state.Order != 0 && c.now >= n.reportAt && n.reachesNodes(c.now) && n.stalledUntil <= c.now {
@@ -41,8 +41,9 @@
 	}
 }
 
-// leaders are the first three that others see: nodes that are gone or cut off are passed
-// over after some time, which is left out here for those that are frozen or deaf.
+// leaders returns the first three nodes that others see. Nodes that are down or disconnected are skipped
+// at once, without the time that detecting this takes; frozen nodes and those cut from the registry
+// alone are not skipped.
 func (c *cluster) leaders() []*simNode {
 	var seen []*simNode
 	for _, n := range c.nodes {
@@ -53,7 +54,7 @@
 	return seen
 }
 
-// nodeNames are those of the nodes that are not known to be gone.
+// nodeNames returns the names of the nodes that are not known to be gone.
 func (c *cluster) nodeNames() []string {
 	var names []string
 	for _, n := range c.nodes {
@@ -64,7 +65,7 @@
 	return names
 }
 
-// refreshView brings a node's belief to what the registry held some time ago.
+// refreshView updates a node's view of the registry, once per lag.
 func (c *cluster) refreshView(n *simNode) {
 	if c.now < n.viewAt+n.lag || !n.reachesNodes(c.now) || !c.registryUp() || n.stalledUntil > c.now {
 		return
@@ -73,13 +74,13 @@
 	n.viewAt, n.hasView = c.now, true
 	n.lag = time.Duration(c.random.Float64() * float64(1400*time.Millisecond))
 	if n.registryCutUntil > c.now {
-		n.lag += 1500 * time.Millisecond // others tell it
+		n.lag += 1500 * time.Millisecond // learned from other nodes
 	}
 	if c.store.order != n.view.order {
 		n.state.OrderTimeKnown = false
 		switch {
 		case hadView && lastViewAt >= c.orderAt-2*c.orderDetectionDelay:
-			n.state.Since, n.state.OrderTimeKnown = c.orderAt-c.orderDetectionDelay, true // a reader's figure
+			n.state.Since, n.state.OrderTimeKnown = c.orderAt-c.orderDetectionDelay, true // as estimated by the reader of the registry
 			if c.firstSeenAt == 0 {
 				c.firstSeenAt = c.now
 			}
@@ -111,7 +112,7 @@
 	c.updateCanary(n)
 }
 
-// updateCanary tells a node's trial what is known.
+// updateCanary passes a node's state to its canary.
 func (c *cluster) updateCanary(n *simNode) {
 	n.state.Granted = n.state.GrantFor(c.now, n.name, c.now-n.startedAt)
 	if n.state.hasCurrentRecord() && c.bug == bugFullGrantForEach {
@@ -120,7 +121,7 @@
 	n.canary.Update(n.state, n.viewAt+c.bounds.MaxViewAge())
 }
 
-// copyOrderAge lets a node take over the order's age from one that knows it.
+// copyOrderAge copies the order's age from a node that knows it.
 func (c *cluster) copyOrderAge(n *simNode) {
 	if c.bug == bugAgeResetByRestart {
 		n.state.Since, n.state.OrderTimeKnown, n.state.Latest = c.now, true, c.now
@@ -134,7 +135,7 @@
 	}
 }
 
-// report tells the deciders what a node has seen.
+// report sends a node's evidence to the deciders.
 func (c *cluster) report(n *simNode) {
 	n.inFlight = slices.DeleteFunc(n.inFlight, func(until time.Duration) bool { return until <= c.now })
 	target, before := n.canary.Evidence().Cells()
--- a/rollout/simulation_test.go
+++ b/rollout/simulation_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// bug is a fault that is seeded into the world, to see that the properties catch it.
+// bug is a fault seeded into the simulation to check that the properties detect it.
 type bug int
 
 const (
@@ -26,32 +26,31 @@
 	bugs
 )
 
-// defectSpec is how a version is bad; the zero value is good.
+// defectSpec describes how a version is bad; the zero value is a good version.
 type defectSpec struct {
 	failed, slow float64
-	from         time.Duration // since the order
-	route        string        // empty is all
+	from         time.Duration // time since the order
+	route        string        // empty for all routes
 	underLoad    bool
 }
 
 const (
 	tick           = 20 * time.Millisecond
 	reportInterval = 500 * time.Millisecond
-	// leadTime is the time before the order, in which nodes learn of each other.
+	// leadTime is the time before the order in which nodes learn of each other.
 	leadTime = 5 * time.Second
-	// loadShare is the part of a server's even part of the traffic from which on it is under
-	// load.
+	// loadShare is the fraction of an equal share of the traffic from which a server is under load.
 	loadShare     = 0.5
 	targetServers = 3
-	// loadDecay is the part of recent arrivals that is left after a tick: a second.
+	// loadDecay is the factor per tick for the count of recent requests: a time constant of one second.
 	loadDecay = 0.98
-	// reconnectTime is the time after which a node that was apart counts again.
+	// reconnectTime is the time after which the bounds hold again for a node that was disconnected.
 	reconnectTime   = 5 * time.Second
 	previousVersion = "v1"
 	targetVersion   = "v2"
 )
 
-// registryState is what the world's registry holds.
+// registryState is the content of the simulated registry.
 type registryState struct {
 	order, record uint64 // revisions
 	value         Record
@@ -59,19 +58,19 @@
 	alarm         bool
 }
 
-// simNode is a node of the world.
+// simNode is a simulated node.
 type simNode struct {
 	name             string
 	number           int
 	process          int
 	startedAt        time.Duration
-	upAt             time.Duration // later than now: it is down
-	cutUntil         time.Duration // from registry and nodes
-	registryCutUntil time.Duration // from the registry alone
-	// stalledUntil is until when it hears nothing and tells nothing, though nothing is wrong
-	// with its way to the registry.
+	upAt             time.Duration // the node is down until then
+	cutUntil         time.Duration // disconnected from the registry and other nodes until then
+	registryCutUntil time.Duration // disconnected from the registry alone until then
+	// stalledUntil is until when the node receives and reports nothing although its connection to the
+	// registry works.
 	stalledUntil time.Duration
-	frozenUntil  time.Duration // until then
+	frozenUntil  time.Duration
 	view         registryState
 	viewAt       time.Duration
 	hasView      bool
@@ -80,21 +79,21 @@
 	canary       *Canary
 	decider      *Decider
 	reportAt     time.Duration
-	// inFlight are the ends of attempts at the old servers.
+	// inFlight holds the end times of attempts at the previous servers.
 	inFlight             []time.Duration
 	reportsFalseFailures bool
-	// disconnectedAt is when it was last without a link.
+	// disconnectedAt is when the node was last disconnected.
 	disconnectedAt time.Duration
 }
 
-// write is one on its way to the registry.
+// write is a write on its way to the registry.
 type write struct {
 	at   time.Duration
 	what Write
 	by   *Decider
 }
 
-// cluster is a fleet with one service and one order.
+// cluster simulates a cluster with one service and one order.
 type cluster struct {
 	random   *rand.Rand
 	bug      bug
@@ -110,27 +109,27 @@
 	writes   []write
 	outage   [2]time.Duration
 	orderAt  time.Duration
-	// orderDetectionDelay is the time in which the reader of the registry had not heard of it before.
+	// orderDetectionDelay is the time for which the reader of the registry may have missed the order.
 	orderDetectionDelay time.Duration
-	// firstSeenAt is when the first node heard of it; zero is not yet.
+	// firstSeenAt is when the first node saw the order; zero means not yet.
 	firstSeenAt time.Duration
-	// slowUntil is a disruption of the servers of both versions.
+	// From slowFrom to slowUntil the servers of both versions are disrupted.
 	slowFrom, slowUntil time.Duration
-	badServer           bool // one of the target's servers is bad by itself
+	badServer           bool // one of the target's servers is faulty
 	longRegistryCut     bool
 
-	// What was seen.
+	// Observed results.
 	requests, targetRequests, badAnswers int
 	fiftiethAt                           time.Duration
 	lateTargetRequests                   int
-	// overLimited counts the requests beyond the bound before a decision.
+	// overLimited counts the requests beyond the bound before the move.
 	overLimited     int
 	moved           bool
 	endAt           time.Duration
 	end             Phase
 	changedAfterEnd int
 	lost            int
-	// recent are the target's arrivals of late, by server.
+	// recent holds the decayed counts of recent requests to the target, by server.
 	recent [targetServers]float64
 }
 
@@ -177,17 +176,17 @@
 	}
 }
 
-// drawFaults draws at most two of what may happen, besides what each node's belief lags.
+// drawFaults draws at most two faults, in addition to the lag of each node's view.
 func (c *cluster) drawFaults() {
 	at := func() time.Duration { return c.orderAt + time.Duration(c.random.Float64()*float64(c.duration)) }
 	for range c.random.IntN(3) {
-		n := c.nodes[c.random.IntN(min(len(c.nodes), 4))] // deciders among them
+		n := c.nodes[c.random.IntN(min(len(c.nodes), 4))] // includes the deciders
 		switch c.random.IntN(11) {
 		case 0:
 			from := at()
 			c.outage = [2]time.Duration{from, from + time.Duration(1+c.random.IntN(4))*time.Second}
 		case 1:
-			n.cutUntil = -at() // negative: from then on, for some seconds
+			n.cutUntil = -at() // negative: begins then and lasts some seconds
 		case 2:
 			n.registryCutUntil = -at()
 		case 3:
@@ -207,14 +206,14 @@
 			n.reportsFalseFailures = true
 		case 9:
 			n.stalledUntil = -at()
-		case 10: // the first decider is kept from the registry until after the deadline
+		case 10: // the first decider is cut from the registry until after the deadline
 			c.nodes[0].registryCutUntil = -(c.orderAt + c.duration/2)
 			c.longRegistryCut = true
 		}
 	}
 }
 
-// start begins a process of a node.
+// start starts a process of a node.
 func (c *cluster) start(n *simNode) {
 	n.process++
 	n.startedAt, n.hasView, n.view, n.state = c.now, false, registryState{}, State{}
@@ -223,8 +222,8 @@
 	n.reportAt, n.inFlight = c.now+time.Duration(c.random.Float64()*float64(reportInterval)), nil
 }
 
-// startsFault reports whether a fault that was drawn as a negative time begins now, and lets it
-// last until a drawn time.
+// startsFault reports whether a fault that was drawn as a negative time begins now, and draws until when
+// it lasts.
 func (c *cluster) startsFault(until *time.Duration, longest time.Duration) bool {
 	if *until >= 0 || c.now < -*until {
 		return false
@@ -233,7 +232,8 @@
 	return true
 }
 
-// connectionSettled reports whether a node has been linked for so long that the bounds hold for it.
+// connectionSettled reports whether a node has been connected for long enough that the bounds hold for
+// it.
 func (n *simNode) connectionSettled(now time.Duration) bool {
 	return now >= n.disconnectedAt+reconnectTime
 }
@@ -247,7 +247,7 @@
 
 func (c *cluster) registryUp() bool { return c.now < c.outage[0] || c.now >= c.outage[1] }
 
-// run plays until some seconds after the deadline.
+// run simulates until 3 s after the deadline.
 func (c *cluster) run() {
 	for c.now < c.orderAt+c.duration+3*time.Second {
 		c.now += tick
@@ -287,7 +287,7 @@
 	}
 }
 
-// write carries out what has reached the registry.
+// write applies the writes that have reached the registry.
 func (c *cluster) write() {
 	if !c.registryUp() {
 		return
@@ -308,7 +308,7 @@
 		if one.what.AlarmTTL > 0 {
 			c.store.alarmUntil, c.store.alarm = c.now+one.what.AlarmTTL, true
 		}
-		if c.random.IntN(10) > 0 { // else its answer is lost
+		if c.random.IntN(10) > 0 { // otherwise the response is lost
 			one.by.WriteAccepted(c.now, one.what, c.revision)
 		}
 		if one.what.Record.Phase.Ended() && c.end == "" {
@@ -319,7 +319,7 @@
 	})
 }
 
-// countLostRequests counts what still runs at the old servers, which stop at once.
+// countLostRequests counts the requests that still run at the previous servers, which stop at once.
 func (c *cluster) countLostRequests() {
 	if c.end != Completed {
 		return
--- a/rollout/simulation_traffic_test.go
+++ b/rollout/simulation_traffic_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// sendTraffic sends this tick's requests.
+// sendTraffic sends the requests of one tick.
 func (c *cluster) sendTraffic() {
 	for i := range c.recent {
 		c.recent[i] *= loadDecay
@@ -14,7 +14,7 @@
 	for expected > 0 && c.random.Float64() < expected {
 		expected--
 		n := c.nodes[c.random.IntN(len(c.nodes))]
-		if n.awake(c.now) && n.hasView { // it has no table before
+		if n.awake(c.now) && n.hasView { // no routing table before that
 			c.request(n)
 		}
 	}
@@ -38,7 +38,7 @@
 	}
 }
 
-// countRequest counts an arrival at a server.
+// countRequest counts a request that reached a server.
 func (c *cluster) countRequest(n *simNode, target bool) {
 	n.canary.CountRequest()
 	inSpan := c.now >= c.orderAt && c.now < c.orderAt+c.duration
@@ -95,7 +95,7 @@
 	return answer
 }
 
-// healthyAnswer is that of a version that is good.
+// healthyAnswer draws an answer of a good version.
 func (c *cluster) healthyAnswer() AnswerQuality {
 	slow := 0.06
 	if c.now >= c.slowFrom && c.now < c.slowUntil {
@@ -111,6 +111,7 @@
 	}
 }
 
+// targetAnswer draws an answer of the target's server on a route.
 func (c *cluster) targetAnswer(route string, server int) AnswerQuality {
 	applies := c.now >= c.orderAt+c.bad.from && (c.bad.route == "" || c.bad.route == route)
 	if c.bad.underLoad && c.recent[server] < loadShare*c.rate/targetServers {
