--- a/limit/doc.go
+++ b/limit/doc.go
@@ -1,15 +1,15 @@
-// Package limit learns, for each server and without a coordinator, how many
-// requests one client may have in flight there.
+// Package limit adapts, per server and without coordination, the number of
+// requests that one client may have in flight to that server.
 //
-// A server's slots are shared by clients that don't know each other's load. A
-// Limiter starts from the server's configured slots and adapts by additive
-// increase and multiplicative decrease: shed replies and windows of answers
-// that took clearly longer than the server's own baseline lower the limit,
-// windows in which the limit was reached without such a sign raise it.
+// A server's slots are shared by clients that do not know each other's load. A
+// Limiter starts from the configured number of slots and adapts by additive
+// increase and multiplicative decrease: the limit decreases on shed replies and
+// when the latencies in a window are clearly above the server's own baseline,
+// and increases after windows that reached the limit without such a sign.
 //
-// Headroom gives priority classes different shares of a limit;
+// HeadroomShares gives priority classes different shares of a limit;
 // ConnectionShare divides the connections that a server accepts.
 //
-// The package has no I/O, clock or goroutine; the caller passes the time. Its
-// types are not safe for concurrent use.
+// The package does no I/O, starts no goroutines and reads no clock; the caller
+// passes the current time. Its types are not safe for concurrent use.
 package limit
--- a/limit/example_test.go
+++ b/limit/example_test.go
@@ -14,7 +14,7 @@
 	}
 	fmt.Println("in flight:", limiter.InFlight())
 
-	// The server sheds: others use its slots too.
+	// The server sheds a request because other clients use its slots too.
 	limiter.End(3*time.Millisecond, 3*time.Millisecond, limit.Shed)
 	fmt.Println("limit:", limiter.Limit(), "free:", limiter.CanStart())
 	// Output:
@@ -23,7 +23,7 @@
 }
 
 func ExampleHeadroomShares() {
-	// The first class keeps a fifth of each limit for itself.
+	// A fifth of each limit is reserved for the first class.
 	shares := limit.HeadroomShares([]float64{0.2, 0}, 0.1)
 	fmt.Println(limit.AllowedInFlight(10, shares[0]), limit.AllowedInFlight(10, shares[1]))
 	// Output: 10 8
--- a/limit/limiter.go
+++ b/limit/limiter.go
@@ -6,56 +6,57 @@
 	"time"
 )
 
-// Policy tells how a Limiter finds its limit.
+// Policy selects how a Limiter determines its limit.
 type Policy int
 
 const (
-	// Adaptive learns from latencies and shed replies. It is the default.
+	// Adaptive adapts the limit to latencies and shed replies. It is the default.
 	Adaptive Policy = iota
-	// Fixed keeps the limit at the server's slots.
+	// Fixed sets the limit to the server's slots.
 	Fixed
-	// Unlimited sets no limit.
+	// Unlimited applies no limit.
 	Unlimited
 )
 
-// Signal names what a limiter takes as the sign of a queue at the server.
+// Signal selects the latency statistic that indicates a queue at the server.
 type Signal int
 
 const (
-	// QuantileLatency compares a low quantile of a window with that of calm windows:
-	// a lasting queue delays quick requests too, and those vary least. It is the
-	// default.
+	// QuantileLatency compares a low quantile of a window with its baseline. A standing
+	// queue delays fast requests too, and their latency varies least. It is the default.
 	QuantileLatency Signal = iota
-	// MeanLatency compares the mean of a window with the baseline.
+	// MeanLatency compares the mean of a window with its baseline.
 	MeanLatency
 )
 
-// Options sets up a Limiter. The zero value of a field stands for its default.
+// Options configures a Limiter. Zero fields take their defaults.
 type Options struct {
 	Policy Policy
-	// Minimum is the least limit; default 1.
+	// Minimum is the minimum limit; default 1.
 	Minimum int
-	// Growth bounds the limit as a multiple of the server's slots; default 1.2.
-	// Above 1 it makes up for the time that replies spend on the network.
+	// Growth is the maximum limit as a multiple of the server's slots; default 1.2.
+	// A value above 1 compensates for the time that replies spend on the network.
 	Growth float64
-	// Signal is the sign of congestion; default QuantileLatency.
+	// Signal is the signal for congestion; default QuantileLatency.
 	Signal Signal
-	// QueueShare is for QuantileLatency: the wait in a server's queue above which it
-	// counts as congested, as a share of the baseline; default 0.15.
+	// QueueShare applies to QuantileLatency: the queueing delay above which the server
+	// counts as congested, as a fraction of the mean baseline; default 0.15.
 	QueueShare float64
-	// Quantile is for QuantileLatency: the part of a window's requests that are quicker
-	// than the one compared; default 0.25.
+	// Quantile applies to QuantileLatency: the quantile of a window's latencies that is
+	// compared; default 0.25.
 	Quantile float64
-	// Tolerance is for MeanLatency: the ratio of a window's mean latency to the
+	// Tolerance applies to MeanLatency: the ratio of a window's mean latency to its
 	// baseline above which the server counts as congested; default 1.2.
 	Tolerance float64
-	// Step is added to the limit after a calm window that reached it; default 0.5.
+	// Step is added to the limit after a window that reached it without congestion;
+	// default 0.5.
 	Step float64
-	// LatencyBackoff multiplies the limit of a congested server; default 0.9.
+	// LatencyBackoff is the factor applied to the limit after a congested window;
+	// default 0.9.
 	LatencyBackoff float64
-	// ShedBackoff multiplies the limit after a shed reply; default 0.75.
+	// ShedBackoff is the factor applied to the limit after a shed reply; default 0.75.
 	ShedBackoff float64
-	// WindowSamples is the number of answers that make a window; default 20.
+	// WindowSamples is the number of latency samples per window; default 20.
 	WindowSamples int
 }
 
@@ -72,15 +73,15 @@
 	DefaultWindowSamples  = 20
 )
 
-// Rates at which the baseline follows a window's mean: quickly down, slowly up,
-// so that a lasting queue isn't taken for the server's own latency.
+// Smoothing factors of the mean baseline. It falls quickly and rises slowly, so that a
+// standing queue is not mistaken for the server's own latency.
 const (
 	baselineFallRate = 0.3
 	baselineRiseRate = 0.003
 )
 
-// Rates of the floor. It follows less quickly down, so that it lies amid calm
-// windows and not at the lowest of them.
+// Smoothing factors of the quantile baseline. It falls more slowly, so that it settles in
+// the middle of the windows without congestion rather than at the lowest of them.
 const (
 	quantileFallRate = 0.05
 	quantileRiseRate = 0.003
@@ -99,45 +100,45 @@
 	return o
 }
 
-// setIfNotPositive sets a field that is not positive.
+// setIfNotPositive sets the field to value if it is zero or negative.
 func setIfNotPositive[T int | float64](field *T, value T) {
 	if *field <= 0 {
 		*field = value
 	}
 }
 
-// Outcome is how a request ended.
+// Outcome is the result of a request as far as it concerns the limit.
 type Outcome int
 
 const (
-	// Answered requests ran; their latency is a sample.
+	// Answered means that the request ran; its latency is a sample.
 	Answered Outcome = iota
-	// Shed requests were turned away by a server that was too busy.
+	// Shed means that the server rejected the request due to overload.
 	Shed
-	// Ignored requests say nothing about the server's load.
+	// Ignored means that the request gives no information about the server's load.
 	Ignored
 )
 
-// Limiter holds one client's limit for one server.
+// Limiter is one client's limit on the requests in flight to one server.
 type Limiter struct {
 	options         Options
 	slots           int
-	clients         int // clients of the server, this one included
-	learned         bool
-	connectionLimit int // by connections; zero is none
+	clients         int  // clients that share the server, including this one
+	learned         bool // set once the limit has been adapted
+	connectionLimit int  // zero means none
 	limit           float64
 	inFlight        int
 	meanBaseline    float64
-	// quantileBaseline is the low quantile of calm windows, in seconds; it rises slowly.
+	// quantileBaseline is the smoothed low quantile of the windows, in seconds.
 	quantileBaseline float64
 	window           window
-	// decreasedAt is when the limit was last lowered; requests that started
-	// before then say nothing about the lower limit.
+	// decreasedAt is when the limit was last decreased. Requests that started before
+	// then give no information about the decreased limit.
 	decreasedAt time.Duration
 	decreased   bool
 }
 
-// window gathers samples until they make a verdict.
+// window collects the samples for one adjustment of the limit.
 type window struct {
 	samples      []float64 // latencies, in seconds
 	sum          float64
@@ -145,27 +146,30 @@
 	unmetDemand  bool
 }
 
-// New returns a Limiter for a server with the given slots.
+// New returns a Limiter for a server with the given number of slots.
 func New(slots int, options Options) *Limiter {
 	l := &Limiter{options: options.withDefaults(), clients: 1}
 	l.SetSlots(slots)
 	return l
 }
 
-// SetSlots changes the hint; a learned limit stays, within its new bounds.
+// SetSlots changes the server's number of slots. A limit that has been adapted is kept
+// within the new bounds.
 func (l *Limiter) SetSlots(slots int) {
 	l.slots = max(slots, 1)
 	l.applyInitialLimit()
 }
 
-// SetClients tells how many clients are known to share the server, this one
-// included. A limit of which nothing is learned yet starts from an even share
-// of the slots; a learned one stays.
+// SetClients sets the number of clients that share the server, including this one. A
+// limit that has not been adapted yet starts from an even share of the slots; an
+// adapted limit stays.
 func (l *Limiter) SetClients(clients int) {
 	l.clients = max(clients, 1)
 	l.applyInitialLimit()
 }
 
+// applyInitialLimit sets the limit to an even share of the slots unless it has been
+// adapted.
 func (l *Limiter) applyInitialLimit() {
 	if !l.learned {
 		l.limit = math.Ceil(float64(l.slots) / float64(l.clients))
@@ -173,14 +177,14 @@
 	l.clampLimit()
 }
 
-// SetConnectionLimit bounds the limit by the client's share of the server's
-// connections; zero or less sets no bound.
+// SetConnectionLimit caps the limit at the client's share of the server's connections;
+// zero or less removes the cap.
 func (l *Limiter) SetConnectionLimit(connections int) {
 	l.connectionLimit = max(connections, 0)
 	l.clampLimit()
 }
 
-// Limit is the number of requests that may be in flight.
+// Limit returns the number of requests that may be in flight.
 func (l *Limiter) Limit() int {
 	switch l.options.Policy {
 	case Unlimited:
@@ -192,6 +196,7 @@
 	}
 }
 
+// capByConnections applies the connection limit and a minimum of 1.
 func (l *Limiter) capByConnections(limit int) int {
 	if l.connectionLimit > 0 {
 		limit = min(limit, l.connectionLimit)
@@ -199,30 +204,30 @@
 	return max(limit, 1)
 }
 
-// InFlight is the number of requests in flight.
+// InFlight returns the number of requests in flight.
 func (l *Limiter) InFlight() int { return l.inFlight }
 
 // CanStart reports whether one more request may start.
 func (l *Limiter) CanStart() bool { return l.CanStartWithReserve(0) }
 
-// CanStartWithReserve reports whether one more request may start when that many more than
-// the limit may be in flight. The ceiling by connections holds all the same.
+// CanStartWithReserve reports whether one more request may start if the limit may be
+// exceeded by reserve. The connection limit still applies.
 func (l *Limiter) CanStartWithReserve(reserve int) bool {
 	return l.inFlight < l.capByConnections(l.Limit()+reserve)
 }
 
-// Start notes that a request started. It may exceed the limit: the caller asks
-// Free before.
+// Start records that a request started. It does not check the limit; the caller calls
+// CanStart first.
 func (l *Limiter) Start() {
 	l.inFlight++
 	l.window.peakInFlight = max(l.window.peakInFlight, l.inFlight)
 }
 
-// RecordDemand notes that a request waits which a higher limit would let start, though
-// the limit itself was not reached: its class's share of it was.
+// RecordDemand records that a request is waiting that a higher limit would let start,
+// because its class has used up its share although the limit itself is not reached.
 func (l *Limiter) RecordDemand() { l.window.unmetDemand = true }
 
-// End notes that a request ended at now, latency after it started.
+// End records that a request ended at now, latency after it started.
 func (l *Limiter) End(now, latency time.Duration, outcome Outcome) {
 	l.inFlight--
 	if l.options.Policy != Adaptive {
@@ -237,7 +242,7 @@
 	}
 }
 
-// addSample adds an answer to the window and judges a full window.
+// addSample adds a latency to the window and adjusts the limit when the window is full.
 func (l *Limiter) addSample(now, latency time.Duration) {
 	l.window.samples = append(l.window.samples, latency.Seconds())
 	l.window.sum += latency.Seconds()
@@ -260,13 +265,14 @@
 	}
 }
 
-// lowQuantile is the low quantile of the window.
+// lowQuantile returns the configured quantile of the window's latencies, in seconds.
 func (l *Limiter) lowQuantile() float64 {
 	slices.Sort(l.window.samples)
 	return l.window.samples[min(int(l.options.Quantile*float64(len(l.window.samples))), len(l.window.samples)-1)]
 }
 
-// isCongested judges a window by its mean and its low quantile, in seconds.
+// isCongested reports whether a window with the given mean and low quantile, in seconds,
+// indicates congestion.
 func (l *Limiter) isCongested(mean, low float64) bool {
 	if l.meanBaseline == 0 {
 		return false
@@ -277,19 +283,21 @@
 	return low-l.quantileBaseline > l.meanBaseline*l.options.QueueShare
 }
 
-// smooth moves a known value towards one just seen, down and up at the given rates.
-func smooth(known, seen, fall, rise float64) float64 {
+// smooth moves the current value towards the observed one, by the factor fall if that is
+// lower and rise otherwise. A current value of zero is replaced by the observed one.
+func smooth(current, observed, fall, rise float64) float64 {
 	switch {
-	case known == 0:
-		return seen
-	case seen < known:
-		return known + (seen-known)*fall
+	case current == 0:
+		return observed
+	case observed < current:
+		return current + (observed-current)*fall
 	default:
-		return known + (seen-known)*rise
+		return current + (observed-current)*rise
 	}
 }
 
-// decrease multiplies the limit, once per generation of requests.
+// decrease multiplies the limit by factor. Requests that were in flight together decrease
+// it only once.
 func (l *Limiter) decrease(now, latency time.Duration, factor float64) {
 	if l.decreased && now-latency < l.decreasedAt {
 		return
@@ -302,6 +310,6 @@
 }
 
 func (l *Limiter) clampLimit() {
-	highest := math.Max(float64(l.slots)*l.options.Growth, float64(l.options.Minimum))
-	l.limit = math.Min(math.Max(l.limit, float64(l.options.Minimum)), highest)
+	maximum := math.Max(float64(l.slots)*l.options.Growth, float64(l.options.Minimum))
+	l.limit = math.Min(math.Max(l.limit, float64(l.options.Minimum)), maximum)
 }
--- a/limit/limiter_test.go
+++ b/limit/limiter_test.go
@@ -14,7 +14,8 @@
 
 const serviceTime = 10 * time.Millisecond
 
-// runWindows lets full windows of requests end with the given latency.
+// runWindows fills the given number of windows with requests of the given latency, and
+// returns the time at the end.
 func runWindows(l *limit.Limiter, now time.Duration, windows int, latency time.Duration) time.Duration {
 	for range windows * limit.DefaultWindowSamples {
 		for l.CanStart() {
@@ -38,7 +39,7 @@
 	before := l.Limit()
 	runWindows(l, now, 5, 3*serviceTime)
 	if l.Limit() >= before {
-		t.Fatalf("limit %d, was %d", l.Limit(), before)
+		t.Fatalf("limit %d, want less than %d", l.Limit(), before)
 	}
 }
 
@@ -49,7 +50,7 @@
 	low := l.Limit()
 	runWindows(l, now, 30, serviceTime)
 	if l.Limit() < 10 {
-		t.Fatalf("limit %d, was %d under congestion", l.Limit(), low)
+		t.Fatalf("limit %d, want at least 10; it was %d under congestion", l.Limit(), low)
 	}
 }
 
@@ -60,7 +61,7 @@
 		l.End(time.Duration(i)*serviceTime, serviceTime, limit.Answered)
 	}
 	if l.Limit() != 10 {
-		t.Fatalf("limit %d grew while idle", l.Limit())
+		t.Fatalf("limit %d, want 10 as the limit was never reached", l.Limit())
 	}
 }
 
@@ -104,7 +105,7 @@
 		}
 	}
 	if !slices.IsSortedFunc(got, func(a, b float64) int { return int(1000 * (b - a)) }) {
-		t.Fatal("a later class has a larger share")
+		t.Fatal("a less urgent class has a larger share")
 	}
 }
 
@@ -126,7 +127,7 @@
 	}
 }
 
-// Whatever is reported, the limit stays between one and the growth bound.
+// Whatever outcomes are reported, the limit stays between 1 and Growth times the slots.
 func TestLimitStaysWithinBounds(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	properties.Property("bounds", prop.ForAll(func(slots int, ends []uint16) bool {
@@ -149,13 +150,13 @@
 	l := limit.New(5, limit.Options{})
 	l.SetClients(2)
 	if l.Limit() != 3 {
-		t.Fatalf("starts from %d, want 3", l.Limit())
+		t.Fatalf("initial limit %d, want 3", l.Limit())
 	}
 	runWindows(l, 0, 5, serviceTime)
 	learned := l.Limit()
 	l.SetClients(5)
 	if l.Limit() != learned {
-		t.Fatalf("limit %d, had learned %d", l.Limit(), learned)
+		t.Fatalf("limit %d, want the adapted %d", l.Limit(), learned)
 	}
 }
 
@@ -167,6 +168,6 @@
 		l.End(time.Duration(i)*serviceTime, serviceTime, limit.Answered)
 	}
 	if l.Limit() <= 10 {
-		t.Fatalf("limit %d did not grow", l.Limit())
+		t.Fatalf("limit %d, want more than 10", l.Limit())
 	}
 }
