--- a/dispatch/room_test.go
+++ b/dispatch/admission_test.go
@@ -7,23 +7,23 @@
 	"github.com/banksail/banksail/limit"
 )
 
-func TestUrgentQueryRunsBeforeOneThatCameEarlier(t *testing.T) {
-	d := started(Options{MaximumRunning: 1}, 1, 1)
-	running := sends(d.Step(0, ask(1)))
-	batch := ask(2)
+func TestUrgentQueryOvertakesEarlierBatchQuery(t *testing.T) {
+	d := newConfigured(Options{MaximumRunning: 1}, 1, 1)
+	running := sends(d.Step(0, arrival(1)))
+	batch := arrival(2)
 	batch.Query.Class = "batch"
 	d.Step(0, batch)
-	d.Step(0, ask(3))
-	next := sends(d.Step(time.Millisecond, done(running[0])))
+	d.Step(0, arrival(3))
+	next := sends(d.Step(time.Millisecond, doneReply(running[0])))
 	if len(next) != 1 || next[0].Query != 3 {
 		t.Fatalf("sent %+v", next)
 	}
 }
 
-func TestQueuedQueryIsRefusedAfterItsLongestWait(t *testing.T) {
-	d := started(Options{MaximumRunning: 1}, 1, 1)
-	d.Step(0, ask(1))
-	actions := d.Step(0, ask(2))
+func TestQueuedQueryIsRefusedAfterLongestWait(t *testing.T) {
+	d := newConfigured(Options{MaximumRunning: 1}, 1, 1)
+	d.Step(0, arrival(1))
+	actions := d.Step(0, arrival(2))
 	if len(finishes(actions)) != 0 {
 		t.Fatal("not queued")
 	}
@@ -33,38 +33,38 @@
 	}
 }
 
-func TestQueuedQueryWhoseCallerWentIsNotRun(t *testing.T) {
-	d := started(Options{MaximumRunning: 1}, 1, 1)
-	running := sends(d.Step(0, ask(1)))
-	d.Step(0, ask(2))
+func TestQueuedQueryOfDisconnectedCallerIsNotRun(t *testing.T) {
+	d := newConfigured(Options{MaximumRunning: 1}, 1, 1)
+	running := sends(d.Step(0, arrival(1)))
+	d.Step(0, arrival(2))
 	o := outcome(t, d.Step(0, CallerGone{Query: 2}))
 	if o.Execution != ExecutionNotRun || o.Reason != ReasonCallerGone {
 		t.Fatalf("outcome %+v", o)
 	}
-	if got := sends(d.Step(time.Millisecond, done(running[0]))); len(got) != 0 {
+	if got := sends(d.Step(time.Millisecond, doneReply(running[0]))); len(got) != 0 {
 		t.Fatalf("sent %+v", got)
 	}
 }
 
-func TestStoppingRefusesWhatWaitsAndLetsTheRestFinish(t *testing.T) {
-	d := started(Options{MaximumRunning: 1}, 1, 1)
-	running := sends(d.Step(0, ask(1)))
-	d.Step(0, ask(2))
+func TestStoppingRefusesQueuedAndFinishesRunningQueries(t *testing.T) {
+	d := newConfigured(Options{MaximumRunning: 1}, 1, 1)
+	running := sends(d.Step(0, arrival(1)))
+	d.Step(0, arrival(2))
 	if o := outcome(t, d.Step(0, Stopping{})); o.Reason != ReasonStopping || o.Execution != ExecutionNotRun {
 		t.Fatalf("outcome %+v", o)
 	}
-	if o := outcome(t, d.Step(0, ask(3))); o.Reason != ReasonStopping {
+	if o := outcome(t, d.Step(0, arrival(3))); o.Reason != ReasonStopping {
 		t.Fatalf("outcome %+v", o)
 	}
-	if o := outcome(t, d.Step(0, done(running[0]))); !o.Complete {
+	if o := outcome(t, d.Step(0, doneReply(running[0]))); !o.Complete {
 		t.Fatalf("outcome %+v", o)
 	}
 }
 
-func TestSegmentWaitsForAServerThatShed(t *testing.T) {
-	d := started(Options{}, 1, 1)
-	sent := sends(d.Step(0, ask(1)))
-	shed := status(sent[0], ReplyShed)
+func TestSegmentIsRetriedAfterShedBackoff(t *testing.T) {
+	d := newConfigured(Options{}, 1, 1)
+	sent := sends(d.Step(0, arrival(1)))
+	shed := statusReply(sent[0], ReplyShed)
 	shed.Reply.RetryAfter = 10 * time.Millisecond
 	if got := d.Step(0, shed); len(sends(got))+len(finishes(got)) != 0 {
 		t.Fatalf("did %+v", got)
@@ -78,19 +78,19 @@
 	}
 }
 
-func TestConnectionShareBoundsWhatIsInFlight(t *testing.T) {
-	d := started(Options{LimitPolicy: limit.Options{Policy: limit.Fixed}}, 1, 1)
+func TestConnectionShareLimitsInFlight(t *testing.T) {
+	d := newConfigured(Options{LimitPolicy: limit.Options{Policy: limit.Fixed}}, 1, 1)
 	d.Step(0, NodesChanged{Live: 30})
 	sent := 0
 	for id := range QueryID(5) {
-		sent += len(sends(d.Step(0, ask(id+1))))
+		sent += len(sends(d.Step(0, arrival(id+1))))
 	}
 	if sent != 2 { // 70 connections less a tenth, over 30 nodes
 		t.Fatalf("%d in flight, want 2", sent)
 	}
 }
 
-func TestHeadroomIsKeptForTheUrgentClass(t *testing.T) {
+func TestHeadroomIsReservedForUrgentClass(t *testing.T) {
 	tests := []struct {
 		name    string
 		reserve int
@@ -101,15 +101,15 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			d := started(Options{LimitPolicy: limit.Options{Policy: limit.Fixed}, UrgentReserve: test.reserve}, 1, 2)
+			d := newConfigured(Options{LimitPolicy: limit.Options{Policy: limit.Fixed}, UrgentReserve: test.reserve}, 1, 2)
 			batch, urgent := 0, 0
 			for id := range QueryID(20) {
-				q := ask(id + 1)
+				q := arrival(id + 1)
 				q.Query.Class = "batch"
 				batch += len(sends(d.Step(0, q)))
 			}
 			for id := range QueryID(20) {
-				urgent += len(sends(d.Step(0, ask(id+100))))
+				urgent += len(sends(d.Step(0, arrival(id+100))))
 			}
 			if batch != 8 || urgent != test.urgent {
 				t.Fatalf("%d batch and %d urgent in flight, want 8 and %d", batch, urgent, test.urgent)
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestServerOfTheOwnZoneIsPreferred(t *testing.T) {
+func TestServerInLocalZoneIsPreferred(t *testing.T) {
 	c := configuration(1, 2)
 	c.Service.Groups[0].Servers[1].Zone = "near"
 	d := New(Options{Zone: "near"})
@@ -127,62 +127,62 @@
 		d.Step(0, ServerReported{Server: id, Snapshots: []SnapshotID{7}})
 	}
 	for id := range QueryID(10) {
-		sent := sends(d.Step(0, ask(id+1)))[0]
+		sent := sends(d.Step(0, arrival(id+1)))[0]
 		if sent.Server != "0/1" {
 			t.Fatalf("sent to %s", sent.Server)
 		}
-		d.Step(0, done(sent))
+		d.Step(0, doneReply(sent))
 	}
 }
 
-func TestAttemptAtAServerThatIsGoneIsTriedElsewhereAndStillCounts(t *testing.T) {
-	d := started(Options{}, 1, 2)
-	first := sends(d.Step(0, ask(1)))[0]
+func TestAttemptOnGoneServerIsRetriedAndLateReplyCounts(t *testing.T) {
+	d := newConfigured(Options{}, 1, 2)
+	first := sends(d.Step(0, arrival(1)))[0]
 	again := sends(d.Step(0, ServerChanged{Server: first.Server, State: ServerGone}))
 	if len(again) != 1 || again[0].Server == first.Server {
 		t.Fatalf("sent %+v", again)
 	}
-	if o := outcome(t, d.Step(0, done(first))); !o.Complete || o.Parts[0].Server != first.Server {
+	if o := outcome(t, d.Step(0, doneReply(first))); !o.Complete || o.Parts[0].Server != first.Server {
 		t.Fatalf("outcome %+v", o)
 	}
 }
 
-func TestConfigurationThatIsRemovedRefuses(t *testing.T) {
-	d := started(Options{}, 1, 1)
-	running := sends(d.Step(0, ask(1)))
+func TestRemovedServiceRefusesNewQueries(t *testing.T) {
+	d := newConfigured(Options{}, 1, 1)
+	running := sends(d.Step(0, arrival(1)))
 	d.Step(0, Configured{Removed: true})
-	if o := outcome(t, d.Step(0, ask(2))); o.Reason != ReasonNoConfiguration || o.Execution != ExecutionNotRun {
+	if o := outcome(t, d.Step(0, arrival(2))); o.Reason != ReasonNoConfiguration || o.Execution != ExecutionNotRun {
 		t.Fatalf("outcome %+v", o)
 	}
-	if o := outcome(t, d.Step(0, done(running[0]))); !o.Complete {
+	if o := outcome(t, d.Step(0, doneReply(running[0]))); !o.Complete {
 		t.Fatalf("outcome %+v", o)
 	}
 }
 
-func TestQueryStartsWhenTheGroupsWithRoomHoldItsMinimum(t *testing.T) {
-	d := started(Options{LimitPolicy: limit.Options{Policy: limit.Fixed}}, 8, 1)
+func TestQueryStartsWhenAvailableGroupsReachMinimumCoverage(t *testing.T) {
+	d := newConfigured(Options{LimitPolicy: limit.Options{Policy: limit.Fixed}}, 8, 1)
 	for _, s := range d.groups[3].servers {
 		s.shedUntil = time.Hour
-		d.account(s)
+		d.updateCapacity(s)
 	}
-	if got := len(sends(d.Step(0, ask(1)))); got != 7 {
+	if got := len(sends(d.Step(0, arrival(1)))); got != 7 {
 		t.Fatalf("%d sends of the class that accepts less, want 7", got)
 	}
-	batch := ask(2) // needs nine tenths
+	batch := arrival(2) // needs nine tenths
 	batch.Query.Class = "batch"
 	if got := len(sends(d.Step(0, batch))); got != 0 || d.queue.Len() != 1 {
 		t.Fatalf("%d sends, %d queued; want none and one", got, d.queue.Len())
 	}
 }
 
-func TestQueriesStartWhileFewWaitInAGroupWithoutRoom(t *testing.T) {
-	d := started(Options{WaitingAllowance: 2, LimitPolicy: limit.Options{Policy: limit.Fixed}}, 8, 1)
+func TestQueriesStartWithinWaitingAllowanceOfBlockedGroup(t *testing.T) {
+	d := newConfigured(Options{WaitingAllowance: 2, LimitPolicy: limit.Options{Policy: limit.Fixed}}, 8, 1)
 	for _, s := range d.groups[3].servers {
 		s.shedUntil = time.Hour
-		d.account(s)
+		d.updateCapacity(s)
 	}
 	for number, want := range []int{7, 7, 0} {
-		batch := ask(QueryID(number + 1))
+		batch := arrival(QueryID(number + 1))
 		batch.Query.Class = "batch"
 		if got := len(sends(d.Step(0, batch))); got != want {
 			t.Fatalf("query %d: %d sends, want %d", number+1, got, want)
--- a/dispatch/benchmark_test.go
+++ b/dispatch/benchmark_test.go
@@ -9,17 +9,17 @@
 // benchmarkQuery measures one query over all groups, from its arrival to its
 // final answer, with every sub-request answered once.
 func benchmarkQuery(b *testing.B, groups int) {
-	d := started(Options{}, groups, 2)
+	d := newConfigured(Options{}, groups, 2)
 	now := time.Duration(0)
 	id := QueryID(0)
 	b.ReportAllocs()
 	for b.Loop() {
 		id++
 		now += 10 * time.Millisecond
-		sent := d.Step(now, ask(id))
+		sent := d.Step(now, arrival(id))
 		for _, action := range sent {
 			if s, ok := action.(Send); ok {
-				d.Step(now+5*time.Millisecond, done(s))
+				d.Step(now+5*time.Millisecond, doneReply(s))
 			}
 		}
 	}
@@ -36,15 +36,15 @@
 
 // BenchmarkRefusal measures a query that is refused at once.
 func BenchmarkRefusal(b *testing.B) {
-	d := started(Options{MaximumRunning: 1, MaximumQueued: 1}, 64, 2)
+	d := newConfigured(Options{MaximumRunning: 1, MaximumQueued: 1}, 64, 2)
 	for id := range QueryID(4) {
-		d.Step(0, ask(id+1))
+		d.Step(0, arrival(id+1))
 	}
 	id := QueryID(10)
 	b.ReportAllocs()
 	for b.Loop() {
 		id++
-		if len(d.Step(0, ask(id))) != 1 {
+		if len(d.Step(0, arrival(id))) != 1 {
 			b.Fatal("not refused")
 		}
 	}
@@ -54,7 +54,7 @@
 func BenchmarkServerChanged(b *testing.B) {
 	for _, groups := range []int{64, 1000} {
 		b.Run(fmt.Sprint(groups*2, "Servers"), func(b *testing.B) {
-			d := started(Options{}, groups, 2)
+			d := newConfigured(Options{}, groups, 2)
 			states := []ServerState{ServerSuspect, ServerLive}
 			i := 0
 			for b.Loop() {
--- a/dispatch/configure.go
+++ b/dispatch/configure.go
@@ -23,19 +23,19 @@
 
 // configure takes the service and classes now in force.
 func (d *Dispatcher) configure(event Configured) {
-	d.known = !event.Removed
+	d.configured = !event.Removed
 	if event.Removed {
 		for _, item := range d.queue.Drain() {
-			d.dequeue(QueryID(item.ID), ReasonNoConfiguration)
+			d.refuseQueued(QueryID(item.ID), ReasonNoConfiguration)
 		}
 		return
 	}
 	d.configureClasses(event.Classes)
 	repartitioned := d.configureGroups(event.Service)
-	d.relevel()
-	d.requeue()
+	d.recountGroups()
+	d.requeueQueries()
 	if repartitioned {
-		d.reroute()
+		d.rerouteQueries()
 	}
 }
 
@@ -49,12 +49,12 @@
 		kept[i] = sorted[i].Headroom
 	}
 	shares := limit.HeadroomShares(kept, d.options.MinimumClassShare)
-	for _, old := range d.ranked {
+	for _, old := range d.rankedClasses {
 		old.rank = max(len(sorted)-1, 0)
 	}
 	before := d.classes
 	d.classes = make(map[string]*class, len(sorted))
-	d.ranked = d.ranked[:0:0]
+	d.rankedClasses = d.rankedClasses[:0:0]
 	for rank, settings := range sorted {
 		c := before[settings.Name]
 		if c == nil {
@@ -62,19 +62,19 @@
 		}
 		*c = class{Class: settings, rank: rank, share: shares[rank]}
 		d.classes[settings.Name] = c
-		d.ranked = append(d.ranked, c)
+		d.rankedClasses = append(d.rankedClasses, c)
 	}
 	d.budget.SetClasses(len(sorted))
-	d.shareBlocked()
+	d.updateBlockedShares()
 }
 
-// shareBlocked sets, by rank, the share of groups that a query may start without: what
+// updateBlockedShares sets, by rank, the share of groups that a query may start without: what
 // its class, or a less urgent one, can do without.
-func (d *Dispatcher) shareBlocked() {
-	d.blockedShares = make([]float64, len(d.ranked))
+func (d *Dispatcher) updateBlockedShares() {
+	d.blockedShares = make([]float64, len(d.rankedClasses))
 	share := 0.0
-	for rank := len(d.ranked) - 1; rank >= 0; rank-- {
-		share = max(share, min(d.options.BlockedShare, 1-d.ranked[rank].MinimumCoverage))
+	for rank := len(d.rankedClasses) - 1; rank >= 0; rank-- {
+		share = max(share, min(d.options.BlockedShare, 1-d.rankedClasses[rank].MinimumCoverage))
 		d.blockedShares[rank] = share
 	}
 }
@@ -85,7 +85,7 @@
 		return false
 	}
 	d.service = service
-	d.space = service.KeySpace
+	d.keySpace = service.KeySpace
 	d.generation++
 	latencies := make(map[string]*retry.Sketch, len(d.groups))
 	for _, old := range d.groups {
@@ -100,7 +100,7 @@
 	for _, settings := range sorted {
 		g := &group{
 			name:      settings.Name,
-			span:      settings.Range,
+			keyRange:  settings.Range,
 			latencies: latencies[settings.Name],
 			waiting:   priority.NewQueue(waiter.before, nil),
 		}
@@ -116,8 +116,8 @@
 		catalogued = append(catalogued, shard)
 	}
 	d.catalog.Configure(catalogued)
-	d.forgetServers(before)
-	d.adoptServers()
+	d.removeServers(before)
+	d.attachServers()
 	d.budget.SetBurst(max(d.options.Budget.Burst, retry.DefaultBurst, float64(len(d.groups))))
 	return true
 }
@@ -130,13 +130,13 @@
 		s = before[settings.ID]
 		if s == nil {
 			s = &server{
-				state: d.states[settings.ID], hearBy: d.now + d.options.FirstReportTimeout,
+				state: d.unconfiguredStates[settings.ID], reportDeadline: d.now + d.options.FirstReportTimeout,
 				limiter: limit.New(settings.Slots, d.options.LimitPolicy),
 			}
-			delete(d.states, settings.ID)
+			delete(d.unconfiguredStates, settings.ID)
 		}
 		s.groups = nil
-		s.counted = contribution{}
+		s.countedCapacity = capacity{}
 		s.Server = settings
 		s.limiter.SetSlots(settings.Slots)
 		d.servers[settings.ID] = s
@@ -145,9 +145,9 @@
 	return s
 }
 
-// forgetServers drops the servers that are in no group any more, but keeps that
+// removeServers drops the servers that are in no group any more, but keeps that
 // they are leaving, in case they come back into one.
-func (d *Dispatcher) forgetServers(before map[string]*server) {
+func (d *Dispatcher) removeServers(before map[string]*server) {
 	for id, s := range before {
 		if d.servers[id] != nil {
 			continue
@@ -155,33 +155,33 @@
 		s.groups = nil
 		switch {
 		case s.state == ServerGone:
-		case s.leaving():
-			d.states[id] = ServerLeaving
+		case s.isLeaving():
+			d.unconfiguredStates[id] = ServerLeaving
 		case s.state != ServerLive:
-			d.states[id] = s.state
+			d.unconfiguredStates[id] = s.state
 		}
 	}
 }
 
-// adoptServers ties each server to the catalog and to the connection share.
-func (d *Dispatcher) adoptServers() {
+// attachServers ties each server to the catalog and to the connection share.
+func (d *Dispatcher) attachServers() {
 	for _, g := range d.groups {
 		for _, s := range g.servers {
 			s.holder = d.catalog.Holder(s.ID)
-			s.holder.SetAvailable(!s.leaving())
-			d.shareOut(s)
+			s.holder.SetAvailable(!s.isLeaving())
+			d.updateServerShare(s)
 		}
 	}
 }
 
-// relevel counts the sums of all groups anew.
-func (d *Dispatcher) relevel() {
-	d.blocked = make([]int, len(d.ranked))
+// recountGroups counts the sums of all groups anew.
+func (d *Dispatcher) recountGroups() {
+	d.blockedGroups = make([]int, len(d.rankedClasses))
 	for _, g := range d.groups {
-		g.contribution = contribution{}
-		g.level, g.admits = len(d.ranked), len(d.ranked)
+		g.capacity = capacity{}
+		g.level, g.admits = len(d.rankedClasses), len(d.rankedClasses)
 		for _, s := range g.servers {
-			s.counted = contribution{}
+			s.countedCapacity = capacity{}
 		}
 	}
 	for _, g := range d.groups {
@@ -189,18 +189,18 @@
 	}
 	for _, g := range d.groups {
 		for _, s := range g.servers {
-			d.account(s)
+			d.updateCapacity(s)
 		}
 	}
 }
 
-// requeue ranks the waiting queries by the classes now in force.
-func (d *Dispatcher) requeue() {
+// requeueQueries ranks the waiting queries by the classes now in force.
+func (d *Dispatcher) requeueQueries() {
 	for _, item := range d.queue.Drain() {
 		id := QueryID(item.ID)
-		c := d.classes[d.asked[id].Class]
+		c := d.classes[d.requests[id].Class]
 		if c == nil {
-			d.dequeue(id, ReasonUnknownClass)
+			d.refuseQueued(id, ReasonUnknownClass)
 			continue
 		}
 		item.Rank = c.rank
@@ -208,46 +208,46 @@
 	}
 }
 
-// reroute lets the queries that run follow a repartition.
-func (d *Dispatcher) reroute() {
-	for _, r := range d.runningInOrder() {
+// rerouteQueries lets the queries that run follow a repartition.
+func (d *Dispatcher) rerouteQueries() {
+	for _, r := range d.runningByID() {
 		if r.query != nil {
 			r.query.Reroute(d.now)
-			d.schedule(r)
+			d.scheduleTick(r)
 		}
 	}
 }
 
-// runningInOrder lists the queries that run by ID.
-func (d *Dispatcher) runningInOrder() []*running {
+// runningByID lists the queries that run by ID.
+func (d *Dispatcher) runningByID() []*running {
 	list := make([]*running, 0, len(d.running))
 	for _, r := range d.running {
 		list = append(list, r)
 	}
-	slices.SortFunc(list, func(a, b *running) int { return cmp.Compare(a.asked.ID, b.asked.ID) })
+	slices.SortFunc(list, func(a, b *running) int { return cmp.Compare(a.request.ID, b.request.ID) })
 	return list
 }
 
-// nodesChanged shares out the servers' slots and connections anew.
-func (d *Dispatcher) nodesChanged(live int) {
-	if live == d.nodes {
+// setLiveNodes shares out the servers' slots and connections anew.
+func (d *Dispatcher) setLiveNodes(live int) {
+	if live == d.liveNodes {
 		return
 	}
-	d.nodes = live
+	d.liveNodes = live
 	for _, g := range d.groups {
 		for _, s := range g.servers {
-			d.shareOut(s)
-			d.account(s)
+			d.updateServerShare(s)
+			d.updateCapacity(s)
 		}
 	}
 }
 
-// shareOut sets the node's share of the server's slots, from which its limit
+// updateServerShare sets the node's share of the server's slots, from which its limit
 // starts, and of its connections, which bound the limit.
-func (d *Dispatcher) shareOut(s *server) {
-	if d.nodes <= 0 {
+func (d *Dispatcher) updateServerShare(s *server) {
+	if d.liveNodes <= 0 {
 		return
 	}
-	s.limiter.SetClients(d.nodes)
-	s.limiter.SetConnectionLimit(max(limit.ConnectionShare(s.Connections, d.nodes, d.options.SpareConnections), 1))
+	s.limiter.SetClients(d.liveNodes)
+	s.limiter.SetConnectionLimit(max(limit.ConnectionShare(s.Connections, d.liveNodes, d.options.SpareConnections), 1))
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -22,18 +22,18 @@
 	actions []Action
 
 	// The configuration in force.
-	known         bool
-	stopping      bool
-	nodes         int
-	service       policy.Service
-	space         coverage.Range
-	classes       map[string]*class
-	ranked        []*class  // by rank
-	blockedShares []float64 // by rank, share of groups that may be without room
-	groups        []*group  // by range
-	generation    uint64    // of groups
-	servers       map[string]*server
-	states        map[string]ServerState // of servers that are not configured
+	configured         bool
+	stopping           bool
+	liveNodes          int
+	service            policy.Service
+	keySpace           coverage.Range
+	classes            map[string]*class
+	rankedClasses      []*class  // by rank
+	blockedShares      []float64 // by rank, share of groups that may be without room
+	groups             []*group  // by range
+	generation         uint64    // of groups
+	servers            map[string]*server
+	unconfiguredStates map[string]ServerState // of servers that are not configured
 
 	// What is learned.
 	catalog   *snapshot.Catalog
@@ -41,41 +41,41 @@
 	latencies retry.Sketch
 
 	// What runs and waits. blocked counts, by rank, the groups without room.
-	queue    *admission.Queue
-	asked    map[QueryID]Query // that wait in the queue
-	running  map[QueryID]*running
-	attempts map[AttemptID]*gather.Attempt
-	blocked  []int
-	last     AttemptID
+	queue         *admission.Queue
+	requests      map[QueryID]Query // that wait in the queue
+	running       map[QueryID]*running
+	attempts      map[AttemptID]*gather.Attempt
+	blockedGroups []int
+	lastAttemptID AttemptID
 
-	// roomy lists the groups in which something that waits may find room. pumped
+	// resumable lists the groups in which something that waits may find room. pumped
 	// is the group whose waiting segments are being tried; those that
 	// still find no room gather in passed until the end.
-	roomy  []*group
-	pumped *group
-	passed []waiter
+	resumable []*group
+	resuming  *group
+	skipped   []waiter
 
-	timers   *priority.Queue[timer]
-	sequence uint64
-	wakeAt   time.Duration
+	timers       *priority.Queue[timer]
+	sequence     uint64
+	ownerTimerAt time.Duration
 }
 
 // New returns a Dispatcher that refuses every query until it is configured.
 func New(options Options) *Dispatcher {
 	options = options.withDefaults()
 	d := &Dispatcher{
-		options:  options,
-		random:   rand.New(rand.NewPCG(options.Seed, 0)),
-		classes:  make(map[string]*class),
-		servers:  make(map[string]*server),
-		states:   make(map[string]ServerState),
-		catalog:  snapshot.NewCatalog(),
-		budget:   retry.NewBudget(0, options.Budget),
-		asked:    make(map[QueryID]Query),
-		running:  make(map[QueryID]*running),
-		attempts: make(map[AttemptID]*gather.Attempt),
-		timers:   newTimers(),
-		wakeAt:   never,
+		options:            options,
+		random:             rand.New(rand.NewPCG(options.Seed, 0)),
+		classes:            make(map[string]*class),
+		servers:            make(map[string]*server),
+		unconfiguredStates: make(map[string]ServerState),
+		catalog:            snapshot.NewCatalog(),
+		budget:             retry.NewBudget(0, options.Budget),
+		requests:           make(map[QueryID]Query),
+		running:            make(map[QueryID]*running),
+		attempts:           make(map[AttemptID]*gather.Attempt),
+		timers:             newTimers(),
+		ownerTimerAt:       never,
 	}
 	d.queue = admission.NewQueue(admission.Options{
 		Order:         options.QueueOrder,
@@ -89,34 +89,34 @@
 func (d *Dispatcher) Step(now time.Duration, event Event) []Action {
 	d.now = max(d.now, now)
 	d.actions = nil
-	d.take(event)
-	d.expire()
-	d.pump()
-	d.admit()
-	d.wake()
+	d.handle(event)
+	d.runDueTimers()
+	d.resumeWaiting()
+	d.startQueued()
+	d.updateOwnerTimer()
 	return d.actions
 }
 
-func (d *Dispatcher) take(event Event) {
+func (d *Dispatcher) handle(event Event) {
 	switch event := event.(type) {
 	case QueryArrived:
-		d.arrive(event.Query)
+		d.handleArrival(event.Query)
 	case CallerGone:
-		d.callerGone(event.Query)
+		d.handleCallerGone(event.Query)
 	case AttemptReplied:
-		d.replied(event.Attempt, event.Reply)
+		d.handleReply(event.Attempt, event.Reply)
 	case AttemptFailed:
-		d.failed(event)
+		d.handleFailure(event)
 	case TimerFired:
-		d.wakeAt = never
+		d.ownerTimerAt = never
 	case Configured:
 		d.configure(event)
 	case ServerChanged:
-		d.serverChanged(event)
+		d.handleServerChanged(event)
 	case ServerReported:
-		d.observed(event)
+		d.handleServerReported(event)
 	case NodesChanged:
-		d.nodesChanged(event.Live)
+		d.setLiveNodes(event.Live)
 	case Stopping:
 		d.stop()
 	}
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -29,8 +29,8 @@
 	}}
 }
 
-// started returns a configured dispatcher whose servers all hold snapshot 7.
-func started(options Options, groups, replicas int) *Dispatcher {
+// newConfigured returns a configured dispatcher whose servers all hold snapshot 7.
+func newConfigured(options Options, groups, replicas int) *Dispatcher {
 	d := New(options)
 	c := configuration(groups, replicas)
 	d.Step(0, c)
@@ -42,7 +42,7 @@
 	return d
 }
 
-func ask(id QueryID) QueryArrived {
+func arrival(id QueryID) QueryArrived {
 	return QueryArrived{Query: Query{ID: id, Class: "urgent", Remaining: 100 * time.Millisecond, Repeatable: true}}
 }
 
@@ -66,18 +66,18 @@
 	return found
 }
 
-func done(s Send) AttemptReplied {
+func doneReply(s Send) AttemptReplied {
 	return AttemptReplied{Attempt: s.Attempt, Reply: Reply{Status: ReplyDone, Snapshot: s.Snapshot, Range: s.Range}}
 }
 
 func TestQueryOverEveryGroupIsComplete(t *testing.T) {
-	d := started(Options{}, 8, 2)
-	sent := sends(d.Step(time.Millisecond, ask(1)))
+	d := newConfigured(Options{}, 8, 2)
+	sent := sends(d.Step(time.Millisecond, arrival(1)))
 	if len(sent) != 8 {
 		t.Fatalf("sent %d sub-requests, want 8", len(sent))
 	}
 	for i, s := range sent {
-		ended := finishes(d.Step(2*time.Millisecond, done(s)))
+		ended := finishes(d.Step(2*time.Millisecond, doneReply(s)))
 		if (i == 7) != (len(ended) == 1) {
 			t.Fatalf("reply %d gave %d final answers", i, len(ended))
 		}
@@ -89,7 +89,7 @@
 
 func TestRefusedWithoutConfiguration(t *testing.T) {
 	d := New(Options{})
-	ended := finishes(d.Step(0, ask(1)))
+	ended := finishes(d.Step(0, arrival(1)))
 	if len(ended) != 1 || ended[0].Outcome.Reason != ReasonNoConfiguration || ended[0].Outcome.RetryAfter <= 0 {
 		t.Fatalf("got %+v", ended)
 	}
@@ -98,26 +98,26 @@
 func TestRefusedWithoutSnapshot(t *testing.T) {
 	d := New(Options{})
 	d.Step(0, configuration(2, 2))
-	ended := finishes(d.Step(0, ask(1)))
+	ended := finishes(d.Step(0, arrival(1)))
 	if len(ended) != 1 || ended[0].Outcome.Reason != ReasonNoSnapshot || ended[0].Outcome.Execution != ExecutionNotRun {
 		t.Fatalf("got %+v", ended)
 	}
 }
 
-func TestDeadlineEndsTheQuery(t *testing.T) {
-	d := started(Options{}, 2, 2)
-	sent := sends(d.Step(0, ask(1)))
-	d.Step(time.Millisecond, done(sent[0]))
+func TestDeadlineFinishesQuery(t *testing.T) {
+	d := newConfigured(Options{}, 2, 2)
+	sent := sends(d.Step(0, arrival(1)))
+	d.Step(time.Millisecond, doneReply(sent[0]))
 	ended := finishes(d.Step(100*time.Millisecond, TimerFired{}))
 	if len(ended) != 1 || ended[0].Outcome.Reason != ReasonDeadline || ended[0].Outcome.Coverage != 0.5 {
 		t.Fatalf("got %+v", ended)
 	}
 }
 
-func TestNotExecutedRepliesAreTriedElsewhere(t *testing.T) {
+func TestNotExecutedReplyIsRetriedOnAnotherReplica(t *testing.T) {
 	for _, status := range []ReplyStatus{ReplyShed, ReplyUnknownSnapshot, ReplyDraining} {
-		d := started(Options{}, 1, 2)
-		q := ask(1)
+		d := newConfigured(Options{}, 1, 2)
+		q := arrival(1)
 		q.Query.Repeatable = false
 		first := sends(d.Step(0, q))
 		second := sends(d.Step(0, AttemptReplied{Attempt: first[0].Attempt, Reply: Reply{Status: status}}))
@@ -137,9 +137,9 @@
 	}
 }
 
-func TestNotRepeatableIsNotSentAgainAfterAnUnknownFate(t *testing.T) {
-	d := started(Options{}, 1, 2)
-	q := ask(1)
+func TestNonRepeatableQueryIsNotRetriedAfterUnknownOutcome(t *testing.T) {
+	d := newConfigured(Options{}, 1, 2)
+	q := arrival(1)
 	q.Query.Repeatable = false
 	first := sends(d.Step(0, q))
 	actions := d.Step(0, AttemptFailed{Attempt: first[0].Attempt, Delivery: DeliveryUnknown})
--- a/dispatch/environment.go
+++ b/dispatch/environment.go
@@ -19,24 +19,24 @@
 
 // Targets implements gather.Environment.
 func (e *environment) Targets(r coverage.Range) []gather.Target {
-	return (*Dispatcher)(e).groupsOf(r)
+	return (*Dispatcher)(e).targetsOf(r)
 }
 
 // Place implements gather.Environment.
 func (e *environment) Place(s *gather.Segment, kind SendKind) (gather.Server, gather.Placement) {
 	d := (*Dispatcher)(e)
 	g := s.Group.(*group)
-	chosen, placement := d.choose(g, s, kind)
+	chosen, placement := d.chooseReplica(g, s, kind)
 	if placement == gather.Placed {
 		return chosen, placement
 	}
 	if placement != gather.Busy || kind == HedgeSend {
 		return nil, placement
 	}
-	if kind == FirstSend && d.crowded(g, owner(s.Query())) {
+	if kind == FirstSend && d.isOverloaded(g, runningOf(s.Query())) {
 		return nil, gather.Overloaded
 	}
-	d.enqueue(g, s)
+	d.enqueueSegment(g, s)
 	return nil, placement
 }
 
@@ -47,7 +47,7 @@
 		return 0, false
 	}
 	return e.options.HedgePolicy.Delay(retry.HedgeInput{
-		Share:   owner(s.Query()).class.HedgeShare,
+		Share:   runningOf(s.Query()).class.HedgeShare,
 		Group:   g.latencies,
 		Service: &e.latencies,
 	})
@@ -55,12 +55,12 @@
 
 // SpendHedge implements gather.Environment.
 func (e *environment) SpendHedge(q *gather.Query, price float64) bool {
-	return e.budget.SpendHedge(owner(q).class.rank, price)
+	return e.budget.SpendHedge(runningOf(q).class.rank, price)
 }
 
 // SpendRetry implements gather.Environment.
 func (e *environment) SpendRetry(q *gather.Query, price float64) bool {
-	return e.budget.SpendRetry(owner(q).class.rank, price)
+	return e.budget.SpendRetry(runningOf(q).class.rank, price)
 }
 
 // NextSnapshot implements gather.Environment.
@@ -79,7 +79,7 @@
 	usual := float64(e.latencies.Quantile(medianQuantile))
 	least := math.Inf(1)
 	for _, replica := range s.Group.(*group).servers {
-		if !replica.leaving() {
+		if !replica.isLeaving() {
 			least = min(least, replica.expectedLatency(e.now, usual, e.options.LatencyHalfLife))
 		}
 	}
@@ -89,27 +89,27 @@
 	return time.Duration(least)
 }
 
-// leastBackoff is the time before the first round of asking tried servers anew;
+// minBackoff is the time before the first round of asking tried servers anew;
 // it doubles with each.
-const leastBackoff = 10 * time.Millisecond
+const minBackoff = 10 * time.Millisecond
 
 // Backoff implements gather.Environment.
 func (e *environment) Backoff(round int) time.Duration {
-	backoff := leastBackoff << min(round, mostDoublings)
+	backoff := minBackoff << min(round, maxDoublings)
 	return backoff + time.Duration(e.random.Float64()*float64(backoff)/2)
 }
 
 // NextAttemptID implements gather.Environment.
 func (e *environment) NextAttemptID() AttemptID {
-	e.last++
-	return e.last
+	e.lastAttemptID++
+	return e.lastAttemptID
 }
 
 // Send implements gather.Environment.
 func (e *environment) Send(a *gather.Attempt) {
 	d := (*Dispatcher)(e)
 	q := a.Query()
-	r := owner(q)
+	r := runningOf(q)
 	s := a.Server.(*server)
 	d.attempts[a.ID] = a
 	s.limiter.Start()
@@ -118,7 +118,7 @@
 	}
 	d.emit(Send{
 		Attempt:   a.ID,
-		Query:     r.asked.ID,
+		Query:     r.request.ID,
 		Server:    s.ID,
 		Address:   s.Address,
 		Range:     a.Range,
@@ -126,7 +126,7 @@
 		Remaining: q.Deadline() - d.now,
 		Kind:      a.Kind,
 	})
-	d.account(s)
+	d.updateCapacity(s)
 }
 
 // Cancel implements gather.Environment.
@@ -137,11 +137,11 @@
 // Finish implements gather.Environment.
 func (e *environment) Finish(q *gather.Query, outcome Outcome) {
 	d := (*Dispatcher)(e)
-	r := owner(q)
+	r := runningOf(q)
 	r.query = nil
-	delete(d.running, r.asked.ID)
+	delete(d.running, r.request.ID)
 	if outcome.Execution != ExecutionDone {
 		outcome.RetryAfter = d.options.RetryAfter
 	}
-	d.emit(Finish{Query: r.asked.ID, Outcome: outcome})
+	d.emit(Finish{Query: r.request.ID, Outcome: outcome})
 }
--- a/dispatch/membership.go
+++ b/dispatch/membership.go
@@ -7,47 +7,47 @@
 	"github.com/banksail/banksail/gather"
 )
 
-// serverChanged takes what membership says of a server. Live ends an earlier
+// handleServerChanged takes what membership says of a server. Live ends an earlier
 // account of its leaving.
-func (d *Dispatcher) serverChanged(event ServerChanged) {
+func (d *Dispatcher) handleServerChanged(event ServerChanged) {
 	s := d.servers[event.Server]
 	if s == nil {
-		d.noteState(event)
+		d.recordState(event)
 		return
 	}
-	wasAway := s.leaving()
+	wasAway := s.isLeaving()
 	s.state = event.State
 	if event.State == ServerLive {
 		s.draining = false
-		s.avoidUntil = 0
-		s.failures = 0
+		s.ejectedUntil = 0
+		s.consecutiveFailures = 0
 	}
-	d.availabilityChanged(s)
+	d.updateAvailability(s)
 	if event.State == ServerGone {
-		d.lost(s)
+		d.notifyServerGone(s)
 	}
-	if wasAway && !s.leaving() {
-		d.reroute()
+	if wasAway && !s.isLeaving() {
+		d.rerouteQueries()
 	}
 }
 
-// noteState remembers the state of a server that is not configured.
-func (d *Dispatcher) noteState(event ServerChanged) {
+// recordState remembers the state of a server that is not configured.
+func (d *Dispatcher) recordState(event ServerChanged) {
 	if event.State == ServerLive || event.State == ServerGone {
-		delete(d.states, event.Server)
+		delete(d.unconfiguredStates, event.Server)
 		return
 	}
-	d.states[event.Server] = event.State
+	d.unconfiguredStates[event.Server] = event.State
 }
 
-// availabilityChanged brings the catalog and the groups' sums up to date.
-func (d *Dispatcher) availabilityChanged(s *server) {
-	s.holder.SetAvailable(!s.leaving())
-	d.account(s)
+// updateAvailability brings the catalog and the groups' sums up to date.
+func (d *Dispatcher) updateAvailability(s *server) {
+	s.holder.SetAvailable(!s.isLeaving())
+	d.updateCapacity(s)
 }
 
-// lost tells the queries whose attempts are at a server that is gone.
-func (d *Dispatcher) lost(s *server) {
+// notifyServerGone tells the queries whose attempts are at a server that is gone.
+func (d *Dispatcher) notifyServerGone(s *server) {
 	var lost []*gather.Attempt
 	for _, a := range d.attempts {
 		if a.Server == gather.Server(s) && a.IsPending() {
@@ -57,21 +57,21 @@
 	slices.SortFunc(lost, func(a, b *gather.Attempt) int { return cmp.Compare(a.ID, b.ID) })
 	for _, a := range lost {
 		a.Query().HandleServerGone(d.now, a)
-		d.schedule(owner(a.Query()))
+		d.scheduleTick(runningOf(a.Query()))
 	}
 }
 
-// observed takes a server's own account of itself.
-func (d *Dispatcher) observed(event ServerReported) {
+// handleServerReported takes a server's own account of itself.
+func (d *Dispatcher) handleServerReported(event ServerReported) {
 	if s := d.servers[event.Server]; s != nil {
-		d.observe(s, event.Snapshots, event.Load)
+		d.applyReport(s, event.Snapshots, event.Load)
 	}
 }
 
-func (d *Dispatcher) observe(s *server, snapshots []SnapshotID, load Load) {
+func (d *Dispatcher) applyReport(s *server, snapshots []SnapshotID, load Load) {
 	if len(snapshots) > 0 {
 		if !s.holder.Observed() {
-			d.markRoomy(s.groups) // queries may wait to hear of it
+			d.markResumable(s.groups) // queries may wait to hear of it
 		}
 		s.holder.Observe(snapshots)
 	}
--- a/dispatch/property_test.go
+++ b/dispatch/property_test.go
@@ -14,8 +14,8 @@
 	"github.com/banksail/banksail/retry"
 )
 
-// worldOptions vary the policies under which everything must hold.
-var worldOptions = []Options{
+// simulationOptions vary the policies under which everything must hold.
+var simulationOptions = []Options{
 	{},
 	{QueueOrder: admission.ArrivalOrder{}, StopPolicy: gather.StopAtDeadline{}},
 	{QueueOrder: admission.BoostedArrival{DecayRate: 10}, HedgePolicy: retry.FixedHedge{After: 1}},
@@ -25,12 +25,12 @@
 
 // Whatever servers, callers and membership do, each query gets one final answer
 // in time, which tells the truth, and nothing is sent that must not be.
-func TestInvariantsHoldInRandomWorlds(t *testing.T) {
+func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 300
 	properties := gopter.NewProperties(parameters)
 	properties.Property("no violation", prop.ForAll(func(seed uint64) bool {
-		w := newWorld(seed, worldOptions[seed%uint64(len(worldOptions))])
+		w := newSimulation(seed, simulationOptions[seed%uint64(len(simulationOptions))])
 		w.run()
 		if len(w.violations) > 0 {
 			t.Logf("seed %d: %v", seed, w.violations[:min(len(w.violations), 5)])
@@ -41,9 +41,9 @@
 }
 
 // The same seed gives the same actions, byte for byte.
-func TestRunsRepeat(t *testing.T) {
+func TestSameSeedGivesSameActions(t *testing.T) {
 	for seed := range uint64(10) {
-		first, second := newWorld(seed, Options{}), newWorld(seed, Options{})
+		first, second := newSimulation(seed, Options{}), newSimulation(seed, Options{})
 		first.run()
 		second.run()
 		if !slices.Equal(first.log, second.log) {
--- a/dispatch/query.go
+++ b/dispatch/query.go
@@ -10,100 +10,100 @@
 
 // running is a query that runs. query is nil once it has its final answer.
 type running struct {
-	asked   Query
+	request Query
 	class   *class
 	key     admission.Key
 	query   *gather.Query
 	timerAt time.Duration // of its timer; zero is none
 }
 
-// owner returns the dispatcher's own record of a query.
-func owner(q *gather.Query) *running { return q.Owner().(*running) }
+// runningOf returns the dispatcher's own record of a query.
+func runningOf(q *gather.Query) *running { return q.Owner().(*running) }
 
-// arrive decides on a query.
-func (d *Dispatcher) arrive(asked Query) {
-	c := d.classes[asked.Class]
+// handleArrival decides on a query.
+func (d *Dispatcher) handleArrival(request Query) {
+	c := d.classes[request.Class]
 	switch {
 	case d.stopping:
-		d.refuse(asked.ID, ReasonStopping, d.options.RetryAfter)
+		d.refuse(request.ID, ReasonStopping, d.options.RetryAfter)
 		return
-	case !d.known:
-		d.refuse(asked.ID, ReasonNoConfiguration, d.options.RetryAfter)
+	case !d.configured:
+		d.refuse(request.ID, ReasonNoConfiguration, d.options.RetryAfter)
 		return
 	case c == nil:
-		d.refuse(asked.ID, ReasonUnknownClass, d.options.RetryAfter)
+		d.refuse(request.ID, ReasonUnknownClass, d.options.RetryAfter)
 		return
-	case asked.Remaining <= 0:
-		d.refuse(asked.ID, ReasonDeadline, d.options.RetryAfter)
+	case request.Remaining <= 0:
+		d.refuse(request.ID, ReasonDeadline, d.options.RetryAfter)
 		return
 	}
-	if _, reason := d.pin(c, asked); reason != "" {
-		d.refuse(asked.ID, reason, d.options.RetryAfter)
+	if _, reason := d.chooseSnapshot(c, request); reason != "" {
+		d.refuse(request.ID, reason, d.options.RetryAfter)
 		return
 	}
-	d.offer(c, asked)
+	d.admitOrQueue(c, request)
 }
 
-// offer lets admission decide.
-func (d *Dispatcher) offer(c *class, asked Query) {
+// admitOrQueue lets admission decide.
+func (d *Dispatcher) admitOrQueue(c *class, request Query) {
 	item := admission.Item{
-		ID:              uint64(asked.ID),
+		ID:              uint64(request.ID),
 		Rank:            c.rank,
 		Arrived:         d.now,
 		LongestWait:     c.LongestWait.Duration(),
-		Deadline:        d.now + min(asked.Remaining, c.Deadline.Duration()),
+		Deadline:        d.now + min(request.Remaining, c.Deadline.Duration()),
 		ExpectedRunTime: d.latencies.Quantile(medianQuantile),
 	}
-	decision := d.queue.Offer(d.now, item, d.hasRoom)
+	decision := d.queue.Offer(d.now, item, d.canStart)
 	switch decision.Verdict {
 	case admission.Run:
-		d.start(c, asked, item)
+		d.start(c, request, item)
 	case admission.Queued:
-		d.asked[asked.ID] = asked
+		d.requests[request.ID] = request
 	case admission.RefusedFull:
-		d.refuse(asked.ID, ReasonQueueFull, decision.RetryAfter)
+		d.refuse(request.ID, ReasonQueueFull, decision.RetryAfter)
 	default:
-		d.refuse(asked.ID, ReasonOverload, decision.RetryAfter)
+		d.refuse(request.ID, ReasonOverload, decision.RetryAfter)
 	}
 }
 
 // medianQuantile is the least time that a query is expected to need.
 const medianQuantile = 0.5
 
-// admit starts the queries that wait, while there is room.
-func (d *Dispatcher) admit() {
+// startQueued starts the queries that wait, while there is room.
+func (d *Dispatcher) startQueued() {
 	for d.queue.Len() > 0 {
-		item, ok := d.queue.Dequeue(d.now, d.hasRoom)
+		item, ok := d.queue.Dequeue(d.now, d.canStart)
 		if !ok {
 			return
 		}
 		id := QueryID(item.ID)
-		asked := d.asked[id]
-		delete(d.asked, id)
-		d.start(d.classes[asked.Class], asked, item)
+		request := d.requests[id]
+		delete(d.requests, id)
+		d.start(d.classes[request.Class], request, item)
 	}
 }
 
-// pin chooses the snapshot for a query; the reason tells why there is none that
+// chooseSnapshot chooses the snapshot for a query; the reason tells why there is none that
 // could give an answer.
-func (d *Dispatcher) pin(c *class, asked Query) (SnapshotID, Reason) {
+func (d *Dispatcher) chooseSnapshot(c *class, request Query) (SnapshotID, Reason) {
 	choice, ok := d.catalog.Choose()
 	switch {
-	case !ok && d.usable():
+	case !ok && d.hasUsableServer():
 		return 0, ReasonNoSnapshot
 	case !ok:
 		return 0, ReasonNoServer
 	case choice.Complete:
 		return choice.ID, ""
-	case coverage.Fraction(choice.Keys, d.space.Size()) < minimum(c, asked):
+	case coverage.Fraction(choice.Keys, d.keySpace.Size()) < requiredCoverage(c, request):
 		return 0, ReasonNoServer
 	default:
 		return choice.ID, ""
 	}
 }
 
-// usable reports whether any group has a server that is not leaving.
-func (d *Dispatcher) usable() bool {
+// hasUsableServer reports whether any group has a server that is not leaving.
+func (d *Dispatcher) hasUsableServer() bool {
 	for _, g := range d.groups {
 		if g.usable > 0 {
 			return true
@@ -112,36 +112,36 @@
 	return false
 }
 
-// minimum is the least coverage that makes an answer.
-func minimum(c *class, asked Query) float64 {
-	return min(max(asked.MinimumCoverage, c.MinimumCoverage), 1)
+// requiredCoverage is the least coverage that makes an answer.
+func requiredCoverage(c *class, request Query) float64 {
+	return min(max(request.MinimumCoverage, c.MinimumCoverage), 1)
 }
 
 // start runs a query.
-func (d *Dispatcher) start(c *class, asked Query, item admission.Item) {
-	id, reason := d.pin(c, asked)
+func (d *Dispatcher) start(c *class, request Query, item admission.Item) {
+	id, reason := d.chooseSnapshot(c, request)
 	if reason != "" {
-		d.refuse(asked.ID, reason, d.options.RetryAfter)
+		d.refuse(request.ID, reason, d.options.RetryAfter)
 		return
 	}
-	r := &running{asked: asked, class: c, key: d.options.QueueOrder.Key(item)}
-	d.running[asked.ID] = r
+	r := &running{request: request, class: c, key: d.options.QueueOrder.Key(item)}
+	d.running[request.ID] = r
 	r.query = gather.New(gather.Options{
 		Owner:            r,
-		KeySpace:         d.space,
+		KeySpace:         d.keySpace,
 		Snapshot:         id,
 		Arrived:          item.Arrived,
 		Deadline:         item.Deadline,
-		RequiredCoverage: minimum(c, asked),
+		RequiredCoverage: requiredCoverage(c, request),
 		Rank:             c.rank,
-		Repeatable:       asked.Repeatable,
+		Repeatable:       request.Repeatable,
 		Stop:             d.options.StopPolicy,
 		MaximumRestarts:  d.options.MaximumRestarts,
 		MaximumRounds:    d.options.MaximumRounds,
 		MaximumSteps:     d.options.MaximumSteps,
 	}, (*environment)(d))
 	r.query.Start(d.now)
-	d.schedule(r)
+	d.scheduleTick(r)
 }
 
 // refuse gives the final answer to a query of which nothing was sent.
@@ -153,16 +153,16 @@
 	}})
 }
 
-// dequeue refuses a query that has left the queue without running.
-func (d *Dispatcher) dequeue(id QueryID, reason Reason) {
-	delete(d.asked, id)
+// refuseQueued refuses a query that has left the queue without running.
+func (d *Dispatcher) refuseQueued(id QueryID, reason Reason) {
+	delete(d.requests, id)
 	d.refuse(id, reason, max(d.queue.ExpectedWait(d.now), d.options.RetryAfter))
 }
 
-// callerGone ends a query whose caller no longer waits.
-func (d *Dispatcher) callerGone(id QueryID) {
+// handleCallerGone ends a query whose caller no longer waits.
+func (d *Dispatcher) handleCallerGone(id QueryID) {
 	if d.queue.Remove(uint64(id)) {
-		d.dequeue(id, ReasonCallerGone)
+		d.refuseQueued(id, ReasonCallerGone)
 		return
 	}
 	if r := d.running[id]; r != nil {
@@ -174,12 +174,12 @@
 func (d *Dispatcher) stop() {
 	d.stopping = true
 	for _, item := range d.queue.Drain() {
-		d.dequeue(QueryID(item.ID), ReasonStopping)
+		d.refuseQueued(QueryID(item.ID), ReasonStopping)
 	}
 }
 
-// settle takes an attempt whose end was reported; nil when it is not known.
-func (d *Dispatcher) settle(id AttemptID, outcome attemptEnd) *gather.Attempt {
+// finishAttempt takes an attempt whose end was reported; nil when it is not known.
+func (d *Dispatcher) finishAttempt(id AttemptID, outcome attemptResult) *gather.Attempt {
 	a := d.attempts[id]
 	if a == nil {
 		return nil
@@ -187,20 +187,20 @@
 	delete(d.attempts, id)
 	s := a.Server.(*server)
 	latency := d.now - a.SentAt
-	s.limiter.End(d.now, latency, outcome.sample())
-	d.learn(a, s, latency, outcome)
+	s.limiter.End(d.now, latency, outcome.limiterOutcome())
+	d.recordResult(a, s, latency, outcome)
 	return a
 }
 
-// replied takes a server's reply.
-func (d *Dispatcher) replied(id AttemptID, reply Reply) {
+// handleReply takes a server's reply.
+func (d *Dispatcher) handleReply(id AttemptID, reply Reply) {
 	a := d.attempts[id]
 	if a == nil {
 		return
 	}
 	s := a.Server.(*server)
-	d.settle(id, endOf(a, reply))
-	d.observe(s, reply.Snapshots, reply.Load)
+	d.finishAttempt(id, classifyReply(a, reply))
+	d.applyReport(s, reply.Snapshots, reply.Load)
 	switch reply.Status {
 	case ReplyUnknownSnapshot:
 		s.holder.Lacks(a.Snapshot)
@@ -208,39 +208,39 @@
 		s.draining = true
 		s.holder.SetAvailable(false)
 	case ReplyShed:
-		d.shed(s, reply.RetryAfter)
+		d.recordShed(s, reply.RetryAfter)
 	}
-	d.resolve(a, s, func(q *gather.Query) { q.HandleReply(d.now, a, reply) })
+	d.notifyQuery(a, s, func(q *gather.Query) { q.HandleReply(d.now, a, reply) })
 }
 
-// failed takes the end of an attempt without a reply.
-func (d *Dispatcher) failed(event AttemptFailed) {
-	end := endFailed
+// handleFailure takes the end of an attempt without a reply.
+func (d *Dispatcher) handleFailure(event AttemptFailed) {
+	end := resultFailed
 	a := d.attempts[event.Attempt]
 	if a == nil {
 		return
 	}
 	if !a.IsPending() {
-		end = endCancelled
+		end = resultCancelled
 	}
-	d.settle(event.Attempt, end)
-	d.resolve(a, a.Server.(*server), func(q *gather.Query) {
+	d.finishAttempt(event.Attempt, end)
+	d.notifyQuery(a, a.Server.(*server), func(q *gather.Query) {
 		q.HandleFailure(d.now, a, event.Delivery, event.Reason)
 	})
 }
 
-// resolve tells the query first, so that its own retry goes before what waits,
+// notifyQuery tells the query first, so that its own retry goes before what waits,
 // then lets others use the room.
-func (d *Dispatcher) resolve(a *gather.Attempt, s *server, tell func(*gather.Query)) {
+func (d *Dispatcher) notifyQuery(a *gather.Attempt, s *server, tell func(*gather.Query)) {
 	q := a.Query()
 	tell(q)
-	d.schedule(owner(q))
-	d.account(s)
+	d.scheduleTick(runningOf(q))
+	d.updateCapacity(s)
 }
 
-// shed leaves a server alone for a while.
-func (d *Dispatcher) shed(s *server, retryAfter time.Duration) {
-	s.shed(d.now, retryAfter, d.random.Float64()*shedJitter)
+// recordShed leaves a server alone for a while.
+func (d *Dispatcher) recordShed(s *server, retryAfter time.Duration) {
+	s.recordShed(d.now, retryAfter, d.random.Float64()*shedJitter)
 	d.setTimer(timer{at: s.shedUntil, server: s})
 }
 
--- a/dispatch/replica.go
+++ b/dispatch/replica.go
@@ -16,42 +16,42 @@
 	RandomReplica
 )
 
-// standing ranks servers that could take a sub-request; the lowest are
+// tier ranks servers that could take a sub-request; the lowest are
 // preferred, whatever their delay.
-type standing int
+type tier int
 
 const (
-	standingGood standing = iota
-	standingOutlier
-	standingSuspect
-	standingUnobserved // not known to hold the snapshot
+	tierHealthy tier = iota
+	tierOutlier
+	tierSuspect
+	tierUnobserved // not known to hold the snapshot
 )
 
 // candidate is a server that could take a sub-request now.
 type candidate struct {
-	server   *server
-	standing standing
+	server *server
+	tier   tier
 }
 
-// maximumCandidates bounds the candidates that are weighed.
-const maximumCandidates = 256
+// maxCandidates bounds the candidates that are weighed.
+const maxCandidates = 256
 
-// choose picks a server of the segment's group.
-func (d *Dispatcher) choose(g *group, s *gather.Segment, kind SendKind) (*server, gather.Placement) {
+// chooseReplica picks a server of the segment's group.
+func (d *Dispatcher) chooseReplica(g *group, s *gather.Segment, kind SendKind) (*server, gather.Placement) {
 	var buffer [8]candidate
 	candidates := buffer[:0]
 	usable, untried := false, false
-	best := standingUnobserved
+	best := tierUnobserved
 	reserve := 0
 	if kind != HedgeSend {
-		reserve = d.reserve(owner(s.Query()).class.rank)
+		reserve = d.urgentReserve(runningOf(s.Query()).class.rank)
 	}
-	avoid := d.mayAvoid(g)
+	avoid := d.mayAvoidOutliers(g)
 	id := s.Query().Snapshot()
 	var unheard *server
 	for _, replica := range g.servers {
-		if replica.leaving() || !replica.mayHold(d.now, id) {
-			if !replica.leaving() && !replica.holder.Observed() {
+		if replica.isLeaving() || !replica.mayHoldSnapshot(d.now, id) {
+			if !replica.isLeaving() && !replica.holder.Observed() {
 				unheard = replica
 			}
 			continue
@@ -61,66 +61,66 @@
 			continue
 		}
 		untried = true
-		if !replica.free(d.now, reserve) || len(candidates) == maximumCandidates {
+		if !replica.free(d.now, reserve) || len(candidates) == maxCandidates {
 			continue
 		}
-		rank := d.standing(replica, id, avoid)
-		if kind == HedgeSend && rank != standingGood {
+		rank := d.tierOf(replica, id, avoid)
+		if kind == HedgeSend && rank != tierHealthy {
 			continue
 		}
 		best = min(best, rank)
-		candidates = append(candidates, candidate{server: replica, standing: rank})
+		candidates = append(candidates, candidate{server: replica, tier: rank})
 	}
 	switch {
 	case !usable && unheard != nil:
-		d.setTimer(timer{at: unheard.hearBy, server: unheard})
+		d.setTimer(timer{at: unheard.reportDeadline, server: unheard})
 		return nil, gather.Busy
 	case !usable:
 		return nil, gather.Unservable
 	case !untried:
 		return nil, gather.AllTried
 	}
-	c := owner(s.Query()).class
-	if len(candidates) == 0 || !g.room(c.rank, c.share) {
+	c := runningOf(s.Query()).class
+	if len(candidates) == 0 || !g.hasCapacity(c.rank, c.share) {
 		return nil, gather.Busy
 	}
-	return d.pick(candidates, best), gather.Placed
+	return d.pickCandidate(candidates, best), gather.Placed
 }
 
-func (d *Dispatcher) standing(s *server, id SnapshotID, avoid bool) standing {
+func (d *Dispatcher) tierOf(s *server, id SnapshotID, avoid bool) tier {
 	switch {
 	case !s.holder.Holds(id):
-		return standingUnobserved
+		return tierUnobserved
 	case s.state == ServerSuspect:
-		return standingSuspect
-	case avoid && s.avoidUntil > d.now:
-		return standingOutlier
+		return tierSuspect
+	case avoid && s.ejectedUntil > d.now:
+		return tierOutlier
 	default:
-		return standingGood
+		return tierHealthy
 	}
 }
 
-// mayAvoid reports whether outliers of the group may be avoided. When most of a
+// mayAvoidOutliers reports whether outliers of the group may be avoided. When most of a
 // group looks bad, the detector is wrong.
-func (d *Dispatcher) mayAvoid(g *group) bool {
+func (d *Dispatcher) mayAvoidOutliers(g *group) bool {
 	outliers, usable := 0, 0
 	for _, s := range g.servers {
-		if s.leaving() {
+		if s.isLeaving() {
 			continue
 		}
 		usable++
-		if s.avoidUntil > d.now {
+		if s.ejectedUntil > d.now {
 			outliers++
 		}
 	}
 	return 2*outliers <= usable
 }
 
-// pick chooses among the candidates of the best standing.
-func (d *Dispatcher) pick(candidates []candidate, best standing) *server {
+// pickCandidate chooses among the candidates of the best standing.
+func (d *Dispatcher) pickCandidate(candidates []candidate, best tier) *server {
 	equals := candidates[:0]
 	for _, c := range candidates {
-		if c.standing == best {
+		if c.tier == best {
 			equals = append(equals, c)
 		}
 	}
@@ -137,29 +137,29 @@
 		if second >= first {
 			second++
 		}
-		return d.better(equals[first].server, equals[second].server)
+		return d.lowerDelay(equals[first].server, equals[second].server)
 	}
 }
 
 func (d *Dispatcher) leastDelay(candidates []candidate) *server {
 	best := candidates[0].server
 	for _, c := range candidates[1:] {
-		best = d.better(best, c.server)
+		best = d.lowerDelay(best, c.server)
 	}
 	return best
 }
 
-// nearlyEqual is the ratio of delays below which the zone decides.
-const nearlyEqual = 1.1
+// delayTolerance is the ratio of delays below which the zone decides.
+const delayTolerance = 1.1
 
-// better returns the server with the lower expected delay; of nearly equal ones
+// lowerDelay returns the server with the lower expected delay; of nearly equal ones
 // the one in the node's zone, then the first.
-func (d *Dispatcher) better(a, b *server) *server {
+func (d *Dispatcher) lowerDelay(a, b *server) *server {
 	delayA, delayB := d.expectedDelay(a), d.expectedDelay(b)
 	switch {
-	case delayA*nearlyEqual < delayB:
+	case delayA*delayTolerance < delayB:
 		return a
-	case delayB*nearlyEqual < delayA:
+	case delayB*delayTolerance < delayA:
 		return b
 	case b.Zone == d.options.Zone && a.Zone != d.options.Zone:
 		return b
@@ -175,7 +175,7 @@
 	latency := s.expectedLatency(d.now, usual, d.options.LatencyHalfLife)
 	work := float64(s.limiter.InFlight()) + 1
 	if s.load > 0 {
-		work += s.load * d.options.LoadWeight * faded(d.now-s.loadAt, d.options.LoadHalfLife)
+		work += s.load * d.options.LoadWeight * decayWeight(d.now-s.loadAt, d.options.LoadHalfLife)
 	}
 	return latency * work / float64(max(s.Slots, 1))
 }
--- a/dispatch/scenario_test.go
+++ b/dispatch/scenario_test.go
@@ -11,12 +11,12 @@
 
 const hedgeAfter = 10 * time.Millisecond
 
-func hedging() Options {
+func hedgingOptions() Options {
 	return Options{HedgePolicy: retry.FixedHedge{After: hedgeAfter}, StopPolicy: gather.StopAtDeadline{}}
 }
 
-// funded gives the urgent class a budget for hedges.
-func funded(d *Dispatcher) *Dispatcher {
+// withHedgeBudget gives the urgent class a budget for hedges.
+func withHedgeBudget(d *Dispatcher) *Dispatcher {
 	d.budget.Credit(0, 100, 0.1)
 	return d
 }
@@ -31,7 +31,7 @@
 	return found
 }
 
-func status(s Send, status ReplyStatus) AttemptReplied {
+func statusReply(s Send, status ReplyStatus) AttemptReplied {
 	return AttemptReplied{Attempt: s.Attempt, Reply: Reply{Status: status}}
 }
 
@@ -45,21 +45,21 @@
 	return ended[0].Outcome
 }
 
-func TestHedgeAsksTheOtherReplicaAndTheFirstReplyWins(t *testing.T) {
-	d := funded(started(hedging(), 1, 2))
-	first := sends(d.Step(0, ask(1)))[0]
+func TestHedgeUsesOtherReplicaAndFirstReplyWins(t *testing.T) {
+	d := withHedgeBudget(newConfigured(hedgingOptions(), 1, 2))
+	first := sends(d.Step(0, arrival(1)))[0]
 	hedges := sends(d.Step(hedgeAfter, TimerFired{}))
 	if len(hedges) != 1 || hedges[0].Kind != HedgeSend || hedges[0].Server == first.Server {
 		t.Fatalf("hedges %+v", hedges)
 	}
-	actions := d.Step(2*hedgeAfter, done(hedges[0]))
+	actions := d.Step(2*hedgeAfter, doneReply(hedges[0]))
 	if got := cancels(actions); len(got) != 1 || got[0] != first.Attempt {
 		t.Fatalf("cancelled %v", got)
 	}
 	if o := outcome(t, actions); !o.Complete || o.Parts[0].Server != hedges[0].Server {
 		t.Fatalf("outcome %+v", o)
 	}
-	if late := d.Step(3*hedgeAfter, done(first)); len(sends(late))+len(finishes(late)) != 0 {
+	if late := d.Step(3*hedgeAfter, doneReply(first)); len(sends(late))+len(finishes(late)) != 0 {
 		t.Fatalf("a late reply had an effect: %+v", late)
 	}
 	if got := d.servers[first.Server].latency; got != float64(3*hedgeAfter) {
@@ -79,8 +79,8 @@
 		{name: "to a server that sheds", prepare: func(d *Dispatcher, first Send) {
 			for _, s := range d.groups[0].servers {
 				if s.ID != first.Server {
-					d.shed(s, time.Second)
-					d.account(s)
+					d.recordShed(s, time.Second)
+					d.updateCapacity(s)
 				}
 			}
 		}},
@@ -94,11 +94,11 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			d := started(hedging(), 1, 2)
+			d := newConfigured(hedgingOptions(), 1, 2)
 			if !test.broke {
-				funded(d)
+				withHedgeBudget(d)
 			}
-			q := ask(1)
+			q := arrival(1)
 			if test.ask != nil {
 				test.ask(&q.Query)
 			}
@@ -113,19 +113,19 @@
 	}
 }
 
-func TestLeavingServersGetNothingNewUntilTheyAreLiveAgain(t *testing.T) {
+func TestLeavingServersGetNoNewWorkUntilLive(t *testing.T) {
 	events := map[string]func(d *Dispatcher, s Send){
 		"membership says leaving": func(d *Dispatcher, s Send) { d.Step(0, ServerChanged{Server: s.Server, State: ServerLeaving}) },
 		"membership says gone":    func(d *Dispatcher, s Send) { d.Step(0, ServerChanged{Server: s.Server, State: ServerGone}) },
-		"draining reply":          func(d *Dispatcher, s Send) { d.Step(0, status(s, ReplyDraining)) },
+		"draining reply":          func(d *Dispatcher, s Send) { d.Step(0, statusReply(s, ReplyDraining)) },
 	}
 	for name, event := range events {
 		t.Run(name, func(t *testing.T) {
-			d := started(Options{}, 1, 2)
-			away := sends(d.Step(0, ask(1)))[0]
+			d := newConfigured(Options{}, 1, 2)
+			away := sends(d.Step(0, arrival(1)))[0]
 			event(d, away)
 			for id := range QueryID(10) {
-				for _, s := range sends(d.Step(time.Millisecond, ask(id+2))) {
+				for _, s := range sends(d.Step(time.Millisecond, arrival(id+2))) {
 					if s.Server == away.Server {
 						t.Fatal("sent to a server that leaves")
 					}
@@ -133,18 +133,18 @@
 				d.Step(time.Millisecond, CallerGone{Query: id + 2})
 			}
 			d.Step(time.Millisecond, ServerReported{Server: away.Server, Snapshots: []SnapshotID{7, 8}})
-			if !d.servers[away.Server].leaving() {
+			if !d.servers[away.Server].isLeaving() {
 				t.Fatal("its own account ended its leaving")
 			}
 			d.Step(time.Millisecond, ServerChanged{Server: away.Server, State: ServerLive})
-			if d.servers[away.Server].leaving() {
+			if d.servers[away.Server].isLeaving() {
 				t.Fatal("still leaving after it came back")
 			}
 		})
 	}
 }
 
-func TestServersThatWereNotHeardYet(t *testing.T) {
+func TestServersWithoutFirstReport(t *testing.T) {
 	tests := []struct {
 		name string
 		at   time.Duration
@@ -158,15 +158,15 @@
 			d := New(Options{})
 			d.Step(0, configuration(2, 2))
 			d.Step(0, ServerReported{Server: "0/0", Snapshots: []SnapshotID{7}})
-			asked := sends(d.Step(test.at, ask(1)))
-			if len(asked) != test.want || asked[0].Server != "0/0" {
-				t.Fatalf("sent %+v", asked)
+			sent := sends(d.Step(test.at, arrival(1)))
+			if len(sent) != test.want || sent[0].Server != "0/0" {
+				t.Fatalf("sent %+v", sent)
 			}
 		})
 	}
 }
 
-func TestPartOfAnUnheardGroupWaits(t *testing.T) {
+func TestSegmentWaitsForFirstReport(t *testing.T) {
 	const hearing = 50 * time.Millisecond
 	tests := []struct {
 		name  string
@@ -181,7 +181,7 @@
 			d := New(Options{FirstReportTimeout: hearing})
 			d.Step(0, configuration(2, 2))
 			d.Step(0, ServerReported{Server: "0/0", Snapshots: []SnapshotID{7}})
-			d.Step(time.Millisecond, ask(1))
+			d.Step(time.Millisecond, arrival(1))
 			if sent := sends(d.Step(test.at, test.event)); len(sent) != 1 || sent[0].Range.Start != keysPerGroup {
 				t.Fatalf("sent %+v", sent)
 			}
@@ -189,32 +189,32 @@
 	}
 }
 
-func TestGroupOfOutliersIsStillAsked(t *testing.T) {
-	d := started(Options{}, 1, 2)
+func TestGroupOfOutliersIsStillUsed(t *testing.T) {
+	d := newConfigured(Options{}, 1, 2)
 	for _, s := range d.groups[0].servers {
-		s.avoidUntil = time.Hour
+		s.ejectedUntil = time.Hour
 	}
-	if got := sends(d.Step(0, ask(1))); len(got) != 1 {
+	if got := sends(d.Step(0, arrival(1))); len(got) != 1 {
 		t.Fatalf("sent %+v", got)
 	}
 }
 
-func TestOutlierIsAvoidedWhileOthersAreLeft(t *testing.T) {
-	d := started(Options{}, 1, 2)
-	d.groups[0].servers[1].avoidUntil = time.Hour
+func TestOutlierIsAvoidedWhileAlternativesExist(t *testing.T) {
+	d := newConfigured(Options{}, 1, 2)
+	d.groups[0].servers[1].ejectedUntil = time.Hour
 	for id := range QueryID(5) {
-		sent := sends(d.Step(0, ask(id+1)))[0]
+		sent := sends(d.Step(0, arrival(id+1)))[0]
 		if sent.Server != "0/0" {
 			t.Fatalf("sent to %s", sent.Server)
 		}
 	}
 }
 
-func TestRepartitionInFlightDividesTheRange(t *testing.T) {
-	d := started(Options{}, 1, 2)
-	first := sends(d.Step(0, ask(1)))[0]
-	again := sends(d.Step(0, status(first, ReplyNotOwner)))[0]
-	if rest := d.Step(0, status(again, ReplyNotOwner)); len(finishes(rest)) != 0 {
+func TestRepartitionInFlightSplitsRange(t *testing.T) {
+	d := newConfigured(Options{}, 1, 2)
+	first := sends(d.Step(0, arrival(1)))[0]
+	again := sends(d.Step(0, statusReply(first, ReplyNotOwner)))[0]
+	if rest := d.Step(0, statusReply(again, ReplyNotOwner)); len(finishes(rest)) != 0 {
 		t.Fatal("gave up before the new configuration came")
 	}
 	divided := configuration(2, 2)
@@ -226,39 +226,39 @@
 	if len(sent) != 2 {
 		t.Fatalf("sent %+v", sent)
 	}
-	d.Step(3*time.Millisecond, done(sent[0]))
-	o := outcome(t, d.Step(3*time.Millisecond, done(sent[1])))
+	d.Step(3*time.Millisecond, doneReply(sent[0]))
+	o := outcome(t, d.Step(3*time.Millisecond, doneReply(sent[1])))
 	if !o.Complete || len(o.Parts) != 2 || o.Parts[0].Range.End != 30 {
 		t.Fatalf("outcome %+v", o)
 	}
 }
 
-func TestQueryStartsOverWholeOnAnotherSnapshot(t *testing.T) {
-	d := started(Options{}, 2, 1)
-	sent := sends(d.Step(0, ask(1)))
-	d.Step(0, done(sent[0]))
+func TestQueryRestartsOnAnotherSnapshot(t *testing.T) {
+	d := newConfigured(Options{}, 2, 1)
+	sent := sends(d.Step(0, arrival(1)))
+	d.Step(0, doneReply(sent[0]))
 	d.Step(0, ServerReported{Server: "0/0", Snapshots: []SnapshotID{8}})
-	lacking := status(sent[1], ReplyUnknownSnapshot)
+	lacking := statusReply(sent[1], ReplyUnknownSnapshot)
 	lacking.Reply.Snapshots = []SnapshotID{8}
 	over := sends(d.Step(0, lacking))
 	if len(over) != 2 || over[0].Snapshot != 8 || over[1].Snapshot != 8 {
 		t.Fatalf("sent %+v", over)
 	}
-	d.Step(0, done(over[0]))
-	o := outcome(t, d.Step(0, done(over[1])))
+	d.Step(0, doneReply(over[0]))
+	o := outcome(t, d.Step(0, doneReply(over[1])))
 	if !o.Complete || o.Snapshot != 8 || len(o.Parts) != 2 {
 		t.Fatalf("outcome %+v", o)
 	}
 }
 
-func TestNotRepeatableDoesNotStartOverOnceItRan(t *testing.T) {
-	d := started(Options{}, 2, 1)
-	q := ask(1)
+func TestNonRepeatableQueryDoesNotRestartAfterExecution(t *testing.T) {
+	d := newConfigured(Options{}, 2, 1)
+	q := arrival(1)
 	q.Query.Repeatable = false
 	sent := sends(d.Step(0, q))
-	d.Step(0, done(sent[0]))
+	d.Step(0, doneReply(sent[0]))
 	d.Step(0, ServerReported{Server: "0/0", Snapshots: []SnapshotID{8}})
-	lacking := status(sent[1], ReplyUnknownSnapshot)
+	lacking := statusReply(sent[1], ReplyUnknownSnapshot)
 	lacking.Reply.Snapshots = []SnapshotID{8}
 	actions := d.Step(0, lacking)
 	if len(sends(actions)) != 0 {
@@ -269,13 +269,13 @@
 	}
 }
 
-func TestCrossedReplyIsNotTaken(t *testing.T) {
-	d := started(Options{}, 2, 1)
-	sent := sends(d.Step(0, ask(1)))
-	crossed := done(sent[0])
+func TestMismatchedReplyIsRejected(t *testing.T) {
+	d := newConfigured(Options{}, 2, 1)
+	sent := sends(d.Step(0, arrival(1)))
+	crossed := doneReply(sent[0])
 	crossed.Reply.Range = sent[1].Range
 	d.Step(0, crossed)
-	other := done(sent[1])
+	other := doneReply(sent[1])
 	other.Reply.Snapshot = 6
 	d.Step(0, other)
 	o := outcome(t, d.Step(time.Second, TimerFired{}))
@@ -284,14 +284,14 @@
 	}
 }
 
-func TestStopsWithEnoughCoverageWhenTheRestIsSlow(t *testing.T) {
-	d := started(Options{HedgePolicy: retry.NoHedge{}}, 8, 1)
+func TestStopsEarlyWithEnoughCoverageWhenRestIsSlow(t *testing.T) {
+	d := newConfigured(Options{HedgePolicy: retry.NoHedge{}}, 8, 1)
 	for range 100 {
 		d.latencies.Add(5 * time.Millisecond)
 	}
-	sent := sends(d.Step(0, ask(1)))
+	sent := sends(d.Step(0, arrival(1)))
 	for _, s := range sent[:7] {
-		d.Step(5*time.Millisecond, done(s))
+		d.Step(5*time.Millisecond, doneReply(s))
 	}
 	if early := d.Step(10*time.Millisecond, TimerFired{}); len(finishes(early)) != 0 {
 		t.Fatal("stopped while the rest may come")
@@ -302,13 +302,13 @@
 	}
 }
 
-func TestEndsEarlyWhenTheMinimumIsOutOfReach(t *testing.T) {
-	d := started(Options{}, 2, 1)
-	q := ask(1)
+func TestFinishesEarlyWhenMinimumCoverageIsUnreachable(t *testing.T) {
+	d := newConfigured(Options{}, 2, 1)
+	q := arrival(1)
 	q.Query.MinimumCoverage = 0.9
 	sent := sends(d.Step(0, q))
-	d.Step(0, done(sent[0]))
-	actions := d.Step(0, status(sent[1], ReplyDraining))
+	d.Step(0, doneReply(sent[0]))
+	actions := d.Step(0, statusReply(sent[1], ReplyDraining))
 	if o := outcome(t, actions); o.Execution != ExecutionPartial || o.Reason != ReasonNoServer || o.RetryAfter <= 0 {
 		t.Fatalf("outcome %+v", o)
 	}
--- a/dispatch/server.go
+++ b/dispatch/server.go
@@ -15,10 +15,10 @@
 	groups   []*group
 	state    ServerState
 	draining bool // by its own reply; sticky until it is live again
-	// hearBy is when the server may be asked though it gave no account of itself.
-	hearBy  time.Duration
-	holder  *snapshot.Holder
-	limiter *limit.Limiter
+	// reportDeadline is when the server may be asked though it gave no account of itself.
+	reportDeadline time.Duration
+	holder         *snapshot.Holder
+	limiter        *limit.Limiter
 
 	// latency is the moving average of observed latencies, as of latencyAt.
 	latency   float64
@@ -27,52 +27,52 @@
 	load   float64
 	loadAt time.Duration
 
-	shedUntil  time.Duration
-	sheds      int // in a row
-	failures   int // in a row
-	avoidUntil time.Duration
+	shedUntil           time.Duration
+	consecutiveSheds    int // in a row
+	consecutiveFailures int // in a row
+	ejectedUntil        time.Duration
 
-	counted contribution
+	countedCapacity capacity
 }
 
-// contribution is what a server adds to the sums of its groups.
-type contribution struct {
-	inFlight int
-	limit    int
-	free     int // 1 when it may take one more of any class
-	reserve  int // 1 when it may take one more of the most urgent class
-	usable   int // 1 when it is not leaving
+// capacity is what a server adds to the sums of its groups.
+type capacity struct {
+	inFlight      int
+	limit         int
+	free          int // 1 when it may take one more of any class
+	urgentReserve int // 1 when it may take one more of the most urgent class
+	usable        int // 1 when it is not leaving
 }
 
 const (
 	// latencyWeight is the weight of a new latency in a server's average.
 	latencyWeight = 0.15
-	// failuresToAvoid is the number of failures in a row that mark an outlier.
-	failuresToAvoid = 3
+	// failuresToEject is the number of failures in a row that mark an outlier.
+	failuresToEject = 3
 	// avoidance bounds the time for which an outlier is avoided; it doubles with
 	// each further failure.
-	leastAvoidance = time.Second
-	mostAvoidance  = 30 * time.Second
+	minEjection = time.Second
+	maxEjection = 30 * time.Second
 	// shedPause bounds the time for which a server that shed is left alone.
-	leastShedPause = 5 * time.Millisecond
-	mostShedPause  = 5 * time.Second
-	// mostDoublings keeps shifts small.
-	mostDoublings = 10
+	minShedBackoff = 5 * time.Millisecond
+	maxShedBackoff = 5 * time.Second
+	// maxDoublings keeps shifts small.
+	maxDoublings = 10
 )
 
 // ServerID implements gather.Server.
 func (s *server) ServerID() string { return s.ID }
 
-// leaving reports that the server must get no new work.
-func (s *server) leaving() bool {
+// isLeaving reports that the server must get no new work.
+func (s *server) isLeaving() bool {
 	return s.draining || s.state == ServerLeaving || s.state == ServerGone
 }
 
-// mayHold reports whether the server is worth asking for the snapshot: it is
+// mayHoldSnapshot reports whether the server is worth asking for the snapshot: it is
 // known to hold it, or nothing could be learned in time. A server that was not
 // heard yet may be leaving, which others know and this node does not.
-func (s *server) mayHold(now time.Duration, id SnapshotID) bool {
-	return s.holder.Holds(id) || (!s.holder.Observed() && now >= s.hearBy)
+func (s *server) mayHoldSnapshot(now time.Duration, id SnapshotID) bool {
+	return s.holder.Holds(id) || (!s.holder.Observed() && now >= s.reportDeadline)
 }
 
 // free reports whether the server may take one more request at now, when that
@@ -91,9 +91,9 @@
 	s.latencyAt = now
 }
 
-// observeAtLeast takes the age of an attempt that was given up: its latency
+// observeMinLatency takes the age of an attempt that was given up: its latency
 // would have been longer.
-func (s *server) observeAtLeast(now, age time.Duration) {
+func (s *server) observeMinLatency(now, age time.Duration) {
 	if float64(age) > s.latency {
 		s.observeLatency(now, age)
 	}
@@ -104,77 +104,77 @@
 	if s.latency == 0 || usual == 0 {
 		return max(s.latency, usual, 1)
 	}
-	return usual + (s.latency-usual)*faded(now-s.latencyAt, halfLife)
+	return usual + (s.latency-usual)*decayWeight(now-s.latencyAt, halfLife)
 }
 
-// faded is the weight of something observed the given time ago.
-func faded(age, halfLife time.Duration) float64 {
+// decayWeight is the weight of something observed the given time ago.
+func decayWeight(age, halfLife time.Duration) float64 {
 	if halfLife <= 0 {
 		return 0
 	}
 	return math.Exp2(-float64(age) / float64(halfLife))
 }
 
-// shed notes a shed reply and returns the time until which the server is left alone.
-func (s *server) shed(now, retryAfter time.Duration, jitter float64) {
+// recordShed notes a shed reply and returns the time until which the server is left alone.
+func (s *server) recordShed(now, retryAfter time.Duration, jitter float64) {
 	pause := retryAfter
 	if pause <= 0 {
-		pause = leastShedPause << min(s.sheds, mostDoublings)
+		pause = minShedBackoff << min(s.consecutiveSheds, maxDoublings)
 	}
-	s.sheds++
-	pause = min(max(pause, leastShedPause), mostShedPause)
+	s.consecutiveSheds++
+	pause = min(max(pause, minShedBackoff), maxShedBackoff)
 	pause += time.Duration(float64(pause) * jitter)
 	s.shedUntil = max(s.shedUntil, now+pause)
 }
 
-// failed notes a failure; several in a row mark the server as an outlier.
-func (s *server) failed(now time.Duration) {
-	s.failures++
-	if over := s.failures - failuresToAvoid; over >= 0 {
-		s.avoidUntil = now + min(leastAvoidance<<min(over, mostDoublings), mostAvoidance)
+// recordFailure notes a failure; several in a row mark the server as an outlier.
+func (s *server) recordFailure(now time.Duration) {
+	s.consecutiveFailures++
+	if over := s.consecutiveFailures - failuresToEject; over >= 0 {
+		s.ejectedUntil = now + min(minEjection<<min(over, maxDoublings), maxEjection)
 	}
 }
 
-// worked notes that the server ran a sub-request.
-func (s *server) worked() {
-	s.failures = 0
-	s.sheds = 0
-	s.avoidUntil = 0
+// recordSuccess notes that the server ran a sub-request.
+func (s *server) recordSuccess() {
+	s.consecutiveFailures = 0
+	s.consecutiveSheds = 0
+	s.ejectedUntil = 0
 }
 
-// account brings the sums of the server's groups up to date, and notes the
+// updateCapacity brings the sums of the server's groups up to date, and notes the
 // groups in which something that waits may now find room.
-func (d *Dispatcher) account(s *server) {
-	var now contribution
-	if !s.leaving() {
+func (d *Dispatcher) updateCapacity(s *server) {
+	var now capacity
+	if !s.isLeaving() {
 		allowed := s.limiter.Limit()
-		now = contribution{inFlight: min(s.limiter.InFlight(), allowed), limit: allowed, usable: 1}
+		now = capacity{inFlight: min(s.limiter.InFlight(), allowed), limit: allowed, usable: 1}
 		if s.free(d.now, 0) {
 			now.free = 1
 		}
-		if s.free(d.now, d.reserve(0)) {
-			now.reserve = 1
+		if s.free(d.now, d.urgentReserve(0)) {
+			now.urgentReserve = 1
 		}
 	}
-	before := s.counted
+	before := s.countedCapacity
 	if now == before {
 		return
 	}
-	s.counted = now
+	s.countedCapacity = now
 	for _, g := range s.groups {
 		g.inFlight += now.inFlight - before.inFlight
 		g.limit += now.limit - before.limit
 		g.free += now.free - before.free
-		g.reserve += now.reserve - before.reserve
+		g.urgentReserve += now.urgentReserve - before.urgentReserve
 		g.usable += now.usable - before.usable
 		d.level(g)
 	}
-	if now.roomier(before) {
-		d.markRoomy(s.groups)
+	if now.hasMoreThan(before) {
+		d.markResumable(s.groups)
 	}
 }
 
-// roomier reports whether something that waited may find room, or no server any more.
-func (c contribution) roomier(before contribution) bool {
-	return c.free > before.free || c.reserve > before.reserve || c.inFlight < before.inFlight || c.limit > before.limit || c.usable != before.usable
+// hasMoreThan reports whether something that waited may find room, or no server any more.
+func (c capacity) hasMoreThan(before capacity) bool {
+	return c.free > before.free || c.urgentReserve > before.urgentReserve || c.inFlight < before.inFlight || c.limit > before.limit || c.usable != before.usable
 }
--- a/dispatch/world_test.go
+++ b/dispatch/simulation_test.go
@@ -10,64 +10,64 @@
 	"github.com/banksail/banksail/coverage"
 )
 
-// world drives a dispatcher with random servers, callers and faults on a
+// simulation drives a dispatcher with random servers, callers and faults on a
 // virtual clock, and checks what must hold. A world is named by its seed.
-type world struct {
+type simulation struct {
 	random     *rand.Rand
 	d          *Dispatcher
 	now        time.Duration
-	queue      happenings
+	queue      scheduledEvents
 	sequence   int
 	wakes      int
 	config     Configured
 	service    time.Duration // mean time of a sub-request
 	leaving    map[string]bool
-	queries    map[QueryID]*asked
-	attempts   map[AttemptID]*sent
+	queries    map[QueryID]*callerQuery
+	attempts   map[AttemptID]*serverAttempt
 	log        []string
 	violations []string
-	firsts     int
-	extras     int
+	firstSends int
+	extraSends int
 }
 
-// asked is a query as the caller sees it.
-type asked struct {
+// callerQuery is a query as the caller sees it.
+type callerQuery struct {
 	Query
 	arrived  time.Duration
 	outcome  *Outcome
 	finishes int
-	// touched says that a server ran, or may have run, a part.
-	touched bool
-	// forbidden says that nothing more may be sent.
-	forbidden bool
+	// anyMayHaveRun says that a server ran, or may have run, a part.
+	anyMayHaveRun bool
+	// mustNotSend says that nothing more may be sent.
+	mustNotSend bool
 }
 
-// sent is a sub-request as its server sees it.
-type sent struct {
+// serverAttempt is a sub-request as its server sees it.
+type serverAttempt struct {
 	Send
-	query    *asked
+	query    *callerQuery
 	reported bool
 	// mayHaveRun is set once the server ran, or may have run, it.
 	mayHaveRun bool
 	body       string
 }
 
-// happening is an event to come.
-type happening struct {
+// scheduledEvent is an event to come.
+type scheduledEvent struct {
 	at       time.Duration
 	sequence int
 	do       func()
 }
 
-type happenings []happening
+type scheduledEvents []scheduledEvent
 
-func (h happenings) Len() int { return len(h) }
-func (h happenings) Less(i, j int) bool {
+func (h scheduledEvents) Len() int { return len(h) }
+func (h scheduledEvents) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
-func (h happenings) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *happenings) Push(x any)   { *h = append(*h, x.(happening)) }
-func (h *happenings) Pop() any {
+func (h scheduledEvents) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *scheduledEvents) Push(x any)   { *h = append(*h, x.(scheduledEvent)) }
+func (h *scheduledEvents) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -75,40 +75,40 @@
 }
 
 const (
-	worldGroups   = 4
-	worldReplicas = 3
-	worldQueries  = 60
-	worldHedging  = 0.5 // greatest hedge share of configuration
+	simulationGroups   = 4
+	simulationReplicas = 3
+	simulationQueries  = 60
+	maxHedgeShare      = 0.5 // greatest hedge share of configuration
 )
 
-func newWorld(seed uint64, options Options) *world {
+func newSimulation(seed uint64, options Options) *simulation {
 	options.Seed = seed
-	w := &world{
+	w := &simulation{
 		random:   rand.New(rand.NewPCG(seed, 1)),
 		d:        New(options),
-		config:   configuration(worldGroups, worldReplicas),
+		config:   configuration(simulationGroups, simulationReplicas),
 		leaving:  make(map[string]bool),
-		queries:  make(map[QueryID]*asked),
-		attempts: make(map[AttemptID]*sent),
+		queries:  make(map[QueryID]*callerQuery),
+		attempts: make(map[AttemptID]*serverAttempt),
 	}
 	w.config.Classes[0].MinimumCoverage = float64(seed%4) / 4
 	w.service = 5 * time.Millisecond
 	if seed%3 == 0 {
-		w.overload()
+		w.slowDownServers()
 	}
 	w.after(0, func() { w.step(w.config) })
 	w.observeAll()
-	for id := range QueryID(worldQueries) {
-		w.after(w.within(200*time.Millisecond), func() { w.arrive(id + 1) })
+	for id := range QueryID(simulationQueries) {
+		w.after(w.randomDelay(200*time.Millisecond), func() { w.arrive(id + 1) })
 	}
 	for range 12 {
-		w.after(w.within(200*time.Millisecond), w.disturb)
+		w.after(w.randomDelay(200*time.Millisecond), w.injectFault)
 	}
 	return w
 }
 
-// overload makes the servers too slow for the queries.
-func (w *world) overload() {
+// slowDownServers makes the servers too slow for the queries.
+func (w *simulation) slowDownServers() {
 	w.service = 30 * time.Millisecond
 	for _, g := range w.config.Service.Groups {
 		for i := range g.Servers {
@@ -117,37 +117,37 @@
 	}
 }
 
-func (w *world) within(bound time.Duration) time.Duration {
+func (w *simulation) randomDelay(bound time.Duration) time.Duration {
 	return time.Duration(w.random.Int64N(int64(bound)))
 }
 
-func (w *world) after(delay time.Duration, do func()) {
+func (w *simulation) after(delay time.Duration, do func()) {
 	w.sequence++
-	heap.Push(&w.queue, happening{at: w.now + delay, sequence: w.sequence, do: do})
+	heap.Push(&w.queue, scheduledEvent{at: w.now + delay, sequence: w.sequence, do: do})
 }
 
 // run plays the world to its end.
-func (w *world) run() {
+func (w *simulation) run() {
 	for len(w.queue) > 0 {
-		next := heap.Pop(&w.queue).(happening)
+		next := heap.Pop(&w.queue).(scheduledEvent)
 		w.now = next.at
 		next.do()
 	}
 	w.checkEnd()
 }
 
-func (w *world) violate(format string, values ...any) {
+func (w *simulation) reportViolation(format string, values ...any) {
 	w.violations = append(w.violations, fmt.Sprintf(format, values...))
 }
 
-func (w *world) step(event Event) {
+func (w *simulation) step(event Event) {
 	for _, action := range w.d.Step(w.now, event) {
 		w.log = append(w.log, fmt.Sprintf("%v %T %+v", w.now, action, action))
 		switch action := action.(type) {
 		case Send:
-			w.take(action)
+			w.serve(action)
 		case Finish:
-			w.finish(action)
+			w.checkOutcome(action)
 		case SetTimer:
 			w.wakes++
 			w.after(max(action.At-w.now, 0), func() { w.step(TimerFired{}) })
@@ -155,7 +155,7 @@
 	}
 }
 
-func (w *world) observeAll() {
+func (w *simulation) observeAll() {
 	for _, g := range w.config.Service.Groups {
 		for _, s := range g.Servers {
 			held := []SnapshotID{7, 8}[:1+w.random.IntN(2)]
@@ -164,46 +164,46 @@
 	}
 }
 
-func (w *world) arrive(id QueryID) {
-	q := &asked{arrived: w.now, Query: Query{
+func (w *simulation) arrive(id QueryID) {
+	q := &callerQuery{arrived: w.now, Query: Query{
 		ID:         id,
 		Class:      []string{"urgent", "batch"}[w.random.IntN(2)],
-		Remaining:  time.Millisecond + w.within(150*time.Millisecond),
+		Remaining:  time.Millisecond + w.randomDelay(150*time.Millisecond),
 		Repeatable: w.random.IntN(3) > 0,
 	}}
 	w.queries[id] = q
 	w.step(QueryArrived{Query: q.Query})
 	if w.random.IntN(10) == 0 {
-		w.after(w.within(20*time.Millisecond), func() { w.leave(q) })
+		w.after(w.randomDelay(20*time.Millisecond), func() { w.disconnectCaller(q) })
 	}
 }
 
-// leave lets the caller of a query go: it is over at once.
-func (w *world) leave(q *asked) {
+// disconnectCaller lets the caller of a query go: it is over at once.
+func (w *simulation) disconnectCaller(q *callerQuery) {
 	w.step(CallerGone{Query: q.ID})
 	if q.finishes != 1 {
-		w.violate("query %d goes on without its caller", q.ID)
+		w.reportViolation("query %d goes on without its caller", q.ID)
 	}
 }
 
-// take lets a server answer a sub-request, or not.
-func (w *world) take(action Send) {
+// serve lets a server answer a sub-request, or not.
+func (w *simulation) serve(action Send) {
 	q := w.queries[action.Query]
-	s := &sent{Send: action, query: q}
+	s := &serverAttempt{Send: action, query: q}
 	w.attempts[action.Attempt] = s
 	if action.Kind == FirstSend {
-		w.firsts++
+		w.firstSends++
 	} else {
-		w.extras++
+		w.extraSends++
 	}
 	if w.leaving[action.Server] {
-		w.violate("attempt %d sent to %s, which is leaving", action.Attempt, action.Server)
+		w.reportViolation("attempt %d sent to %s, which is leaving", action.Attempt, action.Server)
 	}
 	if q.finishes > 0 {
-		w.violate("attempt %d sent after the final answer", action.Attempt)
+		w.reportViolation("attempt %d sent after the final answer", action.Attempt)
 	}
-	if q.forbidden {
-		w.violate("attempt %d of a query of which nothing more may be sent", action.Attempt)
+	if q.mustNotSend {
+		w.reportViolation("attempt %d of a query of which nothing more may be sent", action.Attempt)
 	}
 	w.checkNotRepeated(s)
 	delay := time.Duration(w.random.ExpFloat64() * float64(w.service))
@@ -211,22 +211,22 @@
 }
 
 // answer reports the one end of an attempt.
-func (w *world) answer(s *sent) {
+func (w *simulation) answer(s *serverAttempt) {
 	s.reported = true
 	reply := Reply{Snapshot: s.Snapshot, Range: s.Range, Snapshots: []SnapshotID{7, 8}[:1+w.random.IntN(2)]}
 	choice := w.random.IntN(40)
 	mayRun := true
 	switch choice {
 	case 0:
-		w.touch(s)
-		s.query.forbidden = !s.query.Repeatable
+		w.markMayHaveRun(s)
+		s.query.mustNotSend = !s.query.Repeatable
 		w.step(AttemptFailed{Attempt: s.Attempt, Delivery: DeliveryUnknown, Reason: "cut"})
 		return
 	case 1:
 		w.step(AttemptFailed{Attempt: s.Attempt, Delivery: NotDelivered, Reason: "refused"})
 		return
 	case 2:
-		reply.Status, reply.RetryAfter, mayRun = ReplyShed, w.within(10*time.Millisecond), false
+		reply.Status, reply.RetryAfter, mayRun = ReplyShed, w.randomDelay(10*time.Millisecond), false
 	case 3:
 		reply.Status, reply.Snapshots, mayRun = ReplyUnknownSnapshot, nil, false
 	case 4:
@@ -234,7 +234,7 @@
 	case 5:
 		reply.Status, mayRun = ReplyDraining, false
 		w.leaving[s.Server] = true
-		w.after(w.within(50*time.Millisecond), func() { w.change(s.Server, ServerLive) })
+		w.after(w.randomDelay(50*time.Millisecond), func() { w.changeState(s.Server, ServerLive) })
 	case 6:
 		reply.Status = ReplyError
 	case 7: // another query's reply
@@ -245,25 +245,25 @@
 		reply.Status = ReplyDone
 	}
 	if mayRun {
-		w.touch(s)
+		w.markMayHaveRun(s)
 	}
 	if mayRun && choice <= 8 {
-		s.query.forbidden = !s.query.Repeatable
+		s.query.mustNotSend = !s.query.Repeatable
 	}
 	s.body = fmt.Sprint(s.Attempt)
 	reply.Body = s.body
 	w.step(AttemptReplied{Attempt: s.Attempt, Reply: reply})
 }
 
-// touch notes that a server ran, or may have run, a part.
-func (w *world) touch(s *sent) {
-	s.query.touched = true
+// markMayHaveRun notes that a server ran, or may have run, a part.
+func (w *simulation) markMayHaveRun(s *serverAttempt) {
+	s.query.anyMayHaveRun = true
 	s.mayHaveRun = true
 }
 
 // checkNotRepeated checks that no part of a query that is not repeatable is sent
 // while, or after, a server may run it.
-func (w *world) checkNotRepeated(again *sent) {
+func (w *simulation) checkNotRepeated(again *serverAttempt) {
 	if again.query.Repeatable {
 		return
 	}
@@ -272,45 +272,45 @@
 			continue
 		}
 		if _, overlap := s.Range.Intersect(again.Range); overlap {
-			w.violate("attempt %d repeats attempt %d, which may run", again.Attempt, s.Attempt)
+			w.reportViolation("attempt %d repeats attempt %d, which may run", again.Attempt, s.Attempt)
 		}
 	}
 }
 
-func (w *world) change(server string, state ServerState) {
+func (w *simulation) changeState(server string, state ServerState) {
 	w.leaving[server] = state == ServerLeaving || state == ServerGone
 	w.step(ServerChanged{Server: server, State: state})
 }
 
-// disturb does something to the service.
-func (w *world) disturb() {
+// injectFault does something to the service.
+func (w *simulation) injectFault() {
 	group := w.config.Service.Groups[w.random.IntN(len(w.config.Service.Groups))]
 	server := group.Servers[w.random.IntN(len(group.Servers))].ID
 	switch w.random.IntN(5) {
 	case 0:
 		w.repartition()
 	case 1:
-		w.change(server, ServerSuspect)
+		w.changeState(server, ServerSuspect)
 	case 2:
-		w.change(server, ServerGone)
-		w.after(w.within(50*time.Millisecond), func() { w.change(server, ServerLive) })
+		w.changeState(server, ServerGone)
+		w.after(w.randomDelay(50*time.Millisecond), func() { w.changeState(server, ServerLive) })
 	case 3:
 		w.step(NodesChanged{Live: 1 + w.random.IntN(30)})
 	default:
-		w.change(server, ServerLeaving)
-		w.after(w.within(50*time.Millisecond), func() { w.change(server, ServerLive) })
+		w.changeState(server, ServerLeaving)
+		w.after(w.randomDelay(50*time.Millisecond), func() { w.changeState(server, ServerLive) })
 	}
 }
 
 // repartition moves the bounds between groups.
-func (w *world) repartition() {
+func (w *simulation) repartition() {
 	w.config.Revision++
 	w.config.Service.Groups = slices.Clone(w.config.Service.Groups)
 	start := uint64(0)
 	for i := range w.config.Service.Groups {
 		g := &w.config.Service.Groups[i]
 		end := uint64((i + 1) * keysPerGroup)
-		if i+1 < worldGroups {
+		if i+1 < simulationGroups {
 			end += w.random.Uint64N(keysPerGroup/2) - keysPerGroup/4
 		}
 		g.Range = coverage.Range{Start: start, End: end}
--- a/dispatch/timers.go
+++ b/dispatch/timers.go
@@ -18,8 +18,8 @@
 	server   *server
 }
 
-// stale reports that nothing is to be done at the timer's time.
-func (t timer) stale() bool {
+// isStale reports that nothing is to be done at the timer's time.
+func (t timer) isStale() bool {
 	return t.running != nil && (t.running.query == nil || t.running.timerAt != t.at)
 }
 
@@ -40,8 +40,8 @@
 	d.timers.Push(t)
 }
 
-// schedule makes the dispatcher wake for the query's next time.
-func (d *Dispatcher) schedule(r *running) {
+// scheduleTick makes the dispatcher wake for the query's next time.
+func (d *Dispatcher) scheduleTick(r *running) {
 	if r.query == nil {
 		return
 	}
@@ -53,29 +53,29 @@
 	d.setTimer(timer{at: at, running: r})
 }
 
-// expire handles what is due.
-func (d *Dispatcher) expire() {
+// runDueTimers handles what is due.
+func (d *Dispatcher) runDueTimers() {
 	for d.timers.Len() > 0 && d.timers.First().at <= d.now {
 		due := d.timers.Pop()
 		switch {
-		case due.stale():
+		case due.isStale():
 		case due.running != nil:
 			due.running.timerAt = 0
 			due.running.query.Tick(d.now)
-			d.schedule(due.running)
+			d.scheduleTick(due.running)
 		case due.server != nil:
-			d.account(due.server)
-			d.markRoomy(due.server.groups)
+			d.updateCapacity(due.server)
+			d.markResumable(due.server.groups)
 		}
 	}
 	for _, item := range d.queue.Expire(d.now) {
-		d.dequeue(QueryID(item.ID), ReasonQueueWait)
+		d.refuseQueued(QueryID(item.ID), ReasonQueueWait)
 	}
 }
 
-// wake asks for a TimerFired event at the next time at which something is due.
-func (d *Dispatcher) wake() {
-	for d.timers.Len() > 0 && d.timers.First().stale() {
+// updateOwnerTimer asks for a TimerFired event at the next time at which something is due.
+func (d *Dispatcher) updateOwnerTimer() {
+	for d.timers.Len() > 0 && d.timers.First().isStale() {
 		d.timers.Pop()
 	}
 	next := never
@@ -85,11 +85,11 @@
 	if at, ok := d.queue.NextExpiry(); ok {
 		next = min(next, at)
 	}
-	if d.wakeAt <= d.now {
-		d.wakeAt = never
+	if d.ownerTimerAt <= d.now {
+		d.ownerTimerAt = never
 	}
-	if next < d.wakeAt {
-		d.wakeAt = next
+	if next < d.ownerTimerAt {
+		d.ownerTimerAt = next
 		d.emit(SetTimer{At: next})
 	}
 }
