--- a/dispatch/action.go
+++ b/dispatch/action.go
@@ -6,11 +6,12 @@
 	"github.com/banksail/banksail/coverage"
 )
 
-// Action is something that the owner must do; Step returns them in order.
+// Action is an instruction to the owner. Step returns actions in the order in which they must
+// be carried out.
 type Action interface{ action() }
 
-// Send asks a server. The owner reports back exactly one AttemptReplied or AttemptFailed for
-// the attempt, also after a Cancel.
+// Send asks the owner to send a sub-request to a server. The owner must report exactly one
+// AttemptReplied or AttemptFailed for the attempt, even after a Cancel.
 type Send struct {
 	Attempt  AttemptID
 	Query    QueryID
@@ -20,22 +21,22 @@
 	Snapshot SnapshotID
 	// Remaining is the time left until the query's deadline.
 	Remaining time.Duration
-	// Kind tells a first send from an extra one.
+	// Kind is why the sub-request is sent: first send, hedge or retry.
 	Kind SendKind
 }
 
-// Cancel tells the owner that an attempt's reply is no longer wanted.
+// Cancel says that the reply to an attempt is no longer needed.
 type Cancel struct{ Attempt AttemptID }
 
-// Finish gives the query's one final answer. No further action names the query
-// but Cancel.
+// Finish delivers the final outcome of a query. Later actions refer to the query only to cancel
+// its attempts.
 type Finish struct {
 	Query   QueryID
 	Outcome Outcome
 }
 
-// SetTimer asks the owner for a TimerFired event at the given time. A later one
-// replaces an earlier one.
+// SetTimer asks the owner for a TimerFired event at the given time. It replaces any earlier
+// timer.
 type SetTimer struct{ At time.Duration }
 
 func (Send) action()     {}
--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -16,7 +16,7 @@
 	d.Step(0, arrival(3))
 	next := sends(d.Step(time.Millisecond, doneReply(running[0])))
 	if len(next) != 1 || next[0].Query != 3 {
-		t.Fatalf("sent %+v", next)
+		t.Fatalf("sent %+v, want only the urgent query", next)
 	}
 }
 
@@ -25,11 +25,11 @@
 	d.Step(0, arrival(1))
 	actions := d.Step(0, arrival(2))
 	if len(finishes(actions)) != 0 {
-		t.Fatal("not queued")
+		t.Fatal("query was not queued")
 	}
 	o := outcome(t, d.Step(50*time.Millisecond, TimerFired{}))
 	if o.Execution != ExecutionNotRun || o.Reason != ReasonQueueWait || o.RetryAfter <= 0 {
-		t.Fatalf("outcome %+v", o)
+		t.Fatalf("outcome %+v, want a refusal after the longest wait", o)
 	}
 }
 
@@ -39,10 +39,10 @@
 	d.Step(0, arrival(2))
 	o := outcome(t, d.Step(0, CallerGone{Query: 2}))
 	if o.Execution != ExecutionNotRun || o.Reason != ReasonCallerGone {
-		t.Fatalf("outcome %+v", o)
+		t.Fatalf("outcome %+v, want one that was not run", o)
 	}
 	if got := sends(d.Step(time.Millisecond, doneReply(running[0]))); len(got) != 0 {
-		t.Fatalf("sent %+v", got)
+		t.Fatalf("sent %+v for the query of a disconnected caller", got)
 	}
 }
 
@@ -51,13 +51,13 @@
 	running := sends(d.Step(0, arrival(1)))
 	d.Step(0, arrival(2))
 	if o := outcome(t, d.Step(0, Stopping{})); o.Reason != ReasonStopping || o.Execution != ExecutionNotRun {
-		t.Fatalf("outcome %+v", o)
+		t.Fatalf("outcome %+v, want a refusal of the queued query", o)
 	}
 	if o := outcome(t, d.Step(0, arrival(3))); o.Reason != ReasonStopping {
-		t.Fatalf("outcome %+v", o)
+		t.Fatalf("outcome %+v, want a refusal of the new query", o)
 	}
 	if o := outcome(t, d.Step(0, doneReply(running[0]))); !o.Complete {
-		t.Fatalf("outcome %+v", o)
+		t.Fatalf("outcome %+v, want the running query to complete", o)
 	}
 }
 
@@ -67,14 +67,14 @@
 	shed := statusReply(sent[0], ReplyShed)
 	shed.Reply.RetryAfter = 10 * time.Millisecond
 	if got := d.Step(0, shed); len(sends(got))+len(finishes(got)) != 0 {
-		t.Fatalf("did %+v", got)
+		t.Fatalf("unexpected actions %+v while the server backs off", got)
 	}
 	if early := sends(d.Step(9*time.Millisecond, TimerFired{})); len(early) != 0 {
-		t.Fatal("sent again before the server may be tried")
+		t.Fatal("sent again before the end of the back-off")
 	}
 	again := sends(d.Step(20*time.Millisecond, TimerFired{}))
 	if len(again) != 1 || again[0].Kind != RetrySend {
-		t.Fatalf("sent %+v", again)
+		t.Fatalf("sent %+v, want one retry", again)
 	}
 }
 
@@ -85,8 +85,8 @@
 	for id := range QueryID(5) {
 		sent += len(sends(d.Step(0, arrival(id+1))))
 	}
-	if sent != 2 { // 70 connections less a tenth, over 30 nodes
-		t.Fatalf("%d in flight, want 2", sent)
+	if sent != 2 { // 70 connections less the 10% to spare, shared by 30 nodes
+		t.Fatalf("%d requests in flight, want 2", sent)
 	}
 }
 
@@ -112,7 +112,7 @@
 				urgent += len(sends(d.Step(0, arrival(id+100))))
 			}
 			if batch != 8 || urgent != test.urgent {
-				t.Fatalf("%d batch and %d urgent in flight, want 8 and %d", batch, urgent, test.urgent)
+				t.Fatalf("%d batch and %d urgent requests in flight, want 8 and %d", batch, urgent, test.urgent)
 			}
 		})
 	}
@@ -129,7 +129,7 @@
 	for id := range QueryID(10) {
 		sent := sends(d.Step(0, arrival(id+1)))[0]
 		if sent.Server != "0/1" {
-			t.Fatalf("sent to %s", sent.Server)
+			t.Fatalf("sent to %s, want the server in the local zone", sent.Server)
 		}
 		d.Step(0, doneReply(sent))
 	}
@@ -140,10 +140,10 @@
 	first := sends(d.Step(0, arrival(1)))[0]
 	again := sends(d.Step(0, ServerChanged{Server: first.Server, State: ServerGone}))
 	if len(again) != 1 || again[0].Server == first.Server {
-		t.Fatalf("sent %+v", again)
+		t.Fatalf("sent %+v, want one retry on the other server", again)
 	}
 	if o := outcome(t, d.Step(0, doneReply(first))); !o.Complete || o.Parts[0].Server != first.Server {
-		t.Fatalf("outcome %+v", o)
+		t.Fatalf("outcome %+v, want a complete one from the gone server", o)
 	}
 }
 
@@ -152,10 +152,10 @@
 	running := sends(d.Step(0, arrival(1)))
 	d.Step(0, Configured{Removed: true})
 	if o := outcome(t, d.Step(0, arrival(2))); o.Reason != ReasonNoConfiguration || o.Execution != ExecutionNotRun {
-		t.Fatalf("outcome %+v", o)
+		t.Fatalf("outcome %+v, want a refusal of the new query", o)
 	}
 	if o := outcome(t, d.Step(0, doneReply(running[0]))); !o.Complete {
-		t.Fatalf("outcome %+v", o)
+		t.Fatalf("outcome %+v, want the running query to complete", o)
 	}
 }
 
@@ -166,12 +166,12 @@
 		d.updateCapacity(s)
 	}
 	if got := len(sends(d.Step(0, arrival(1)))); got != 7 {
-		t.Fatalf("%d sends of the class that accepts less, want 7", got)
+		t.Fatalf("%d sub-requests sent for the class that accepts partial answers, want 7", got)
 	}
-	batch := arrival(2) // needs nine tenths
+	batch := arrival(2) // requires a coverage of 0.9
 	batch.Query.Class = "batch"
 	if got := len(sends(d.Step(0, batch))); got != 0 || d.queue.Len() != 1 {
-		t.Fatalf("%d sends, %d queued; want none and one", got, d.queue.Len())
+		t.Fatalf("%d sub-requests sent, %d queries queued; want 0 and 1", got, d.queue.Len())
 	}
 }
 
@@ -185,10 +185,10 @@
 		batch := arrival(QueryID(number + 1))
 		batch.Query.Class = "batch"
 		if got := len(sends(d.Step(0, batch))); got != want {
-			t.Fatalf("query %d: %d sends, want %d", number+1, got, want)
+			t.Fatalf("query %d: %d sub-requests sent, want %d", number+1, got, want)
 		}
 	}
 	if d.queue.Len() != 1 {
-		t.Fatalf("%d queued, want the third", d.queue.Len())
+		t.Fatalf("%d queries queued, want only the third", d.queue.Len())
 	}
 }
--- a/dispatch/alias.go
+++ b/dispatch/alias.go
@@ -5,36 +5,36 @@
 	"github.com/banksail/banksail/snapshot"
 )
 
-// Types that the parts below share with this package.
+// Types shared with the packages that this one is built on.
 type (
-	// AttemptID identifies one sub-request within its dispatcher. The dispatcher
-	// picks it and never uses it twice.
+	// AttemptID identifies a sub-request within its dispatcher. IDs are assigned by the
+	// dispatcher and never reused.
 	AttemptID = gather.AttemptID
-	// SnapshotID identifies an index snapshot. A higher one is newer; zero is none.
+	// SnapshotID identifies an index snapshot. Higher IDs are newer; zero means none.
 	SnapshotID = snapshot.ID
-	// SendKind tells why a sub-request was sent.
+	// SendKind is the reason for which a sub-request was sent.
 	SendKind = gather.SendKind
-	// Delivery tells how far a failed attempt got.
+	// Delivery is how far a failed attempt got.
 	Delivery = gather.Delivery
-	// ReplyStatus is the kind of a server's reply.
+	// ReplyStatus is the status of a server's reply.
 	ReplyStatus = gather.ReplyStatus
-	// Reply is a server's answer to one attempt.
+	// Reply is a server's reply to an attempt.
 	Reply = gather.Reply
-	// Load is a server's own account of its work.
+	// Load is the load that a server reports.
 	Load = gather.Load
-	// Execution tells the caller whether a refused or failed request ran.
+	// Execution is whether a query ran, for callers that consider a retry.
 	Execution = gather.Execution
-	// Reason tells why a query ended as it did.
+	// Reason is why a query ended the way it did.
 	Reason = gather.Reason
-	// Part is one reply that the answer holds.
+	// Part is one accepted reply of an answer.
 	Part = gather.Part
-	// Outcome is the one final answer to a query.
+	// Outcome is the final result of a query.
 	Outcome = gather.Outcome
-	// Step is one entry of a query's explanation.
+	// Step is an entry of a query's explanation.
 	Step = gather.Step
 )
 
-// Kinds of sends.
+// Send kinds.
 const (
 	FirstSend = gather.FirstSend
 	HedgeSend = gather.HedgeSend
@@ -47,7 +47,7 @@
 	NotDelivered    = gather.NotDelivered
 )
 
-// Statuses of replies.
+// Reply statuses.
 const (
 	ReplyDone            = gather.ReplyDone
 	ReplyShed            = gather.ReplyShed
@@ -57,7 +57,7 @@
 	ReplyError           = gather.ReplyError
 )
 
-// Verdicts on what ran.
+// Execution states.
 const (
 	ExecutionNotRun  = gather.ExecutionNotRun
 	ExecutionUnknown = gather.ExecutionUnknown
@@ -65,7 +65,7 @@
 	ExecutionDone    = gather.ExecutionDone
 )
 
-// Reasons of an outcome.
+// Reasons of outcomes.
 const (
 	ReasonComplete        = gather.ReasonComplete
 	ReasonDeadline        = gather.ReasonDeadline
--- a/dispatch/benchmark_test.go
+++ b/dispatch/benchmark_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// benchmarkQuery measures one query over all groups, from its arrival to its
-// final answer, with every sub-request answered once.
+// benchmarkQuery measures a query over all groups from its arrival to its final outcome, with
+// each sub-request answered once.
 func benchmarkQuery(b *testing.B, groups int) {
 	d := newConfigured(Options{}, groups, 2)
 	now := time.Duration(0)
@@ -24,7 +24,7 @@
 		}
 	}
 	if len(d.running) > 0 {
-		b.Fatalf("%d queries still run", len(d.running))
+		b.Fatalf("%d queries are still running", len(d.running))
 	}
 	perSubRequest := float64(b.Elapsed().Nanoseconds()) / float64(b.N) / float64(groups)
 	b.ReportMetric(perSubRequest, "ns/sub-request")
@@ -34,7 +34,7 @@
 func BenchmarkDispatchQuery64Groups(b *testing.B)  { benchmarkQuery(b, 64) }
 func BenchmarkDispatchQuery350Groups(b *testing.B) { benchmarkQuery(b, 350) }
 
-// BenchmarkRefusal measures a query that is refused at once.
+// BenchmarkRefusal measures a query that is refused on arrival.
 func BenchmarkRefusal(b *testing.B) {
 	d := newConfigured(Options{MaximumRunning: 1, MaximumQueued: 1}, 64, 2)
 	for id := range QueryID(4) {
@@ -45,12 +45,12 @@
 	for b.Loop() {
 		id++
 		if len(d.Step(0, arrival(id))) != 1 {
-			b.Fatal("not refused")
+			b.Fatal("query was not refused")
 		}
 	}
 }
 
-// BenchmarkServerChanged measures an event of one server among many.
+// BenchmarkServerChanged measures a state change of one server among many.
 func BenchmarkServerChanged(b *testing.B) {
 	for _, groups := range []int{64, 1000} {
 		b.Run(fmt.Sprint(groups*2, "Servers"), func(b *testing.B) {
--- a/dispatch/configure.go
+++ b/dispatch/configure.go
@@ -12,16 +12,16 @@
 	"github.com/banksail/banksail/snapshot"
 )
 
-// class is a priority class as it is in force.
+// class is a configured priority class.
 type class struct {
 	policy.Class
-	// rank is the position by order, zero for the most urgent.
+	// rank is the position of the class by urgency; zero is the most urgent.
 	rank int
-	// share is the part of each limit that the class may use.
+	// share is the fraction of each concurrency limit that the class may use.
 	share float64
 }
 
-// configure takes the service and classes now in force.
+// configure applies a new configuration of the service and its classes.
 func (d *Dispatcher) configure(event Configured) {
 	d.configured = !event.Removed
 	if event.Removed {
@@ -39,16 +39,16 @@
 	}
 }
 
-// configureClasses ranks the classes. Queries in flight keep a class that was
-// removed, as the least urgent.
+// configureClasses ranks the classes and computes their shares. Queries in flight keep a class
+// that has been removed, ranked as the least urgent.
 func (d *Dispatcher) configureClasses(classes []policy.Class) {
 	sorted := slices.Clone(classes)
 	slices.SortStableFunc(sorted, func(a, b policy.Class) int { return cmp.Compare(a.Order, b.Order) })
-	kept := make([]float64, len(sorted))
+	headrooms := make([]float64, len(sorted))
 	for i := range sorted {
-		kept[i] = sorted[i].Headroom
+		headrooms[i] = sorted[i].Headroom
 	}
-	shares := limit.HeadroomShares(kept, d.options.MinimumClassShare)
+	shares := limit.HeadroomShares(headrooms, d.options.MinimumClassShare)
 	for _, old := range d.rankedClasses {
 		old.rank = max(len(sorted)-1, 0)
 	}
@@ -68,8 +68,9 @@
 	d.updateBlockedShares()
 }
 
-// updateBlockedShares sets, by rank, the share of groups that a query may start without: what
-// its class, or a less urgent one, can do without.
+// updateBlockedShares computes, by rank, the share of groups that may lack capacity when a query
+// starts: at most Options.BlockedShare, and at most the share that the coverage required by its
+// class, or by a less urgent one, leaves open.
 func (d *Dispatcher) updateBlockedShares() {
 	d.blockedShares = make([]float64, len(d.rankedClasses))
 	share := 0.0
@@ -79,7 +80,7 @@
 	}
 }
 
-// configureGroups takes the service's groups; it reports whether they changed.
+// configureGroups applies the service's groups and reports whether they have changed.
 func (d *Dispatcher) configureGroups(service policy.Service) bool {
 	if d.generation > 0 && reflect.DeepEqual(d.service, service) {
 		return false
@@ -94,7 +95,7 @@
 	before := d.servers
 	d.servers = make(map[string]*server, len(before))
 	d.groups = make([]*group, 0, len(service.Groups))
-	catalogued := make([]snapshot.Group, 0, len(service.Groups))
+	catalogGroups := make([]snapshot.Group, 0, len(service.Groups))
 	sorted := slices.Clone(service.Groups)
 	slices.SortFunc(sorted, func(a, b policy.Group) int { return cmp.Compare(a.Range.Start, b.Range.Start) })
 	for _, settings := range sorted {
@@ -113,17 +114,17 @@
 			shard.Servers = append(shard.Servers, replica.ID)
 		}
 		d.groups = append(d.groups, g)
-		catalogued = append(catalogued, shard)
+		catalogGroups = append(catalogGroups, shard)
 	}
-	d.catalog.Configure(catalogued)
+	d.catalog.Configure(catalogGroups)
 	d.removeServers(before)
 	d.attachServers()
 	d.budget.SetBurst(max(d.options.Budget.Burst, retry.DefaultBurst, float64(len(d.groups))))
 	return true
 }
 
-// configureServer returns the state of a server in the group; what was learned
-// of a server that was configured before is kept.
+// configureServer returns the state of a server and adds it to the group. A server that was
+// configured before keeps its estimates.
 func (d *Dispatcher) configureServer(g *group, settings policy.Server, before map[string]*server) *server {
 	s := d.servers[settings.ID]
 	if s == nil {
@@ -145,8 +146,8 @@
 	return s
 }
 
-// removeServers drops the servers that are in no group any more, but keeps that
-// they are leaving, in case they come back into one.
+// removeServers discards servers that are no longer in any group. It remembers those that are
+// leaving or suspect, in case they are configured again.
 func (d *Dispatcher) removeServers(before map[string]*server) {
 	for id, s := range before {
 		if d.servers[id] != nil {
@@ -163,7 +164,7 @@
 	}
 }
 
-// attachServers ties each server to the catalog and to the connection share.
+// attachServers connects each server to the snapshot catalog and sets the node's share of it.
 func (d *Dispatcher) attachServers() {
 	for _, g := range d.groups {
 		for _, s := range g.servers {
@@ -174,7 +175,7 @@
 	}
 }
 
-// recountGroups counts the sums of all groups anew.
+// recountGroups recomputes the capacity totals of all groups and the numbers of blocked groups.
 func (d *Dispatcher) recountGroups() {
 	d.blockedGroups = make([]int, len(d.rankedClasses))
 	for _, g := range d.groups {
@@ -194,7 +195,8 @@
 	}
 }
 
-// requeueQueries ranks the waiting queries by the classes now in force.
+// requeueQueries ranks the queued queries by the current classes. Queries whose class has been
+// removed are refused.
 func (d *Dispatcher) requeueQueries() {
 	for _, item := range d.queue.Drain() {
 		id := QueryID(item.ID)
@@ -208,7 +210,7 @@
 	}
 }
 
-// rerouteQueries lets the queries that run follow a repartition.
+// rerouteQueries applies a change of routing or availability to the running queries.
 func (d *Dispatcher) rerouteQueries() {
 	for _, r := range d.runningByID() {
 		if r.query != nil {
@@ -218,7 +220,7 @@
 	}
 }
 
-// runningByID lists the queries that run by ID.
+// runningByID returns the running queries in the order of their IDs.
 func (d *Dispatcher) runningByID() []*running {
 	list := make([]*running, 0, len(d.running))
 	for _, r := range d.running {
@@ -228,7 +230,8 @@
 	return list
 }
 
-// setLiveNodes shares out the servers' slots and connections anew.
+// setLiveNodes recomputes the node's share of each server when the number of live nodes
+// changes.
 func (d *Dispatcher) setLiveNodes(live int) {
 	if live == d.liveNodes {
 		return
@@ -242,8 +245,8 @@
 	}
 }
 
-// updateServerShare sets the node's share of the server's slots, from which its limit
-// starts, and of its connections, which bound the limit.
+// updateServerShare sets the node's share of the server's slots, which is the initial
+// concurrency limit, and of its connections, which is the maximum of that limit.
 func (d *Dispatcher) updateServerShare(s *server) {
 	if d.liveNodes <= 0 {
 		return
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -13,15 +13,15 @@
 	"github.com/banksail/banksail/snapshot"
 )
 
-// Dispatcher carries the queries of one service. It is not safe for concurrent
-// use: its owner serialises calls to Step.
+// Dispatcher runs the queries of one service. It is not safe for concurrent use: the owner must
+// serialize calls to Step.
 type Dispatcher struct {
 	options Options
 	random  *rand.Rand
 	now     time.Duration
 	actions []Action
 
-	// The configuration in force.
+	// Current configuration.
 	configured         bool
 	stopping           bool
 	liveNodes          int
@@ -29,28 +29,28 @@
 	keySpace           coverage.Range
 	classes            map[string]*class
 	rankedClasses      []*class  // by rank
-	blockedShares      []float64 // by rank, share of groups that may be without room
-	groups             []*group  // by range
-	generation         uint64    // of groups
+	blockedShares      []float64 // by rank; share of groups that may lack capacity when a query starts
+	groups             []*group  // sorted by range
+	generation         uint64    // incremented when groups change
 	servers            map[string]*server
 	unconfiguredStates map[string]ServerState // of servers that are not configured
 
-	// What is learned.
+	// Estimates and what is known of snapshots and budgets.
 	catalog   *snapshot.Catalog
 	budget    *retry.Budget
 	latencies retry.Sketch
 
-	// What runs and waits. blocked counts, by rank, the groups without room.
+	// Queued and running queries. blockedGroups counts, by rank, the groups that lack capacity.
 	queue         *admission.Queue
-	requests      map[QueryID]Query // that wait in the queue
+	requests      map[QueryID]Query // of queries in the queue
 	running       map[QueryID]*running
 	attempts      map[AttemptID]*gather.Attempt
 	blockedGroups []int
 	lastAttemptID AttemptID
 
-	// resumable lists the groups in which something that waits may find room. pumped
-	// is the group whose waiting segments are being tried; those that
-	// still find no room gather in passed until the end.
+	// resumable lists the groups in which a waiting segment may find capacity. resuming is the
+	// group whose waiting segments are being retried; those that still find no capacity are
+	// collected in skipped until the end.
 	resumable []*group
 	resuming  *group
 	skipped   []waiter
@@ -60,7 +60,7 @@
 	ownerTimerAt time.Duration
 }
 
-// New returns a Dispatcher that refuses every query until it is configured.
+// New returns a Dispatcher that refuses all queries until it is configured.
 func New(options Options) *Dispatcher {
 	options = options.withDefaults()
 	d := &Dispatcher{
@@ -84,8 +84,8 @@
 	return d
 }
 
-// Step takes one event at the given time and returns the actions to carry out,
-// in order. Time never decreases between calls. The caller owns the result.
+// Step processes an event at the given time and returns the resulting actions in order. Times
+// must not decrease between calls. The caller owns the returned slice.
 func (d *Dispatcher) Step(now time.Duration, event Event) []Action {
 	d.now = max(d.now, now)
 	d.actions = nil
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -11,7 +11,8 @@
 
 const keysPerGroup = 100
 
-// configuration returns a service of groups with replicas each, named "g/r".
+// configuration returns a service with the given numbers of groups and of replicas per group.
+// Servers are named "group/replica".
 func configuration(groups, replicas int) Configured {
 	service := policy.Service{Name: "search", KeySpace: coverage.Range{End: uint64(groups * keysPerGroup)}}
 	for g := range groups {
@@ -79,10 +80,10 @@
 	for i, s := range sent {
 		ended := finishes(d.Step(2*time.Millisecond, doneReply(s)))
 		if (i == 7) != (len(ended) == 1) {
-			t.Fatalf("reply %d gave %d final answers", i, len(ended))
+			t.Fatalf("reply %d resulted in %d final outcomes", i, len(ended))
 		}
 		if len(ended) == 1 && (!ended[0].Outcome.Complete || ended[0].Outcome.Execution != ExecutionDone || ended[0].Outcome.Snapshot != 7) {
-			t.Fatalf("outcome %+v", ended[0].Outcome)
+			t.Fatalf("outcome %+v, want a complete one of snapshot 7", ended[0].Outcome)
 		}
 	}
 }
@@ -91,7 +92,7 @@
 	d := New(Options{})
 	ended := finishes(d.Step(0, arrival(1)))
 	if len(ended) != 1 || ended[0].Outcome.Reason != ReasonNoConfiguration || ended[0].Outcome.RetryAfter <= 0 {
-		t.Fatalf("got %+v", ended)
+		t.Fatalf("final outcomes %+v, want one refusal with RetryAfter", ended)
 	}
 }
 
@@ -100,7 +101,7 @@
 	d.Step(0, configuration(2, 2))
 	ended := finishes(d.Step(0, arrival(1)))
 	if len(ended) != 1 || ended[0].Outcome.Reason != ReasonNoSnapshot || ended[0].Outcome.Execution != ExecutionNotRun {
-		t.Fatalf("got %+v", ended)
+		t.Fatalf("final outcomes %+v, want one refusal for lack of a snapshot", ended)
 	}
 }
 
@@ -110,7 +111,7 @@
 	d.Step(time.Millisecond, doneReply(sent[0]))
 	ended := finishes(d.Step(100*time.Millisecond, TimerFired{}))
 	if len(ended) != 1 || ended[0].Outcome.Reason != ReasonDeadline || ended[0].Outcome.Coverage != 0.5 {
-		t.Fatalf("got %+v", ended)
+		t.Fatalf("final outcomes %+v, want one with coverage 0.5 at the deadline", ended)
 	}
 }
 
@@ -122,17 +123,17 @@
 		first := sends(d.Step(0, q))
 		second := sends(d.Step(0, AttemptReplied{Attempt: first[0].Attempt, Reply: Reply{Status: status}}))
 		if len(second) != 1 || second[0].Server == first[0].Server {
-			t.Fatalf("status %d: retried at %+v", status, second)
+			t.Fatalf("status %d: sent %+v, want one retry on the other server", status, second)
 		}
 		last := d.Step(0, AttemptReplied{Attempt: second[0].Attempt, Reply: Reply{Status: status}})
 		if len(sends(last)) != 0 {
-			t.Fatalf("status %d: sent again at once", status)
+			t.Fatalf("status %d: sent again without a back-off", status)
 		}
-		if status == ReplyShed { // the servers may have room later
+		if status == ReplyShed { // the servers are retried after their back-off
 			last = append(last, d.Step(100*time.Millisecond, CallerGone{})...)
 		}
 		if ended := finishes(last); len(ended) != 1 || ended[0].Outcome.Execution != ExecutionNotRun {
-			t.Fatalf("status %d: got %+v", status, ended)
+			t.Fatalf("status %d: final outcomes %+v, want one that was not run", status, ended)
 		}
 	}
 }
@@ -144,10 +145,10 @@
 	first := sends(d.Step(0, q))
 	actions := d.Step(0, AttemptFailed{Attempt: first[0].Attempt, Delivery: DeliveryUnknown})
 	if len(sends(actions)) != 0 {
-		t.Fatal("sent again")
+		t.Fatal("sent again after an unknown outcome")
 	}
 	ended := finishes(actions)
 	if len(ended) != 1 || ended[0].Outcome.Execution != ExecutionUnknown || ended[0].Outcome.Reason != ReasonOutcomeUnknown {
-		t.Fatalf("got %+v", ended)
+		t.Fatalf("final outcomes %+v, want one with unknown execution", ended)
 	}
 }
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -1,16 +1,13 @@
-// Package dispatch is the pure state machine that carries every query of one
-// service on one node: admission, choice of replicas, hedges, collection, and
-// the final answer.
+// Package dispatch implements the state machine that runs the queries of one service on one
+// node: admission, replica selection, hedging, collection of replies and the final outcome.
 //
-// The machine has no goroutine, clock or I/O. Its owner calls Step with the
-// events that happened, serialised by the owner's lock, and carries out the
-// actions that Step returns. The daemon, the simulation, the experiments and
-// replay all drive this same machine: the same events, times and seed give the
-// same actions, byte for byte.
+// A Dispatcher has no goroutines, clock or I/O. Its owner calls Step with each event,
+// serialized by the owner's lock, and carries out the returned actions. The daemon, the
+// simulation, the experiments and replay all drive the same state machine: the same events,
+// times and seed produce the same actions, byte for byte.
 //
-// Times are durations since an epoch that the owner picks; they never decrease
-// between calls.
+// Times are durations since an epoch chosen by the owner; they never decrease between calls.
 //
-// It composes the packages admission, gather, limit, retry and snapshot, each
-// of which can be used alone. Every policy is a field of Options.
+// The package is built on admission, gather, limit, retry and snapshot, each of which can be
+// used on its own. Every policy is a field of Options.
 package dispatch
--- a/dispatch/environment.go
+++ b/dispatch/environment.go
@@ -10,8 +10,7 @@
 	"github.com/banksail/banksail/snapshot"
 )
 
-// environment is what a query sees of its dispatcher; it implements
-// gather.Environment.
+// environment adapts a Dispatcher to gather.Environment.
 type environment Dispatcher
 
 // Generation implements gather.Environment.
@@ -22,7 +21,8 @@
 	return (*Dispatcher)(e).targetsOf(r)
 }
 
-// Place implements gather.Environment.
+// Place implements gather.Environment. If no server has capacity, the segment is enqueued to
+// wait for it, unless it is a hedge or its group is overloaded.
 func (e *environment) Place(s *gather.Segment, kind SendKind) (gather.Server, gather.Placement) {
 	d := (*Dispatcher)(e)
 	g := s.Group.(*group)
@@ -89,11 +89,10 @@
 	return time.Duration(least)
 }
 
-// minBackoff is the time before the first round of asking tried servers anew;
-// it doubles with each.
+// minBackoff is the delay before the first retry round; it doubles with each round.
 const minBackoff = 10 * time.Millisecond
 
-// Backoff implements gather.Environment.
+// Backoff implements gather.Environment. It adds up to 50% of random jitter.
 func (e *environment) Backoff(round int) time.Duration {
 	backoff := minBackoff << min(round, maxDoublings)
 	return backoff + time.Duration(e.random.Float64()*float64(backoff)/2)
--- a/dispatch/event.go
+++ b/dispatch/event.go
@@ -6,36 +6,36 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// QueryID identifies a query within its dispatcher. The owner picks it and
-// never uses it twice.
+// QueryID identifies a query within its dispatcher. IDs are assigned by the owner and never
+// reused.
 type QueryID uint64
 
-// Query is one caller's request.
+// Query is a caller's request.
 type Query struct {
-	// ID identifies the query towards the owner.
+	// ID identifies the query between owner and dispatcher.
 	ID QueryID
-	// RequestID is the caller's own name for the request.
+	// RequestID is the ID that the caller gave to the request.
 	RequestID string
-	// Class names the priority class.
+	// Class is the name of the priority class.
 	Class string
-	// Remaining is the time until the caller's deadline, from the event's time.
+	// Remaining is the time from the event to the caller's deadline.
 	Remaining time.Duration
-	// MinimumCoverage is the least coverage that the caller accepts.
+	// MinimumCoverage is the minimum coverage that the caller accepts, as a fraction.
 	MinimumCoverage float64
-	// Repeatable says that sub-requests may run more than once.
+	// Repeatable allows sub-requests to run more than once.
 	Repeatable bool
 }
 
-// Event is something that happened; Step takes one.
+// Event is an input of Step.
 type Event interface{ event() }
 
-// QueryArrived reports a caller's request.
+// QueryArrived reports a new request from a caller.
 type QueryArrived struct{ Query Query }
 
-// CallerGone reports that the caller of a query no longer waits.
+// CallerGone reports that the caller of a query has disconnected.
 type CallerGone struct{ Query QueryID }
 
-// AttemptReplied reports a server's well-formed reply to an attempt.
+// AttemptReplied reports a well-formed reply to an attempt.
 type AttemptReplied struct {
 	Attempt AttemptID
 	Reply   Reply
@@ -49,41 +49,41 @@
 	Reason string
 }
 
-// TimerFired reports that the time named by a SetTimer action has come.
+// TimerFired reports that the time of the last SetTimer action has come.
 type TimerFired struct{}
 
-// Configured gives the service and the classes now in force. Until the first
-// one arrives, every query is refused.
+// Configured sets the configuration of the service and its classes. All queries are refused
+// until the first one.
 type Configured struct {
 	Revision policy.Revision
 	Service  policy.Service
 	Classes  []policy.Class
-	// Removed says that the service is no longer configured; queries in flight
-	// finish, new ones are refused.
+	// Removed says that the service is no longer configured: queries in flight finish, new ones
+	// are refused.
 	Removed bool
 }
 
-// ServerChanged reports a server's state in membership.
+// ServerChanged reports a change of a server's membership state.
 type ServerChanged struct {
 	Server string
 	State  ServerState
 }
 
-// ServerReported reports a server's own account of itself, from a reply of another
-// kind than to an attempt (health, load). It is a hint: it may lag or mislead.
+// ServerReported reports snapshots and load that a server stated outside replies to attempts,
+// such as in a health check. Reports are hints: they may be outdated or wrong.
 type ServerReported struct {
 	Server    string
 	Snapshots []SnapshotID
 	Load      Load
 }
 
-// NodesChanged reports how many nodes are live, this one included. They share
-// the connections that each server accepts, and an even share of its slots is
-// where a limit starts from. Until the first one arrives no share is known.
+// NodesChanged reports the number of live nodes, including this one. The nodes share the
+// connections that each server accepts, and an even share of a server's slots is the initial
+// concurrency limit. No share is known until the first such event.
 type NodesChanged struct{ Live int }
 
-// Stopping reports that the node is about to stop: queued and new queries are
-// refused as not run; running ones finish.
+// Stopping reports that the node is shutting down: queued and new queries are refused without
+// being run; running ones finish.
 type Stopping struct{}
 
 func (QueryArrived) event()   {}
@@ -97,16 +97,16 @@
 func (NodesChanged) event()   {}
 func (Stopping) event()       {}
 
-// ServerState is what membership says of a server.
+// ServerState is the membership state of a server.
 type ServerState int
 
 const (
-	// ServerLive servers take new work.
+	// ServerLive servers accept new work.
 	ServerLive ServerState = iota
-	// ServerSuspect servers take new work only when no live one is left.
+	// ServerSuspect servers accept new work only if no live server is left.
 	ServerSuspect
-	// ServerLeaving servers take no new work; work in flight ends.
+	// ServerLeaving servers accept no new work; work in flight finishes.
 	ServerLeaving
-	// ServerGone servers take no new work, and attempts on them have failed.
+	// ServerGone servers accept no new work, and attempts on them are expected to fail.
 	ServerGone
 )
--- a/dispatch/example_test.go
+++ b/dispatch/example_test.go
@@ -9,7 +9,7 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// A driver passes events in and carries out the actions that come back.
+// A driver passes events to the dispatcher and carries out the returned actions.
 func Example() {
 	space := coverage.Range{Start: 0, End: 1000}
 	dispatcher := dispatch.New(dispatch.Options{Zone: "a"})
--- a/dispatch/feedback.go
+++ b/dispatch/feedback.go
@@ -7,18 +7,18 @@
 	"github.com/banksail/banksail/limit"
 )
 
-// attemptResult is how an attempt ended, as far as it says something of its server.
+// attemptResult is how an attempt ended, as feedback on its server.
 type attemptResult int
 
 const (
-	resultAnswered    attemptResult = iota // ran, in the time that it took
-	resultShed                             // turned away by a server that is too busy
-	resultNotExecuted                      // turned away for another reason
+	resultAnswered    attemptResult = iota // executed; the latency is valid
+	resultShed                             // rejected because the server is overloaded
+	resultNotExecuted                      // rejected for another reason
 	resultFailed                           // no reply, or a wrong one
-	resultCancelled                        // given up before a reply came
+	resultCancelled                        // cancelled before a reply arrived
 )
 
-// classifyReply classifies a reply.
+// classifyReply returns the result that a reply stands for.
 func classifyReply(a *gather.Attempt, reply Reply) attemptResult {
 	switch reply.Status {
 	case ReplyDone:
@@ -35,9 +35,9 @@
 	}
 }
 
-// limiterOutcome is what the end means to the server's limiter.
-func (e attemptResult) limiterOutcome() limit.Outcome {
-	switch e {
+// limiterOutcome returns the outcome that the server's limiter records.
+func (r attemptResult) limiterOutcome() limit.Outcome {
+	switch r {
 	case resultAnswered:
 		return limit.Answered
 	case resultShed:
@@ -47,9 +47,10 @@
 	}
 }
 
-// recordResult takes the end of an attempt into latencies and the server's record.
-func (d *Dispatcher) recordResult(a *gather.Attempt, s *server, latency time.Duration, end attemptResult) {
-	switch end {
+// recordResult updates the latency estimates and the failure counts of the server with the
+// result of an attempt.
+func (d *Dispatcher) recordResult(a *gather.Attempt, s *server, latency time.Duration, result attemptResult) {
+	switch result {
 	case resultAnswered:
 		s.recordSuccess()
 		s.observeLatency(d.now, latency)
@@ -57,15 +58,15 @@
 	case resultFailed:
 		s.recordFailure(d.now)
 	case resultCancelled:
-		// The latency would have been longer; leaving such attempts out would
-		// make slow servers look fast.
+		// The full latency would have been longer. Omitting cancelled attempts would make slow
+		// servers appear fast.
 		s.observeMinLatency(d.now, latency)
 		d.recordLatency(a, latency)
 	case resultShed, resultNotExecuted:
 	}
 }
 
-// sample takes a latency into the sketches from which delays are chosen.
+// recordLatency adds a latency to the sketches of the service and the group.
 func (d *Dispatcher) recordLatency(a *gather.Attempt, latency time.Duration) {
 	d.latencies.Add(latency)
 	a.Segment.Group.(*group).latencies.Add(latency)
--- a/dispatch/group.go
+++ b/dispatch/group.go
@@ -11,25 +11,28 @@
 	"github.com/banksail/banksail/retry"
 )
 
-// group is a shard with the sums over its servers that leave none out.
+// group is a shard: a key range and its replicas, with the capacity totals of the replicas that
+// are not leaving.
 type group struct {
 	name      string
 	keyRange  coverage.Range
 	servers   []*server
 	latencies *retry.Sketch
 	capacity
-	// level is the number of classes that have room, the most urgent first.
+	// level is the number of priority classes for which the group has capacity, starting with
+	// the most urgent.
 	level int
-	// admits is the number of classes, the most urgent first, whose queries may
-	// start: those that have room, or all while few sub-requests wait here.
+	// admits is the number of priority classes, starting with the most urgent, whose queries
+	// the group does not block: those with capacity, or all while fewer sub-requests wait here
+	// than Options.WaitingAllowance.
 	admits    int
 	waiting   *priority.Queue[waiter]
-	resumable bool // is listed in the dispatcher's roomy groups
+	resumable bool // listed in Dispatcher.resumable
 }
 
-// hasCapacity reports whether the class with the given rank may have one more request
-// in flight. Headroom is kept over the group, so that small limits don't round
-// it away.
+// hasCapacity reports whether a class with the given rank and share may have another request in
+// flight in the group. Headroom is reserved across the whole group, so that it is not rounded
+// away by small limits.
 func (g *group) hasCapacity(rank int, share float64) bool {
 	if rank == 0 {
 		return g.urgentReserve > 0
@@ -37,8 +40,8 @@
 	return g.free > 0 && g.inFlight < limit.AllowedInFlight(g.limit, share)
 }
 
-// urgentReserve is the number of requests above a server's limit that a class may have
-// in flight: small limits leave no room for headroom below them.
+// urgentReserve returns the number of requests beyond a server's limit that a class may have in
+// flight. Small limits leave no room for headroom below them.
 func (d *Dispatcher) urgentReserve(rank int) int {
 	if rank > 0 || len(d.rankedClasses) == 0 || d.rankedClasses[0].Headroom <= 0 {
 		return 0
@@ -46,8 +49,8 @@
 	return d.options.UrgentReserve
 }
 
-// level brings the group's level, and the counts of blocked groups, up to date.
-// A group without usable servers blocks no query: its range can't be served.
+// level updates the group's level and the counts of blocked groups. A group without usable
+// servers blocks no query, because its range cannot be served anyway.
 func (d *Dispatcher) level(g *group) {
 	level := 0
 	for level < len(d.rankedClasses) && (g.usable == 0 || g.hasCapacity(level, d.rankedClasses[level].share)) {
@@ -69,16 +72,16 @@
 	}
 }
 
-// recordDemand tells the limiters of the group's servers that something waits.
+// recordDemand tells the limiters of the group's servers that requests are waiting.
 func (g *group) recordDemand() {
 	for _, s := range g.servers {
 		s.limiter.RecordDemand()
 	}
 }
 
-// canStart reports whether a query of the given rank may start now: whether the
-// groups that have room can give an answer of its class, or of a less urgent
-// one, which would take that room.
+// canStart reports whether a query of the given rank may start now. The groups with capacity
+// must suffice for an answer of its class or of a less urgent class, whose queries would
+// otherwise take that capacity. See updateBlockedShares.
 func (d *Dispatcher) canStart(rank int) bool {
 	if len(d.running) >= d.options.MaximumRunning {
 		return false
@@ -86,7 +89,7 @@
 	return d.blockedGroups[rank] <= int(d.blockedShares[rank]*float64(len(d.groups)))
 }
 
-// waiter is a segment that waits for room in a group.
+// waiter is a segment that waits for capacity in a group.
 type waiter struct {
 	key      admission.Key
 	sequence uint64
@@ -94,7 +97,7 @@
 	running  *running
 }
 
-// before puts the more urgent first, then the older.
+// before orders waiters by urgency and then by age.
 func (w waiter) before(other waiter) bool {
 	if w.key != other.key {
 		return w.key.Less(other.key)
@@ -102,7 +105,7 @@
 	return w.sequence < other.sequence
 }
 
-// enqueueSegment lets the segment wait for room in its group.
+// enqueueSegment adds the segment to the waiting queue of its group.
 func (d *Dispatcher) enqueueSegment(g *group, s *gather.Segment) {
 	d.sequence++
 	r := runningOf(s.Query())
@@ -115,14 +118,15 @@
 	d.level(g)
 }
 
-// minWaitingLimit is the number of first sub-requests that may always wait for a group.
+// minWaitingLimit is the number of first sub-requests that may always wait in a group.
 const minWaitingLimit = 4
 
-// isOverloaded reports whether too many sub-requests that go first wait for the group
-// already. A longer queue would answer no more of them, only later.
+// isOverloaded reports whether too many first sub-requests of at least the same urgency are
+// already waiting in the group. A longer queue would not get more of them answered, only delay
+// them.
 func (d *Dispatcher) isOverloaded(g *group, r *running) bool {
-	most := max(int(float64(g.limit)*d.options.WaitingLimitFactor), minWaitingLimit)
-	if g.waiting.Len() < most || d.resuming == g {
+	maxWaiting := max(int(float64(g.limit)*d.options.WaitingLimitFactor), minWaitingLimit)
+	if g.waiting.Len() < maxWaiting || d.resuming == g {
 		return false
 	}
 	before := 0
@@ -131,15 +135,17 @@
 			before++
 		}
 	}
-	return before >= most
+	return before >= maxWaiting
 }
 
-// wouldMissDeadline reports that the group is not likely to answer before the query's deadline.
+// wouldMissDeadline reports whether the group is unlikely to answer before the query's
+// deadline.
 func (d *Dispatcher) wouldMissDeadline(g *group, q *gather.Query) bool {
 	return q.Deadline()-d.now < g.latencies.Quantile(medianQuantile)
 }
 
-// markResumable lists the groups, to be pumped once the query at hand is done with.
+// markResumable lists the groups whose waiting segments are to be resumed once the current
+// event has been processed.
 func (d *Dispatcher) markResumable(groups []*group) {
 	for _, g := range groups {
 		if g.waiting.Len() > 0 && !g.resumable {
@@ -149,7 +155,7 @@
 	}
 }
 
-// resumeWaiting sends what waits in the groups that may have room now.
+// resumeWaiting resumes waiting segments in the groups that may have capacity now.
 func (d *Dispatcher) resumeWaiting() {
 	for i := 0; i < len(d.resumable); i++ {
 		d.resumable[i].resumable = false
@@ -159,11 +165,13 @@
 	d.resumable = d.resumable[:0]
 }
 
-// maxSkipped bounds the segments that are passed over to find one that can
-// be sent: one whose class has no room, or whose only untried server has none.
+// maxSkipped limits the number of waiting segments that are skipped in search of one that can
+// be sent. A segment is skipped if its class has no capacity, or if its only untried server has
+// none.
 const maxSkipped = 8
 
-// resumeWaitingIn tries the segments that wait, the first ones first.
+// resumeWaitingIn resumes the group's waiting segments in order. Segments that would miss their
+// deadline are given up.
 func (d *Dispatcher) resumeWaitingIn(g *group) {
 	d.resuming = g
 	for g.waiting.Len() > 0 && len(d.skipped) < maxSkipped && (g.usable == 0 || g.level > 0) {
@@ -188,7 +196,7 @@
 	d.level(g)
 }
 
-// targetsOf divides the range among the groups that hold it.
+// targetsOf splits the range by the groups that hold it.
 func (d *Dispatcher) targetsOf(r coverage.Range) []gather.Target {
 	first := sort.Search(len(d.groups), func(i int) bool { return d.groups[i].keyRange.End > r.Start })
 	var targets []gather.Target
--- a/dispatch/membership.go
+++ b/dispatch/membership.go
@@ -7,15 +7,15 @@
 	"github.com/banksail/banksail/gather"
 )
 
-// handleServerChanged takes what membership says of a server. Live ends an earlier
-// account of its leaving.
+// handleServerChanged applies a membership state. ServerLive overrides an earlier draining
+// reply of the server and clears its ejection.
 func (d *Dispatcher) handleServerChanged(event ServerChanged) {
 	s := d.servers[event.Server]
 	if s == nil {
 		d.recordState(event)
 		return
 	}
-	wasAway := s.isLeaving()
+	wasLeaving := s.isLeaving()
 	s.state = event.State
 	if event.State == ServerLive {
 		s.draining = false
@@ -26,12 +26,12 @@
 	if event.State == ServerGone {
 		d.notifyServerGone(s)
 	}
-	if wasAway && !s.isLeaving() {
+	if wasLeaving && !s.isLeaving() {
 		d.rerouteQueries()
 	}
 }
 
-// recordState remembers the state of a server that is not configured.
+// recordState stores the state of a server that is not configured.
 func (d *Dispatcher) recordState(event ServerChanged) {
 	if event.State == ServerLive || event.State == ServerGone {
 		delete(d.unconfiguredStates, event.Server)
@@ -40,13 +40,13 @@
 	d.unconfiguredStates[event.Server] = event.State
 }
 
-// updateAvailability brings the catalog and the groups' sums up to date.
+// updateAvailability updates the snapshot catalog and the capacity of the server's groups.
 func (d *Dispatcher) updateAvailability(s *server) {
 	s.holder.SetAvailable(!s.isLeaving())
 	d.updateCapacity(s)
 }
 
-// notifyServerGone tells the queries whose attempts are at a server that is gone.
+// notifyServerGone informs the queries that have pending attempts on a server that is gone.
 func (d *Dispatcher) notifyServerGone(s *server) {
 	var lost []*gather.Attempt
 	for _, a := range d.attempts {
@@ -61,7 +61,7 @@
 	}
 }
 
-// handleServerReported takes a server's own account of itself.
+// handleServerReported applies a report of a configured server.
 func (d *Dispatcher) handleServerReported(event ServerReported) {
 	if s := d.servers[event.Server]; s != nil {
 		d.applyReport(s, event.Snapshots, event.Load)
@@ -71,7 +71,7 @@
 func (d *Dispatcher) applyReport(s *server, snapshots []SnapshotID, load Load) {
 	if len(snapshots) > 0 {
 		if !s.holder.Observed() {
-			d.markResumable(s.groups) // queries may wait to hear of it
+			d.markResumable(s.groups) // queries may be waiting for its first report
 		}
 		s.holder.Observe(snapshots)
 	}
--- a/dispatch/options.go
+++ b/dispatch/options.go
@@ -9,86 +9,83 @@
 	"github.com/banksail/banksail/retry"
 )
 
-// Options sets up a Dispatcher. The zero value of a field stands for its default.
+// Options configures a Dispatcher. Zero values of fields select their defaults.
 type Options struct {
-	// Seed makes random choices repeatable.
+	// Seed seeds random choices, so that runs are reproducible.
 	Seed uint64
-	// Zone is the node's own zone; servers there are preferred when otherwise equal.
+	// Zone is the node's zone. Servers in it are preferred if delays are about equal.
 	Zone string
-	// RetryAfter is told to refused callers when nothing better is known;
-	// default one second.
+	// RetryAfter is the minimum delay returned with refusals; default one second.
 	RetryAfter time.Duration
 
-	// QueueOrder ranks queries that wait for room; default admission.StrictClass.
+	// QueueOrder ranks queued queries; default admission.StrictClass.
 	QueueOrder admission.QueueOrder
-	// MaximumQueued bounds the queries that wait, per class; default 1,000.
+	// MaximumQueued limits the number of queued queries per class; default 1,000.
 	MaximumQueued int
-	// MaximumRunning bounds the queries that run; default 1,000.
+	// MaximumRunning limits the number of running queries; default 1,000.
 	MaximumRunning int
-	// BlockedShare bounds the share of groups that may be without room when a
-	// query starts; its sub-requests there wait for room. It is further bounded by
-	// what the class can do without: a class that needs full coverage starts only
-	// when every group has room. Default 0.25; negative is none.
+	// BlockedShare is the maximum share of groups that may lack capacity when a query starts;
+	// its sub-requests to them wait. The share is further limited by the coverage that the
+	// class requires: a class that needs full coverage starts only when every group has
+	// capacity. Default 0.25; negative means none.
 	BlockedShare float64
-	// WaitingAllowance is the number of sub-requests that may wait in a group while
-	// queries still start that find no room there: a query needs many groups, and
-	// seldom have all of them room at once. It buys throughput for some latency
-	// of urgent queries; default none.
+	// WaitingAllowance is the number of sub-requests that may wait in a group before the group
+	// blocks new queries. A query needs many groups, which seldom all have capacity at once, so
+	// an allowance increases throughput at the cost of some latency of urgent queries. Default
+	// none.
 	WaitingAllowance int
-	// WaitingLimitFactor bounds the first sub-requests that wait for room in a group,
-	// as a multiple of the group's limit; those over it are given up at once.
-	// Default 2.
+	// WaitingLimitFactor limits the number of first sub-requests that wait in a group, as a
+	// multiple of the group's concurrency limit; further ones are given up at once. Default 2.
 	WaitingLimitFactor float64
-	// MinimumClassShare bounds from below the share of a limit that headroom leaves
-	// to any class; default 0.1.
+	// MinimumClassShare is the minimum share of a limit that headroom leaves to any class;
+	// default 0.1.
 	MinimumClassShare float64
 
-	// UrgentReserve is the number of requests above a server's limit that the most
-	// urgent class may have in flight there, when it keeps headroom; default 1;
-	// negative is none.
+	// UrgentReserve is the number of requests beyond a server's limit that the most urgent
+	// class may have in flight there, if the class has headroom. Default 1; negative means
+	// none.
 	UrgentReserve int
 
-	// LimitPolicy sets how the limit of requests in flight is found, per server.
+	// LimitPolicy configures the concurrency limit of each server.
 	LimitPolicy limit.Options
-	// SpareConnections is the share of each server's connections that is left
-	// free; default limit.DefaultSpareConnections.
+	// SpareConnections is the share of each server's connections that stays unused; default
+	// limit.DefaultSpareConnections.
 	SpareConnections float64
 
-	// FirstReportTimeout is how long a server that is new in the configuration is not
-	// asked while it gave no account of itself; default one second; negative is
-	// none. Until then it may be leaving without the node's knowing.
+	// FirstReportTimeout is how long a newly configured server is not used while it has not
+	// reported its snapshots; it may be leaving without this node knowing. Default one second;
+	// negative means none.
 	FirstReportTimeout time.Duration
 	// ReplicaPolicy chooses among the servers of a group; default PowerOfTwoChoices.
 	ReplicaPolicy ReplicaPolicy
-	// LoadWeight is the weight of a load just reported by a server beside the
-	// node's own requests in flight; default 0.1; negative is none. Reports that lag make
-	// nodes crowd onto the same server, so a large weight does harm.
+	// LoadWeight is the weight of a server's latest reported load, relative to the node's own
+	// requests in flight. Reports lag behind, and a large weight makes nodes crowd onto the
+	// same server. Default 0.1; negative means none.
 	LoadWeight float64
-	// LoadHalfLife is the time in which a reported load loses half its weight;
-	// default 20 ms.
+	// LoadHalfLife is the half-life of the weight of a reported load; default 20 ms.
 	LoadHalfLife time.Duration
-	// LatencyHalfLife is the time in which a server's observed latency loses half
-	// its weight against that of the service, so that a server that was slow is
-	// tried again; default 2 s.
+	// LatencyHalfLife is the half-life of a server's observed latency relative to that of the
+	// service, so that a server that was slow is tried again. Default 2 s.
 	LatencyHalfLife time.Duration
 
-	// HedgePolicy decides when to ask a second server; default retry.ShareHedge.
+	// HedgePolicy decides when to hedge an attempt; default retry.ShareHedge.
 	HedgePolicy retry.HedgePolicy
-	// Budget bounds hedges and retries. Its burst is raised to the number of groups.
+	// Budget limits hedges and retries. Its burst is at least the number of groups.
 	Budget retry.BudgetOptions
 
-	// StopPolicy decides how long to wait for the rest; default gather.StopWhenSlow.
+	// StopPolicy decides how long to wait for missing segments; default gather.StopWhenSlow.
 	StopPolicy gather.StopPolicy
-	// TypicalQuantile is the quantile of the service's latencies that the stop
-	// policy takes as typical; default 0.8.
+	// TypicalQuantile is the quantile of the service's latencies that the stop policy considers
+	// typical; default 0.8.
 	TypicalQuantile float64
-	// MaximumRestarts bounds how often a query starts over on another snapshot;
-	// default 1; negative is never.
+	// MaximumRestarts limits how often a query restarts on another snapshot. Default 1;
+	// negative means never.
 	MaximumRestarts int
-	// MaximumRounds bounds how often a query asks servers anew that were all
-	// tried; default 3; negative is never.
+	// MaximumRounds limits how often a query retries servers after all of them have been tried.
+	// Default 3; negative means never.
 	MaximumRounds int
-	// MaximumSteps bounds the explanation of a query; default 256; negative gives none.
+	// MaximumSteps limits the length of a query's explanation. Default 256; negative disables
+	// it.
 	MaximumSteps int
 }
 
@@ -138,7 +135,7 @@
 	return o
 }
 
-// setDefault sets a field that is zero, and makes a negative one zero.
+// setDefault sets a zero field to the default value and a negative one to zero.
 func setDefault[T int | float64 | time.Duration](field *T, value T) {
 	switch {
 	case *field == 0:
--- a/dispatch/query.go
+++ b/dispatch/query.go
@@ -8,19 +8,19 @@
 	"github.com/banksail/banksail/gather"
 )
 
-// running is a query that runs. query is nil once it has its final answer.
+// running is the state of a running query. query is nil once the query has finished.
 type running struct {
 	request Query
 	class   *class
 	key     admission.Key
 	query   *gather.Query
-	timerAt time.Duration // of its timer; zero is none
+	timerAt time.Duration // time of its next timer; zero if none is set
 }
 
-// runningOf returns the dispatcher's own record of a query.
+// runningOf returns the dispatcher's state of a query.
 func runningOf(q *gather.Query) *running { return q.Owner().(*running) }
 
-// handleArrival decides on a query.
+// handleArrival refuses a new query, queues it or starts it.
 func (d *Dispatcher) handleArrival(request Query) {
 	c := d.classes[request.Class]
 	switch {
@@ -44,7 +44,7 @@
 	d.admitOrQueue(c, request)
 }
 
-// admitOrQueue lets admission decide.
+// admitOrQueue passes the query to the admission queue and acts on its decision.
 func (d *Dispatcher) admitOrQueue(c *class, request Query) {
 	item := admission.Item{
 		ID:              uint64(request.ID),
@@ -67,10 +67,11 @@
 	}
 }
 
-// medianQuantile is the least time that a query is expected to need.
+// medianQuantile is the quantile of latencies that estimates the run time of a query and the
+// usual latency of a server.
 const medianQuantile = 0.5
 
-// startQueued starts the queries that wait, while there is room.
+// startQueued starts queued queries while there is capacity.
 func (d *Dispatcher) startQueued() {
 	for d.queue.Len() > 0 {
 		item, ok := d.queue.Dequeue(d.now, d.canStart)
@@ -84,8 +85,8 @@
 	}
 }
 
-// chooseSnapshot chooses the snapshot for a query; the reason tells why there is none that
-// could give an answer.
+// chooseSnapshot returns the snapshot to pin for a query, or the reason for which no snapshot
+// can yield a usable answer.
 func (d *Dispatcher) chooseSnapshot(c *class, request Query) (SnapshotID, Reason) {
 	choice, ok := d.catalog.Choose()
 	switch {
@@ -112,12 +113,13 @@
 	return false
 }
 
-// requiredCoverage is the least coverage that makes an answer.
+// requiredCoverage returns the minimum coverage of a usable answer: the higher of what the
+// caller and the class require.
 func requiredCoverage(c *class, request Query) float64 {
 	return min(max(request.MinimumCoverage, c.MinimumCoverage), 1)
 }
 
-// start runs a query.
+// start starts a query that has been admitted.
 func (d *Dispatcher) start(c *class, request Query, item admission.Item) {
 	id, reason := d.chooseSnapshot(c, request)
 	if reason != "" {
@@ -144,7 +146,7 @@
 	d.scheduleTick(r)
 }
 
-// refuse gives the final answer to a query of which nothing was sent.
+// refuse finishes a query of which nothing has been sent.
 func (d *Dispatcher) refuse(id QueryID, reason Reason, retryAfter time.Duration) {
 	d.emit(Finish{Query: id, Outcome: Outcome{
 		Execution:  ExecutionNotRun,
@@ -153,13 +155,13 @@
 	}})
 }
 
-// refuseQueued refuses a query that has left the queue without running.
+// refuseQueued refuses a query that was removed from the queue without running.
 func (d *Dispatcher) refuseQueued(id QueryID, reason Reason) {
 	delete(d.requests, id)
 	d.refuse(id, reason, max(d.queue.ExpectedWait(d.now), d.options.RetryAfter))
 }
 
-// handleCallerGone ends a query whose caller no longer waits.
+// handleCallerGone ends a query whose caller has disconnected.
 func (d *Dispatcher) handleCallerGone(id QueryID) {
 	if d.queue.Remove(uint64(id)) {
 		d.refuseQueued(id, ReasonCallerGone)
@@ -170,7 +172,7 @@
 	}
 }
 
-// stop refuses what waits; what runs finishes.
+// stop refuses queued queries; running ones finish.
 func (d *Dispatcher) stop() {
 	d.stopping = true
 	for _, item := range d.queue.Drain() {
@@ -178,8 +180,9 @@
 	}
 }
 
-// finishAttempt takes an attempt whose end was reported; nil when it is not known.
-func (d *Dispatcher) finishAttempt(id AttemptID, outcome attemptResult) *gather.Attempt {
+// finishAttempt releases an attempt that has ended and records its result. It returns nil if
+// the attempt is unknown.
+func (d *Dispatcher) finishAttempt(id AttemptID, result attemptResult) *gather.Attempt {
 	a := d.attempts[id]
 	if a == nil {
 		return nil
@@ -187,12 +190,12 @@
 	delete(d.attempts, id)
 	s := a.Server.(*server)
 	latency := d.now - a.SentAt
-	s.limiter.End(d.now, latency, outcome.limiterOutcome())
-	d.recordResult(a, s, latency, outcome)
+	s.limiter.End(d.now, latency, result.limiterOutcome())
+	d.recordResult(a, s, latency, result)
 	return a
 }
 
-// handleReply takes a server's reply.
+// handleReply processes a server's reply to an attempt.
 func (d *Dispatcher) handleReply(id AttemptID, reply Reply) {
 	a := d.attempts[id]
 	if a == nil {
@@ -213,36 +216,37 @@
 	d.notifyQuery(a, s, func(q *gather.Query) { q.HandleReply(d.now, a, reply) })
 }
 
-// handleFailure takes the end of an attempt without a reply.
+// handleFailure processes an attempt that ended without a reply.
 func (d *Dispatcher) handleFailure(event AttemptFailed) {
-	end := resultFailed
+	result := resultFailed
 	a := d.attempts[event.Attempt]
 	if a == nil {
 		return
 	}
 	if !a.IsPending() {
-		end = resultCancelled
+		result = resultCancelled
 	}
-	d.finishAttempt(event.Attempt, end)
+	d.finishAttempt(event.Attempt, result)
 	d.notifyQuery(a, a.Server.(*server), func(q *gather.Query) {
 		q.HandleFailure(d.now, a, event.Delivery, event.Reason)
 	})
 }
 
-// notifyQuery tells the query first, so that its own retry goes before what waits,
-// then lets others use the room.
-func (d *Dispatcher) notifyQuery(a *gather.Attempt, s *server, tell func(*gather.Query)) {
+// notifyQuery passes the result of an attempt to its query and then releases the server's
+// capacity, so that the query's own retry takes precedence over waiting segments.
+func (d *Dispatcher) notifyQuery(a *gather.Attempt, s *server, notify func(*gather.Query)) {
 	q := a.Query()
-	tell(q)
+	notify(q)
 	d.scheduleTick(runningOf(q))
 	d.updateCapacity(s)
 }
 
-// recordShed leaves a server alone for a while.
+// recordShed stops sending to a server for a while after it shed a request.
 func (d *Dispatcher) recordShed(s *server, retryAfter time.Duration) {
 	s.recordShed(d.now, retryAfter, d.random.Float64()*shedJitter)
 	d.setTimer(timer{at: s.shedUntil, server: s})
 }
 
-// shedJitter spreads the time at which servers that shed are tried again.
+// shedJitter is the maximum jitter, as a fraction of the back-off, that spreads retries to
+// servers that shed.
 const shedJitter = 0.5
--- a/dispatch/replica.go
+++ b/dispatch/replica.go
@@ -4,20 +4,21 @@
 	"github.com/banksail/banksail/gather"
 )
 
-// ReplicaPolicy names a way to choose among the servers of a group.
+// ReplicaPolicy selects how a server is chosen from a group.
 type ReplicaPolicy int
 
 const (
-	// PowerOfTwoChoices compares two random servers by their expected delay. It is the default.
+	// PowerOfTwoChoices picks the better of two random servers by expected delay. It is the
+	// default.
 	PowerOfTwoChoices ReplicaPolicy = iota
-	// LeastDelay takes the server with the least expected delay of all.
+	// LeastDelay picks the server with the lowest expected delay.
 	LeastDelay
-	// RandomReplica takes any.
+	// RandomReplica picks a random server.
 	RandomReplica
 )
 
-// tier ranks servers that could take a sub-request; the lowest are
-// preferred, whatever their delay.
+// tier groups eligible servers by preference. A lower tier is preferred, whatever the expected
+// delay.
 type tier int
 
 const (
@@ -27,16 +28,18 @@
 	tierUnobserved // not known to hold the snapshot
 )
 
-// candidate is a server that could take a sub-request now.
+// candidate is a server that can accept a sub-request now.
 type candidate struct {
 	server *server
 	tier   tier
 }
 
-// maxCandidates bounds the candidates that are weighed.
+// maxCandidates limits the number of candidates considered.
 const maxCandidates = 256
 
-// chooseReplica picks a server of the segment's group.
+// chooseReplica chooses a server of the group for the segment. Hedges are sent only to healthy
+// servers and don't use the urgent reserve. If the group has no usable server but one that may
+// still report its snapshots, the result is Busy until that server's report deadline.
 func (d *Dispatcher) chooseReplica(g *group, s *gather.Segment, kind SendKind) (*server, gather.Placement) {
 	var buffer [8]candidate
 	candidates := buffer[:0]
@@ -48,11 +51,11 @@
 	}
 	avoid := d.mayAvoidOutliers(g)
 	id := s.Query().Snapshot()
-	var unheard *server
+	var unreported *server
 	for _, replica := range g.servers {
 		if replica.isLeaving() || !replica.mayHoldSnapshot(d.now, id) {
 			if !replica.isLeaving() && !replica.holder.Observed() {
-				unheard = replica
+				unreported = replica
 			}
 			continue
 		}
@@ -72,8 +75,8 @@
 		candidates = append(candidates, candidate{server: replica, tier: rank})
 	}
 	switch {
-	case !usable && unheard != nil:
-		d.setTimer(timer{at: unheard.reportDeadline, server: unheard})
+	case !usable && unreported != nil:
+		d.setTimer(timer{at: unreported.reportDeadline, server: unreported})
 		return nil, gather.Busy
 	case !usable:
 		return nil, gather.Unservable
@@ -100,8 +103,8 @@
 	}
 }
 
-// mayAvoidOutliers reports whether outliers of the group may be avoided. When most of a
-// group looks bad, the detector is wrong.
+// mayAvoidOutliers reports whether outliers of the group may be avoided. If most of a group are
+// outliers, the detection is wrong.
 func (d *Dispatcher) mayAvoidOutliers(g *group) bool {
 	outliers, usable := 0, 0
 	for _, s := range g.servers {
@@ -116,28 +119,28 @@
 	return 2*outliers <= usable
 }
 
-// pickCandidate chooses among the candidates of the best standing.
+// pickCandidate applies the replica policy to the candidates of the best tier.
 func (d *Dispatcher) pickCandidate(candidates []candidate, best tier) *server {
-	equals := candidates[:0]
+	bestCandidates := candidates[:0]
 	for _, c := range candidates {
 		if c.tier == best {
-			equals = append(equals, c)
+			bestCandidates = append(bestCandidates, c)
 		}
 	}
 	switch {
-	case len(equals) == 1:
-		return equals[0].server
+	case len(bestCandidates) == 1:
+		return bestCandidates[0].server
 	case d.options.ReplicaPolicy == RandomReplica:
-		return equals[d.random.IntN(len(equals))].server
+		return bestCandidates[d.random.IntN(len(bestCandidates))].server
 	case d.options.ReplicaPolicy == LeastDelay:
-		return d.leastDelay(equals)
+		return d.leastDelay(bestCandidates)
 	default:
-		first := d.random.IntN(len(equals))
-		second := d.random.IntN(len(equals) - 1)
+		first := d.random.IntN(len(bestCandidates))
+		second := d.random.IntN(len(bestCandidates) - 1)
 		if second >= first {
 			second++
 		}
-		return d.lowerDelay(equals[first].server, equals[second].server)
+		return d.lowerDelay(bestCandidates[first].server, bestCandidates[second].server)
 	}
 }
 
@@ -149,11 +152,12 @@
 	return best
 }
 
-// delayTolerance is the ratio of delays below which the zone decides.
+// delayTolerance is the ratio up to which two delays are considered equal, so that the zone
+// decides.
 const delayTolerance = 1.1
 
-// lowerDelay returns the server with the lower expected delay; of nearly equal ones
-// the one in the node's zone, then the first.
+// lowerDelay returns the server with the lower expected delay. If the delays are about equal,
+// it prefers the one in the node's zone, then a.
 func (d *Dispatcher) lowerDelay(a, b *server) *server {
 	delayA, delayB := d.expectedDelay(a), d.expectedDelay(b)
 	switch {
@@ -168,8 +172,9 @@
 	}
 }
 
-// expectedDelay weighs a server's observed latency with the work that it has:
-// the node's own requests, and what it reported of others', the less the older.
+// expectedDelay estimates the relative delay of a server from its observed latency and its
+// work: the node's own requests in flight, and the reported load of other nodes, weighted by
+// age.
 func (d *Dispatcher) expectedDelay(s *server) float64 {
 	usual := float64(d.latencies.Quantile(medianQuantile))
 	latency := s.expectedLatency(d.now, usual, d.options.LatencyHalfLife)
--- a/dispatch/server.go
+++ b/dispatch/server.go
@@ -9,79 +9,80 @@
 	"github.com/banksail/banksail/snapshot"
 )
 
-// server is what the dispatcher knows of one server.
+// server is the dispatcher's state of a server.
 type server struct {
 	policy.Server
 	groups   []*group
 	state    ServerState
-	draining bool // by its own reply; sticky until it is live again
-	// reportDeadline is when the server may be asked though it gave no account of itself.
+	draining bool // set by a draining reply until membership reports the server as live
+	// reportDeadline is when the server may be used even if it has not reported its snapshots.
 	reportDeadline time.Duration
 	holder         *snapshot.Holder
 	limiter        *limit.Limiter
 
-	// latency is the moving average of observed latencies, as of latencyAt.
+	// latency is the moving average of observed latencies in nanoseconds, last updated at
+	// latencyAt.
 	latency   float64
 	latencyAt time.Duration
-	// load is what the server reported, less the node's own requests, as of loadAt.
+	// load is the reported load without the node's own requests, as of loadAt.
 	load   float64
 	loadAt time.Duration
 
 	shedUntil           time.Duration
-	consecutiveSheds    int // in a row
-	consecutiveFailures int // in a row
+	consecutiveSheds    int // reset by a success
+	consecutiveFailures int // reset by a success
 	ejectedUntil        time.Duration
 
 	countedCapacity capacity
 }
 
-// capacity is what a server adds to the sums of its groups.
+// capacity is a server's contribution to the capacity totals of its groups.
 type capacity struct {
 	inFlight      int
 	limit         int
-	free          int // 1 when it may take one more of any class
-	urgentReserve int // 1 when it may take one more of the most urgent class
-	usable        int // 1 when it is not leaving
+	free          int // 1 if the server can accept another request of any class
+	urgentReserve int // 1 if the server can accept another request of the most urgent class
+	usable        int // 1 if the server is not leaving
 }
 
 const (
-	// latencyWeight is the weight of a new latency in a server's average.
+	// latencyWeight is the weight of a new sample in the moving average of latencies.
 	latencyWeight = 0.15
-	// failuresToEject is the number of failures in a row that mark an outlier.
+	// failuresToEject is the number of consecutive failures that make a server an outlier.
 	failuresToEject = 3
-	// avoidance bounds the time for which an outlier is avoided; it doubles with
-	// each further failure.
+	// minEjection and maxEjection bound the time for which an outlier is avoided, which doubles
+	// with each further failure.
 	minEjection = time.Second
 	maxEjection = 30 * time.Second
-	// shedPause bounds the time for which a server that shed is left alone.
+	// minShedBackoff and maxShedBackoff bound the back-off after a server has shed a request.
 	minShedBackoff = 5 * time.Millisecond
 	maxShedBackoff = 5 * time.Second
-	// maxDoublings keeps shifts small.
+	// maxDoublings limits exponential back-off, so that shifts don't overflow.
 	maxDoublings = 10
 )
 
 // ServerID implements gather.Server.
 func (s *server) ServerID() string { return s.ID }
 
-// isLeaving reports that the server must get no new work.
+// isLeaving reports whether the server must not get new work.
 func (s *server) isLeaving() bool {
 	return s.draining || s.state == ServerLeaving || s.state == ServerGone
 }
 
-// mayHoldSnapshot reports whether the server is worth asking for the snapshot: it is
-// known to hold it, or nothing could be learned in time. A server that was not
-// heard yet may be leaving, which others know and this node does not.
+// mayHoldSnapshot reports whether the server may be asked for the snapshot: it is known to hold
+// it, or has not reported by its report deadline. Before that deadline, a server that has not
+// reported may be leaving without this node knowing.
 func (s *server) mayHoldSnapshot(now time.Duration, id SnapshotID) bool {
 	return s.holder.Holds(id) || (!s.holder.Observed() && now >= s.reportDeadline)
 }
 
-// free reports whether the server may take one more request at now, when that
-// many more than its limit may be in flight.
+// free reports whether the server can accept another request now, with reserve requests allowed
+// beyond its limit.
 func (s *server) free(now time.Duration, reserve int) bool {
 	return s.shedUntil <= now && s.limiter.CanStartWithReserve(reserve)
 }
 
-// observeLatency takes the latency of an answer.
+// observeLatency updates the average with the latency of an answered attempt.
 func (s *server) observeLatency(now, latency time.Duration) {
 	if s.latency == 0 {
 		s.latency = float64(latency)
@@ -91,15 +92,16 @@
 	s.latencyAt = now
 }
 
-// observeMinLatency takes the age of an attempt that was given up: its latency
-// would have been longer.
+// observeMinLatency updates the average with the age of a cancelled attempt, a lower bound of
+// its latency. An age that does not exceed the average is ignored.
 func (s *server) observeMinLatency(now, age time.Duration) {
 	if float64(age) > s.latency {
 		s.observeLatency(now, age)
 	}
 }
 
-// expectedLatency is the observed latency, which fades to the given usual one.
+// expectedLatency returns the observed latency, which decays to the given usual latency with
+// the given half-life.
 func (s *server) expectedLatency(now time.Duration, usual float64, halfLife time.Duration) float64 {
 	if s.latency == 0 || usual == 0 {
 		return max(s.latency, usual, 1)
@@ -107,7 +109,7 @@
 	return usual + (s.latency-usual)*decayWeight(now-s.latencyAt, halfLife)
 }
 
-// decayWeight is the weight of something observed the given time ago.
+// decayWeight returns the weight of an observation of the given age.
 func decayWeight(age, halfLife time.Duration) float64 {
 	if halfLife <= 0 {
 		return 0
@@ -115,35 +117,37 @@
 	return math.Exp2(-float64(age) / float64(halfLife))
 }
 
-// recordShed notes a shed reply and returns the time until which the server is left alone.
+// recordShed extends the server's back-off after it shed a request. Without a retryAfter from
+// the server, the back-off doubles with each consecutive shed. jitter is the fraction added.
 func (s *server) recordShed(now, retryAfter time.Duration, jitter float64) {
-	pause := retryAfter
-	if pause <= 0 {
-		pause = minShedBackoff << min(s.consecutiveSheds, maxDoublings)
+	backoff := retryAfter
+	if backoff <= 0 {
+		backoff = minShedBackoff << min(s.consecutiveSheds, maxDoublings)
 	}
 	s.consecutiveSheds++
-	pause = min(max(pause, minShedBackoff), maxShedBackoff)
-	pause += time.Duration(float64(pause) * jitter)
-	s.shedUntil = max(s.shedUntil, now+pause)
+	backoff = min(max(backoff, minShedBackoff), maxShedBackoff)
+	backoff += time.Duration(float64(backoff) * jitter)
+	s.shedUntil = max(s.shedUntil, now+backoff)
 }
 
-// recordFailure notes a failure; several in a row mark the server as an outlier.
+// recordFailure counts a failure and ejects the server as an outlier after several consecutive
+// ones.
 func (s *server) recordFailure(now time.Duration) {
 	s.consecutiveFailures++
-	if over := s.consecutiveFailures - failuresToEject; over >= 0 {
-		s.ejectedUntil = now + min(minEjection<<min(over, maxDoublings), maxEjection)
+	if excess := s.consecutiveFailures - failuresToEject; excess >= 0 {
+		s.ejectedUntil = now + min(minEjection<<min(excess, maxDoublings), maxEjection)
 	}
 }
 
-// recordSuccess notes that the server ran a sub-request.
+// recordSuccess resets the failure and shed counts after the server ran a sub-request.
 func (s *server) recordSuccess() {
 	s.consecutiveFailures = 0
 	s.consecutiveSheds = 0
 	s.ejectedUntil = 0
 }
 
-// updateCapacity brings the sums of the server's groups up to date, and notes the
-// groups in which something that waits may now find room.
+// updateCapacity updates the capacity totals of the server's groups and marks those in which
+// waiting segments may now find capacity.
 func (d *Dispatcher) updateCapacity(s *server) {
 	var now capacity
 	if !s.isLeaving() {
@@ -169,12 +173,13 @@
 		g.usable += now.usable - before.usable
 		d.level(g)
 	}
-	if now.hasMoreThan(before) {
+	if now.mayUnblockWaiting(before) {
 		d.markResumable(s.groups)
 	}
 }
 
-// hasMoreThan reports whether something that waited may find room, or no server any more.
-func (c capacity) hasMoreThan(before capacity) bool {
+// mayUnblockWaiting reports whether a waiting segment may now find capacity, or may have lost its
+// last usable server.
+func (c capacity) mayUnblockWaiting(before capacity) bool {
 	return c.free > before.free || c.urgentReserve > before.urgentReserve || c.inFlight < before.inFlight || c.limit > before.limit || c.usable != before.usable
 }
--- a/dispatch/timers.go
+++ b/dispatch/timers.go
@@ -7,10 +7,11 @@
 	"github.com/banksail/banksail/internal/priority"
 )
 
-// never is a time that does not come.
+// never is a time that is never reached.
 const never = time.Duration(math.MaxInt64)
 
-// timer is a time at which a query or a server must be looked at.
+// timer is a time at which a query must be ticked or a server's capacity updated. Exactly one
+// of running and server is set.
 type timer struct {
 	at       time.Duration
 	sequence uint64
@@ -18,12 +19,12 @@
 	server   *server
 }
 
-// isStale reports that nothing is to be done at the timer's time.
+// isStale reports whether the timer's query has finished or has been rescheduled.
 func (t timer) isStale() bool {
 	return t.running != nil && (t.running.query == nil || t.running.timerAt != t.at)
 }
 
-// newTimers returns a queue of timers, the earliest first, ties in the order of setting.
+// newTimers returns a priority queue of timers, ordered by time and then by when they were set.
 func newTimers() *priority.Queue[timer] {
 	before := func(t, other timer) bool {
 		if t.at != other.at {
@@ -40,7 +41,8 @@
 	d.timers.Push(t)
 }
 
-// scheduleTick makes the dispatcher wake for the query's next time.
+// scheduleTick sets a timer for the query's next tick, unless one that is due no later is
+// already set.
 func (d *Dispatcher) scheduleTick(r *running) {
 	if r.query == nil {
 		return
@@ -53,7 +55,7 @@
 	d.setTimer(timer{at: at, running: r})
 }
 
-// runDueTimers handles what is due.
+// runDueTimers handles timers and queue expiries that are due.
 func (d *Dispatcher) runDueTimers() {
 	for d.timers.Len() > 0 && d.timers.First().at <= d.now {
 		due := d.timers.Pop()
@@ -73,7 +75,8 @@
 	}
 }
 
-// updateOwnerTimer asks for a TimerFired event at the next time at which something is due.
+// updateOwnerTimer emits a SetTimer action if something is due before the time of the owner's
+// timer.
 func (d *Dispatcher) updateOwnerTimer() {
 	for d.timers.Len() > 0 && d.timers.First().isStale() {
 		d.timers.Pop()
--- a/gather/query_test.go
+++ b/gather/query_test.go
@@ -103,7 +103,7 @@
 		return func(q *gather.Query, e *stubEnvironment) { q.HandleFailure(0, e.sent[attempt], delivery, "cut") }
 	}
 	deadline := func(q *gather.Query, _ *stubEnvironment) { q.Tick(time.Second) }
-	gone := func(q *gather.Query, _ *stubEnvironment) { q.Cancel(0) }
+	disconnect := func(q *gather.Query, _ *stubEnvironment) { q.Cancel(0) }
 	tests := []struct {
 		name       string
 		repeatable bool
@@ -125,8 +125,8 @@
 		{"not repeatable, cut", false, 0, []ending{fail(0, gather.DeliveryUnknown), reply(1, gather.ReplyDraining)}, gather.ExecutionUnknown, gather.ReasonOutcomeUnknown},
 		{"not repeatable, error", false, 0, []ending{reply(0, gather.ReplyError), reply(1, gather.ReplyShed)}, gather.ExecutionUnknown, gather.ReasonOutcomeUnknown},
 		{"not repeatable, half ran", false, 1, []ending{fail(0, gather.DeliveryUnknown), reply(1, gather.ReplyDone)}, gather.ExecutionPartial, gather.ReasonOutcomeUnknown},
-		{"caller gone while in flight", true, 0, []ending{gone}, gather.ExecutionUnknown, gather.ReasonCallerGone},
-		{"caller gone after half ran", true, 0, []ending{reply(0, gather.ReplyDone), gone}, gather.ExecutionPartial, gather.ReasonCallerGone},
+		{"caller gone while in flight", true, 0, []ending{disconnect}, gather.ExecutionUnknown, gather.ReasonCallerGone},
+		{"caller gone after half ran", true, 0, []ending{reply(0, gather.ReplyDone), disconnect}, gather.ExecutionPartial, gather.ReasonCallerGone},
 		{"no budget for retries", true, 1, []ending{reply(0, gather.ReplyError)}, gather.ExecutionUnknown, gather.ReasonServerError},
 	}
 	for _, test := range tests {
