--- a/discovery/announcer.go
+++ b/discovery/announcer.go
@@ -43,8 +43,8 @@
 
 	mutex sync.Mutex
 	// mutex guards the fields below.
-	wanted bool
-	lease  Lease
+	enabled bool
+	lease   Lease
 }
 
 // NewAnnouncer returns an announcer that has written nothing, and won't until it is
@@ -59,8 +59,8 @@
 // more runs out by itself, which costs no call.
 func (a *Announcer) SetEnabled(wanted bool) {
 	a.mutex.Lock()
-	changed := a.wanted != wanted
-	a.wanted = wanted
+	changed := a.enabled != wanted
+	a.enabled = wanted
 	a.mutex.Unlock()
 	if !changed {
 		return
@@ -74,20 +74,20 @@
 // Run keeps the entry until ctx ends, and then ends it.
 func (a *Announcer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := a.keep(ctx)
+		err := a.registerOrRenew(ctx)
 		if errors.Is(err, ErrLeaseExpired) {
-			err = a.keep(ctx) // registers anew
+			err = a.registerOrRenew(ctx) // registers anew
 		}
 		if err != nil && ctx.Err() == nil {
 			a.options.Logger.Debug().Err(err).Msg("own entry could not be kept")
 		}
-		a.pause(ctx)
+		a.waitForRenewal(ctx)
 	}
-	a.end()
+	a.revoke()
 }
 
-// pause waits until the entry is to be renewed, or whether it is wanted has changed.
-func (a *Announcer) pause(ctx context.Context) {
+// waitForRenewal waits until the entry is to be renewed, or whether it is wanted has changed.
+func (a *Announcer) waitForRenewal(ctx context.Context) {
 	waiting, stop := context.WithTimeout(ctx, time.Duration(renewShare*float64(a.options.TimeToLive)))
 	defer stop()
 	select {
@@ -96,10 +96,10 @@
 	}
 }
 
-// keep registers the node or renews its lease, if its entry is wanted.
-func (a *Announcer) keep(ctx context.Context) error {
+// registerOrRenew registers the node or renews its lease, if its entry is wanted.
+func (a *Announcer) registerOrRenew(ctx context.Context) error {
 	a.mutex.Lock()
-	lease, wanted := a.lease, a.wanted
+	lease, wanted := a.lease, a.enabled
 	a.mutex.Unlock()
 	if !wanted {
 		return nil
@@ -124,17 +124,17 @@
 	return err
 }
 
-// endTimeout bounds the last call.
-const endTimeout = 300 * time.Millisecond
+// revokeTimeout bounds the last call.
+const revokeTimeout = 300 * time.Millisecond
 
-func (a *Announcer) end() {
+func (a *Announcer) revoke() {
 	a.mutex.Lock()
-	lease, wanted := a.lease, a.wanted
+	lease, wanted := a.lease, a.enabled
 	a.mutex.Unlock()
 	if lease == nil || !wanted {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), endTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
 	defer cancel()
 	if err := lease.Revoke(ctx); err != nil {
 		a.options.Logger.Debug().Err(err).Msg("own lease could not be ended")
--- a/discovery/announcer_test.go
+++ b/discovery/announcer_test.go
@@ -18,8 +18,8 @@
 	mutex     sync.Mutex
 	expiresAt time.Time
 	// registrations, renewals and ends count the calls, refused ones too.
-	registrations, renewals, ends int
-	down                          bool
+	registrations, renewals, revocations int
+	down                                 bool
 }
 
 var errDown = errors.New("down")
@@ -35,8 +35,8 @@
 	return &countedLease{registrar: r, timeToLive: timeToLive}, nil
 }
 
-// there reports whether the entry is there.
-func (r *registrar) there() bool {
+// registered reports whether the entry is there.
+func (r *registrar) registered() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return time.Now().Before(r.expiresAt)
@@ -65,7 +65,7 @@
 func (l *countedLease) Revoke(context.Context) error {
 	l.registrar.mutex.Lock()
 	defer l.registrar.mutex.Unlock()
-	l.registrar.ends++
+	l.registrar.revocations++
 	l.registrar.expiresAt = time.Time{}
 	return nil
 }
@@ -86,53 +86,53 @@
 	return r
 }
 
-// wantThere looks at the entry for a while.
-func wantThere(t *testing.T, r *registrar, during time.Duration, when string) {
+// wantRegistered looks at the entry for a while.
+func wantRegistered(t *testing.T, r *registrar, during time.Duration, when string) {
 	t.Helper()
 	for end := time.Now().Add(during); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if !r.there() {
+		if !r.registered() {
 			t.Fatalf("%s the entry is not there", when)
 		}
 	}
 }
 
 // A node whose entry nobody wants costs no call at all.
-func TestUnwantedEntryCostsNothing(t *testing.T) {
+func TestDisabledAnnouncerMakesNoCalls(t *testing.T) {
 	r := withAnnouncer(t, func(_ *testing.T, _ *registrar, a *discovery.Announcer) {
 		time.Sleep(time.Minute)
 		a.SetEnabled(false)
 		time.Sleep(time.Minute)
 	})
-	if r.registrations+r.renewals+r.ends > 0 {
-		t.Errorf("%d registrations, %d renewals, %d ends", r.registrations, r.renewals, r.ends)
+	if r.registrations+r.renewals+r.revocations > 0 {
+		t.Errorf("%d registrations, %d renewals, %d ends", r.registrations, r.renewals, r.revocations)
 	}
 }
 
 // An entry that is wanted is there at once and never lapses; one that is not wanted any
 // more runs out without a call; and one that is wanted again is there at once again.
-func TestEntryIsThereWhileItIsWanted(t *testing.T) {
+func TestEntryIsRegisteredWhileEnabled(t *testing.T) {
 	const spell = time.Minute
 	r := withAnnouncer(t, func(t *testing.T, r *registrar, a *discovery.Announcer) {
 		for _, when := range []string{"at first", "again"} {
 			a.SetEnabled(true)
 			synctest.Wait()
-			wantThere(t, r, spell, when)
+			wantRegistered(t, r, spell, when)
 			a.SetEnabled(false)
 			synctest.Wait()
 			renewals := r.renewals
 			time.Sleep(2 * discovery.DefaultTimeToLive)
-			if r.there() || r.renewals != renewals {
-				t.Errorf("%s: the entry is still there (%t) after %d renewals more", when, r.there(), r.renewals-renewals)
+			if r.registered() || r.renewals != renewals {
+				t.Errorf("%s: the entry is still there (%t) after %d renewals more", when, r.registered(), r.renewals-renewals)
 			}
 		}
 	})
-	if most := int(2*spell/discovery.DefaultTimeToLive)*4 + 2; r.renewals > most || r.registrations > 3 || r.ends > 0 {
-		t.Errorf("%d renewals (at most %d), %d registrations, %d ends", r.renewals, most, r.registrations, r.ends)
+	if most := int(2*spell/discovery.DefaultTimeToLive)*4 + 2; r.renewals > most || r.registrations > 3 || r.revocations > 0 {
+		t.Errorf("%d renewals (at most %d), %d registrations, %d ends", r.renewals, most, r.registrations, r.revocations)
 	}
 }
 
 // An entry that lapsed in an outage is back soon after it; the calls meanwhile are few.
-func TestEntryComesBackAfterAnOutage(t *testing.T) {
+func TestEntryIsRegisteredAgainAfterOutage(t *testing.T) {
 	const outage = 30 * time.Second
 	r := withAnnouncer(t, func(t *testing.T, r *registrar, a *discovery.Announcer) {
 		a.SetEnabled(true)
@@ -146,12 +146,12 @@
 		time.Sleep(outage)
 		setDown(false)
 		time.Sleep(discovery.DefaultTimeToLive / 3)
-		wantThere(t, r, time.Minute, "after the outage")
+		wantRegistered(t, r, time.Minute, "after the outage")
 		if calls := r.registrations + r.renewals; calls > 40 {
 			t.Errorf("%d calls in 100 s with an outage of %s", calls, outage)
 		}
 	})
-	if r.ends != 1 {
-		t.Errorf("the lease was ended %d times at the stop", r.ends)
+	if r.revocations != 1 {
+		t.Errorf("the lease was ended %d times at the stop", r.revocations)
 	}
 }
--- a/discovery/intake.go
+++ b/discovery/apply.go
@@ -14,8 +14,8 @@
 	return ids
 }
 
-// beginEpoch notes that the registry has come back from a copy, if it has. The lock is held.
-func (f *Follower) beginEpoch(now time.Duration, changes Changes) {
+// detectEpochChange notes that the registry has come back from a copy, if it has. The lock is held.
+func (f *Follower) detectEpochChange(now time.Duration, changes Changes) {
 	known := f.position
 	if _, heard := f.view.SyncedAt(); !heard || changes.Epoch <= known.Epoch {
 		return
@@ -26,28 +26,28 @@
 		Bool("relayed", changes.Relayed).Msg("registry came back from a copy")
 }
 
-// take brings the view up to date with what was heard at now, and tells what is
+// applyChanges brings the view up to date with what was heard at now, and tells what is
 // believed.
-func (f *Follower) take(now time.Duration, changes Changes) {
-	f.noteInvalid(changes.Invalid)
-	f.adopt(func() {
+func (f *Follower) applyChanges(now time.Duration, changes Changes) {
+	f.reportInvalid(changes.Invalid)
+	f.applyAndObserve(func() {
 		before, heard := f.view.SyncedAt()
-		f.hear(now, changes)
-		f.merge(now, changes, birth{at: before, known: heard && !changes.Relayed})
+		f.recordSync(now, changes)
+		f.merge(now, changes, writeTime{at: before, known: heard && !changes.Relayed})
 	})
 }
 
-// adopt changes what is believed, and notes for how long a change was not known at most.
-func (f *Follower) adopt(change func()) {
+// applyAndObserve changes what is believed, and notes for how long a change was not known at most.
+func (f *Follower) applyAndObserve(change func()) {
 	age, known := f.Age()
-	if f.tell(change) && known {
+	if f.updateAndNotify(change) && known {
 		f.options.OnAdopted(age)
 	}
 }
 
-// hear notes that the registry answered at now, to this node or to one that it asked. The
+// recordSync notes that the registry answered at now, to this node or to one that it asked. The
 // lock is held.
-func (f *Follower) hear(now time.Duration, changes Changes) {
+func (f *Follower) recordSync(now time.Duration, changes Changes) {
 	switch {
 	case changes.Partial:
 		f.view.RecordResponse(now)
@@ -58,70 +58,70 @@
 	}
 }
 
-// takeWhole does the same with all that there is: what is not named has gone. All of
+// applyListing does the same with all that there is: what is not named has gone. All of
 // it changes at once, or others would be told the old contents with the new age.
-func (f *Follower) takeWhole(now time.Duration, all Changes) {
-	f.noteInvalid(all.Invalid)
-	f.adopt(func() {
+func (f *Follower) applyListing(now time.Duration, all Changes) {
+	f.reportInvalid(all.Invalid)
+	f.applyAndObserve(func() {
 		before, heard := f.view.SyncedAt()
-		f.beginEpoch(now, all)
-		f.hear(now, all)
+		f.detectEpochChange(now, all)
+		f.recordSync(now, all)
 		if all.Relayed {
 			f.view.RecordRelayedListing(now, all.Position())
 		}
 		f.view.RetainServers(now, listedIDs(all.Servers, all.Invalid), all.Position())
 		f.view.RetainNodes(now, listedIDs(all.Nodes, all.Invalid), all.Position())
 		f.view.RetainDirectives(listedIDs(all.Directives, all.Invalid), all.Position())
-		f.merge(now, all, birth{at: before, known: heard && !all.Relayed})
+		f.merge(now, all, writeTime{at: before, known: heard && !all.Relayed})
 	})
 }
 
-// noteInvalid counts and logs the entries that could not be read.
-func (f *Follower) noteInvalid(entries []InvalidEntry) {
-	f.invalid.Add(uint64(len(entries)))
+// reportInvalid counts and logs the entries that could not be read.
+func (f *Follower) reportInvalid(entries []InvalidEntry) {
+	f.invalidCount.Add(uint64(len(entries)))
 	for _, invalid := range entries {
 		f.invalidLogger.Error().Str("entry", invalid.Name).Err(invalid.Err).Msg("entry is not taken")
 	}
 }
 
-// birth is when directives that are new were written at the earliest.
-type birth struct {
+// writeTime is when directives that are new were written at the earliest.
+type writeTime struct {
 	at    time.Duration
 	known bool
 }
 
-// birthOf is that of one directive: another node tells its age, and what the registry tells
+// earliestWrite is that of one directive: another node tells its age, and what the registry tells
 // was written after it was heard last.
-func (f *Follower) birthOf(key string, changes Changes, newest birth) birth {
+func (f *Follower) earliestWrite(key string, changes Changes, newest writeTime) writeTime {
 	if age, told := changes.MaxOrderAges[key]; told {
-		return birth{at: f.now() - age, known: true}
+		return writeTime{at: f.now() - age, known: true}
 	}
 	return newest
 }
 
 // merge brings the view up to date. The lock is held.
-func (f *Follower) merge(now time.Duration, changes Changes, newest birth) {
+func (f *Follower) merge(now time.Duration, changes Changes, newest writeTime) {
 	for _, e := range changes.Servers {
 		if e.Gone {
-			f.view.RemoveServer(now, e.ID, changes.of(e.Revision))
+			f.view.RemoveServer(now, e.ID, changes.positionAt(e.Revision))
 		} else {
-			f.view.PutServer(now, e.Value, changes.of(e.Revision))
+			f.view.PutServer(now, e.Value, changes.positionAt(e.Revision))
 		}
 	}
 	for _, e := range changes.Nodes {
 		if e.Gone {
-			f.view.RemoveNode(now, e.ID, changes.of(e.Revision))
+			f.view.RemoveNode(now, e.ID, changes.positionAt(e.Revision))
 		} else {
-			f.view.PutNode(e.Value, changes.of(e.Revision))
+			f.view.PutNode(e.Value, changes.positionAt(e.Revision))
 		}
 	}
 	for _, e := range changes.Directives {
 		if e.Gone {
-			f.view.RemoveDirective(e.ID, changes.of(e.Revision))
+			f.view.RemoveDirective(e.ID, changes.positionAt(e.Revision))
 			continue
 		}
-		born := f.birthOf(e.ID, changes, newest)
-		f.view.PutDirective(now, e.Value, changes.of(e.Revision), born.at, born.known)
+		born := f.earliestWrite(e.ID, changes, newest)
+		f.view.PutDirective(now, e.Value, changes.positionAt(e.Revision), born.at, born.known)
 		if age, told := changes.MinOrderAges[e.ID]; told {
 			f.view.RecordDirectiveSeen(e.ID, f.now()-age)
 		}
--- a/discovery/atomic_test.go
+++ b/discovery/atomic_test.go
@@ -13,25 +13,25 @@
 	"github.com/banksail/banksail/route"
 )
 
-// lapseSource is a registry with an outage, in which one server's entry lapses. While
+// outageSource is a registry with an outage, in which one server's entry lapses. While
 // that is told, another server leaves and the history is gone.
-type lapseSource struct {
+type outageSource struct {
 	table *route.Table
 	calls int
-	// told is closed once the lapse is being told, and left once the listing without
+	// removalDelivered is closed once the lapse is being told, and left once the listing without
 	// the other server is on its way.
-	told chan struct{}
-	left chan time.Time
+	removalDelivered chan struct{}
+	listingSent      chan time.Time
 }
 
 var errOutage = errors.New("outage")
 
-func (s *lapseSource) List(context.Context) (discovery.Listing, error) {
+func (s *outageSource) List(context.Context) (discovery.Listing, error) {
 	listing := discovery.Listing{Revision: 1, Table: s.table}
 	names := []string{"stays", "lapses", "leaves"}
 	if s.calls > 0 {
 		listing.Revision, names = 3, names[:1]
-		s.left <- time.Now()
+		s.listingSent <- time.Now()
 	}
 	for _, id := range names {
 		listing.Servers = append(listing.Servers, discovery.Entry[discovery.Server]{ID: id, Revision: 1, Value: discovery.Server{ID: id}})
@@ -39,7 +39,7 @@
 	return listing, nil
 }
 
-func (s *lapseSource) Changes(context.Context, discovery.Position, time.Duration) (discovery.Changes, error) {
+func (s *outageSource) Changes(context.Context, discovery.Position, time.Duration) (discovery.Changes, error) {
 	s.calls++
 	switch s.calls {
 	case 1:
@@ -48,19 +48,19 @@
 		gone := discovery.Entry[discovery.Server]{ID: "lapses", Revision: 2, Gone: true}
 		return discovery.Changes{Revision: 2, Servers: []discovery.Entry[discovery.Server]{gone}}, nil
 	default:
-		<-s.told
+		<-s.removalDelivered
 		return discovery.Changes{}, discovery.ErrHistoryGone
 	}
 }
 
 // What a node tells is as old as its age says, also while it takes a listing in and
 // its consumer is slow: contents and their age change at once.
-func TestContentsAreNoOlderThanTheirAge(t *testing.T) {
+func TestPublishedContentIsNoOlderThanItsAge(t *testing.T) {
 	table, err := route.New(route.Definition{Version: 1, Limits: route.Limits{HeaderBytes: 1, HeaderTimeout: 1, IdleTimeout: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	source := &lapseSource{table: table, told: make(chan struct{}), left: make(chan time.Time, 1)}
+	source := &outageSource{table: table, removalDelivered: make(chan struct{}), listingSent: make(chan time.Time, 1)}
 	release := make(chan struct{})
 	had := false
 	follower := discovery.NewFollower(discovery.FollowerOptions{
@@ -69,7 +69,7 @@
 		Changed: func(news discovery.ClusterState) {
 			has := slices.ContainsFunc(news.Servers, func(s discovery.Server) bool { return s.ID == "lapses" })
 			if had && !has {
-				close(source.told)
+				close(source.removalDelivered)
 				<-release
 			}
 			had = has
@@ -78,7 +78,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { follower.Run(ctx); close(ended) }()
-	left := <-source.left
+	left := <-source.listingSent
 	for range 100 { // the listing is taken in as far as that goes
 		publication, ok := follower.Publish(discovery.PublicationRequest{})
 		believed := slices.ContainsFunc(publication.Servers, func(s discovery.Server) bool { return s.ID == "leaves" })
--- a/discovery/anchors.go
+++ b/discovery/bootstrap.go
@@ -2,9 +2,9 @@
 
 import "cmp"
 
-// leastAnchors is the least number of nodes that keep an entry in the registry: any
+// minBootstrapNodes is the least number of nodes that keep an entry in the registry: any
 // two of them may be lost at the same moment.
-const leastAnchors = 3
+const minBootstrapNodes = 3
 
 // BootstrapNodes returns the nodes that keep an entry in the registry, by which nodes find
 // each other that know nobody who lives: the most capable one of each zone, and others
@@ -21,12 +21,12 @@
 		zones[node.Zone] = struct{}{}
 		anchors = append(anchors, node)
 	}
-	missing := min(max(leastAnchors-len(anchors), 0), len(others))
+	missing := min(max(minBootstrapNodes-len(anchors), 0), len(others))
 	return append(anchors, others[:missing]...)
 }
 
-// byRank puts the more capable node first, and equal ones in an order that is the same
+// compareRank puts the more capable node first, and equal ones in an order that is the same
 // everywhere.
-func byRank(a, b Node) int {
+func compareRank(a, b Node) int {
 	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(hashOf(a.ID), hashOf(b.ID)), cmp.Compare(a.ID, b.ID))
 }
--- a/discovery/relay_test.go
+++ b/discovery/cluster_test.go
@@ -25,18 +25,18 @@
 	epoch    discovery.Epoch
 	revision discovery.Revision
 	events   discovery.Changes
-	readings int
+	reads    int
 	// listings counts the readings of everything.
 	listings int
 	down     bool
-	// most is the number of servers' changes in one answer; zero is any.
-	most int
+	// maxChanges is the number of servers' changes in one answer; zero is any.
+	maxChanges int
 }
 
 func (r *registry) List(context.Context) (discovery.Listing, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.readings++
+	r.reads++
 	r.listings++
 	if r.down {
 		return discovery.Listing{}, discovery.ErrUnavailable
@@ -44,13 +44,13 @@
 	all := r.after(0)
 	var listing discovery.Listing
 	listing.Epoch, listing.Revision, listing.Table = all.Epoch, all.Revision, all.Table
-	for _, e := range latest(all.Servers) {
+	for _, e := range latestEntries(all.Servers) {
 		listing.Servers = append(listing.Servers, e)
 	}
-	for _, e := range latest(all.Nodes) {
+	for _, e := range latestEntries(all.Nodes) {
 		listing.Nodes = append(listing.Nodes, e)
 	}
-	for _, e := range latest(all.Directives) {
+	for _, e := range latestEntries(all.Directives) {
 		listing.Directives = append(listing.Directives, e)
 	}
 	return listing, nil
@@ -60,10 +60,10 @@
 func (r *registry) count() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.readings
+	return r.reads
 }
 
-func latest[T any](entries []discovery.Entry[T]) map[string]discovery.Entry[T] {
+func latestEntries[T any](entries []discovery.Entry[T]) map[string]discovery.Entry[T] {
 	kept := make(map[string]discovery.Entry[T])
 	for _, e := range entries {
 		if e.Gone {
@@ -75,15 +75,15 @@
 	return kept
 }
 
-// registryDelay is the time that the registry takes to notice a change.
-const registryDelay = 10 * time.Millisecond
+// watchLatency is the time that the registry takes to notice a change.
+const watchLatency = 10 * time.Millisecond
 
 // Changes answers as soon as something has changed, or when the wait is over.
 func (r *registry) Changes(_ context.Context, after discovery.Position, wait time.Duration) (discovery.Changes, error) {
 	r.mutex.Lock()
-	r.readings++
+	r.reads++
 	r.mutex.Unlock()
-	for end := time.Now().Add(wait); ; time.Sleep(registryDelay) {
+	for end := time.Now().Add(wait); ; time.Sleep(watchLatency) {
 		r.mutex.Lock()
 		told, down, epoch := r.after(after.Revision), r.down, r.epoch
 		r.mutex.Unlock()
@@ -93,7 +93,7 @@
 		case epoch != after.Epoch:
 			return discovery.Changes{}, discovery.ErrHistoryGone
 		case told.Partial:
-			time.Sleep(registryDelay) // a long answer takes its time
+			time.Sleep(watchLatency) // a long answer takes its time
 			return told, nil
 		case told.Revision > after.Revision || !time.Now().Before(end):
 			return told, nil
@@ -107,8 +107,8 @@
 		if e.Revision <= revision {
 			continue
 		}
-		if r.most > 0 && len(told.Servers) == r.most {
-			told.Partial, told.Revision = true, told.Servers[r.most-1].Revision
+		if r.maxChanges > 0 && len(told.Servers) == r.maxChanges {
+			told.Partial, told.Revision = true, told.Servers[r.maxChanges-1].Revision
 			break
 		}
 		told.Servers = append(told.Servers, e)
@@ -170,52 +170,52 @@
 	r.events.Table = table
 }
 
-// relayWorld is a registry with followers.
-type relayWorld struct {
+// testCluster is a registry with followers.
+type testCluster struct {
 	registry *registry
-	// gates are the nodes' ways to the registry.
-	gates   []*gate
+	// sources are the nodes' ways to the registry.
+	sources []*nodeSource
 	network *network
-	news    []discovery.ClusterState
+	states  []discovery.ClusterState
 	context context.Context
 	stop    context.CancelFunc
 	loops   sync.WaitGroup
 	mutex   sync.Mutex
 	// seeds and seedTime are what the followers learn from at the start, but for the
 	// seeds themselves.
-	seeds    []string
-	seedTime time.Duration
+	seeds       []string
+	seedTimeout time.Duration
 	// bound and lapse are the followers' own; zero is 3 s, and unknown.
-	bound, lapse time.Duration
-	// members says that the nodes know each other other than by the registry, so that they
+	bound, entryTTL time.Duration
+	// gossip says that the nodes know each other other than by the registry, so that they
 	// take turns at it.
-	members bool
+	gossip bool
 }
 
 // nodes lists all nodes, as those that watch each other do who have noticed nothing.
-func (w *relayWorld) nodes() []discovery.Node {
+func (w *testCluster) nodes() []discovery.Node {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	listed := make([]discovery.Node, 0, len(w.news))
-	for number := range w.news {
+	listed := make([]discovery.Node, 0, len(w.states))
+	for number := range w.states {
 		id := fmt.Sprintf("node-%02d", number)
 		listed = append(listed, discovery.Node{ID: id, Address: id, Peer: id})
 	}
 	return listed
 }
 
-func startRelay(t *testing.T, count int) *relayWorld {
-	w := newRelay(t, count)
+func startCluster(t *testing.T, count int) *testCluster {
+	w := newCluster(t, count)
 	w.start(t)
 	time.Sleep(3 * time.Second)
 	return w
 }
 
-func newRelay(t *testing.T, count int) *relayWorld {
-	w := &relayWorld{
+func newCluster(t *testing.T, count int) *testCluster {
+	w := &testCluster{
 		registry: &registry{t: t},
 		network:  &network{followers: make(map[string]*discovery.Follower), silent: make(map[string]bool)},
-		news:     make([]discovery.ClusterState, count),
+		states:   make([]discovery.ClusterState, count),
 	}
 	w.registry.putTable(1)
 	for number := range count {
@@ -226,43 +226,43 @@
 }
 
 // start runs a follower for each node.
-func (w *relayWorld) start(t *testing.T) {
+func (w *testCluster) start(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	w.stop = stop
-	for number := range w.news {
-		w.run(ctx, number, fmt.Sprintf("node-%02d", number))
+	for number := range w.states {
+		w.runNode(ctx, number, fmt.Sprintf("node-%02d", number))
 	}
 	w.context = ctx
 }
 
 // addNode runs one more follower.
-func (w *relayWorld) addNode(t *testing.T, id string) {
+func (w *testCluster) addNode(t *testing.T, id string) {
 	t.Helper()
 	w.mutex.Lock()
-	w.news = append(w.news, discovery.ClusterState{})
+	w.states = append(w.states, discovery.ClusterState{})
 	w.mutex.Unlock()
-	w.run(w.context, len(w.news)-1, id)
+	w.runNode(w.context, len(w.states)-1, id)
 }
 
-func (w *relayWorld) run(ctx context.Context, number int, id string) {
-	seedTime := w.seedTime
+func (w *testCluster) runNode(ctx context.Context, number int, id string) {
+	seedTime := w.seedTimeout
 	if slices.Contains(w.seeds, id) {
 		seedTime = 0
 	}
-	w.gates = append(w.gates, &gate{registry: w.registry})
+	w.sources = append(w.sources, &nodeSource{registry: w.registry})
 	var nodes func() []discovery.Node
-	if w.members {
+	if w.gossip {
 		nodes = w.nodes
 	}
 	follower := discovery.NewFollower(discovery.FollowerOptions{
 		Nodes: nodes, Seed: uint64(number),
-		Source: w.gates[number], Self: id, Fetcher: asker{w.network, id}, Logger: zerolog.Nop(),
-		PollInterval: time.Duration(0.6 * float64(cmp.Or(w.bound, 3*time.Second))), LapseTime: w.lapse,
+		Source: w.sources[number], Self: id, Fetcher: nodeFetcher{w.network, id}, Logger: zerolog.Nop(),
+		PollInterval: time.Duration(0.6 * float64(cmp.Or(w.bound, 3*time.Second))), LapseTime: w.entryTTL,
 		Seeds: w.seeds, SeedTimeout: seedTime,
 		Changed: func(news discovery.ClusterState) {
 			w.mutex.Lock()
 			defer w.mutex.Unlock()
-			w.news[number] = news
+			w.states[number] = news
 		},
 	})
 	w.network.mutex.Lock()
@@ -271,19 +271,19 @@
 	w.loops.Go(func() { follower.Run(ctx) })
 }
 
-// wantAlike wants all followers to believe the same servers and version, but for some.
-func (w *relayWorld) wantAlike(t *testing.T, when string) {
+// wantConverged wants all followers to believe the same servers and version, but for some.
+func (w *testCluster) wantConverged(t *testing.T, when string) {
 	t.Helper()
 	w.registry.mutex.Lock()
 	want := make(map[string]discovery.Server)
-	for id, e := range latest(w.registry.events.Servers) {
+	for id, e := range latestEntries(w.registry.events.Servers) {
 		want[id] = e.Value
 	}
 	version := w.registry.events.Table.Version
 	w.registry.mutex.Unlock()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for number, news := range w.news {
+	for number, news := range w.states {
 		got := make(map[string]discovery.Server)
 		for _, server := range news.Servers {
 			got[server.ID] = server
@@ -296,14 +296,14 @@
 
 // Where many nodes start at once and none is in a hurry, one of them reads everything
 // and the others learn from it.
-func TestNodesLearnFromASeed(t *testing.T) {
+func TestNodesBootstrapFromSeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 30
-		w := newRelay(t, nodes)
-		w.seeds, w.seedTime = []string{"node-00", "node-gone"}, 2*time.Second
+		w := newCluster(t, nodes)
+		w.seeds, w.seedTimeout = []string{"node-00", "node-gone"}, 2*time.Second
 		w.start(t)
 		time.Sleep(4 * time.Second)
-		w.wantAlike(t, "after the start")
+		w.wantConverged(t, "after the start")
 		if w.registry.listings > 3 {
 			t.Errorf("everything was read %d times by %d nodes", w.registry.listings, nodes)
 		}
@@ -313,24 +313,24 @@
 }
 
 // A node whose seeds are gone reads for itself.
-func TestNodesStartWithoutSeeds(t *testing.T) {
+func TestNodesStartWhenSeedsAreUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newRelay(t, 4)
-		w.seeds, w.seedTime = []string{"node-gone"}, 2*time.Second
+		w := newCluster(t, 4)
+		w.seeds, w.seedTimeout = []string{"node-gone"}, 2*time.Second
 		w.start(t)
 		time.Sleep(4 * time.Second)
-		w.wantAlike(t, "after the start")
+		w.wantConverged(t, "after the start")
 		w.stop()
 		w.loops.Wait()
 	})
 }
 
 // Whatever changes, all nodes believe it within the bound, from one reader.
-func TestNodesBelieveWhatTheReaderDoes(t *testing.T) {
+func TestNodesConvergeThroughReader(t *testing.T) {
 	for seed := range uint64(8) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 0))
-			w := startRelay(t, 6)
+			w := startCluster(t, 6)
 			version := uint64(1)
 			for round := range 30 {
 				for range random.IntN(12) {
@@ -345,7 +345,7 @@
 					w.registry.putTable(version)
 				}
 				time.Sleep(3 * time.Second)
-				w.wantAlike(t, fmt.Sprintf("seed %d round %d", seed, round))
+				w.wantConverged(t, fmt.Sprintf("seed %d round %d", seed, round))
 			}
 			before := w.registry.count()
 			time.Sleep(10 * time.Second)
@@ -359,9 +359,9 @@
 }
 
 // While a reader is silent, another reads; nobody goes back to what was before.
-func TestSilentReaders(t *testing.T) {
+func TestNodesConvergeWhenReaderIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startRelay(t, 4)
+		w := startCluster(t, 4)
 		for victim := range 4 {
 			id := fmt.Sprintf("node-%02d", victim)
 			w.network.mutex.Lock()
@@ -369,7 +369,7 @@
 			w.network.mutex.Unlock()
 			w.registry.putServer(discovery.Server{ID: fmt.Sprintf("new-%d", victim), Service: "x"}, false)
 			time.Sleep(3 * time.Second)
-			w.wantAlike(t, id+" is silent")
+			w.wantConverged(t, id+" is silent")
 			w.network.mutex.Lock()
 			w.network.silent[id] = false
 			w.network.mutex.Unlock()
@@ -380,9 +380,9 @@
 }
 
 // A few readers are enough for many nodes.
-func TestReadersGrowSlowly(t *testing.T) {
+func TestFewReadersServeManyNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startRelay(t, 120)
+		w := startCluster(t, 120)
 		before := w.registry.count()
 		time.Sleep(10 * time.Second)
 		if readings := w.registry.count() - before; readings > 40 {
@@ -396,13 +396,13 @@
 // A node that has read the registry by itself does not go on from what it once
 // knew of a reader: entries that lapsed in an outage and came back are no change to
 // the reader, who kept them, but are missing at the node.
-func TestOwnReadingEndsAMark(t *testing.T) {
+func TestOwnReadInvalidatesCursor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startRelay(t, 3)
+		w := startCluster(t, 3)
 		server := discovery.Server{ID: "s", Service: "x", Address: "y"}
 		w.registry.putServer(server, false)
 		time.Sleep(5 * time.Second)
-		w.wantAlike(t, "before")
+		w.wantConverged(t, "before")
 		w.registry.mutex.Lock()
 		w.registry.down = true
 		w.registry.mutex.Unlock()
@@ -414,7 +414,7 @@
 		time.Sleep(900 * time.Millisecond) // all have read that it went, and keep it
 		w.registry.putServer(server, false)
 		time.Sleep(6 * time.Second)
-		w.wantAlike(t, "after the outage")
+		w.wantConverged(t, "after the outage")
 		w.stop()
 		w.loops.Wait()
 	})
@@ -422,19 +422,19 @@
 
 // A reader hears of a change at once, so that all nodes believe it as soon as they
 // have asked again.
-func TestChangesAreHeardSoon(t *testing.T) {
+func TestChangesPropagatePromptly(t *testing.T) {
 	const (
 		askPace = 800 * time.Millisecond // 4/9 of the pace
 		slack   = 250 * time.Millisecond // the reader's own pause, and the way
 	)
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(1, 0))
-		w := startRelay(t, 6)
+		w := startCluster(t, 6)
 		for version := uint64(2); version < 40; version++ {
 			time.Sleep(time.Duration(random.IntN(2000)) * time.Millisecond)
 			w.registry.putTable(version)
 			time.Sleep(askPace + slack)
-			w.wantAlike(t, fmt.Sprintf("version %d", version))
+			w.wantConverged(t, fmt.Sprintf("version %d", version))
 		}
 		w.stop()
 		w.loops.Wait()
--- a/discovery/directive.go
+++ b/discovery/directive.go
@@ -69,8 +69,8 @@
 	return a.Key() == b.Key() && a.Number == b.Number && a.StoredAt == b.StoredAt && a.Lost == b.Lost
 }
 
-// repeats reports whether a directive asks for the same as another one about its subject.
-func (d Directive) repeats(other Directive) bool {
+// requestsSameAs reports whether a directive asks for the same as another one about its subject.
+func (d Directive) requestsSameAs(other Directive) bool {
 	switch {
 	case d.Order != nil && other.Order != nil:
 		return *d.Order == *other.Order
@@ -81,9 +81,9 @@
 	}
 }
 
-// ofNodes reports whether nodes write directives of the kind, and write them again when the
+// writtenByNodes reports whether nodes write directives of the kind, and write them again when the
 // registry has lost them.
-func (k DirectiveKind) ofNodes() bool { return k == RolloutRecord || k == QuarantineContent }
+func (k DirectiveKind) writtenByNodes() bool { return k == RolloutRecord || k == QuarantineContent }
 
 // EvacuatedZones lists the zones that are to be empty, sorted.
 func EvacuatedZones(directives []Directive) []string {
--- a/discovery/directive_test.go
+++ b/discovery/directive_test.go
@@ -10,8 +10,8 @@
 	"github.com/banksail/banksail/rollout"
 )
 
-// order writes an order for a service, as of the registry's next revision.
-func (r *registry) order(service, target string) {
+// putOrder writes an order for a service, as of the registry's next revision.
+func (r *registry) putOrder(service, target string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.revision++
@@ -25,18 +25,18 @@
 	})
 }
 
-// sinceOf is when a node takes an order to be written; zero is unknown.
-func (w *relayWorld) sinceOf(t *testing.T, number int, service, target string) time.Time {
+// orderSince is when a node takes an order to be written; zero is unknown.
+func (w *testCluster) orderSince(t *testing.T, number int, service, target string) time.Time {
 	t.Helper()
-	return w.orderOf(t, number, service, target).Since
+	return w.findOrder(t, number, service, target).Since
 }
 
-// orderOf is what a node knows of an order.
-func (w *relayWorld) orderOf(t *testing.T, number int, service, target string) discovery.Directive {
+// findOrder is what a node knows of an order.
+func (w *testCluster) findOrder(t *testing.T, number int, service, target string) discovery.Directive {
 	t.Helper()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for _, d := range w.news[number].Directives {
+	for _, d := range w.states[number].Directives {
 		if d.Kind == discovery.RollOut && d.Subject == service && d.Order.Target == target {
 			return d
 		}
@@ -48,7 +48,7 @@
 // Every node knows of an order how old it is at most, however it hears of it: it takes no
 // order for younger than it is, and none for older than a reading and an asking; so do nodes
 // that start later, and a new order at the same key has an age of its own.
-func TestOrdersKeepTheirAge(t *testing.T) {
+func TestNodesKnowMaximumAgeOfOrders(t *testing.T) {
 	const (
 		nodes = 6
 		// unheard is the greatest age of a belief before the order came.
@@ -56,19 +56,19 @@
 		known   = 3 * time.Second
 	)
 	synctest.Test(t, func(t *testing.T) {
-		w := startRelay(t, nodes)
+		w := startCluster(t, nodes)
 		for _, target := range []string{"v2", "v3"} {
 			time.Sleep(1300 * time.Millisecond)
-			w.registry.order("x", target)
+			w.registry.putOrder("x", target)
 			written := time.Now()
 			time.Sleep(known)
 			if target == "v2" {
-				w.seeds, w.seedTime = []string{"node-01"}, time.Second
+				w.seeds, w.seedTimeout = []string{"node-01"}, time.Second
 				w.addNode(t, "node-late")
 				time.Sleep(known)
 			}
 			for number := range nodes + 1 {
-				since := w.sinceOf(t, number, "x", target)
+				since := w.orderSince(t, number, "x", target)
 				if since.IsZero() || since.After(written) || since.Before(written.Add(-unheard)) {
 					t.Errorf("%s: node %d takes it for written at %s, it was at %s", target, number, since, written)
 				}
@@ -81,7 +81,7 @@
 
 // Every node knows how young an order is at most, too: as young as the first of them heard of it,
 // whenever it hears itself.
-func TestOrdersAreKnownToHaveStood(t *testing.T) {
+func TestNodesKnowMinimumAgeOfOrders(t *testing.T) {
 	const (
 		nodes = 6
 		// heard is when the first node has heard of it at the latest, and late when one hears of it
@@ -90,16 +90,16 @@
 		late  = 10 * time.Second
 	)
 	synctest.Test(t, func(t *testing.T) {
-		w := startRelay(t, nodes)
+		w := startCluster(t, nodes)
 		time.Sleep(1300 * time.Millisecond)
-		w.registry.order("x", "v2")
+		w.registry.putOrder("x", "v2")
 		written := time.Now()
 		time.Sleep(late)
-		w.seeds, w.seedTime = []string{"node-01"}, time.Second
+		w.seeds, w.seedTimeout = []string{"node-01"}, time.Second
 		w.addNode(t, "node-late")
 		time.Sleep(late)
 		for number := range nodes + 1 {
-			latest := w.orderOf(t, number, "x", "v2").Latest
+			latest := w.findOrder(t, number, "x", "v2").Latest
 			if latest.Before(written) || latest.After(written.Add(heard)) {
 				t.Errorf("node %d: it stood at %s, it was written at %s", number, latest, written)
 			}
@@ -111,14 +111,14 @@
 
 // A node that finds an order when it hears the registry for the first time does not know how
 // old it is.
-func TestOrdersFoundAtTheStartHaveNoAge(t *testing.T) {
+func TestAgeOfOrdersFoundAtStartIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newRelay(t, 2)
-		w.registry.order("x", "v2")
+		w := newCluster(t, 2)
+		w.registry.putOrder("x", "v2")
 		w.start(t)
 		time.Sleep(3 * time.Second)
 		for number := range 2 {
-			if since := w.sinceOf(t, number, "x", "v2"); !since.IsZero() {
+			if since := w.orderSince(t, number, "x", "v2"); !since.IsZero() {
 				t.Errorf("node %d takes it for written at %s", number, since)
 			}
 		}
@@ -129,7 +129,7 @@
 
 // While nodes of two builds run, each takes the other's directives for the same entries, as long as
 // the registry tells no epoch.
-func TestDirectivesOfAnEarlierBuild(t *testing.T) {
+func TestDirectiveEncodingMatchesEarlierBuilds(t *testing.T) {
 	var told discovery.Directive
 	if err := json.Unmarshal([]byte(`{"kind":"roll_out","subject":"x","revision":9,"order":{"target":"v2"}}`), &told); err != nil {
 		t.Fatal(err)
@@ -140,7 +140,7 @@
 	var earlier struct {
 		Revision uint64 `json:"revision"`
 	}
-	told.StoredAt = at(9)
+	told.StoredAt = revisionPosition(9)
 	encoded, err := json.Marshal(told)
 	if err != nil {
 		t.Fatal(err)
--- a/discovery/directives.go
+++ b/discovery/directives.go
@@ -9,10 +9,10 @@
 )
 
 // directives are those that are believed to be in force, by key.
-type directives map[string]*heldDirective
+type directives map[string]*trackedDirective
 
-// heldDirective is one of them.
-type heldDirective struct {
+// trackedDirective is one of them.
+type trackedDirective struct {
 	value Directive
 	// position is that of the last word on it.
 	position Position
@@ -21,10 +21,10 @@
 	sinceKnown bool
 	// latest is when it stood in the registry already.
 	latest time.Duration
-	// keptUntil is until when one that the registry has lost is believed; zero is until it is
+	// retainedUntil is until when one that the registry has lost is believed; zero is until it is
 	// written again. Then comes what the copy holds instead, if anything.
-	keptUntil time.Duration
-	instead   *Directive
+	retainedUntil time.Duration
+	replacement   *Directive
 }
 
 // PutDirective takes a directive, as heard at now; an older position changes nothing. A new one
@@ -36,7 +36,7 @@
 		return
 	}
 	if known == nil {
-		v.directives[key] = v.hold(now, told, position, since, sinceKnown)
+		v.directives[key] = v.trackDirective(now, told, position, since, sinceKnown)
 		return
 	}
 	known.position = position
@@ -44,40 +44,40 @@
 	case sameDirective(known.value, told):
 	case told.Kind == RolloutRecord && told.Number < known.value.Number:
 		if !told.Lost {
-			known.lose(told.StoredAt) // the nodes have come farther than what the registry holds
+			known.markLost(told.StoredAt) // the nodes have come farther than what the registry holds
 		}
 	case known.value.Lost && told.Lost && told.Number == known.value.Number:
 		known.value.StoredAt = told.StoredAt
-	case known.value.Lost && told.repeats(known.value) && told.Kind != RolloutRecord:
-		known.regain(told)
-	case known.value.Lost && now < known.keptUntil && v.fromCopy(now, told.StoredAt):
-		known.value.StoredAt, known.instead = told.StoredAt, &told
+	case known.value.Lost && told.requestsSameAs(known.value) && told.Kind != RolloutRecord:
+		known.markRewritten(told)
+	case known.value.Lost && now < known.retainedUntil && v.maybeFromBackup(now, told.StoredAt):
+		known.value.StoredAt, known.replacement = told.StoredAt, &told
 	default:
-		v.directives[key] = v.hold(now, told, position, since, sinceKnown)
+		v.directives[key] = v.trackDirective(now, told, position, since, sinceKnown)
 	}
 }
 
-// hold is a directive as it is told first. One that the registry has lost is believed for as
+// trackDirective is a directive as it is told first. One that the registry has lost is believed for as
 // long as by a node that knew it before.
-func (v *View) hold(now time.Duration, told Directive, position Position, since time.Duration, sinceKnown bool) *heldDirective {
-	held := &heldDirective{value: told, position: position, since: since, sinceKnown: sinceKnown, latest: now}
-	if told.Lost && !told.Kind.ofNodes() {
-		held.keptUntil = now + v.options.DirectiveGrace
+func (v *View) trackDirective(now time.Duration, told Directive, position Position, since time.Duration, sinceKnown bool) *trackedDirective {
+	held := &trackedDirective{value: told, position: position, since: since, sinceKnown: sinceKnown, latest: now}
+	if told.Lost && !told.Kind.writtenByNodes() {
+		held.retainedUntil = now + v.options.DirectiveGrace
 	}
 	return held
 }
 
-// lose notes that the registry holds something else at the key, or nothing.
-func (h *heldDirective) lose(stored Position) {
+// markLost notes that the registry holds something else at the key, or nothing.
+func (h *trackedDirective) markLost(stored Position) {
 	h.value.Lost, h.value.StoredAt, h.value.Lease = true, stored, 0
 }
 
-// regain notes that the directive stands in the registry again, as it is told.
-func (h *heldDirective) regain(told Directive) {
+// markRewritten notes that the directive stands in the registry again, as it is told.
+func (h *trackedDirective) markRewritten(told Directive) {
 	number := h.value.Number
 	h.value = told
 	h.value.Number = number
-	h.keptUntil, h.instead = 0, nil
+	h.retainedUntil, h.replacement = 0, nil
 }
 
 // beginEpoch notes that the registry has come back from a copy: what it tells next says which
@@ -85,9 +85,9 @@
 // the nodes until they have written them again.
 func (d directives) beginEpoch(until time.Duration, epoch Epoch) {
 	for _, held := range d {
-		held.lose(Position{Epoch: epoch})
-		if !held.value.Kind.ofNodes() {
-			held.keptUntil = until
+		held.markLost(Position{Epoch: epoch})
+		if !held.value.Kind.writtenByNodes() {
+			held.retainedUntil = until
 		}
 	}
 }
@@ -114,11 +114,11 @@
 func (d directives) expire(now time.Duration) {
 	for key, held := range d {
 		switch {
-		case held.keptUntil == 0 || now < held.keptUntil:
-		case held.instead == nil:
+		case held.retainedUntil == 0 || now < held.retainedUntil:
+		case held.replacement == nil:
 			delete(d, key)
 		default:
-			held.value, held.keptUntil, held.instead = *held.instead, 0, nil
+			held.value, held.retainedUntil, held.replacement = *held.replacement, 0, nil
 			held.sinceKnown, held.latest = false, now
 		}
 	}
@@ -127,15 +127,15 @@
 func (d directives) nextExpiry() time.Duration {
 	next := time.Duration(math.MaxInt64)
 	for _, held := range d {
-		if held.keptUntil > 0 {
-			next = min(next, held.keptUntil)
+		if held.retainedUntil > 0 {
+			next = min(next, held.retainedUntil)
 		}
 	}
 	return next
 }
 
-// lost counts the directives that the registry has lost.
-func (d directives) lost() int {
+// lostCount counts the directives that the registry has lost.
+func (d directives) lostCount() int {
 	count := 0
 	for _, held := range d {
 		if held.value.Lost {
@@ -156,7 +156,7 @@
 }
 
 // LostDirectiveCount counts those that the registry has lost as it came back from a copy.
-func (v *View) LostDirectiveCount() int { return v.directives.lost() }
+func (v *View) LostDirectiveCount() int { return v.directives.lostCount() }
 
 // RecordDirectiveSeen notes that a directive stood in the registry at a time, as another node has heard.
 func (v *View) RecordDirectiveSeen(key string, at time.Duration) {
--- a/discovery/epoch_test.go
+++ b/discovery/epoch_test.go
@@ -20,22 +20,22 @@
 	"github.com/banksail/banksail/route"
 )
 
-// registryCopy is what a registry held at one moment.
-type registryCopy struct {
+// registryBackup is what a registry held at one moment.
+type registryBackup struct {
 	revision discovery.Revision
 	events   discovery.Changes
 }
 
-func (r *registry) copy() registryCopy {
+func (r *registry) copy() registryBackup {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	events := r.events
 	events.Servers, events.Nodes, events.Directives = slices.Clone(events.Servers), slices.Clone(events.Nodes), slices.Clone(events.Directives)
-	return registryCopy{r.revision, events}
+	return registryBackup{r.revision, events}
 }
 
 // restore brings the registry back from a copy. The copy's directives stand in the new epoch.
-func (r *registry) restore(taken registryCopy) {
+func (r *registry) restore(taken registryBackup) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.epoch++
@@ -46,22 +46,22 @@
 	}
 }
 
-// tableAt is the version of the table that a node believes in.
-func (w *relayWorld) tableAt(number int) uint64 {
+// tableVersion is the version of the table that a node believes in.
+func (w *testCluster) tableVersion(number int) uint64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.news[number].Table.Version
+	return w.states[number].Table.Version
 }
 
 // Drawn histories of servers, tables and evacuations, with a registry that comes back from a copy
 // of some seconds before, once or twice in a row, whether nodes heard it meanwhile or not: all
 // nodes believe what it holds in the end, an evacuation that its owner writes again never ends,
 // and none goes back to an older table.
-func TestNodesFollowARegistryOverItsEpochs(t *testing.T) {
+func TestNodesConvergeAcrossRegistryRestores(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 45))
-			w := startRelay(t, 6)
+			w := startCluster(t, 6)
 			version := uint64(1)
 			w.registry.evacuate("kept", false)
 			time.Sleep(evacuationBound)
@@ -92,16 +92,16 @@
 				version++
 				w.registry.putTable(version)
 				time.Sleep(evacuationBound)
-				for number := range w.news {
-					if !slices.Contains(w.evacuatedAt(number), "kept") {
+				for number := range w.states {
+					if !slices.Contains(w.evacuatedZones(number), "kept") {
 						t.Fatalf("seed %d round %d: node %d has ended an evacuation", seed, round, number)
 					}
-					if got := w.tableAt(number); got != version {
+					if got := w.tableVersion(number); got != version {
 						t.Fatalf("seed %d round %d: node %d has table %d, want %d", seed, round, number, got, version)
 					}
 				}
 				time.Sleep(10 * time.Second) // what a copy leaves in doubt is over
-				w.wantAlike(t, fmt.Sprintf("seed %d round %d", seed, round))
+				w.wantConverged(t, fmt.Sprintf("seed %d round %d", seed, round))
 			}
 			w.stop()
 			w.loops.Wait()
@@ -111,66 +111,66 @@
 
 // A node that was cut off from everybody while the registry came back from a copy asks others
 // for nothing older than it knows, and none of them believes it.
-func TestNodesOfTwoEpochs(t *testing.T) {
+func TestNodesIgnorePublicationsOfEarlierEpochs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startRelay(t, 5)
+		w := startCluster(t, 5)
 		const alone = 4
 		taken := w.registry.copy()
 		w.registry.putServer(discovery.Server{ID: "lost", Service: "x"}, false)
 		time.Sleep(3 * time.Second)
-		w.gates[alone].refusal.Store(int32(refusesAtOnce))
-		w.network.cut("node-04", true)
+		w.sources[alone].rejection.Store(int32(rejectsImmediately))
+		w.network.setIsolated("node-04", true)
 		w.registry.setDown(true)
 		time.Sleep(3 * time.Second)
 		w.registry.restore(taken)
 		w.registry.putServer(discovery.Server{ID: "new", Service: "x"}, false)
 		w.registry.setDown(false)
 		time.Sleep(6 * time.Second)
-		if !w.believes(alone, "lost") || w.believes(alone, "new") {
+		if !w.knowsServer(alone, "lost") || w.knowsServer(alone, "new") {
 			t.Error("the node that is cut off believes something else")
 		}
 		ahead := w.network.followers["node-00"]
 		publication, _ := ahead.Publish(discovery.PublicationRequest{})
-		if got, ok := ahead.Publish(discovery.PublicationRequest{Known: publication.Cursor, Position: in(0, 1)}); !ok || got.Since != 0 {
+		if got, ok := ahead.Publish(discovery.PublicationRequest{Known: publication.Cursor, Position: epochPosition(0, 1)}); !ok || got.Since != 0 {
 			t.Errorf("a node of the epoch before is told what changed after %d (%t)", got.Since, ok)
 		}
 		if _, ok := w.network.followers["node-04"].Publish(discovery.PublicationRequest{Position: publication.Position}); ok {
 			t.Error("a node that is in the epoch before tells one of the next what it believes")
 		}
-		w.network.cut("node-04", false)
+		w.network.setIsolated("node-04", false)
 		time.Sleep(6 * time.Second)
-		w.wantAlike(t, "together again")
+		w.wantConverged(t, "together again")
 		w.stop()
 		w.loops.Wait()
 	})
 }
 
-// scriptedPublishers has nodes tell what is scripted, by their address.
-type scriptedPublishers struct {
-	mutex sync.Mutex
-	told  map[string]discovery.Publication
+// scriptedFetcher has nodes tell what is scripted, by their address.
+type scriptedFetcher struct {
+	mutex        sync.Mutex
+	publications map[string]discovery.Publication
 }
 
-func (p *scriptedPublishers) Fetch(_ context.Context, address string, inquiry discovery.PublicationRequest) (discovery.Publication, error) {
+func (p *scriptedFetcher) Fetch(_ context.Context, address string, inquiry discovery.PublicationRequest) (discovery.Publication, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	publication, there := p.told[address]
+	publication, there := p.publications[address]
 	if !there || publication.Before(inquiry.Position) {
 		return discovery.Publication{}, discovery.ErrUnavailable
 	}
 	return publication, nil
 }
 
-func (p *scriptedPublishers) tell(told map[string]discovery.Publication) {
+func (p *scriptedFetcher) set(told map[string]discovery.Publication) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.told = told
+	p.publications = told
 }
 
 // A reader that has started after the copy came back does not know that a server has gone which
 // the copy lists, and says that it is there. A node that knew it, and that is told all by that
 // reader after another one, does not use it.
-func TestReadersThatKnowLessThanTheirAskers(t *testing.T) {
+func TestReaderUnawareOfRemovalDoesNotReviveServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := route.Definition{Version: 1, Limits: route.Limits{HeaderBytes: 1, HeaderTimeout: 1, IdleTimeout: 1}}
 		publication := func(publisher string, position discovery.Position, ids ...string) map[string]discovery.Publication {
@@ -181,11 +181,11 @@
 			}
 			return map[string]discovery.Publication{publisher: told}
 		}
-		publishers := new(scriptedPublishers)
+		publishers := new(scriptedFetcher)
 		var mutex sync.Mutex
 		var used []string
 		follower := discovery.NewFollower(discovery.FollowerOptions{
-			Source: &awaySource{}, Self: "self", Fetcher: publishers, Logger: zerolog.Nop(),
+			Source: &unavailableSource{}, Self: "self", Fetcher: publishers, Logger: zerolog.Nop(),
 			Nodes: func() []discovery.Node {
 				return []discovery.Node{{ID: "self"}, {ID: "a", Peer: "a", Capacity: 2}, {ID: "b", Peer: "b", Capacity: 2}}
 			},
@@ -205,12 +205,12 @@
 			told map[string]discovery.Publication
 			want []string
 		}{
-			{publication("a", in(1, 50), "s", "gone"), []string{"gone", "s"}},
-			{publication("a", in(1, 60), "s"), []string{"s"}},
-			{publication("a", in(2, 40), "s"), []string{"s"}},
-			{publication("b", in(2, 45), "s", "gone"), []string{"s"}},
+			{publication("a", epochPosition(1, 50), "s", "gone"), []string{"gone", "s"}},
+			{publication("a", epochPosition(1, 60), "s"), []string{"s"}},
+			{publication("a", epochPosition(2, 40), "s"), []string{"s"}},
+			{publication("b", epochPosition(2, 45), "s", "gone"), []string{"s"}},
 		} {
-			publishers.tell(step.told)
+			publishers.set(step.told)
 			time.Sleep(1500 * time.Millisecond)
 			mutex.Lock()
 			if !slices.Equal(used, step.want) {
@@ -223,19 +223,19 @@
 	})
 }
 
-// awaySource is a registry that is away.
-type awaySource struct{}
+// unavailableSource is a registry that is away.
+type unavailableSource struct{}
 
-func (*awaySource) List(context.Context) (discovery.Listing, error) {
+func (*unavailableSource) List(context.Context) (discovery.Listing, error) {
 	return discovery.Listing{}, discovery.ErrUnavailable
 }
 
-func (*awaySource) Changes(context.Context, discovery.Position, time.Duration) (discovery.Changes, error) {
+func (*unavailableSource) Changes(context.Context, discovery.Position, time.Duration) (discovery.Changes, error) {
 	return discovery.Changes{}, discovery.ErrUnavailable
 }
 
 // Positions and their numbers order alike, whatever the revisions of two epochs.
-func TestNumbersOrderAsPositionsDo(t *testing.T) {
+func TestNumberPreservesPositionOrder(t *testing.T) {
 	properties := gopter.NewProperties(nil)
 	position := func(epoch uint16, revision uint32) discovery.Position {
 		return discovery.Position{Epoch: discovery.Epoch(epoch), Revision: discovery.Revision(revision)}
@@ -249,15 +249,15 @@
 	properties.TestingRun(t)
 }
 
-// in is a position of an epoch.
-func in(epoch discovery.Epoch, revision discovery.Revision) discovery.Position {
+// epochPosition is a position of an epoch.
+func epochPosition(epoch discovery.Epoch, revision discovery.Revision) discovery.Position {
 	return discovery.Position{Epoch: epoch, Revision: revision}
 }
 
 // What the copy says of a server that was known to leave, or to have gone, counts once its entry
 // would have lapsed; what is written after the copy came back counts at once, and so does
 // another life under the same ID.
-func TestLeavingOutlastsACopy(t *testing.T) {
+func TestDrainsAndRemovalsSurviveRestore(t *testing.T) {
 	const restoredFor = 5 * time.Second
 	server := func(id string, state discovery.State, born int64) discovery.Server {
 		return discovery.Server{ID: id, Service: "x", State: state, Born: born}
@@ -266,18 +266,18 @@
 	view.RecordContinuousSync(0)
 	now := time.Minute
 	for _, id := range []string{"drains", "gone", "reborn", "writes"} {
-		view.PutServer(now, server(id, discovery.Ready, 1), in(1, 50))
+		view.PutServer(now, server(id, discovery.Ready, 1), epochPosition(1, 50))
 	}
-	view.PutServer(now, server("drains", discovery.Draining, 1), in(1, 60))
-	view.PutServer(now, server("writes", discovery.Draining, 1), in(1, 61))
-	view.RemoveServer(now, "gone", in(1, 62))
-	view.RemoveServer(now, "reborn", in(1, 63))
+	view.PutServer(now, server("drains", discovery.Draining, 1), epochPosition(1, 60))
+	view.PutServer(now, server("writes", discovery.Draining, 1), epochPosition(1, 61))
+	view.RemoveServer(now, "gone", epochPosition(1, 62))
+	view.RemoveServer(now, "reborn", epochPosition(1, 63))
 
-	view.BeginEpoch(now, in(2, 55))
+	view.BeginEpoch(now, epochPosition(2, 55))
 	for _, id := range []string{"drains", "gone", "writes"} {
-		view.PutServer(now, server(id, discovery.Ready, 1), in(2, 50))
+		view.PutServer(now, server(id, discovery.Ready, 1), epochPosition(2, 50))
 	}
-	view.PutServer(now, server("reborn", discovery.Ready, 2), in(2, 54))
+	view.PutServer(now, server("reborn", discovery.Ready, 2), epochPosition(2, 54))
 	want := func(when string, states map[string]discovery.State) {
 		t.Helper()
 		got := view.Servers()
@@ -291,7 +291,7 @@
 		}
 	}
 	want("at first", map[string]discovery.State{"drains": discovery.Draining, "writes": discovery.Draining, "reborn": discovery.Ready})
-	view.PutServer(now+time.Second, server("writes", discovery.Ready, 1), in(2, 56))
+	view.PutServer(now+time.Second, server("writes", discovery.Ready, 1), epochPosition(2, 56))
 	view.Expire(now + time.Second)
 	want("written again", map[string]discovery.State{"drains": discovery.Draining, "writes": discovery.Ready, "reborn": discovery.Ready})
 	if at, ok := view.NextExpiry(); !ok || at != now+restoredFor {
@@ -301,8 +301,8 @@
 	want("in the end", map[string]discovery.State{"drains": discovery.Ready, "gone": discovery.Ready, "writes": discovery.Ready, "reborn": discovery.Ready})
 }
 
-// recordOf is a record of an epoch, stored at a position.
-func recordOf(epoch uint64, phase rollout.Phase, stored discovery.Position) discovery.Directive {
+// newRecord is a record of an epoch, stored at a position.
+func newRecord(epoch uint64, phase rollout.Phase, stored discovery.Position) discovery.Directive {
 	written := discovery.Position{Epoch: discovery.Epoch(epoch), Revision: stored.Revision}
 	return discovery.Directive{
 		Kind: discovery.RolloutRecord, Subject: "s", StoredAt: stored, Number: written.Number(),
@@ -313,29 +313,29 @@
 // Records never go back with the registry: what the nodes know is lost until it is written again,
 // whichever way the rest is heard; a record of the new epoch, or one that the copy has and this
 // node had not heard of, counts.
-func TestRecordsOutlastACopy(t *testing.T) {
+func TestRolloutRecordsSurviveRestore(t *testing.T) {
 	for name, test := range map[string]struct {
 		told discovery.Directive
 		want rollout.Phase
 		lost bool
 	}{
-		"the copy has it":              {recordOf(1, rollout.Completed, in(2, 50)), rollout.Completed, false},
-		"the copy has an earlier one":  {recordOf(1, rollout.Moving, in(2, 40)), rollout.Completed, true},
-		"the copy has a later one":     {recordOf(1, rollout.RolledBack, in(2, 51)), rollout.RolledBack, false},
-		"written in the new epoch":     {recordOf(2, rollout.RolledBack, in(2, 30)), rollout.RolledBack, false},
-		"written at the same revision": {recordOf(2, rollout.RolledBack, in(2, 50)), rollout.RolledBack, false},
+		"the copy has it":              {newRecord(1, rollout.Completed, epochPosition(2, 50)), rollout.Completed, false},
+		"the copy has an earlier one":  {newRecord(1, rollout.Moving, epochPosition(2, 40)), rollout.Completed, true},
+		"the copy has a later one":     {newRecord(1, rollout.RolledBack, epochPosition(2, 51)), rollout.RolledBack, false},
+		"written in the new epoch":     {newRecord(2, rollout.RolledBack, epochPosition(2, 30)), rollout.RolledBack, false},
+		"written at the same revision": {newRecord(2, rollout.RolledBack, epochPosition(2, 50)), rollout.RolledBack, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			view := discovery.NewView(discovery.Options{})
 			view.RecordContinuousSync(0)
-			known := recordOf(1, rollout.Completed, in(1, 50))
+			known := newRecord(1, rollout.Completed, epochPosition(1, 50))
 			view.PutDirective(0, known, known.StoredAt, 0, false)
-			view.BeginEpoch(time.Second, in(2, 52))
-			view.RetainDirectives(map[string]struct{}{}, in(2, 52))
+			view.BeginEpoch(time.Second, epochPosition(2, 52))
+			view.RetainDirectives(map[string]struct{}{}, epochPosition(2, 52))
 			if got := view.Directives(); len(got) != 1 || !got[0].Lost || got[0].StoredAt.Revision != 0 {
 				t.Fatalf("not listed: %+v", got)
 			}
-			view.PutDirective(time.Second, test.told, in(2, 52), 0, false)
+			view.PutDirective(time.Second, test.told, epochPosition(2, 52), 0, false)
 			view.Expire(time.Hour)
 			got := view.Directives()
 			if len(got) != 1 || got[0].Record.Phase != test.want || got[0].Lost != test.lost || got[0].StoredAt != test.told.StoredAt {
@@ -348,7 +348,7 @@
 // Orders keep their number when the operator writes them again; one that differs from what is
 // known counts at once if it was written after the copy came back, and else when nobody has
 // written the known one again in time. What is told by a node that lost it, too, ends as well.
-func TestOrdersOutlastACopy(t *testing.T) {
+func TestRolloutOrdersSurviveRestore(t *testing.T) {
 	const keptFor = 10 * time.Second
 	order := func(target string, stored discovery.Position) discovery.Directive {
 		return discovery.Directive{
@@ -356,37 +356,37 @@
 			Order: &rollout.Order{Target: target, Duration: time.Minute},
 		}
 	}
-	lost := order("v2", in(2, 0))
-	lost.Number, lost.Lost = in(1, 50).Number(), true
+	lost := order("v2", epochPosition(2, 0))
+	lost.Number, lost.Lost = epochPosition(1, 50).Number(), true
 	for name, test := range map[string]struct {
 		told                *discovery.Directive
 		target, targetLater string
 		number              uint64
 	}{
-		"not there":                  {nil, "v2", "", in(1, 50).Number()},
-		"the same":                   {new(order("v2", in(2, 50))), "v2", "v2", in(1, 50).Number()},
-		"written again, soon":        {new(order("v2", in(2, 45))), "v2", "v2", in(1, 50).Number()},
-		"written again":              {new(order("v2", in(2, 60))), "v2", "v2", in(1, 50).Number()},
-		"an earlier one of the copy": {new(order("v1", in(2, 30))), "v2", "v1", in(1, 50).Number()},
-		"a new one":                  {new(order("v3", in(2, 60))), "v3", "v3", in(2, 60).Number()},
-		"told by one that lost it":   {&lost, "v2", "", in(1, 50).Number()},
+		"not there":                  {nil, "v2", "", epochPosition(1, 50).Number()},
+		"the same":                   {new(order("v2", epochPosition(2, 50))), "v2", "v2", epochPosition(1, 50).Number()},
+		"written again, soon":        {new(order("v2", epochPosition(2, 45))), "v2", "v2", epochPosition(1, 50).Number()},
+		"written again":              {new(order("v2", epochPosition(2, 60))), "v2", "v2", epochPosition(1, 50).Number()},
+		"an earlier one of the copy": {new(order("v1", epochPosition(2, 30))), "v2", "v1", epochPosition(1, 50).Number()},
+		"a new one":                  {new(order("v3", epochPosition(2, 60))), "v3", "v3", epochPosition(2, 60).Number()},
+		"told by one that lost it":   {&lost, "v2", "", epochPosition(1, 50).Number()},
 	} {
 		t.Run(name, func(t *testing.T) {
 			view := discovery.NewView(discovery.Options{DirectiveGrace: keptFor})
 			view.RecordContinuousSync(0)
-			known := order("v2", in(1, 50))
+			known := order("v2", epochPosition(1, 50))
 			view.PutDirective(0, known, known.StoredAt, 3*time.Second, true)
 			now := time.Minute
-			view.BeginEpoch(now, in(2, 52))
-			view.RetainDirectives(map[string]struct{}{}, in(2, 52))
+			view.BeginEpoch(now, epochPosition(2, 52))
+			view.RetainDirectives(map[string]struct{}{}, epochPosition(2, 52))
 			if test.told != nil {
-				view.PutDirective(now, *test.told, in(2, 70), 0, false)
+				view.PutDirective(now, *test.told, epochPosition(2, 70), 0, false)
 			}
 			view.Expire(now + keptFor - 1)
 			if got := view.Directives(); len(got) != 1 || got[0].Order.Target != test.target || got[0].Number != test.number {
 				t.Errorf("%+v", got)
 			}
-			if since, known := view.Since(known.Key()); test.number == in(1, 50).Number() && (!known || since != 3*time.Second) {
+			if since, known := view.Since(known.Key()); test.number == epochPosition(1, 50).Number() && (!known || since != 3*time.Second) {
 				t.Errorf("since %s (%t)", since, known)
 			}
 			view.Expire(now + keptFor)
--- a/discovery/evacuation_test.go
+++ b/discovery/evacuation_test.go
@@ -15,18 +15,18 @@
 // hear of it know of an evacuation, and of its end.
 const evacuationBound = 2600 * time.Millisecond
 
-// evacuatedAt lists the zones that a node believes to be evacuated.
-func (w *relayWorld) evacuatedAt(number int) []string {
+// evacuatedZones lists the zones that a node believes to be evacuated.
+func (w *testCluster) evacuatedZones(number int) []string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return discovery.EvacuatedZones(w.news[number].Directives)
+	return discovery.EvacuatedZones(w.states[number].Directives)
 }
 
 // wantEvacuated wants all nodes to believe in the same evacuations.
-func (w *relayWorld) wantEvacuated(t *testing.T, when string, zones ...string) {
+func (w *testCluster) wantEvacuated(t *testing.T, when string, zones ...string) {
 	t.Helper()
-	for number := range w.news {
-		if got := w.evacuatedAt(number); !slices.Equal(got, zones) {
+	for number := range w.states {
+		if got := w.evacuatedZones(number); !slices.Equal(got, zones) {
 			t.Errorf("%s: node %d believes that %v are evacuated, want %v", when, number, got, zones)
 		}
 	}
@@ -35,12 +35,12 @@
 // Drawn histories of evacuations, taken back and asked for again, amid other changes,
 // outages and lost history: every node knows of them within the bound, an outage ends
 // none, and none comes back.
-func TestEvacuationsAreKnownWithinTheBound(t *testing.T) {
+func TestEvacuationsReachAllNodesWithinBound(t *testing.T) {
 	zones := []string{"a", "b", "c"}
 	for seed := range uint64(12) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 5))
-			w := startRelay(t, 7)
+			w := startCluster(t, 7)
 			var evacuated []string
 			for round := range 12 {
 				when := fmt.Sprintf("seed %d round %d", seed, round)
@@ -75,9 +75,9 @@
 
 // A node that starts while the registry gives no answer takes over the evacuations that a
 // seed knows of, with its servers.
-func TestNodesThatStartInAnOutageKnowOfEvacuations(t *testing.T) {
+func TestNodesStartedInOutageLearnEvacuations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newRelay(t, 3)
+		w := newCluster(t, 3)
 		w.seeds = []string{"node-00"}
 		w.registry.evacuate("a", false)
 		w.start(t)
@@ -94,7 +94,7 @@
 }
 
 // A full listing tells which evacuations were taken back unnoticed.
-func TestEvacuationsEndWithAListing(t *testing.T) {
+func TestListingRemovesRevokedEvacuations(t *testing.T) {
 	view := discovery.NewView(discovery.Options{})
 	a := discovery.Directive{Kind: discovery.EvacuateZone, Subject: "a", Number: 3, StoredAt: discovery.Position{Revision: 3}}
 	b := discovery.Directive{Kind: discovery.EvacuateZone, Subject: "b", Number: 9, StoredAt: discovery.Position{Revision: 9}}
@@ -115,13 +115,13 @@
 }
 
 // A server whose warm-up begins anew or ends early is news to nodes that ask others.
-func TestWarmupsAreTold(t *testing.T) {
+func TestWarmupChangesArePublished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startRelay(t, 4)
+		w := startCluster(t, 4)
 		for _, left := range []time.Duration{0, 3 * time.Second, 0, 2 * time.Second} {
 			w.registry.putServer(discovery.Server{ID: "s", Service: "x", Address: "y", ColdFor: left}, false)
 			time.Sleep(evacuationBound)
-			w.wantAlike(t, fmt.Sprintf("cold for %s", left))
+			w.wantConverged(t, fmt.Sprintf("cold for %s", left))
 		}
 		w.stop()
 		w.loops.Wait()
--- /dev/null
+++ b/discovery/faults_test.go
@@ -0,0 +1,174 @@
+package discovery_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/banksail/banksail/discovery"
+)
+
+const (
+	// propagationShare is the part of the shortest bound within which every node that hears the
+	// registry, by itself or from others, has taken a change in; the rest is for requests
+	// that are on their way.
+	propagationShare = 0.75
+	// faultTestNodes is the number of nodes, and faultyNodes of those that are harmed.
+	faultTestNodes = 30
+	faultyNodes    = 10
+	// settleTime is the time without harm after which nodes count as in touch.
+	settleTime = 5 * time.Second
+)
+
+// nodeFault is what becomes of a node in the histories below.
+type nodeFault int
+
+const (
+	// faultRejected: the registry turns the node away.
+	faultRejected nodeFault = iota
+	// faultTimeout: the registry leaves the node's calls without an answer.
+	faultTimeout
+	// faultIsolated: it is cut off from the registry and from all nodes.
+	faultIsolated
+	// faultKilled: it answers nothing any more, to anybody.
+	faultKilled
+	nodeFaults
+)
+
+// setFault harms a node, or ends the harm.
+func (w *testCluster) setFault(number int, how nodeFault, on bool) {
+	id := fmt.Sprintf("node-%02d", number)
+	refused := rejectsNothing
+	switch {
+	case on && how == faultRejected:
+		refused = rejectsImmediately
+	case on:
+		refused = rejectsByTimeout
+	}
+	w.sources[number].rejection.Store(int32(refused))
+	if how == faultIsolated || how == faultKilled {
+		w.network.mutex.Lock()
+		w.network.silent[id] = on
+		w.network.mutex.Unlock()
+		w.network.setIsolated(id, on)
+	}
+}
+
+// A third of the nodes is harmed, those that read for all among them, however the history
+// falls: all others, and those whom the registry alone turns away, have each table within
+// their part of the bound, for bounds of 3, 5 and 6 s.
+func TestTablesPropagateWithThirdOfNodesFaulty(t *testing.T) {
+	for _, bound := range []time.Duration{3 * time.Second, 5 * time.Second, 6 * time.Second} {
+		for how := range nodeFaults {
+			for seed := range uint64(4) {
+				t.Run(fmt.Sprintf("%s, harm %d, seed %d", bound, how, seed), func(t *testing.T) {
+					synctest.Test(t, func(t *testing.T) { runFaultRounds(t, bound, how, seed) })
+				})
+			}
+		}
+	}
+}
+
+// runFaultRounds plays rounds in which other nodes are harmed and tables change meanwhile.
+func runFaultRounds(t *testing.T, bound time.Duration, how nodeFault, seed uint64) {
+	random := rand.New(rand.NewPCG(seed, 13))
+	w := newCluster(t, faultTestNodes)
+	w.gossip, w.bound = true, bound
+	w.start(t)
+	time.Sleep(settleTime)
+	version := uint64(1)
+	for range 3 {
+		harmed := make(map[int]bool)
+		for _, number := range random.Perm(faultTestNodes)[:faultyNodes] {
+			harmed[number] = true
+			w.setFault(number, how, true)
+		}
+		harmedAt := time.Now()
+		for time.Since(harmedAt) < 2*settleTime+2*bound {
+			time.Sleep(time.Duration(random.Int64N(int64(bound))))
+			version++
+			w.registry.putTable(version)
+			changed := time.Now()
+			time.Sleep(time.Duration(propagationShare * float64(bound)))
+			if changed.Sub(harmedAt) < settleTime && how == faultKilled {
+				continue // a node that asks one that was just killed has lost time
+			}
+			w.wantVersion(t, version, func(number int) bool {
+				return !harmed[number] || how == faultRejected || how == faultTimeout
+			})
+		}
+		for number := range harmed {
+			w.setFault(number, how, false)
+		}
+		time.Sleep(settleTime)
+	}
+	w.stop()
+	w.loops.Wait()
+}
+
+// wantVersion wants the nodes that count to know a table.
+func (w *testCluster) wantVersion(t *testing.T, version uint64, counts func(number int) bool) {
+	t.Helper()
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	for number, news := range w.states {
+		if counts(number) && news.Table.Version < version {
+			t.Errorf("node %d knows table %d, want %d", number, news.Table.Version, version)
+		}
+	}
+}
+
+// The registry is silent to all nodes for a moment, and goes on being silent to a third
+// of them: once it speaks again, all know within a second what changed meanwhile.
+func TestTablesPropagatePromptlyAfterRegistryOutage(t *testing.T) {
+	const (
+		nodes, turnedAway = 70, 23
+		silence           = 2500 * time.Millisecond
+		soon              = time.Second
+	)
+	for seed := range uint64(20) {
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				random := rand.New(rand.NewPCG(seed, 17))
+				w := newCluster(t, nodes)
+				w.gossip, w.bound = true, 5*time.Second
+				w.start(t)
+				time.Sleep(settleTime)
+				harmed := random.Perm(nodes)[:turnedAway]
+				for _, number := range harmed {
+					w.setFault(number, faultTimeout, true)
+				}
+				time.Sleep(settleTime + time.Duration(random.Int64N(int64(settleTime))))
+				for number := range nodes {
+					w.setFault(number, faultTimeout, true)
+				}
+				time.Sleep(silence)
+				w.registry.putTable(2)
+				for number := range nodes {
+					if !slices.Contains(harmed, number) {
+						w.setFault(number, faultTimeout, false)
+					}
+				}
+				returned := time.Now()
+				for !w.allHaveTable(2) && time.Since(returned) < 10*time.Second {
+					time.Sleep(10 * time.Millisecond)
+				}
+				if took := time.Since(returned); took > soon {
+					t.Errorf("%s until all know the table", took)
+				}
+				w.stop()
+				w.loops.Wait()
+			})
+		})
+	}
+}
+
+// allHaveTable reports whether every node knows a table.
+func (w *testCluster) allHaveTable(version uint64) bool {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return !slices.ContainsFunc(w.states, func(news discovery.ClusterState) bool { return news.Table.Version < version })
+}
--- a/discovery/follower.go
+++ b/discovery/follower.go
@@ -98,7 +98,7 @@
 // equal reports whether others need not be told of the difference.
 func (n ClusterState) equal(other ClusterState) bool {
 	return n.Table == other.Table && slices.Equal(n.Nodes, other.Nodes) && slices.EqualFunc(n.Directives, other.Directives, sameDirective) &&
-		slices.EqualFunc(n.Servers, other.Servers, alike)
+		slices.EqualFunc(n.Servers, other.Servers, sameForPeers)
 }
 
 // Defaults of FollowerOptions.
@@ -111,63 +111,63 @@
 	DefaultListTimeout     = 2500 * time.Millisecond
 	DefaultFetchTimeout    = 250 * time.Millisecond
 
-	// readerShare and askShare are the parts of Pace between two readings of a reader and
+	// readerPollShare and fetchShare are the parts of Pace between two readings of a reader and
 	// between two askings of the others, and staleShare is that of a reader's pace from
 	// which on its belief is too old for others: it has missed a reading then.
-	readerShare = 0.5
-	askShare    = 4.0 / 9
-	staleShare  = 1.5
+	readerPollShare = 0.5
+	fetchShare      = 4.0 / 9
+	staleShare      = 1.5
 )
 
-// invalidLines of entries that can't be read are logged in each invalidSpan: others may write
+// invalidLogBurst of entries that can't be read are logged in each invalidLogPeriod: others may write
 // any number of them.
 const (
-	invalidLines = 10
-	invalidSpan  = 10 * time.Second
+	invalidLogBurst  = 10
+	invalidLogPeriod = 10 * time.Second
 )
 
-// lapseSlack is the time beyond LapseTime after which a node has heard that an entry lapsed that
+// expirySlack is the time beyond LapseTime after which a node has heard that an entry lapsed that
 // the registry had in its copy.
-const lapseSlack = time.Second
+const expirySlack = time.Second
 
 // Bounds of the pause after a failed reading.
 const (
-	leastRetryPause = 100 * time.Millisecond
-	mostRetryPause  = 800 * time.Millisecond
+	minRetryPause = 100 * time.Millisecond
+	maxRetryPause = 800 * time.Millisecond
 )
 
 // Follower keeps a View true to a Source.
 type Follower struct {
 	options FollowerOptions
-	// invalid counts the entries that could not be read, and invalidLogger tells of some.
-	invalid       atomic.Uint64
+	// invalidCount counts the entries that could not be read, and invalidLogger tells of some.
+	invalidCount  atomic.Uint64
 	invalidLogger zerolog.Logger
-	// telling is held from a change of what is believed until it has been told, so
+	// notifyMutex is held from a change of what is believed until it has been told, so
 	// that Changed is called in order. It is locked before mutex.
-	telling sync.Mutex
+	notifyMutex sync.Mutex
 
 	mutex sync.Mutex
 	// mutex guards the fields below.
 	view *View
 	// position is up to where the registry is known.
-	position Position
-	listed   bool
-	table    *route.Table
-	failures int
+	position    Position
+	initialized bool
+	table       *route.Table
+	failures    int
 	// published is what others are told, and history what changed in it of late.
 	published ClusterState
 	history   history
-	// expiry tells what is believed anew when a missing entry's time is over.
-	expiry *time.Timer
-	// helped is the reader from which all that is believed came last, and mark is
+	// expiryTimer tells what is believed anew when a missing entry's time is over.
+	expiryTimer *time.Timer
+	// lastPublisher is the reader from which all that is believed came last, and mark is
 	// of what it told; empty after a reading of the registry. Only reading uses them.
-	helped string
-	mark   Cursor
+	lastPublisher string
+	cursor        Cursor
 	// random spreads pauses and askings, turn tells when this node may read the registry
 	// itself, and avoided which readers did not help; only Run uses them.
 	random  *rand.Rand
-	turn    turn
-	avoided avoided
+	turn    readTurn
+	avoided avoidList
 }
 
 // NewFollower returns a follower that knows nothing.
@@ -180,8 +180,8 @@
 	options.CallTimeout = cmp.Or(options.CallTimeout, DefaultCallTimeout)
 	options.ListTimeout = cmp.Or(options.ListTimeout, DefaultListTimeout)
 	options.FetchTimeout = cmp.Or(options.FetchTimeout, DefaultFetchTimeout)
-	options.ReaderPollInterval = cmp.Or(options.ReaderPollInterval, time.Duration(readerShare*float64(options.PollInterval)))
-	options.FetchInterval = cmp.Or(options.FetchInterval, time.Duration(askShare*float64(options.PollInterval)))
+	options.ReaderPollInterval = cmp.Or(options.ReaderPollInterval, time.Duration(readerPollShare*float64(options.PollInterval)))
+	options.FetchInterval = cmp.Or(options.FetchInterval, time.Duration(fetchShare*float64(options.PollInterval)))
 	options.ReadPause = cmp.Or(options.ReadPause, DefaultReadPause)
 	if options.Fetcher != nil {
 		options.LongPollTimeout = cmp.Or(options.LongPollTimeout, max(options.ReaderPollInterval-options.ReadPause, DefaultLongPollTimeout))
@@ -193,12 +193,12 @@
 		options.OnAdopted = func(time.Duration) {}
 	}
 	if options.LapseTime > 0 {
-		options.View.RestoreGrace = cmp.Or(options.View.RestoreGrace, options.LapseTime+lapseSlack)
+		options.View.RestoreGrace = cmp.Or(options.View.RestoreGrace, options.LapseTime+expirySlack)
 	}
 	options.View.OutageAfter = cmp.Or(options.View.OutageAfter, min(2*options.PollInterval, cmp.Or(options.LapseTime, 2*options.PollInterval)))
 	return &Follower{
 		options:       options,
-		invalidLogger: options.Logger.Sample(&zerolog.BurstSampler{Burst: invalidLines, Period: invalidSpan}),
+		invalidLogger: options.Logger.Sample(&zerolog.BurstSampler{Burst: invalidLogBurst, Period: invalidLogPeriod}),
 		view:          NewView(options.View),
 		random:        rand.New(rand.NewPCG(options.Seed, hashOf(options.Self))),
 	}
@@ -206,74 +206,74 @@
 
 // Run follows the source until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	f.learnFromSeeds(ctx)
+	f.bootstrapFromSeeds(ctx)
 	for ctx.Err() == nil {
-		_ = clock.Sleep(ctx, f.follow(ctx)) // the loop looks at ctx
+		_ = clock.Sleep(ctx, f.updateOnce(ctx)) // the loop looks at ctx
 	}
-	f.telling.Lock()
-	defer f.telling.Unlock()
+	f.notifyMutex.Lock()
+	defer f.notifyMutex.Unlock()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.expiry != nil {
-		f.expiry.Stop()
+	if f.expiryTimer != nil {
+		f.expiryTimer.Stop()
 	}
 }
 
-// follow brings the beliefs up to date and returns the pause until the next time.
-func (f *Follower) follow(ctx context.Context) time.Duration {
+// updateOnce brings the beliefs up to date and returns the pause until the next time.
+func (f *Follower) updateOnce(ctx context.Context) time.Duration {
 	began := time.Now()
-	if f.relayed(ctx) == nil {
-		f.turn.helped()
-		return f.untilAsking(began)
+	if f.fetchFromReaders(ctx) == nil {
+		f.turn.reset()
+		return f.untilNextFetch(began)
 	}
 	if !f.mayRead() {
-		return f.helpElsewhere(ctx, began)
+		return f.fetchWhileWaiting(ctx, began)
 	}
-	helped := f.failing() && f.askAnyone(ctx)
+	helped := f.lastReadFailed() && f.fetchFromAnyPeer(ctx)
 	switch err := f.read(ctx); {
 	case err == nil:
-		f.turn.helped()
-	case helped || f.askAnyone(ctx):
-		f.turn.tried(time.Now())
-		return f.untilAsking(began)
+		f.turn.reset()
+	case helped || f.fetchFromAnyPeer(ctx):
+		f.turn.recordAttempt(time.Now())
+		return f.untilNextFetch(began)
 	default:
-		f.turn.tried(time.Now())
-		f.askSeeds(ctx)
+		f.turn.recordAttempt(time.Now())
+		f.adoptFromSeeds(ctx)
 		return f.retryPause()
 	}
 	if f.options.Fetcher != nil {
 		return f.options.ReadPause // the registry held the reading for the rest
 	}
-	return f.pace() - time.Since(began)
+	return f.readInterval() - time.Since(began)
 }
 
-// helpElsewhere asks other nodes while it is not this node's turn to read the registry.
-func (f *Follower) helpElsewhere(ctx context.Context, began time.Time) time.Duration {
-	if f.listed && f.askAnyone(ctx) {
-		f.turn.helped()
-		return f.untilAsking(began)
+// fetchWhileWaiting asks other nodes while it is not this node's turn to read the registry.
+func (f *Follower) fetchWhileWaiting(ctx context.Context, began time.Time) time.Duration {
+	if f.initialized && f.fetchFromAnyPeer(ctx) {
+		f.turn.reset()
+		return f.untilNextFetch(began)
 	}
-	return turnPause
+	return turnCheckInterval
 }
 
-// failing reports whether the last reading of the registry failed.
-func (f *Follower) failing() bool {
+// lastReadFailed reports whether the last reading of the registry failed.
+func (f *Follower) lastReadFailed() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.failures > 0
 }
 
-// reads reports whether what is believed came from a reading of the registry last.
-func (f *Follower) reads() bool { return !f.failing() && f.helped == "" }
+// isReader reports whether what is believed came from a reading of the registry last.
+func (f *Follower) isReader() bool { return !f.lastReadFailed() && f.lastPublisher == "" }
 
-// leastAskPause is the shortest time between two askings.
-const leastAskPause = 50 * time.Millisecond
+// minFetchPause is the shortest time between two askings.
+const minFetchPause = 50 * time.Millisecond
 
-// untilAsking is the pause after an asking that helped: what is believed is to be
+// untilNextFetch is the pause after an asking that helped: what is believed is to be
 // refreshed before it is too old to be believed of another node.
-func (f *Follower) untilAsking(began time.Time) time.Duration {
+func (f *Follower) untilNextFetch(began time.Time) time.Duration {
 	age, _ := f.Age()
-	return max(min(f.options.FetchInterval-time.Since(began), f.options.StaleAfter-age), leastAskPause)
+	return max(min(f.options.FetchInterval-time.Since(began), f.options.StaleAfter-age), minFetchPause)
 }
 
 // Age is how old the beliefs are; ok is false when there are none.
@@ -284,10 +284,10 @@
 }
 
 // InvalidEntries is the number of entries that could not be read since the start.
-func (f *Follower) InvalidEntries() uint64 { return f.invalid.Load() }
+func (f *Follower) InvalidEntries() uint64 { return f.invalidCount.Load() }
 
-// peers lists the nodes that are there.
-func (f *Follower) peers() []Node {
+// knownNodes lists the nodes that are there.
+func (f *Follower) knownNodes() []Node {
 	if f.options.Nodes != nil {
 		return f.options.Nodes()
 	}
@@ -298,10 +298,10 @@
 
 func (f *Follower) now() time.Duration { return f.options.Elapsed() }
 
-// pace is the time between two readings of the registry where all nodes read, and
+// readInterval is the time between two readings of the registry where all nodes read, and
 // share what the registry allows.
-func (f *Follower) pace() time.Duration {
-	fair := time.Duration(float64(len(f.peers())) / f.options.ReadsPerSecond * float64(time.Second))
+func (f *Follower) readInterval() time.Duration {
+	fair := time.Duration(float64(len(f.knownNodes())) / f.options.ReadsPerSecond * float64(time.Second))
 	return max(f.options.PollInterval, fair)
 }
 
@@ -309,7 +309,7 @@
 func (f *Follower) retryPause() time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	pause := min(leastRetryPause<<min(f.failures, 8), mostRetryPause)
+	pause := min(minRetryPause<<min(f.failures, 8), maxRetryPause)
 	return pause/2 + time.Duration(f.random.Int64N(int64(pause/2)+1))
 }
 
@@ -325,7 +325,7 @@
 	}
 	f.mutex.Unlock()
 	if err == nil {
-		f.helped = ""
+		f.lastPublisher = ""
 	}
 	switch {
 	case err != nil && before == 0:
@@ -337,31 +337,31 @@
 }
 
 func (f *Follower) readOnce(ctx context.Context) error {
-	if !f.listed {
-		return f.list(ctx)
+	if !f.initialized {
+		return f.readListing(ctx)
 	}
 	wait := f.options.LongPollTimeout
-	if f.options.Fetcher != nil && !f.reads() {
+	if f.options.Fetcher != nil && !f.isReader() {
 		wait = 0 // what is believed may be old already: others are asked if no answer comes
 	}
 	for partial := true; partial; wait = 0 {
-		changes, err := f.changes(ctx, wait)
+		changes, err := f.readChanges(ctx, wait)
 		if errors.Is(err, ErrHistoryGone) {
 			f.options.Logger.Warn().Uint64("epoch", uint64(f.position.Epoch)).Uint64("revision", uint64(f.position.Revision)).
 				Msg("history is gone, reading everything")
-			return f.list(ctx)
+			return f.readListing(ctx)
 		}
 		if err != nil {
 			return err
 		}
-		f.take(f.now(), changes)
+		f.applyChanges(f.now(), changes)
 		partial = changes.Partial
 	}
 	return nil
 }
 
-// changes waits for changes after what is known.
-func (f *Follower) changes(ctx context.Context, wait time.Duration) (Changes, error) {
+// readChanges waits for changes after what is known.
+func (f *Follower) readChanges(ctx context.Context, wait time.Duration) (Changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+f.options.CallTimeout)
 	defer cancel()
 	after := f.position
@@ -377,8 +377,8 @@
 	return changes, nil
 }
 
-// list reads everything.
-func (f *Follower) list(ctx context.Context) error {
+// readListing reads everything.
+func (f *Follower) readListing(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, f.options.ListTimeout)
 	defer cancel()
 	began := f.now() // what is listed may be as old as that
@@ -386,22 +386,22 @@
 	if err != nil {
 		return err
 	}
-	if known := f.known(); listing.Epoch < known.Epoch {
+	if known := f.knownPosition(); listing.Epoch < known.Epoch {
 		return fmt.Errorf("%w: a late answer of epoch %d, in epoch %d", ErrUnavailable, listing.Epoch, known.Epoch)
 	}
-	f.takeWhole(began, Changes(listing))
-	f.listed = true
+	f.applyListing(began, Changes(listing))
+	f.initialized = true
 	return nil
 }
 
-// tell changes what is believed, and tells it; it reports whether others are to be told.
-func (f *Follower) tell(change func()) (changed bool) {
-	f.telling.Lock()
-	defer f.telling.Unlock()
+// updateAndNotify changes what is believed, and tells it; it reports whether others are to be told.
+func (f *Follower) updateAndNotify(change func()) (changed bool) {
+	f.notifyMutex.Lock()
+	defer f.notifyMutex.Unlock()
 	f.mutex.Lock()
 	change()
 	f.view.Expire(f.now())
-	f.planExpiry()
+	f.scheduleExpiry()
 	directives := f.directives()
 	published := ClusterState{Servers: f.view.RegisteredServers(), Nodes: f.view.RegisteredNodes(), Table: f.table, Directives: directives}
 	changed = !published.equal(f.published)
@@ -430,14 +430,14 @@
 	return directives
 }
 
-// planExpiry arranges that missing entries are dropped in time, also while a
+// scheduleExpiry arranges that missing entries are dropped in time, also while a
 // reading is held. The lock is held.
-func (f *Follower) planExpiry() {
-	if f.expiry != nil {
-		f.expiry.Stop()
-		f.expiry = nil
+func (f *Follower) scheduleExpiry() {
+	if f.expiryTimer != nil {
+		f.expiryTimer.Stop()
+		f.expiryTimer = nil
 	}
 	if at, ok := f.view.NextExpiry(); ok {
-		f.expiry = time.AfterFunc(at-f.now(), func() { _ = f.tell(func() {}) })
+		f.expiryTimer = time.AfterFunc(at-f.now(), func() { _ = f.updateAndNotify(func() {}) })
 	}
 }
--- a/discovery/history.go
+++ b/discovery/history.go
@@ -26,7 +26,7 @@
 func (h *history) add(before, after ClusterState) {
 	h.latest++
 	changed := generationChanges{table: before.Table != after.Table}
-	changed.servers, changed.goneServers = difference(before.Servers, after.Servers, Server.key, alike)
+	changed.servers, changed.goneServers = difference(before.Servers, after.Servers, Server.key, sameForPeers)
 	changed.nodes, changed.goneNodes = difference(before.Nodes, after.Nodes, Node.key, func(a, b Node) bool { return a == b })
 	changed.directives, changed.goneDirectives = difference(before.Directives, after.Directives, Directive.Key, sameDirective)
 	h.changes = append(h.changes, changed)
@@ -39,9 +39,9 @@
 
 func (n Node) key() string { return n.ID }
 
-// alike reports whether others need not be told of what became of a server: a warm-up
+// sameForPeers reports whether others need not be told of what became of a server: a warm-up
 // counts down by itself, but one that begins anew, or ends early, is news.
-func alike(before, after Server) bool {
+func sameForPeers(before, after Server) bool {
 	if after.ColdFor > before.ColdFor || after.ColdFor == 0 && before.ColdFor > 0 {
 		return false
 	}
--- a/discovery/listing_test.go
+++ b/discovery/listing_test.go
@@ -12,10 +12,10 @@
 	"github.com/banksail/banksail/discovery"
 )
 
-// oddSource lists one server, and one entry that can't be read.
-type oddSource struct{}
+// invalidEntrySource lists one server, and one entry that can't be read.
+type invalidEntrySource struct{}
 
-func (oddSource) List(context.Context) (discovery.Listing, error) {
+func (invalidEntrySource) List(context.Context) (discovery.Listing, error) {
 	var listing discovery.Listing
 	listing.Revision = 1
 	listing.Servers = []discovery.Entry[discovery.Server]{{ID: "good", Revision: 1, Value: discovery.Server{ID: "good"}}}
@@ -23,7 +23,7 @@
 	return listing, nil
 }
 
-func (oddSource) Changes(_ context.Context, after discovery.Position, wait time.Duration) (discovery.Changes, error) {
+func (invalidEntrySource) Changes(_ context.Context, after discovery.Position, wait time.Duration) (discovery.Changes, error) {
 	time.Sleep(wait)
 	return discovery.Changes{Epoch: after.Epoch, Revision: after.Revision}, nil
 }
@@ -33,7 +33,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var last discovery.ClusterState
 		follower := discovery.NewFollower(discovery.FollowerOptions{
-			Source: oddSource{}, Logger: zerolog.Nop(), Changed: func(news discovery.ClusterState) { last = news },
+			Source: invalidEntrySource{}, Logger: zerolog.Nop(), Changed: func(news discovery.ClusterState) { last = news },
 		})
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 		defer stop()
@@ -49,17 +49,17 @@
 
 // slowSource takes a while to list everything.
 type slowSource struct {
-	oddSource
+	invalidEntrySource
 	listing time.Duration
 }
 
 func (s slowSource) List(ctx context.Context) (discovery.Listing, error) {
 	time.Sleep(s.listing)
-	return s.oddSource.List(ctx)
+	return s.invalidEntrySource.List(ctx)
 }
 
 // A listing that took long is as old as its beginning.
-func TestListingIsAsOldAsItsBeginning(t *testing.T) {
+func TestListingAgeCountsFromStartOfRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const listing = 2 * time.Second
 		var ages []time.Duration
--- a/discovery/network_test.go
+++ b/discovery/network_test.go
@@ -12,29 +12,29 @@
 	mutex     sync.Mutex
 	followers map[string]*discovery.Follower
 	silent    map[string]bool
-	// cutOff are nodes whose askings get no answer.
-	cutOff map[*discovery.Follower]bool
+	// isolated are nodes whose askings get no answer.
+	isolated map[*discovery.Follower]bool
 }
 
-// cut keeps a node's askings from the others, or lets them through again.
-func (n *network) cut(id string, off bool) {
+// setIsolated keeps a node's askings from the others, or lets them through again.
+func (n *network) setIsolated(id string, off bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.cutOff == nil {
-		n.cutOff = make(map[*discovery.Follower]bool)
+	if n.isolated == nil {
+		n.isolated = make(map[*discovery.Follower]bool)
 	}
-	n.cutOff[n.followers[id]] = off
+	n.isolated[n.followers[id]] = off
 }
 
-// asker is a node's own way to the network.
-type asker struct {
+// nodeFetcher is a node's own way to the network.
+type nodeFetcher struct {
 	*network
 	id string
 }
 
-func (a asker) Fetch(ctx context.Context, address string, inquiry discovery.PublicationRequest) (discovery.Publication, error) {
+func (a nodeFetcher) Fetch(ctx context.Context, address string, inquiry discovery.PublicationRequest) (discovery.Publication, error) {
 	a.mutex.Lock()
-	off := a.cutOff[a.followers[a.id]]
+	off := a.isolated[a.followers[a.id]]
 	a.mutex.Unlock()
 	if off {
 		<-ctx.Done()
--- a/discovery/publication.go
+++ b/discovery/publication.go
@@ -91,11 +91,11 @@
 // hashOf orders nodes alike everywhere.
 func hashOf(parts ...string) uint64 { return xxhash.Sum64String(strings.Join(parts, "\x00")) }
 
-// readersOf returns the nodes that read the registry, one for so many nodes, but
+// selectReaders returns the nodes that read the registry, one for so many nodes, but
 // two at least, and one that does so only while the other is not there. They are
 // the most capable: a reader sends all that is long to all that ask it. All nodes
 // that see the same members choose the same.
-func readersOf(nodes []Node) []Node {
+func selectReaders(nodes []Node) []Node {
 	ranked := rankNodes(nodes)
 	count := (len(ranked) + nodesPerReader - 1) / nodesPerReader
 	return ranked[:min(len(ranked), count+1)]
@@ -105,7 +105,7 @@
 // to them: all that see the same members have the same order.
 func rankNodes(nodes []Node) []Node {
 	ranked := slices.DeleteFunc(slices.Clone(nodes), func(n Node) bool { return n.Leaving || n.Suspect || n.Peer == "" })
-	slices.SortFunc(ranked, byRank)
+	slices.SortFunc(ranked, compareRank)
 	return ranked
 }
 
@@ -116,11 +116,11 @@
 	return ranked[:min(len(ranked), most)]
 }
 
-// readersFor returns the readers that a node asks, the first choice first; none
+// readersToAsk returns the readers that a node asks, the first choice first; none
 // when it reads the registry itself. The last of the readers is a reserve, which
 // asks as the others do and reads when it finds no reader.
-func readersFor(self string, nodes []Node) []Node {
-	readers := readersOf(nodes)
+func readersToAsk(self string, nodes []Node) []Node {
+	readers := selectReaders(nodes)
 	active := readers[:max(len(readers)-1, 0)]
 	if len(readers) == 1 {
 		active = readers
@@ -135,7 +135,7 @@
 	if len(asked) == 1 && len(readers) == 2 && readers[1].ID != self {
 		asked = append(asked, readers[1])
 	}
-	return asked[:min(len(asked), publishersTried)]
+	return asked[:min(len(asked), maxReadersTried)]
 }
 
 // Publish tells what the follower believes; it implements what Publishers ask.
@@ -188,9 +188,9 @@
 	changed := f.history.after(generation)
 	var publication Publication
 	publication.Since = generation
-	publication.Servers, publication.GoneServers = f.published.pickServers(changed)
-	publication.Nodes, publication.GoneNodes = f.published.pickNodes(changed)
-	publication.Directives, publication.GoneDirectives = f.published.pickDirectives(changed)
+	publication.Servers, publication.GoneServers = f.published.lookupServers(changed)
+	publication.Nodes, publication.GoneNodes = f.published.lookupNodes(changed)
+	publication.Directives, publication.GoneDirectives = f.published.lookupDirectives(changed)
 	if changed.table {
 		definition := f.table.Definition()
 		publication.Table = &definition
@@ -198,20 +198,20 @@
 	return publication
 }
 
-// pickServers looks up the servers that changed; those that are not there went.
-func (n ClusterState) pickServers(changed generationChanges) (servers []Server, gone []string) {
-	return pick(n.Servers, Server.key, changed.servers, changed.goneServers)
+// lookupServers looks up the servers that changed; those that are not there went.
+func (n ClusterState) lookupServers(changed generationChanges) (servers []Server, gone []string) {
+	return lookup(n.Servers, Server.key, changed.servers, changed.goneServers)
 }
 
-func (n ClusterState) pickNodes(changed generationChanges) (nodes []Node, gone []string) {
-	return pick(n.Nodes, Node.key, changed.nodes, changed.goneNodes)
+func (n ClusterState) lookupNodes(changed generationChanges) (nodes []Node, gone []string) {
+	return lookup(n.Nodes, Node.key, changed.nodes, changed.goneNodes)
 }
 
-func (n ClusterState) pickDirectives(changed generationChanges) (directives []Directive, gone []string) {
-	return pick(n.Directives, Directive.Key, changed.directives, changed.goneDirectives)
+func (n ClusterState) lookupDirectives(changed generationChanges) (directives []Directive, gone []string) {
+	return lookup(n.Directives, Directive.Key, changed.directives, changed.goneDirectives)
 }
 
-func pick[T any](all []T, key func(T) string, changed, went []string) (found []T, gone []string) {
+func lookup[T any](all []T, key func(T) string, changed, went []string) (found []T, gone []string) {
 	wanted := slices.Concat(changed, went)
 	slices.Sort(wanted)
 	for _, id := range slices.Compact(wanted) {
@@ -225,39 +225,39 @@
 	return found, gone
 }
 
-// takePublication believes what a reader does, unless that is too old.
-func (f *Follower) takePublication(reader string, publication Publication) error {
-	mark := f.markOf(reader)
+// adoptPublication believes what a reader does, unless that is too old.
+func (f *Follower) adoptPublication(reader string, publication Publication) error {
+	mark := f.cursorFor(reader)
 	if publication.Since > 0 && (publication.Publisher != mark.Publisher || publication.Since != mark.Generation) {
-		f.helped = ""
+		f.lastPublisher = ""
 		return ErrStale
 	}
-	known := f.known()
+	known := f.knownPosition()
 	if publication.Age > f.options.StaleAfter || publication.Before(known) {
 		return ErrStale
 	}
 	if publication.Since > 0 && publication.Epoch != known.Epoch {
-		f.helped = ""
+		f.lastPublisher = ""
 		return ErrStale
 	}
-	if err := f.believe(publication); err != nil {
+	if err := f.applyPublication(publication); err != nil {
 		return err
 	}
-	f.helped, f.mark = reader, publication.Cursor
+	f.lastPublisher, f.cursor = reader, publication.Cursor
 	return nil
 }
 
-// believe takes a publication in, as heard when its publisher heard it.
-func (f *Follower) believe(publication Publication) error {
+// applyPublication takes a publication in, as heard when its publisher heard it.
+func (f *Follower) applyPublication(publication Publication) error {
 	heardAt := f.now() - publication.Age
 	changes, err := publication.changes()
 	if err != nil {
 		return err
 	}
 	if publication.Since == 0 {
-		f.takeWhole(heardAt, changes)
+		f.applyListing(heardAt, changes)
 	} else {
-		f.take(heardAt, changes)
+		f.applyChanges(heardAt, changes)
 	}
 	return nil
 }
--- a/discovery/readers_test.go
+++ b/discovery/readers_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestReadersAreCapable(t *testing.T) {
+func TestReadersHaveHighestCapacity(t *testing.T) {
 	var nodes []Node
 	for number := range 500 {
 		id := fmt.Sprintf("node-%03d", number)
@@ -15,7 +15,7 @@
 		}
 		nodes = append(nodes, n)
 	}
-	readers := readersOf(nodes)
+	readers := selectReaders(nodes)
 	if len(readers) != 4 {
 		t.Errorf("%d readers of 500 nodes, want 3 and one in reserve", len(readers))
 	}
@@ -27,7 +27,7 @@
 	for i := range nodes {
 		nodes[i].Leaving = nodes[i].Capacity == 0.8
 	}
-	if readers = readersOf(nodes); len(readers) != 4 || readers[0].Leaving {
+	if readers = selectReaders(nodes); len(readers) != 4 || readers[0].Leaving {
 		t.Errorf("once the capable ones leave, there are %d readers", len(readers))
 	}
 }
--- a/discovery/refusal_test.go
+++ b/discovery/rejection_test.go
@@ -12,30 +12,30 @@
 	"github.com/banksail/banksail/discovery"
 )
 
-// refusal is how a registry turns one node away while it serves the others.
-type refusal int32
+// rejection is how a registry turns one node away while it serves the others.
+type rejection int32
 
 const (
-	refusesNothing refusal = iota
-	// refusesAtOnce answers every call with a failure.
-	refusesAtOnce
-	// refusesSilently leaves every call without an answer.
-	refusesSilently
-	refusals
+	rejectsNothing rejection = iota
+	// rejectsImmediately answers every call with a failure.
+	rejectsImmediately
+	// rejectsByTimeout leaves every call without an answer.
+	rejectsByTimeout
+	rejections
 )
 
-// gate is one node's way to the registry.
-type gate struct {
+// nodeSource is one node's way to the registry.
+type nodeSource struct {
 	*registry
-	refusal atomic.Int32
+	rejection atomic.Int32
 }
 
-// admit returns an error when the node is turned away, at once or in the end.
-func (g *gate) admit(ctx context.Context) error {
-	switch refusal(g.refusal.Load()) {
-	case refusesAtOnce:
+// checkAccess returns an error when the node is turned away, at once or in the end.
+func (g *nodeSource) checkAccess(ctx context.Context) error {
+	switch rejection(g.rejection.Load()) {
+	case rejectsImmediately:
 		return discovery.ErrUnavailable
-	case refusesSilently:
+	case rejectsByTimeout:
 		<-ctx.Done()
 		return ctx.Err()
 	default:
@@ -43,20 +43,20 @@
 	}
 }
 
-func (g *gate) List(ctx context.Context) (discovery.Listing, error) {
-	if err := g.admit(ctx); err != nil {
+func (g *nodeSource) List(ctx context.Context) (discovery.Listing, error) {
+	if err := g.checkAccess(ctx); err != nil {
 		return discovery.Listing{}, err
 	}
 	return g.registry.List(ctx)
 }
 
 // Changes cuts a reading that is held when the node is turned away meanwhile.
-func (g *gate) Changes(ctx context.Context, after discovery.Position, wait time.Duration) (discovery.Changes, error) {
-	if err := g.admit(ctx); err != nil {
+func (g *nodeSource) Changes(ctx context.Context, after discovery.Position, wait time.Duration) (discovery.Changes, error) {
+	if err := g.checkAccess(ctx); err != nil {
 		return discovery.Changes{}, err
 	}
 	changes, err := g.registry.Changes(ctx, after, wait)
-	if refused := g.admit(ctx); refused != nil {
+	if refused := g.checkAccess(ctx); refused != nil {
 		return discovery.Changes{}, refused
 	}
 	return changes, err
@@ -64,28 +64,28 @@
 
 // Limits of what nodes may believe of a server that left.
 const (
-	// admittedBound is for nodes that the registry serves, and refusedBound for those
+	// servedBound is for nodes that the registry serves, and rejectedBound for those
 	// that it turns away while it serves others: 0.1 s less than the platform's bound,
 	// for requests on their way.
-	admittedBound = 2600 * time.Millisecond
-	refusedBound  = 2900 * time.Millisecond
-	// watchStep is the time between two looks at what is believed.
-	watchStep = 20 * time.Millisecond
+	servedBound   = 2600 * time.Millisecond
+	rejectedBound = 2900 * time.Millisecond
+	// checkInterval is the time between two looks at what is believed.
+	checkInterval = 20 * time.Millisecond
 )
 
 // departures notes when servers left.
 type departures map[string]time.Time
 
-// wantNoneBelieved fails when a node believes longer than its bound that a server
+// wantNoDepartedServers fails when a node believes longer than its bound that a server
 // which left is ready.
-func (w *relayWorld) wantNoneBelieved(t *testing.T, left departures, when string) {
+func (w *testCluster) wantNoDepartedServers(t *testing.T, left departures, when string) {
 	t.Helper()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for number, news := range w.news {
-		bound := admittedBound
-		if refusal(w.gates[number].refusal.Load()) != refusesNothing {
-			bound = refusedBound
+	for number, news := range w.states {
+		bound := servedBound
+		if rejection(w.sources[number].rejection.Load()) != rejectsNothing {
+			bound = rejectedBound
 		}
 		for _, server := range news.Servers {
 			at, gone := left[server.ID]
@@ -100,12 +100,12 @@
 // Whatever nodes the registry turns away, and however, no node believes for longer
 // than the bound in a server that left: those that are turned away hear from the
 // others, and nobody takes over what another one keeps in doubt.
-func TestRefusedNodesKeepTheBound(t *testing.T) {
+func TestRejectedNodesMeetStalenessBound(t *testing.T) {
 	for seed := range uint64(24) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 7))
 			const nodes, servers, rounds = 9, 40, 6
-			w := startRelay(t, nodes)
+			w := startCluster(t, nodes)
 			next := 0
 			for ; next < servers; next++ {
 				w.registry.putServer(discovery.Server{ID: fmt.Sprintf("s%03d", next), Service: "x", Address: "y"}, false)
@@ -115,13 +115,13 @@
 			oldest := 0
 			for round := range rounds {
 				when := fmt.Sprintf("seed %d, round %d", seed, round)
-				how := refusal(1 + random.IntN(int(refusals)-1))
+				how := rejection(1 + random.IntN(int(rejections)-1))
 				first := random.IntN(nodes)
 				for place := range 1 + random.IntN(nodes-2) {
-					w.gates[(first+place)%nodes].refusal.Store(int32(how))
+					w.sources[(first+place)%nodes].rejection.Store(int32(how))
 				}
-				for end := time.Now().Add(9 * time.Second); time.Now().Before(end); time.Sleep(watchStep) {
-					w.wantNoneBelieved(t, left, when)
+				for end := time.Now().Add(9 * time.Second); time.Now().Before(end); time.Sleep(checkInterval) {
+					w.wantNoDepartedServers(t, left, when)
 					if random.IntN(15) == 0 && oldest < servers {
 						id := fmt.Sprintf("s%03d", oldest)
 						oldest++
@@ -129,11 +129,11 @@
 						left[id] = time.Now()
 					}
 				}
-				for _, g := range w.gates {
-					g.refusal.Store(int32(refusesNothing))
+				for _, g := range w.sources {
+					g.rejection.Store(int32(rejectsNothing))
 				}
-				for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(watchStep) {
-					w.wantNoneBelieved(t, left, when+", admitted again")
+				for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(checkInterval) {
+					w.wantNoDepartedServers(t, left, when+", admitted again")
 					if random.IntN(30) == 0 && oldest < servers {
 						id := fmt.Sprintf("s%03d", oldest)
 						oldest++
@@ -150,7 +150,7 @@
 
 // Entries that lapsed while the registry was away are kept for two seconds of its
 // return, and no longer: an owner that lives is back by then.
-func TestLapsedEntriesAreKeptForTwoSeconds(t *testing.T) {
+func TestExpiredEntriesAreRetainedForTwoSeconds(t *testing.T) {
 	const (
 		kept = 2 * time.Second
 		// noticed is the longest time until a reader hears the registry again, and
@@ -161,7 +161,7 @@
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 3))
-			w := startRelay(t, 5)
+			w := startCluster(t, 5)
 			for number := range 3 {
 				w.registry.putServer(discovery.Server{ID: fmt.Sprintf("s%d", number), Service: "x"}, false)
 			}
@@ -179,24 +179,24 @@
 					gone = true
 				}
 				since := time.Since(returned)
-				for number := range w.news {
+				for number := range w.states {
 					for _, id := range []string{"s0", "s1"} {
-						believed := w.believes(number, id)
+						believed := w.knowsServer(number, id)
 						if !believed && id == "s0" && since < kept {
 							t.Fatalf("seed %d: node %d dropped %s %s after the return", seed, number, id, since)
 						}
-						if believed && since > max(noticed+kept, late+admittedBound)+told-noticed {
+						if believed && since > max(noticed+kept, late+servedBound)+told-noticed {
 							t.Fatalf("seed %d: node %d keeps %s %s after the return", seed, number, id, since)
 						}
-						if believed && id == "s1" && gone && since > late+admittedBound+told {
+						if believed && id == "s1" && gone && since > late+servedBound+told {
 							t.Fatalf("seed %d: node %d keeps %s %s after it went", seed, number, id, since-late)
 						}
 					}
-					if !w.believes(number, "s2") {
+					if !w.knowsServer(number, "s2") {
 						t.Fatalf("seed %d: node %d dropped a server that is there", seed, number)
 					}
 				}
-				time.Sleep(watchStep)
+				time.Sleep(checkInterval)
 			}
 			w.stop()
 			w.loops.Wait()
@@ -204,11 +204,11 @@
 	}
 }
 
-// believes reports whether a node believes a server to be there.
-func (w *relayWorld) believes(number int, id string) bool {
+// knowsServer reports whether a node believes a server to be there.
+func (w *testCluster) knowsServer(number int, id string) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for _, server := range w.news[number].Servers {
+	for _, server := range w.states[number].Servers {
 		if server.ID == id {
 			return true
 		}
--- a/discovery/restored.go
+++ b/discovery/restore.go
@@ -13,15 +13,15 @@
 // doubt as after an outage.
 
 const (
-	// departedFor is how long a node remembers that a server has gone, and mostDeparted the
+	// departedRetention is how long a node remembers that a server has gone, and maxDeparted the
 	// number of those that it remembers: copies are some seconds old, and a zone of the
 	// largest deployment has 700 servers.
-	departedFor  = time.Minute
-	mostDeparted = 4096
+	departedRetention = time.Minute
+	maxDeparted       = 4096
 )
 
-// restored is what a node needs to know once the registry has come back from a copy.
-type restored struct {
+// restoreState is what a node needs to know once the registry has come back from a copy.
+type restoreState struct {
 	// epoch is the one that began last while this node listened, revision the one of what it
 	// heard of it first, and until is for how long the copy counts less than what was known.
 	epoch    Epoch
@@ -33,36 +33,36 @@
 	departed map[Incarnation]time.Duration
 }
 
-func newRestored() restored {
-	return restored{servers: make(map[string]Server), departed: make(map[Incarnation]time.Duration)}
+func newRestoreState() restoreState {
+	return restoreState{servers: make(map[string]Server), departed: make(map[Incarnation]time.Duration)}
 }
 
-// depart notes that a server has gone.
-func (r *restored) depart(now time.Duration, server Server) {
-	if len(r.departed) >= mostDeparted {
-		r.forget(now)
+// recordDeparted notes that a server has gone.
+func (r *restoreState) recordDeparted(now time.Duration, server Server) {
+	if len(r.departed) >= maxDeparted {
+		r.pruneDeparted(now)
 	}
-	if len(r.departed) < mostDeparted {
+	if len(r.departed) < maxDeparted {
 		r.departed[server.Incarnation()] = now
 	}
 }
 
-// forget drops the servers that went long ago.
-func (r *restored) forget(now time.Duration) {
+// pruneDeparted drops the servers that went long ago.
+func (r *restoreState) pruneDeparted(now time.Duration) {
 	for incarnation, at := range r.departed {
-		if now-at >= departedFor {
+		if now-at >= departedRetention {
 			delete(r.departed, incarnation)
 		}
 	}
 }
 
-func (r *restored) hasDeparted(server Server) bool {
+func (r *restoreState) hasDeparted(server Server) bool {
 	_, departed := r.departed[server.Incarnation()]
 	return departed
 }
 
-// leftBefore reports whether a server is known to be leaving of which an earlier state is told.
-func leftBefore(known, told Server) bool {
+// wouldUndoDrain reports whether a server is known to be leaving of which an earlier state is told.
+func wouldUndoDrain(known, told Server) bool {
 	return known.State == Draining && told.State == Ready && known.Incarnation() == told.Incarnation()
 }
 
@@ -70,11 +70,11 @@
 // up to the position may be of the copy.
 func (v *View) BeginEpoch(now time.Duration, position Position) {
 	if v.options.Disabled.Enabled(mechanism.OutageRetention) {
-		v.doubtUntil = max(v.doubtUntil, now+v.options.RemovalGrace)
+		v.retainUntil = max(v.retainUntil, now+v.options.RemovalGrace)
 	}
 	v.restored.epoch, v.restored.revision = position.Epoch, position.Revision
 	v.restored.until = now + v.options.RestoreGrace
-	v.restored.forget(now)
+	v.restored.pruneDeparted(now)
 	v.directives.beginEpoch(now+v.options.DirectiveGrace, position.Epoch)
 }
 
@@ -86,15 +86,15 @@
 	}
 }
 
-// fromCopy reports whether what was heard at now of a position may be older than what is known,
+// maybeFromBackup reports whether what was heard at now of a position may be older than what is known,
 // as the registry came back from a copy; what it writes later is news.
-func (v *View) fromCopy(now time.Duration, position Position) bool {
+func (v *View) maybeFromBackup(now time.Duration, position Position) bool {
 	r := &v.restored
 	return now < r.until && position.Epoch == r.epoch && position.Revision <= r.revision
 }
 
-// endRestored takes the entries of the copy that still stand once it counts.
-func (v *View) endRestored(now time.Duration) {
+// applyDeferred takes the entries of the copy that still stand once it counts.
+func (v *View) applyDeferred(now time.Duration) {
 	if now < v.restored.until {
 		return
 	}
--- a/discovery/doubt_test.go
+++ b/discovery/retention_test.go
@@ -13,13 +13,13 @@
 // Entries lapse when the registry was away for as long as owners may be silent, however
 // long the nodes' own pace is: what went meanwhile is kept for two seconds after its
 // return.
-func TestOutagesAsLongAsALapseRaiseDoubt(t *testing.T) {
+func TestOutagesOfEntryTTLRetainRemovedEntries(t *testing.T) {
 	const lapse = 3600 * time.Millisecond
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 11))
-			w := newRelay(t, 5)
-			w.bound, w.lapse = 5*time.Second, lapse
+			w := newCluster(t, 5)
+			w.bound, w.entryTTL = 5*time.Second, lapse
 			w.start(t)
 			time.Sleep(3 * time.Second)
 			w.registry.putServer(discovery.Server{ID: "s", Service: "x"}, false)
@@ -29,15 +29,15 @@
 			w.registry.putServer(discovery.Server{ID: "s"}, true)
 			w.registry.setDown(false)
 			for returned := time.Now(); time.Since(returned) < 1900*time.Millisecond; time.Sleep(20 * time.Millisecond) {
-				for number := range w.news {
-					if !w.believes(number, "s") {
+				for number := range w.states {
+					if !w.knowsServer(number, "s") {
 						t.Fatalf("seed %d: node %d dropped a lapsed entry %s after the return", seed, number, time.Since(returned))
 					}
 				}
 			}
 			time.Sleep(5 * time.Second)
-			for number := range w.news {
-				if w.believes(number, "s") {
+			for number := range w.states {
+				if w.knowsServer(number, "s") {
 					t.Errorf("seed %d: node %d keeps a lapsed entry for ever", seed, number)
 				}
 			}
@@ -49,25 +49,25 @@
 
 // A node that heard nothing for long, and then hears of a node that heard the registry all
 // along, does not doubt what went: its owner was not kept from writing.
-func TestWhatWentWhileOthersHeardIsGone(t *testing.T) {
+func TestRemovalsSeenByOthersApplyImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startRelay(t, 5)
+		w := startCluster(t, 5)
 		for number := range 3 {
 			w.registry.putServer(discovery.Server{ID: fmt.Sprintf("s%d", number), Service: "x"}, false)
 		}
 		time.Sleep(6 * time.Second)
 		const alone = 4
-		w.gates[alone].refusal.Store(int32(refusesAtOnce))
-		w.network.cut("node-04", true)
+		w.sources[alone].rejection.Store(int32(rejectsImmediately))
+		w.network.setIsolated("node-04", true)
 		time.Sleep(6 * time.Second)
 		w.registry.putServer(discovery.Server{ID: "s1"}, true)
 		time.Sleep(2 * time.Second)
-		w.network.cut("node-04", false)
+		w.network.setIsolated("node-04", false)
 		time.Sleep(1500 * time.Millisecond) // less than a doubt lasts
-		if w.believes(alone, "s1") {
+		if w.knowsServer(alone, "s1") {
 			t.Error("the node doubts what others heard")
 		}
-		if !w.believes(alone, "s0") || !w.believes(alone, "s2") {
+		if !w.knowsServer(alone, "s0") || !w.knowsServer(alone, "s2") {
 			t.Error("the node dropped servers that are there")
 		}
 		w.stop()
@@ -78,9 +78,9 @@
 // A node that starts in an outage and takes over what a seed believes does not make that
 // any younger: its own start says nothing of the registry. Others would believe it, and
 // take the registry's return for no return at all.
-func TestBeliefsTakenOverKeepTheirAge(t *testing.T) {
+func TestAdoptedViewKeepsItsAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newRelay(t, 3)
+		w := newCluster(t, 3)
 		w.seeds = []string{"node-00"}
 		w.start(t)
 		time.Sleep(5 * time.Second)
@@ -100,10 +100,10 @@
 
 // An answer that has no room for all changes is no word of now: what is believed is as
 // old as before, the rest is read at once, and what went meanwhile is in doubt.
-func TestPartialAnswersAreNoWordOfNow(t *testing.T) {
+func TestPartialAnswersDoNotRefreshAge(t *testing.T) {
 	const servers, most = 90, 20
 	synctest.Test(t, func(t *testing.T) {
-		w := startRelay(t, 1)
+		w := startCluster(t, 1)
 		w.registry.putServer(discovery.Server{ID: "lapses", Service: "x"}, false)
 		time.Sleep(3 * time.Second)
 		w.registry.setDown(true)
@@ -113,12 +113,12 @@
 			w.registry.putServer(discovery.Server{ID: fmt.Sprintf("s%03d", number), Service: "x"}, false)
 		}
 		w.registry.mutex.Lock()
-		w.registry.most = most
+		w.registry.maxChanges = most
 		w.registry.mutex.Unlock()
 		w.registry.setDown(false)
 		last := fmt.Sprintf("s%03d", servers-1)
 		node := w.network.followers["node-00"]
-		for !w.believes(0, last) {
+		for !w.knowsServer(0, last) {
 			if age, _ := node.Age(); age < 5*time.Second {
 				t.Fatalf("an age of %s before %s is known", age, last)
 			}
@@ -127,7 +127,7 @@
 		if age, _ := node.Age(); age > 100*time.Millisecond {
 			t.Errorf("all is known, and its age is %s", age)
 		}
-		if !w.believes(0, "lapses") {
+		if !w.knowsServer(0, "lapses") {
 			t.Error("an entry that lapsed in the outage was dropped at once")
 		}
 		w.stop()
--- a/discovery/seeds.go
+++ b/discovery/seeds.go
@@ -8,28 +8,28 @@
 	"github.com/banksail/banksail/internal/clock"
 )
 
-// seedPause is the time between two rounds of asking the seeds at the start.
-const seedPause = 150 * time.Millisecond
+// seedRetryPause is the time between two rounds of asking the seeds at the start.
+const seedRetryPause = 150 * time.Millisecond
 
-// learnFromSeeds begins with what a seed believes, if one hears the registry soon.
-func (f *Follower) learnFromSeeds(ctx context.Context) {
+// bootstrapFromSeeds begins with what a seed believes, if one hears the registry soon.
+func (f *Follower) bootstrapFromSeeds(ctx context.Context) {
 	if f.options.Fetcher == nil || f.options.SeedTimeout == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, f.options.SeedTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		publication, ok := f.askAllSeeds(ctx, PublicationRequest{MaxAge: f.options.StaleAfter})
-		if ok && publication.Age <= f.options.StaleAfter && f.believe(publication) == nil {
-			f.listed = true
+		publication, ok := f.fetchFromAnySeed(ctx, PublicationRequest{MaxAge: f.options.StaleAfter})
+		if ok && publication.Age <= f.options.StaleAfter && f.applyPublication(publication) == nil {
+			f.initialized = true
 			return
 		}
-		_ = clock.Sleep(ctx, seedPause) // the loop looks at ctx
+		_ = clock.Sleep(ctx, seedRetryPause) // the loop looks at ctx
 	}
 }
 
-// askAllSeeds asks all seeds at once and returns the first answer.
-func (f *Follower) askAllSeeds(ctx context.Context, inquiry PublicationRequest) (publication Publication, ok bool) {
+// fetchFromAnySeed asks all seeds at once and returns the first answer.
+func (f *Follower) fetchFromAnySeed(ctx context.Context, inquiry PublicationRequest) (publication Publication, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, f.options.FetchTimeout)
 	defer cancel()
 	answers := make(chan Publication, len(f.options.Seeds))
@@ -49,18 +49,18 @@
 	return publication, ok
 }
 
-// askSeeds takes over what another node believes, however old that is, as long as
+// adoptFromSeeds takes over what another node believes, however old that is, as long as
 // nothing was ever heard of the registry: a node that starts during an outage would
 // otherwise refuse everything, and try the registry as often as one that knows nothing.
-func (f *Follower) askSeeds(ctx context.Context) {
-	if f.listed || f.options.Fetcher == nil {
+func (f *Follower) adoptFromSeeds(ctx context.Context) {
+	if f.initialized || f.options.Fetcher == nil {
 		return
 	}
-	publication, ok := f.askAllSeeds(ctx, PublicationRequest{Position: f.known()})
-	if !ok || f.believe(publication) != nil {
+	publication, ok := f.fetchFromAnySeed(ctx, PublicationRequest{Position: f.knownPosition()})
+	if !ok || f.applyPublication(publication) != nil {
 		return
 	}
-	f.listed = true
+	f.initialized = true
 	f.options.Logger.Warn().Str("publisher", publication.Publisher).Dur("age_ms", publication.Age).
 		Msg("registry is not there, a node's belief is taken over")
 }
--- a/discovery/source.go
+++ b/discovery/source.go
@@ -70,8 +70,10 @@
 // Position is up to where the changes go.
 func (c Changes) Position() Position { return Position{Epoch: c.Epoch, Revision: c.Revision} }
 
-// of is the position of an entry of the changes.
-func (c Changes) of(revision Revision) Position { return Position{Epoch: c.Epoch, Revision: revision} }
+// positionAt is the position of an entry of the changes.
+func (c Changes) positionAt(revision Revision) Position {
+	return Position{Epoch: c.Epoch, Revision: revision}
+}
 
 // Entry is a value with the revision that wrote it. Gone entries have only an ID.
 type Entry[T any] struct {
--- a/discovery/suspension_test.go
+++ b/discovery/suspension_test.go
@@ -15,27 +15,27 @@
 
 // tableSource lists a table, and fails once it is cut off.
 type tableSource struct {
-	oddSource
-	cut atomic.Bool
+	invalidEntrySource
+	unavailable atomic.Bool
 }
 
 func (s *tableSource) List(ctx context.Context) (discovery.Listing, error) {
-	listing, _ := s.oddSource.List(ctx)
+	listing, _ := s.invalidEntrySource.List(ctx)
 	table, err := route.New(route.Definition{Version: 1, Limits: route.Limits{HeaderBytes: 1, HeaderTimeout: 1, IdleTimeout: 1}})
 	listing.Table = table
 	return listing, err
 }
 
 func (s *tableSource) Changes(ctx context.Context, after discovery.Position, wait time.Duration) (discovery.Changes, error) {
-	if s.cut.Load() {
+	if s.unavailable.Load() {
 		return discovery.Changes{}, discovery.ErrUnavailable
 	}
-	return s.oddSource.Changes(ctx, after, wait)
+	return s.invalidEntrySource.Changes(ctx, after, wait)
 }
 
 // A machine is suspended for 10 s: its steady clock stands still. What the node believes is as
 // old as it is, and so it tells others.
-func TestBeliefsAgeWhileTheMachineIsSuspended(t *testing.T) {
+func TestViewAgesWhileMachineIsSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		var suspended atomic.Int64 // in nanoseconds
@@ -51,7 +51,7 @@
 			follower.Run(ctx)
 		}()
 		time.Sleep(3 * time.Second)
-		source.cut.Store(true)
+		source.unavailable.Store(true)
 		suspended.Store(int64(10 * time.Second))
 		if age, known := follower.Age(); !known || age < 10*time.Second {
 			t.Errorf("believed to be %s old", age)
@@ -62,7 +62,7 @@
 		if told, _ := follower.Publish(discovery.PublicationRequest{}); told.Age < 10*time.Second {
 			t.Errorf("told to be %s old", told.Age)
 		}
-		source.cut.Store(false)
+		source.unavailable.Store(false)
 		time.Sleep(2 * time.Second)
 		if age, _ := follower.Age(); age > 2*time.Second {
 			t.Errorf("%s old, 2 s after it woke", age)
--- a/discovery/view.go
+++ b/discovery/view.go
@@ -63,9 +63,9 @@
 type entry[T any] struct {
 	value    T
 	position Position
-	// missing says that the entry went and is kept all the same, until keptUntil.
-	missing   bool
-	keptUntil time.Duration
+	// retained says that the entry went and is kept all the same, until keptUntil.
+	retained      bool
+	retainedUntil time.Duration
 }
 
 // Options sets up a View. Zero fields get defaults.
@@ -108,17 +108,17 @@
 	servers    map[string]*entry[Server]
 	nodes      map[string]*entry[Node]
 	directives directives
-	restored   restored
+	restored   restoreState
 
-	heard   bool
-	heardAt time.Duration
-	// doubtUntil is until when entries that go are kept. It counts from the
+	synced   bool
+	syncedAt time.Duration
+	// retainUntil is until when entries that go are kept. It counts from the
 	// registry's return, not from when an entry went: an entry that goes later is
 	// kept for less, so that no entry is used for longer than the time to hear of
 	// the return and RemovalGrace.
-	doubtUntil time.Duration
-	// heardFirst is when the registry was heard for the first time.
-	heardFirst time.Duration
+	retainUntil time.Duration
+	// firstSyncedAt is when the registry was heard for the first time.
+	firstSyncedAt time.Duration
 }
 
 // NewView returns a View that knows nothing.
@@ -133,15 +133,15 @@
 		servers:    make(map[string]*entry[Server]),
 		nodes:      make(map[string]*entry[Node]),
 		directives: make(directives),
-		restored:   newRestored(),
+		restored:   newRestoreState(),
 	}
 }
 
 // RecordResponse notes that the registry answered at now, which may be after an outage: what
 // went meanwhile is in doubt. What is known is no younger than before.
 func (v *View) RecordResponse(now time.Duration) {
-	if v.heard && now-v.heardAt > v.options.OutageAfter && v.options.Disabled.Enabled(mechanism.OutageRetention) {
-		v.doubtUntil = now + v.options.RemovalGrace
+	if v.synced && now-v.syncedAt > v.options.OutageAfter && v.options.Disabled.Enabled(mechanism.OutageRetention) {
+		v.retainUntil = now + v.options.RemovalGrace
 	}
 }
 
@@ -154,23 +154,23 @@
 // RecordContinuousSync notes the same of a node that heard the registry without a gap: it casts
 // no doubt on what it tells.
 func (v *View) RecordContinuousSync(now time.Duration) {
-	if !v.heard {
-		v.heardFirst, v.heardAt = now, now // before this node's start, if another one heard it
+	if !v.synced {
+		v.firstSyncedAt, v.syncedAt = now, now // before this node's start, if another one heard it
 	}
-	v.heard = true
-	v.heardAt = max(v.heardAt, now)
+	v.synced = true
+	v.syncedAt = max(v.syncedAt, now)
 }
 
 // Continuous reports whether the registry was heard without a gap for so long that nothing
 // that went is in doubt: neither after an outage nor after this node's own start, before
 // which it may have been away.
 func (v *View) Continuous(now time.Duration) bool {
-	return v.heard && now >= v.doubtUntil && now-v.heardAt <= v.options.OutageAfter && now-v.heardFirst >= v.options.RemovalGrace
+	return v.synced && now >= v.retainUntil && now-v.syncedAt <= v.options.OutageAfter && now-v.firstSyncedAt >= v.options.RemovalGrace
 }
 
 // Age is the time since the registry was last heard; ok is false when it never was.
 func (v *View) Age(now time.Duration) (age time.Duration, ok bool) {
-	return now - v.heardAt, v.heard
+	return now - v.syncedAt, v.synced
 }
 
 // PutServer takes a server's entry, as heard at now; an older position changes nothing.
@@ -179,12 +179,12 @@
 	if known != nil && position.Before(known.position) {
 		return
 	}
-	if v.fromCopy(now, position) {
+	if v.maybeFromBackup(now, position) {
 		if known == nil && v.restored.hasDeparted(server) {
 			v.restored.servers[server.ID] = server
 			return
 		}
-		if known != nil && leftBefore(known.value, server) {
+		if known != nil && wouldUndoDrain(known.value, server) {
 			v.restored.servers[server.ID] = server
 			server = known.value
 		}
@@ -221,9 +221,9 @@
 func (v *View) RemoveServer(now time.Duration, id string, position Position) {
 	delete(v.restored.servers, id)
 	known := v.servers[id]
-	remove(v, v.servers, now, v.doubtUntil, id, position)
+	remove(v, v.servers, now, v.retainUntil, id, position)
 	if known != nil && v.servers[id] == nil {
-		v.restored.depart(now, known.value)
+		v.restored.recordDeparted(now, known.value)
 	}
 }
 
@@ -235,14 +235,14 @@
 // remove drops an entry, or keeps it for a while as missing.
 func remove[T any](v *View, entries map[string]*entry[T], now, keptUntil time.Duration, id string, position Position) {
 	known := entries[id]
-	if known == nil || position.Before(known.position) || known.missing {
+	if known == nil || position.Before(known.position) || known.retained {
 		return
 	}
-	if now >= v.doubtUntil {
+	if now >= v.retainUntil {
 		delete(entries, id)
 		return
 	}
-	known.missing, known.keptUntil = true, keptUntil
+	known.retained, known.retainedUntil = true, keptUntil
 }
 
 // RetainServers notes a whole listing as of a position: servers that it does
@@ -268,18 +268,18 @@
 // Expire drops the missing entries whose time is over, and ends what a copy leaves in doubt.
 func (v *View) Expire(now time.Duration) {
 	for id, e := range v.servers {
-		if e.missing && e.keptUntil <= now {
-			v.restored.depart(now, e.value)
+		if e.retained && e.retainedUntil <= now {
+			v.restored.recordDeparted(now, e.value)
 			delete(v.servers, id)
 		}
 	}
 	for id, e := range v.nodes {
-		if e.missing && e.keptUntil <= now {
+		if e.retained && e.retainedUntil <= now {
 			delete(v.nodes, id)
 		}
 	}
 	v.directives.expire(now)
-	v.endRestored(now)
+	v.applyDeferred(now)
 }
 
 // NextExpiry is when Expire is to be called next; ok is false when nothing is awaited.
@@ -294,8 +294,8 @@
 func nextExpiry[T any](entries map[string]*entry[T]) time.Duration {
 	next := time.Duration(math.MaxInt64)
 	for _, e := range entries {
-		if e.missing {
-			next = min(next, e.keptUntil)
+		if e.retained {
+			next = min(next, e.retainedUntil)
 		}
 	}
 	return next
@@ -316,13 +316,13 @@
 func (v *View) RegisteredNodes() []Node { return list(v.nodes, false, Node.key) }
 
 // SyncedAt is when the registry was heard last; ok is false when it never was.
-func (v *View) SyncedAt() (at time.Duration, ok bool) { return v.heardAt, v.heard }
+func (v *View) SyncedAt() (at time.Duration, ok bool) { return v.syncedAt, v.synced }
 
 func list[T any](entries map[string]*entry[T], missing bool, key func(T) string) []T {
 	compare := func(a, b T) int { return cmp.Compare(key(a), key(b)) }
 	values := make([]T, 0, len(entries))
 	for _, e := range entries {
-		if missing || !e.missing {
+		if missing || !e.retained {
 			values = append(values, e.value)
 		}
 	}
--- a/discovery/view_test.go
+++ b/discovery/view_test.go
@@ -7,21 +7,29 @@
 	"github.com/banksail/banksail/discovery"
 )
 
-// at is a position of a registry that tells no epoch.
-func at(revision discovery.Revision) discovery.Position {
+// revisionPosition is a position of a registry that tells no epoch.
+func revisionPosition(revision discovery.Revision) discovery.Position {
 	return discovery.Position{Revision: revision}
 }
 
 // Of several incarnations at one address only the latest counts, in whatever order
 // they are heard of.
-func TestLatestIncarnationAtAnAddress(t *testing.T) {
+func TestLatestIncarnationAtAddressWins(t *testing.T) {
 	old := discovery.Node{ID: "a.1", Address: "10.0.0.1:80"}
 	restarted := discovery.Node{ID: "a.2", Address: "10.0.0.1:80"}
 	other := discovery.Node{ID: "b.1", Address: "10.0.0.2:80"}
 	want := []discovery.Node{restarted, other}
 	for name, put := range map[string]func(v *discovery.View){
-		"in order":  func(v *discovery.View) { v.PutNode(old, at(3)); v.PutNode(other, at(4)); v.PutNode(restarted, at(5)) },
-		"backwards": func(v *discovery.View) { v.PutNode(restarted, at(5)); v.PutNode(other, at(4)); v.PutNode(old, at(3)) },
+		"in order": func(v *discovery.View) {
+			v.PutNode(old, revisionPosition(3))
+			v.PutNode(other, revisionPosition(4))
+			v.PutNode(restarted, revisionPosition(5))
+		},
+		"backwards": func(v *discovery.View) {
+			v.PutNode(restarted, revisionPosition(5))
+			v.PutNode(other, revisionPosition(4))
+			v.PutNode(old, revisionPosition(3))
+		},
 	} {
 		view := discovery.NewView(discovery.Options{})
 		put(view)
--- a/serverstate/starts.go
+++ b/serverstate/coldstarts.go
@@ -6,13 +6,13 @@
 
 // ColdStarts is how slow servers were that said that they had just started; the zero value is
 // usual.
-type ColdStarts struct{ beyondUsual float64 }
+type ColdStarts struct{ excess float64 }
 
 // Observe notes the slowness of an answer of a server that is cold.
 func (s *ColdStarts) Observe(slowness float64) {
 	slowness = min(max(slowness, NormalSlowness), MaxSlowness)
-	s.beyondUsual += startWeight * (slowness - NormalSlowness - s.beyondUsual)
+	s.excess += startWeight * (slowness - NormalSlowness - s.excess)
 }
 
 // ExpectedSlowness is the slowness to be expected of a server that is cold.
-func (s *ColdStarts) ExpectedSlowness() float64 { return NormalSlowness + s.beyondUsual }
+func (s *ColdStarts) ExpectedSlowness() float64 { return NormalSlowness + s.excess }
--- a/serverstate/belief_test.go
+++ b/serverstate/estimate_test.go
@@ -10,7 +10,7 @@
 
 const tick = 100 * time.Millisecond
 
-func TestSlownessIsLearnedAndFades(t *testing.T) {
+func TestSlownessFollowsAnswersAndDecays(t *testing.T) {
 	var s serverstate.Estimate
 	var starts serverstate.ColdStarts
 	if got := s.Slowness(0, &starts); got != serverstate.NormalSlowness {
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestSlowServersAreProbedEverLessOften(t *testing.T) {
+func TestProbePauseGrowsWhileServerIsSlow(t *testing.T) {
 	var s serverstate.Estimate
 	now := time.Duration(0)
 	last := time.Duration(0)
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestLateAttemptsProveSlowness(t *testing.T) {
+func TestOverdueAttemptsShowSlowness(t *testing.T) {
 	var s serverstate.Estimate
 	var known, unknown serverstate.PendingAttempt
 	s.BeginAttempt(&known, 0, 10*time.Millisecond)
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestWorkCountsOwnAttemptsAndTheReportedLoad(t *testing.T) {
+func TestUtilizationCountsOwnAttemptsAndReportedLoad(t *testing.T) {
 	var s serverstate.Estimate
 	s.BeginAttempt(new(serverstate.PendingAttempt), 0, 0)
 	if got := s.Utilization(0, 2); got != 0.5 {
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestStartsTellWhatToExpectOfTheNext(t *testing.T) {
+func TestColdStartsPredictSlownessOfNext(t *testing.T) {
 	var s serverstate.Estimate
 	var starts serverstate.ColdStarts
 	s.SetColdUntil(3 * time.Second)
