--- a/discovery/announcer.go
+++ b/discovery/announcer.go
@@ -15,28 +15,28 @@
 	Registrar Registrar
 	Node      Node
 	Logger    zerolog.Logger
-	// TimeToLive is how long the entry stays without renewal; default 10 s.
+	// TimeToLive is the lifetime of the entry without renewal; default 10 s.
 	TimeToLive time.Duration
-	// CallTimeout bounds one call; default 1.2 s.
+	// CallTimeout is the timeout of a single call; default 1.2 s.
 	CallTimeout time.Duration
 }
 
-// Defaults of AnnouncerOptions.
+// Default values of AnnouncerOptions.
 const (
-	// DefaultTimeToLive outlasts the start of all nodes after they lost power at the
-	// same moment: they find each other by the entries of their earlier incarnations.
-	// Nobody waits for an entry to go.
+	// DefaultTimeToLive is longer than the simultaneous restart of all nodes after a power
+	// failure takes, so that they find each other by the entries of their previous
+	// incarnations. Nothing waits for an entry to expire.
 	DefaultTimeToLive = 10 * time.Second
-	// DefaultAnnounceTimeout is 300 times the registry's usual answer.
+	// DefaultAnnounceTimeout is 300 times the registry's usual response time.
 	DefaultAnnounceTimeout = 1200 * time.Millisecond
 
-	// renewShare is the part of the time to live after which an entry is renewed: two
-	// renewals may fail.
+	// renewShare is the fraction of the time to live after which an entry is renewed: two
+	// renewals may fail before it expires.
 	renewShare = 0.32
 )
 
-// Announcer keeps the node's own entry in a registry while the node is one that
-// others are to be found by.
+// Announcer maintains this node's own entry in a registry while the node is one of those
+// through which others find the cluster.
 type Announcer struct {
 	options AnnouncerOptions
 	wake    chan struct{}
@@ -47,16 +47,15 @@
 	lease   Lease
 }
 
-// NewAnnouncer returns an announcer that has written nothing, and won't until it is
-// told that the entry is wanted.
+// NewAnnouncer returns an Announcer that is disabled until SetEnabled is called.
 func NewAnnouncer(options AnnouncerOptions) *Announcer {
 	options.TimeToLive = cmp.Or(options.TimeToLive, DefaultTimeToLive)
 	options.CallTimeout = cmp.Or(options.CallTimeout, DefaultAnnounceTimeout)
 	return &Announcer{options: options, wake: make(chan struct{}, 1)}
 }
 
-// SetEnabled tells whether the node's entry is to be kept. One that is not wanted any
-// more runs out by itself, which costs no call.
+// SetEnabled sets whether the node's entry is maintained. When it is disabled, the entry expires
+// by itself, which costs no call.
 func (a *Announcer) SetEnabled(wanted bool) {
 	a.mutex.Lock()
 	changed := a.enabled != wanted
@@ -71,22 +70,22 @@
 	}
 }
 
-// Run keeps the entry until ctx ends, and then ends it.
+// Run maintains the entry until ctx is done, and then revokes it.
 func (a *Announcer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := a.registerOrRenew(ctx)
 		if errors.Is(err, ErrLeaseExpired) {
-			err = a.registerOrRenew(ctx) // registers anew
+			err = a.registerOrRenew(ctx) // registers again
 		}
 		if err != nil && ctx.Err() == nil {
-			a.options.Logger.Debug().Err(err).Msg("own entry could not be kept")
+			a.options.Logger.Debug().Err(err).Msg("failed to register or renew this node's entry")
 		}
 		a.waitForRenewal(ctx)
 	}
 	a.revoke()
 }
 
-// waitForRenewal waits until the entry is to be renewed, or whether it is wanted has changed.
+// waitForRenewal waits until the entry is due for renewal or SetEnabled changes the setting.
 func (a *Announcer) waitForRenewal(ctx context.Context) {
 	waiting, stop := context.WithTimeout(ctx, time.Duration(renewShare*float64(a.options.TimeToLive)))
 	defer stop()
@@ -96,7 +95,7 @@
 	}
 }
 
-// registerOrRenew registers the node or renews its lease, if its entry is wanted.
+// registerOrRenew registers the node or renews its lease, if the announcer is enabled.
 func (a *Announcer) registerOrRenew(ctx context.Context) error {
 	a.mutex.Lock()
 	lease, wanted := a.lease, a.enabled
@@ -124,7 +123,7 @@
 	return err
 }
 
-// revokeTimeout bounds the last call.
+// revokeTimeout is the timeout of the call that revokes the lease on shutdown.
 const revokeTimeout = 300 * time.Millisecond
 
 func (a *Announcer) revoke() {
@@ -137,6 +136,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
 	defer cancel()
 	if err := lease.Revoke(ctx); err != nil {
-		a.options.Logger.Debug().Err(err).Msg("own lease could not be ended")
+		a.options.Logger.Debug().Err(err).Msg("failed to revoke this node's lease")
 	}
 }
--- a/discovery/announcer_test.go
+++ b/discovery/announcer_test.go
@@ -13,16 +13,16 @@
 	"github.com/banksail/banksail/discovery"
 )
 
-// registrar keeps one entry, which goes when its lease is not renewed in time.
+// registrar holds one entry, which expires when its lease is not renewed in time.
 type registrar struct {
 	mutex     sync.Mutex
 	expiresAt time.Time
-	// registrations, renewals and ends count the calls, refused ones too.
+	// registrations, renewals and revocations count the calls, including failed ones.
 	registrations, renewals, revocations int
 	down                                 bool
 }
 
-var errDown = errors.New("down")
+var errDown = errors.New("registrar is down")
 
 func (r *registrar) Register(_ context.Context, _ discovery.Node, timeToLive time.Duration) (discovery.Lease, error) {
 	r.mutex.Lock()
@@ -35,7 +35,7 @@
 	return &countedLease{registrar: r, timeToLive: timeToLive}, nil
 }
 
-// registered reports whether the entry is there.
+// registered reports whether the entry is present.
 func (r *registrar) registered() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// withAnnouncer runs a test beside an announcer, and stops it.
+// withAnnouncer runs a test with an Announcer in the background, and stops it afterwards.
 func withAnnouncer(t *testing.T, run func(t *testing.T, r *registrar, a *discovery.Announcer)) (after *registrar) {
 	t.Helper()
 	r := new(registrar)
@@ -86,17 +86,17 @@
 	return r
 }
 
-// wantRegistered looks at the entry for a while.
+// wantRegistered fails the test unless the entry is present for the whole duration.
 func wantRegistered(t *testing.T, r *registrar, during time.Duration, when string) {
 	t.Helper()
 	for end := time.Now().Add(during); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if !r.registered() {
-			t.Fatalf("%s the entry is not there", when)
+			t.Fatalf("%s: the entry is missing", when)
 		}
 	}
 }
 
-// A node whose entry nobody wants costs no call at all.
+// A disabled announcer makes no calls at all.
 func TestDisabledAnnouncerMakesNoCalls(t *testing.T) {
 	r := withAnnouncer(t, func(_ *testing.T, _ *registrar, a *discovery.Announcer) {
 		time.Sleep(time.Minute)
@@ -104,12 +104,12 @@
 		time.Sleep(time.Minute)
 	})
 	if r.registrations+r.renewals+r.revocations > 0 {
-		t.Errorf("%d registrations, %d renewals, %d ends", r.registrations, r.renewals, r.revocations)
+		t.Errorf("%d registrations, %d renewals, %d revocations, want none", r.registrations, r.renewals, r.revocations)
 	}
 }
 
-// An entry that is wanted is there at once and never lapses; one that is not wanted any
-// more runs out without a call; and one that is wanted again is there at once again.
+// While the announcer is enabled the entry is present at once and never expires; after it is
+// disabled the entry expires without a call; when enabled again it is present at once.
 func TestEntryIsRegisteredWhileEnabled(t *testing.T) {
 	const spell = time.Minute
 	r := withAnnouncer(t, func(t *testing.T, r *registrar, a *discovery.Announcer) {
@@ -122,16 +122,16 @@
 			renewals := r.renewals
 			time.Sleep(2 * discovery.DefaultTimeToLive)
 			if r.registered() || r.renewals != renewals {
-				t.Errorf("%s: the entry is still there (%t) after %d renewals more", when, r.registered(), r.renewals-renewals)
+				t.Errorf("%s: the entry is present (%t) after %d further renewals", when, r.registered(), r.renewals-renewals)
 			}
 		}
 	})
 	if most := int(2*spell/discovery.DefaultTimeToLive)*4 + 2; r.renewals > most || r.registrations > 3 || r.revocations > 0 {
-		t.Errorf("%d renewals (at most %d), %d registrations, %d ends", r.renewals, most, r.registrations, r.revocations)
+		t.Errorf("%d renewals (at most %d), %d registrations, %d revocations", r.renewals, most, r.registrations, r.revocations)
 	}
 }
 
-// An entry that lapsed in an outage is back soon after it; the calls meanwhile are few.
+// An entry that expired in an outage is registered soon after it, with few calls in the meantime.
 func TestEntryIsRegisteredAgainAfterOutage(t *testing.T) {
 	const outage = 30 * time.Second
 	r := withAnnouncer(t, func(t *testing.T, r *registrar, a *discovery.Announcer) {
@@ -152,6 +152,6 @@
 		}
 	})
 	if r.revocations != 1 {
-		t.Errorf("the lease was ended %d times at the stop", r.revocations)
+		t.Errorf("the lease was revoked %d times on shutdown, want once", r.revocations)
 	}
 }
--- a/discovery/apply.go
+++ b/discovery/apply.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// listedIDs names the entries and those that could not be read.
+// listedIDs returns the IDs of the entries, including those that could not be decoded.
 func listedIDs[T any](entries []Entry[T], invalid []InvalidEntry) map[string]struct{} {
 	ids := make(map[string]struct{}, len(entries)+len(invalid))
 	for _, e := range entries {
@@ -14,7 +14,7 @@
 	return ids
 }
 
-// detectEpochChange notes that the registry has come back from a copy, if it has. The lock is held.
+// detectEpochChange starts a new epoch if the registry was restored from a backup. The lock must be held.
 func (f *Follower) detectEpochChange(now time.Duration, changes Changes) {
 	known := f.position
 	if _, heard := f.view.SyncedAt(); !heard || changes.Epoch <= known.Epoch {
@@ -26,8 +26,7 @@
 		Bool("relayed", changes.Relayed).Msg("registry came back from a copy")
 }
 
-// applyChanges brings the view up to date with what was heard at now, and tells what is
-// believed.
+// applyChanges applies changes received at now to the view and notifies the owner.
 func (f *Follower) applyChanges(now time.Duration, changes Changes) {
 	f.reportInvalid(changes.Invalid)
 	f.applyAndObserve(func() {
@@ -37,7 +36,7 @@
 	})
 }
 
-// applyAndObserve changes what is believed, and notes for how long a change was not known at most.
+// applyAndObserve changes the state and reports the maximum time for which a change was not known.
 func (f *Follower) applyAndObserve(change func()) {
 	age, known := f.Age()
 	if f.updateAndNotify(change) && known {
@@ -45,8 +44,8 @@
 	}
 }
 
-// recordSync notes that the registry answered at now, to this node or to one that it asked. The
-// lock is held.
+// recordSync records that the registry answered at now, to this node or to the node it fetched
+// from. The lock must be held.
 func (f *Follower) recordSync(now time.Duration, changes Changes) {
 	switch {
 	case changes.Partial:
@@ -58,8 +57,8 @@
 	}
 }
 
-// applyListing does the same with all that there is: what is not named has gone. All of
-// it changes at once, or others would be told the old contents with the new age.
+// applyListing applies a complete listing received at now: entries that are not listed are removed.
+// Everything changes at once, as otherwise old content would be published with the new age.
 func (f *Follower) applyListing(now time.Duration, all Changes) {
 	f.reportInvalid(all.Invalid)
 	f.applyAndObserve(func() {
@@ -76,7 +75,7 @@
 	})
 }
 
-// reportInvalid counts and logs the entries that could not be read.
+// reportInvalid counts and logs the entries that could not be decoded.
 func (f *Follower) reportInvalid(entries []InvalidEntry) {
 	f.invalidCount.Add(uint64(len(entries)))
 	for _, invalid := range entries {
@@ -84,14 +83,14 @@
 	}
 }
 
-// writeTime is when directives that are new were written at the earliest.
+// writeTime is the earliest time at which new directives can have been written.
 type writeTime struct {
 	at    time.Duration
 	known bool
 }
 
-// earliestWrite is that of one directive: another node tells its age, and what the registry tells
-// was written after it was heard last.
+// earliestWrite returns that time for one directive: another node sends its maximum age, and what
+// the registry itself reports was written after the previous sync.
 func (f *Follower) earliestWrite(key string, changes Changes, newest writeTime) writeTime {
 	if age, told := changes.MaxOrderAges[key]; told {
 		return writeTime{at: f.now() - age, known: true}
@@ -99,7 +98,7 @@
 	return newest
 }
 
-// merge brings the view up to date. The lock is held.
+// merge applies changes to the view. The lock must be held.
 func (f *Follower) merge(now time.Duration, changes Changes, newest writeTime) {
 	for _, e := range changes.Servers {
 		if e.Gone {
--- a/discovery/atomic_test.go
+++ b/discovery/atomic_test.go
@@ -13,13 +13,13 @@
 	"github.com/banksail/banksail/route"
 )
 
-// outageSource is a registry with an outage, in which one server's entry lapses. While
-// that is told, another server leaves and the history is gone.
+// outageSource is a registry with an outage in which the entry of one server expires. While that
+// removal is delivered, another server leaves and the history is lost.
 type outageSource struct {
 	table *route.Table
 	calls int
-	// removalDelivered is closed once the lapse is being told, and left once the listing without
-	// the other server is on its way.
+	// removalDelivered is closed once the removal is being delivered; listingSent receives the
+	// time at which the listing without the other server is sent.
 	removalDelivered chan struct{}
 	listingSent      chan time.Time
 }
@@ -53,8 +53,8 @@
 	}
 }
 
-// What a node tells is as old as its age says, also while it takes a listing in and
-// its consumer is slow: contents and their age change at once.
+// Published content is never older than the published age, even while a listing is applied and the
+// owner's callback is slow: content and age change together.
 func TestPublishedContentIsNoOlderThanItsAge(t *testing.T) {
 	table, err := route.New(route.Definition{Version: 1, Limits: route.Limits{HeaderBytes: 1, HeaderTimeout: 1, IdleTimeout: 1}})
 	if err != nil {
@@ -79,11 +79,11 @@
 	ended := make(chan struct{})
 	go func() { follower.Run(ctx); close(ended) }()
 	left := <-source.listingSent
-	for range 100 { // the listing is taken in as far as that goes
+	for range 100 { // the listing is applied as far as possible
 		publication, ok := follower.Publish(discovery.PublicationRequest{})
 		believed := slices.ContainsFunc(publication.Servers, func(s discovery.Server) bool { return s.ID == "leaves" })
 		if since := time.Since(left); !ok || believed && publication.Age < since {
-			t.Errorf("%s after a server left it is told with an age of %s (%t)", since, publication.Age, ok)
+			t.Errorf("%s after a server left it is still published, with an age of %s (%t)", since, publication.Age, ok)
 			break
 		}
 		time.Sleep(time.Millisecond)
--- a/discovery/bootstrap.go
+++ b/discovery/bootstrap.go
@@ -2,13 +2,13 @@
 
 import "cmp"
 
-// minBootstrapNodes is the least number of nodes that keep an entry in the registry: any
-// two of them may be lost at the same moment.
+// minBootstrapNodes is the minimum number of nodes that keep an entry in the registry: any two of
+// them may fail at the same time.
 const minBootstrapNodes = 3
 
-// BootstrapNodes returns the nodes that keep an entry in the registry, by which nodes find
-// each other that know nobody who lives: the most capable one of each zone, and others
-// up to the least number. All nodes that see the same members choose the same.
+// BootstrapNodes returns the nodes that keep an entry in the registry, through which nodes that
+// know no live node find the others: the highest-ranked node of each zone, and further ones up to
+// minBootstrapNodes. All nodes with the same membership view select the same nodes.
 func BootstrapNodes(nodes []Node) []Node {
 	ranked := rankNodes(nodes)
 	var anchors, others []Node
@@ -25,8 +25,8 @@
 	return append(anchors, others[:missing]...)
 }
 
-// compareRank puts the more capable node first, and equal ones in an order that is the same
-// everywhere.
+// compareRank orders nodes by decreasing capacity, and nodes of equal capacity in an order that
+// is the same everywhere.
 func compareRank(a, b Node) int {
 	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(hashOf(a.ID), hashOf(b.ID)), cmp.Compare(a.ID, b.ID))
 }
--- a/discovery/cluster_test.go
+++ b/discovery/cluster_test.go
@@ -18,7 +18,7 @@
 	"github.com/banksail/banksail/route"
 )
 
-// registry is a Source in memory that counts its readings.
+// registry is an in-memory Source that counts its reads.
 type registry struct {
 	t        *testing.T
 	mutex    sync.Mutex
@@ -26,10 +26,10 @@
 	revision discovery.Revision
 	events   discovery.Changes
 	reads    int
-	// listings counts the readings of everything.
+	// listings counts the complete reads.
 	listings int
 	down     bool
-	// maxChanges is the number of servers' changes in one answer; zero is any.
+	// maxChanges limits the changes of servers in one answer; zero is unlimited.
 	maxChanges int
 }
 
@@ -56,7 +56,7 @@
 	return listing, nil
 }
 
-// count is the number of readings so far.
+// count returns the number of reads so far.
 func (r *registry) count() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -78,7 +78,7 @@
 // watchLatency is the time that the registry takes to notice a change.
 const watchLatency = 10 * time.Millisecond
 
-// Changes answers as soon as something has changed, or when the wait is over.
+// Changes answers as soon as something has changed, or after the wait.
 func (r *registry) Changes(_ context.Context, after discovery.Position, wait time.Duration) (discovery.Changes, error) {
 	r.mutex.Lock()
 	r.reads++
@@ -93,7 +93,7 @@
 		case epoch != after.Epoch:
 			return discovery.Changes{}, discovery.ErrHistoryGone
 		case told.Partial:
-			time.Sleep(watchLatency) // a long answer takes its time
+			time.Sleep(watchLatency) // simulates the transfer of a long answer
 			return told, nil
 		case told.Revision > after.Revision || !time.Now().Before(end):
 			return told, nil
@@ -146,7 +146,7 @@
 	r.events.Nodes = append(r.events.Nodes, discovery.Entry[discovery.Node]{ID: node.ID, Revision: r.revision, Value: node})
 }
 
-// evacuate asks for the evacuation of a zone, or takes it back.
+// evacuate requests the evacuation of a zone, or removes the request.
 func (r *registry) evacuate(zone string, back bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -173,7 +173,7 @@
 // testCluster is a registry with followers.
 type testCluster struct {
 	registry *registry
-	// sources are the nodes' ways to the registry.
+	// sources are the nodes' connections to the registry.
 	sources []*nodeSource
 	network *network
 	states  []discovery.ClusterState
@@ -181,18 +181,18 @@
 	stop    context.CancelFunc
 	loops   sync.WaitGroup
 	mutex   sync.Mutex
-	// seeds and seedTime are what the followers learn from at the start, but for the
-	// seeds themselves.
+	// seeds and seedTimeout are the followers' Seeds and SeedTimeout; the seeds themselves
+	// have no SeedTimeout.
 	seeds       []string
 	seedTimeout time.Duration
-	// bound and lapse are the followers' own; zero is 3 s, and unknown.
+	// bound and entryTTL set the followers' intervals; zero is 3 s, and unknown.
 	bound, entryTTL time.Duration
-	// gossip says that the nodes know each other other than by the registry, so that they
-	// take turns at it.
+	// gossip is set when nodes know each other by other means than the registry, so that they
+	// take turns in reading it.
 	gossip bool
 }
 
-// nodes lists all nodes, as those that watch each other do who have noticed nothing.
+// nodes returns all nodes, as membership reports them while it has detected no failure.
 func (w *testCluster) nodes() []discovery.Node {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -225,7 +225,7 @@
 	return w
 }
 
-// start runs a follower for each node.
+// start runs a follower per node.
 func (w *testCluster) start(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	w.stop = stop
@@ -235,7 +235,7 @@
 	w.context = ctx
 }
 
-// addNode runs one more follower.
+// addNode runs an additional follower.
 func (w *testCluster) addNode(t *testing.T, id string) {
 	t.Helper()
 	w.mutex.Lock()
@@ -271,7 +271,7 @@
 	w.loops.Go(func() { follower.Run(ctx) })
 }
 
-// wantConverged wants all followers to believe the same servers and version, but for some.
+// wantConverged fails the test unless all followers have the registry's servers and table version.
 func (w *testCluster) wantConverged(t *testing.T, when string) {
 	t.Helper()
 	w.registry.mutex.Lock()
@@ -289,13 +289,13 @@
 			got[server.ID] = server
 		}
 		if !reflect.DeepEqual(got, want) || news.Table == nil || news.Table.Version != version {
-			t.Fatalf("%s: node %d believes %d servers, want %d", when, number, len(got), len(want))
+			t.Fatalf("%s: node %d has %d servers, or other contents than the registry, want %d", when, number, len(got), len(want))
 		}
 	}
 }
 
-// Where many nodes start at once and none is in a hurry, one of them reads everything
-// and the others learn from it.
+// When many nodes start at once and none is in a hurry, one of them reads the whole registry and
+// the others learn from it.
 func TestNodesBootstrapFromSeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 30
@@ -305,14 +305,14 @@
 		time.Sleep(4 * time.Second)
 		w.wantConverged(t, "after the start")
 		if w.registry.listings > 3 {
-			t.Errorf("everything was read %d times by %d nodes", w.registry.listings, nodes)
+			t.Errorf("%d complete reads by %d nodes", w.registry.listings, nodes)
 		}
 		w.stop()
 		w.loops.Wait()
 	})
 }
 
-// A node whose seeds are gone reads for itself.
+// A node whose seeds are unreachable reads the registry itself.
 func TestNodesStartWhenSeedsAreUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 4)
@@ -325,7 +325,7 @@
 	})
 }
 
-// Whatever changes, all nodes believe it within the bound, from one reader.
+// Random changes reach all nodes within the bound, while a single node reads the registry.
 func TestNodesConvergeThroughReader(t *testing.T) {
 	for seed := range uint64(8) {
 		synctest.Test(t, func(t *testing.T) {
@@ -350,7 +350,7 @@
 			before := w.registry.count()
 			time.Sleep(10 * time.Second)
 			if readings := w.registry.count() - before; readings > 12 {
-				t.Errorf("%d readings in 10 s by six nodes", readings)
+				t.Errorf("%d reads in 10 s by six nodes", readings)
 			}
 			w.stop()
 			w.loops.Wait()
@@ -358,7 +358,7 @@
 	}
 }
 
-// While a reader is silent, another reads; nobody goes back to what was before.
+// While a reader is unresponsive, another node reads, and no node reverts to an earlier state.
 func TestNodesConvergeWhenReaderIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := startCluster(t, 4)
@@ -379,23 +379,23 @@
 	})
 }
 
-// A few readers are enough for many nodes.
+// A few readers suffice for many nodes.
 func TestFewReadersServeManyNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := startCluster(t, 120)
 		before := w.registry.count()
 		time.Sleep(10 * time.Second)
 		if readings := w.registry.count() - before; readings > 40 {
-			t.Errorf("%d readings in 10 s by 120 nodes", readings)
+			t.Errorf("%d reads in 10 s by 120 nodes", readings)
 		}
 		w.stop()
 		w.loops.Wait()
 	})
 }
 
-// A node that has read the registry by itself does not go on from what it once
-// knew of a reader: entries that lapsed in an outage and came back are no change to
-// the reader, who kept them, but are missing at the node.
+// A node that has read the registry itself must not continue from its earlier cursor of a reader.
+// Entries that expired in an outage and were written again are unchanged for the reader, which
+// retained them, but are missing at the node.
 func TestOwnReadInvalidatesCursor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := startCluster(t, 3)
@@ -411,7 +411,7 @@
 		w.registry.mutex.Lock()
 		w.registry.down = false
 		w.registry.mutex.Unlock()
-		time.Sleep(900 * time.Millisecond) // all have read that it went, and keep it
+		time.Sleep(900 * time.Millisecond) // all nodes have read the removal and retain the entry
 		w.registry.putServer(server, false)
 		time.Sleep(6 * time.Second)
 		w.wantConverged(t, "after the outage")
@@ -420,12 +420,11 @@
 	})
 }
 
-// A reader hears of a change at once, so that all nodes believe it as soon as they
-// have asked again.
+// A reader learns of a change immediately, so all nodes know it as soon as they have fetched again.
 func TestChangesPropagatePromptly(t *testing.T) {
 	const (
-		askPace = 800 * time.Millisecond // 4/9 of the pace
-		slack   = 250 * time.Millisecond // the reader's own pause, and the way
+		askPace = 800 * time.Millisecond // 4/9 of the poll interval
+		slack   = 250 * time.Millisecond // the reader's own pause, and transmission
 	)
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(1, 0))
--- a/discovery/directive.go
+++ b/discovery/directive.go
@@ -7,69 +7,71 @@
 	"github.com/banksail/banksail/rollout"
 )
 
-// DirectiveKind tells what a directive is about.
+// DirectiveKind is the type of a directive.
 type DirectiveKind string
 
 const (
-	// EvacuateZone asks that nothing more be sent to the servers of a zone, until it is
-	// taken back.
+	// EvacuateZone requests that nothing more be sent to the servers of a zone, until it is
+	// removed.
 	EvacuateZone DirectiveKind = "evacuate_zone"
-	// RollOut asks that a service's traffic move to another version.
+	// RollOut requests that a service's traffic move to another version.
 	RollOut DirectiveKind = "roll_out"
-	// RolloutAlarm stands beside a record until its order is to be decided; the registry
-	// takes it away then. Its record names the order alone.
+	// RolloutAlarm accompanies a record until its order is due for a decision, when the
+	// registry expires it. Its record names only the order.
 	RolloutAlarm DirectiveKind = "rollout_alarm"
-	// RolloutRecord is what the nodes have made of such an order.
+	// RolloutRecord is the nodes' progress with such an order.
 	RolloutRecord DirectiveKind = "rollout_record"
-	// QuarantineContent asks that requests of a content be refused, as servers end under them.
-	// The registry takes it away when the content has not come for a while.
+	// QuarantineContent requests that requests with a certain content be rejected because they
+	// crash servers. The registry expires it when the content has not been seen for a while.
 	QuarantineContent DirectiveKind = "quarantine_content"
 )
 
-// IsRollout reports whether directives of the kind are about roll-outs.
+// IsRollout reports whether directives of this kind belong to roll-outs.
 func (k DirectiveKind) IsRollout() bool {
 	return k == RollOut || k == RolloutAlarm || k == RolloutRecord
 }
 
-// Directive is an entry of the registry by which all nodes act alike: what an operator asks
-// for, or what the nodes have decided.
+// Directive is a registry entry that all nodes act on: a request by an operator, or a decision
+// of the nodes.
 type Directive struct {
 	Kind DirectiveKind `json:"kind"`
-	// Subject is the zone, the service, or the content.
+	// Subject is the zone, the service, or the content's fingerprint.
 	Subject string `json:"subject"`
-	// Lease is that of the entry, where it has one.
+	// Lease is the lease of the entry, or zero if it has none.
 	Lease uint64 `json:"lease,omitempty"`
-	// Number names the entry among all that ever stood at its key: that of the position at
-	// which it was written. An operator's entry that is written again, as the registry came
-	// back from a copy without it, keeps its number. Nodes of an earlier build, which know of one
-	// epoch only, tell and take it as the revision.
+	// Number identifies the entry among all that were ever written at its key: it is the
+	// number of the position at which it was written. An operator's entry that is written
+	// again after the registry was restored from a backup without it keeps its number. Nodes
+	// of an earlier build, which know one epoch only, use the revision here.
 	Number uint64 `json:"revision"`
-	// StoredAt is where the registry holds the key now; its revision is zero where it does not.
+	// StoredAt is the position at which the registry holds the key now; its revision is zero
+	// if the registry does not hold it.
 	StoredAt Position `json:"stored,omitzero"`
-	// Lost says that the registry came back from a copy without the entry, and that it has not
-	// been written again yet.
+	// Lost is set when the registry was restored from a backup without the entry and the entry
+	// has not been written again yet.
 	Lost bool `json:"lost,omitempty"`
 	// Order is set for RollOut, and Record for RolloutRecord and RolloutAlarm.
 	Order  *rollout.Order  `json:"order,omitempty"`
 	Record *rollout.Record `json:"record,omitempty"`
-	// Since is when the entry was written, at the earliest; zero is unknown.
+	// Since is the earliest time at which the entry can have been written; zero is unknown.
 	Since time.Time `json:"-"`
-	// Latest is when it stood in the registry already, as far as is known.
+	// Latest is the latest time at which the entry can have been written: the registry already
+	// held it then.
 	Latest time.Time `json:"-"`
 }
 
-// Key identifies a directive among all.
+// Key returns the key that identifies the directive.
 func (d Directive) Key() string { return DirectiveKey(d.Kind, d.Subject) }
 
-// DirectiveKey is the key of the directive of a kind about a subject.
+// DirectiveKey returns the key of the directive of a kind for a subject.
 func DirectiveKey(kind DirectiveKind, subject string) string { return string(kind) + "/" + subject }
 
-// sameDirective reports whether two directives are the same entry, which the registry holds alike.
+// sameDirective reports whether two directives are the same entry with the same state in the registry.
 func sameDirective(a, b Directive) bool {
 	return a.Key() == b.Key() && a.Number == b.Number && a.StoredAt == b.StoredAt && a.Lost == b.Lost
 }
 
-// requestsSameAs reports whether a directive asks for the same as another one about its subject.
+// requestsSameAs reports whether a directive requests the same as another one for its subject.
 func (d Directive) requestsSameAs(other Directive) bool {
 	switch {
 	case d.Order != nil && other.Order != nil:
@@ -81,11 +83,11 @@
 	}
 }
 
-// writtenByNodes reports whether nodes write directives of the kind, and write them again when the
-// registry has lost them.
+// writtenByNodes reports whether nodes write directives of this kind, and write them again after
+// the registry has lost them.
 func (k DirectiveKind) writtenByNodes() bool { return k == RolloutRecord || k == QuarantineContent }
 
-// EvacuatedZones lists the zones that are to be empty, sorted.
+// EvacuatedZones returns the zones that are evacuated, sorted.
 func EvacuatedZones(directives []Directive) []string {
 	zones := []string{}
 	for _, d := range directives {
--- a/discovery/directive_test.go
+++ b/discovery/directive_test.go
@@ -10,7 +10,7 @@
 	"github.com/banksail/banksail/rollout"
 )
 
-// putOrder writes an order for a service, as of the registry's next revision.
+// putOrder writes a roll-out order for a service at the registry's next revision.
 func (r *registry) putOrder(service, target string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -25,13 +25,13 @@
 	})
 }
 
-// orderSince is when a node takes an order to be written; zero is unknown.
+// orderSince returns the earliest write time that a node assumes for an order; zero is unknown.
 func (w *testCluster) orderSince(t *testing.T, number int, service, target string) time.Time {
 	t.Helper()
 	return w.findOrder(t, number, service, target).Since
 }
 
-// findOrder is what a node knows of an order.
+// findOrder returns a node's directive for an order.
 func (w *testCluster) findOrder(t *testing.T, number int, service, target string) discovery.Directive {
 	t.Helper()
 	w.mutex.Lock()
@@ -45,13 +45,13 @@
 	return discovery.Directive{}
 }
 
-// Every node knows of an order how old it is at most, however it hears of it: it takes no
-// order for younger than it is, and none for older than a reading and an asking; so do nodes
-// that start later, and a new order at the same key has an age of its own.
+// Every node knows an upper bound of an order's age, whichever way it learns of the order. The bound
+// is never less than the age, and exceeds it by at most one read and one fetch. This holds for nodes
+// that start later, and a new order at the same key has a bound of its own.
 func TestNodesKnowMaximumAgeOfOrders(t *testing.T) {
 	const (
 		nodes = 6
-		// unheard is the greatest age of a belief before the order came.
+		// unheard is the maximum age of a node's view before the order arrives.
 		unheard = 2 * time.Second
 		known   = 3 * time.Second
 	)
@@ -70,7 +70,7 @@
 			for number := range nodes + 1 {
 				since := w.orderSince(t, number, "x", target)
 				if since.IsZero() || since.After(written) || since.Before(written.Add(-unheard)) {
-					t.Errorf("%s: node %d takes it for written at %s, it was at %s", target, number, since, written)
+					t.Errorf("%s: node %d assumes that the order was written at %s at the earliest, it was written at %s", target, number, since, written)
 				}
 			}
 		}
@@ -79,13 +79,13 @@
 	})
 }
 
-// Every node knows how young an order is at most, too: as young as the first of them heard of it,
-// whenever it hears itself.
+// Every node also knows a lower bound of an order's age: the time since the first node learned of it,
+// whenever the node itself learns of it.
 func TestNodesKnowMinimumAgeOfOrders(t *testing.T) {
 	const (
 		nodes = 6
-		// heard is when the first node has heard of it at the latest, and late when one hears of it
-		// that starts after that.
+		// heard is the time by which the first node knows of the order, and late the delay after
+		// which another node starts.
 		heard = 2 * time.Second
 		late  = 10 * time.Second
 	)
@@ -101,7 +101,7 @@
 		for number := range nodes + 1 {
 			latest := w.findOrder(t, number, "x", "v2").Latest
 			if latest.Before(written) || latest.After(written.Add(heard)) {
-				t.Errorf("node %d: it stood at %s, it was written at %s", number, latest, written)
+				t.Errorf("node %d: the registry is known to have held the order at %s, it was written at %s", number, latest, written)
 			}
 		}
 		w.stop()
@@ -109,8 +109,7 @@
 	})
 }
 
-// A node that finds an order when it hears the registry for the first time does not know how
-// old it is.
+// A node that finds an order in its first sync with the registry does not know the order's age.
 func TestAgeOfOrdersFoundAtStartIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 2)
@@ -119,7 +118,7 @@
 		time.Sleep(3 * time.Second)
 		for number := range 2 {
 			if since := w.orderSince(t, number, "x", "v2"); !since.IsZero() {
-				t.Errorf("node %d takes it for written at %s", number, since)
+				t.Errorf("node %d assumes that the order was written at %s at the earliest, want unknown", number, since)
 			}
 		}
 		w.stop()
@@ -127,15 +126,15 @@
 	})
 }
 
-// While nodes of two builds run, each takes the other's directives for the same entries, as long as
-// the registry tells no epoch.
+// During an upgrade, nodes of two builds identify directives alike, as long as the registry reports
+// no epoch.
 func TestDirectiveEncodingMatchesEarlierBuilds(t *testing.T) {
 	var told discovery.Directive
 	if err := json.Unmarshal([]byte(`{"kind":"roll_out","subject":"x","revision":9,"order":{"target":"v2"}}`), &told); err != nil {
 		t.Fatal(err)
 	}
 	if told.Number != 9 || told.Lost || told.Order.Target != "v2" {
-		t.Errorf("of an earlier build: %+v", told)
+		t.Errorf("decoded from an earlier build: %+v", told)
 	}
 	var earlier struct {
 		Revision uint64 `json:"revision"`
@@ -146,6 +145,6 @@
 		t.Fatal(err)
 	}
 	if err := json.Unmarshal(encoded, &earlier); err != nil || earlier.Revision != 9 {
-		t.Errorf("to an earlier build: %s, %v", encoded, err)
+		t.Errorf("encoded for an earlier build: %s, %v", encoded, err)
 	}
 }
--- a/discovery/directives.go
+++ b/discovery/directives.go
@@ -8,27 +8,28 @@
 	"time"
 )
 
-// directives are those that are believed to be in force, by key.
+// directives holds the directives in force by key.
 type directives map[string]*trackedDirective
 
-// trackedDirective is one of them.
+// trackedDirective is a directive with what the View knows about its history.
 type trackedDirective struct {
 	value Directive
-	// position is that of the last word on it.
+	// position is the position of the latest update.
 	position Position
-	// since is when it was written, at the earliest, where that is known.
+	// since is the earliest time at which the directive can have been written, if sinceKnown.
 	since      time.Duration
 	sinceKnown bool
-	// latest is when it stood in the registry already.
+	// latest is a time at which the registry already held the directive.
 	latest time.Duration
-	// retainedUntil is until when one that the registry has lost is believed; zero is until it is
-	// written again. Then comes what the copy holds instead, if anything.
+	// retainedUntil is the time until which a directive that the registry has lost stays in
+	// force; zero means until it is written again. Afterwards replacement, the directive that
+	// the backup holds at the same key, takes effect if there is one.
 	retainedUntil time.Duration
 	replacement   *Directive
 }
 
-// PutDirective takes a directive, as heard at now; an older position changes nothing. A new one
-// was written at since at the earliest, where that is known.
+// PutDirective stores a directive received at now; a position older than the known one is ignored.
+// A new directive cannot have been written before since, if sinceKnown.
 func (v *View) PutDirective(now time.Duration, told Directive, position Position, since time.Duration, sinceKnown bool) {
 	key := told.Key()
 	known := v.directives[key]
@@ -44,7 +45,7 @@
 	case sameDirective(known.value, told):
 	case told.Kind == RolloutRecord && told.Number < known.value.Number:
 		if !told.Lost {
-			known.markLost(told.StoredAt) // the nodes have come farther than what the registry holds
+			known.markLost(told.StoredAt) // the nodes' record is newer than the registry's
 		}
 	case known.value.Lost && told.Lost && told.Number == known.value.Number:
 		known.value.StoredAt = told.StoredAt
@@ -57,8 +58,8 @@
 	}
 }
 
-// trackDirective is a directive as it is told first. One that the registry has lost is believed for as
-// long as by a node that knew it before.
+// trackDirective returns the state for a directive that is received for the first time. One that
+// the registry has lost stays in force for the same time as on nodes that knew it before.
 func (v *View) trackDirective(now time.Duration, told Directive, position Position, since time.Duration, sinceKnown bool) *trackedDirective {
 	held := &trackedDirective{value: told, position: position, since: since, sinceKnown: sinceKnown, latest: now}
 	if told.Lost && !told.Kind.writtenByNodes() {
@@ -67,12 +68,12 @@
 	return held
 }
 
-// markLost notes that the registry holds something else at the key, or nothing.
+// markLost records that the registry holds another directive, or none, at the key.
 func (h *trackedDirective) markLost(stored Position) {
 	h.value.Lost, h.value.StoredAt, h.value.Lease = true, stored, 0
 }
 
-// markRewritten notes that the directive stands in the registry again, as it is told.
+// markRewritten records that the registry holds the directive again, and keeps its number.
 func (h *trackedDirective) markRewritten(told Directive) {
 	number := h.value.Number
 	h.value = told
@@ -80,9 +81,9 @@
 	h.retainedUntil, h.replacement = 0, nil
 }
 
-// beginEpoch notes that the registry has come back from a copy: what it tells next says which
-// of the directives it still holds. The others are believed until the time given, and those of
-// the nodes until they have written them again.
+// beginEpoch marks all directives as lost, as the registry was restored from a backup; the next
+// listing shows which of them it still holds. Directives of operators stay in force until the
+// given time, and those of nodes until the nodes have written them again.
 func (d directives) beginEpoch(until time.Duration, epoch Epoch) {
 	for _, held := range d {
 		held.markLost(Position{Epoch: epoch})
@@ -92,16 +93,16 @@
 	}
 }
 
-// RemoveDirective notes that a directive was taken back. There is no doubt about that: only
-// who wrote it removes it, also after an outage.
+// RemoveDirective records that a directive was removed. This needs no grace period, even after
+// an outage, as only the author of a directive removes it.
 func (v *View) RemoveDirective(key string, position Position) {
 	if known := v.directives[key]; known != nil && !position.Before(known.position) {
 		delete(v.directives, key)
 	}
 }
 
-// RetainDirectives notes a whole listing as of a position: directives that it does not hold were
-// taken back, unless they came later, or the registry has lost them.
+// RetainDirectives applies a complete listing as of a position: directives that are not listed
+// are removed, unless they were added later or the registry has lost them.
 func (v *View) RetainDirectives(listed map[string]struct{}, position Position) {
 	retain(v.directives, listed, func(key string) {
 		if !v.directives[key].value.Lost {
@@ -110,7 +111,8 @@
 	})
 }
 
-// expire ends what is lost and was not written again in time.
+// expire drops lost directives that were not written again in time, or puts their replacement
+// into force.
 func (d directives) expire(now time.Duration) {
 	for key, held := range d {
 		switch {
@@ -134,7 +136,7 @@
 	return next
 }
 
-// lostCount counts the directives that the registry has lost.
+// lostCount returns the number of directives that the registry has lost.
 func (d directives) lostCount() int {
 	count := 0
 	for _, held := range d {
@@ -145,7 +147,7 @@
 	return count
 }
 
-// Directives lists the directives in force, by key.
+// Directives returns the directives in force, sorted by key.
 func (v *View) Directives() []Directive {
 	listed := make([]Directive, 0, len(v.directives))
 	for held := range maps.Values(v.directives) {
@@ -155,17 +157,20 @@
 	return listed
 }
 
-// LostDirectiveCount counts those that the registry has lost as it came back from a copy.
+// LostDirectiveCount returns the number of directives that the registry lost when it was restored
+// from a backup.
 func (v *View) LostDirectiveCount() int { return v.directives.lostCount() }
 
-// RecordDirectiveSeen notes that a directive stood in the registry at a time, as another node has heard.
+// RecordDirectiveSeen records that, according to another node, the registry already held the
+// directive at the given time.
 func (v *View) RecordDirectiveSeen(key string, at time.Duration) {
 	if held := v.directives[key]; held != nil {
 		held.latest = min(held.latest, at)
 	}
 }
 
-// Latest is when a directive stood in the registry already, as far as is known.
+// Latest returns a time at which the registry already held the directive, as early as is known: the
+// directive was written no later than that.
 func (v *View) Latest(key string) (at time.Duration, ok bool) {
 	held := v.directives[key]
 	if held == nil {
@@ -174,7 +179,8 @@
 	return held.latest, true
 }
 
-// Since is when a directive was written, at the earliest; ok is false when that is not known.
+// Since returns the earliest time at which a directive can have been written; ok is false if that
+// is unknown.
 func (v *View) Since(key string) (at time.Duration, ok bool) {
 	held := v.directives[key]
 	if held == nil || !held.sinceKnown {
--- a/discovery/epoch_test.go
+++ b/discovery/epoch_test.go
@@ -20,7 +20,7 @@
 	"github.com/banksail/banksail/route"
 )
 
-// registryBackup is what a registry held at one moment.
+// registryBackup is the content of a registry at one moment.
 type registryBackup struct {
 	revision discovery.Revision
 	events   discovery.Changes
@@ -34,7 +34,7 @@
 	return registryBackup{r.revision, events}
 }
 
-// restore brings the registry back from a copy. The copy's directives stand in the new epoch.
+// restore restores the registry from a backup. The backup's directives belong to the new epoch.
 func (r *registry) restore(taken registryBackup) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -46,17 +46,17 @@
 	}
 }
 
-// tableVersion is the version of the table that a node believes in.
+// tableVersion returns the version of a node's routing table.
 func (w *testCluster) tableVersion(number int) uint64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.states[number].Table.Version
 }
 
-// Drawn histories of servers, tables and evacuations, with a registry that comes back from a copy
-// of some seconds before, once or twice in a row, whether nodes heard it meanwhile or not: all
-// nodes believe what it holds in the end, an evacuation that its owner writes again never ends,
-// and none goes back to an older table.
+// Random sequences of changes to servers, tables and evacuations, with a registry that is restored
+// from a backup of some seconds earlier, once or twice in a row, during or without an outage.
+// All nodes must converge to the registry's content, an evacuation that its author writes again
+// must never end, and no node may go back to an older table.
 func TestNodesConvergeAcrossRegistryRestores(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
@@ -85,7 +85,7 @@
 					w.registry.restore(taken)
 				}
 				w.registry.setDown(false)
-				for range random.IntN(40) { // so that revisions meet those of before
+				for range random.IntN(40) { // so that revisions overlap those before the restore
 					w.registry.putServer(discovery.Server{ID: fmt.Sprintf("t%d", random.IntN(9)), Service: "x", Address: "y"}, false)
 				}
 				time.Sleep(time.Duration(random.IntN(300)) * time.Millisecond)
@@ -94,13 +94,13 @@
 				time.Sleep(evacuationBound)
 				for number := range w.states {
 					if !slices.Contains(w.evacuatedZones(number), "kept") {
-						t.Fatalf("seed %d round %d: node %d has ended an evacuation", seed, round, number)
+						t.Fatalf("seed %d round %d: node %d dropped an evacuation", seed, round, number)
 					}
 					if got := w.tableVersion(number); got != version {
 						t.Fatalf("seed %d round %d: node %d has table %d, want %d", seed, round, number, got, version)
 					}
 				}
-				time.Sleep(10 * time.Second) // what a copy leaves in doubt is over
+				time.Sleep(10 * time.Second) // until the grace periods after a restore are over
 				w.wantConverged(t, fmt.Sprintf("seed %d round %d", seed, round))
 			}
 			w.stop()
@@ -109,8 +109,8 @@
 	}
 }
 
-// A node that was cut off from everybody while the registry came back from a copy asks others
-// for nothing older than it knows, and none of them believes it.
+// A node that was isolated while the registry was restored fetches nothing older than its own
+// view, and other nodes reject its publications of the earlier epoch.
 func TestNodesIgnorePublicationsOfEarlierEpochs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := startCluster(t, 5)
@@ -127,15 +127,15 @@
 		w.registry.setDown(false)
 		time.Sleep(6 * time.Second)
 		if !w.knowsServer(alone, "lost") || w.knowsServer(alone, "new") {
-			t.Error("the node that is cut off believes something else")
+			t.Error("the isolated node changed its view")
 		}
 		ahead := w.network.followers["node-00"]
 		publication, _ := ahead.Publish(discovery.PublicationRequest{})
 		if got, ok := ahead.Publish(discovery.PublicationRequest{Known: publication.Cursor, Position: epochPosition(0, 1)}); !ok || got.Since != 0 {
-			t.Errorf("a node of the epoch before is told what changed after %d (%t)", got.Since, ok)
+			t.Errorf("a node in the earlier epoch gets changes since %d (%t), want the complete state", got.Since, ok)
 		}
 		if _, ok := w.network.followers["node-04"].Publish(discovery.PublicationRequest{Position: publication.Position}); ok {
-			t.Error("a node that is in the epoch before tells one of the next what it believes")
+			t.Error("a node in the earlier epoch publishes to a node in the later one")
 		}
 		w.network.setIsolated("node-04", false)
 		time.Sleep(6 * time.Second)
@@ -145,7 +145,7 @@
 	})
 }
 
-// scriptedFetcher has nodes tell what is scripted, by their address.
+// scriptedFetcher returns prepared publications by address.
 type scriptedFetcher struct {
 	mutex        sync.Mutex
 	publications map[string]discovery.Publication
@@ -167,9 +167,9 @@
 	p.publications = told
 }
 
-// A reader that has started after the copy came back does not know that a server has gone which
-// the copy lists, and says that it is there. A node that knew it, and that is told all by that
-// reader after another one, does not use it.
+// A reader that started after a restore does not know that a server in the backup has left, and
+// lists it. A node that does know, and fetches a complete publication from that reader after one
+// from another reader, must not use the server.
 func TestReaderUnawareOfRemovalDoesNotReviveServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := route.Definition{Version: 1, Limits: route.Limits{HeaderBytes: 1, HeaderTimeout: 1, IdleTimeout: 1}}
@@ -214,7 +214,7 @@
 			time.Sleep(1500 * time.Millisecond)
 			mutex.Lock()
 			if !slices.Equal(used, step.want) {
-				t.Errorf("told by %v: %v are used, want %v", step.told, used, step.want)
+				t.Errorf("after publication %v: servers %v are used, want %v", step.told, used, step.want)
 			}
 			mutex.Unlock()
 		}
@@ -223,7 +223,7 @@
 	})
 }
 
-// unavailableSource is a registry that is away.
+// unavailableSource is a registry that does not answer.
 type unavailableSource struct{}
 
 func (*unavailableSource) List(context.Context) (discovery.Listing, error) {
@@ -234,7 +234,7 @@
 	return discovery.Changes{}, discovery.ErrUnavailable
 }
 
-// Positions and their numbers order alike, whatever the revisions of two epochs.
+// Positions and their numbers have the same order, for any revisions in two epochs.
 func TestNumberPreservesPositionOrder(t *testing.T) {
 	properties := gopter.NewProperties(nil)
 	position := func(epoch uint16, revision uint32) discovery.Position {
@@ -249,14 +249,14 @@
 	properties.TestingRun(t)
 }
 
-// epochPosition is a position of an epoch.
+// epochPosition returns a position in an epoch.
 func epochPosition(epoch discovery.Epoch, revision discovery.Revision) discovery.Position {
 	return discovery.Position{Epoch: epoch, Revision: revision}
 }
 
-// What the copy says of a server that was known to leave, or to have gone, counts once its entry
-// would have lapsed; what is written after the copy came back counts at once, and so does
-// another life under the same ID.
+// The backup's entry of a server known to be draining or gone takes effect only after the grace
+// period, when a stale entry would have expired. Entries written after the restore take effect
+// immediately, and so does another incarnation under the same ID.
 func TestDrainsAndRemovalsSurviveRestore(t *testing.T) {
 	const restoredFor = 5 * time.Second
 	server := func(id string, state discovery.State, born int64) discovery.Server {
@@ -286,7 +286,7 @@
 		}
 		for _, s := range got {
 			if state, there := states[s.ID]; !there || state != s.State {
-				t.Errorf("%s: %s is believed, state %v", when, s.ID, s.State)
+				t.Errorf("%s: unexpected server %s in state %v", when, s.ID, s.State)
 			}
 		}
 	}
@@ -295,13 +295,13 @@
 	view.Expire(now + time.Second)
 	want("written again", map[string]discovery.State{"drains": discovery.Draining, "writes": discovery.Ready, "reborn": discovery.Ready})
 	if at, ok := view.NextExpiry(); !ok || at != now+restoredFor {
-		t.Errorf("ends at %s (%t)", at, ok)
+		t.Errorf("next expiry is at %s (%t)", at, ok)
 	}
 	view.Expire(now + restoredFor)
 	want("in the end", map[string]discovery.State{"drains": discovery.Ready, "gone": discovery.Ready, "writes": discovery.Ready, "reborn": discovery.Ready})
 }
 
-// newRecord is a record of an epoch, stored at a position.
+// newRecord returns a roll-out record of an epoch, stored at a position.
 func newRecord(epoch uint64, phase rollout.Phase, stored discovery.Position) discovery.Directive {
 	written := discovery.Position{Epoch: discovery.Epoch(epoch), Revision: stored.Revision}
 	return discovery.Directive{
@@ -310,9 +310,9 @@
 	}
 }
 
-// Records never go back with the registry: what the nodes know is lost until it is written again,
-// whichever way the rest is heard; a record of the new epoch, or one that the copy has and this
-// node had not heard of, counts.
+// Roll-out records are never reverted by a restore: the nodes' record is marked as lost until it is
+// written again, whichever way later states arrive. A record of the new epoch, or one in the backup
+// that this node did not know, takes effect.
 func TestRolloutRecordsSurviveRestore(t *testing.T) {
 	for name, test := range map[string]struct {
 		told discovery.Directive
@@ -333,21 +333,22 @@
 			view.BeginEpoch(time.Second, epochPosition(2, 52))
 			view.RetainDirectives(map[string]struct{}{}, epochPosition(2, 52))
 			if got := view.Directives(); len(got) != 1 || !got[0].Lost || got[0].StoredAt.Revision != 0 {
-				t.Fatalf("not listed: %+v", got)
+				t.Fatalf("after a listing without the record: %+v", got)
 			}
 			view.PutDirective(time.Second, test.told, epochPosition(2, 52), 0, false)
 			view.Expire(time.Hour)
 			got := view.Directives()
 			if len(got) != 1 || got[0].Record.Phase != test.want || got[0].Lost != test.lost || got[0].StoredAt != test.told.StoredAt {
-				t.Errorf("%+v", got)
+				t.Errorf("directives are %+v", got)
 			}
 		})
 	}
 }
 
-// Orders keep their number when the operator writes them again; one that differs from what is
-// known counts at once if it was written after the copy came back, and else when nobody has
-// written the known one again in time. What is told by a node that lost it, too, ends as well.
+// Roll-out orders keep their number when the operator writes them again. A different order takes
+// effect immediately if it was written after the restore, and otherwise if nobody has written the
+// known order again within the grace period. An order that a node receives as already lost expires
+// as well.
 func TestRolloutOrdersSurviveRestore(t *testing.T) {
 	const keptFor = 10 * time.Second
 	order := func(target string, stored discovery.Position) discovery.Directive {
@@ -384,15 +385,15 @@
 			}
 			view.Expire(now + keptFor - 1)
 			if got := view.Directives(); len(got) != 1 || got[0].Order.Target != test.target || got[0].Number != test.number {
-				t.Errorf("%+v", got)
+				t.Errorf("before the grace period ends: %+v", got)
 			}
 			if since, known := view.Since(known.Key()); test.number == epochPosition(1, 50).Number() && (!known || since != 3*time.Second) {
-				t.Errorf("since %s (%t)", since, known)
+				t.Errorf("earliest write time is %s (%t), want 3s", since, known)
 			}
 			view.Expire(now + keptFor)
 			got := view.Directives()
 			if test.targetLater == "" && len(got) != 0 || test.targetLater != "" && (len(got) != 1 || got[0].Order.Target != test.targetLater || got[0].Lost) {
-				t.Errorf("later: %+v", got)
+				t.Errorf("after the grace period: %+v", got)
 			}
 		})
 	}
--- a/discovery/evacuation_test.go
+++ b/discovery/evacuation_test.go
@@ -11,30 +11,30 @@
 	"github.com/banksail/banksail/discovery"
 )
 
-// evacuationBound is the time from the registry's acknowledgement until all nodes that can
-// hear of it know of an evacuation, and of its end.
+// evacuationBound is the time from the registry's acknowledgement until all nodes that can learn
+// of it know of an evacuation, or of its end.
 const evacuationBound = 2600 * time.Millisecond
 
-// evacuatedZones lists the zones that a node believes to be evacuated.
+// evacuatedZones returns the zones that a node considers evacuated.
 func (w *testCluster) evacuatedZones(number int) []string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return discovery.EvacuatedZones(w.states[number].Directives)
 }
 
-// wantEvacuated wants all nodes to believe in the same evacuations.
+// wantEvacuated fails the test unless all nodes know exactly these evacuated zones.
 func (w *testCluster) wantEvacuated(t *testing.T, when string, zones ...string) {
 	t.Helper()
 	for number := range w.states {
 		if got := w.evacuatedZones(number); !slices.Equal(got, zones) {
-			t.Errorf("%s: node %d believes that %v are evacuated, want %v", when, number, got, zones)
+			t.Errorf("%s: node %d has evacuated zones %v, want %v", when, number, got, zones)
 		}
 	}
 }
 
-// Drawn histories of evacuations, taken back and asked for again, amid other changes,
-// outages and lost history: every node knows of them within the bound, an outage ends
-// none, and none comes back.
+// Random sequences of evacuations that are requested, removed and requested again, with other
+// changes, outages and lost history. Every node must know of each change within the bound; no
+// outage may end an evacuation, and none may reappear.
 func TestEvacuationsReachAllNodesWithinBound(t *testing.T) {
 	zones := []string{"a", "b", "c"}
 	for seed := range uint64(12) {
@@ -73,8 +73,8 @@
 	}
 }
 
-// A node that starts while the registry gives no answer takes over the evacuations that a
-// seed knows of, with its servers.
+// A node that starts during a registry outage learns the evacuations from a seed, together with
+// the seed's servers.
 func TestNodesStartedInOutageLearnEvacuations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 3)
@@ -93,7 +93,7 @@
 	})
 }
 
-// A full listing tells which evacuations were taken back unnoticed.
+// A complete listing removes evacuations whose removal was missed.
 func TestListingRemovesRevokedEvacuations(t *testing.T) {
 	view := discovery.NewView(discovery.Options{})
 	a := discovery.Directive{Kind: discovery.EvacuateZone, Subject: "a", Number: 3, StoredAt: discovery.Position{Revision: 3}}
@@ -106,15 +106,15 @@
 	}
 	view.RemoveDirective(b.Key(), discovery.Position{Revision: 4})
 	if got := view.Directives(); len(got) != 1 {
-		t.Error("an older revision took an evacuation back")
+		t.Error("a removal with an older revision ended an evacuation")
 	}
 	view.RemoveDirective(b.Key(), discovery.Position{Revision: 10})
 	if got := view.Directives(); len(got) != 0 {
-		t.Errorf("after it was taken back: %v", got)
+		t.Errorf("after the removal: %v", got)
 	}
 }
 
-// A server whose warm-up begins anew or ends early is news to nodes that ask others.
+// A server's warm-up that restarts or ends early is published to nodes that fetch from readers.
 func TestWarmupChangesArePublished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := startCluster(t, 4)
--- a/discovery/faults_test.go
+++ b/discovery/faults_test.go
@@ -12,33 +12,33 @@
 )
 
 const (
-	// propagationShare is the part of the shortest bound within which every node that hears the
-	// registry, by itself or from others, has taken a change in; the rest is for requests
-	// that are on their way.
+	// propagationShare is the share of the shortest bound within which every node that is in
+	// contact with the registry, directly or through others, has applied a change; the rest is
+	// for requests in flight.
 	propagationShare = 0.75
-	// faultTestNodes is the number of nodes, and faultyNodes of those that are harmed.
+	// faultTestNodes is the number of nodes, and faultyNodes the number with a fault.
 	faultTestNodes = 30
 	faultyNodes    = 10
-	// settleTime is the time without harm after which nodes count as in touch.
+	// settleTime is the time without a fault after which nodes count as connected.
 	settleTime = 5 * time.Second
 )
 
-// nodeFault is what becomes of a node in the histories below.
+// nodeFault is a fault of a node in the tests below.
 type nodeFault int
 
 const (
-	// faultRejected: the registry turns the node away.
+	// faultRejected: the registry rejects the node's calls.
 	faultRejected nodeFault = iota
-	// faultTimeout: the registry leaves the node's calls without an answer.
+	// faultTimeout: the registry does not answer the node's calls.
 	faultTimeout
-	// faultIsolated: it is cut off from the registry and from all nodes.
+	// faultIsolated: the node is cut off from the registry and from all nodes.
 	faultIsolated
-	// faultKilled: it answers nothing any more, to anybody.
+	// faultKilled: the node does not answer anything.
 	faultKilled
 	nodeFaults
 )
 
-// setFault harms a node, or ends the harm.
+// setFault starts or ends a fault of a node.
 func (w *testCluster) setFault(number int, how nodeFault, on bool) {
 	id := fmt.Sprintf("node-%02d", number)
 	refused := rejectsNothing
@@ -57,9 +57,9 @@
 	}
 }
 
-// A third of the nodes is harmed, those that read for all among them, however the history
-// falls: all others, and those whom the registry alone turns away, have each table within
-// their part of the bound, for bounds of 3, 5 and 6 s.
+// A third of the nodes have a fault, in random order, including readers. All other nodes, and those
+// that only the registry rejects, must have each table within their share of the bound, for bounds of
+// 3, 5 and 6 s.
 func TestTablesPropagateWithThirdOfNodesFaulty(t *testing.T) {
 	for _, bound := range []time.Duration{3 * time.Second, 5 * time.Second, 6 * time.Second} {
 		for how := range nodeFaults {
@@ -72,7 +72,7 @@
 	}
 }
 
-// runFaultRounds plays rounds in which other nodes are harmed and tables change meanwhile.
+// runFaultRounds runs rounds in which random nodes have a fault while tables change.
 func runFaultRounds(t *testing.T, bound time.Duration, how nodeFault, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 13))
 	w := newCluster(t, faultTestNodes)
@@ -94,7 +94,7 @@
 			changed := time.Now()
 			time.Sleep(time.Duration(propagationShare * float64(bound)))
 			if changed.Sub(harmedAt) < settleTime && how == faultKilled {
-				continue // a node that asks one that was just killed has lost time
+				continue // fetches from a node that was just killed cost time
 			}
 			w.wantVersion(t, version, func(number int) bool {
 				return !harmed[number] || how == faultRejected || how == faultTimeout
@@ -109,20 +109,20 @@
 	w.loops.Wait()
 }
 
-// wantVersion wants the nodes that count to know a table.
+// wantVersion fails the test unless the selected nodes have a table version.
 func (w *testCluster) wantVersion(t *testing.T, version uint64, counts func(number int) bool) {
 	t.Helper()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for number, news := range w.states {
 		if counts(number) && news.Table.Version < version {
-			t.Errorf("node %d knows table %d, want %d", number, news.Table.Version, version)
+			t.Errorf("node %d has table %d, want %d", number, news.Table.Version, version)
 		}
 	}
 }
 
-// The registry is silent to all nodes for a moment, and goes on being silent to a third
-// of them: once it speaks again, all know within a second what changed meanwhile.
+// The registry is unresponsive to all nodes for a moment, and remains so to a third of them. Once it
+// serves the others, all nodes must know within a second what changed in the meantime.
 func TestTablesPropagatePromptlyAfterRegistryOutage(t *testing.T) {
 	const (
 		nodes, turnedAway = 70, 23
@@ -157,7 +157,7 @@
 					time.Sleep(10 * time.Millisecond)
 				}
 				if took := time.Since(returned); took > soon {
-					t.Errorf("%s until all know the table", took)
+					t.Errorf("all nodes have the table after %s", took)
 				}
 				w.stop()
 				w.loops.Wait()
@@ -166,7 +166,7 @@
 	}
 }
 
-// allHaveTable reports whether every node knows a table.
+// allHaveTable reports whether every node has a table version.
 func (w *testCluster) allHaveTable(version uint64) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/discovery/fetch.go
+++ b/discovery/fetch.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// maxReadersTried bounds the readers that are asked for one reading.
+	// maxReadersTried is the maximum number of readers tried per update.
 	maxReadersTried = 2
-	// peerStagger is the time after which the next of any nodes is asked beside one that
-	// has not answered: ten round trips between zones. Of readers the next one would have
-	// to tell all that it knows, so it is asked only once the one before has failed.
+	// peerStagger is the time after which the next peer is tried in parallel with one that has
+	// not answered: ten round trips between zones. Among readers the next one would have to
+	// send its complete state, so it is tried only after the previous one has failed.
 	peerStagger = 80 * time.Millisecond
-	// avoidDuration is for how long a reader that did not help is passed over, so that the
-	// next in order takes its duty, and maxAvoided the number of them: while the registry
-	// is away none can help, and all would become readers.
+	// avoidDuration is how long a reader that failed to help is avoided, so that the next node
+	// in rank takes over, and maxAvoided the maximum number of avoided readers: while the
+	// registry is unavailable no reader can help, and all nodes would become readers.
 	avoidDuration = 2 * time.Second
 	maxAvoided    = 3
-	// maxPeersTried and peersTimeout bound the nodes that are asked in one round while the
-	// registry can't be read, and the time that this takes.
+	// maxPeersTried and peersTimeout limit the peers tried and the time spent in one round
+	// while the registry cannot be read.
 	maxPeersTried = 10
 	peersTimeout  = 500 * time.Millisecond
 )
 
-// fetchFromReaders takes in what a reader of the registry believes. It fails when this node is a
-// reader itself, or none of the readers has a fresh belief.
+// fetchFromReaders fetches and applies the publication of a reader. It fails when this node is a
+// reader itself, or when no reader has a fresh view.
 func (f *Follower) fetchFromReaders(ctx context.Context) error {
 	if f.options.Fetcher == nil || !f.initialized && f.options.Nodes == nil {
 		return ErrUnavailable
@@ -41,15 +41,15 @@
 	return nil
 }
 
-// orderedReaders are the readers to ask, the one that helped last first: another one would
-// have to tell more.
+// orderedReaders returns the readers to fetch from, the last successful one first: another one
+// would have to send its complete state.
 func (f *Follower) orderedReaders() []Node {
 	readers := readersToAsk(f.options.NodeID, f.reliableNodes())
 	moveToFront(readers, f.lastPublisher)
 	return readers
 }
 
-// moveToFront puts a node first, if it is among the nodes.
+// moveToFront swaps the node with the given ID, if present, with the first one.
 func moveToFront(nodes []Node, id string) {
 	place := slices.IndexFunc(nodes, func(n Node) bool { return n.ID == id })
 	if place > 0 {
@@ -57,14 +57,14 @@
 	}
 }
 
-// reliableNodes lists the nodes that may have the duty to read for all: not those that failed in
-// it of late.
+// reliableNodes returns the nodes that can be readers, without those that recently failed to
+// help.
 func (f *Follower) reliableNodes() []Node {
 	now := time.Now()
 	return slices.DeleteFunc(slices.Clone(f.knownNodes()), func(n Node) bool { return f.avoided.has(now, n.ID) })
 }
 
-// avoidList notes the readers that did not help; the zero value has none.
+// avoidList holds the readers that failed to help; the zero value is empty.
 type avoidList [maxAvoided]struct {
 	id    string
 	until time.Time
@@ -88,8 +88,8 @@
 	return false
 }
 
-// fetchFromAnyPeer takes in what a node believes that hears the registry: it may turn some nodes
-// away, the readers among them, while it serves the others.
+// fetchFromAnyPeer fetches from any node that is in contact with the registry: the registry may
+// reject some nodes, including the readers, while it serves others.
 func (f *Follower) fetchFromAnyPeer(ctx context.Context) bool {
 	if f.options.Fetcher == nil || !f.initialized {
 		return false
@@ -100,9 +100,9 @@
 	return helped
 }
 
-// peerCandidates draws the nodes to ask when no reader helps: the one that helped last, and in
-// turn of those that try the registry first and of all, so that what one node hears
-// spreads wherever that node stands in the order.
+// peerCandidates selects the nodes to try when no reader helps: first the last successful one, then
+// alternately random nodes from the early readers and from all others, so that the state of a single
+// synced node spreads whatever its rank.
 func (f *Follower) peerCandidates() []Node {
 	ranked := rankNodes(f.knownNodes())
 	ranked = slices.DeleteFunc(ranked, func(n Node) bool { return n.ID == f.options.NodeID })
@@ -118,7 +118,7 @@
 	f.random.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
 }
 
-// interleave lists the nodes of two groups in turn.
+// interleave merges two groups of nodes, alternating between them.
 func interleave(a, b []Node) []Node {
 	all := make([]Node, 0, len(a)+len(b))
 	for place := range max(len(a), len(b)) {
@@ -132,15 +132,15 @@
 	return all
 }
 
-// fetchResult is what a node that was asked answered.
+// fetchResult is the result of a fetch from one node.
 type fetchResult struct {
 	node        Node
 	publication Publication
 	err         error
 }
 
-// fetchFirst asks nodes in order, the next one as soon as one fails or has not answered for
-// the time given, and takes in the first belief that is of use. It names those that failed.
+// fetchFirst tries nodes in order, the next one as soon as one fails or has not answered within
+// stagger, and applies the first usable publication. It returns the IDs of those that failed.
 func (f *Follower) fetchFirst(ctx context.Context, nodes []Node, stagger time.Duration) (helped bool, failed []string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -161,13 +161,13 @@
 		if err == nil {
 			return true, failed
 		}
-		f.options.Logger.Debug().Err(err).Str("asked", answer.node.ID).Msg("node did not help")
+		f.options.Logger.Debug().Err(err).Str("asked", answer.node.ID).Msg("fetch from node failed")
 		failed = append(failed, answer.node.ID)
 	}
 	return false, failed
 }
 
-// awaitResult returns the next answer, unless none comes for the time given.
+// awaitResult returns the next result, unless none arrives in time.
 func awaitResult(ctx context.Context, answers <-chan fetchResult, within time.Duration) (answer fetchResult, answered bool) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
@@ -179,7 +179,7 @@
 	}
 }
 
-// fetchAsync asks a node what it believes.
+// fetchAsync starts a fetch from a node.
 func (f *Follower) fetchAsync(ctx context.Context, node Node, answers chan<- fetchResult) {
 	inquiry := PublicationRequest{Known: f.cursorFor(node.ID), Position: f.knownPosition(), MaxAge: f.options.StaleAfter}
 	go func() {
@@ -190,16 +190,16 @@
 	}()
 }
 
-// knownPosition is up to where this node knows the registry.
+// knownPosition returns the position up to which this node knows the registry.
 func (f *Follower) knownPosition() Position {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.position
 }
 
-// cursorFor is the mark to go on from with a reader: there is none unless all that is
-// believed came from that reader last. What another reader or the registry told
-// may lack what this reader has kept all the time.
+// cursorFor returns the cursor from which a reader can send changes. It is empty unless the whole
+// state came from that reader last: state from another reader or from the registry may lack
+// entries that this reader has retained and would not send again.
 func (f *Follower) cursorFor(reader string) Cursor {
 	if f.lastPublisher != reader {
 		return Cursor{}
--- a/discovery/follower.go
+++ b/discovery/follower.go
@@ -22,86 +22,86 @@
 	Source Source
 	View   Options
 	Logger zerolog.Logger
-	// Changed is called after every answer that may have changed something, one
-	// call at a time.
+	// Changed is called after every answer that may have changed the state. Calls do not
+	// overlap.
 	Changed func(ClusterState)
-	// OnAdopted is told of each change that was taken in how old the belief before it was:
-	// the change was not known for so long at most. Nil is nobody.
+	// OnAdopted is called for each change that was applied, with the age of the view before
+	// it, which bounds the time for which the change was not known. It may be nil.
 	OnAdopted func(age time.Duration)
-	// PollInterval is the least time between two readings; default 700 ms. What is
-	// believed is at most so much older than the registry, and twice that after
-	// one reading that failed. It is stretched so that all nodes together stay
-	// within ReadsPerSecond.
+	// PollInterval is the minimum time between two reads of the registry; default 700 ms.
+	// The view lags the registry by at most this time, and by twice as much after one failed
+	// read. The interval is stretched so that all nodes together stay within ReadsPerSecond.
 	PollInterval time.Duration
-	// LapseTime is how long an owner may be silent until its entry lapses; zero is unknown.
-	// A registry that was not heard for so long may have been away for so long, and what
-	// went meanwhile is in doubt. Default: twice Pace, and never more.
+	// LapseTime is how long an owner may fail to renew its entry before it expires; zero is
+	// unknown. After that long without contact the registry may itself have been unavailable,
+	// so entries removed in the meantime are retained. Default: twice PollInterval, which is
+	// also the maximum.
 	LapseTime time.Duration
-	// ReadsPerSecond is what all nodes together may spend; default 1,000.
+	// ReadsPerSecond is the total read rate of all nodes together; default 1,000.
 	ReadsPerSecond float64
-	// LongPollTimeout is how long the registry may hold a reading until something changes.
-	// Default: where readers tell the others, ReaderPollInterval less ReadPause, so that
-	// changes are heard of at once; else 200 ms.
+	// LongPollTimeout is how long the registry may hold a read until something changes.
+	// Default: ReaderPollInterval less ReadPause if readers publish to other nodes, so that
+	// changes arrive immediately, and otherwise 200 ms.
 	LongPollTimeout time.Duration
-	// ReadPause is the time between a reader's readings of the registry, which
-	// bounds their rate while much changes; default 150 ms.
+	// ReadPause is the pause between a reader's reads of the registry, which bounds their
+	// rate during frequent changes; default 150 ms.
 	ReadPause time.Duration
-	// CallTimeout bounds a reading of changes beyond Wait; default 600 ms.
+	// CallTimeout is the timeout of a read of changes, in addition to LongPollTimeout; default 600 ms.
 	CallTimeout time.Duration
-	// ListTimeout bounds a reading of everything, which is long for a node with
-	// little bandwidth; that the registry is silent is for the Source to notice
-	// sooner. Default 2.5 s.
+	// ListTimeout is the timeout of a complete read, which takes long on a node with little
+	// bandwidth. The Source is expected to detect an unresponsive registry sooner.
+	// Default 2.5 s.
 	ListTimeout time.Duration
 
-	// Seed and Self make random choices repeatable. Self is this incarnation's ID, and
-	// NodeID the one under which Nodes lists it; default Self.
+	// Seed and Self make random choices reproducible. Self is the ID of this incarnation, and
+	// NodeID the ID under which Nodes lists it; default Self.
 	Seed   uint64
 	Self   string
 	NodeID string
-	// Nodes lists the nodes that are there, this one among them; the default is those
-	// of the registry.
+	// Nodes returns the live nodes, including this one; the default are the nodes of the
+	// registry.
 	Nodes func() []Node
-	// Fetcher asks the nodes that read the registry for all; nil is none: then
-	// each node reads for itself.
+	// Fetcher fetches publications from the readers of the registry; if it is nil, each node
+	// reads the registry itself.
 	Fetcher PublicationFetcher
-	// Seeds are addresses of nodes that are asked while the registry gives no answer
-	// and nothing is known yet; they may be stale or down.
+	// Seeds are addresses of nodes to fetch from while the registry does not answer and
+	// nothing is known yet; they may be outdated or down.
 	Seeds []string
-	// SeedTimeout is for how long a node that knows nothing asks its seeds before it reads
-	// everything by itself; zero is not at all. It spares the registry a reading for
-	// each node where many start at once and none is in a hurry.
+	// SeedTimeout is how long a node without any state fetches from its seeds before it
+	// reads the whole registry itself; zero skips the seeds. This saves the registry a read
+	// per node when many nodes start at once and none is in a hurry.
 	SeedTimeout time.Duration
-	// FetchTimeout bounds one asking; default 250 ms.
+	// FetchTimeout is the timeout of a single fetch; default 250 ms.
 	FetchTimeout time.Duration
-	// StaleAfter is the age from which a publication is not believed; default
-	// 1.5 times ReaderPollInterval.
+	// StaleAfter is the age from which a publication is rejected; default 1.5 times
+	// ReaderPollInterval.
 	StaleAfter time.Duration
-	// Elapsed is the time since some moment, also while the machine is suspended; ages of
-	// beliefs count by it. Default is that since the follower was made.
+	// Elapsed is a clock that also advances while the machine is suspended; ages are measured
+	// with it. Default: the time since the follower was created.
 	Elapsed func() time.Duration
-	// ReaderPollInterval and FetchInterval are the times between two readings of the registry
-	// by a reader, and between two askings by the others; default 1/2 and 4/9 of
-	// Pace, so that a belief is no older than when all nodes read by themselves.
+	// ReaderPollInterval is the time between two reads of the registry by a reader, and
+	// FetchInterval the time between two fetches by the other nodes. Default: 1/2 and 4/9 of
+	// PollInterval, so that views are no older than if all nodes read the registry themselves.
 	ReaderPollInterval, FetchInterval time.Duration
 }
 
-// ClusterState is what a follower believes after an answer.
+// ClusterState is the state that a follower knows after an answer.
 type ClusterState struct {
 	Servers []Server
 	Nodes   []Node
-	// Table is the newest that came; nil when none did yet.
+	// Table is the latest routing table received; nil if there is none yet.
 	Table *route.Table
-	// Directives are those in force.
+	// Directives are the directives in force.
 	Directives []Directive
 }
 
-// equal reports whether others need not be told of the difference.
+// equal reports whether two states are the same as far as other nodes are concerned.
 func (n ClusterState) equal(other ClusterState) bool {
 	return n.Table == other.Table && slices.Equal(n.Nodes, other.Nodes) && slices.EqualFunc(n.Directives, other.Directives, sameDirective) &&
 		slices.EqualFunc(n.Servers, other.Servers, sameForPeers)
 }
 
-// Defaults of FollowerOptions.
+// Default values of FollowerOptions.
 const (
 	DefaultPollInterval    = 700 * time.Millisecond
 	DefaultReadsPerSecond  = 1_000
@@ -111,66 +111,66 @@
 	DefaultListTimeout     = 2500 * time.Millisecond
 	DefaultFetchTimeout    = 250 * time.Millisecond
 
-	// readerPollShare and fetchShare are the parts of Pace between two readings of a reader and
-	// between two askings of the others, and staleShare is that of a reader's pace from
-	// which on its belief is too old for others: it has missed a reading then.
+	// readerPollShare and fetchShare are the default ReaderPollInterval and FetchInterval as
+	// shares of PollInterval. staleShare is the default StaleAfter as a share of
+	// ReaderPollInterval: at that age the reader has missed a read.
 	readerPollShare = 0.5
 	fetchShare      = 4.0 / 9
 	staleShare      = 1.5
 )
 
-// invalidLogBurst of entries that can't be read are logged in each invalidLogPeriod: others may write
-// any number of them.
+// At most invalidLogBurst invalid entries are logged per invalidLogPeriod, as other parties can
+// write any number of them.
 const (
 	invalidLogBurst  = 10
 	invalidLogPeriod = 10 * time.Second
 )
 
-// expirySlack is the time beyond LapseTime after which a node has heard that an entry lapsed that
-// the registry had in its copy.
+// expirySlack is added to LapseTime for the default RestoreGrace: within it a node has learned that
+// an entry from the registry's backup expired.
 const expirySlack = time.Second
 
-// Bounds of the pause after a failed reading.
+// Bounds of the back-off after a failed read.
 const (
 	minRetryPause = 100 * time.Millisecond
 	maxRetryPause = 800 * time.Millisecond
 )
 
-// Follower keeps a View true to a Source.
+// Follower keeps a View in sync with a Source.
 type Follower struct {
 	options FollowerOptions
-	// invalidCount counts the entries that could not be read, and invalidLogger tells of some.
+	// invalidCount counts the entries that could not be decoded; invalidLogger logs a sample of them.
 	invalidCount  atomic.Uint64
 	invalidLogger zerolog.Logger
-	// notifyMutex is held from a change of what is believed until it has been told, so
-	// that Changed is called in order. It is locked before mutex.
+	// notifyMutex is held from a change of the state until Changed has returned, so that
+	// Changed is called in order. It is locked before mutex.
 	notifyMutex sync.Mutex
 
 	mutex sync.Mutex
 	// mutex guards the fields below.
 	view *View
-	// position is up to where the registry is known.
+	// position is the position up to which the registry is known.
 	position    Position
 	initialized bool
 	table       *route.Table
 	failures    int
-	// published is what others are told, and history what changed in it of late.
+	// published is the state that other nodes can fetch, and history its recent changes.
 	published ClusterState
 	history   history
-	// expiryTimer tells what is believed anew when a missing entry's time is over.
+	// expiryTimer updates the state when the grace period of a retained entry ends.
 	expiryTimer *time.Timer
-	// lastPublisher is the reader from which all that is believed came last, and mark is
-	// of what it told; empty after a reading of the registry. Only reading uses them.
+	// lastPublisher is the reader from which the whole state came last, and cursor identifies
+	// its publication; both are empty after a read of the registry. Only Run uses them.
 	lastPublisher string
 	cursor        Cursor
-	// random spreads pauses and askings, turn tells when this node may read the registry
-	// itself, and avoided which readers did not help; only Run uses them.
+	// random spreads pauses and fetches, turn determines when this node may read the registry
+	// itself, and avoided holds readers that recently failed to help. Only Run uses them.
 	random  *rand.Rand
 	turn    readTurn
 	avoided avoidList
 }
 
-// NewFollower returns a follower that knows nothing.
+// NewFollower returns a Follower with an empty view.
 func NewFollower(options FollowerOptions) *Follower {
 	if options.Elapsed == nil {
 		options.Elapsed = clock.Begin().Elapsed
@@ -204,11 +204,11 @@
 	}
 }
 
-// Run follows the source until ctx ends.
+// Run follows the source until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
 	f.bootstrapFromSeeds(ctx)
 	for ctx.Err() == nil {
-		_ = clock.Sleep(ctx, f.updateOnce(ctx)) // the loop looks at ctx
+		_ = clock.Sleep(ctx, f.updateOnce(ctx)) // the loop checks ctx
 	}
 	f.notifyMutex.Lock()
 	defer f.notifyMutex.Unlock()
@@ -219,7 +219,7 @@
 	}
 }
 
-// updateOnce brings the beliefs up to date and returns the pause until the next time.
+// updateOnce brings the state up to date and returns the pause until the next update.
 func (f *Follower) updateOnce(ctx context.Context) time.Duration {
 	began := time.Now()
 	if f.fetchFromReaders(ctx) == nil {
@@ -242,12 +242,12 @@
 		return f.retryPause()
 	}
 	if f.options.Fetcher != nil {
-		return f.options.ReadPause // the registry held the reading for the rest
+		return f.options.ReadPause // the long poll has taken up the rest of the interval
 	}
 	return f.readInterval() - time.Since(began)
 }
 
-// fetchWhileWaiting asks other nodes while it is not this node's turn to read the registry.
+// fetchWhileWaiting fetches from other nodes while it is not this node's turn to read the registry.
 func (f *Follower) fetchWhileWaiting(ctx context.Context, began time.Time) time.Duration {
 	if f.initialized && f.fetchFromAnyPeer(ctx) {
 		f.turn.reset()
@@ -256,37 +256,37 @@
 	return turnCheckInterval
 }
 
-// lastReadFailed reports whether the last reading of the registry failed.
+// lastReadFailed reports whether the latest read of the registry failed.
 func (f *Follower) lastReadFailed() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.failures > 0
 }
 
-// isReader reports whether what is believed came from a reading of the registry last.
+// isReader reports whether the state came from this node's own read of the registry last.
 func (f *Follower) isReader() bool { return !f.lastReadFailed() && f.lastPublisher == "" }
 
-// minFetchPause is the shortest time between two askings.
+// minFetchPause is the minimum time between two fetches.
 const minFetchPause = 50 * time.Millisecond
 
-// untilNextFetch is the pause after an asking that helped: what is believed is to be
-// refreshed before it is too old to be believed of another node.
+// untilNextFetch returns the pause after a successful fetch: the state must be refreshed before
+// it reaches StaleAfter.
 func (f *Follower) untilNextFetch(began time.Time) time.Duration {
 	age, _ := f.Age()
 	return max(min(f.options.FetchInterval-time.Since(began), f.options.StaleAfter-age), minFetchPause)
 }
 
-// Age is how old the beliefs are; ok is false when there are none.
+// Age returns the age of the view; ok is false while nothing is known.
 func (f *Follower) Age() (age time.Duration, ok bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.view.Age(f.now())
 }
 
-// InvalidEntries is the number of entries that could not be read since the start.
+// InvalidEntries returns the number of entries since the start that could not be decoded.
 func (f *Follower) InvalidEntries() uint64 { return f.invalidCount.Load() }
 
-// knownNodes lists the nodes that are there.
+// knownNodes returns the live nodes.
 func (f *Follower) knownNodes() []Node {
 	if f.options.Nodes != nil {
 		return f.options.Nodes()
@@ -298,14 +298,14 @@
 
 func (f *Follower) now() time.Duration { return f.options.Elapsed() }
 
-// readInterval is the time between two readings of the registry where all nodes read, and
-// share what the registry allows.
+// readInterval returns the time between two reads of the registry when every node reads it and
+// all share ReadsPerSecond.
 func (f *Follower) readInterval() time.Duration {
 	fair := time.Duration(float64(len(f.knownNodes())) / f.options.ReadsPerSecond * float64(time.Second))
 	return max(f.options.PollInterval, fair)
 }
 
-// retryPause doubles with each failure in a row, with jitter.
+// retryPause returns an exponential back-off with jitter.
 func (f *Follower) retryPause() time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -313,7 +313,7 @@
 	return pause/2 + time.Duration(f.random.Int64N(int64(pause/2)+1))
 }
 
-// read takes the next answer in.
+// read performs one read of the registry and logs when the registry is lost or regained.
 func (f *Follower) read(ctx context.Context) error {
 	err := f.readOnce(ctx)
 	f.mutex.Lock()
@@ -342,7 +342,7 @@
 	}
 	wait := f.options.LongPollTimeout
 	if f.options.Fetcher != nil && !f.isReader() {
-		wait = 0 // what is believed may be old already: others are asked if no answer comes
+		wait = 0 // the view may be old already: if this read fails, other nodes are tried at once
 	}
 	for partial := true; partial; wait = 0 {
 		changes, err := f.readChanges(ctx, wait)
@@ -360,7 +360,7 @@
 	return nil
 }
 
-// readChanges waits for changes after what is known.
+// readChanges waits for changes after the known position.
 func (f *Follower) readChanges(ctx context.Context, wait time.Duration) (Changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+f.options.CallTimeout)
 	defer cancel()
@@ -370,31 +370,31 @@
 	case err != nil:
 		return Changes{}, err
 	case changes.Epoch != after.Epoch:
-		return Changes{}, fmt.Errorf("%w: epoch %d, asked for changes of %d", ErrHistoryGone, changes.Epoch, after.Epoch)
+		return Changes{}, fmt.Errorf("%w: registry is in epoch %d, changes of epoch %d were requested", ErrHistoryGone, changes.Epoch, after.Epoch)
 	case changes.Partial && changes.Revision <= after.Revision:
 		return Changes{}, fmt.Errorf("%w: no progress after revision %d", ErrUnavailable, after.Revision)
 	}
 	return changes, nil
 }
 
-// readListing reads everything.
+// readListing reads the whole registry.
 func (f *Follower) readListing(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, f.options.ListTimeout)
 	defer cancel()
-	began := f.now() // what is listed may be as old as that
+	began := f.now() // the listing may be as old as the start of the read
 	listing, err := f.options.Source.List(ctx)
 	if err != nil {
 		return err
 	}
 	if known := f.knownPosition(); listing.Epoch < known.Epoch {
-		return fmt.Errorf("%w: a late answer of epoch %d, in epoch %d", ErrUnavailable, listing.Epoch, known.Epoch)
+		return fmt.Errorf("%w: outdated answer of epoch %d, the current epoch is %d", ErrUnavailable, listing.Epoch, known.Epoch)
 	}
 	f.applyListing(began, Changes(listing))
 	f.initialized = true
 	return nil
 }
 
-// updateAndNotify changes what is believed, and tells it; it reports whether others are to be told.
+// updateAndNotify changes the state and calls Changed; it reports whether the published state changed.
 func (f *Follower) updateAndNotify(change func()) (changed bool) {
 	f.notifyMutex.Lock()
 	defer f.notifyMutex.Unlock()
@@ -415,8 +415,8 @@
 	return changed
 }
 
-// directives lists those in force with the times between which they were written, where they are
-// known. The lock is held.
+// directives returns the directives in force with the bounds of their write times, where known. The
+// lock must be held.
 func (f *Follower) directives() []Directive {
 	directives := f.view.Directives()
 	for i := range directives {
@@ -430,8 +430,8 @@
 	return directives
 }
 
-// scheduleExpiry arranges that missing entries are dropped in time, also while a
-// reading is held. The lock is held.
+// scheduleExpiry arranges that retained entries are dropped in time, even during a long poll. The
+// lock must be held.
 func (f *Follower) scheduleExpiry() {
 	if f.expiryTimer != nil {
 		f.expiryTimer.Stop()
--- a/discovery/history.go
+++ b/discovery/history.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// historyLength is the number of generations of which changes are kept.
+// historyLength is the number of generations for which changes are kept.
 const historyLength = 64
 
-// history keeps what changed of late in what a node believes.
+// history keeps the recent changes of the published state.
 type history struct {
-	// latest is the newest generation; zero is before the first.
+	// latest is the current generation; zero before the first one.
 	latest  uint64
-	changes []generationChanges // of the last generations, in order
+	changes []generationChanges // of the most recent generations, oldest first
 }
 
-// generationChanges is what one generation changed. All entries that it names
-// are looked up in what is believed when it is told.
+// generationChanges lists the entries that changed in one generation. Their values are taken from
+// the current state when they are published.
 type generationChanges struct {
 	servers, nodes         []string
 	goneServers, goneNodes []string
@@ -22,7 +22,7 @@
 	table                  bool
 }
 
-// add takes the next generation.
+// add records the next generation.
 func (h *history) add(before, after ClusterState) {
 	h.latest++
 	changed := generationChanges{table: before.Table != after.Table}
@@ -39,8 +39,8 @@
 
 func (n Node) key() string { return n.ID }
 
-// sameForPeers reports whether others need not be told of what became of a server: a warm-up
-// counts down by itself, but one that begins anew, or ends early, is news.
+// sameForPeers reports whether a change of a server need not be published. A warm-up counts down by
+// itself, but one that restarts or ends early must be published.
 func sameForPeers(before, after Server) bool {
 	if after.ColdFor > before.ColdFor || after.ColdFor == 0 && before.ColdFor > 0 {
 		return false
@@ -49,7 +49,7 @@
 	return before == after
 }
 
-// difference lists the IDs of what is new or changed, and of what went.
+// difference returns the IDs of entries that are new or changed, and of those that were removed.
 func difference[T any](before, after []T, key func(T) string, same func(a, b T) bool) (changed, gone []string) {
 	old := make(map[string]T, len(before))
 	for _, one := range before {
@@ -69,12 +69,12 @@
 	return changed, gone
 }
 
-// covers reports whether all changes after the generation are kept.
+// covers reports whether all changes after the generation are available.
 func (h *history) covers(generation uint64) bool {
 	return generation > 0 && generation <= h.latest && h.latest-generation <= uint64(len(h.changes))
 }
 
-// after tells which entries changed after the generation; the history covers it.
+// after merges the changes after the generation, which the history must cover.
 func (h *history) after(generation uint64) generationChanges {
 	var all generationChanges
 	for _, one := range h.changes[uint64(len(h.changes))-(h.latest-generation):] {
--- a/discovery/incarnation.go
+++ b/discovery/incarnation.go
@@ -2,15 +2,15 @@
 
 import "strconv"
 
-// Incarnation names one life of a server: an ID may return with a later start, and what was
-// learned of the life before says nothing of the one after.
+// Incarnation identifies one run of a server process. A server may return under the same ID with
+// a later start time; what was observed of the earlier run does not apply to the new one.
 type Incarnation struct {
 	ID string
-	// Born is when it started, in milliseconds of Unix time as the server tells; zero is unknown.
+	// Born is the start time that the server reports, in milliseconds of Unix time; zero is unknown.
 	Born int64
 }
 
-// String is the ID, with the start where that is known.
+// String returns the ID, followed by the start time if it is known.
 func (i Incarnation) String() string {
 	if i.Born == 0 {
 		return i.ID
@@ -18,5 +18,5 @@
 	return i.ID + "@" + strconv.FormatInt(i.Born, 10)
 }
 
-// Incarnation names the server's life.
+// Incarnation returns the incarnation of the server.
 func (s Server) Incarnation() Incarnation { return Incarnation{ID: s.ID, Born: s.Born} }
--- a/discovery/listing_test.go
+++ b/discovery/listing_test.go
@@ -12,7 +12,7 @@
 	"github.com/banksail/banksail/discovery"
 )
 
-// invalidEntrySource lists one server, and one entry that can't be read.
+// invalidEntrySource lists one valid server and one entry that cannot be decoded.
 type invalidEntrySource struct{}
 
 func (invalidEntrySource) List(context.Context) (discovery.Listing, error) {
@@ -28,7 +28,7 @@
 	return discovery.Changes{Epoch: after.Epoch, Revision: after.Revision}, nil
 }
 
-// Entries that can't be read are counted, and change nothing else.
+// Entries that cannot be decoded are counted and have no other effect.
 func TestInvalidEntriesAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var last discovery.ClusterState
@@ -39,15 +39,15 @@
 		defer stop()
 		follower.Run(ctx)
 		if got := follower.InvalidEntries(); got != 1 {
-			t.Errorf("%d entries are counted, want 1", got)
+			t.Errorf("%d invalid entries, want 1", got)
 		}
 		if len(last.Servers) != 1 {
-			t.Errorf("%d servers are believed, want 1", len(last.Servers))
+			t.Errorf("%d servers known, want 1", len(last.Servers))
 		}
 	})
 }
 
-// slowSource takes a while to list everything.
+// slowSource takes some time to list everything.
 type slowSource struct {
 	invalidEntrySource
 	listing time.Duration
@@ -58,7 +58,7 @@
 	return s.invalidEntrySource.List(ctx)
 }
 
-// A listing that took long is as old as its beginning.
+// A listing is as old as the start of the read, not as its end.
 func TestListingAgeCountsFromStartOfRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const listing = 2 * time.Second
@@ -75,7 +75,7 @@
 		defer stop()
 		follower.Run(ctx)
 		if len(ages) < 2 || ages[0] != listing || ages[1] != 0 {
-			t.Errorf("the ages of what is believed are %v, want %s first and none after the next reading", ages, listing)
+			t.Errorf("ages of the view are %v, want %s first and 0 after the next read", ages, listing)
 		}
 	})
 }
--- a/discovery/network_test.go
+++ b/discovery/network_test.go
@@ -7,16 +7,16 @@
 	"github.com/banksail/banksail/discovery"
 )
 
-// network finds followers by their address.
+// network finds followers by address.
 type network struct {
 	mutex     sync.Mutex
 	followers map[string]*discovery.Follower
 	silent    map[string]bool
-	// isolated are nodes whose askings get no answer.
+	// isolated holds nodes whose requests get no answer.
 	isolated map[*discovery.Follower]bool
 }
 
-// setIsolated keeps a node's askings from the others, or lets them through again.
+// setIsolated blocks a node's requests to other nodes, or unblocks them.
 func (n *network) setIsolated(id string, off bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -26,7 +26,7 @@
 	n.isolated[n.followers[id]] = off
 }
 
-// nodeFetcher is a node's own way to the network.
+// nodeFetcher is a node's own connection to the network.
 type nodeFetcher struct {
 	*network
 	id string
--- a/discovery/publication.go
+++ b/discovery/publication.go
@@ -13,112 +13,113 @@
 	"github.com/banksail/banksail/route"
 )
 
-// ErrStale is returned for a publication that is too old, or older than what is known already.
+// ErrStale is returned for a publication that is too old, or older than what is already known.
 var ErrStale = errors.New("discovery: publication is stale")
 
-// Cursor names what a node published last: it changes with what is published.
+// Cursor identifies the latest state that a node published; it changes with the content.
 type Cursor struct {
-	// Publisher is the incarnation of the node that publishes.
+	// Publisher is the incarnation of the publishing node.
 	Publisher string `json:"publisher"`
-	// Generation grows whenever what is believed changes.
+	// Generation increases with every change of the publisher's state.
 	Generation uint64 `json:"generation"`
 }
 
-// Publication is what a node that reads the registry believes.
+// Publication is the state that a reader of the registry publishes to other nodes.
 type Publication struct {
 	PublicationHeader
 	PublicationContent
 }
 
-// PublicationHeader tells what a publication is, and how old.
+// PublicationHeader describes a publication and its age.
 type PublicationHeader struct {
 	Cursor
-	// Since is the generation after which the publication tells what changed;
-	// zero means that it is whole.
+	// Since is the generation on which an incremental publication is based; zero means that
+	// the publication is complete.
 	Since uint64 `json:"since,omitempty"`
-	// Position is up to where the publisher knows the registry.
+	// Position is the position in the registry up to which the publisher has read.
 	Position
-	// Age is how old the belief was when it was published.
+	// Age is the age of the publisher's view at the time of publication.
 	Age time.Duration `json:"age_ns"`
-	// Continuous says that the publisher has heard the registry all along.
+	// Continuous is set when the publisher was in contact with the registry without a gap.
 	Continuous bool `json:"certain,omitempty"`
-	// MaxOrderAges tells how old the orders of roll-outs are at most when this is published, by
-	// their key, where the publisher knows it.
+	// MaxOrderAges holds upper bounds of the ages of roll-out orders at the time of
+	// publication, by key, as far as the publisher knows them.
 	MaxOrderAges map[string]time.Duration `json:"order_ages_ns,omitempty"`
-	// MinOrderAges tells how old they are at least.
+	// MinOrderAges holds the lower bounds.
 	MinOrderAges map[string]time.Duration `json:"order_least_ages_ns,omitempty"`
 }
 
-// PublicationContent is what a publication tells. It is the same for all that
-// have the same generation and tell what changed since the same one.
+// PublicationContent is the payload of a publication. It is identical for all publications
+// with the same generation and the same Since.
 type PublicationContent struct {
-	// Servers and Nodes are those that are there, or those that changed; GoneServers
-	// and GoneNodes name those that went since.
+	// Servers and Nodes are complete, or those that changed; GoneServers and GoneNodes are
+	// the IDs of those that were removed.
 	Servers     []Server `json:"servers,omitempty"`
 	Nodes       []Node   `json:"nodes,omitempty"`
 	GoneServers []string `json:"gone_servers,omitempty"`
 	GoneNodes   []string `json:"gone_nodes,omitempty"`
-	// Directives and GoneDirectives tell of directives in the same way.
+	// Directives and GoneDirectives are the same for directives.
 	Directives     []Directive `json:"directives,omitempty"`
 	GoneDirectives []string    `json:"gone_directives,omitempty"`
-	// Table is missing in a publication of changes when it is the same.
+	// Table is nil in an incremental publication when it has not changed.
 	Table *route.Definition `json:"table,omitempty"`
 }
 
-// PublicationRequest is what a node asks another one with.
+// PublicationRequest is a request for a publication.
 type PublicationRequest struct {
-	// Known is what the asker has of the publisher already.
+	// Known is what the requester already has from this publisher.
 	Known Cursor
-	// Position is up to where the asker knows the registry: what is older is of no use to it.
+	// Position is the position up to which the requester knows the registry; older
+	// publications are of no use to it.
 	Position Position
-	// MaxAge is the greatest age that is of use; zero is any.
+	// MaxAge is the greatest age that the requester accepts; zero accepts any.
 	MaxAge time.Duration
 }
 
-// PublicationFetcher asks other nodes for what they believe.
+// PublicationFetcher fetches publications from other nodes.
 type PublicationFetcher interface {
-	// Fetch returns what the node at the address believes: what changed since what
-	// is known, if the node still knows, and else the whole. It fails when that is
-	// of no use to the asker.
+	// Fetch returns the publication of the node at the address: the changes since the known
+	// generation if the publisher still has them, and otherwise the complete state. It fails
+	// when the publisher has nothing of use to the requester.
 	Fetch(ctx context.Context, address string, inquiry PublicationRequest) (Publication, error)
 }
 
-// nodesPerReader is the number of nodes that one reader of the registry tells. Each of
-// them asks every 1.6 s at most paces, which is 0.1 ms of the reader's processor; each
-// reader costs a call to the registry for each change.
+// nodesPerReader is the number of nodes that one reader of the registry serves. Each of them
+// fetches every 1.6 s at most intervals, which costs 0.1 ms of the reader's CPU time; each
+// reader costs one call to the registry per change.
 const nodesPerReader = 200
 
-// hashOf orders nodes alike everywhere.
+// hashOf returns a hash that gives nodes the same order everywhere.
 func hashOf(parts ...string) uint64 { return xxhash.Sum64String(strings.Join(parts, "\x00")) }
 
-// selectReaders returns the nodes that read the registry, one for so many nodes, but
-// two at least, and one that does so only while the other is not there. They are
-// the most capable: a reader sends all that is long to all that ask it. All nodes
-// that see the same members choose the same.
+// selectReaders returns the nodes that read the registry: one per nodesPerReader nodes, plus one
+// in reserve, which reads only when it finds no active reader. The nodes with the most capacity
+// are chosen, as a reader sends long publications to all nodes that fetch from it. All nodes with
+// the same membership view select the same readers.
 func selectReaders(nodes []Node) []Node {
 	ranked := rankNodes(nodes)
 	count := (len(ranked) + nodesPerReader - 1) / nodesPerReader
 	return ranked[:min(len(ranked), count+1)]
 }
 
-// rankNodes lists the nodes that others may rely on, in the order in which duties fall
-// to them: all that see the same members have the same order.
+// rankNodes returns the nodes that can take duties for others, in order of preference. All nodes
+// with the same membership view compute the same order.
 func rankNodes(nodes []Node) []Node {
 	ranked := slices.DeleteFunc(slices.Clone(nodes), func(n Node) bool { return n.Leaving || n.Suspect || n.Peer == "" })
 	slices.SortFunc(ranked, compareRank)
 	return ranked
 }
 
-// HighestRanked returns the first nodes, at most so many, in the order in which duties fall to
-// nodes.
+// HighestRanked returns the nodes that duties fall to first, at most `most` of them, in order of
+// preference.
 func HighestRanked(nodes []Node, most int) []Node {
 	ranked := rankNodes(nodes)
 	return ranked[:min(len(ranked), most)]
 }
 
-// readersToAsk returns the readers that a node asks, the first choice first; none
-// when it reads the registry itself. The last of the readers is a reserve, which
-// asks as the others do and reads when it finds no reader.
+// readersToAsk returns the readers that a node fetches from, in order of preference; none when
+// it reads the registry itself. The last reader is a reserve, which fetches as the other nodes
+// do and reads the registry when it finds no active reader.
 func readersToAsk(self string, nodes []Node) []Node {
 	readers := selectReaders(nodes)
 	active := readers[:max(len(readers)-1, 0)]
@@ -138,8 +139,8 @@
 	return asked[:min(len(asked), maxReadersTried)]
 }
 
-// Publish tells what the follower believes; it implements what Publishers ask.
-// ok is false while nothing is known, or nothing that is of use to the asker.
+// Publish returns the follower's state for another node's PublicationFetcher. ok is false while
+// nothing is known, or nothing that is of use to the requester.
 func (f *Follower) Publish(inquiry PublicationRequest) (publication Publication, ok bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -149,7 +150,7 @@
 		return Publication{}, false
 	}
 	known := inquiry.Known
-	// What changed does not tell what the registry has lost: an asker of another epoch is told all.
+	// Changes do not include what the registry has lost, so a requester of another epoch gets the complete state.
 	sameEpoch := inquiry.Position.Epoch == f.position.Epoch
 	if sameEpoch && known.Publisher == f.options.Self && f.history.covers(known.Generation) {
 		publication = f.changesAfter(known.Generation)
@@ -166,8 +167,8 @@
 	return publication, true
 }
 
-// orderAges tells how long ago something of the orders of roll-outs was, where that is known. The
-// lock is held.
+// orderAges returns the time since the event given by timeOf for each roll-out order, where it
+// is known. The lock must be held.
 func (f *Follower) orderAges(timeOf func(key string) (time.Duration, bool)) map[string]time.Duration {
 	var ages map[string]time.Duration
 	for _, directive := range f.published.Directives {
@@ -183,7 +184,7 @@
 	return ages
 }
 
-// changesAfter tells what changed after a generation, as it is now. The lock is held.
+// changesAfter returns what changed after a generation, with current values. The lock must be held.
 func (f *Follower) changesAfter(generation uint64) Publication {
 	changed := f.history.after(generation)
 	var publication Publication
@@ -198,7 +199,7 @@
 	return publication
 }
 
-// lookupServers looks up the servers that changed; those that are not there went.
+// lookupServers returns the current values of changed servers, and the IDs of those that are gone.
 func (n ClusterState) lookupServers(changed generationChanges) (servers []Server, gone []string) {
 	return lookup(n.Servers, Server.key, changed.servers, changed.goneServers)
 }
@@ -225,7 +226,7 @@
 	return found, gone
 }
 
-// adoptPublication believes what a reader does, unless that is too old.
+// adoptPublication applies the publication of a reader, unless it is stale.
 func (f *Follower) adoptPublication(reader string, publication Publication) error {
 	mark := f.cursorFor(reader)
 	if publication.Since > 0 && (publication.Publisher != mark.Publisher || publication.Since != mark.Generation) {
@@ -247,7 +248,7 @@
 	return nil
 }
 
-// applyPublication takes a publication in, as heard when its publisher heard it.
+// applyPublication applies a publication as of the time at which its publisher synced.
 func (f *Follower) applyPublication(publication Publication) error {
 	heardAt := f.now() - publication.Age
 	changes, err := publication.changes()
@@ -262,7 +263,7 @@
 	return nil
 }
 
-// changes are what a publication tells, as of its revision.
+// changes converts a publication to changes as of its revision.
 func (p Publication) changes() (Changes, error) {
 	changes := Changes{Epoch: p.Epoch, Revision: p.Revision, Continuous: p.Continuous, MaxOrderAges: p.MaxOrderAges, MinOrderAges: p.MinOrderAges, Relayed: true}
 	if p.Table != nil {
--- a/discovery/readers_test.go
+++ b/discovery/readers_test.go
@@ -17,17 +17,17 @@
 	}
 	readers := selectReaders(nodes)
 	if len(readers) != 4 {
-		t.Errorf("%d readers of 500 nodes, want 3 and one in reserve", len(readers))
+		t.Errorf("%d readers among 500 nodes, want 3 and one in reserve", len(readers))
 	}
 	for _, reader := range readers {
 		if reader.Capacity != 0.8 {
-			t.Errorf("%s, which is less capable than others, is a reader", reader.ID)
+			t.Errorf("%s is a reader although other nodes have more capacity", reader.ID)
 		}
 	}
 	for i := range nodes {
 		nodes[i].Leaving = nodes[i].Capacity == 0.8
 	}
 	if readers = selectReaders(nodes); len(readers) != 4 || readers[0].Leaving {
-		t.Errorf("once the capable ones leave, there are %d readers", len(readers))
+		t.Errorf("%d readers once the nodes with most capacity are leaving, want 4 that stay", len(readers))
 	}
 }
--- a/discovery/rejection_test.go
+++ b/discovery/rejection_test.go
@@ -12,25 +12,25 @@
 	"github.com/banksail/banksail/discovery"
 )
 
-// rejection is how a registry turns one node away while it serves the others.
+// rejection is the way in which a registry rejects one node while it serves the others.
 type rejection int32
 
 const (
 	rejectsNothing rejection = iota
-	// rejectsImmediately answers every call with a failure.
+	// rejectsImmediately fails every call at once.
 	rejectsImmediately
-	// rejectsByTimeout leaves every call without an answer.
+	// rejectsByTimeout never answers.
 	rejectsByTimeout
 	rejections
 )
 
-// nodeSource is one node's way to the registry.
+// nodeSource is one node's connection to the registry.
 type nodeSource struct {
 	*registry
 	rejection atomic.Int32
 }
 
-// checkAccess returns an error when the node is turned away, at once or in the end.
+// checkAccess returns an error if the node is rejected, immediately or when ctx is done.
 func (g *nodeSource) checkAccess(ctx context.Context) error {
 	switch rejection(g.rejection.Load()) {
 	case rejectsImmediately:
@@ -50,7 +50,7 @@
 	return g.registry.List(ctx)
 }
 
-// Changes cuts a reading that is held when the node is turned away meanwhile.
+// Changes also fails when the node is rejected during a long poll.
 func (g *nodeSource) Changes(ctx context.Context, after discovery.Position, wait time.Duration) (discovery.Changes, error) {
 	if err := g.checkAccess(ctx); err != nil {
 		return discovery.Changes{}, err
@@ -62,22 +62,22 @@
 	return changes, err
 }
 
-// Limits of what nodes may believe of a server that left.
+// Bounds on the time for which nodes may use a server that has left.
 const (
-	// servedBound is for nodes that the registry serves, and rejectedBound for those
-	// that it turns away while it serves others: 0.1 s less than the platform's bound,
-	// for requests on their way.
+	// servedBound applies to nodes that the registry serves, and rejectedBound to those that it
+	// rejects while it serves others: 0.1 s less than the platform's bound, for requests in
+	// flight.
 	servedBound   = 2600 * time.Millisecond
 	rejectedBound = 2900 * time.Millisecond
-	// checkInterval is the time between two looks at what is believed.
+	// checkInterval is the time between two checks of the nodes' state.
 	checkInterval = 20 * time.Millisecond
 )
 
-// departures notes when servers left.
+// departures holds the times at which servers left.
 type departures map[string]time.Time
 
-// wantNoDepartedServers fails when a node believes longer than its bound that a server
-// which left is ready.
+// wantNoDepartedServers fails the test if a node considers a server that left to be ready for
+// longer than its bound.
 func (w *testCluster) wantNoDepartedServers(t *testing.T, left departures, when string) {
 	t.Helper()
 	w.mutex.Lock()
@@ -90,16 +90,16 @@
 		for _, server := range news.Servers {
 			at, gone := left[server.ID]
 			if gone && server.State == discovery.Ready && time.Since(at) > bound {
-				t.Errorf("%s: node %d believes in %s %s after it left", when, number, server.ID, time.Since(at))
+				t.Errorf("%s: node %d still uses %s %s after it left", when, number, server.ID, time.Since(at))
 				delete(left, server.ID)
 			}
 		}
 	}
 }
 
-// Whatever nodes the registry turns away, and however, no node believes for longer
-// than the bound in a server that left: those that are turned away hear from the
-// others, and nobody takes over what another one keeps in doubt.
+// Whichever nodes the registry rejects, and however, no node uses a server that left for longer
+// than the bound: rejected nodes learn of it from the others, and nodes do not take over entries
+// that another node retains.
 func TestRejectedNodesMeetStalenessBound(t *testing.T) {
 	for seed := range uint64(24) {
 		synctest.Test(t, func(t *testing.T) {
@@ -148,13 +148,13 @@
 	}
 }
 
-// Entries that lapsed while the registry was away are kept for two seconds of its
-// return, and no longer: an owner that lives is back by then.
+// Entries that expired while the registry was unavailable are retained for two seconds after its
+// return, and no longer: a live owner has written its entry again by then.
 func TestExpiredEntriesAreRetainedForTwoSeconds(t *testing.T) {
 	const (
 		kept = 2 * time.Second
-		// noticed is the longest time until a reader hears the registry again, and
-		// told that until the others have asked it.
+		// noticed is the maximum time until a reader is in contact with the registry again, and
+		// told the maximum time from then until the other nodes have fetched from it.
 		noticed = 800 * time.Millisecond
 		told    = 900 * time.Millisecond
 	)
@@ -171,7 +171,7 @@
 			w.registry.putServer(discovery.Server{ID: "s0"}, true)
 			w.registry.setDown(false)
 			returned := time.Now()
-			late := time.Duration(random.IntN(1800)) * time.Millisecond // s1 goes after the return
+			late := time.Duration(random.IntN(1800)) * time.Millisecond // s1 is removed after the return
 			gone := false
 			for time.Since(returned) < 6*time.Second {
 				if !gone && time.Since(returned) >= late {
@@ -189,11 +189,11 @@
 							t.Fatalf("seed %d: node %d keeps %s %s after the return", seed, number, id, since)
 						}
 						if believed && id == "s1" && gone && since > late+servedBound+told {
-							t.Fatalf("seed %d: node %d keeps %s %s after it went", seed, number, id, since-late)
+							t.Fatalf("seed %d: node %d keeps %s %s after its removal", seed, number, id, since-late)
 						}
 					}
 					if !w.knowsServer(number, "s2") {
-						t.Fatalf("seed %d: node %d dropped a server that is there", seed, number)
+						t.Fatalf("seed %d: node %d dropped a registered server", seed, number)
 					}
 				}
 				time.Sleep(checkInterval)
@@ -204,7 +204,7 @@
 	}
 }
 
-// knowsServer reports whether a node believes a server to be there.
+// knowsServer reports whether a node has a server in its state.
 func (w *testCluster) knowsServer(number int, id string) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/discovery/restore.go
+++ b/discovery/restore.go
@@ -6,30 +6,31 @@
 	"github.com/banksail/banksail/mechanism"
 )
 
-// A registry that comes back from a copy says of servers what held some seconds before. One that
-// has left since is listed again until its entry lapses, one that leaves is ready again until
-// it says otherwise, and one that came since is missing until it writes again. So what was known
-// of a server's end or leaving counts more than the copy for a while, and what is missing is in
-// doubt as after an outage.
+// A registry restored from a backup holds the state of some seconds earlier. A server that has
+// left since is listed again until its entry expires, one that started draining is listed as
+// ready until it writes again, and one that was added since is missing until it writes again.
+// For a grace period, known departures and drains therefore take precedence over the backup, and
+// servers missing from it are retained as after an outage.
 
 const (
-	// departedRetention is how long a node remembers that a server has gone, and maxDeparted the
-	// number of those that it remembers: copies are some seconds old, and a zone of the
+	// departedRetention is how long a node remembers that a server has left, and maxDeparted the
+	// number of such servers that it remembers. Backups are some seconds old, and a zone of the
 	// largest deployment has 700 servers.
 	departedRetention = time.Minute
 	maxDeparted       = 4096
 )
 
-// restoreState is what a node needs to know once the registry has come back from a copy.
+// restoreState is what a View keeps to handle a registry that was restored from a backup.
 type restoreState struct {
-	// epoch is the one that began last while this node listened, revision the one of what it
-	// heard of it first, and until is for how long the copy counts less than what was known.
+	// epoch is the latest epoch that began while this node was running, revision the first
+	// revision seen in it, and until the end of the grace period in which earlier knowledge
+	// takes precedence over the backup.
 	epoch    Epoch
 	revision Revision
 	until    time.Duration
-	// servers are entries of the copy that don't count yet.
+	// servers holds entries of the backup that are deferred until the grace period ends.
 	servers map[string]Server
-	// departed are the servers that have gone of late, with the time of that.
+	// departed holds the servers that left recently, with the time at which they did.
 	departed map[Incarnation]time.Duration
 }
 
@@ -37,7 +38,7 @@
 	return restoreState{servers: make(map[string]Server), departed: make(map[Incarnation]time.Duration)}
 }
 
-// recordDeparted notes that a server has gone.
+// recordDeparted records that a server has left.
 func (r *restoreState) recordDeparted(now time.Duration, server Server) {
 	if len(r.departed) >= maxDeparted {
 		r.pruneDeparted(now)
@@ -47,7 +48,7 @@
 	}
 }
 
-// pruneDeparted drops the servers that went long ago.
+// pruneDeparted drops servers that left longer ago than departedRetention.
 func (r *restoreState) pruneDeparted(now time.Duration) {
 	for incarnation, at := range r.departed {
 		if now-at >= departedRetention {
@@ -61,13 +62,14 @@
 	return departed
 }
 
-// wouldUndoDrain reports whether a server is known to be leaving of which an earlier state is told.
+// wouldUndoDrain reports whether the listed state would make a server ready that is known to
+// be draining, within the same incarnation.
 func wouldUndoDrain(known, told Server) bool {
 	return known.State == Draining && told.State == Ready && known.Incarnation() == told.Incarnation()
 }
 
-// BeginEpoch notes that the registry has come back from a copy, as heard at now: what follows
-// up to the position may be of the copy.
+// BeginEpoch records, at now, that the registry was restored from a backup: entries up to the
+// position may come from the backup.
 func (v *View) BeginEpoch(now time.Duration, position Position) {
 	if v.options.Disabled.Enabled(mechanism.OutageRetention) {
 		v.retainUntil = max(v.retainUntil, now+v.options.RemovalGrace)
@@ -78,22 +80,24 @@
 	v.directives.beginEpoch(now+v.options.DirectiveGrace, position.Epoch)
 }
 
-// RecordRelayedListing notes that another node tells all that it believes: it may know less of what was
-// before the copy.
+// RecordRelayedListing records that another node sent a complete listing. Entries up to its
+// position may come from the backup, as that node may know less about the time before the
+// restore.
 func (v *View) RecordRelayedListing(now time.Duration, position Position) {
 	if now < v.restored.until && position.Epoch == v.restored.epoch {
 		v.restored.revision = max(v.restored.revision, position.Revision)
 	}
 }
 
-// maybeFromBackup reports whether what was heard at now of a position may be older than what is known,
-// as the registry came back from a copy; what it writes later is news.
+// maybeFromBackup reports whether an entry at the position, received at now, may come from a
+// backup and thus be older than what is known. Entries that the registry writes later are newer.
 func (v *View) maybeFromBackup(now time.Duration, position Position) bool {
 	r := &v.restored
 	return now < r.until && position.Epoch == r.epoch && position.Revision <= r.revision
 }
 
-// applyDeferred takes the entries of the copy that still stand once it counts.
+// applyDeferred applies the entries of the backup that are still listed once the grace period
+// is over.
 func (v *View) applyDeferred(now time.Duration) {
 	if now < v.restored.until {
 		return
--- a/discovery/retention_test.go
+++ b/discovery/retention_test.go
@@ -10,9 +10,8 @@
 	"github.com/banksail/banksail/discovery"
 )
 
-// Entries lapse when the registry was away for as long as owners may be silent, however
-// long the nodes' own pace is: what went meanwhile is kept for two seconds after its
-// return.
+// Entries expire when the registry is unavailable for the owners' time-out, however long the nodes'
+// poll interval is. Entries removed in such an outage are retained for two seconds after its end.
 func TestOutagesOfEntryTTLRetainRemovedEntries(t *testing.T) {
 	const lapse = 3600 * time.Millisecond
 	for seed := range uint64(10) {
@@ -31,14 +30,14 @@
 			for returned := time.Now(); time.Since(returned) < 1900*time.Millisecond; time.Sleep(20 * time.Millisecond) {
 				for number := range w.states {
 					if !w.knowsServer(number, "s") {
-						t.Fatalf("seed %d: node %d dropped a lapsed entry %s after the return", seed, number, time.Since(returned))
+						t.Fatalf("seed %d: node %d dropped an expired entry %s after the return", seed, number, time.Since(returned))
 					}
 				}
 			}
 			time.Sleep(5 * time.Second)
 			for number := range w.states {
 				if w.knowsServer(number, "s") {
-					t.Errorf("seed %d: node %d keeps a lapsed entry for ever", seed, number)
+					t.Errorf("seed %d: node %d still has an expired entry long after the return", seed, number)
 				}
 			}
 			w.stop()
@@ -47,8 +46,8 @@
 	}
 }
 
-// A node that heard nothing for long, and then hears of a node that heard the registry all
-// along, does not doubt what went: its owner was not kept from writing.
+// A node that was isolated for long, and then fetches from a node that was in contact with the
+// registry without a gap, does not retain removed entries: their owners were able to renew them.
 func TestRemovalsSeenByOthersApplyImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := startCluster(t, 5)
@@ -63,21 +62,21 @@
 		w.registry.putServer(discovery.Server{ID: "s1"}, true)
 		time.Sleep(2 * time.Second)
 		w.network.setIsolated("node-04", false)
-		time.Sleep(1500 * time.Millisecond) // less than a doubt lasts
+		time.Sleep(1500 * time.Millisecond) // less than the grace period
 		if w.knowsServer(alone, "s1") {
-			t.Error("the node doubts what others heard")
+			t.Error("the node retains an entry that others saw removed")
 		}
 		if !w.knowsServer(alone, "s0") || !w.knowsServer(alone, "s2") {
-			t.Error("the node dropped servers that are there")
+			t.Error("the node dropped registered servers")
 		}
 		w.stop()
 		w.loops.Wait()
 	})
 }
 
-// A node that starts in an outage and takes over what a seed believes does not make that
-// any younger: its own start says nothing of the registry. Others would believe it, and
-// take the registry's return for no return at all.
+// A node that starts in an outage and adopts a seed's state does not make that state any younger, as
+// its own start is no contact with the registry. Otherwise other nodes would accept its publications
+// as fresh, and would not notice the registry's return.
 func TestAdoptedViewKeepsItsAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t, 3)
@@ -91,15 +90,15 @@
 		time.Sleep(time.Second)
 		age, known := w.network.followers["node-late"].Age()
 		if outage := time.Since(down); !known || age < outage {
-			t.Errorf("after an outage of %s the belief is told to be %s old (%v)", outage, age, known)
+			t.Errorf("after an outage of %s the view's age is %s (%v)", outage, age, known)
 		}
 		w.stop()
 		w.loops.Wait()
 	})
 }
 
-// An answer that has no room for all changes is no word of now: what is believed is as
-// old as before, the rest is read at once, and what went meanwhile is in doubt.
+// An answer without room for all changes does not describe the current state: the age of the view
+// does not change, the rest is read at once, and removed entries are retained.
 func TestPartialAnswersDoNotRefreshAge(t *testing.T) {
 	const servers, most = 90, 20
 	synctest.Test(t, func(t *testing.T) {
@@ -120,15 +119,15 @@
 		node := w.network.followers["node-00"]
 		for !w.knowsServer(0, last) {
 			if age, _ := node.Age(); age < 5*time.Second {
-				t.Fatalf("an age of %s before %s is known", age, last)
+				t.Fatalf("the age is %s before %s is known", age, last)
 			}
 			time.Sleep(time.Millisecond)
 		}
 		if age, _ := node.Age(); age > 100*time.Millisecond {
-			t.Errorf("all is known, and its age is %s", age)
+			t.Errorf("the age is %s although everything is known", age)
 		}
 		if !w.knowsServer(0, "lapses") {
-			t.Error("an entry that lapsed in the outage was dropped at once")
+			t.Error("an entry that expired in the outage was dropped at once")
 		}
 		w.stop()
 		w.loops.Wait()
--- a/discovery/seeds.go
+++ b/discovery/seeds.go
@@ -8,10 +8,11 @@
 	"github.com/banksail/banksail/internal/clock"
 )
 
-// seedRetryPause is the time between two rounds of asking the seeds at the start.
+// seedRetryPause is the time between two rounds of requests to the seeds at start-up.
 const seedRetryPause = 150 * time.Millisecond
 
-// bootstrapFromSeeds begins with what a seed believes, if one hears the registry soon.
+// bootstrapFromSeeds initializes the view from a seed's publication if one is available within
+// SeedTimeout.
 func (f *Follower) bootstrapFromSeeds(ctx context.Context) {
 	if f.options.Fetcher == nil || f.options.SeedTimeout == 0 {
 		return
@@ -24,11 +25,11 @@
 			f.initialized = true
 			return
 		}
-		_ = clock.Sleep(ctx, seedRetryPause) // the loop looks at ctx
+		_ = clock.Sleep(ctx, seedRetryPause) // the loop checks ctx
 	}
 }
 
-// fetchFromAnySeed asks all seeds at once and returns the first answer.
+// fetchFromAnySeed sends requests to all seeds concurrently and returns the first answer.
 func (f *Follower) fetchFromAnySeed(ctx context.Context, inquiry PublicationRequest) (publication Publication, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, f.options.FetchTimeout)
 	defer cancel()
@@ -49,9 +50,9 @@
 	return publication, ok
 }
 
-// adoptFromSeeds takes over what another node believes, however old that is, as long as
-// nothing was ever heard of the registry: a node that starts during an outage would
-// otherwise refuse everything, and try the registry as often as one that knows nothing.
+// adoptFromSeeds adopts another node's state regardless of its age, as long as this node has
+// never synced with the registry. A node that starts during an outage would otherwise reject all
+// requests, and call the registry as often as a node without any state.
 func (f *Follower) adoptFromSeeds(ctx context.Context) {
 	if f.initialized || f.options.Fetcher == nil {
 		return
@@ -62,5 +63,5 @@
 	}
 	f.initialized = true
 	f.options.Logger.Warn().Str("publisher", publication.Publisher).Dur("age_ms", publication.Age).
-		Msg("registry is not there, a node's belief is taken over")
+		Msg("registry unavailable, adopting another node's view")
 }
--- a/discovery/source.go
+++ b/discovery/source.go
@@ -8,74 +8,75 @@
 	"github.com/banksail/banksail/route"
 )
 
-// Errors of a Source, wrapped in its own.
+// Errors that a Source returns, possibly wrapped.
 var (
-	// ErrHistoryGone: the changes after the position are not kept any more, or have not
-	// happened, as the registry has come back from a copy.
-	ErrHistoryGone = errors.New("discovery: history is gone")
-	// ErrUnavailable: the registry gave no answer, or refused to.
+	// ErrHistoryGone: the changes after the position are no longer available, or the position
+	// does not exist because the registry was restored from a backup.
+	ErrHistoryGone = errors.New("discovery: history is no longer available")
+	// ErrUnavailable: the registry did not answer, or rejected the call.
 	ErrUnavailable = errors.New("discovery: registry unavailable")
 )
 
 // Source is a registry of servers, nodes and tables. It may be slow, down or
-// cut off; its answers tell a revision.
+// unreachable. Its answers carry a revision.
 type Source interface {
-	// List reads everything.
+	// List reads all entries.
 	List(ctx context.Context) (Listing, error)
-	// Changes waits for changes after the position, no longer than wait. Where the registry is
-	// in another epoch it fails with ErrHistoryGone, as revisions then say nothing.
+	// Changes waits, for at most wait, for changes after the position. It fails with
+	// ErrHistoryGone if the registry is in another epoch, where the revision has no meaning.
 	Changes(ctx context.Context, after Position, wait time.Duration) (Changes, error)
 }
 
-// Listing is all that a registry holds. Entries may be newer than its revision.
+// Listing is the complete content of a registry. Entries may be newer than its revision.
 type Listing struct {
 	Epoch    Epoch
 	Revision Revision
 	Servers  []Entry[Server]
 	Nodes    []Entry[Node]
-	// Table is nil when there is none, or none that is valid.
+	// Table is nil if there is none, or none that is valid.
 	Table *route.Table
-	// Directives are those in force, by their keys.
+	// Directives are those in force, identified by their keys.
 	Directives []Entry[Directive]
-	// Invalid lists the entries that could not be read; they count as kept.
+	// Invalid lists the entries that could not be decoded; their last valid values are kept.
 	Invalid []InvalidEntry
-	// Partial, Certain and Relayed are false, and the ages are nil: a listing is whole, and
-	// a registry tells neither whether it was away nor when it was written to.
+	// Partial, Continuous and Relayed are false and the ages nil: a listing is complete, and a
+	// registry reports neither its own outages nor the times of writes. The fields are here so
+	// that a Listing converts to Changes.
 	Partial, Continuous, Relayed bool
 	MaxOrderAges, MinOrderAges   map[string]time.Duration
 }
 
-// Changes is what changed up to a revision, in order.
+// Changes is the ordered list of changes up to a revision.
 type Changes struct {
 	Epoch    Epoch
 	Revision Revision
 	Servers  []Entry[Server]
 	Nodes    []Entry[Node]
 	Table    *route.Table
-	// Directives are those that were written, or taken back.
+	// Directives are those that were written or removed.
 	Directives []Entry[Directive]
 	Invalid    []InvalidEntry
-	// Partial says that there may be later changes, which this answer has no room for: it
-	// is no word of what there is now.
+	// Partial is set when the answer had no room for all changes: later ones may exist, so it
+	// does not describe the current state.
 	Partial bool
-	// Continuous says that the registry was heard all along by whoever tells this: entries
-	// that went are gone, and have not only lapsed while it was away.
+	// Continuous is set when the sender was in contact with the registry without a gap:
+	// removed entries are then gone, and did not merely expire during an outage.
 	Continuous bool
-	// Relayed says that another node tells this, and MaxOrderAges and MinOrderAges how old the
-	// orders of roll-outs are at most and at least, as far as that one knows.
+	// Relayed is set when another node sent the changes. MaxOrderAges and MinOrderAges are
+	// then upper and lower bounds of the ages of roll-out orders, as far as that node knows them.
 	Relayed                    bool
 	MaxOrderAges, MinOrderAges map[string]time.Duration
 }
 
-// Position is up to where the changes go.
+// Position returns the position up to which the changes go.
 func (c Changes) Position() Position { return Position{Epoch: c.Epoch, Revision: c.Revision} }
 
-// positionAt is the position of an entry of the changes.
+// positionAt returns the position of an entry with the given revision.
 func (c Changes) positionAt(revision Revision) Position {
 	return Position{Epoch: c.Epoch, Revision: revision}
 }
 
-// Entry is a value with the revision that wrote it. Gone entries have only an ID.
+// Entry is a value with the revision that wrote it. Gone entries were removed and have only an ID.
 type Entry[T any] struct {
 	ID       string
 	Revision Revision
@@ -83,26 +84,26 @@
 	Value    T
 }
 
-// InvalidEntry is one that can't be read; what was known before stays.
+// InvalidEntry is an entry that cannot be decoded; its last valid value is kept.
 type InvalidEntry struct {
 	Name string
 	Err  error
 }
 
-// Registrar keeps this node's own entry in a registry. An entry goes when its
-// lease does; leases are for liveness only, and nothing safe rests on them.
+// Registrar registers this node in a registry. An entry is removed when its lease expires.
+// Leases indicate liveness only; no safety property depends on them.
 type Registrar interface {
-	// Register writes the entry under a new lease of the given time to live.
+	// Register writes the entry under a new lease with the given time to live.
 	Register(ctx context.Context, node Node, timeToLive time.Duration) (Lease, error)
 }
 
-// Lease holds a node's entry.
+// Lease is the lease of a node's entry.
 type Lease interface {
-	// Renew extends the lease; ErrLeaseExpired says that the entry went with it.
+	// Renew extends the lease; ErrLeaseExpired means that the entry was removed with it.
 	Renew(ctx context.Context) error
-	// Revoke ends the lease and the entry with it.
+	// Revoke ends the lease, which removes the entry.
 	Revoke(ctx context.Context) error
 }
 
-// ErrLeaseExpired is returned for a lease that has ended.
-var ErrLeaseExpired = errors.New("discovery: lease is over")
+// ErrLeaseExpired is returned for a lease that has expired or was revoked.
+var ErrLeaseExpired = errors.New("discovery: lease has expired")
--- a/discovery/suspension_test.go
+++ b/discovery/suspension_test.go
@@ -13,7 +13,7 @@
 	"github.com/banksail/banksail/route"
 )
 
-// tableSource lists a table, and fails once it is cut off.
+// tableSource lists a table; its changes fail once it is unavailable.
 type tableSource struct {
 	invalidEntrySource
 	unavailable atomic.Bool
@@ -33,8 +33,8 @@
 	return s.invalidEntrySource.Changes(ctx, after, wait)
 }
 
-// A machine is suspended for 10 s: its steady clock stands still. What the node believes is as
-// old as it is, and so it tells others.
+// While a machine is suspended for 10 s its monotonic clock stands still. The age of the view, and of
+// what the node publishes, must include that time.
 func TestViewAgesWhileMachineIsSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
@@ -54,18 +54,18 @@
 		source.unavailable.Store(true)
 		suspended.Store(int64(10 * time.Second))
 		if age, known := follower.Age(); !known || age < 10*time.Second {
-			t.Errorf("believed to be %s old", age)
+			t.Errorf("age of the view is %s, want at least 10s", age)
 		}
 		if _, told := follower.Publish(discovery.PublicationRequest{MaxAge: 3 * time.Second}); told {
-			t.Error("a belief of before the suspension is told to one who asks for a fresh one")
+			t.Error("a view from before the suspension is published to a node that requests a fresh one")
 		}
 		if told, _ := follower.Publish(discovery.PublicationRequest{}); told.Age < 10*time.Second {
-			t.Errorf("told to be %s old", told.Age)
+			t.Errorf("published age is %s, want at least 10s", told.Age)
 		}
 		source.unavailable.Store(false)
 		time.Sleep(2 * time.Second)
 		if age, _ := follower.Age(); age > 2*time.Second {
-			t.Errorf("%s old, 2 s after it woke", age)
+			t.Errorf("age of the view is %s, 2 s after the resume", age)
 		}
 		stop()
 		<-ended
--- a/discovery/turn.go
+++ b/discovery/turn.go
@@ -5,33 +5,32 @@
 	"time"
 )
 
-// A call to the registry is charged for, also one that is refused, and while no reader
-// has a fresh belief every node would like to read for itself. So they try one after the
-// other, in the order in which duties fall to them: the first that the registry serves
-// helps all others.
+// Every call to the registry counts against its rate limit, including rejected ones, and while no
+// reader has a fresh view every node would want to read the registry itself. Nodes therefore try in
+// order of rank: the first one that the registry serves publishes to all others.
 const (
-	// earlyReaders is the number of nodes that try soon; more than that are seldom turned away
-	// while others are served.
+	// earlyReaders is the number of nodes that try early. It is rare that the registry rejects
+	// more nodes than that while it serves others.
 	earlyReaders = 20
-	// earlyReaderShare is the part of Pace after which the last scout has tried: it is what is
-	// left of the bounds beside a reader's belief that has become old, two readers that
-	// are silent, and the reading itself.
+	// earlyReaderShare is the share of PollInterval within which all early readers have tried.
+	// It is what remains of the staleness bound after a reader's view has become stale, two
+	// readers have timed out, and the read itself.
 	earlyReaderShare = 0.15
-	// laterReaderStep is the time between two of the other nodes.
+	// laterReaderStep is the delay between two nodes after the early readers.
 	laterReaderStep = 100 * time.Millisecond
-	// earlyRetryInterval and laterRetryInterval are the times until a node that has failed may try again;
-	// a reader does so after each retryPause.
+	// earlyRetryInterval and laterRetryInterval are the times after which an early and a later
+	// reader may try again; a reader does so after each retryPause.
 	earlyRetryInterval = 2 * time.Second
 	laterRetryInterval = 10 * time.Second
-	// turnCheckInterval is the time between two looks at whether it is this node's turn, or
-	// another node has a fresh belief.
+	// turnCheckInterval is the time between two checks whether it is this node's turn or
+	// another node has a fresh view.
 	turnCheckInterval = 200 * time.Millisecond
-	// aloneTimeout is how long a node that knows no other one after its start waits for
-	// word of them, if it has a fresh belief, before it reads for itself.
+	// aloneTimeout is how long after its start a node that knows no other node, but has a fresh
+	// view, waits to learn of others before it reads the registry itself.
 	aloneTimeout = 2 * time.Second
 )
 
-// readTurn tells for how long a node has found no fresh belief, and when it tried itself.
+// readTurn records since when a node has had no fresh view, and when it last tried to read.
 type readTurn struct{ staleSince, triedAt time.Time }
 
 func (t *readTurn) reset() { *t = readTurn{} }
@@ -61,7 +60,7 @@
 	return now.Sub(f.turn.staleSince) >= wait && (f.turn.triedAt.IsZero() || now.Sub(f.turn.triedAt) >= again)
 }
 
-// readDelay is how long a node of a rank waits for the others, and until it tries again.
+// readDelay returns how long a node of a given rank waits for others, and when it may try again.
 func (f *Follower) readDelay(rank int) (wait, again time.Duration) {
 	slack := time.Duration(earlyReaderShare * float64(f.options.PollInterval))
 	if rank < earlyReaders {
--- a/discovery/view.go
+++ b/discovery/view.go
@@ -9,90 +9,90 @@
 	"github.com/banksail/banksail/mechanism"
 )
 
-// State is what a server says of itself.
+// State is the state that a server reports about itself.
 type State int
 
 const (
-	// Ready servers take new work.
+	// Ready servers accept new work.
 	Ready State = iota
-	// Draining servers must get no new work.
+	// Draining servers must not be sent new work.
 	Draining
 )
 
 // Server is one incarnation of a server.
 type Server struct {
-	// ID names the server; with Born it names the incarnation.
+	// ID identifies the server; together with Born it identifies the incarnation.
 	ID      string
 	Service string
 	Address string
 	Zone    string
-	// Version is that of its software.
+	// Version is the software version that the server runs.
 	Version string
-	// Born is when it started, in milliseconds of Unix time as it tells; zero is unknown.
+	// Born is the start time that the server reports, in milliseconds of Unix time; zero is unknown.
 	Born int64
-	// Slots is the number of requests that it works on at a time.
+	// Slots is the number of requests that the server processes concurrently.
 	Slots int
 	State State
-	// ColdFor is how much longer it is slow from its start.
+	// ColdFor is the remaining time for which the server is slow because it has just started.
 	ColdFor time.Duration
 }
 
-// Node is one live node.
+// Node is a live node of the query tier.
 type Node struct {
 	ID string
-	// Address is where callers reach it, Peer where other nodes do, and Gossip where
-	// it takes datagrams of other nodes.
+	// Address is the endpoint for callers, Peer the one for other nodes, and Gossip the
+	// one for datagrams from other nodes.
 	Address string
 	Peer    string
 	Gossip  string
 	Zone    string
 	Region  string
-	// Capacity is the node's processor capacity, in cores; zero is unknown.
+	// Capacity is the node's CPU capacity in cores; zero is unknown.
 	Capacity float64
-	// Busy nodes have so much to do that others should help.
+	// Busy nodes are overloaded; other nodes should take over part of their work.
 	Busy bool
-	// Unable nodes can't reach enough servers to serve callers; others can.
+	// Unable nodes cannot reach enough servers to serve callers, while other nodes can.
 	Unable bool
-	// Leaving nodes finish what they have and are given to no caller.
+	// Leaving nodes finish their requests in flight and are not advertised to callers.
 	Leaving bool
-	// Suspect nodes do not answer other nodes, which may be wrong for a moment.
+	// Suspect nodes do not answer other nodes; the suspicion may be wrong for a short time.
 	Suspect bool
 }
 
-// entry is an item with the position of the last word on it.
+// entry is a registry entry with the position of its latest update.
 type entry[T any] struct {
 	value    T
 	position Position
-	// retained says that the entry went and is kept all the same, until keptUntil.
+	// retained is set when the entry was removed but is still used until retainedUntil.
 	retained      bool
 	retainedUntil time.Duration
 }
 
-// Options sets up a View. Zero fields get defaults.
+// Options configures a View. Zero fields get defaults.
 type Options struct {
-	// OutageAfter is the time without a word from the registry after which
-	// entries that go are not proof that their owners left: those could not
-	// renew them. Default 1.5 s.
+	// OutageAfter is the time without contact to the registry after which the removal of an
+	// entry no longer proves that its owner has left: the owner may have been unable to renew
+	// it. Default 1.5 s.
 	OutageAfter time.Duration
-	// RemovalGrace is how long after the registry's return such entries of servers
-	// are still used: an owner that lives has written its entry again by then.
-	// Default 2 s.
+	// RemovalGrace is how long after the registry's return removed entries of servers are still
+	// used: a live owner has written its entry again by then. Default 2 s.
 	RemovalGrace time.Duration
-	// NodeRemovalGrace is how long such entries of nodes, which must be registered
-	// anew first, are still used after they went; no bound rests on them. Default 6 s.
+	// NodeRemovalGrace is how long removed entries of nodes are still used after an outage,
+	// counted from their removal. It is longer because nodes must register anew first, and
+	// because no staleness bound depends on it. Default 6 s.
 	NodeRemovalGrace time.Duration
-	// RestoreGrace is how long after the registry's return from a copy what the copy says of
-	// servers counts less than what was known of them: by then the entry of one that had
-	// left has lapsed. Default 5 s.
+	// RestoreGrace is how long after the registry was restored from a backup earlier knowledge
+	// about servers takes precedence over the backup: the entry of a server that had left has
+	// expired by then. Default 5 s.
 	RestoreGrace time.Duration
-	// DirectiveGrace is how long after that directives of the operator are kept that
-	// the copy lacks; who wrote them writes them again. Default 10 s.
+	// DirectiveGrace is how long after a restore the operator's directives that the backup
+	// lacks are retained, so that their author can write them again. Default 10 s.
 	DirectiveGrace time.Duration
-	// Disabled names the mechanisms that are switched off, for diagnosis.
+	// Disabled lists the mechanisms that are switched off, for diagnosis.
 	Disabled mechanism.Disabled
 }
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultOutageAfter  = 1500 * time.Millisecond
 	DefaultRemovalGrace = 2 * time.Second
@@ -102,7 +102,7 @@
 	DefaultDirectiveGrace   = 10 * time.Second
 )
 
-// View is what a node believes. It is not safe for concurrent use.
+// View is a node's view of the registry. It is not safe for concurrent use.
 type View struct {
 	options    Options
 	servers    map[string]*entry[Server]
@@ -112,16 +112,16 @@
 
 	synced   bool
 	syncedAt time.Duration
-	// retainUntil is until when entries that go are kept. It counts from the
-	// registry's return, not from when an entry went: an entry that goes later is
-	// kept for less, so that no entry is used for longer than the time to hear of
-	// the return and RemovalGrace.
+	// retainUntil is the time until which removed entries are retained. It counts from the
+	// registry's return rather than from the removal, so that entries removed later are
+	// retained for less time, and no entry is used for longer than the time to detect the
+	// return plus RemovalGrace.
 	retainUntil time.Duration
-	// firstSyncedAt is when the registry was heard for the first time.
+	// firstSyncedAt is the time of the first sync with the registry.
 	firstSyncedAt time.Duration
 }
 
-// NewView returns a View that knows nothing.
+// NewView returns an empty View.
 func NewView(options Options) *View {
 	options.OutageAfter = cmp.Or(options.OutageAfter, DefaultOutageAfter)
 	options.RemovalGrace = cmp.Or(options.RemovalGrace, DefaultRemovalGrace)
@@ -137,43 +137,44 @@
 	}
 }
 
-// RecordResponse notes that the registry answered at now, which may be after an outage: what
-// went meanwhile is in doubt. What is known is no younger than before.
+// RecordResponse records that the registry answered at now. If that ends an outage, entries
+// removed in the meantime are retained for a grace period. The age of the view is unchanged.
 func (v *View) RecordResponse(now time.Duration) {
 	if v.synced && now-v.syncedAt > v.options.OutageAfter && v.options.Disabled.Enabled(mechanism.OutageRetention) {
 		v.retainUntil = now + v.options.RemovalGrace
 	}
 }
 
-// RecordSync notes that the registry answered at now with all that changed.
+// RecordSync records that the registry answered at now with all changes up to then.
 func (v *View) RecordSync(now time.Duration) {
 	v.RecordResponse(now)
 	v.RecordContinuousSync(now)
 }
 
-// RecordContinuousSync notes the same of a node that heard the registry without a gap: it casts
-// no doubt on what it tells.
+// RecordContinuousSync records a sync by a node that was in contact with the registry without
+// a gap, so that removals are certain and need no grace period.
 func (v *View) RecordContinuousSync(now time.Duration) {
 	if !v.synced {
-		v.firstSyncedAt, v.syncedAt = now, now // before this node's start, if another one heard it
+		v.firstSyncedAt, v.syncedAt = now, now // may precede this node's start if another node synced
 	}
 	v.synced = true
 	v.syncedAt = max(v.syncedAt, now)
 }
 
-// Continuous reports whether the registry was heard without a gap for so long that nothing
-// that went is in doubt: neither after an outage nor after this node's own start, before
-// which it may have been away.
+// Continuous reports whether contact with the registry has lasted without a gap for long
+// enough that removals are certain: neither an outage nor the start of this node, before
+// which the registry may have been unavailable, is within the grace period.
 func (v *View) Continuous(now time.Duration) bool {
 	return v.synced && now >= v.retainUntil && now-v.syncedAt <= v.options.OutageAfter && now-v.firstSyncedAt >= v.options.RemovalGrace
 }
 
-// Age is the time since the registry was last heard; ok is false when it never was.
+// Age returns the time since the last sync with the registry; ok is false if there was none.
 func (v *View) Age(now time.Duration) (age time.Duration, ok bool) {
 	return now - v.syncedAt, v.synced
 }
 
-// PutServer takes a server's entry, as heard at now; an older position changes nothing.
+// PutServer stores the entry of a server, received at now. Entries with an older position
+// than the known one are ignored.
 func (v *View) PutServer(now time.Duration, server Server, position Position) {
 	known := v.servers[server.ID]
 	if known != nil && position.Before(known.position) {
@@ -194,9 +195,9 @@
 	put(v.servers, server.ID, server, position)
 }
 
-// PutNode takes a node's entry; an older position changes nothing. A node that was
-// registered later at the same address took the earlier one's place: two live
-// processes can't listen at one address, and an entry outlasts its process.
+// PutNode stores the entry of a node; entries with an older position than the known one are
+// ignored. A node replaces any node that registered earlier at the same address: two live
+// processes cannot listen on one address, and an entry outlives its process.
 func (v *View) PutNode(node Node, position Position) {
 	for id, known := range v.nodes {
 		if id == node.ID || node.Address == "" || known.value.Address != node.Address {
@@ -217,7 +218,7 @@
 	entries[id] = &entry[T]{value: value, position: position}
 }
 
-// RemoveServer notes that a server's entry went.
+// RemoveServer records that the entry of a server was removed.
 func (v *View) RemoveServer(now time.Duration, id string, position Position) {
 	delete(v.restored.servers, id)
 	known := v.servers[id]
@@ -227,12 +228,12 @@
 	}
 }
 
-// RemoveNode notes that a node's entry went.
+// RemoveNode records that the entry of a node was removed.
 func (v *View) RemoveNode(now time.Duration, id string, position Position) {
 	remove(v, v.nodes, now, now+v.options.NodeRemovalGrace, id, position)
 }
 
-// remove drops an entry, or keeps it for a while as missing.
+// remove deletes an entry, or marks it as retained during the grace period.
 func remove[T any](v *View, entries map[string]*entry[T], now, keptUntil time.Duration, id string, position Position) {
 	known := entries[id]
 	if known == nil || position.Before(known.position) || known.retained {
@@ -245,8 +246,8 @@
 	known.retained, known.retainedUntil = true, keptUntil
 }
 
-// RetainServers notes a whole listing as of a position: servers that it does
-// not hold have gone, unless they came later.
+// RetainServers applies a complete listing as of a position: servers that are not listed are
+// removed, unless they were added later.
 func (v *View) RetainServers(now time.Duration, listed map[string]struct{}, position Position) {
 	retain(v.servers, listed, func(id string) { v.RemoveServer(now, id, position) })
 	retain(v.restored.servers, listed, func(id string) { delete(v.restored.servers, id) })
@@ -265,7 +266,8 @@
 	}
 }
 
-// Expire drops the missing entries whose time is over, and ends what a copy leaves in doubt.
+// Expire deletes retained entries whose grace period is over and applies the entries of a
+// backup that were deferred.
 func (v *View) Expire(now time.Duration) {
 	for id, e := range v.servers {
 		if e.retained && e.retainedUntil <= now {
@@ -282,7 +284,7 @@
 	v.applyDeferred(now)
 }
 
-// NextExpiry is when Expire is to be called next; ok is false when nothing is awaited.
+// NextExpiry returns when Expire must be called next; ok is false if nothing is pending.
 func (v *View) NextExpiry() (at time.Duration, ok bool) {
 	at = min(nextExpiry(v.servers), nextExpiry(v.nodes), v.directives.nextExpiry())
 	if len(v.restored.servers) > 0 {
@@ -301,21 +303,20 @@
 	return next
 }
 
-// Servers lists the servers that are believed to be there, by ID, with those that
-// are missing and kept.
+// Servers returns the known servers, sorted by ID, including retained ones.
 func (v *View) Servers() []Server { return list(v.servers, true, Server.key) }
 
-// Nodes lists the nodes in the same way.
+// Nodes returns the known nodes, sorted by ID, including retained ones.
 func (v *View) Nodes() []Node { return list(v.nodes, true, Node.key) }
 
-// RegisteredServers lists the servers without those that are missing, by ID. It is
-// what others may be told: each node keeps what it misses by its own doubt.
+// RegisteredServers returns the servers sorted by ID, without retained ones. Only these are
+// published to other nodes: each node decides by itself which entries it retains.
 func (v *View) RegisteredServers() []Server { return list(v.servers, false, Server.key) }
 
-// RegisteredNodes lists the nodes in the same way.
+// RegisteredNodes returns the nodes sorted by ID, without retained ones.
 func (v *View) RegisteredNodes() []Node { return list(v.nodes, false, Node.key) }
 
-// SyncedAt is when the registry was heard last; ok is false when it never was.
+// SyncedAt returns the time of the last sync with the registry; ok is false if there was none.
 func (v *View) SyncedAt() (at time.Duration, ok bool) { return v.syncedAt, v.synced }
 
 func list[T any](entries map[string]*entry[T], missing bool, key func(T) string) []T {
--- a/discovery/view_test.go
+++ b/discovery/view_test.go
@@ -7,13 +7,13 @@
 	"github.com/banksail/banksail/discovery"
 )
 
-// revisionPosition is a position of a registry that tells no epoch.
+// revisionPosition returns a position of a registry that reports no epoch.
 func revisionPosition(revision discovery.Revision) discovery.Position {
 	return discovery.Position{Revision: revision}
 }
 
-// Of several incarnations at one address only the latest counts, in whatever order
-// they are heard of.
+// Of several incarnations at one address only the latest is kept, in whatever order their entries
+// arrive.
 func TestLatestIncarnationAtAddressWins(t *testing.T) {
 	old := discovery.Node{ID: "a.1", Address: "10.0.0.1:80"}
 	restarted := discovery.Node{ID: "a.2", Address: "10.0.0.1:80"}
