--- a/routing/quarantine.go
+++ b/routing/quarantine.go
@@ -10,9 +10,9 @@
 	"github.com/banksail/banksail/quarantine"
 )
 
-// contentOf returns the fingerprint of a request's content; ok is false if the request is excluded
+// fingerprintOf returns the fingerprint of a request's content; ok is false if the request is excluded
 // from crash tracking.
-func (r *Router) contentOf(spec *Request) (content quarantine.Fingerprint, ok bool) {
+func (r *Router) fingerprintOf(spec *Request) (content quarantine.Fingerprint, ok bool) {
 	if spec.Content == nil || !r.enabled(mechanism.Quarantine) {
 		return content, false
 	}
@@ -21,28 +21,28 @@
 	return content, true
 }
 
-// standingOf returns whether a new request may be sent, and how long a review of its content still
+// quarantineStatus returns whether a new request may be sent, and how long a review of its content still
 // lasts.
-func (r *Router) standingOf(spec *Request) (standing quarantine.Status, left time.Duration) {
-	if r.ledger.IsEmpty() {
+func (r *Router) quarantineStatus(spec *Request) (status quarantine.Status, left time.Duration) {
+	if r.tracker.IsEmpty() {
 		return quarantine.Clear, 0
 	}
-	if r.ledgerDueAt > 0 && r.now >= r.ledgerDueAt {
-		r.tickLedger(r.ledgerDueAt)
+	if r.trackerDueAt > 0 && r.now >= r.trackerDueAt {
+		r.tickTracker(r.trackerDueAt)
 	}
-	content, ok := r.contentOf(spec)
+	content, ok := r.fingerprintOf(spec)
 	if !ok {
 		return quarantine.Clear, 0
 	}
-	return r.ledger.Status(r.now, content)
+	return r.tracker.Status(r.now, content)
 }
 
 // rejectSuspect rejects a request that crashes servers. If its content is quarantined, the
 // rejection is final, with no retry time, because the request has been executed before. If it is
 // under review, the caller may retry at the end of the review.
-func (r *Router) rejectSuspect(spec Request, standing quarantine.Status, left time.Duration) {
+func (r *Router) rejectSuspect(spec Request, status quarantine.Status, left time.Duration) {
 	outcome := Outcome{Execution: gather.ExecutionNotRun, Reason: gather.ReasonCrashesServers, RetryAfter: left}
-	if standing == quarantine.Quarantined {
+	if status == quarantine.Quarantined {
 		outcome = Outcome{Execution: gather.ExecutionUnknown, Reason: gather.ReasonCrashesServers}
 		r.emit(QuarantinedRequestRejected{Content: spec.Content()})
 	}
@@ -52,13 +52,13 @@
 // recordCrash records that a server crashed during an attempt. The request is given up if its
 // content is then under review.
 func (r *Router) recordCrash(a *attempt, q *request) {
-	content, ok := r.contentOf(&q.asked)
+	content, ok := r.fingerprintOf(&q.asked)
 	if !ok {
 		return
 	}
 	end := quarantine.Crash{ServerIncarnation: quarantine.IncarnationOf(a.server.Incarnation().String()), Alone: a.Alone}
-	r.publish(r.ledger.ServerCrashed(r.now, content, end))
-	if r.ledger.IsProven(content) {
+	r.publish(r.tracker.ServerCrashed(r.now, content, end))
+	if r.tracker.IsProven(content) {
 		q.query.Abort(r.now, gather.ReasonCrashesServers)
 	}
 }
@@ -69,14 +69,14 @@
 	if !q.query.IsCrashSuspect() {
 		return
 	}
-	content, ok := r.contentOf(&q.asked)
+	content, ok := r.fingerprintOf(&q.asked)
 	if !ok {
 		return
 	}
 	if q.query.CrashedAllServers() {
-		r.publish(r.ledger.CrashedAllServers(r.now, content))
+		r.publish(r.tracker.CrashedAllServers(r.now, content))
 	} else {
-		r.publish(r.ledger.AwaitFanOut(r.now, content))
+		r.publish(r.tracker.AwaitFanOut(r.now, content))
 	}
 }
 
@@ -102,36 +102,36 @@
 
 // recordSurvival records that a server executed a request and survived.
 func (r *Router) recordSurvival(q *request, status gather.ReplyStatus) {
-	if r.ledger.IsEmpty() || status != gather.ReplyDone && status != gather.ReplyError {
+	if r.tracker.IsEmpty() || status != gather.ReplyDone && status != gather.ReplyError {
 		return
 	}
-	if content, ok := r.contentOf(&q.asked); ok {
-		r.publish(r.ledger.Answered(content))
+	if content, ok := r.fingerprintOf(&q.asked); ok {
+		r.publish(r.tracker.Answered(content))
 	}
 }
 
 // handleFinding applies a finding of another node.
 func (r *Router) handleFinding(finding quarantine.Finding) {
 	if r.enabled(mechanism.Quarantine) {
-		r.publish(r.ledger.MergeFinding(r.now, finding))
+		r.publish(r.tracker.MergeFinding(r.now, finding))
 		if finding.Wide {
-			r.applyStanding(finding.Content)
+			r.applyQuarantineStatus(finding.Content)
 		}
 	}
 }
 
-// applyStanding applies a changed status of a content to the in-flight requests with that content.
-func (r *Router) applyStanding(content quarantine.Fingerprint) {
-	standing, _ := r.ledger.Status(r.now, content)
-	if standing == quarantine.Clear {
+// applyQuarantineStatus applies a changed status of a content to the in-flight requests with that content.
+func (r *Router) applyQuarantineStatus(content quarantine.Fingerprint) {
+	status, _ := r.tracker.Status(r.now, content)
+	if status == quarantine.Clear {
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.requests)) {
 		q := r.requests[id]
-		if own, ok := r.contentOf(&q.asked); !ok || own != content {
+		if own, ok := r.fingerprintOf(&q.asked); !ok || own != content {
 			continue
 		}
-		if standing == quarantine.Quarantined {
+		if status == quarantine.Quarantined {
 			q.query.Abort(r.now, gather.ReasonCrashesServers)
 		} else {
 			q.query.MarkCrashSuspect()
@@ -143,8 +143,8 @@
 // registry.
 func (r *Router) updateQuarantines(contents []quarantine.Fingerprint) {
 	if r.enabled(mechanism.Quarantine) {
-		r.ledger.SetRecordedQuarantines(r.now, contents)
-		r.scheduleLedger()
+		r.tracker.SetRecordedQuarantines(r.now, contents)
+		r.scheduleTracker()
 	}
 }
 
@@ -153,32 +153,32 @@
 	if audience != quarantine.AudienceNone {
 		r.emit(PublishFinding{Finding: finding, Audience: audience})
 	}
-	r.scheduleLedger()
+	r.scheduleTracker()
 }
 
-// scheduleLedger sets a timer for the time at which the tracker must be called next.
-func (r *Router) scheduleLedger() {
-	at, ok := r.ledger.NextTick()
-	if ok && (r.ledgerDueAt == 0 || at < r.ledgerDueAt) {
-		r.ledgerDueAt = at
-		r.timers.Push(timer{at: at, ledger: true})
+// scheduleTracker sets a timer for the time at which the tracker must be called next.
+func (r *Router) scheduleTracker() {
+	at, ok := r.tracker.NextTick()
+	if ok && (r.trackerDueAt == 0 || at < r.trackerDueAt) {
+		r.trackerDueAt = at
+		r.timers.Push(timer{at: at, tracker: true})
 	}
 }
 
-// tickLedger quarantines contents whose review has ended.
-func (r *Router) tickLedger(due time.Duration) {
-	if due == r.ledgerDueAt {
-		r.ledgerDueAt = 0
+// tickTracker quarantines contents whose review has ended.
+func (r *Router) tickTracker(due time.Duration) {
+	if due == r.trackerDueAt {
+		r.trackerDueAt = 0
 	}
-	for _, finding := range r.ledger.Tick(r.now) {
+	for _, finding := range r.tracker.Tick(r.now) {
 		r.emit(RecordQuarantine{Content: finding.Content})
 		r.emit(PublishFinding{Finding: finding, Audience: quarantine.AudienceAll})
 	}
-	r.scheduleLedger()
+	r.scheduleTracker()
 }
 
-// QuarantineCounts returns the number of quarantined contents and the number of suspected ones,
-// including those.
+// QuarantineCounts returns the number of quarantined contents and the number of contents with
+// evidence against them.
 func (r *Router) QuarantineCounts() (quarantines, suspects int) {
-	return r.ledger.QuarantineCount(), r.ledger.SuspectCount()
+	return r.tracker.QuarantineCount(), r.tracker.SuspectCount()
 }
--- a/routing/rollouts.go
+++ b/routing/rollouts.go
@@ -67,7 +67,7 @@
 	}
 	s.canary.SetVersions(versions)
 	for _, srv := range s.servers {
-		srv.standing = s.canary.TrafficMode(r.now, srv.Version)
+		srv.trafficMode = s.canary.TrafficMode(r.now, srv.Version)
 	}
 }
 
@@ -99,7 +99,7 @@
 // isCanaryCandidate reports whether an answer of the server would be evidence on its version: it
 // must be limited, reachable and warm, with free capacity.
 func (r *Router) isCanaryCandidate(s *service, srv *server, capacity int) bool {
-	reachable := srv.standing == rollout.Limited && srv.acceptsWork() && !srv.unreachable && !srv.zone.cutOff
+	reachable := srv.trafficMode == rollout.Limited && srv.acceptsWork() && !srv.unreachable && !srv.zone.cutOff
 	hasCapacity := srv.InFlight() < capacity && srv.Utilization(r.now, srv.Slots) < 1 && srv.ShedUntil() <= r.now
 	return reachable && hasCapacity && !srv.Cold(r.now) && r.coldLimitAllows(s, srv)
 }
@@ -118,7 +118,7 @@
 		srv.canarySends++
 		s.canary.CountTargetSend()
 	}
-	return srv.standing == rollout.Limited
+	return srv.trafficMode == rollout.Limited
 }
 
 // recordEvidence counts an answer or failure as evidence on the server's version.
@@ -211,7 +211,7 @@
 	count := 0
 	for _, a := range r.attempts {
 		counted := a.IsPending() || !r.requestOf(a).asked.Route.Repeatable
-		if a.Segment.Group == gather.Group(s) && a.server.standing == rollout.Blocked && counted {
+		if a.Segment.Group == gather.Group(s) && a.server.trafficMode == rollout.Blocked && counted {
 			count++
 		}
 	}
--- a/routing/router.go
+++ b/routing/router.go
@@ -49,10 +49,10 @@
 	// starts estimates the slowness of servers that have just started.
 	starts serverstate.ColdStarts
 
-	// ledger tracks requests that crash servers. ledgerDueAt is when it must be called next; zero
+	// tracker tracks requests that crash servers. trackerDueAt is when it must be called next; zero
 	// means never.
-	ledger      *quarantine.Tracker
-	ledgerDueAt time.Duration
+	tracker      *quarantine.Tracker
+	trackerDueAt time.Duration
 
 	requests    map[RequestID]*request
 	attempts    map[gather.AttemptID]*attempt
@@ -83,7 +83,7 @@
 		servers:    make(map[string]*server),
 		routeStats: make(map[string]*routeStats),
 		zones:      make(map[string]*zone),
-		ledger:     quarantine.NewTracker(),
+		tracker:    quarantine.NewTracker(),
 		requests:   make(map[RequestID]*request),
 		attempts:   make(map[gather.AttemptID]*attempt),
 		inDoubt:    make(map[gather.AttemptID]*attempt),
@@ -155,13 +155,13 @@
 
 // handleArrival starts or rejects a new request.
 func (r *Router) handleArrival(spec Request) {
-	standing, left := r.standingOf(&spec)
-	if standing >= quarantine.UnderReview {
-		r.rejectSuspect(spec, standing, left)
+	status, left := r.quarantineStatus(&spec)
+	if status >= quarantine.UnderReview {
+		r.rejectSuspect(spec, status, left)
 		return
 	}
 	q := r.newRequest(spec)
-	q.suspected = standing == quarantine.Suspected
+	q.suspected = status == quarantine.Suspected
 	if reason := r.rejectionReason(q); reason != "" {
 		r.reject(q, reason)
 		return
--- a/routing/server.go
+++ b/routing/server.go
@@ -31,9 +31,9 @@
 	zone *zone
 	// coldSends counts the sends to the server while it was cold.
 	coldSends extrabudget.Counter
-	// standing is the traffic that the server's version may receive. canarySends counts sends to
+	// trafficMode is the traffic that the server's version may receive. canarySends counts sends to
 	// it while its version was the target of a roll-out.
-	standing    rollout.TrafficMode
+	trafficMode rollout.TrafficMode
 	canarySends int
 }
 
@@ -56,4 +56,4 @@
 func (s *server) isUsable() bool { return s.isEligible() && !s.unreachable && !s.zone.cutOff }
 
 // isEligible reports whether a node that can reach the server may send new work to it.
-func (s *server) isEligible() bool { return s.acceptsWork() && s.standing == rollout.Unrestricted }
+func (s *server) isEligible() bool { return s.acceptsWork() && s.trafficMode == rollout.Unrestricted }
--- a/routing/timers.go
+++ b/routing/timers.go
@@ -3,19 +3,19 @@
 import "time"
 
 // timer is a pending deadline of exactly one of: a request, the queue of a service, the silence
-// check of a zone, or the crash ledger.
+// check of a zone, or the crash tracker.
 type timer struct {
 	at      time.Duration
 	request *request
 	service *service
 	zone    *zone
-	ledger  bool
+	tracker bool
 }
 
 // isCurrent reports whether the timer has not been superseded.
 func (t timer) isCurrent() bool {
 	switch {
-	case t.ledger:
+	case t.tracker:
 		return true
 	case t.service != nil:
 		return t.at == t.service.dispatchAt
@@ -42,8 +42,8 @@
 			continue
 		}
 		switch {
-		case due.ledger:
-			r.tickLedger(due.at)
+		case due.tracker:
+			r.tickTracker(due.at)
 		case due.service != nil:
 			due.service.dispatchAt = 0
 			r.dispatchQueued(due.service)
