--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,14 +1,15 @@
-// Package admission decides, for a whole query at once, whether it runs now,
-// waits in a queue, or is refused with the time after which to come back.
+// Package admission decides whether a query runs immediately, waits in a queue,
+// or is refused with a retry-after time.
 //
-// A Queue holds the queries that wait. QueueOrder ranks them: strictly by class,
-// by arrival, or by arrival less a boost. A query is refused at once when the
-// queue is full, or when the queue drains too slowly for the query to start
-// within its class's bound or early enough before its deadline; so no query waits in vain.
+// A Queue holds the waiting queries. A QueueOrder ranks them: strictly by class,
+// by arrival, or by arrival minus a boost. A query is refused immediately if the
+// queue is full, or if the queue drains too slowly for the query to start within
+// the maximum wait of its class or early enough before its deadline. This way no
+// query waits only to fail.
 //
-// Whether there is room to run is the owner's knowledge; it is asked by rank,
-// since headroom leaves more urgent classes more room.
+// The owner knows whether there is capacity to run. It is asked per class rank,
+// because headroom leaves more capacity to more urgent classes.
 //
-// The package has no I/O, clock or goroutine; the caller passes the time. Its
-// types are not safe for concurrent use.
+// The package does no I/O, starts no goroutines and reads no clock; the caller
+// passes the current time. Its types are not safe for concurrent use.
 package admission
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// drainEstimator estimates how fast a queue that is never empty gets shorter.
+// drainEstimator estimates the rate at which queries are dequeued while the queue is
+// not empty.
 type drainEstimator struct {
-	meanInterval time.Duration // mean time between queries that leave to run
-	lastDequeue  time.Duration // when the last one left
-	nonEmpty     bool          // queries have waited since then
+	meanInterval time.Duration // moving average of the time between dequeues
+	lastDequeue  time.Duration // time of the last dequeue
+	nonEmpty     bool          // whether queries were left in the queue at that time
 }
 
 const (
-	// intervalWeight is the weight of a new interval in the mean.
+	// intervalWeight is the weight of a new interval in the moving average.
 	intervalWeight = 0.1
-	// stallFactor is how many times the mean interval must pass without a query
-	// leaving before the estimate grows with it.
+	// stallFactor is the number of mean intervals that must pass without a dequeue
+	// before the estimate grows with the elapsed time.
 	stallFactor = 4
 )
 
-// recordDequeue notes that a query left to run; more tells whether others still wait.
-func (d *drainEstimator) recordDequeue(now time.Duration, more bool) {
+// recordDequeue records that a query was dequeued to run; othersWait says whether the
+// queue still holds other queries.
+func (d *drainEstimator) recordDequeue(now time.Duration, othersWait bool) {
 	if d.nonEmpty {
 		interval := now - d.lastDequeue
 		if d.meanInterval == 0 {
@@ -27,15 +29,15 @@
 		d.meanInterval += time.Duration(float64(interval-d.meanInterval) * intervalWeight)
 	}
 	d.lastDequeue = now
-	d.nonEmpty = more
+	d.nonEmpty = othersWait
 }
 
-// estimateWait estimates when the query at the given place, from 1, will leave. It is
-// zero while nothing is known.
-func (d *drainEstimator) estimateWait(now time.Duration, place int) time.Duration {
+// estimateWait estimates how long the query at the given position, counted from 1, will
+// wait. It is zero until there is an estimate of the rate.
+func (d *drainEstimator) estimateWait(now time.Duration, position int) time.Duration {
 	interval := d.meanInterval
 	if d.nonEmpty {
 		interval = max(interval, (now-d.lastDequeue)/stallFactor)
 	}
-	return time.Duration(place) * interval
+	return time.Duration(position) * interval
 }
--- a/admission/heaps.go
+++ b/admission/heaps.go
@@ -2,28 +2,28 @@
 
 import "github.com/banksail/banksail/internal/priority"
 
-// before reports whether w is served before other.
-func (w *queued) before(other *queued) bool {
-	if w.key != other.key {
-		return w.key.Less(other.key)
+// before reports whether e is dequeued before other.
+func (e *queued) before(other *queued) bool {
+	if e.key != other.key {
+		return e.key.Less(other.key)
 	}
-	return w.sequence < other.sequence
+	return e.sequence < other.sequence
 }
 
-// expiresBefore reports whether w expires before other.
-func (w *queued) expiresBefore(other *queued) bool {
-	if w.latestStart != other.latestStart {
-		return w.latestStart < other.latestStart
+// expiresBefore reports whether e expires before other.
+func (e *queued) expiresBefore(other *queued) bool {
+	if e.latestStart != other.latestStart {
+		return e.latestStart < other.latestStart
 	}
-	return w.sequence < other.sequence
+	return e.sequence < other.sequence
 }
 
-// newClassQueue returns a queue of one class's queries, the next to serve first.
+// newClassQueue returns a priority queue for the queries of one class, ordered by before.
 func newClassQueue() *priority.Queue[*queued] {
-	return priority.NewQueue((*queued).before, func(w *queued, place int) { w.classIndex = place })
+	return priority.NewQueue((*queued).before, func(e *queued, index int) { e.classIndex = index })
 }
 
-// newExpiryQueue returns a queue of all queries, the first to expire first.
+// newExpiryQueue returns a priority queue for all queries, ordered by expiry.
 func newExpiryQueue() *priority.Queue[*queued] {
-	return priority.NewQueue((*queued).expiresBefore, func(w *queued, place int) { w.expiryIndex = place })
+	return priority.NewQueue((*queued).expiresBefore, func(e *queued, index int) { e.expiryIndex = index })
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -9,13 +9,13 @@
 	"github.com/banksail/banksail/internal/priority"
 )
 
-// Options sets up a Queue. The zero value of a field stands for its default.
+// Options configures a Queue. Zero fields take their defaults.
 type Options struct {
-	// Order ranks the queries that wait; default StrictClass.
+	// Order ranks the waiting queries; default StrictClass.
 	Order QueueOrder
-	// MaximumQueued bounds the queries that wait, per class; default 1,000.
+	// MaximumQueued bounds the waiting queries per class; default 1,000.
 	MaximumQueued int
-	// MinRetryAfter and MaxRetryAfter bound what refused callers are told;
+	// MinRetryAfter and MaxRetryAfter bound the retry-after time of refusals;
 	// default 50 ms and 30 s.
 	MinRetryAfter time.Duration
 	MaxRetryAfter time.Duration
@@ -32,28 +32,29 @@
 type Verdict int
 
 const (
-	// Run means that the query runs now.
+	// Run means that the query may run immediately.
 	Run Verdict = iota + 1
-	// Queued means that it waits.
+	// Queued means that the query waits in the queue.
 	Queued
-	// RefusedFull means that too many of its class wait already.
+	// RefusedFull means that too many queries of its class are waiting already.
 	RefusedFull
-	// RefusedWait means that it would not start within its class's bound.
+	// RefusedWait means that the query would not start within its LongestWait.
 	RefusedWait
-	// RefusedDeadline means that it would not start early enough for its deadline.
+	// RefusedDeadline means that the query would not start early enough to meet its
+	// deadline.
 	RefusedDeadline
 )
 
-// Decision is a verdict; RetryAfter is set on every refusal.
+// Decision is a verdict and, for refusals, the time after which to retry.
 type Decision struct {
 	Verdict    Verdict
 	RetryAfter time.Duration
 }
 
-// CapacityFunc reports whether a query of the given rank may run now.
+// CapacityFunc reports whether there is capacity to run a query of the given rank now.
 type CapacityFunc func(rank int) bool
 
-// Queue holds the queries that wait.
+// Queue holds the waiting queries.
 type Queue struct {
 	options      Options
 	classes      []*priority.Queue[*queued] // by rank
@@ -63,13 +64,13 @@
 	drain        drainEstimator
 }
 
-// waiting is a query in the queue.
+// queued is a query in the queue.
 type queued struct {
 	item        Item
 	key         Key
 	sequence    uint64
 	latestStart time.Duration
-	// Places in the queues of its class and of expiry.
+	// Indexes in the priority queues by class and by expiry.
 	classIndex  int
 	expiryIndex int
 }
@@ -91,11 +92,11 @@
 	return &Queue{options: options, expiry: newExpiryQueue(), queued: make(map[uint64]*queued)}
 }
 
-// Offer decides on a query. When the verdict is Queued, the query leaves the
-// queue by Next, Remove, Expire or Drain.
-func (q *Queue) Offer(now time.Duration, item Item, room CapacityFunc) Decision {
+// Offer decides whether a query runs, waits or is refused. If the verdict is Queued,
+// the query stays in the queue until Dequeue, Remove, Expire or Drain removes it.
+func (q *Queue) Offer(now time.Duration, item Item, hasCapacity CapacityFunc) Decision {
 	key := q.options.Order.Key(item)
-	if room(item.Rank) && !q.hasRunnableBefore(key, room) {
+	if hasCapacity(item.Rank) && !q.hasRunnableBefore(key, hasCapacity) {
 		return Decision{Verdict: Run}
 	}
 	expected := q.drain.estimateWait(now, q.countAhead(item, key)+1)
@@ -111,7 +112,8 @@
 	return Decision{Verdict: Queued}
 }
 
-// Requeue puts back a query that was queued before, without a new decision.
+// Requeue puts a query that was queued before back into the queue, without a new
+// decision.
 func (q *Queue) Requeue(item Item) {
 	q.push(item, q.options.Order.Key(item))
 }
@@ -121,25 +123,26 @@
 	return Decision{Verdict: verdict, RetryAfter: after}
 }
 
-// hasRunnableBefore reports whether a query that waits could run and goes before key.
-func (q *Queue) hasRunnableBefore(key Key, room CapacityFunc) bool {
+// hasRunnableBefore reports whether a waiting query that does not sort after key could run
+// now.
+func (q *Queue) hasRunnableBefore(key Key, hasCapacity CapacityFunc) bool {
 	for rank := range q.classes {
 		class := q.classes[rank]
-		if class.Len() > 0 && !key.Less(class.First().key) && room(rank) {
+		if class.Len() > 0 && !key.Less(class.First().key) && hasCapacity(rank) {
 			return true
 		}
 	}
 	return false
 }
 
-// countAhead estimates how many queries go before the given one: all of each class
-// of which a query that came now would not go after it.
+// countAhead estimates how many queries are ahead of item: all queries of each class
+// in which an otherwise equal query would not sort after item.
 func (q *Queue) countAhead(item Item, key Key) int {
 	count := 0
 	for rank := range q.classes {
-		peer := item
-		peer.Rank = rank
-		if !key.Less(q.options.Order.Key(peer)) {
+		sameItem := item
+		sameItem.Rank = rank
+		if !key.Less(q.options.Order.Key(sameItem)) {
 			count += q.classes[rank].Len()
 		}
 	}
@@ -158,18 +161,19 @@
 		q.classes = append(q.classes, newClassQueue())
 	}
 	q.lastSequence++
-	w := &queued{item: item, key: key, sequence: q.lastSequence, latestStart: item.latestStart()}
-	q.queued[item.ID] = w
-	q.classes[item.Rank].Push(w)
-	q.expiry.Push(w)
+	e := &queued{item: item, key: key, sequence: q.lastSequence, latestStart: item.latestStart()}
+	q.queued[item.ID] = e
+	q.classes[item.Rank].Push(e)
+	q.expiry.Push(e)
 }
 
-// Dequeue takes out the first query that has room; ok is false when none has.
-func (q *Queue) Dequeue(now time.Duration, room CapacityFunc) (item Item, ok bool) {
+// Dequeue removes and returns the first query that there is capacity for; ok is false
+// if there is none.
+func (q *Queue) Dequeue(now time.Duration, hasCapacity CapacityFunc) (item Item, ok bool) {
 	var first *queued
 	for rank := range q.classes {
 		class := q.classes[rank]
-		if class.Len() == 0 || first != nil && !class.First().before(first) || !room(rank) {
+		if class.Len() == 0 || first != nil && !class.First().before(first) || !hasCapacity(rank) {
 			continue
 		}
 		first = class.First()
@@ -182,36 +186,36 @@
 	return first.item, true
 }
 
-// Remove takes out a query, whose caller has gone for example. It reports
+// Remove deletes a query from the queue, for example because its caller has disconnected. It reports
 // whether the query was queued.
 func (q *Queue) Remove(id uint64) bool {
-	w := q.queued[id]
-	if w == nil {
+	e := q.queued[id]
+	if e == nil {
 		return false
 	}
-	q.remove(w)
+	q.remove(e)
 	return true
 }
 
-func (q *Queue) remove(w *queued) {
-	delete(q.queued, w.item.ID)
-	q.classes[w.item.Rank].Remove(w.classIndex)
-	q.expiry.Remove(w.expiryIndex)
+func (q *Queue) remove(e *queued) {
+	delete(q.queued, e.item.ID)
+	q.classes[e.item.Rank].Remove(e.classIndex)
+	q.expiry.Remove(e.expiryIndex)
 }
 
-// Expire takes out the queries that can no longer start in time.
+// Expire removes and returns the queries that can no longer start in time.
 func (q *Queue) Expire(now time.Duration) []Item {
 	var expired []Item
 	for q.expiry.Len() > 0 && q.expiry.First().latestStart <= now {
-		w := q.expiry.First()
-		q.remove(w)
-		expired = append(expired, w.item)
+		e := q.expiry.First()
+		q.remove(e)
+		expired = append(expired, e.item)
 	}
 	return expired
 }
 
-// NextExpiry is the time at which Expire has something to do; ok is false when
-// nothing waits.
+// NextExpiry returns the time at which the next query expires; ok is false if the queue
+// is empty.
 func (q *Queue) NextExpiry() (at time.Duration, ok bool) {
 	if q.expiry.Len() == 0 {
 		return 0, false
@@ -219,13 +223,13 @@
 	return q.expiry.First().latestStart, true
 }
 
-// Drain takes out all queries, in the order in which they came.
+// Drain removes and returns all queries in the order in which they were queued.
 func (q *Queue) Drain() []Item {
 	entries := slices.Collect(maps.Values(q.queued))
 	slices.SortFunc(entries, func(a, b *queued) int { return cmp.Compare(a.sequence, b.sequence) })
 	items := make([]Item, 0, len(entries))
-	for _, w := range entries {
-		items = append(items, w.item)
+	for _, e := range entries {
+		items = append(items, e.item)
 	}
 	q.classes = nil
 	q.expiry = newExpiryQueue()
@@ -233,11 +237,11 @@
 	return items
 }
 
-// Len is the number of queries that wait.
+// Len returns the number of waiting queries.
 func (q *Queue) Len() int { return len(q.queued) }
 
-// ExpectedWait estimates how long the last of the queue will wait; use it as
-// the time after which to come back.
+// ExpectedWait estimates how long the last query in the queue will wait. It serves as a
+// retry-after time.
 func (q *Queue) ExpectedWait(now time.Duration) time.Duration {
 	return max(q.drain.estimateWait(now, len(q.queued)), q.options.MinRetryAfter)
 }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -21,11 +21,11 @@
 	return admission.Item{ID: id, Rank: rank, Arrived: arrived, LongestWait: minute, Deadline: arrived + minute}
 }
 
-// dequeueAll returns the IDs in the order in which the queue serves them.
-func dequeueAll(q *admission.Queue, now time.Duration, room admission.CapacityFunc) []uint64 {
+// dequeueAll dequeues all queries that have capacity and returns their IDs in that order.
+func dequeueAll(q *admission.Queue, now time.Duration, hasCapacity admission.CapacityFunc) []uint64 {
 	var ids []uint64
 	for {
-		next, ok := q.Dequeue(now, room)
+		next, ok := q.Dequeue(now, hasCapacity)
 		if !ok {
 			return ids
 		}
@@ -56,11 +56,11 @@
 			q := admission.NewQueue(admission.Options{Order: test.order})
 			for _, i := range test.items {
 				if d := q.Offer(i.Arrived, i, noCapacity); d.Verdict != admission.Queued {
-					t.Fatalf("%d: %+v", i.ID, d)
+					t.Fatalf("query %d: decision %+v, want Queued", i.ID, d)
 				}
 			}
 			if got := dequeueAll(q, minute, allCapacity); !slices.Equal(got, test.want) {
-				t.Fatalf("served %v, want %v", got, test.want)
+				t.Fatalf("dequeued %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -69,14 +69,14 @@
 func TestOfferRunsWithCapacityAndNothingAhead(t *testing.T) {
 	q := admission.NewQueue(admission.Options{})
 	if d := q.Offer(0, item(1, 1, 0), allCapacity); d.Verdict != admission.Run {
-		t.Fatalf("got %+v", d)
+		t.Fatalf("decision %+v, want Run", d)
 	}
 	q.Offer(0, item(2, 1, 0), noCapacity)
 	if d := q.Offer(1, item(3, 1, 1), allCapacity); d.Verdict != admission.Queued {
-		t.Fatalf("overtook one of its class: %+v", d)
+		t.Fatalf("decision %+v, want Queued behind a query of the same class", d)
 	}
 	if d := q.Offer(1, item(4, 0, 1), allCapacity); d.Verdict != admission.Run {
-		t.Fatalf("waits behind a less urgent class: %+v", d)
+		t.Fatalf("decision %+v, want Run before a less urgent class", d)
 	}
 }
 
@@ -86,7 +86,7 @@
 	q.Offer(1, item(2, 0, 1), noCapacity)
 	urgentOnly := func(rank int) bool { return rank == 0 }
 	if got := dequeueAll(q, 2, urgentOnly); !slices.Equal(got, []uint64{2}) {
-		t.Fatalf("served %v", got)
+		t.Fatalf("dequeued %v, want [2]", got)
 	}
 }
 
@@ -102,8 +102,8 @@
 		return q
 	}
 	patient := item(1, 0, time.Second)
-	hasty := patient
-	hasty.LongestWait = 500 * time.Millisecond
+	impatient := patient
+	impatient.LongestWait = 500 * time.Millisecond
 	late := patient
 	late.Deadline = patient.Arrived + 1500*time.Millisecond
 	late.ExpectedRunTime = time.Second
@@ -116,7 +116,7 @@
 		want admission.Verdict
 	}{
 		{"within all bounds", patient, 0, admission.Queued},
-		{"longest wait", hasty, 0, admission.RefusedWait},
+		{"longest wait", impatient, 0, admission.RefusedWait},
 		{"class never waits", never, 0, admission.RefusedWait},
 		{"deadline", late, 0, admission.RefusedDeadline},
 		{"full", patient, 5, admission.RefusedFull},
@@ -129,10 +129,10 @@
 			}
 			d := q.Offer(test.item.Arrived, test.item, noCapacity)
 			if d.Verdict != test.want {
-				t.Fatalf("got %+v", d)
+				t.Fatalf("decision %+v", d)
 			}
 			if refused := test.want != admission.Queued; refused != (d.RetryAfter > 0) {
-				t.Fatalf("retry after %v", d.RetryAfter)
+				t.Fatalf("retry-after time %v, want one exactly for refusals", d.RetryAfter)
 			}
 		})
 	}
@@ -144,10 +144,10 @@
 	q.Requeue(item(2, 0, 0))
 	q.Dequeue(0, allCapacity)
 	q.Dequeue(time.Millisecond, noCapacity)
-	hasty := item(3, 0, 10*time.Second)
-	hasty.LongestWait = time.Second
-	if d := q.Offer(10*time.Second, hasty, noCapacity); d.Verdict != admission.RefusedWait {
-		t.Fatalf("got %+v", d)
+	impatient := item(3, 0, 10*time.Second)
+	impatient.LongestWait = time.Second
+	if d := q.Offer(10*time.Second, impatient, noCapacity); d.Verdict != admission.RefusedWait {
+		t.Fatalf("decision %+v, want RefusedWait", d)
 	}
 }
 
@@ -160,18 +160,18 @@
 		q.Offer(0, i, noCapacity)
 	}
 	if at, ok := q.NextExpiry(); !ok || at != 10 {
-		t.Fatalf("next expiry %v, %t", at, ok)
+		t.Fatalf("next expiry %v, %t; want 10, true", at, ok)
 	}
 	var expired []uint64
 	for _, i := range q.Expire(15) {
 		expired = append(expired, i.ID)
 	}
 	if !slices.Equal(expired, []uint64{1, 2}) || q.Len() != 1 {
-		t.Fatalf("expired %v", expired)
+		t.Fatalf("expired %v, want [1 2]", expired)
 	}
 }
 
-// Each queued query leaves exactly once, whichever way.
+// Each queued query is removed exactly once, by Dequeue, Remove, Expire or Drain.
 func TestEachQueuedQueryLeavesOnce(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	properties.Property("once", prop.ForAll(func(steps []uint16) bool {
