--- a/dispatch/environment.go
+++ b/dispatch/environment.go
@@ -76,17 +76,17 @@
 
 // ExpectedLatency implements gather.Environment.
 func (e *environment) ExpectedLatency(s *gather.Segment) time.Duration {
-	usual := float64(e.latencies.Quantile(medianQuantile))
-	least := math.Inf(1)
+	median := float64(e.latencies.Quantile(medianQuantile))
+	lowest := math.Inf(1)
 	for _, replica := range s.Group.(*group).servers {
 		if !replica.isLeaving() {
-			least = min(least, replica.expectedLatency(e.now, usual, e.options.LatencyHalfLife))
+			lowest = min(lowest, replica.expectedLatency(e.now, median, e.options.LatencyHalfLife))
 		}
 	}
-	if math.IsInf(least, 1) {
+	if math.IsInf(lowest, 1) {
 		return 0
 	}
-	return time.Duration(least)
+	return time.Duration(lowest)
 }
 
 // minBackoff is the delay before the first retry round; it doubles with each round.
--- a/dispatch/query.go
+++ b/dispatch/query.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// medianQuantile is the quantile of latencies that estimates the run time of a query and the
-// usual latency of a server.
+// medianQuantile is the quantile of latencies that serves as the minimum time that a query is
+// expected to take, and as the expected latency of a server without recent observations.
 const medianQuantile = 0.5
 
 // startQueued starts queued queries while there is capacity.
--- a/dispatch/replica.go
+++ b/dispatch/replica.go
@@ -176,8 +176,8 @@
 // work: the node's own requests in flight, and the reported load of other nodes, weighted by
 // age.
 func (d *Dispatcher) expectedDelay(s *server) float64 {
-	usual := float64(d.latencies.Quantile(medianQuantile))
-	latency := s.expectedLatency(d.now, usual, d.options.LatencyHalfLife)
+	median := float64(d.latencies.Quantile(medianQuantile))
+	latency := s.expectedLatency(d.now, median, d.options.LatencyHalfLife)
 	work := float64(s.limiter.InFlight()) + 1
 	if s.load > 0 {
 		work += s.load * d.options.LoadWeight * decayWeight(d.now-s.loadAt, d.options.LoadHalfLife)
--- a/dispatch/server.go
+++ b/dispatch/server.go
@@ -100,13 +100,14 @@
 	}
 }
 
-// expectedLatency returns the observed latency, which decays to the given usual latency with
-// the given half-life.
-func (s *server) expectedLatency(now time.Duration, usual float64, halfLife time.Duration) float64 {
-	if s.latency == 0 || usual == 0 {
-		return max(s.latency, usual, 1)
+// expectedLatency returns the server's average latency, which decays to the median latency of
+// the service with the given half-life. If either is unknown, and thus zero, it returns the
+// other one, and at least 1 ns.
+func (s *server) expectedLatency(now time.Duration, median float64, halfLife time.Duration) float64 {
+	if s.latency == 0 || median == 0 {
+		return max(s.latency, median, 1)
 	}
-	return usual + (s.latency-usual)*decayWeight(now-s.latencyAt, halfLife)
+	return median + (s.latency-median)*decayWeight(now-s.latencyAt, halfLife)
 }
 
 // decayWeight returns the weight of an observation of the given age.
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -18,7 +18,7 @@
 	now        time.Duration
 	queue      scheduledEvents
 	sequence   int
-	wakes      int
+	timersSet  int
 	config     Configured
 	service    time.Duration // mean service time of a sub-request
 	leaving    map[string]bool
@@ -61,16 +61,16 @@
 
 type scheduledEvents []scheduledEvent
 
-func (h scheduledEvents) Len() int { return len(h) }
-func (h scheduledEvents) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
+func (e scheduledEvents) Len() int { return len(e) }
+func (e scheduledEvents) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
-func (h scheduledEvents) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *scheduledEvents) Push(x any)   { *h = append(*h, x.(scheduledEvent)) }
-func (h *scheduledEvents) Pop() any {
-	old := *h
+func (e scheduledEvents) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *scheduledEvents) Push(x any)   { *e = append(*e, x.(scheduledEvent)) }
+func (e *scheduledEvents) Pop() any {
+	old := *e
 	x := old[len(old)-1]
-	*h = old[:len(old)-1]
+	*e = old[:len(old)-1]
 	return x
 }
 
@@ -97,7 +97,7 @@
 		sim.slowDownServers()
 	}
 	sim.after(0, func() { sim.step(sim.config) })
-	sim.observeAll()
+	sim.reportSnapshots()
 	for id := range QueryID(simulationQueries) {
 		sim.after(sim.randomDelay(200*time.Millisecond), func() { sim.arrive(id + 1) })
 	}
@@ -149,13 +149,13 @@
 		case Finish:
 			sim.checkOutcome(action)
 		case SetTimer:
-			sim.wakes++
+			sim.timersSet++
 			sim.after(max(action.At-sim.now, 0), func() { sim.step(TimerFired{}) })
 		}
 	}
 }
 
-func (sim *simulation) observeAll() {
+func (sim *simulation) reportSnapshots() {
 	for _, g := range sim.config.Service.Groups {
 		for _, s := range g.Servers {
 			held := []SnapshotID{7, 8}[:1+sim.random.IntN(2)]
--- a/gather/query.go
+++ b/gather/query.go
@@ -295,14 +295,14 @@
 // found that does not exceed the typical latency, so that a query with many segments does not
 // visit all of them after each reply.
 func (q *Query) minExpectedLatency(typical time.Duration) time.Duration {
-	least := time.Duration(math.MaxInt64)
+	lowest := time.Duration(math.MaxInt64)
 	for _, s := range q.open {
-		least = min(least, q.environment.ExpectedLatency(s))
-		if least <= typical {
+		lowest = min(lowest, q.environment.ExpectedLatency(s))
+		if lowest <= typical {
 			break
 		}
 	}
-	return least
+	return lowest
 }
 
 // setState changes the segment's state and maintains the count of unsent segments.
