--- a/routing/quarantine.go
+++ b/routing/quarantine.go
@@ -81,7 +81,7 @@
 }
 
 // handleCrashCheck handles the result of the crash check for an attempt that failed with
-// gather.InDoubt. A crash does not count against the request if another server executed it and
+// gather.CrashUnconfirmed. A crash does not count against the request if another server executed it and
 // survived.
 func (r *Router) handleCrashCheck(event CrashCheckCompleted) {
 	a := r.inDoubt[event.Attempt]
--- a/routing/router.go
+++ b/routing/router.go
@@ -56,7 +56,7 @@
 
 	requests    map[RequestID]*request
 	attempts    map[gather.AttemptID]*attempt
-	inDoubt     map[gather.AttemptID]*attempt // failed with gather.InDoubt, awaiting a crash check
+	inDoubt     map[gather.AttemptID]*attempt // failed with gather.CrashUnconfirmed, awaiting a crash check
 	lastAttempt gather.AttemptID
 	sequence    uint64
 	dispatching *service
