--- a/relay/content.go
+++ b/relay/content.go
@@ -14,9 +14,9 @@
 const (
 	// compressed names the encoding of long contents.
 	compressed = "gzip"
-	// compressFrom is the length in bytes from which a content is compressed: a
+	// minCompressBytes is the length in bytes from which a content is compressed: a
 	// compressor takes about a megabyte for a moment.
-	compressFrom = 4 << 10
+	minCompressBytes = 4 << 10
 )
 
 // content is an encoded content.
@@ -25,8 +25,8 @@
 	compressed bool
 }
 
-// cache holds the contents of one generation.
-type cache struct {
+// contentCache holds the contents of one generation.
+type contentCache struct {
 	mutex sync.Mutex
 	// mutex guards the fields below, and is held while a content is encoded: the
 	// others who ask for it wait rather than encode it, too.
@@ -35,7 +35,7 @@
 }
 
 // content encodes a publication's content, or finds it encoded.
-func (c *cache) content(publication discovery.Publication) (content, error) {
+func (c *contentCache) content(publication discovery.Publication) (content, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if publication.Generation < c.generation {
@@ -45,8 +45,8 @@
 		c.generation = publication.Generation
 		c.bySince = make(map[uint64]content)
 	}
-	if known, ok := c.bySince[publication.Since]; ok {
-		return known, nil
+	if cached, ok := c.bySince[publication.Since]; ok {
+		return cached, nil
 	}
 	encoded, err := encode(publication.PublicationContent)
 	if err != nil {
@@ -61,7 +61,7 @@
 	if err != nil {
 		return content{}, fmt.Errorf("relay: encoding a publication: %w", err)
 	}
-	if len(data) < compressFrom {
+	if len(data) < minCompressBytes {
 		return content{data: data}, nil
 	}
 	var buffer bytes.Buffer
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("decompressing: %w", err)
 	}
-	plain, err := strictjson.Read(reader, answerBytes)
+	plain, err := strictjson.Read(reader, maxResponseBytes)
 	if err != nil {
 		return nil, fmt.Errorf("decompressing: %w", err)
 	}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -36,57 +36,57 @@
 	ageField      = "most_age_ms"
 	// stateHeader holds the publication without its content, as JSON.
 	stateHeader = "Banksail-Publication"
-	// connections bounds those to one node.
-	connections = 1
-	// answerBytes bounds an answer, also once it is decompressed.
-	answerBytes = 16 << 20
+	// maxConnections bounds those to one node.
+	maxConnections = 1
+	// maxResponseBytes bounds an answer, also once it is decompressed.
+	maxResponseBytes = 16 << 20
 )
 
 // Client asks other nodes, and reports to them; it implements discovery.Publishers.
-type Client struct{ transport, reports *http.Transport }
+type Client struct{ publicationTransport, reportTransport *http.Transport }
 
 // NewClient returns a client; a nil dial means the operating system's TCP.
 func NewClient(dial httpcall.DialFunc) *Client {
-	return &Client{transport: httpcall.NewTransport(dial, connections), reports: httpcall.NewTransport(dial, connections)}
+	return &Client{publicationTransport: httpcall.NewTransport(dial, maxConnections), reportTransport: httpcall.NewTransport(dial, maxConnections)}
 }
 
 // Close closes the connections that carry nothing.
 func (c *Client) Close() {
-	c.transport.CloseIdleConnections()
-	c.reports.CloseIdleConnections()
+	c.publicationTransport.CloseIdleConnections()
+	c.reportTransport.CloseIdleConnections()
 }
 
 // Fetch implements discovery.Publishers.
-func (c *Client) Fetch(ctx context.Context, address string, inquiry discovery.PublicationRequest) (discovery.Publication, error) {
+func (c *Client) Fetch(ctx context.Context, address string, request discovery.PublicationRequest) (discovery.Publication, error) {
 	query := url.Values{
-		publisherField:  {inquiry.Known.Publisher},
-		generationField: {strconv.FormatUint(inquiry.Known.Generation, 10)},
-		epochField:      {strconv.FormatUint(uint64(inquiry.Position.Epoch), 10)},
-		revisionField:   {strconv.FormatUint(uint64(inquiry.Position.Revision), 10)},
-		ageField:        {strconv.FormatInt(inquiry.MaxAge.Milliseconds(), 10)},
+		publisherField:  {request.Known.Publisher},
+		generationField: {strconv.FormatUint(request.Known.Generation, 10)},
+		epochField:      {strconv.FormatUint(uint64(request.Position.Epoch), 10)},
+		revisionField:   {strconv.FormatUint(uint64(request.Position.Revision), 10)},
+		ageField:        {strconv.FormatInt(request.MaxAge.Milliseconds(), 10)},
 	}
 	call := httpcall.Call{
 		Address: address,
 		Path:    path,
 		Query:   query,
 		Header:  http.Header{"Accept-Encoding": {compressed}},
-		Limit:   answerBytes,
+		Limit:   maxResponseBytes,
 	}
-	reply, err := httpcall.Send(ctx, c.transport, call)
+	reply, err := httpcall.Send(ctx, c.publicationTransport, call)
 	if err != nil {
 		return discovery.Publication{}, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	if reply.Code != http.StatusOK {
 		return discovery.Publication{}, fmt.Errorf("%w: status %d", ErrUnavailable, reply.Code)
 	}
-	publication, err := decode(reply)
+	publication, err := decodePublication(reply)
 	if err != nil {
 		return discovery.Publication{}, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	return publication, nil
 }
 
-func decode(reply httpcall.Reply) (discovery.Publication, error) {
+func decodePublication(reply httpcall.Reply) (discovery.Publication, error) {
 	var publication discovery.Publication
 	if err := json.Unmarshal([]byte(reply.Header.Get(stateHeader)), &publication.PublicationHeader); err != nil {
 		return discovery.Publication{}, fmt.Errorf("%s: %w", stateHeader, err)
@@ -106,33 +106,33 @@
 
 // Publisher tells what a node believes.
 type Publisher interface {
-	Publish(inquiry discovery.PublicationRequest) (discovery.Publication, bool)
+	Publish(request discovery.PublicationRequest) (discovery.Publication, bool)
 }
 
 // Handler answers other nodes.
 func Handler(publisher Publisher) http.Handler {
 	mux := http.NewServeMux()
-	encoded := new(cache)
+	cache := new(contentCache)
 	mux.HandleFunc("GET "+path, func(writer http.ResponseWriter, request *http.Request) {
-		inquiry, err := inquiryOf(request.URL.Query())
+		publicationRequest, err := parseRequest(request.URL.Query())
 		if err != nil {
 			http.Error(writer, err.Error(), http.StatusBadRequest)
 			return
 		}
-		publication, ok := publisher.Publish(inquiry)
+		publication, ok := publisher.Publish(publicationRequest)
 		if !ok {
 			http.Error(writer, "nothing of use is known", http.StatusServiceUnavailable)
 			return
 		}
-		if err := answer(writer, publication, encoded); err != nil {
+		if err := writePublication(writer, publication, cache); err != nil {
 			http.Error(writer, err.Error(), http.StatusInternalServerError)
 		}
 	})
 	return mux
 }
 
-// inquiryOf reads an inquiry; its error names the field that is not a number.
-func inquiryOf(query url.Values) (discovery.PublicationRequest, error) {
+// parseRequest reads an inquiry; its error names the field that is not a number.
+func parseRequest(query url.Values) (discovery.PublicationRequest, error) {
 	numbers := make(map[string]uint64)
 	for _, field := range []string{generationField, epochField, revisionField, ageField} {
 		if field == epochField && !query.Has(field) {
@@ -153,12 +153,12 @@
 	}, nil
 }
 
-func answer(writer http.ResponseWriter, publication discovery.Publication, encoded *cache) error {
+func writePublication(writer http.ResponseWriter, publication discovery.Publication, cache *contentCache) error {
 	state, err := json.Marshal(publication.PublicationHeader)
 	if err != nil {
 		return err
 	}
-	content, err := encoded.content(publication)
+	content, err := cache.content(publication)
 	if err != nil {
 		return err
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -18,17 +18,17 @@
 // publisher publishes what it holds; asked is what it was asked with last.
 type publisher struct {
 	publication discovery.Publication
-	silent      bool
-	asked       discovery.PublicationRequest
+	unavailable bool
+	lastRequest discovery.PublicationRequest
 }
 
-func (p *publisher) Publish(inquiry discovery.PublicationRequest) (discovery.Publication, bool) {
-	p.asked = inquiry
-	return p.publication, !p.silent
+func (p *publisher) Publish(request discovery.PublicationRequest) (discovery.Publication, bool) {
+	p.lastRequest = request
+	return p.publication, !p.unavailable
 }
 
-// serve answers for the publisher and counts the bytes of its answers' bodies.
-func serve(t *testing.T, p *publisher) (address string, bytes *atomic.Int64) {
+// startServer answers for the publisher and counts the bytes of its answers' bodies.
+func startServer(t *testing.T, p *publisher) (address string, bytes *atomic.Int64) {
 	t.Helper()
 	bytes = new(atomic.Int64)
 	handler := relay.Handler(p)
@@ -49,8 +49,8 @@
 	return w.ResponseWriter.Write(data)
 }
 
-// bigTable is a table with many routes over the same shards.
-func bigTable(routes, shards int) route.Definition {
+// largeTable is a table with many routes over the same shards.
+func largeTable(routes, shards int) route.Definition {
 	definition := route.Definition{Version: 3, Limits: route.Limits{HeaderBytes: 1, HeaderTimeout: 1, IdleTimeout: 1}}
 	var names []string
 	for i := range shards {
@@ -66,7 +66,7 @@
 	return definition
 }
 
-func whole(definition *route.Definition) discovery.Publication {
+func fullPublication(definition *route.Definition) discovery.Publication {
 	var p discovery.Publication
 	p.Cursor = discovery.Cursor{Publisher: "node-1", Generation: 4}
 	p.Revision, p.Age = 77, 300*time.Millisecond
@@ -76,26 +76,26 @@
 	return p
 }
 
-func TestPublicationArrivesWhole(t *testing.T) {
+func TestPublicationRoundTrip(t *testing.T) {
 	for name, routes := range map[string]int{"short": 1, "long, compressed": 1500} {
 		t.Run(name, func(t *testing.T) {
-			definition := bigTable(routes, 90)
-			p := &publisher{publication: whole(&definition)}
-			address, bytes := serve(t, p)
+			definition := largeTable(routes, 90)
+			p := &publisher{publication: fullPublication(&definition)}
+			address, bytes := startServer(t, p)
 			client := relay.NewClient(nil)
 			defer client.Close()
-			known := discovery.PublicationRequest{
+			request := discovery.PublicationRequest{
 				Known: discovery.Cursor{Publisher: "node-1", Generation: 3}, Position: discovery.Position{Epoch: 2, Revision: 70}, MaxAge: 1600 * time.Millisecond,
 			}
-			got, err := client.Fetch(t.Context(), address, known)
+			got, err := client.Fetch(t.Context(), address, request)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(got, p.publication) {
 				t.Error("the publication is not what it was")
 			}
-			if p.asked != known {
-				t.Errorf("asked with %v, want %v", p.asked, known)
+			if p.lastRequest != request {
+				t.Errorf("asked with %v, want %v", p.lastRequest, request)
 			}
 			if bytes.Load() > 40_000 {
 				t.Errorf("%d bytes for %d routes", bytes.Load(), routes)
@@ -106,43 +106,43 @@
 
 // What is kept encoded is that of the generation, and of what changed since the
 // generation that was asked after.
-func TestContentsAreThoseOfTheGeneration(t *testing.T) {
-	definition := bigTable(200, 20)
-	p := &publisher{publication: whole(&definition)}
-	address, _ := serve(t, p)
+func TestCachedContentMatchesGeneration(t *testing.T) {
+	definition := largeTable(200, 20)
+	p := &publisher{publication: fullPublication(&definition)}
+	address, _ := startServer(t, p)
 	client := relay.NewClient(nil)
 	defer client.Close()
-	ask := func() discovery.Publication {
+	fetch := func() discovery.Publication {
 		got, err := client.Fetch(t.Context(), address, discovery.PublicationRequest{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return got
 	}
-	ask()
+	fetch()
 	p.publication.Age, p.publication.Revision = time.Second, 80
-	if got := ask(); got.Age != time.Second || got.Revision != 80 || got.Table == nil {
+	if got := fetch(); got.Age != time.Second || got.Revision != 80 || got.Table == nil {
 		t.Errorf("age %s and revision %d of the second answer", got.Age, got.Revision)
 	}
 	p.publication.Since, p.publication.Table = 3, nil
-	if got := ask(); got.Table != nil || got.Since != 3 {
+	if got := fetch(); got.Table != nil || got.Since != 3 {
 		t.Error("changes since a generation are answered with the whole")
 	}
 	p.publication.Generation, p.publication.GoneServers = 5, []string{"s"}
-	if got := ask(); len(got.GoneServers) != 1 {
+	if got := fetch(); len(got.GoneServers) != 1 {
 		t.Error("the next generation is answered with the content of the one before")
 	}
 	p.publication.Generation, p.publication.GoneServers = 4, nil
-	if got := ask(); len(got.GoneServers) != 0 || got.Generation != 4 {
+	if got := fetch(); len(got.GoneServers) != 0 || got.Generation != 4 {
 		t.Error("a generation that was overtaken is answered with the content of the next")
 	}
 }
 
-func TestUnusableAnswers(t *testing.T) {
+func TestUnusableResponses(t *testing.T) {
 	client := relay.NewClient(nil)
 	defer client.Close()
-	silent, _ := serve(t, &publisher{silent: true})
-	if _, err := client.Fetch(t.Context(), silent, discovery.PublicationRequest{}); err == nil {
+	unavailable, _ := startServer(t, &publisher{unavailable: true})
+	if _, err := client.Fetch(t.Context(), unavailable, discovery.PublicationRequest{}); err == nil {
 		t.Error("a node that knows nothing gave an answer")
 	}
 	for name, answer := range map[string]http.HandlerFunc{
--- a/relay/rollouts.go
+++ b/relay/rollouts.go
@@ -20,9 +20,9 @@
 
 // Bounds of what one call may tell.
 const (
-	mostReports = 512
-	mostCells   = 128
-	mostText    = 256
+	maxReports   = 512
+	maxCells     = 128
+	maxTextBytes = 256
 )
 
 // Report tells a decider what a node has seen; it returns the orders that are to be halted.
@@ -30,9 +30,9 @@
 	if len(reports) == 0 {
 		return nil, nil
 	}
-	told := &evidence.Reports{Node: reports[0].Node, Process: reports[0].Process}
-	for _, report := range reports[:min(len(reports), mostReports)] {
-		told.Orders = append(told.Orders, &evidence.OrderReport{
+	message := &evidence.Reports{Node: reports[0].Node, Process: reports[0].Process}
+	for _, report := range reports[:min(len(reports), maxReports)] {
+		message.Orders = append(message.Orders, &evidence.OrderReport{
 			Service:   report.Service,
 			Order:     report.Order,
 			Moved:     report.Moved,
@@ -41,8 +41,8 @@
 			Before:    encodeCells(report.Before),
 		})
 	}
-	client := evidence.NewRolloutsProtobufClient("http://"+address, &http.Client{Transport: c.reports})
-	halts, err := client.Report(ctx, told)
+	client := evidence.NewRolloutsProtobufClient("http://"+address, &http.Client{Transport: c.reportTransport})
+	halts, err := client.Report(ctx, message)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
@@ -71,47 +71,47 @@
 }
 
 // ReportsHandler answers nodes that report to this one.
-func ReportsHandler(hearer ReportReceiver) http.Handler {
-	return evidence.NewRolloutsServer(&reportsServer{hearer})
+func ReportsHandler(receiver ReportReceiver) http.Handler {
+	return evidence.NewRolloutsServer(&reportsServer{receiver})
 }
 
 // ReportsPath begins the paths that ReportsHandler answers.
 const ReportsPath = evidence.RolloutsPathPrefix
 
-type reportsServer struct{ hearer ReportReceiver }
+type reportsServer struct{ receiver ReportReceiver }
 
 // Report implements evidence.Rollouts.
-func (s *reportsServer) Report(_ context.Context, told *evidence.Reports) (*evidence.Halts, error) {
-	reports, err := decodeReports(told)
+func (s *reportsServer) Report(_ context.Context, message *evidence.Reports) (*evidence.Halts, error) {
+	reports, err := decodeReports(message)
 	if err != nil {
 		return nil, err
 	}
-	answer := new(evidence.Halts)
-	for _, halt := range s.hearer.ReceiveReports(reports) {
-		answer.Halts = append(answer.Halts, &evidence.Halt{Service: halt.Service, Order: halt.Order})
+	response := new(evidence.Halts)
+	for _, halt := range s.receiver.ReceiveReports(reports) {
+		response.Halts = append(response.Halts, &evidence.Halt{Service: halt.Service, Order: halt.Order})
 	}
-	return answer, nil
+	return response, nil
 }
 
 // decodeReports turns a message into reports; its error names the field at fault.
-func decodeReports(told *evidence.Reports) ([]rollout.Report, error) {
+func decodeReports(message *evidence.Reports) ([]rollout.Report, error) {
 	switch {
-	case told.GetNode() == "" || len(told.GetNode()) > mostText:
-		return nil, twirp.InvalidArgumentError("node", fmt.Sprintf("must have from 1 to %d bytes", mostText))
-	case len(told.GetProcess()) > mostText:
-		return nil, twirp.InvalidArgumentError("process", fmt.Sprintf("must have at most %d bytes", mostText))
-	case len(told.GetOrders()) > mostReports:
-		return nil, twirp.InvalidArgumentError("orders", fmt.Sprintf("must be at most %d", mostReports))
+	case message.GetNode() == "" || len(message.GetNode()) > maxTextBytes:
+		return nil, twirp.InvalidArgumentError("node", fmt.Sprintf("must have from 1 to %d bytes", maxTextBytes))
+	case len(message.GetProcess()) > maxTextBytes:
+		return nil, twirp.InvalidArgumentError("process", fmt.Sprintf("must have at most %d bytes", maxTextBytes))
+	case len(message.GetOrders()) > maxReports:
+		return nil, twirp.InvalidArgumentError("orders", fmt.Sprintf("must be at most %d", maxReports))
 	}
-	reports := make([]rollout.Report, 0, len(told.GetOrders()))
-	for number, order := range told.GetOrders() {
+	reports := make([]rollout.Report, 0, len(message.GetOrders()))
+	for number, order := range message.GetOrders() {
 		report := rollout.Report{
-			Node: told.GetNode(), Process: told.GetProcess(), Service: order.GetService(), Order: order.GetOrder(),
+			Node: message.GetNode(), Process: message.GetProcess(), Service: order.GetService(), Order: order.GetOrder(),
 			Moved: order.GetMoved(), Remaining: int(order.GetRemaining()),
 		}
 		for field, cells := range map[string][]*evidence.Cell{"target": order.GetTarget(), "before": order.GetBefore()} {
-			if len(cells) > mostCells {
-				return nil, twirp.InvalidArgumentError(fmt.Sprintf("orders[%d].%s", number, field), fmt.Sprintf("must be at most %d", mostCells))
+			if len(cells) > maxCells {
+				return nil, twirp.InvalidArgumentError(fmt.Sprintf("orders[%d].%s", number, field), fmt.Sprintf("must be at most %d", maxCells))
 			}
 		}
 		report.Target, report.Before = decodeCells(order.GetTarget()), decodeCells(order.GetBefore())
@@ -125,11 +125,11 @@
 	for _, cell := range cells {
 		decoded = append(decoded, rollout.Cell{
 			Route: cell.GetRoute(), Server: cell.GetServer(),
-			Counts: rollout.Counts{Answers: countOf(cell.GetAnswers()), Failed: countOf(cell.GetFailed()), Slow: countOf(cell.GetSlow())},
+			Counts: rollout.Counts{Answers: clampCount(cell.GetAnswers()), Failed: clampCount(cell.GetFailed()), Slow: clampCount(cell.GetSlow())},
 		})
 	}
 	return decoded
 }
 
-// countOf bounds a count so that sums of counts are numbers everywhere.
-func countOf(count uint32) int { return int(min(count, math.MaxInt32)) }
+// clampCount bounds a count so that sums of counts are numbers everywhere.
+func clampCount(count uint32) int { return int(min(count, math.MaxInt32)) }
--- a/relay/rollouts_test.go
+++ b/relay/rollouts_test.go
@@ -15,19 +15,19 @@
 	"github.com/banksail/banksail/rollout"
 )
 
-// decider hears reports, and halts every order that it hears of.
-type decider struct{ heard []rollout.Report }
+// reportRecorder hears reports, and halts every order that it hears of.
+type reportRecorder struct{ received []rollout.Report }
 
-func (d *decider) ReceiveReports(reports []rollout.Report) (halts []relay.Halt) {
-	d.heard = append(d.heard, reports...)
+func (d *reportRecorder) ReceiveReports(reports []rollout.Report) (halts []relay.Halt) {
+	d.received = append(d.received, reports...)
 	for _, report := range reports {
 		halts = append(halts, relay.Halt{Service: report.Service, Order: report.Order})
 	}
 	return halts
 }
 
-// hear serves a decider's reports.
-func hear(t *testing.T, d *decider) (address string) {
+// startReportsServer serves a decider's reports.
+func startReportsServer(t *testing.T, d *reportRecorder) (address string) {
 	t.Helper()
 	server := httptest.NewServer(relay.ReportsHandler(d))
 	t.Cleanup(server.Close)
@@ -42,8 +42,8 @@
 }
 
 // A report arrives as it was, and its answer names what is to be halted.
-func TestReportsArriveWhole(t *testing.T) {
-	d := new(decider)
+func TestReportsRoundTrip(t *testing.T) {
+	d := new(reportRecorder)
 	sent := []rollout.Report{
 		{
 			Node: "node-1", Process: "p", Service: "ledger", Order: 7, Moved: true, Remaining: 3,
@@ -52,13 +52,13 @@
 		},
 		{Node: "node-1", Process: "p", Service: "other", Order: 8},
 	}
-	halts, err := newClient(t).Report(context.Background(), hear(t, d), sent)
+	halts, err := newClient(t).Report(context.Background(), startReportsServer(t, d), sent)
 	if err != nil {
 		t.Fatal(err)
 	}
 	sent[1].Target, sent[1].Before = []rollout.Cell{}, []rollout.Cell{}
-	if !reflect.DeepEqual(d.heard, sent) {
-		t.Errorf("heard %+v", d.heard)
+	if !reflect.DeepEqual(d.received, sent) {
+		t.Errorf("heard %+v", d.received)
 	}
 	if want := []relay.Halt{{Service: "ledger", Order: 7}, {Service: "other", Order: 8}}; !reflect.DeepEqual(halts, want) {
 		t.Errorf("halts %+v", halts)
@@ -67,47 +67,47 @@
 
 // Reports that are at fault or too long are refused with the field's name, and nothing of
 // them is heard.
-func TestReportsAtFault(t *testing.T) {
+func TestInvalidReportsAreRejected(t *testing.T) {
 	long := strings.Repeat("x", 300)
-	for field, told := range map[string]*evidence.Reports{
+	for field, message := range map[string]*evidence.Reports{
 		"node":             {},
 		"process":          {Node: "n", Process: long},
 		"orders":           {Node: "n", Orders: make([]*evidence.OrderReport, 513)},
 		"orders[0].target": {Node: "n", Orders: []*evidence.OrderReport{{Target: make([]*evidence.Cell, 129)}}},
 		"orders[0].before": {Node: "n", Orders: []*evidence.OrderReport{{Before: make([]*evidence.Cell, 129)}}},
 	} {
-		d := new(decider)
-		client := evidence.NewRolloutsProtobufClient("http://"+hear(t, d), http.DefaultClient)
-		if _, err := client.Report(context.Background(), told); err == nil || !strings.Contains(err.Error(), field) {
+		d := new(reportRecorder)
+		client := evidence.NewRolloutsProtobufClient("http://"+startReportsServer(t, d), http.DefaultClient)
+		if _, err := client.Report(context.Background(), message); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: %v", field, err)
 		}
-		if len(d.heard) > 0 {
-			t.Errorf("%s: heard %+v", field, d.heard)
+		if len(d.received) > 0 {
+			t.Errorf("%s: heard %+v", field, d.received)
 		}
 	}
 }
 
 // Counts that no node could have seen are bounded, so that sums of them are numbers.
 func TestCountsAreBounded(t *testing.T) {
-	d := new(decider)
-	client := evidence.NewRolloutsProtobufClient("http://"+hear(t, d), http.DefaultClient)
+	d := new(reportRecorder)
+	client := evidence.NewRolloutsProtobufClient("http://"+startReportsServer(t, d), http.DefaultClient)
 	cell := &evidence.Cell{Route: "r", Answers: 1<<32 - 1}
 	_, err := client.Report(context.Background(), &evidence.Reports{Node: "n", Orders: []*evidence.OrderReport{{Target: []*evidence.Cell{cell}}}})
-	if err != nil || d.heard[0].Target[0].Answers != 1<<31-1 {
-		t.Errorf("%+v, %v", d.heard, err)
+	if err != nil || d.received[0].Target[0].Answers != 1<<31-1 {
+		t.Errorf("%+v, %v", d.received, err)
 	}
 }
 
 // A decider that gives no answer costs the time that its caller has, and no more.
-func TestReportsToNobody(t *testing.T) {
+func TestReportWithoutResponse(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // nobody accepts
+	listener, err := net.Listen("tcp", "127.0.0.1:0") // nobody accepts
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = silent.Close() }()
-	if _, err := newClient(t).Report(ctx, silent.Addr().String(), []rollout.Report{{Node: "n"}}); err == nil {
+	defer func() { _ = listener.Close() }()
+	if _, err := newClient(t).Report(ctx, listener.Addr().String(), []rollout.Report{{Node: "n"}}); err == nil {
 		t.Error("nobody answered, and there is no error")
 	}
 	if halts, err := newClient(t).Report(context.Background(), "", nil); err != nil || halts != nil {
