--- a/relay/content.go
+++ b/relay/content.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	// compressed names the encoding of long contents.
+	// compressed is the content encoding of compressed bodies.
 	compressed = "gzip"
-	// minCompressBytes is the length in bytes from which a content is compressed: a
-	// compressor takes about a megabyte for a moment.
+	// minCompressBytes is the length from which a body is compressed. Shorter ones are not worth it: a
+	// compressor temporarily needs about a megabyte of memory.
 	minCompressBytes = 4 << 10
 )
 
-// content is an encoded content.
+// content is an encoded publication content.
 type content struct {
 	data       []byte
 	compressed bool
 }
 
-// contentCache holds the contents of one generation.
+// contentCache caches the encoded contents of one generation.
 type contentCache struct {
 	mutex sync.Mutex
-	// mutex guards the fields below, and is held while a content is encoded: the
-	// others who ask for it wait rather than encode it, too.
+	// mutex guards the fields below. It is held while a content is encoded, so that concurrent requests
+	// for it wait instead of encoding it again.
 	generation uint64
 	bySince    map[uint64]content
 }
 
-// content encodes a publication's content, or finds it encoded.
+// content returns the encoded content of a publication, from the cache if possible.
 func (c *contentCache) content(publication discovery.Publication) (content, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if publication.Generation < c.generation {
-		return encode(publication.PublicationContent) // overtaken by a later one
+		return encode(publication.PublicationContent) // a later generation is cached already
 	}
 	if publication.Generation > c.generation || c.bySince == nil {
 		c.generation = publication.Generation
@@ -56,10 +56,11 @@
 	return encoded, nil
 }
 
+// encode encodes a content as JSON and compresses it from minCompressBytes on.
 func encode(plain discovery.PublicationContent) (content, error) {
 	data, err := json.Marshal(plain)
 	if err != nil {
-		return content{}, fmt.Errorf("relay: encoding a publication: %w", err)
+		return content{}, fmt.Errorf("relay: encode publication: %w", err)
 	}
 	if len(data) < minCompressBytes {
 		return content{data: data}, nil
@@ -67,7 +68,7 @@
 	var buffer bytes.Buffer
 	writer, err := gzip.NewWriterLevel(&buffer, gzip.BestSpeed)
 	if err != nil {
-		return content{}, fmt.Errorf("relay: %w", err)
+		return content{}, fmt.Errorf("relay: create compressor: %w", err)
 	}
 	if _, err := writer.Write(data); err != nil {
 		return content{}, fmt.Errorf("relay: compressing: %w", err)
@@ -78,6 +79,7 @@
 	return content{data: bytes.Clone(buffer.Bytes()), compressed: true}, nil
 }
 
+// decompress returns the decompressed body, which is at most maxResponseBytes long.
 func decompress(data []byte) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,9 +1,9 @@
-// Package relay carries what a node that reads the registry believes to the
-// other nodes, over HTTP between nodes.
+// Package relay carries publications, the registry content that a node knows, and reports on
+// roll-outs between nodes, over HTTP.
 //
-// An answer's body is the content of a publication, which is the same for all
-// nodes that ask after the same generation: it is encoded once, and compressed
-// when it is long. What differs each time stands in a header.
+// The response body is the content of a publication. It is the same for all nodes that ask for the
+// changes since the same generation, so it is encoded once, and compressed if it is long. What differs
+// between responses is in a header.
 package relay
 
 import (
@@ -20,43 +20,45 @@
 	"github.com/banksail/banksail/internal/httpcall"
 )
 
-// ErrUnavailable is returned when the other node gave no usable answer.
-var ErrUnavailable = errors.New("relay: no usable answer")
+// ErrUnavailable is returned if the other node gave no usable response.
+var ErrUnavailable = errors.New("relay: no usable response")
 
 const (
-	// path is where a node tells what it believes.
+	// path serves publications.
 	path = "/beliefs"
-	// publisherField and generationField name what the asker has already.
+	// publisherField and generationField identify the last publication that the client has received.
 	publisherField  = "publisher"
 	generationField = "generation"
-	// epochField, revisionField and ageField, in milliseconds, name what is of no use to the
-	// asker. A node that knows of no epochs names none.
+	// epochField, revisionField and ageField (in milliseconds; 0 means any) give the oldest position and
+	// the greatest age of a publication that is still useful to the client. The epoch may be missing,
+	// since a node that does not know of epochs sends none.
 	epochField    = "epoch"
 	revisionField = "revision"
 	ageField      = "most_age_ms"
 	// stateHeader holds the publication without its content, as JSON.
 	stateHeader = "Banksail-Publication"
-	// maxConnections bounds those to one node.
+	// maxConnections bounds the connections to one node, separately for publications and for reports.
 	maxConnections = 1
-	// maxResponseBytes bounds an answer, also once it is decompressed.
+	// maxResponseBytes bounds a response body, before and after decompression.
 	maxResponseBytes = 16 << 20
 )
 
-// Client asks other nodes, and reports to them; it implements discovery.Publishers.
+// Client fetches publications from other nodes and sends reports to them. It implements
+// discovery.PublicationFetcher.
 type Client struct{ publicationTransport, reportTransport *http.Transport }
 
-// NewClient returns a client; a nil dial means the operating system's TCP.
+// NewClient returns a client. A nil dial uses the operating system's TCP.
 func NewClient(dial httpcall.DialFunc) *Client {
 	return &Client{publicationTransport: httpcall.NewTransport(dial, maxConnections), reportTransport: httpcall.NewTransport(dial, maxConnections)}
 }
 
-// Close closes the connections that carry nothing.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.publicationTransport.CloseIdleConnections()
 	c.reportTransport.CloseIdleConnections()
 }
 
-// Fetch implements discovery.Publishers.
+// Fetch implements discovery.PublicationFetcher. Its errors wrap ErrUnavailable.
 func (c *Client) Fetch(ctx context.Context, address string, request discovery.PublicationRequest) (discovery.Publication, error) {
 	query := url.Values{
 		publisherField:  {request.Known.Publisher},
@@ -86,6 +88,7 @@
 	return publication, nil
 }
 
+// decodePublication reads a publication from the header and body of a response.
 func decodePublication(reply httpcall.Reply) (discovery.Publication, error) {
 	var publication discovery.Publication
 	if err := json.Unmarshal([]byte(reply.Header.Get(stateHeader)), &publication.PublicationHeader); err != nil {
@@ -104,12 +107,14 @@
 	return publication, nil
 }
 
-// Publisher tells what a node believes.
+// Publisher provides the publications that Handler serves.
 type Publisher interface {
+	// Publish returns the publication that answers a request, or false if it would be of no use to the
+	// client.
 	Publish(request discovery.PublicationRequest) (discovery.Publication, bool)
 }
 
-// Handler answers other nodes.
+// Handler returns a handler that serves publications to other nodes.
 func Handler(publisher Publisher) http.Handler {
 	mux := http.NewServeMux()
 	cache := new(contentCache)
@@ -131,7 +136,7 @@
 	return mux
 }
 
-// parseRequest reads an inquiry; its error names the field that is not a number.
+// parseRequest reads a request from the URL's query. Its error names the field that is not a number.
 func parseRequest(query url.Values) (discovery.PublicationRequest, error) {
 	numbers := make(map[string]uint64)
 	for _, field := range []string{generationField, epochField, revisionField, ageField} {
@@ -153,6 +158,7 @@
 	}, nil
 }
 
+// writePublication writes a publication as a response.
 func writePublication(writer http.ResponseWriter, publication discovery.Publication, cache *contentCache) error {
 	state, err := json.Marshal(publication.PublicationHeader)
 	if err != nil {
@@ -168,6 +174,6 @@
 	if content.compressed {
 		header.Set("Content-Encoding", compressed)
 	}
-	_, _ = writer.Write(content.data) // an asker that has gone asks another node
+	_, _ = writer.Write(content.data) // a client that has disconnected asks another node
 	return nil
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -15,7 +15,7 @@
 	"github.com/banksail/banksail/route"
 )
 
-// publisher publishes what it holds; asked is what it was asked with last.
+// publisher publishes a fixed publication and records the last request.
 type publisher struct {
 	publication discovery.Publication
 	unavailable bool
@@ -27,7 +27,7 @@
 	return p.publication, !p.unavailable
 }
 
-// startServer answers for the publisher and counts the bytes of its answers' bodies.
+// startServer serves a publisher and counts the bytes of its response bodies.
 func startServer(t *testing.T, p *publisher) (address string, bytes *atomic.Int64) {
 	t.Helper()
 	bytes = new(atomic.Int64)
@@ -49,7 +49,7 @@
 	return w.ResponseWriter.Write(data)
 }
 
-// largeTable is a table with many routes over the same shards.
+// largeTable returns a routing table with many routes over the same shards.
 func largeTable(routes, shards int) route.Definition {
 	definition := route.Definition{Version: 3, Limits: route.Limits{HeaderBytes: 1, HeaderTimeout: 1, IdleTimeout: 1}}
 	var names []string
@@ -66,6 +66,7 @@
 	return definition
 }
 
+// fullPublication returns a publication with content of every kind.
 func fullPublication(definition *route.Definition) discovery.Publication {
 	var p discovery.Publication
 	p.Cursor = discovery.Cursor{Publisher: "node-1", Generation: 4}
@@ -76,6 +77,8 @@
 	return p
 }
 
+// A fetched publication must equal the published one, whether compressed or not, and the publisher must
+// receive the request as it was sent.
 func TestPublicationRoundTrip(t *testing.T) {
 	for name, routes := range map[string]int{"short": 1, "long, compressed": 1500} {
 		t.Run(name, func(t *testing.T) {
@@ -92,20 +95,20 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(got, p.publication) {
-				t.Error("the publication is not what it was")
+				t.Error("the fetched publication differs from the published one")
 			}
 			if p.lastRequest != request {
-				t.Errorf("asked with %v, want %v", p.lastRequest, request)
+				t.Errorf("the publisher received request %v, want %v", p.lastRequest, request)
 			}
 			if bytes.Load() > 40_000 {
-				t.Errorf("%d bytes for %d routes", bytes.Load(), routes)
+				t.Errorf("body of %d bytes for %d routes, want at most 40000", bytes.Load(), routes)
 			}
 		})
 	}
 }
 
-// What is kept encoded is that of the generation, and of what changed since the
-// generation that was asked after.
+// The cached content must be that of the publication's generation and of the generation since which
+// changes were requested.
 func TestCachedContentMatchesGeneration(t *testing.T) {
 	definition := largeTable(200, 20)
 	p := &publisher{publication: fullPublication(&definition)}
@@ -122,28 +125,29 @@
 	fetch()
 	p.publication.Age, p.publication.Revision = time.Second, 80
 	if got := fetch(); got.Age != time.Second || got.Revision != 80 || got.Table == nil {
-		t.Errorf("age %s and revision %d of the second answer", got.Age, got.Revision)
+		t.Errorf("age %s and revision %d in the second response, want 1s and 80 with a table", got.Age, got.Revision)
 	}
 	p.publication.Since, p.publication.Table = 3, nil
 	if got := fetch(); got.Table != nil || got.Since != 3 {
-		t.Error("changes since a generation are answered with the whole")
+		t.Error("the full content was returned for the changes since a generation")
 	}
 	p.publication.Generation, p.publication.GoneServers = 5, []string{"s"}
 	if got := fetch(); len(got.GoneServers) != 1 {
-		t.Error("the next generation is answered with the content of the one before")
+		t.Error("the content of the previous generation was returned for the next one")
 	}
 	p.publication.Generation, p.publication.GoneServers = 4, nil
 	if got := fetch(); len(got.GoneServers) != 0 || got.Generation != 4 {
-		t.Error("a generation that was overtaken is answered with the content of the next")
+		t.Error("the content of the next generation was returned for an earlier one")
 	}
 }
 
+// Responses without a publication, header or valid body must give an error.
 func TestUnusableResponses(t *testing.T) {
 	client := relay.NewClient(nil)
 	defer client.Close()
 	unavailable, _ := startServer(t, &publisher{unavailable: true})
 	if _, err := client.Fetch(t.Context(), unavailable, discovery.PublicationRequest{}); err == nil {
-		t.Error("a node that knows nothing gave an answer")
+		t.Error("no error from a node without a publication")
 	}
 	for name, answer := range map[string]http.HandlerFunc{
 		"no state":   func(writer http.ResponseWriter, _ *http.Request) { _, _ = writer.Write([]byte("{}")) },
--- a/relay/rollouts.go
+++ b/relay/rollouts.go
@@ -12,20 +12,21 @@
 	"github.com/banksail/banksail/rollout"
 )
 
-// Halt names an order whose target is to get nothing more.
+// Halt identifies an order whose target must receive no more requests.
 type Halt struct {
 	Service string
 	Order   uint64
 }
 
-// Bounds of what one call may tell.
+// Limits of one call.
 const (
 	maxReports   = 512
 	maxCells     = 128
 	maxTextBytes = 256
 )
 
-// Report tells a decider what a node has seen; it returns the orders that are to be halted.
+// Report sends a node's reports, at most maxReports, to the decider at address. It returns the orders
+// to halt. All reports must be from the same node and process. Errors wrap ErrUnavailable.
 func (c *Client) Report(ctx context.Context, address string, reports []rollout.Report) ([]Halt, error) {
 	if len(reports) == 0 {
 		return nil, nil
@@ -64,18 +65,18 @@
 	return encoded
 }
 
-// ReportReceiver takes nodes' reports on roll-outs.
+// ReportReceiver receives the nodes' reports on roll-outs.
 type ReportReceiver interface {
-	// ReceiveReports takes what a node has seen, and lists the orders that are to be halted.
+	// ReceiveReports handles a node's reports and returns the orders to halt.
 	ReceiveReports(reports []rollout.Report) []Halt
 }
 
-// ReportsHandler answers nodes that report to this one.
+// ReportsHandler returns a handler for the reports that other nodes send to this one.
 func ReportsHandler(receiver ReportReceiver) http.Handler {
 	return evidence.NewRolloutsServer(&reportsServer{receiver})
 }
 
-// ReportsPath begins the paths that ReportsHandler answers.
+// ReportsPath is the prefix of the paths that ReportsHandler serves.
 const ReportsPath = evidence.RolloutsPathPrefix
 
 type reportsServer struct{ receiver ReportReceiver }
@@ -93,7 +94,7 @@
 	return response, nil
 }
 
-// decodeReports turns a message into reports; its error names the field at fault.
+// decodeReports converts a message to reports. Its error names the invalid field.
 func decodeReports(message *evidence.Reports) ([]rollout.Report, error) {
 	switch {
 	case message.GetNode() == "" || len(message.GetNode()) > maxTextBytes:
@@ -131,5 +132,5 @@
 	return decoded
 }
 
-// clampCount bounds a count so that sums of counts are numbers everywhere.
+// clampCount limits a count so that sums of counts don't overflow on any platform.
 func clampCount(count uint32) int { return int(min(count, math.MaxInt32)) }
--- a/relay/rollouts_test.go
+++ b/relay/rollouts_test.go
@@ -15,7 +15,7 @@
 	"github.com/banksail/banksail/rollout"
 )
 
-// reportRecorder hears reports, and halts every order that it hears of.
+// reportRecorder records reports and halts every order in them.
 type reportRecorder struct{ received []rollout.Report }
 
 func (d *reportRecorder) ReceiveReports(reports []rollout.Report) (halts []relay.Halt) {
@@ -26,7 +26,7 @@
 	return halts
 }
 
-// startReportsServer serves a decider's reports.
+// startReportsServer serves the handler for reports.
 func startReportsServer(t *testing.T, d *reportRecorder) (address string) {
 	t.Helper()
 	server := httptest.NewServer(relay.ReportsHandler(d))
@@ -41,7 +41,7 @@
 	return client
 }
 
-// A report arrives as it was, and its answer names what is to be halted.
+// A report must be received as it was sent, and the response must list the orders to halt.
 func TestReportsRoundTrip(t *testing.T) {
 	d := new(reportRecorder)
 	sent := []rollout.Report{
@@ -58,15 +58,15 @@
 	}
 	sent[1].Target, sent[1].Before = []rollout.Cell{}, []rollout.Cell{}
 	if !reflect.DeepEqual(d.received, sent) {
-		t.Errorf("heard %+v", d.received)
+		t.Errorf("received %+v, which differs from what was sent", d.received)
 	}
 	if want := []relay.Halt{{Service: "ledger", Order: 7}, {Service: "other", Order: 8}}; !reflect.DeepEqual(halts, want) {
-		t.Errorf("halts %+v", halts)
+		t.Errorf("halts %+v, want one for each report", halts)
 	}
 }
 
-// Reports that are at fault or too long are refused with the field's name, and nothing of
-// them is heard.
+// Invalid or too long reports must be rejected with the name of the field, and none of them may be
+// received.
 func TestInvalidReportsAreRejected(t *testing.T) {
 	long := strings.Repeat("x", 300)
 	for field, message := range map[string]*evidence.Reports{
@@ -79,38 +79,38 @@
 		d := new(reportRecorder)
 		client := evidence.NewRolloutsProtobufClient("http://"+startReportsServer(t, d), http.DefaultClient)
 		if _, err := client.Report(context.Background(), message); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: %v", field, err)
+			t.Errorf("%s: error %v does not name the field", field, err)
 		}
 		if len(d.received) > 0 {
-			t.Errorf("%s: heard %+v", field, d.received)
+			t.Errorf("%s: received %+v, want nothing", field, d.received)
 		}
 	}
 }
 
-// Counts that no node could have seen are bounded, so that sums of them are numbers.
+// Counts that no node can have seen must be limited, so that their sums don't overflow.
 func TestCountsAreBounded(t *testing.T) {
 	d := new(reportRecorder)
 	client := evidence.NewRolloutsProtobufClient("http://"+startReportsServer(t, d), http.DefaultClient)
 	cell := &evidence.Cell{Route: "r", Answers: 1<<32 - 1}
 	_, err := client.Report(context.Background(), &evidence.Reports{Node: "n", Orders: []*evidence.OrderReport{{Target: []*evidence.Cell{cell}}}})
 	if err != nil || d.received[0].Target[0].Answers != 1<<31-1 {
-		t.Errorf("%+v, %v", d.received, err)
+		t.Errorf("received %+v, error %v", d.received, err)
 	}
 }
 
-// A decider that gives no answer costs the time that its caller has, and no more.
+// A decider that does not respond must cost no more than the time that the caller allows.
 func TestReportWithoutResponse(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	listener, err := net.Listen("tcp", "127.0.0.1:0") // nobody accepts
+	listener, err := net.Listen("tcp", "127.0.0.1:0") // never accepts a connection
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = listener.Close() }()
 	if _, err := newClient(t).Report(ctx, listener.Addr().String(), []rollout.Report{{Node: "n"}}); err == nil {
-		t.Error("nobody answered, and there is no error")
+		t.Error("no error although nothing responded")
 	}
 	if halts, err := newClient(t).Report(context.Background(), "", nil); err != nil || halts != nil {
-		t.Errorf("nothing to report: %v, %v", halts, err)
+		t.Errorf("without reports: halts %v, error %v", halts, err)
 	}
 }
