--- a/coverage/range.go
+++ b/coverage/range.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// ErrInvalidRange is returned for a range whose end does not lie after its start.
+// ErrInvalidRange is returned for a range whose end is not greater than its start.
 var ErrInvalidRange = errors.New("coverage: range end must be greater than its start")
 
 // Range is a half-open interval [Start, End) of a service's key space.
@@ -16,7 +16,7 @@
 	End uint64 `json:"end" validate:"gtfield=Start"`
 }
 
-// Validate returns ErrInvalidRange when the range is empty or reversed.
+// Validate returns an error that wraps ErrInvalidRange if the range is empty or reversed.
 func (r Range) Validate() error {
 	if r.End <= r.Start {
 		return fmt.Errorf("%w: [%d, %d)", ErrInvalidRange, r.Start, r.End)
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// Size is the number of keys in the range; it is zero for an invalid range.
+// Size returns the number of keys in the range; zero for an invalid range.
 func (r Range) Size() uint64 {
 	if r.End <= r.Start {
 		return 0
@@ -32,12 +32,12 @@
 	return r.End - r.Start
 }
 
-// Contains reports whether every key of other lies in r.
+// Contains reports whether every key of other is in r.
 func (r Range) Contains(other Range) bool {
 	return r.Start <= other.Start && other.End <= r.End
 }
 
-// Intersect returns the keys that both ranges hold; ok is false when there are none.
+// Intersect returns the keys that are in both ranges; ok is false if there are none.
 func (r Range) Intersect(other Range) (shared Range, ok bool) {
 	shared = Range{Start: max(r.Start, other.Start), End: min(r.End, other.End)}
 	return shared, shared.Start < shared.End
--- a/coverage/set.go
+++ b/coverage/set.go
@@ -6,12 +6,12 @@
 //
 // A Set is not safe for concurrent use.
 type Set struct {
-	// ranges are disjoint, not adjacent, and sorted.
+	// ranges is sorted; its elements are neither overlapping nor adjacent.
 	ranges []Range
 }
 
-// Add puts every key of r into the set. It reports whether the set grew.
-// An invalid range holds no key and is ignored.
+// Add adds every key of r to the set and reports whether the set grew. An invalid
+// range contains no keys and is ignored.
 func (s *Set) Add(r Range) bool {
 	if r.Size() == 0 || s.Contains(r) {
 		return false
@@ -27,7 +27,7 @@
 	return true
 }
 
-// replace puts r in the place of the ranges from first to before last.
+// replace replaces the ranges [first, last) with r.
 func (s *Set) replace(first, last int, r Range) {
 	if first == last {
 		s.ranges = append(s.ranges, Range{})
@@ -39,8 +39,8 @@
 	s.ranges = append(s.ranges[:first+1], s.ranges[last:]...)
 }
 
-// Contains reports whether every key of r is in the set. It is true for an
-// invalid range, which holds no key.
+// Contains reports whether every key of r is in the set. It returns true for an
+// invalid range, which contains no keys.
 func (s *Set) Contains(r Range) bool {
 	if r.Size() == 0 {
 		return true
@@ -55,7 +55,7 @@
 	return i < len(s.ranges) && s.ranges[i].Start < r.End && r.Size() > 0
 }
 
-// Size is the number of keys in the set.
+// Size returns the number of keys in the set.
 func (s *Set) Size() uint64 {
 	var size uint64
 	for _, r := range s.ranges {
@@ -64,7 +64,7 @@
 	return size
 }
 
-// Covered is the number of keys of space that are in the set.
+// Covered returns the number of keys of space that are in the set.
 func (s *Set) Covered(space Range) uint64 {
 	var covered uint64
 	for _, r := range s.ranges {
@@ -75,14 +75,14 @@
 	return covered
 }
 
-// Fraction is the share of space that is in the set. It is 1 exactly when all
-// of space is in the set, and 0 for an empty space.
+// Fraction returns the fraction of space that is in the set. It is 1 if and only if
+// all of space is in the set, and 0 for an empty space.
 func (s *Set) Fraction(space Range) float64 {
 	return Fraction(s.Covered(space), space.Size())
 }
 
-// Fraction is part divided by whole. It is 1 exactly when part reaches whole,
-// and 0 for an empty whole.
+// Fraction returns part divided by whole. It is 1 if and only if part is at least
+// whole, and 0 if whole is 0.
 func Fraction(part, whole uint64) float64 {
 	switch {
 	case whole == 0:
@@ -94,11 +94,11 @@
 	}
 }
 
-// largestPartial is the greatest float64 below 1: a partial fraction of a large
-// space must not round to 1.
+// largestPartial is the largest float64 below 1. It keeps a partial fraction of a large
+// space from being rounded to 1.
 const largestPartial = 1 - 1.0/(1<<53)
 
-// Missing lists the ranges of space that are not in the set, sorted.
+// Missing returns the ranges of space that are not in the set, in ascending order.
 func (s *Set) Missing(space Range) []Range {
 	var missing []Range
 	start := space.Start
@@ -120,13 +120,13 @@
 	return missing
 }
 
-// Ranges lists the set as disjoint, sorted ranges of greatest length. The
-// caller owns the result.
+// Ranges returns the set as a sorted list of disjoint, non-adjacent ranges. The caller
+// owns the result.
 func (s *Set) Ranges() []Range {
 	return append([]Range(nil), s.ranges...)
 }
 
-// Reset empties the set and keeps its memory.
+// Reset empties the set and keeps the allocated memory.
 func (s *Set) Reset() {
 	s.ranges = s.ranges[:0]
 }
--- a/coverage/set_test.go
+++ b/coverage/set_test.go
@@ -56,15 +56,15 @@
 	space := span(0, 1<<64-1)
 	set.Add(span(1, 1<<64-1))
 	if set.Fraction(space) >= 1 {
-		t.Fatal("rounded to whole")
+		t.Fatal("fraction of a partial cover is 1")
 	}
 	set.Add(span(0, 1))
 	if set.Fraction(space) != 1 {
-		t.Fatal("whole is not 1")
+		t.Fatal("fraction of a complete cover is not 1")
 	}
 }
 
-// A set agrees with a plain table of keys.
+// A Set gives the same results as a table with one entry per key.
 func TestSetMatchesReferenceModel(t *testing.T) {
 	const keys = 64
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
@@ -83,12 +83,12 @@
 		for _, r := range set.Missing(span(0, keys)) {
 			missing.Add(r)
 		}
-		for key, held := range table {
-			one := span(uint64(key), uint64(key)+1)
-			if held {
+		for key, covered := range table {
+			single := span(uint64(key), uint64(key)+1)
+			if covered {
 				size++
 			}
-			if set.Contains(one) != held || set.Overlaps(one) != held || missing.Contains(one) == held {
+			if set.Contains(single) != covered || set.Overlaps(single) != covered || missing.Contains(single) == covered {
 				return false
 			}
 		}
