--- a/routing/budget_test.go
+++ b/routing/budget_test.go
@@ -14,14 +14,14 @@
 	"github.com/banksail/banksail/routing"
 )
 
-// sendRecord is one send to a service, by any node.
+// sendRecord is one send to a service by any node.
 type sendRecord struct {
 	at    time.Duration
 	extra bool
 }
 
-// worstExcess is the greatest number by which the extra sends of any window
-// exceed ratio times its requests and the fixed number.
+// worstExcess returns the largest excess, over all windows, of extra sends over ratio times the
+// window's requests plus the fixed number.
 func worstExcess(arrivals []sendRecord, ratio, fixed float64, window time.Duration) float64 {
 	worst := -fixed
 	first, requests, extras := 0, 0, 0
@@ -44,7 +44,8 @@
 	return worst
 }
 
-// newUnboundedHarness has one service whose servers never lack room or connections.
+// newUnboundedHarness returns a harness with one service whose servers never run out of slots or
+// connections.
 func newUnboundedHarness(t *testing.T, options routing.Options) *harness {
 	t.Helper()
 	h := newHarness(t, options)
@@ -57,16 +58,15 @@
 	return h
 }
 
-// Many nodes, each of whose requests wants a second server, keep the
-// budget together, though they know nothing of each other's spending, come,
-// restart, and get loads of their own.
+// Many nodes whose requests all want hedges must stay within the shared budget together, although
+// they do not know each other's usage, restart at random and have different loads.
 func TestNodesStayWithinSharedBudget(t *testing.T) {
 	const (
 		ratio  = 0.2
 		fixed  = 56.0
 		window = 10 * time.Second
 		tick   = 50 * time.Millisecond
-		// herdAt is when all nodes restart, and again soon after.
+		// herdAt is when all nodes restart; they restart again 2 s later.
 		herdAt = 12 * time.Second
 	)
 	run := func(seed uint64, nodes, restarts int, perTick float64, herd bool) bool {
@@ -120,9 +120,9 @@
 	properties.TestingRun(t)
 }
 
-// Nodes take turns in serving callers, all of them eager for extra sends: what
-// those that served before have spent and what their successors spend keeps the
-// budget, however often roles change.
+// Nodes that take turns in serving callers, and all want extra sends, must stay within the shared
+// budget together, however often the roles change. Extra sends by former serving nodes and by
+// their successors count towards the same window.
 func TestNodesStayWithinBudgetAcrossRoleChanges(t *testing.T) {
 	const (
 		ratio  = 0.2
--- a/routing/caller_timeouts_test.go
+++ b/routing/caller_timeouts_test.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// Callers that were refused or lost their connection come back with less time, and
-// are told from those that ask for the first time, whatever a few others tell.
+// Callers that were rejected or lost their connection retry with a shorter timeout. They must be
+// told apart from first attempts, even if a few callers declare arbitrary timeouts.
 func TestDetectsRetryingCallers(t *testing.T) {
 	const (
 		deadline = 3 * time.Second
-		learned  = 100 // requests until then are not judged
+		learned  = 100 // the first requests are not checked
 	)
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		var p callerTimeouts
 		for number := range 2000 {
 			switch kind := random.IntN(100); {
-			case kind < 5: // nonsense
+			case kind < 5: // arbitrary timeouts
 				p.observe(time.Duration(random.Int64N(int64(time.Hour))))
 			case kind < 10:
 				p.observe(time.Hour)
-			case kind < 50: // some time went by
+			case kind < 50: // retries after some time
 				told := deadline - 200*time.Millisecond - time.Duration(random.Int64N(int64(2*time.Second)))
 				if number > learned && !p.isRetry(told) {
-					t.Fatalf("seed %d: %s is taken for a first try", seed, told)
+					t.Fatalf("seed %d: timeout %s is classified as a first attempt, want a retry", seed, told)
 				}
 				p.observe(told)
-			default: // a new connection takes a while
+			default: // first attempts; opening a connection takes a while
 				told := deadline - time.Duration(random.IntN(35))*time.Millisecond
 				if number > learned && p.isRetry(told) {
-					t.Fatalf("seed %d: %s is taken for a later try", seed, told)
+					t.Fatalf("seed %d: timeout %s is classified as a retry, want a first attempt", seed, told)
 				}
 				p.observe(told)
 			}
@@ -39,7 +39,7 @@
 	}
 }
 
-// What callers begin with may change.
+// The estimate must follow a change of the callers' initial timeout.
 func TestInitialTimeoutAdapts(t *testing.T) {
 	var p callerTimeouts
 	for range 1000 {
@@ -49,9 +49,9 @@
 		p.observe(3 * time.Second)
 	}
 	if p.isRetry(3 * time.Second) {
-		t.Errorf("callers begin with %s now", p.initialTimeout())
+		t.Errorf("initial timeout of 3 s is classified as a retry: estimated initial timeout is %s", p.initialTimeout())
 	}
 	if p.isRetry(0) {
-		t.Error("a caller that tells nothing is taken for one that tried before")
+		t.Error("a caller without a declared timeout is classified as a retry")
 	}
 }
--- a/routing/cold_rate_test.go
+++ b/routing/cold_rate_test.go
@@ -15,12 +15,13 @@
 	"github.com/banksail/banksail/routing"
 )
 
-// coldLimit is what a cold server bears in a second in these tests: 1.5 times 10, and 5.
+// coldLimit is the number of requests per second to a cold server in these tests: 1.5 times 10,
+// plus 5.
 const coldLimit = 20
 
 var coldOptions = routing.ColdOptions{Overshoot: 1.5, Slack: 5}
 
-// setColdRate puts a table in force whose service bears a rate while it is cold.
+// setColdRate installs a table whose service has the given cold rate.
 func (h *harness) setColdRate(rate float64) {
 	table, err := route.New(route.Definition{
 		Version: 1, Limits: route.Limits{HeaderBytes: 1, HeaderTimeout: 1, IdleTimeout: 1},
@@ -36,7 +37,7 @@
 	return discovery.Server{ID: id, Service: "s1", Address: "x", Slots: 1_000, Zone: "a", ColdFor: left}
 }
 
-// sendLoad lets requests come for a while and counts those that each server gets.
+// sendLoad submits requests for a while and returns the number of sends to each server.
 func (h *harness) sendLoad(duration time.Duration, perTick int) map[string]int {
 	const tick = 20 * time.Millisecond
 	got := make(map[string]int)
@@ -54,44 +55,44 @@
 	return got
 }
 
-// A cold server gets what it bears; the rest goes to those that are warm, and it gets
-// its part once it is warm. One that turns cold again is spared again.
+// A cold server must receive no more than its limit, the rest must go to warm servers, and it must
+// receive its normal share once it is warm. The limit must apply again if it becomes cold again.
 func TestColdServerRateLimit(t *testing.T) {
 	h := newHarness(t, routing.Options{Cold: coldOptions})
 	warm, cold := coldServer("warm", 0), coldServer("cold", 2*time.Second)
 	h.setServers([]discovery.Server{warm, cold})
 	h.setColdRate(10)
 	if got := h.sendLoad(time.Second, 10); got["cold"] > coldLimit || got["cold"] == 0 || got["warm"] < 400 {
-		t.Errorf("in a second while one is cold: %v", got)
+		t.Errorf("sends in 1 s while one server is cold: %v", got)
 	}
 	h.sendLoad(1500*time.Millisecond, 10)
 	if got := h.sendLoad(time.Second, 10); got["cold"] < 100 {
-		t.Errorf("in a second after the warm-up: %v", got)
+		t.Errorf("sends in 1 s after the warm-up: %v", got)
 	}
 	cold.ColdFor = 3 * time.Second
 	h.setServers([]discovery.Server{warm, cold})
 	if got := h.sendLoad(time.Second, 10); got["cold"] > coldLimit {
-		t.Errorf("in a second after it turned cold again: %v", got)
+		t.Errorf("sends in 1 s after the server became cold again: %v", got)
 	}
-	h.setServers([]discovery.Server{warm, cold}) // the same entry tells nothing new
+	h.setServers([]discovery.Server{warm, cold}) // an unchanged entry must not restart the warm-up
 	h.sendLoad(2*time.Second, 10)
 	if got := h.sendLoad(time.Second, 10); got["cold"] < 100 {
-		t.Errorf("in a second after the second warm-up: %v", got)
+		t.Errorf("sends in 1 s after the second warm-up: %v", got)
 	}
 }
 
-// A rate of zero is no bound.
+// A cold rate of zero means no limit.
 func TestColdRateOfZeroIsUnlimited(t *testing.T) {
 	h := newHarness(t, routing.Options{Cold: coldOptions})
 	h.setServers([]discovery.Server{coldServer("cold", time.Minute)})
 	h.setColdRate(0)
 	if got := h.sendLoad(time.Second, 5); got["cold"] < 200 {
-		t.Errorf("in a second: %v", got)
+		t.Errorf("sends in 1 s without a cold rate: %v", got)
 	}
 }
 
-// Where all servers are cold, what they can't bear waits and is sent as soon as they may
-// have more, with no other event that tells of it.
+// If all servers are cold, excess parts must queue and be sent as soon as the limit allows,
+// without any other event.
 func TestPartsQueueForColdServers(t *testing.T) {
 	h := newHarness(t, routing.Options{Cold: coldOptions})
 	h.setServers([]discovery.Server{coldServer("cold", time.Minute)})
@@ -103,18 +104,19 @@
 	}
 	first := len(h.allSends)
 	if first > coldLimit || first == 0 {
-		t.Fatalf("%d sends at once", first)
+		t.Fatalf("%d immediate sends to a cold server, want 1 to 20", first)
 	}
 	for _, send := range h.allSends {
 		h.complete(send.Attempt, gather.ReplyDone)
 	}
 	h.advance(1200 * time.Millisecond)
 	if len(h.allSends) <= first {
-		t.Error("what waits is not sent in the next second")
+		t.Error("queued parts are not sent in the next second")
 	}
 }
 
-// A server that shed is asked again once its time is over, with no other event.
+// Parts queued for a server that shed must be sent once its retry time has passed, without any
+// other event.
 func TestPartsQueueForSheddingServers(t *testing.T) {
 	h := newHarness(t, routing.Options{})
 	h.setServers(servers(1, "s1"))
@@ -126,16 +128,16 @@
 	h.step(routing.Replied{Attempt: h.allSends[0].Attempt, Status: gather.ReplyShed, RetryAfter: 100 * time.Millisecond})
 	next := h.submit(r)
 	if len(h.inFlight(next)) != 0 {
-		t.Fatal("a server that shed is asked at once")
+		t.Fatal("a request is sent to a server that has just shed")
 	}
 	h.advance(200 * time.Millisecond)
 	if len(h.inFlight(next)) != 1 {
-		t.Error("the part still waits when the server may be asked again")
+		t.Error("the part is still queued after the retry time of the server")
 	}
 }
 
-// Many nodes that don't know each other's spending keep a cold server's bound together,
-// in every second, while nodes restart and loads differ.
+// Many nodes that do not know each other's usage must together keep the limit of a cold server in
+// every second, while nodes restart and loads differ.
 func TestNodesShareColdServerRateLimit(t *testing.T) {
 	const tick = 20 * time.Millisecond
 	run := func(seed uint64, nodes int, serving int, restarts bool) bool {
@@ -189,7 +191,7 @@
 				return false
 			}
 		}
-		return nodes < 4 || len(arrivals) > coldLimit // it does get what it bears
+		return nodes < 4 || len(arrivals) > coldLimit // the limit is also used
 	}
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 25
--- a/routing/cold_test.go
+++ b/routing/cold_test.go
@@ -10,12 +10,12 @@
 	"github.com/banksail/banksail/routing"
 )
 
-// How slow a server is at its start is learned from others that said that they had
-// just started; without any, it is taken for one as any other.
+// The slowness of a cold server is estimated from earlier servers that reported being cold;
+// without any, it is treated like a warm one.
 func TestLearnsSlownessOfColdServers(t *testing.T) {
 	const (
 		usual = 10 * time.Millisecond
-		// slow is over the way to the other zone, which is charged as 15 ms here.
+		// slow exceeds the penalty for the other zone, which is 15 ms here.
 		slow    = 40 * time.Millisecond
 		coldFor = 3 * time.Second
 	)
@@ -33,7 +33,7 @@
 			h.setServers(known)
 			h.setTable(20, "s1", "s2")
 			h.learnLatency(fanOut(1, "s1"), usual)
-			// Servers of s1 start one after the other, and take so long at first.
+			// Servers of s1 start one after the other and have the given latency while cold.
 			for number := range 20 {
 				starting := discovery.Server{ID: fmt.Sprintf("new-%d", number), Service: "s1", Zone: "a", Slots: 2, ColdFor: coldFor}
 				h.setServers([]discovery.Server{starting})
@@ -43,12 +43,12 @@
 					h.complete(send.Attempt, gather.ReplyDone)
 				}
 			}
-			// Of the two of s2 the near one has just started.
+			// Of the two servers of s2, the nearby one is cold.
 			choice := servers(2, "s2")
 			choice[0].ColdFor = coldFor
 			h.setServers(choice)
 			if sends := h.inFlight(h.submit(fanOut(1, "s2"))); len(sends) != 1 || sends[0].Server.Zone != test.want {
-				t.Errorf("asked %v, want one in zone %s", sends, test.want)
+				t.Errorf("sends %v, want one to zone %s", sends, test.want)
 			}
 		})
 	}
--- a/routing/disabled_test.go
+++ b/routing/disabled_test.go
@@ -11,9 +11,9 @@
 	"github.com/banksail/banksail/routing"
 )
 
-// Whatever mechanism is switched off, every request gets one final answer by its
-// deadline, no part is sent to more servers than its route allows, and a request
-// that may not be repeated is not sent again once a server may have run it.
+// Whichever mechanism is disabled, every request must get exactly one final answer by its
+// deadline, no part may be sent to more servers than its route allows, and a non-repeatable
+// request must not be resent once a server may have executed it.
 func TestInvariantsHoldWithEachMechanismDisabled(t *testing.T) {
 	for number, name := range mechanism.Names() {
 		t.Run(name, func(t *testing.T) {
@@ -53,14 +53,14 @@
 				h.advance(time.Duration(random.IntN(30)) * time.Millisecond)
 				for _, send := range h.allSends[before:] {
 					if once[send.Request] && mayHaveRun[send.Request] {
-						t.Fatalf("request %d is sent again", send.Request)
+						t.Fatalf("non-repeatable request %d is resent after a server may have executed it", send.Request)
 					}
 				}
 			}
 			h.advance(2 * time.Second)
 			for _, id := range asked {
 				if _, finished := h.finished[id]; !finished {
-					t.Errorf("request %d has no answer", id)
+					t.Errorf("request %d has no final answer", id)
 				}
 			}
 			servers := make(map[string]map[string]bool)
@@ -71,7 +71,7 @@
 				}
 				servers[part][send.Server.ID] = true
 				if len(servers[part]) > 2 {
-					t.Errorf("%s was sent to %d servers", part, len(servers[part]))
+					t.Errorf("part %s was sent to %d servers, at most 2 are allowed", part, len(servers[part]))
 				}
 			}
 		})
--- a/routing/evacuation_test.go
+++ b/routing/evacuation_test.go
@@ -9,8 +9,8 @@
 	"github.com/banksail/banksail/routing"
 )
 
-// Nothing is sent to the servers of a zone that is evacuated: no first send, hedge, retry
-// or probe; it is asked again once the zone is given back.
+// Nothing may be sent to the servers of an evacuated zone: no first send, hedge, retry or probe.
+// The zone must be used again after the evacuation ends.
 func TestEvacuatedZoneReceivesNothing(t *testing.T) {
 	h := newHarness(t, routing.Options{})
 	h.setServers(servers(2, "s1", "s2"))
@@ -21,11 +21,11 @@
 	before := len(h.allSends)
 	for round := range 40 {
 		id := h.submit(r)
-		h.advance(40 * time.Millisecond) // hedges would be sent by now
+		h.advance(40 * time.Millisecond) // long enough for hedges
 		for _, send := range h.inFlight(id) {
 			status := gather.ReplyDone
 			if round%3 == 0 {
-				status = gather.ReplyError // retries would be sent
+				status = gather.ReplyError // causes retries
 			}
 			h.complete(send.Attempt, status)
 		}
@@ -36,24 +36,24 @@
 	}
 	for _, send := range h.allSends[before:] {
 		if send.Server.Zone == "a" {
-			t.Fatalf("%s of an evacuated zone is asked, kind %v", send.Server.ID, send.Kind)
+			t.Fatalf("server %s in an evacuated zone got a send of kind %v", send.Server.ID, send.Kind)
 		}
 	}
-	// It takes no budget: what moved to another zone is a first send.
+	// This uses no extra budget: parts that move to another zone are first sends.
 	if len(h.allSends) == before {
-		t.Fatal("nothing was sent at all")
+		t.Fatal("nothing was sent during the evacuation")
 	}
 	h.step(routing.ZonesChanged{})
-	h.learnLatency(r, 5*time.Millisecond) // servers that answered late meanwhile are probed once
+	h.learnLatency(r, 5*time.Millisecond) // servers that were slow meanwhile are probed once
 	id := h.submit(r)
 	for _, send := range h.inFlight(id) {
 		if send.Server.Zone != "a" {
-			t.Errorf("%s is asked after the near zone was given back", send.Server.ID)
+			t.Errorf("server %s got a send after the evacuation of the nearby zone ended", send.Server.ID)
 		}
 	}
 }
 
-// Parts that move to another zone are no extra sends: a budget of nothing pays for them.
+// Parts that move to another zone are not extra sends and must work with an empty budget.
 func TestEvacuationUsesNoExtraBudget(t *testing.T) {
 	h := newHarness(t, routing.Options{})
 	h.step(routing.SettingsChanged{Regions: map[string]string{"a": "r", "b": "r"}})
@@ -64,36 +64,36 @@
 		id := h.submit(single("s1", true))
 		open := h.inFlight(id)
 		if len(open) != 1 || open[0].Server.Zone != "b" || open[0].Kind != gather.FirstSend {
-			t.Fatalf("sends: %v", open)
+			t.Fatalf("sends %v, want one first send to zone b", open)
 		}
 		h.complete(open[0].Attempt, gather.ReplyDone)
 		if got := h.finished[id]; got.Execution != gather.ExecutionDone {
-			t.Fatalf("%+v", got)
+			t.Fatalf("outcome %+v, want done", got)
 		}
 	}
 }
 
-// What waits for room in a zone that is then evacuated goes elsewhere.
+// Parts queued for a zone that is then evacuated must be sent elsewhere.
 func TestQueuedPartsLeaveEvacuatedZone(t *testing.T) {
 	h := newHarness(t, routing.Options{})
 	h.setServers(servers(2, "s1"))
-	h.setTable(2, "s1") // a share of one
+	h.setTable(2, "s1") // a connection share of one
 	running := []routing.RequestID{h.submit(single("s1", true)), h.submit(single("s1", true))}
 	waiting := h.submit(single("s1", true))
 	if len(h.inFlight(waiting)) != 0 {
-		t.Fatal("there was room")
+		t.Fatal("the part was sent although the connection share was used up")
 	}
 	h.step(routing.ZonesChanged{Evacuated: []string{"a"}})
 	for _, id := range running {
 		h.complete(h.inFlight(id)[0].Attempt, gather.ReplyDone)
 	}
 	if open := h.inFlight(waiting); len(open) != 1 || open[0].Server.Zone != "b" {
-		t.Errorf("the part that waited is at %v", open)
+		t.Errorf("sends of the queued part: %v, want one to zone b", open)
 	}
 }
 
-// A request whose shards live in evacuated zones alone is refused before any of it runs;
-// one that can do without them tells how many are left out.
+// A request with shards that exist only in an evacuated zone must be rejected before any part runs
+// if it needs them; otherwise its answer must report how many are missing.
 func TestShardOnlyInEvacuatedZone(t *testing.T) {
 	h := newHarness(t, routing.Options{})
 	only := servers(1, "s1")                        // in zone a
@@ -102,22 +102,22 @@
 	h.step(routing.ZonesChanged{Evacuated: []string{"a"}})
 	whole := h.submit(fanOut(1, "s1", "s2"))
 	if got, done := h.finished[whole]; !done || got.Execution != gather.ExecutionNotRun || got.Reason != gather.ReasonNoServer || got.RetryAfter == 0 || got.Sends != 0 {
-		t.Errorf("all shards are wanted: %v %+v", done, got)
+		t.Errorf("request that needs all shards: finished %v, outcome %+v", done, got)
 	}
 	half := h.submit(fanOut(0.5, "s1", "s2"))
 	for _, send := range h.inFlight(half) {
 		h.complete(send.Attempt, gather.ReplyDone)
 	}
 	if got := h.finished[half]; got.Execution != gather.ExecutionDone || got.Missing != 1 {
-		t.Errorf("half of the shards is enough: %+v", got)
+		t.Errorf("request that needs half of the shards: outcome %+v", got)
 	}
 }
 
-// Requests with homes go to servers of those regions only; without one there they are
-// refused at once.
+// Requests with home regions may only be sent to servers in those regions, and must be rejected
+// immediately if there are none.
 func TestHomeRegionsAreRespected(t *testing.T) {
 	h := newHarness(t, routing.Options{})
-	h.setServers(servers(3, "s1")) // in zones a and b of region r, and far, of region s
+	h.setServers(servers(3, "s1")) // zones a and b are in region r, zone far is in region s
 	h.setTable(40, "s1")
 	homed := single("s1", true)
 	homed.Homes = []string{"s"}
@@ -126,19 +126,19 @@
 		h.advance(300 * time.Millisecond)
 		for _, send := range h.inFlight(id) {
 			if send.Server.Zone != "far" {
-				t.Fatalf("%s is asked outside of the request's homes", send.Server.ID)
+				t.Fatalf("server %s outside the home regions got a send", send.Server.ID)
 			}
 			h.complete(send.Attempt, gather.ReplyError)
 		}
 	}
 	homed.Homes = []string{"elsewhere"}
 	if got := h.finished[h.submit(homed)]; got.Reason != gather.ReasonNoServer || got.Execution != gather.ExecutionNotRun {
-		t.Errorf("without a server in its homes: %+v", got)
+		t.Errorf("without a server in the home regions: outcome %+v", got)
 	}
 }
 
-// What does not fit on one of several weighted services is not moved to another: shares
-// stay as the operator set them, also where one service has no server at all.
+// Requests that exceed the capacity of one of several weighted services must not move to another
+// service: the weights set by the operator hold even if a service has no server at all.
 func TestOverflowIsNotMovedBetweenWeightedServices(t *testing.T) {
 	h := newHarness(t, routing.Options{})
 	h.setServers(servers(2, "large"))
@@ -157,6 +157,6 @@
 		h.advance(10 * time.Millisecond)
 	}
 	if refused < 95 || refused > 105 {
-		t.Errorf("%d of 400 requests are refused, want the quarter of the service without servers", refused)
+		t.Errorf("%d of 400 requests were rejected, want about the quarter for the service without servers", refused)
 	}
 }
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -13,7 +13,7 @@
 	"github.com/banksail/banksail/routing"
 )
 
-// harness drives one Router by hand.
+// harness drives one Router and records its actions.
 type harness struct {
 	t                *testing.T
 	now              time.Duration
@@ -55,14 +55,14 @@
 			h.allSends = append(h.allSends, action)
 		case routing.Finish:
 			if _, twice := h.finished[action.Request]; twice {
-				h.t.Errorf("request %d is finished twice", action.Request)
+				h.t.Errorf("request %d got two final answers", action.Request)
 			}
 			h.finished[action.Request] = action.Outcome
 		case routing.Connect:
 			h.connects = append(h.connects, action.Server)
 		case routing.ReachabilityChanged:
 			if action.CanServe != h.cannotServe {
-				h.t.Errorf("told twice that able is %v", action.CanServe)
+				h.t.Errorf("ReachabilityChanged repeats CanServe %v", action.CanServe)
 			}
 			h.cannotServe = !action.CanServe
 		case routing.PublishFinding:
@@ -77,7 +77,7 @@
 	}
 }
 
-// advance lets time pass, with the wakes that fall due.
+// advance moves the clock forward and fires timers that are due.
 func (h *harness) advance(duration time.Duration) {
 	until := h.now + duration
 	for h.timerAt > 0 && h.timerAt <= until {
@@ -87,7 +87,7 @@
 	h.now = until
 }
 
-// servers lists count servers for each service; the first is in zone a.
+// servers returns count servers for each service; the first of each is in zone a.
 func servers(count int, services ...string) []discovery.Server {
 	var all []discovery.Server
 	for _, service := range services {
@@ -103,12 +103,12 @@
 
 func (h *harness) setServers(all []discovery.Server) { h.step(routing.ServersChanged{Servers: all}) }
 
-// setTable puts a bound of connections in force for all services.
+// setTable installs a table that gives all services the same connection limit.
 func (h *harness) setTable(connections int, services ...string) {
 	h.installTable(connections, services)
 }
 
-// setRoutes puts a table in force that holds a route over shards.
+// setRoutes installs a table with one route and the services of its shards.
 func (h *harness) setRoutes(r *route.Route) {
 	named := *r
 	named.Host, named.PathPrefix = "host", "/"
@@ -142,14 +142,14 @@
 	}
 }
 
-// submit lets a request arrive and returns its ID.
+// submit makes a request arrive and returns its ID.
 func (h *harness) submit(r *route.Route) routing.RequestID {
 	h.lastID++
 	h.step(routing.Arrived{Request: routing.Request{ID: h.lastID, Route: r, Remaining: r.Timeout}})
 	return h.lastID
 }
 
-// submitTarget lets a request for a target arrive and returns its ID.
+// submitTarget makes a request for a target arrive, with a fingerprint, and returns its ID.
 func (h *harness) submitTarget(r *route.Route, target string) routing.RequestID {
 	h.lastID++
 	h.step(routing.Arrived{Request: routing.Request{
@@ -159,7 +159,8 @@
 	return h.lastID
 }
 
-// crashAll ends the servers of all attempts of a request, until none is left, and counts them.
+// crashAll reports a server crash for each attempt of a request until none is in flight, and
+// returns the number of crashes.
 func (h *harness) crashAll(id routing.RequestID) (ended int) {
 	for open := h.inFlight(id); len(open) > 0; open = h.inFlight(id) {
 		for _, send := range open {
@@ -174,7 +175,7 @@
 	h.step(routing.Replied{Attempt: id, Status: status, Body: id})
 }
 
-// inFlight lists the attempts of a request that are not reported back.
+// inFlight returns the attempts of a request that have not been reported back.
 func (h *harness) inFlight(id routing.RequestID) []routing.Send {
 	var open []routing.Send
 	for _, send := range h.allSends {
@@ -195,7 +196,7 @@
 	h.step(routing.Failed{Attempt: id, Delivery: delivery, Reason: "test"})
 }
 
-// learnLatency teaches the router the usual latency of a route.
+// learnLatency feeds the router with answers of the given latency.
 func (h *harness) learnLatency(r *route.Route, latency time.Duration) {
 	for range 30 {
 		id := h.submit(r)
--- a/routing/hedge_test.go
+++ b/routing/hedge_test.go
@@ -8,15 +8,15 @@
 	"github.com/banksail/banksail/routing"
 )
 
-// Where most parts take longer than the share of the aim after which a hedge is sent, as
-// on a node that is late by itself, most parts are not hedged.
+// If most parts take longer than the share of the latency target after which hedges are sent, as
+// on a node that is itself slow, most parts must not be hedged.
 func TestTypicalLatencyIsNotHedged(t *testing.T) {
-	const usual = 60 * time.Millisecond // of an aim of 100, of which 30 are awaited
+	const usual = 60 * time.Millisecond // of a target of 100 ms, of which the hedge delay may use 30 ms
 	h := newHarness(t, routing.Options{})
 	h.setServers(servers(2, "s1"))
 	h.setTable(60, "s1")
 	r := single("s1", true)
-	for range 40 { // answers spread around what is usual
+	for range 40 { // latencies vary around the typical one
 		for _, latency := range []time.Duration{usual - 10*time.Millisecond, usual, usual + 10*time.Millisecond} {
 			id := h.submit(r)
 			h.advance(latency)
@@ -39,6 +39,6 @@
 		h.advance(20 * time.Millisecond)
 	}
 	if hedged > 12 {
-		t.Errorf("%d of 30 requests of usual latency are hedged", hedged)
+		t.Errorf("%d of 30 requests with typical latency were hedged, want at most 12", hedged)
 	}
 }
--- a/routing/incarnation_test.go
+++ b/routing/incarnation_test.go
@@ -9,7 +9,7 @@
 	"github.com/banksail/banksail/routing"
 )
 
-// restarted lists the servers with another start of one of them.
+// restarted returns the servers with a new incarnation of one of them.
 func restarted(all []discovery.Server, id string, born int64) []discovery.Server {
 	again := append([]discovery.Server(nil), all...)
 	for place := range again {
@@ -20,8 +20,8 @@
 	return again
 }
 
-// A server that is back under its ID is another one: it is not slow, shed, leaving or out of
-// reach for what the one before was, and what still runs there counts against nobody.
+// A server that restarts under the same ID must not inherit the slowness, shed time, draining
+// state, unreachability or in-flight attempts of its previous incarnation.
 func TestRestartedServerStartsWithCleanState(t *testing.T) {
 	for what, harm := range map[string]func(h *harness, send routing.Send){
 		"it failed": func(h *harness, send routing.Send) {
@@ -51,17 +51,17 @@
 			before := len(h.allSends)
 			h.submit(single("s1", true))
 			if len(h.allSends) != before+1 {
-				t.Fatalf("%d sends to the server that is back", len(h.allSends)-before)
+				t.Fatalf("%d sends to the restarted server, want 1", len(h.allSends)-before)
 			}
 			sent := h.allSends[before]
 			if sent.Server.Born != 2000 || sent.Estimate.InFlight != 0 || sent.Estimate.Slowness > 1 {
-				t.Errorf("believed %+v of the server born at %d", sent.Estimate, sent.Server.Born)
+				t.Errorf("estimate %+v for the server born at %d, want a clean state", sent.Estimate, sent.Server.Born)
 			}
 		})
 	}
 }
 
-// What is heard late of the life before says nothing of the one that is there.
+// Late events about a previous incarnation must not affect the current one.
 func TestEventsOfPreviousIncarnationAreIgnored(t *testing.T) {
 	h := newHarness(t, routing.Options{Seed: 1})
 	all := servers(1, "s1")
@@ -76,16 +76,16 @@
 	before := len(h.allSends)
 	h.submit(single("s1", true))
 	if len(h.allSends) == before {
-		t.Fatal("the server that is there is taken for the one that was not reached")
+		t.Fatal("the new incarnation is treated as unreachable")
 	}
 	if sent := h.allSends[len(h.allSends)-1]; sent.Estimate.Slowness > 1 {
-		t.Errorf("believed %+v", sent.Estimate)
+		t.Errorf("estimate %+v, want a clean state", sent.Estimate)
 	}
 	h.step(routing.ConnectFailed{Server: h.allSends[before].Server.Incarnation()})
 	h.step(routing.Connected{Server: all[0].Incarnation()})
 	after := len(h.allSends)
 	h.submit(single("s1", true))
 	if len(h.allSends) != after {
-		t.Error("a connection to the life before counts for the one that is there")
+		t.Error("a connection to the previous incarnation makes the new one reachable")
 	}
 }
--- a/routing/outages_test.go
+++ b/routing/outages_test.go
@@ -9,7 +9,7 @@
 	"github.com/banksail/banksail/routing"
 )
 
-// disconnectAll lets every server of all shards be out of reach, and bringBack lets them be reached.
+// disconnectAll reports all servers as unreachable, and reconnectAll as reachable again.
 func (h *harness) disconnectAll(all []discovery.Server) {
 	for _, s := range all {
 		h.step(routing.ConnectFailed{Server: s.Incarnation()})
@@ -22,10 +22,10 @@
 	}
 }
 
-// Eight nodes lacked the same shards, as their servers had ended, and each told callers to come
-// back in 10 ms, as if another one served: 1,233 times on one day. Where no other node is known
-// to serve, a caller is told when the servers are expected back, as learned from outages
-// before, spread, and not later than it waits.
+// Guards against a retry storm: eight nodes lacked the same shards after their servers had ended,
+// and each told callers to retry elsewhere in 10 ms (1,233 times in one day). If no other node is
+// known to serve, the retry delay must follow the expected end of the outage, as learned from
+// earlier outages, with jitter and no longer than the caller waits.
 func TestRetryAfterFollowsExpectedOutageDuration(t *testing.T) {
 	const outage = 3 * time.Second
 	h := newHarness(t, routing.Options{})
@@ -41,12 +41,12 @@
 			got, done := h.finished[h.submit(r)]
 			if !done || got.Execution != gather.ExecutionNotRun || got.Reason != gather.ReasonNoServer || got.RetryElsewhere ||
 				got.RetryAfter < least || got.RetryAfter > most {
-				t.Errorf("%s: %v %+v, want from %s to %s", when, done, got, least, most)
+				t.Errorf("%s: finished %v, outcome %+v, want RetryAfter from %s to %s", when, done, got, least, most)
 			}
 			told[got.RetryAfter] = struct{}{}
 		}
 		if len(told) < 5 {
-			t.Errorf("%s: callers come back at the same moments: %v", when, told)
+			t.Errorf("%s: too few distinct retry delays: %v", when, told)
 		}
 	}
 	h.disconnectAll(all)
@@ -61,12 +61,13 @@
 	refused("a second later", outage-time.Second, (outage-time.Second)*5/4)
 	h.step(routing.PeerAvailabilityChanged{Available: true})
 	if got := h.finished[h.submit(r)]; !got.RetryElsewhere || got.RetryAfter != routing.DefaultRedirectRetryAfter {
-		t.Errorf("another node serves: %+v", got)
+		t.Errorf("while another node serves: outcome %+v", got)
 	}
 }
 
-// Servers at whose addresses nobody listens are reached by no other node either: this one is not cut
-// off, and sends nobody elsewhere. Behind a cut that refuses, where next to none is reached, it is.
+// Servers that refuse connections are unreachable for all nodes, so the node must neither report
+// itself unable to serve nor redirect callers. It must do both if it reaches almost no server, as
+// behind a network partition that rejects connections.
 func TestConnectionRefusalIsNotLocalDisconnection(t *testing.T) {
 	for lost, cutOff := range map[int]bool{4: false, 5: true} {
 		h := newHarness(t, routing.Options{})
@@ -80,18 +81,18 @@
 		}
 		got := h.finished[h.submit(r)]
 		if got.Reason != gather.ReasonNoServer || h.cannotServe != cutOff || got.RetryElsewhere != cutOff {
-			t.Errorf("%d shards lost: cut off %v, %+v", lost, h.cannotServe, got)
+			t.Errorf("%d shards lost: cannotServe %v, outcome %+v", lost, h.cannotServe, got)
 		}
 		for _, s := range all {
 			h.step(routing.Connected{Server: s.Incarnation()})
 		}
 		if h.cannotServe {
-			t.Error("the node still says that it is cut off")
+			t.Error("the node still reports that it cannot serve")
 		}
 	}
 }
 
-// What is told lies within bounds, whatever was seen before.
+// The retry delay must stay within its limits whatever the earlier outages were.
 func TestOutageRetryAfterIsBounded(t *testing.T) {
 	for _, outage := range []time.Duration{time.Millisecond, time.Hour} {
 		h := newHarness(t, routing.Options{})
@@ -104,7 +105,7 @@
 			h.advance(outage)
 			got := h.finished[h.submit(r)]
 			if got.RetryAfter < 250*time.Millisecond || got.RetryAfter > 5*time.Second*5/4 {
-				t.Errorf("outages of %s: %s", outage, got.RetryAfter)
+				t.Errorf("after outages of %s: RetryAfter %s", outage, got.RetryAfter)
 			}
 			h.reconnectAll(all)
 			h.advance(time.Second)
--- a/routing/overload_test.go
+++ b/routing/overload_test.go
@@ -5,33 +5,32 @@
 	"time"
 )
 
-// Callers that have tried before are taken while servers are crowded for a moment,
-// and refused like others while there is more to do than servers can, also when
-// that pauses for a while.
+// Retries by callers must be accepted while servers are overloaded briefly and rejected like other
+// requests during a sustained overload, even one with pauses.
 func TestBriefCrowding(t *testing.T) {
 	const step = 100 * time.Millisecond
 	var p overloadStats
 	if !p.isBrief(0) {
-		t.Error("servers that were never crowded are crowded for long")
+		t.Error("without any rejection, the overload is not brief")
 	}
 	now := time.Duration(0)
 	for ; now < briefOverload; now += step {
 		p.record(now, 0, true)
 		if !p.isBrief(now) {
-			t.Fatalf("crowded for long after %s", now)
+			t.Fatalf("overload is not brief after %s", now)
 		}
 	}
 	for ; now < 3*overloadGap; now += step {
-		if now%(2*time.Second) < time.Second { // it pauses now and then
+		if now%(2*time.Second) < time.Second { // the overload pauses now and then
 			p.record(now, 0, true)
 		}
 		if p.isBrief(now) {
-			t.Fatalf("crowded for a moment only after %s", now)
+			t.Fatalf("overload is brief after %s", now)
 		}
 	}
 	now += overloadGap + step
 	p.record(now, 0, true)
 	if !p.isBrief(now) {
-		t.Error("an earlier crowding counts after a pause")
+		t.Error("an earlier overload still counts after the gap")
 	}
 }
--- a/routing/quarantine_test.go
+++ b/routing/quarantine_test.go
@@ -19,36 +19,37 @@
 	return h
 }
 
-// A fan-out under which its servers end: one of each shard, and one that gets it alone. It is
-// refused for the time of a review, and for good after that.
+// A fan-out request that crashes every server that runs it: one server per shard, and one more
+// that runs it alone. It must be rejected during the review and for good afterwards.
 func TestRequestsThatCrashServersAreRejected(t *testing.T) {
 	h := newShardedHarness(t, routing.Options{Seed: 1})
 	r := fanOut(1, fiveShards...)
 	first := h.submitTarget(r, "/deadly")
 	if ended := h.crashAll(first); ended != len(fiveShards)+1 {
-		t.Errorf("%d servers ended", ended)
+		t.Errorf("%d servers crashed, want one per shard and one more", ended)
 	}
 	if got := h.finished[first]; got.Execution != gather.ExecutionUnknown || got.Reason != gather.ReasonCrashesServers {
-		t.Errorf("it ended with %+v", got)
+		t.Errorf("outcome %+v, want execution unknown because it crashes servers", got)
 	}
 	review := h.finished[h.submitTarget(r, "/deadly")]
 	if review.Execution != gather.ExecutionNotRun || review.RetryAfter <= 0 || review.RetryAfter > reviewTime {
-		t.Errorf("under review: %+v", review)
+		t.Errorf("under review: outcome %+v", review)
 	}
 	if other := h.submitTarget(r, "/other"); len(h.inFlight(other)) != len(fiveShards) {
-		t.Errorf("another request was sent %d times", len(h.inFlight(other)))
+		t.Errorf("another content has %d sends in flight, want one per shard", len(h.inFlight(other)))
 	}
 	h.advance(reviewTime + time.Millisecond)
 	refused := h.finished[h.submitTarget(r, "/deadly")]
 	if refused.Execution != gather.ExecutionUnknown || refused.RetryAfter != 0 || refused.Sends != 0 {
-		t.Errorf("quarantined: %+v", refused)
+		t.Errorf("quarantined: outcome %+v", refused)
 	}
 	if len(h.quarantined) != 1 || h.repeatRejections != 1 || len(h.published) < 3 || !h.published[len(h.published)-1].Finding.Quarantined {
-		t.Errorf("%d records, came again %d times, told %+v", len(h.quarantined), h.repeatRejections, h.published)
+		t.Errorf("%d quarantines recorded, %d repeat rejections, published %+v", len(h.quarantined), h.repeatRejections, h.published)
 	}
 }
 
-// A suspected request asks one server, and the others once that one has answered.
+// A suspected request must be sent to one server first, and to the others once that one has
+// answered.
 func TestSuspectedRequestIsSentAloneAndCleared(t *testing.T) {
 	h := newShardedHarness(t, routing.Options{Seed: 1})
 	r := fanOut(1, fiveShards...)
@@ -56,27 +57,28 @@
 	h.step(routing.FindingReceived{Finding: quarantine.Finding{Content: content, Crashes: []quarantine.Crash{{ServerIncarnation: 7}}}})
 	id := h.submitTarget(r, "/suspected")
 	if open := h.inFlight(id); len(open) != 1 {
-		t.Fatalf("%d sends", len(open))
+		t.Fatalf("%d sends of a suspected request, want 1", len(open))
 	}
 	h.complete(h.inFlight(id)[0].Attempt, gather.ReplyDone)
 	if open := h.inFlight(id); len(open) != len(fiveShards)-1 {
-		t.Errorf("%d sends after an answer", len(open))
+		t.Errorf("%d sends after the first answer, want the remaining shards", len(open))
 	}
 	if next := h.submitTarget(r, "/suspected"); len(h.inFlight(next)) != len(fiveShards) {
-		t.Errorf("%d sends of a request that was cleared", len(h.inFlight(next)))
+		t.Errorf("%d sends of a cleared request, want one per shard", len(h.inFlight(next)))
 	}
 	if len(h.published) != 1 || !h.published[0].Finding.Answered {
-		t.Errorf("told %+v", h.published)
+		t.Errorf("published %+v, want one answered finding", h.published)
 	}
 }
 
-// tenShards are those of a fan-out that tells by itself whether it ends its servers.
+// tenShards are enough shards for a fan-out to prove by itself that it crashes servers.
 var tenShards = []string{"s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9", "s10"}
 
-// A fan-out ended a copy of each shard within 0.1 s, and others of its content, which came to other
-// nodes 50 to 120 ms after the first end, the other copies: of 41 servers that ended on one day 35
-// did so under the first two tries (their ends 34 to 124 ms after they were sent, "wide" findings
-// only after that). The third end without an answer is told to all nodes now.
+// Guards against late findings on fan-outs. A fan-out crashed one replica of each shard within 0.1
+// s, and requests of the same content that reached other nodes 50 to 120 ms after the first crash
+// crashed the other replicas: 35 of 41 servers that crashed in one day did so under the first two
+// attempts (34 to 124 ms after they were sent), before the finding was sent to all nodes. The
+// third crash without an answer must be published to all nodes immediately.
 func TestUnansweredFanOutsArePublishedImmediately(t *testing.T) {
 	newNode := func() *harness {
 		h := newHarness(t, routing.Options{Seed: 1})
@@ -93,37 +95,37 @@
 		if place == 3 {
 			told := h.published[len(h.published)-1].Finding
 			if !told.Wide || len(told.Crashes) != 3 {
-				t.Fatalf("after three ends: told %+v", told)
+				t.Fatalf("after three crashes: published %+v", told)
 			}
 			other.step(routing.FindingReceived{Finding: told})
 			for _, node := range []*harness{h, other} {
 				if got := node.finished[node.submitTarget(r, "/deadly")]; got.Execution != gather.ExecutionNotRun || got.RetryAfter <= 0 {
-					t.Errorf("while the outcome is awaited: %+v", got)
+					t.Errorf("while the outcome is pending: %+v", got)
 				}
 			}
 		}
 		h.fail(send.Attempt, gather.ServerCrashed)
 	}
 	if got := h.finished[id]; got.Reason != gather.ReasonCrashesServers || got.Sends != len(tenShards) {
-		t.Errorf("it ended with %+v", got)
+		t.Errorf("outcome %+v, want one send per shard", got)
 	}
 	before := len(other.inFlight(running))
 	other.fail(other.inFlight(running)[0].Attempt, gather.DeliveryUnknown)
 	if after := len(other.inFlight(running)); after != before-1 {
-		t.Errorf("%d in flight of one that runs elsewhere, %d before one failed", after, before)
+		t.Errorf("%d attempts in flight on the other node, %d before one failed; want no retry", after, before)
 	}
 	h.advance(reviewTime + time.Millisecond)
 	if got := h.finished[h.submitTarget(r, "/deadly")]; got.Execution != gather.ExecutionUnknown || got.Sends != 0 {
-		t.Errorf("after the review: %+v", got)
+		t.Errorf("after the review: outcome %+v", got)
 	}
 	other.step(routing.FindingReceived{Finding: h.published[len(h.published)-1].Finding})
 	if got := other.finished[running]; got.Reason != gather.ReasonCrashesServers {
-		t.Errorf("what runs elsewhere: %+v", got)
+		t.Errorf("request in flight on the other node: outcome %+v", got)
 	}
 }
 
-// A server that listened when its connection was lost, and has ended since, counts against the
-// request, also when that has its final answer; not where another server has answered it.
+// If a server still listened when its connection was lost but terminated later, this must count
+// against the request even after its final answer, unless another server has answered the request.
 func TestLateDetectedCrashesCount(t *testing.T) {
 	for what, test := range map[string]struct{ ended, answered, suspected bool }{
 		"ended":                 {ended: true, suspected: true},
@@ -133,7 +135,7 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			h := newShardedHarness(t, routing.Options{Seed: 1})
-			r := single("s1", test.answered) // one that must not be repeated is over with the loss
+			r := single("s1", test.answered) // a non-repeatable request ends with the loss
 			id := h.submitTarget(r, "/doubted")
 			lost := h.inFlight(id)[0].Attempt
 			h.fail(lost, gather.CrashUnconfirmed)
@@ -141,10 +143,10 @@
 				h.complete(h.inFlight(id)[0].Attempt, gather.ReplyDone)
 			}
 			if _, finished := h.finished[id]; !finished {
-				t.Fatal("the request goes on")
+				t.Fatal("the request has no final answer")
 			}
 			h.step(routing.CrashCheckCompleted{Attempt: lost, Ended: test.ended})
-			h.step(routing.CrashCheckCompleted{Attempt: lost, Ended: true}) // told twice
+			h.step(routing.CrashCheckCompleted{Attempt: lost, Ended: true}) // a repeated report is ignored
 			again := h.submitTarget(r, "/doubted")
 			if open := h.inFlight(again); len(open) != 1 || open[0].Alone != test.suspected {
 				t.Errorf("%d sends, alone %v; want one, alone %v", len(open), open[0].Alone, test.suspected)
@@ -153,23 +155,24 @@
 	}
 }
 
-// What the registry says holds from the moment at which it is known, and leaves a suspicion.
+// A quarantine recorded in the registry must apply as soon as it is known; when the record is
+// removed, the content remains suspected.
 func TestRecordedContentsAreRejected(t *testing.T) {
 	h := newShardedHarness(t, routing.Options{Seed: 1})
 	r := single("s1", true)
 	content := quarantine.FingerprintOf("GET", "host", "/recorded", nil)
 	h.step(routing.QuarantinesChanged{Contents: []quarantine.Fingerprint{content}})
 	if got := h.finished[h.submitTarget(r, "/recorded")]; got.Reason != gather.ReasonCrashesServers || got.Sends != 0 {
-		t.Errorf("%+v", got)
+		t.Errorf("recorded content: outcome %+v", got)
 	}
 	h.step(routing.QuarantinesChanged{})
 	id := h.submitTarget(r, "/recorded")
 	if len(h.inFlight(id)) != 1 {
-		t.Fatal("it is not tried")
+		t.Fatal("the request is not sent after the record was removed")
 	}
 	h.fail(h.inFlight(id)[0].Attempt, gather.ServerCrashed)
 	if got := h.finished[id]; got.Reason != gather.ReasonCrashesServers || len(h.inFlight(id)) > 0 {
-		t.Errorf("after its server ended: %+v", got)
+		t.Errorf("after its server crashed: outcome %+v", got)
 	}
 }
 
@@ -180,6 +183,6 @@
 	h.step(routing.QuarantinesChanged{Contents: []quarantine.Fingerprint{quarantine.FingerprintOf("GET", "host", "/deadly", nil)}})
 	h.advance(2 * reviewTime)
 	if id := h.submitTarget(r, "/deadly"); len(h.inFlight(id)) != len(fiveShards) {
-		t.Errorf("%d sends", len(h.inFlight(id)))
+		t.Errorf("%d sends with quarantine disabled, want one per shard", len(h.inFlight(id)))
 	}
 }
--- a/routing/rollouts_test.go
+++ b/routing/rollouts_test.go
@@ -14,7 +14,8 @@
 
 var rolloutBounds = rollout.Bounds{ExposureShare: 0.1, ExposureSlack: 50, RollbackTime: 5 * time.Second}
 
-// serversOfVersions lists servers of a service: so many of each version, two in each zone.
+// serversOfVersions returns count servers of a service for each version, spread over zones a and
+// b.
 func serversOfVersions(service string, count int, names ...string) []discovery.Server {
 	var all []discovery.Server
 	for _, name := range names {
@@ -27,7 +28,7 @@
 	return all
 }
 
-// newRolloutHarness is a world with an order for a service, as of a phase.
+// newRolloutHarness returns a harness with a roll-out order for a service in the given phase.
 func newRolloutHarness(t *testing.T, phase rollout.Phase, service string) *harness {
 	h := newHarness(t, routing.Options{Rollouts: rolloutBounds})
 	h.setTable(60, service)
@@ -44,8 +45,8 @@
 	h.step(routing.RolloutsChanged{States: map[string]rollout.State{service: state}, FreshUntil: time.Hour})
 }
 
-// serve asks many times and answers each attempt, and counts the attempts by version; answer
-// tells how one of the target ends.
+// serve submits requests, answers every attempt and counts the attempts by version. answer, if
+// set, ends attempts at the target version instead.
 func (h *harness) serve(r *route.Route, requests int, answer func(send routing.Send)) map[string]int {
 	byVersion := make(map[string]int)
 	for range requests {
@@ -66,8 +67,8 @@
 	return byVersion
 }
 
-// What each version gets: nothing before there is a record, a share while it runs, all once
-// traffic moves, and nothing after a roll-back.
+// The target must receive nothing before there is a record, a limited share while the roll-out
+// runs, everything once traffic moves, and nothing after a rollback.
 func TestTrafficByRolloutPhase(t *testing.T) {
 	for phase, want := range map[rollout.Phase]func(got map[string]int) bool{
 		"":                 func(got map[string]int) bool { return got["v2"] == 0 },
@@ -79,13 +80,13 @@
 		h := newRolloutHarness(t, phase, "ledger")
 		h.advance(2 * time.Second) // nodes move one after the other
 		if got := h.serve(single("ledger", true), 300, nil); !want(got) {
-			t.Errorf("%q: %v", phase, got)
+			t.Errorf("phase %q: sends by version %v", phase, got)
 		}
 	}
 }
 
-// A part that fails at the target is asked of the version before, and the answer is whole;
-// a hedge never goes to the target.
+// A part that fails at the target must be retried at the previous version, so that the answer is
+// complete. Hedges and retries must never go to the target.
 func TestFailedTargetPartsRetryOnPreviousVersion(t *testing.T) {
 	h := newHarness(t, routing.Options{Rollouts: rolloutBounds})
 	h.setTable(60, "x", "y")
@@ -98,22 +99,22 @@
 		h.complete(send.Attempt, gather.ReplyError)
 	})
 	if failed < 5 {
-		t.Fatalf("only %d parts went to the target", failed)
+		t.Fatalf("only %d parts were sent to the target, want at least 5", failed)
 	}
 	for id, outcome := range h.finished {
 		if outcome.Execution != gather.ExecutionDone || outcome.Missing != 0 {
-			t.Errorf("request %d: %+v", id, outcome)
+			t.Errorf("request %d: outcome %+v, want a complete answer", id, outcome)
 		}
 	}
 	for _, send := range h.allSends {
 		if send.Server.Version == "v2" && send.Kind != gather.FirstSend {
-			t.Errorf("a %v went to the target", send.Kind)
+			t.Errorf("send of kind %v went to the target", send.Kind)
 		}
 	}
 }
 
-// Answers of an unproven version teach nothing about what is usual for a route, nor about its
-// zone, and are told as evidence, with those of the version before on the same route.
+// Answers of an unproven version must not affect the statistics of the route or its zone. They are
+// reported as evidence, together with those of the previous version on the same route.
 func TestUnprovenAnswersOnlyCountAsEvidence(t *testing.T) {
 	h := newRolloutHarness(t, "", "ledger")
 	r := single("ledger", true)
@@ -127,7 +128,7 @@
 	})
 	reports, _ := h.router.RolloutReports()
 	if len(reports) != 1 || reports[0].Service != "ledger" || reports[0].Order != 7 {
-		t.Fatalf("reports %+v", reports)
+		t.Fatalf("reports %+v, want one for order 7 of ledger", reports)
 	}
 	var target, before rollout.Counts
 	for _, cell := range reports[0].Target {
@@ -139,12 +140,12 @@
 		before.Slow += cell.Slow
 	}
 	if target.Answers < 5 || target.Slow < target.Answers*9/10 || before.Answers < 50 || before.Slow > before.Answers/5 {
-		t.Errorf("target %+v, before %+v", target, before)
+		t.Errorf("evidence: target %+v, previous version %+v", target, before)
 	}
 }
 
-// Servers of a version that is closed to it keep a node from nothing: what runs there is
-// told until it has ended.
+// Attempts still in flight at servers of a blocked version must be reported until they have ended,
+// without keeping the node from moving its traffic.
 func TestReportsRemainingAttemptsAtOldVersion(t *testing.T) {
 	h := newRolloutHarness(t, rollout.Running, "ledger")
 	once := single("ledger", false)
@@ -163,41 +164,42 @@
 		return reports[0].Remaining
 	}
 	if got := remaining(); got != 1 {
-		t.Errorf("%d remain, want 1", got)
+		t.Errorf("%d remaining attempts, want 1", got)
 	}
 	h.complete(h.inFlight(id)[0].Attempt, gather.ReplyDone)
 	if got := remaining(); got != 0 {
-		t.Errorf("%d remain, want none", got)
+		t.Errorf("%d remaining attempts, want none", got)
 	}
 }
 
-// A halt stops what an order's target gets at once, and another order's does not.
+// A halt must stop traffic to the target of its own order immediately, but not that of another
+// order.
 func TestHaltStopsTargetTraffic(t *testing.T) {
 	h := newRolloutHarness(t, rollout.Running, "ledger")
 	h.step(routing.RolloutHalted{Service: "ledger", Order: 6})
 	if got := h.serve(single("ledger", true), 200, nil); got["v2"] == 0 {
-		t.Error("a halt of another order stopped this one")
+		t.Error("the halt of another order stopped traffic to the target")
 	}
 	h.step(routing.RolloutHalted{Service: "ledger", Order: 7})
 	if got := h.serve(single("ledger", true), 200, nil); got["v2"] != 0 {
-		t.Errorf("after a halt: %v", got)
+		t.Errorf("after the halt: sends by version %v", got)
 	}
 }
 
-// Where the target's zone is evacuated, or all its servers are gone, the version before
-// carries all; where that is gone, the target gets no more than it may.
+// If the target's zone is evacuated or all its servers are gone, the previous version must serve
+// everything. If the previous version is gone, the target must still not exceed its limit.
 func TestRolloutRespectsEvacuationAndServerLoss(t *testing.T) {
 	h := newRolloutHarness(t, rollout.Running, "ledger")
 	h.step(routing.ZonesChanged{Evacuated: []string{"a"}})
 	h.serve(single("ledger", true), 200, nil)
 	for _, send := range h.allSends {
 		if send.Server.Zone == "a" {
-			t.Fatalf("%s in an evacuated zone was asked", send.Server.ID)
+			t.Fatalf("server %s in an evacuated zone got a send", send.Server.ID)
 		}
 	}
 	h = newRolloutHarness(t, rollout.Running, "ledger")
 	h.setServers(serversOfVersions("ledger", 2, "v2"))
 	if got := h.serve(single("ledger", true), 300, nil); float64(got["v2"]) > 0.085*300+40 {
-		t.Errorf("without the version before: %v", got)
+		t.Errorf("without the previous version: sends by version %v", got)
 	}
 }
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -17,17 +17,17 @@
 	id := h.submit(fanOut(0.5, "s1", "s2", "s3"))
 	open := h.inFlight(id)
 	if len(open) != 3 {
-		t.Fatalf("%d sends", len(open))
+		t.Fatalf("%d sends, want 3", len(open))
 	}
 	for _, send := range open {
 		if send.Server.Zone != "a" {
-			t.Errorf("%s is not near", send.Server.ID)
+			t.Errorf("server %s is not in the nearby zone", send.Server.ID)
 		}
 		h.complete(send.Attempt, gather.ReplyDone)
 	}
 	got, finished := h.finished[id]
 	if !finished || got.Execution != gather.ExecutionDone || len(got.Parts) != 3 || got.Missing != 0 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("outcome %+v, want done with 3 parts", got)
 	}
 }
 
@@ -39,12 +39,12 @@
 	h.complete(h.inFlight(id)[0].Attempt, gather.ReplyDone)
 	h.advance(testAim - 20*time.Millisecond)
 	if _, finished := h.finished[id]; finished {
-		t.Fatal("it stopped before its aim")
+		t.Fatal("the request was answered before its latency target")
 	}
 	h.advance(20 * time.Millisecond)
 	got := h.finished[id]
 	if got.Execution != gather.ExecutionDone || got.Missing != 1 || len(got.Parts) != 1 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("outcome %+v, want done with one part missing", got)
 	}
 }
 
@@ -58,11 +58,11 @@
 	h.fail(open[1].Attempt, gather.DeliveryUnknown)
 	h.advance(2 * time.Second)
 	if got := h.finished[id]; got.Execution != gather.ExecutionPartial {
-		t.Fatalf("%+v", got)
+		t.Fatalf("outcome %+v, want partial", got)
 	}
 }
 
-// A request that may not be repeated goes on only while it certainly has not run.
+// A non-repeatable request may only be resent while it has certainly not been executed.
 func TestNonRepeatableRequests(t *testing.T) {
 	for name, test := range map[string]struct {
 		complete func(h *harness, id gather.AttemptID)
@@ -86,13 +86,13 @@
 			}
 			got, finished := h.finished[id]
 			if finished != (test.finish != 0) || finished && got.Execution != test.finish {
-				t.Errorf("finished %v %+v", finished, got)
+				t.Errorf("finished %v, outcome %+v", finished, got)
 			}
 		})
 	}
 }
 
-// No part is sent to more servers than the route allows, whatever they answer.
+// No part may be sent to more servers than the route allows, whatever they reply.
 func TestServerCountPerPartIsLimited(t *testing.T) {
 	h := newHarness(t, routing.Options{})
 	h.setServers(servers(3, "s1"))
@@ -107,15 +107,15 @@
 		h.advance(50 * time.Millisecond)
 	}
 	if len(asked) != 2 {
-		t.Errorf("%d servers were asked, two are allowed", len(asked))
+		t.Errorf("the part was sent to %d servers, want 2", len(asked))
 	}
 	if got := h.finished[id]; got.Execution != gather.ExecutionNotRun || got.RetryAfter == 0 {
-		t.Errorf("%+v", got)
+		t.Errorf("outcome %+v, want not run with a retry time", got)
 	}
 }
 
-// An attempt that is late is evidence before it ends: the next requests go to
-// another server, and the slow one is tried again later by one of them.
+// An overdue attempt must count as evidence of slowness before it ends: later requests go to
+// another server, and one of them probes the slow server later.
 func TestOverdueAttemptsCountAsSlow(t *testing.T) {
 	h := newHarness(t, routing.Options{})
 	h.setServers(servers(2, "s1"))
@@ -130,7 +130,7 @@
 		id := h.submit(r)
 		next := h.inFlight(id)[0]
 		if next.Server.ID == first.Server.ID {
-			t.Fatalf("%s is asked although it is late", next.Server.ID)
+			t.Fatalf("server %s got a request although an attempt there is overdue", next.Server.ID)
 		}
 		h.advance(5 * time.Millisecond)
 		h.complete(next.Attempt, gather.ReplyDone)
@@ -148,12 +148,12 @@
 		}
 	}
 	if !back {
-		t.Error("the server that was slow is never asked again")
+		t.Error("the slow server is never probed again")
 	}
 }
 
-// A server to which no connection opens gets nothing until one does; a shard
-// without another server is given up at once.
+// A server that cannot be connected to must receive nothing until a connection opens. A shard
+// without another server must be given up immediately.
 func TestUnreachableServerIsExcluded(t *testing.T) {
 	h := newHarness(t, routing.Options{})
 	h.setServers(servers(1, "s1", "s2"))
@@ -163,18 +163,18 @@
 	open := h.inFlight(id)
 	h.fail(open[0].Attempt, gather.NotDelivered)
 	if len(h.connects) != 1 || h.connects[0].ID != open[0].Server.ID {
-		t.Fatalf("to be reached: %v", h.connects)
+		t.Fatalf("connections requested to %v", h.connects)
 	}
 	h.complete(open[1].Attempt, gather.ReplyDone)
 	if got := h.finished[id]; got.Missing != 1 {
-		t.Errorf("%+v", got)
+		t.Errorf("outcome %+v, want one part missing", got)
 	}
 	if again := h.inFlight(h.submit(r)); len(again) != 1 {
-		t.Errorf("%d sends while a server can't be reached", len(again))
+		t.Errorf("%d sends while a server is unreachable, want 1", len(again))
 	}
 	h.step(routing.Connected{Server: open[0].Server.Incarnation()})
 	if again := h.inFlight(h.submit(r)); len(again) != 2 {
-		t.Errorf("%d sends after it was reached", len(again))
+		t.Errorf("%d sends after the server was connected, want 2", len(again))
 	}
 }
 
@@ -187,32 +187,32 @@
 	h.setServers(all)
 	for range 10 {
 		if got := h.inFlight(h.submit(single("s1", true)))[0].Server.ID; got != all[1].ID {
-			t.Errorf("%s is asked", got)
+			t.Errorf("draining server %s got a request", got)
 		}
 	}
 	h.setServers(nil)
 	id := h.submit(single("s1", true))
 	if got := h.finished[id]; got.Execution != gather.ExecutionNotRun || got.Reason != gather.ReasonNoServer {
-		t.Errorf("%+v", got)
+		t.Errorf("outcome %+v, want not run without a server", got)
 	}
 }
 
-// A node holds no more attempts at a server than its share of the connections;
-// what waits goes by priority, and what is late goes last.
+// A node must have no more attempts in flight at a server than its connection share. Queued parts
+// are sent by priority, late ones last.
 func TestQueuedPartsDispatchByPriority(t *testing.T) {
 	h := newHarness(t, routing.Options{})
 	h.setServers(servers(1, "s1"))
-	h.setTable(2, "s1") // a share of one
+	h.setTable(2, "s1") // a connection share of one
 	slow, urgent, usual := single("s1", true), single("s1", true), single("s1", true)
 	slow.Priority, urgent.Priority, usual.Priority = 2, 0, 1
 	running := h.submit(slow)
 	second, first := h.submit(usual), h.submit(urgent)
 	if len(h.allSends) != 1 {
-		t.Fatalf("%d sends over a share of one", len(h.allSends))
+		t.Fatalf("%d sends with a connection share of one", len(h.allSends))
 	}
 	h.complete(h.inFlight(running)[0].Attempt, gather.ReplyDone)
 	if len(h.inFlight(first)) != 1 || len(h.inFlight(second)) != 0 {
-		t.Error("the urgent one does not go first")
+		t.Error("the urgent request is not sent first")
 	}
 }
 
@@ -228,12 +228,12 @@
 		if got, finished := h.finished[id]; finished {
 			refused++
 			if got.Execution != gather.ExecutionNotRun || got.RetryAfter == 0 {
-				t.Fatalf("%+v", got)
+				t.Fatalf("outcome %+v, want not run with a retry time", got)
 			}
 		}
 	}
 	if refused < 14 || refused > 19 {
-		t.Errorf("%d of 20 requests are refused where about four fit in their aim", refused)
+		t.Errorf("%d of 20 requests were rejected, want 14 to 19: about four fit in their latency target", refused)
 	}
 }
 
@@ -244,15 +244,15 @@
 	id := h.submit(single("s1", true))
 	h.step(routing.CallerGone{Request: id})
 	if got := h.finished[id]; got.Reason != gather.ReasonCallerGone {
-		t.Errorf("%+v", got)
+		t.Errorf("outcome %+v, want caller gone", got)
 	}
 	if h.router.InFlightRequests() != 0 {
-		t.Error("it still runs")
+		t.Error("the request is still in flight")
 	}
 }
 
-// Entries of nodes that lapse make no share grow at once: all nodes would take
-// more together than there is.
+// When registry entries of nodes expire, the connection shares of the remaining nodes must not
+// grow immediately, or all nodes together could exceed the limit.
 func TestConnectionShareDoesNotGrowWhenNodesVanish(t *testing.T) {
 	h := newHarness(t, routing.Options{})
 	h.setServers(servers(1, "s1"))
@@ -261,17 +261,17 @@
 	before := h.router.ConnectionShare("s1")
 	h.step(routing.NodesChanged{Live: 1, Serving: 1, IsServing: true})
 	if got := h.router.ConnectionShare("s1"); got != before {
-		t.Errorf("the share of connections grew from %d to %d at once", before, got)
+		t.Errorf("the connection share grew from %d to %d immediately", before, got)
 	}
 	h.advance(31 * time.Second)
 	h.step(routing.NodesChanged{Live: 1, Serving: 1, IsServing: true})
 	if got := h.router.ConnectionShare("s1"); got <= before {
-		t.Errorf("the share of connections stays at %d", got)
+		t.Errorf("the connection share is still %d after the nodes expired", got)
 	}
 }
 
-// Where urgent requests are refused because servers are crowded, less urgent ones
-// to the same servers are refused at least as often, though they are shorter.
+// If urgent requests are rejected because servers are overloaded, less urgent ones to the same
+// servers must be rejected at least as often, even if they are shorter.
 func TestLowerPriorityIsRejectedAtLeastAsOften(t *testing.T) {
 	h := newHarness(t, routing.Options{Seed: 1})
 	h.setServers(servers(1, "s1"))
@@ -292,7 +292,7 @@
 		h.advance(5 * time.Millisecond)
 		for _, send := range h.allSends {
 			if round%4 != 0 {
-				break // the server answers once in 20 ms
+				break // the server answers once every 20 ms
 			}
 			if _, open := h.openSends[send.Attempt]; open {
 				h.complete(send.Attempt, gather.ReplyDone)
@@ -301,14 +301,14 @@
 		}
 	}
 	if refused["urgent"] < rounds/4 {
-		t.Fatalf("only %d of %d urgent requests are refused: nothing is shown", refused["urgent"], rounds)
+		t.Fatalf("only %d of %d urgent requests were rejected: too few for a comparison", refused["urgent"], rounds)
 	}
 	if refused["short"] < refused["urgent"]*9/10 {
-		t.Errorf("%d urgent requests are refused, and %d less urgent ones", refused["urgent"], refused["short"])
+		t.Errorf("%d urgent requests were rejected, but only %d less urgent ones", refused["urgent"], refused["short"])
 	}
 }
 
-// Requests are shared by weight over short spans, too.
+// Weights between services must hold over short runs of requests.
 func TestWeightsHoldOverShortRuns(t *testing.T) {
 	for seed := range uint64(20) {
 		h := newHarness(t, routing.Options{Seed: seed})
@@ -328,13 +328,13 @@
 			}
 		}
 		if few < 28 || few > 32 {
-			t.Errorf("seed %d: %d of %d requests go to a weight of 0.3", seed, few, requests)
+			t.Errorf("seed %d: %d of %d requests went to the service with weight 0.3", seed, few, requests)
 		}
 	}
 }
 
-// A node that has just started, or whose registry was away, may know no server of some
-// shards yet: parts wait for them, and the request is answered when they come.
+// A node that has just started, or whose registry was unavailable, may not know any server of some
+// shards yet. Parts must wait for them, and the request must be answered once they are known.
 func TestPartsQueueForUndiscoveredServers(t *testing.T) {
 	shards := []string{"s1", "s2", "s3"}
 	h := newHarness(t, routing.Options{})
@@ -348,33 +348,33 @@
 	}
 	h.advance(300 * time.Millisecond)
 	if len(h.finished) > 0 {
-		t.Fatalf("answered without servers: %+v", h.finished)
+		t.Fatalf("finished without servers: %+v", h.finished)
 	}
 	h.setServers(servers(2, shards...))
 	for _, send := range h.inFlight(answered) {
 		h.complete(send.Attempt, gather.ReplyDone)
 	}
 	if got := h.finished[answered]; got.Execution != gather.ExecutionDone || got.Missing != 0 {
-		t.Errorf("once the servers are known: %+v", got)
+		t.Errorf("once the servers are known: outcome %+v", got)
 	}
 	h.advance(2 * time.Second)
 	if got, finished := h.finished[expired]; !finished || got.Reason != gather.ReasonDeadline {
-		t.Errorf("at its deadline: %+v", got)
+		t.Errorf("at the deadline: outcome %+v", got)
 	}
 }
 
-// A request to one service of which no server is known is refused at once.
+// A request to a single service without known servers must be rejected immediately.
 func TestUnknownServiceIsRejectedImmediately(t *testing.T) {
 	h := newHarness(t, routing.Options{})
 	h.setTable(20, "s1")
 	id := h.submit(single("s1", true))
 	if got, finished := h.finished[id]; !finished || got.Execution != gather.ExecutionNotRun || got.RetryAfter == 0 {
-		t.Errorf("%t, %+v", finished, got)
+		t.Errorf("finished %t, outcome %+v, want not run with a retry time", finished, got)
 	}
 }
 
-// An answer leaves so early that it is at its caller by the aim, however long the way there
-// is; where that is longer than the aim allows, servers still have a quarter of it.
+// An answer must be sent early enough to reach its caller by the latency target, whatever the
+// network time. If that leaves too little, servers must still get a quarter of the target.
 func TestAnswerAllowsForNetworkTime(t *testing.T) {
 	for name, test := range map[string]struct{ spent, back, leaves time.Duration }{
 		"a caller nearby":          {0, 0, testAim - routing.DefaultAnswerMargin},
@@ -392,11 +392,11 @@
 			const moment = time.Millisecond
 			h.advance(test.leaves - moment)
 			if _, finished := h.finished[h.lastID]; finished {
-				t.Fatal("it left earlier than it must")
+				t.Fatal("the answer was sent too early")
 			}
 			h.advance(2 * moment)
 			if got := h.finished[h.lastID]; got.Execution != gather.ExecutionDone || got.Missing != 1 {
-				t.Fatalf("it did not leave in time: %+v", got)
+				t.Fatalf("the answer was not sent in time: outcome %+v", got)
 			}
 		})
 	}
--- a/routing/zone_reachability_test.go
+++ b/routing/zone_reachability_test.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// zoneSilence is the time without an answer after which a zone is set aside.
+	// zoneSilence is the time without a reply after which a zone counts as unreachable.
 	zoneSilence = 300 * time.Millisecond
-	// answerTime is how long servers take in these tests.
+	// answerTime is the latency of servers in these tests.
 	answerTime = 5 * time.Millisecond
 )
 
 // fiveShards are services with servers in zones a and b.
 var fiveShards = []string{"s1", "s2", "s3", "s4", "s5"}
 
-// newTwoZoneHarness is a world in which a fan-out over five shards is usual.
+// newTwoZoneHarness returns a harness that has learned the latency of a fan-out over five shards.
 func newTwoZoneHarness(t *testing.T) *harness {
 	t.Helper()
 	h := newHarness(t, routing.Options{})
@@ -29,7 +29,7 @@
 	return h
 }
 
-// answerOutsideZone ends the attempts that are open at servers of other zones.
+// answerOutsideZone answers the attempts in flight at servers of other zones.
 func (h *harness) answerOutsideZone(zone string) {
 	for _, send := range h.allSends {
 		if _, open := h.openSends[send.Attempt]; open && send.Server.Zone != zone {
@@ -38,7 +38,7 @@
 	}
 }
 
-// advanceAnswering lets time pass, while servers of other zones than the one given answer.
+// advanceAnswering advances the clock while all servers answer except those in the given zone.
 func (h *harness) advanceAnswering(duration time.Duration, but string) {
 	for until := h.now + duration; h.now < until; {
 		h.advance(answerTime)
@@ -46,51 +46,52 @@
 	}
 }
 
-// A node that was frozen, or that hears nothing from anywhere, blames no zone.
+// A node that stalled, or that receives no reply from anywhere, must not mark a zone as
+// unreachable.
 func TestLocalStallDoesNotMarkZoneUnreachable(t *testing.T) {
 	h := newTwoZoneHarness(t)
 	r := fanOut(1, fiveShards...)
 	h.submit(r)
-	h.advance(2 * zoneSilence) // nobody answers
+	h.advance(2 * zoneSilence) // no server answers
 	if len(h.connects) != 0 {
-		t.Errorf("nothing was heard at all, and %v are set aside", h.connects)
+		t.Errorf("no zone replied, but connections were requested to %v", h.connects)
 	}
 	h = newTwoZoneHarness(t)
 	h.submit(r)
 	h.advance(20 * time.Millisecond)
 	h.answerOutsideZone("a")
-	h.now += 10 * zoneSilence // the node stands still, and its timers come late
+	h.now += 10 * zoneSilence // the node stalls and its timers fire late
 	h.step(routing.TimerFired{})
 	if len(h.connects) != 0 {
-		t.Errorf("the node stood still, and %v are set aside", h.connects)
+		t.Errorf("the node stalled, but connections were requested to %v", h.connects)
 	}
 }
 
-// A zone from which nothing comes gets no more requests, and what it was sent goes
-// elsewhere; a few of its servers are tried until one can be reached.
+// A silent zone must receive no more requests, and its attempts in flight must be resent
+// elsewhere. Connections to a few of its servers must be tried until one succeeds.
 func TestUnreachableZoneIsExcluded(t *testing.T) {
 	h := newTwoZoneHarness(t)
 	r := fanOut(1, fiveShards...)
 	first := h.submit(r)
 	h.advanceAnswering(zoneSilence+20*time.Millisecond, "a")
 	if got := h.finished[first]; got.Execution != gather.ExecutionDone {
-		t.Fatalf("the first request: %+v", got)
+		t.Fatalf("the first request: outcome %+v", got)
 	}
 	if len(h.connects) == 0 || len(h.connects) > 3 {
-		t.Fatalf("%d servers are tried", len(h.connects))
+		t.Fatalf("connections were requested to %d servers, want 1 to 3", len(h.connects))
 	}
 	for range 10 {
 		id := h.submit(r)
 		for _, send := range h.inFlight(id) {
 			if send.Server.Zone == "a" {
-				t.Fatalf("%s is asked while its zone is dark", send.Server.ID)
+				t.Fatalf("server %s got a request while its zone is unreachable", send.Server.ID)
 			}
 			h.complete(send.Attempt, gather.ReplyDone)
 		}
 		h.advance(50 * time.Millisecond)
 	}
 	h.step(routing.Connected{Server: h.connects[0].Incarnation()})
-	h.advance(10 * time.Second) // what was learned of the servers fades
+	h.advance(10 * time.Second) // lets learned slowness expire
 	used := false
 	for range 10 {
 		id := h.submit(r)
@@ -100,11 +101,11 @@
 		}
 	}
 	if !used {
-		t.Error("the zone is not asked after it was reached")
+		t.Error("the zone got no request after it became reachable")
 	}
 }
 
-// A zone whose servers are all slow, or of which few are silent, is not dark.
+// A zone must stay reachable if all its servers are slow, or if only a few of them are silent.
 func TestSlowZoneStaysReachable(t *testing.T) {
 	h := newTwoZoneHarness(t)
 	r := fanOut(1, fiveShards...)
@@ -128,25 +129,25 @@
 		}
 	}
 	if len(h.connects) != 0 {
-		t.Errorf("%v are set aside", h.connects)
+		t.Errorf("connections were requested to %v", h.connects)
 	}
 }
 
-// A request that may not be repeated is awaited, also where its server's zone is dark.
+// A non-repeatable request must not be resent when the zone of its server becomes unreachable.
 func TestNonRepeatableRequestInUnreachableZoneIsNotResent(t *testing.T) {
 	h := newTwoZoneHarness(t)
 	id := h.submit(single("s1", false))
 	h.submit(fanOut(1, fiveShards...))
 	h.advanceAnswering(zoneSilence+20*time.Millisecond, "a")
 	if len(h.connects) == 0 {
-		t.Fatal("the zone is not dark")
+		t.Fatal("the zone was not marked unreachable")
 	}
 	if sends := h.finished[id].Sends; sends > 1 || len(h.inFlight(id)) != 1 {
-		t.Errorf("%d sends, %d open", sends, len(h.inFlight(id)))
+		t.Errorf("%d sends, %d in flight; want one that is still in flight", sends, len(h.inFlight(id)))
 	}
 }
 
-// oneServerPerShard are servers of which each shard has one, in zone a but for the last.
+// oneServerPerShard returns one server for each shard, all in zone a except the last.
 func oneServerPerShard() []discovery.Server {
 	var all []discovery.Server
 	for place, name := range fiveShards {
@@ -159,8 +160,8 @@
 	return all
 }
 
-// A node that can't reach enough shards says so, and refuses at once, before anything
-// runs, what other nodes can serve; it serves again as soon as the zone is reached.
+// A node that cannot reach enough shards must report this and immediately reject, before any part
+// runs, requests that other nodes can serve. It must serve again as soon as the zone is reachable.
 func TestDisconnectedNodeRejectsImmediately(t *testing.T) {
 	h := newHarness(t, routing.Options{})
 	h.step(routing.PeerAvailabilityChanged{Available: true})
@@ -172,26 +173,27 @@
 	first := h.submit(r)
 	h.advanceAnswering(zoneSilence+20*time.Millisecond, "a")
 	if !h.cannotServe {
-		t.Fatal("the node does not say that it is cut off")
+		t.Fatal("the node does not report that it cannot serve")
 	}
 	if got, done := h.finished[first]; !done || got.Execution == gather.ExecutionDone {
-		t.Errorf("the request that found it out is not answered at once: %+v", got)
+		t.Errorf("the request that detected the outage was not failed immediately: outcome %+v", got)
 	}
 	before := len(h.allSends)
 	got, done := h.finished[h.submit(r)]
 	if !done || got.Execution != gather.ExecutionNotRun || got.Reason != gather.ReasonNoServer || !got.RetryElsewhere || got.RetryAfter > 20*time.Millisecond {
-		t.Errorf("%v %+v", done, got)
+		t.Errorf("finished %v, outcome %+v, want a redirect", done, got)
 	}
 	if len(h.allSends) != before {
-		t.Error("something was sent for a request that can't be served")
+		t.Error("something was sent for a request that cannot be served")
 	}
 	h.step(routing.Connected{Server: h.connects[0].Incarnation()})
 	if h.cannotServe {
-		t.Error("the node still says that it is cut off")
+		t.Error("the node still reports that it cannot serve")
 	}
 }
 
-// Servers that are gone, evacuated or draining for all nodes make no node cut off.
+// Servers that are gone, evacuated or draining for all nodes must not make a node report that it
+// cannot serve.
 func TestClusterWideLossIsNotDisconnection(t *testing.T) {
 	h := newHarness(t, routing.Options{})
 	all := oneServerPerShard()
@@ -206,11 +208,11 @@
 	h.setServers(all)
 	h.setServers(nil)
 	if h.cannotServe {
-		t.Error("the node takes itself for cut off")
+		t.Error("the node reports that it cannot serve")
 	}
 }
 
-// A dark zone whose servers are replaced is tried at the new ones.
+// If the servers of an unreachable zone are replaced, connections to the new ones must be tried.
 func TestUnreachableZoneProbesReplacementServers(t *testing.T) {
 	h := newHarness(t, routing.Options{})
 	h.setServers(oneServerPerShard())
@@ -227,15 +229,15 @@
 	}
 	h.setServers(replaced)
 	if len(h.connects) == before {
-		t.Fatal("no new server is tried")
+		t.Fatal("no connection to a new server was requested")
 	}
 	h.step(routing.Connected{Server: h.connects[len(h.connects)-1].Incarnation()})
 	if h.cannotServe {
-		t.Error("the node still says that it is cut off")
+		t.Error("the node still reports that it cannot serve")
 	}
 	h.setServers(nil)
 	h.setServers(oneServerPerShard())
 	if open := h.inFlight(h.submit(r)); len(open) != len(fiveShards) {
-		t.Errorf("%d of %d shards are asked", len(open), len(fiveShards))
+		t.Errorf("%d of %d shards got a request", len(open), len(fiveShards))
 	}
 }
