--- a/routing/budget_test.go
+++ b/routing/budget_test.go
@@ -22,17 +22,17 @@
 
 // worstExcess returns the largest excess, over all windows, of extra sends over ratio times the
 // window's requests plus the fixed number.
-func worstExcess(arrivals []sendRecord, ratio, fixed float64, window time.Duration) float64 {
+func worstExcess(sends []sendRecord, ratio, fixed float64, window time.Duration) float64 {
 	worst := -fixed
 	first, requests, extras := 0, 0, 0
-	for _, a := range arrivals {
+	for _, a := range sends {
 		if a.extra {
 			extras++
 		} else {
 			requests++
 		}
-		for arrivals[first].at <= a.at-window {
-			if arrivals[first].extra {
+		for sends[first].at <= a.at-window {
+			if sends[first].extra {
 				extras--
 			} else {
 				requests--
@@ -49,11 +49,11 @@
 func newUnboundedHarness(t *testing.T, options routing.Options) *harness {
 	t.Helper()
 	h := newHarness(t, options)
-	roomy := servers(2, "s1")
-	for i := range roomy {
-		roomy[i].Slots = 1_000
+	unbounded := servers(2, "s1")
+	for i := range unbounded {
+		unbounded[i].Slots = 1_000
 	}
-	h.setServers(roomy)
+	h.setServers(unbounded)
 	h.setTable(10_000, "s1")
 	return h
 }
@@ -66,14 +66,14 @@
 		fixed  = 56.0
 		window = 10 * time.Second
 		tick   = 50 * time.Millisecond
-		// herdAt is when all nodes restart; they restart again 2 s later.
-		herdAt = 12 * time.Second
+		// restartAllAt is when all nodes restart; they restart again 2 s later.
+		restartAllAt = 12 * time.Second
 	)
-	run := func(seed uint64, nodes, restarts int, perTick float64, herd bool) bool {
+	run := func(seed uint64, nodes, restarts int, perTick float64, restartAll bool) bool {
 		random := rand.New(rand.NewPCG(seed, 1))
-		start := func(fresh bool) *harness {
+		start := func(restarted bool) *harness {
 			h := newUnboundedHarness(t, routing.Options{
-				Seed: random.Uint64(), Restarted: fresh,
+				Seed: random.Uint64(), Restarted: restarted,
 				Budget: extrabudget.Options{Ratio: ratio, Fixed: fixed, Window: window},
 			})
 			h.step(routing.NodesChanged{Live: nodes, Serving: nodes, IsServing: true})
@@ -84,10 +84,10 @@
 		for i := range all {
 			all[i] = start(false)
 		}
-		var arrivals []sendRecord
+		var sends []sendRecord
 		for now := time.Duration(0); now < 30*time.Second; now += tick {
 			for i, h := range all {
-				if herd && (now == herdAt || now == herdAt+2*time.Second) || restarts > 0 && random.Float64() < float64(restarts)/600/float64(nodes) {
+				if restartAll && (now == restartAllAt || now == restartAllAt+2*time.Second) || restarts > 0 && random.Float64() < float64(restarts)/600/float64(nodes) {
 					all[i], offsets[i] = start(true), now
 					h = all[i]
 				}
@@ -99,7 +99,7 @@
 				h.advance(now + tick - offsets[i] - h.now)
 				seen := make(map[routing.RequestID]bool)
 				for _, send := range h.allSends[before:] {
-					arrivals = append(arrivals, sendRecord{at: now, extra: send.Kind != gather.FirstSend})
+					sends = append(sends, sendRecord{at: now, extra: send.Kind != gather.FirstSend})
 					seen[send.Request] = true
 				}
 				for id := range seen {
@@ -109,7 +109,7 @@
 				}
 			}
 		}
-		return worstExcess(arrivals, ratio, fixed, window) <= 0
+		return worstExcess(sends, ratio, fixed, window) <= 0
 	}
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 12
@@ -131,7 +131,7 @@
 		tick   = 100 * time.Millisecond
 		nodes  = 16
 	)
-	run := func(seed uint64, most int, lasting time.Duration) bool {
+	run := func(seed uint64, maxServing int, maxPeriod time.Duration) bool {
 		random := rand.New(rand.NewPCG(seed, 1))
 		all := make([]*harness, nodes)
 		for i := range all {
@@ -140,14 +140,14 @@
 				Budget: extrabudget.Options{Ratio: ratio, Fixed: fixed, Window: window},
 			})
 		}
-		var arrivals []sendRecord
+		var sends []sendRecord
 		serving := make(map[int]bool)
 		changeAt := time.Duration(0)
 		for now := time.Duration(0); now < 60*time.Second; now += tick {
 			if now >= changeAt {
-				changeAt = now + time.Duration(random.Float64()*float64(lasting))
+				changeAt = now + time.Duration(random.Float64()*float64(maxPeriod))
 				clear(serving)
-				for range 1 + random.IntN(most) {
+				for range 1 + random.IntN(maxServing) {
 					serving[random.IntN(nodes)] = true
 				}
 				for i, h := range all {
@@ -163,7 +163,7 @@
 				}
 				h.advance(tick)
 				for _, send := range h.allSends[before:] {
-					arrivals = append(arrivals, sendRecord{at: now, extra: send.Kind != gather.FirstSend})
+					sends = append(sends, sendRecord{at: now, extra: send.Kind != gather.FirstSend})
 				}
 				for _, send := range h.allSends[before:] {
 					if _, open := h.openSends[send.Attempt]; open {
@@ -172,7 +172,7 @@
 				}
 			}
 		}
-		return worstExcess(arrivals, ratio, fixed, window) <= 0
+		return worstExcess(sends, ratio, fixed, window) <= 0
 	}
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 12
--- a/routing/caller_timeouts_test.go
+++ b/routing/caller_timeouts_test.go
@@ -11,7 +11,7 @@
 func TestDetectsRetryingCallers(t *testing.T) {
 	const (
 		deadline = 3 * time.Second
-		learned  = 100 // the first requests are not checked
+		warmup   = 100 // the first requests are not checked
 	)
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -23,17 +23,17 @@
 			case kind < 10:
 				p.observe(time.Hour)
 			case kind < 50: // retries after some time
-				told := deadline - 200*time.Millisecond - time.Duration(random.Int64N(int64(2*time.Second)))
-				if number > learned && !p.isRetry(told) {
-					t.Fatalf("seed %d: timeout %s is classified as a first attempt, want a retry", seed, told)
+				timeout := deadline - 200*time.Millisecond - time.Duration(random.Int64N(int64(2*time.Second)))
+				if number > warmup && !p.isRetry(timeout) {
+					t.Fatalf("seed %d: timeout %s is classified as a first attempt, want a retry", seed, timeout)
 				}
-				p.observe(told)
+				p.observe(timeout)
 			default: // first attempts; opening a connection takes a while
-				told := deadline - time.Duration(random.IntN(35))*time.Millisecond
-				if number > learned && p.isRetry(told) {
-					t.Fatalf("seed %d: timeout %s is classified as a retry, want a first attempt", seed, told)
+				timeout := deadline - time.Duration(random.IntN(35))*time.Millisecond
+				if number > warmup && p.isRetry(timeout) {
+					t.Fatalf("seed %d: timeout %s is classified as a retry, want a first attempt", seed, timeout)
 				}
-				p.observe(told)
+				p.observe(timeout)
 			}
 		}
 	}
--- a/routing/cold_rate_test.go
+++ b/routing/cold_rate_test.go
@@ -40,7 +40,7 @@
 // sendLoad submits requests for a while and returns the number of sends to each server.
 func (h *harness) sendLoad(duration time.Duration, perTick int) map[string]int {
 	const tick = 20 * time.Millisecond
-	got := make(map[string]int)
+	counts := make(map[string]int)
 	for end := h.now + duration; h.now < end; {
 		before := len(h.allSends)
 		for range perTick {
@@ -48,11 +48,11 @@
 		}
 		h.advance(tick)
 		for _, send := range h.allSends[before:] {
-			got[send.Server.ID]++
+			counts[send.Server.ID]++
 			h.complete(send.Attempt, gather.ReplyDone)
 		}
 	}
-	return got
+	return counts
 }
 
 // A cold server must receive no more than its limit, the rest must go to warm servers, and it must
@@ -97,10 +97,10 @@
 	h := newHarness(t, routing.Options{Cold: coldOptions})
 	h.setServers([]discovery.Server{coldServer("cold", time.Minute)})
 	h.setColdRate(10)
-	patient := single("s1", true)
-	patient.Timeout, patient.Aim = 3*time.Second, 0
+	noTarget := single("s1", true)
+	noTarget.Timeout, noTarget.Aim = 3*time.Second, 0
 	for range 30 {
-		h.submit(patient)
+		h.submit(noTarget)
 	}
 	first := len(h.allSends)
 	if first > coldLimit || first == 0 {
@@ -123,8 +123,8 @@
 	h.setTable(40, "s1")
 	r := single("s1", true)
 	r.Aim = 0
-	busy := h.submit(r)
-	delete(h.openSends, h.inFlight(busy)[0].Attempt)
+	shedRequest := h.submit(r)
+	delete(h.openSends, h.inFlight(shedRequest)[0].Attempt)
 	h.step(routing.Replied{Attempt: h.allSends[0].Attempt, Status: gather.ReplyShed, RetryAfter: 100 * time.Millisecond})
 	next := h.submit(r)
 	if len(h.inFlight(next)) != 0 {
@@ -145,13 +145,13 @@
 		serving = min(serving, nodes)
 		all := make([]*harness, nodes)
 		offsets := make([]time.Duration, nodes)
-		start := func(i int, fresh bool, left time.Duration) {
-			h := newHarness(t, routing.Options{Seed: random.Uint64(), Cold: coldOptions, Restarted: fresh})
-			place := i
+		start := func(i int, restarted bool, left time.Duration) {
+			h := newHarness(t, routing.Options{Seed: random.Uint64(), Cold: coldOptions, Restarted: restarted})
+			index := i
 			if i >= serving {
-				place = i - serving
+				index = i - serving
 			}
-			h.step(routing.NodesChanged{Live: nodes, Serving: serving, IsServing: i < serving, Index: place})
+			h.step(routing.NodesChanged{Live: nodes, Serving: serving, IsServing: i < serving, Index: index})
 			h.setServers([]discovery.Server{coldServer("warm", 0), coldServer("cold", left)})
 			h.setColdRate(10)
 			all[i] = h
@@ -159,7 +159,7 @@
 		for i := range all {
 			start(i, false, 10*time.Second)
 		}
-		var arrivals []time.Duration
+		var sends []time.Duration
 		for now := time.Duration(0); now < 5*time.Second; now += tick {
 			for i := range all {
 				if restarts && random.IntN(400) == 0 {
@@ -174,16 +174,16 @@
 				h.advance(now + tick - offsets[i] - h.now)
 				for _, send := range h.allSends[before:] {
 					if send.Server.ID == "cold" {
-						arrivals = append(arrivals, now)
+						sends = append(sends, now)
 					}
 					h.complete(send.Attempt, gather.ReplyDone)
 				}
 			}
 		}
 		first, inWindow := 0, 0
-		for _, at := range arrivals {
+		for _, at := range sends {
 			inWindow++
-			for arrivals[first] <= at-time.Second {
+			for sends[first] <= at-time.Second {
 				first++
 				inWindow--
 			}
@@ -191,7 +191,7 @@
 				return false
 			}
 		}
-		return nodes < 4 || len(arrivals) > coldLimit // the limit is also used
+		return nodes < 4 || len(sends) > coldLimit // the limit is also used
 	}
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 25
--- a/routing/cold_test.go
+++ b/routing/cold_test.go
@@ -14,7 +14,7 @@
 // without any, it is treated like a warm one.
 func TestLearnsSlownessOfColdServers(t *testing.T) {
 	const (
-		usual = 10 * time.Millisecond
+		typical = 10 * time.Millisecond
 		// slow exceeds the penalty for the other zone, which is 15 ms here.
 		slow    = 40 * time.Millisecond
 		coldFor = 3 * time.Second
@@ -24,7 +24,7 @@
 		takes time.Duration
 		want  string
 	}{
-		{"starts are quick", usual, "a"},
+		{"starts are quick", typical, "a"},
 		{"starts are slow", slow, "b"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -32,7 +32,7 @@
 			known := servers(2, "s1")
 			h.setServers(known)
 			h.setTable(20, "s1", "s2")
-			h.learnLatency(fanOut(1, "s1"), usual)
+			h.learnLatency(fanOut(1, "s1"), typical)
 			// Servers of s1 start one after the other and have the given latency while cold.
 			for number := range 20 {
 				starting := discovery.Server{ID: fmt.Sprintf("new-%d", number), Service: "s1", Zone: "a", Slots: 2, ColdFor: coldFor}
@@ -44,9 +44,9 @@
 				}
 			}
 			// Of the two servers of s2, the nearby one is cold.
-			choice := servers(2, "s2")
-			choice[0].ColdFor = coldFor
-			h.setServers(choice)
+			candidates := servers(2, "s2")
+			candidates[0].ColdFor = coldFor
+			h.setServers(candidates)
 			if sends := h.inFlight(h.submit(fanOut(1, "s2"))); len(sends) != 1 || sends[0].Server.Zone != test.want {
 				t.Errorf("sends %v, want one to zone %s", sends, test.want)
 			}
--- a/routing/disabled_test.go
+++ b/routing/disabled_test.go
@@ -21,16 +21,16 @@
 			h := newHarness(t, routing.Options{Disabled: mechanism.Disable(mechanism.Mechanism(number)), Restarted: number%2 == 0})
 			h.setServers(servers(3, "s1", "s2", "s3"))
 			h.setTable(20, "s1", "s2", "s3")
-			var asked []routing.RequestID
-			once := make(map[routing.RequestID]bool)
-			mayHaveRun := make(map[routing.RequestID]bool)
+			var submitted []routing.RequestID
+			nonRepeatable := make(map[routing.RequestID]bool)
+			mayHaveExecuted := make(map[routing.RequestID]bool)
 			for range 400 {
 				switch random.IntN(3) {
 				case 0:
-					asked = append(asked, h.submit(fanOut(0.5, "s1", "s2", "s3")))
+					submitted = append(submitted, h.submit(fanOut(0.5, "s1", "s2", "s3")))
 				case 1:
 					id := h.submit(single("s1", false))
-					asked, once[id] = append(asked, id), true
+					submitted, nonRepeatable[id] = append(submitted, id), true
 				}
 				for _, send := range h.allSends {
 					if _, open := h.openSends[send.Attempt]; !open || random.IntN(3) == 0 {
@@ -40,25 +40,25 @@
 					case 0:
 						h.complete(send.Attempt, gather.ReplyShed)
 					case 1:
-						mayHaveRun[send.Request] = true
+						mayHaveExecuted[send.Request] = true
 						h.fail(send.Attempt, gather.DeliveryUnknown)
 					case 2:
 						h.fail(send.Attempt, gather.NotDelivered)
 					default:
-						mayHaveRun[send.Request] = true
+						mayHaveExecuted[send.Request] = true
 						h.complete(send.Attempt, gather.ReplyDone)
 					}
 				}
 				before := len(h.allSends)
 				h.advance(time.Duration(random.IntN(30)) * time.Millisecond)
 				for _, send := range h.allSends[before:] {
-					if once[send.Request] && mayHaveRun[send.Request] {
+					if nonRepeatable[send.Request] && mayHaveExecuted[send.Request] {
 						t.Fatalf("non-repeatable request %d is resent after a server may have executed it", send.Request)
 					}
 				}
 			}
 			h.advance(2 * time.Second)
-			for _, id := range asked {
+			for _, id := range submitted {
 				if _, finished := h.finished[id]; !finished {
 					t.Errorf("request %d has no final answer", id)
 				}
--- a/routing/evacuation_test.go
+++ b/routing/evacuation_test.go
@@ -96,19 +96,19 @@
 // if it needs them; otherwise its answer must report how many are missing.
 func TestShardOnlyInEvacuatedZone(t *testing.T) {
 	h := newHarness(t, routing.Options{})
-	only := servers(1, "s1")                        // in zone a
-	h.setServers(append(servers(2, "s2"), only...)) // in zones a and b
+	inZoneA := servers(1, "s1")                        // in zone a
+	h.setServers(append(servers(2, "s2"), inZoneA...)) // in zones a and b
 	h.setTable(40, "s1", "s2")
 	h.step(routing.ZonesChanged{Evacuated: []string{"a"}})
-	whole := h.submit(fanOut(1, "s1", "s2"))
-	if got, done := h.finished[whole]; !done || got.Execution != gather.ExecutionNotRun || got.Reason != gather.ReasonNoServer || got.RetryAfter == 0 || got.Sends != 0 {
-		t.Errorf("request that needs all shards: finished %v, outcome %+v", done, got)
+	needsAll := h.submit(fanOut(1, "s1", "s2"))
+	if got, finished := h.finished[needsAll]; !finished || got.Execution != gather.ExecutionNotRun || got.Reason != gather.ReasonNoServer || got.RetryAfter == 0 || got.Sends != 0 {
+		t.Errorf("request that needs all shards: finished %v, outcome %+v", finished, got)
 	}
-	half := h.submit(fanOut(0.5, "s1", "s2"))
-	for _, send := range h.inFlight(half) {
+	needsHalf := h.submit(fanOut(0.5, "s1", "s2"))
+	for _, send := range h.inFlight(needsHalf) {
 		h.complete(send.Attempt, gather.ReplyDone)
 	}
-	if got := h.finished[half]; got.Execution != gather.ExecutionDone || got.Missing != 1 {
+	if got := h.finished[needsHalf]; got.Execution != gather.ExecutionDone || got.Missing != 1 {
 		t.Errorf("request that needs half of the shards: outcome %+v", got)
 	}
 }
@@ -119,10 +119,10 @@
 	h := newHarness(t, routing.Options{})
 	h.setServers(servers(3, "s1")) // zones a and b are in region r, zone far is in region s
 	h.setTable(40, "s1")
-	homed := single("s1", true)
-	homed.Homes = []string{"s"}
+	restricted := single("s1", true)
+	restricted.Homes = []string{"s"}
 	for range 10 {
-		id := h.submit(homed)
+		id := h.submit(restricted)
 		h.advance(300 * time.Millisecond)
 		for _, send := range h.inFlight(id) {
 			if send.Server.Zone != "far" {
@@ -131,8 +131,8 @@
 			h.complete(send.Attempt, gather.ReplyError)
 		}
 	}
-	homed.Homes = []string{"elsewhere"}
-	if got := h.finished[h.submit(homed)]; got.Reason != gather.ReasonNoServer || got.Execution != gather.ExecutionNotRun {
+	restricted.Homes = []string{"elsewhere"}
+	if got := h.finished[h.submit(restricted)]; got.Reason != gather.ReasonNoServer || got.Execution != gather.ExecutionNotRun {
 		t.Errorf("without a server in the home regions: outcome %+v", got)
 	}
 }
@@ -143,20 +143,20 @@
 	h := newHarness(t, routing.Options{})
 	h.setServers(servers(2, "large"))
 	h.setTable(40, "large", "small")
-	split := single("large", true)
-	split.Target.Shares = []route.Share{{Service: "large", Weight: 3}, {Service: "small", Weight: 1}}
-	refused := 0
+	weighted := single("large", true)
+	weighted.Target.Shares = []route.Share{{Service: "large", Weight: 3}, {Service: "small", Weight: 1}}
+	rejected := 0
 	for range 400 {
-		id := h.submit(split)
+		id := h.submit(weighted)
 		for _, send := range h.inFlight(id) {
 			h.complete(send.Attempt, gather.ReplyDone)
 		}
 		if got := h.finished[id]; got.Execution == gather.ExecutionNotRun {
-			refused++
+			rejected++
 		}
 		h.advance(10 * time.Millisecond)
 	}
-	if refused < 95 || refused > 105 {
-		t.Errorf("%d of 400 requests were rejected, want about the quarter for the service without servers", refused)
+	if rejected < 95 || rejected > 105 {
+		t.Errorf("%d of 400 requests were rejected, want about the quarter for the service without servers", rejected)
 	}
 }
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -161,14 +161,14 @@
 
 // crashAll reports a server crash for each attempt of a request until none is in flight, and
 // returns the number of crashes.
-func (h *harness) crashAll(id routing.RequestID) (ended int) {
+func (h *harness) crashAll(id routing.RequestID) (crashed int) {
 	for open := h.inFlight(id); len(open) > 0; open = h.inFlight(id) {
 		for _, send := range open {
-			ended++
+			crashed++
 			h.fail(send.Attempt, gather.ServerCrashed)
 		}
 	}
-	return ended
+	return crashed
 }
 
 func (h *harness) reply(id gather.AttemptID, status gather.ReplyStatus) {
--- a/routing/hedge_test.go
+++ b/routing/hedge_test.go
@@ -11,13 +11,13 @@
 // If most parts take longer than the share of the latency target after which hedges are sent, as
 // on a node that is itself slow, most parts must not be hedged.
 func TestTypicalLatencyIsNotHedged(t *testing.T) {
-	const usual = 60 * time.Millisecond // of a target of 100 ms, of which the hedge delay may use 30 ms
+	const typical = 60 * time.Millisecond // of a target of 100 ms, of which the hedge delay may use 30 ms
 	h := newHarness(t, routing.Options{})
 	h.setServers(servers(2, "s1"))
 	h.setTable(60, "s1")
 	r := single("s1", true)
 	for range 40 { // latencies vary around the typical one
-		for _, latency := range []time.Duration{usual - 10*time.Millisecond, usual, usual + 10*time.Millisecond} {
+		for _, latency := range []time.Duration{typical - 10*time.Millisecond, typical, typical + 10*time.Millisecond} {
 			id := h.submit(r)
 			h.advance(latency)
 			for _, send := range h.inFlight(id) {
@@ -29,7 +29,7 @@
 	hedged := 0
 	for round := range 30 {
 		id := h.submit(r)
-		h.advance(usual - 10*time.Millisecond + time.Duration(round%3)*10*time.Millisecond)
+		h.advance(typical - 10*time.Millisecond + time.Duration(round%3)*10*time.Millisecond)
 		if len(h.inFlight(id)) > 1 {
 			hedged++
 		}
--- a/routing/incarnation_test.go
+++ b/routing/incarnation_test.go
@@ -11,19 +11,19 @@
 
 // restarted returns the servers with a new incarnation of one of them.
 func restarted(all []discovery.Server, id string, born int64) []discovery.Server {
-	again := append([]discovery.Server(nil), all...)
-	for place := range again {
-		if again[place].ID == id {
-			again[place].Born = born
+	updated := append([]discovery.Server(nil), all...)
+	for i := range updated {
+		if updated[i].ID == id {
+			updated[i].Born = born
 		}
 	}
-	return again
+	return updated
 }
 
 // A server that restarts under the same ID must not inherit the slowness, shed time, draining
 // state, unreachability or in-flight attempts of its previous incarnation.
 func TestRestartedServerStartsWithCleanState(t *testing.T) {
-	for what, harm := range map[string]func(h *harness, send routing.Send){
+	for name, disturb := range map[string]func(h *harness, send routing.Send){
 		"it failed": func(h *harness, send routing.Send) {
 			h.step(routing.Failed{Attempt: send.Attempt, Delivery: gather.ServerCrashed})
 		},
@@ -39,14 +39,14 @@
 		"it still works":   func(*harness, routing.Send) {},
 		"it never replied": func(h *harness, _ routing.Send) { h.advance(900 * time.Millisecond) },
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, routing.Options{Seed: 1})
 			all := servers(1, "s1")
 			all[0].Born = 1000
 			h.setTable(60, "s1")
 			h.setServers(all)
 			h.submit(single("s1", true))
-			harm(h, h.allSends[len(h.allSends)-1])
+			disturb(h, h.allSends[len(h.allSends)-1])
 			h.setServers(restarted(all, "s1-0", 2000))
 			before := len(h.allSends)
 			h.submit(single("s1", true))
--- a/routing/outages_test.go
+++ b/routing/outages_test.go
@@ -34,31 +34,31 @@
 	r := fanOut(0.6, fiveShards...)
 	r.Timeout = 20 * time.Second
 	h.setRoutes(r)
-	refused := func(when string, least, most time.Duration) {
+	checkRejection := func(when string, minRetryAfter, maxRetryAfter time.Duration) {
 		t.Helper()
-		told := make(map[time.Duration]struct{})
+		retryAfters := make(map[time.Duration]struct{})
 		for range 10 {
 			got, done := h.finished[h.submit(r)]
 			if !done || got.Execution != gather.ExecutionNotRun || got.Reason != gather.ReasonNoServer || got.RetryElsewhere ||
-				got.RetryAfter < least || got.RetryAfter > most {
-				t.Errorf("%s: finished %v, outcome %+v, want RetryAfter from %s to %s", when, done, got, least, most)
+				got.RetryAfter < minRetryAfter || got.RetryAfter > maxRetryAfter {
+				t.Errorf("%s: finished %v, outcome %+v, want RetryAfter from %s to %s", when, done, got, minRetryAfter, maxRetryAfter)
 			}
-			told[got.RetryAfter] = struct{}{}
+			retryAfters[got.RetryAfter] = struct{}{}
 		}
-		if len(told) < 5 {
-			t.Errorf("%s: too few distinct retry delays: %v", when, told)
+		if len(retryAfters) < 5 {
+			t.Errorf("%s: too few distinct retry delays: %v", when, retryAfters)
 		}
 	}
 	h.disconnectAll(all)
-	refused("in the first outage", routing.DefaultOverloadRetryAfter, routing.DefaultOverloadRetryAfter*5/4)
+	checkRejection("in the first outage", routing.DefaultOverloadRetryAfter, routing.DefaultOverloadRetryAfter*5/4)
 	h.advance(outage)
-	refused("when it has lasted longer than supposed", outage/4, outage*5/16)
+	checkRejection("when it has lasted longer than supposed", outage/4, outage*5/16)
 	h.reconnectAll(all)
 	h.advance(time.Minute)
 	h.disconnectAll(all)
-	refused("in the second", outage, outage*5/4)
+	checkRejection("in the second", outage, outage*5/4)
 	h.advance(time.Second)
-	refused("a second later", outage-time.Second, (outage-time.Second)*5/4)
+	checkRejection("a second later", outage-time.Second, (outage-time.Second)*5/4)
 	h.step(routing.PeerAvailabilityChanged{Available: true})
 	if got := h.finished[h.submit(r)]; !got.RetryElsewhere || got.RetryAfter != routing.DefaultRedirectRetryAfter {
 		t.Errorf("while another node serves: outcome %+v", got)
@@ -69,19 +69,19 @@
 // itself unable to serve nor redirect callers. It must do both if it reaches almost no server, as
 // behind a network partition that rejects connections.
 func TestConnectionRefusalIsNotLocalDisconnection(t *testing.T) {
-	for lost, cutOff := range map[int]bool{4: false, 5: true} {
+	for lostShards, cannotServe := range map[int]bool{4: false, 5: true} {
 		h := newHarness(t, routing.Options{})
 		h.step(routing.PeerAvailabilityChanged{Available: true})
 		all := servers(2, fiveShards...)
 		h.setServers(all)
 		r := fanOut(0.6, fiveShards...)
 		h.setRoutes(r)
-		for _, s := range all[:2*lost] {
+		for _, s := range all[:2*lostShards] {
 			h.step(routing.ConnectFailed{Server: s.Incarnation(), Refused: true})
 		}
 		got := h.finished[h.submit(r)]
-		if got.Reason != gather.ReasonNoServer || h.cannotServe != cutOff || got.RetryElsewhere != cutOff {
-			t.Errorf("%d shards lost: cannotServe %v, outcome %+v", lost, h.cannotServe, got)
+		if got.Reason != gather.ReasonNoServer || h.cannotServe != cannotServe || got.RetryElsewhere != cannotServe {
+			t.Errorf("%d shards lost: cannotServe %v, outcome %+v", lostShards, h.cannotServe, got)
 		}
 		for _, s := range all {
 			h.step(routing.Connected{Server: s.Incarnation()})
--- a/routing/overload_test.go
+++ b/routing/overload_test.go
@@ -7,7 +7,7 @@
 
 // Retries by callers must be accepted while servers are overloaded briefly and rejected like other
 // requests during a sustained overload, even one with pauses.
-func TestBriefCrowding(t *testing.T) {
+func TestBriefOverload(t *testing.T) {
 	const step = 100 * time.Millisecond
 	var p overloadStats
 	if !p.isBrief(0) {
--- a/routing/quarantine_test.go
+++ b/routing/quarantine_test.go
@@ -25,8 +25,8 @@
 	h := newShardedHarness(t, routing.Options{Seed: 1})
 	r := fanOut(1, fiveShards...)
 	first := h.submitTarget(r, "/deadly")
-	if ended := h.crashAll(first); ended != len(fiveShards)+1 {
-		t.Errorf("%d servers crashed, want one per shard and one more", ended)
+	if crashed := h.crashAll(first); crashed != len(fiveShards)+1 {
+		t.Errorf("%d servers crashed, want one per shard and one more", crashed)
 	}
 	if got := h.finished[first]; got.Execution != gather.ExecutionUnknown || got.Reason != gather.ReasonCrashesServers {
 		t.Errorf("outcome %+v, want execution unknown because it crashes servers", got)
@@ -39,9 +39,9 @@
 		t.Errorf("another content has %d sends in flight, want one per shard", len(h.inFlight(other)))
 	}
 	h.advance(reviewTime + time.Millisecond)
-	refused := h.finished[h.submitTarget(r, "/deadly")]
-	if refused.Execution != gather.ExecutionUnknown || refused.RetryAfter != 0 || refused.Sends != 0 {
-		t.Errorf("quarantined: outcome %+v", refused)
+	rejected := h.finished[h.submitTarget(r, "/deadly")]
+	if rejected.Execution != gather.ExecutionUnknown || rejected.RetryAfter != 0 || rejected.Sends != 0 {
+		t.Errorf("quarantined: outcome %+v", rejected)
 	}
 	if len(h.quarantined) != 1 || h.repeatRejections != 1 || len(h.published) < 3 || !h.published[len(h.published)-1].Finding.Quarantined {
 		t.Errorf("%d quarantines recorded, %d repeat rejections, published %+v", len(h.quarantined), h.repeatRejections, h.published)
@@ -90,14 +90,14 @@
 	r := fanOut(0.5, tenShards...)
 	id, running := h.submitTarget(r, "/deadly"), other.submitTarget(r, "/deadly")
 	sends := h.inFlight(id)
-	for place, send := range sends {
+	for i, send := range sends {
 		h.advance(10 * time.Millisecond)
-		if place == 3 {
-			told := h.published[len(h.published)-1].Finding
-			if !told.Wide || len(told.Crashes) != 3 {
-				t.Fatalf("after three crashes: published %+v", told)
+		if i == 3 {
+			finding := h.published[len(h.published)-1].Finding
+			if !finding.Wide || len(finding.Crashes) != 3 {
+				t.Fatalf("after three crashes: published %+v", finding)
 			}
-			other.step(routing.FindingReceived{Finding: told})
+			other.step(routing.FindingReceived{Finding: finding})
 			for _, node := range []*harness{h, other} {
 				if got := node.finished[node.submitTarget(r, "/deadly")]; got.Execution != gather.ExecutionNotRun || got.RetryAfter <= 0 {
 					t.Errorf("while the outcome is pending: %+v", got)
@@ -127,13 +127,13 @@
 // If a server still listened when its connection was lost but terminated later, this must count
 // against the request even after its final answer, unless another server has answered the request.
 func TestLateDetectedCrashesCount(t *testing.T) {
-	for what, test := range map[string]struct{ ended, answered, suspected bool }{
+	for name, test := range map[string]struct{ ended, answered, suspected bool }{
 		"ended":                 {ended: true, suspected: true},
 		"lost":                  {},
 		"ended, then answered":  {ended: true, answered: true},
 		"lost, answered anyway": {answered: true},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			h := newShardedHarness(t, routing.Options{Seed: 1})
 			r := single("s1", test.answered) // a non-repeatable request ends with the loss
 			id := h.submitTarget(r, "/doubted")
@@ -147,8 +147,8 @@
 			}
 			h.step(routing.CrashCheckCompleted{Attempt: lost, Ended: test.ended})
 			h.step(routing.CrashCheckCompleted{Attempt: lost, Ended: true}) // a repeated report is ignored
-			again := h.submitTarget(r, "/doubted")
-			if open := h.inFlight(again); len(open) != 1 || open[0].Alone != test.suspected {
+			repeated := h.submitTarget(r, "/doubted")
+			if open := h.inFlight(repeated); len(open) != 1 || open[0].Alone != test.suspected {
 				t.Errorf("%d sends, alone %v; want one, alone %v", len(open), open[0].Alone, test.suspected)
 			}
 		})
--- a/routing/rollouts_test.go
+++ b/routing/rollouts_test.go
@@ -19,10 +19,10 @@
 func serversOfVersions(service string, count int, names ...string) []discovery.Server {
 	var all []discovery.Server
 	for _, name := range names {
-		for number, one := range servers(count, service) {
-			one.ID, one.Version = one.ID+"-"+name, name
-			one.Zone = []string{"a", "b"}[number%2]
-			all = append(all, one)
+		for number, srv := range servers(count, service) {
+			srv.ID, srv.Version = srv.ID+"-"+name, name
+			srv.Zone = []string{"a", "b"}[number%2]
+			all = append(all, srv)
 		}
 	}
 	return all
@@ -148,9 +148,9 @@
 // without keeping the node from moving its traffic.
 func TestReportsRemainingAttemptsAtOldVersion(t *testing.T) {
 	h := newRolloutHarness(t, rollout.Running, "ledger")
-	once := single("ledger", false)
+	nonRepeatable := single("ledger", false)
 	var id routing.RequestID
-	for id = h.submit(once); h.inFlight(id)[0].Server.Version != "v1"; id = h.submit(once) {
+	for id = h.submit(nonRepeatable); h.inFlight(id)[0].Server.Version != "v1"; id = h.submit(nonRepeatable) {
 		h.complete(h.inFlight(id)[0].Attempt, gather.ReplyDone)
 	}
 	h.setPhase(rollout.Moving, "ledger")
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -98,16 +98,16 @@
 	h.setServers(servers(3, "s1"))
 	h.setTable(20, "s1")
 	id := h.submit(single("s1", true))
-	asked := make(map[string]bool)
+	sentTo := make(map[string]bool)
 	for range 20 {
 		for _, send := range h.inFlight(id) {
-			asked[send.Server.ID] = true
+			sentTo[send.Server.ID] = true
 			h.complete(send.Attempt, gather.ReplyShed)
 		}
 		h.advance(50 * time.Millisecond)
 	}
-	if len(asked) != 2 {
-		t.Errorf("the part was sent to %d servers, want 2", len(asked))
+	if len(sentTo) != 2 {
+		t.Errorf("the part was sent to %d servers, want 2", len(sentTo))
 	}
 	if got := h.finished[id]; got.Execution != gather.ExecutionNotRun || got.RetryAfter == 0 {
 		t.Errorf("outcome %+v, want not run with a retry time", got)
@@ -122,10 +122,10 @@
 	h.setTable(40, "s1")
 	r := single("s1", true)
 	h.learnLatency(r, 5*time.Millisecond)
-	late := h.submit(r)
-	first := h.inFlight(late)[0]
+	overdue := h.submit(r)
+	first := h.inFlight(overdue)[0]
 	h.advance(40 * time.Millisecond)
-	h.complete(h.inFlight(late)[1].Attempt, gather.ReplyDone) // the hedge
+	h.complete(h.inFlight(overdue)[1].Attempt, gather.ReplyDone) // the hedge
 	for range 10 {
 		id := h.submit(r)
 		next := h.inFlight(id)[0]
@@ -136,18 +136,18 @@
 		h.complete(next.Attempt, gather.ReplyDone)
 	}
 	h.complete(first.Attempt, gather.ReplyDone)
-	back := false
+	probed := false
 	for range 40 {
 		h.advance(50 * time.Millisecond)
 		id := h.submit(r)
 		next := h.inFlight(id)[0]
-		back = back || next.Server.ID == first.Server.ID
+		probed = probed || next.Server.ID == first.Server.ID
 		h.advance(5 * time.Millisecond)
 		for _, send := range h.inFlight(id) {
 			h.complete(send.Attempt, gather.ReplyDone)
 		}
 	}
-	if !back {
+	if !probed {
 		t.Error("the slow server is never probed again")
 	}
 }
@@ -203,10 +203,10 @@
 	h := newHarness(t, routing.Options{})
 	h.setServers(servers(1, "s1"))
 	h.setTable(2, "s1") // a connection share of one
-	slow, urgent, usual := single("s1", true), single("s1", true), single("s1", true)
-	slow.Priority, urgent.Priority, usual.Priority = 2, 0, 1
-	running := h.submit(slow)
-	second, first := h.submit(usual), h.submit(urgent)
+	background, urgent, normal := single("s1", true), single("s1", true), single("s1", true)
+	background.Priority, urgent.Priority, normal.Priority = 2, 0, 1
+	running := h.submit(background)
+	second, first := h.submit(normal), h.submit(urgent)
 	if len(h.allSends) != 1 {
 		t.Fatalf("%d sends with a connection share of one", len(h.allSends))
 	}
@@ -222,18 +222,18 @@
 	h.setTable(2, "s1")
 	r := single("s1", true)
 	h.learnLatency(r, 20*time.Millisecond)
-	refused := 0
+	rejected := 0
 	for range 20 {
 		id := h.submit(r)
 		if got, finished := h.finished[id]; finished {
-			refused++
+			rejected++
 			if got.Execution != gather.ExecutionNotRun || got.RetryAfter == 0 {
 				t.Fatalf("outcome %+v, want not run with a retry time", got)
 			}
 		}
 	}
-	if refused < 14 || refused > 19 {
-		t.Errorf("%d of 20 requests were rejected, want 14 to 19: about four fit in their latency target", refused)
+	if rejected < 14 || rejected > 19 {
+		t.Errorf("%d of 20 requests were rejected, want 14 to 19: about four fit in their latency target", rejected)
 	}
 }
 
@@ -281,12 +281,12 @@
 	short.Name, short.Priority = "short", 2
 	h.learnLatency(urgent, 25*time.Millisecond)
 	h.learnLatency(short, 3*time.Millisecond)
-	refused := make(map[string]int)
+	rejected := make(map[string]int)
 	const rounds = 400
 	for round := range rounds {
 		for _, r := range []*route.Route{urgent, short} {
 			if _, finished := h.finished[h.submit(r)]; finished {
-				refused[r.Name]++
+				rejected[r.Name]++
 			}
 		}
 		h.advance(5 * time.Millisecond)
@@ -300,11 +300,11 @@
 			}
 		}
 	}
-	if refused["urgent"] < rounds/4 {
-		t.Fatalf("only %d of %d urgent requests were rejected: too few for a comparison", refused["urgent"], rounds)
+	if rejected["urgent"] < rounds/4 {
+		t.Fatalf("only %d of %d urgent requests were rejected: too few for a comparison", rejected["urgent"], rounds)
 	}
-	if refused["short"] < refused["urgent"]*9/10 {
-		t.Errorf("%d urgent requests were rejected, but only %d less urgent ones", refused["urgent"], refused["short"])
+	if rejected["short"] < rejected["urgent"]*9/10 {
+		t.Errorf("%d urgent requests were rejected, but only %d less urgent ones", rejected["urgent"], rejected["short"])
 	}
 }
 
@@ -376,7 +376,7 @@
 // An answer must be sent early enough to reach its caller by the latency target, whatever the
 // network time. If that leaves too little, servers must still get a quarter of the target.
 func TestAnswerAllowsForNetworkTime(t *testing.T) {
-	for name, test := range map[string]struct{ spent, back, leaves time.Duration }{
+	for name, test := range map[string]struct{ elapsed, returnTime, answerAt time.Duration }{
 		"a caller nearby":          {0, 0, testAim - routing.DefaultAnswerMargin},
 		"a caller in another zone": {9 * time.Millisecond, 12 * time.Millisecond, testAim - 21*time.Millisecond - routing.DefaultAnswerMargin},
 		"a caller far away":        {testAim, testAim, testAim / 4},
@@ -386,15 +386,15 @@
 			h.setServers(servers(1, "s1", "s2"))
 			h.setTable(20, "s1", "s2")
 			h.lastID++
-			asked := fanOut(0.5, "s1", "s2")
-			h.step(routing.Arrived{Request: routing.Request{ID: h.lastID, Route: asked, Remaining: asked.Timeout, Elapsed: test.spent, ReturnTime: test.back}})
+			target := fanOut(0.5, "s1", "s2")
+			h.step(routing.Arrived{Request: routing.Request{ID: h.lastID, Route: target, Remaining: target.Timeout, Elapsed: test.elapsed, ReturnTime: test.returnTime}})
 			h.complete(h.inFlight(h.lastID)[0].Attempt, gather.ReplyDone)
-			const moment = time.Millisecond
-			h.advance(test.leaves - moment)
+			const tolerance = time.Millisecond
+			h.advance(test.answerAt - tolerance)
 			if _, finished := h.finished[h.lastID]; finished {
 				t.Fatal("the answer was sent too early")
 			}
-			h.advance(2 * moment)
+			h.advance(2 * tolerance)
 			if got := h.finished[h.lastID]; got.Execution != gather.ExecutionDone || got.Missing != 1 {
 				t.Fatalf("the answer was not sent in time: outcome %+v", got)
 			}
--- a/routing/zone_reachability_test.go
+++ b/routing/zone_reachability_test.go
@@ -39,10 +39,10 @@
 }
 
 // advanceAnswering advances the clock while all servers answer except those in the given zone.
-func (h *harness) advanceAnswering(duration time.Duration, but string) {
+func (h *harness) advanceAnswering(duration time.Duration, silentZone string) {
 	for until := h.now + duration; h.now < until; {
 		h.advance(answerTime)
-		h.answerOutsideZone(but)
+		h.answerOutsideZone(silentZone)
 	}
 }
 
@@ -92,15 +92,15 @@
 	}
 	h.step(routing.Connected{Server: h.connects[0].Incarnation()})
 	h.advance(10 * time.Second) // lets learned slowness expire
-	used := false
+	zoneUsed := false
 	for range 10 {
 		id := h.submit(r)
 		for _, send := range h.inFlight(id) {
-			used = used || send.Server.Zone == "a"
+			zoneUsed = zoneUsed || send.Server.Zone == "a"
 			h.complete(send.Attempt, gather.ReplyDone)
 		}
 	}
-	if !used {
+	if !zoneUsed {
 		t.Error("the zone got no request after it became reachable")
 	}
 }
@@ -118,8 +118,8 @@
 	}
 	for range 10 {
 		id := h.submit(r)
-		for place, send := range h.inFlight(id) {
-			if place >= 3 {
+		for i, send := range h.inFlight(id) {
+			if i >= 3 {
 				h.complete(send.Attempt, gather.ReplyDone)
 			}
 		}
@@ -150,9 +150,9 @@
 // oneServerPerShard returns one server for each shard, all in zone a except the last.
 func oneServerPerShard() []discovery.Server {
 	var all []discovery.Server
-	for place, name := range fiveShards {
+	for i, name := range fiveShards {
 		zone := "a"
-		if place == len(fiveShards)-1 {
+		if i == len(fiveShards)-1 {
 			zone = "b"
 		}
 		all = append(all, discovery.Server{ID: name + "-only", Service: name, Address: "x", Slots: 2, Zone: zone})
@@ -175,13 +175,13 @@
 	if !h.cannotServe {
 		t.Fatal("the node does not report that it cannot serve")
 	}
-	if got, done := h.finished[first]; !done || got.Execution == gather.ExecutionDone {
+	if got, finished := h.finished[first]; !finished || got.Execution == gather.ExecutionDone {
 		t.Errorf("the request that detected the outage was not failed immediately: outcome %+v", got)
 	}
 	before := len(h.allSends)
-	got, done := h.finished[h.submit(r)]
-	if !done || got.Execution != gather.ExecutionNotRun || got.Reason != gather.ReasonNoServer || !got.RetryElsewhere || got.RetryAfter > 20*time.Millisecond {
-		t.Errorf("finished %v, outcome %+v, want a redirect", done, got)
+	got, finished := h.finished[h.submit(r)]
+	if !finished || got.Execution != gather.ExecutionNotRun || got.Reason != gather.ReasonNoServer || !got.RetryElsewhere || got.RetryAfter > 20*time.Millisecond {
+		t.Errorf("finished %v, outcome %+v, want a redirect", finished, got)
 	}
 	if len(h.allSends) != before {
 		t.Error("something was sent for a request that cannot be served")
@@ -223,11 +223,11 @@
 	h.submit(r)
 	h.advanceAnswering(zoneSilence+20*time.Millisecond, "a")
 	before := len(h.connects)
-	replaced := oneServerPerShard()
-	for i := range replaced {
-		replaced[i].ID += "-new"
+	replacements := oneServerPerShard()
+	for i := range replacements {
+		replacements[i].ID += "-new"
 	}
-	h.setServers(replaced)
+	h.setServers(replacements)
 	if len(h.connects) == before {
 		t.Fatal("no connection to a new server was requested")
 	}
