--- a/rollout/canary_test.go
+++ b/rollout/canary_test.go
@@ -24,8 +24,8 @@
 func TestTrafficModes(t *testing.T) {
 	superseded := stateInPhase(Moving)
 	superseded.Order, superseded.Target, superseded.Granted = 9, "v3", 0
-	taken := stateInPhase(Moving)
-	taken.Order = 0
+	withdrawn := stateInPhase(Moving)
+	withdrawn.Order = 0
 	next := stateInPhase(Completed)
 	next.Order, next.Target, next.Granted = 9, "v1", 0
 	for name, test := range map[string]struct {
@@ -39,7 +39,7 @@
 		"completed":     {stateInPhase(Completed), map[string]TrafficMode{"v0": Blocked, "v1": Blocked, "v2": Unrestricted, "v9": Unrestricted}},
 		"rolled back":   {stateInPhase(RolledBack), map[string]TrafficMode{"v0": Blocked, "v1": Unrestricted, "v2": Blocked}},
 		"superseded":    {superseded, map[string]TrafficMode{"v1": Unrestricted, "v2": Blocked, "v3": Blocked}},
-		"taken back":    {taken, map[string]TrafficMode{"v1": Unrestricted, "v2": Blocked}},
+		"taken back":    {withdrawn, map[string]TrafficMode{"v1": Unrestricted, "v2": Blocked}},
 		"next, back v1": {next, map[string]TrafficMode{"v1": Blocked, "v2": Unrestricted}},
 	} {
 		canary := NewCanary(testBounds, 0)
@@ -68,7 +68,7 @@
 }
 
 // offerSends offers a first send on a route every 10 ms and counts those that go to the target.
-func offerSends(canary *Canary, from, to time.Duration, route string) (given, offered int) {
+func offerSends(canary *Canary, from, to time.Duration, route string) (sent, offered int) {
 	for now := from; now < to; now += 10 * time.Millisecond {
 		due := canary.ShouldSendToTarget(now, route)
 		canary.CountFirstSend(route, due)
@@ -76,10 +76,10 @@
 		offered++
 		if due {
 			canary.CountTargetSend()
-			given++
+			sent++
 		}
 	}
-	return given, offered
+	return sent, offered
 }
 
 // The target must never exceed its limit. Some of it must be used at once, a third before the load
@@ -93,14 +93,14 @@
 	}
 	more, count := offerSends(canary, time.Second, 12*time.Second, "a")
 	early, offered = early+more, offered+count
-	whole := 0.085*float64(offered) + 10
-	if float64(early) < 0.3*whole || float64(early) > earlyShare*whole+1 {
-		t.Errorf("%d requests of a limit of %.1f went to the target before the load test", early, whole)
+	limit := 0.085*float64(offered) + 10
+	if float64(early) < 0.3*limit || float64(early) > earlyShare*limit+1 {
+		t.Errorf("%d requests of a limit of %.1f went to the target before the load test", early, limit)
 	}
 	late, count := offerSends(canary, 12*time.Second, 14*time.Second, "a")
-	whole = 0.085*float64(offered+count) + 10
-	if given := early + late; float64(given) > whole || float64(given) < whole-2 {
-		t.Errorf("%d requests of a limit of %.1f went to the target", given, whole)
+	limit = 0.085*float64(offered+count) + 10
+	if sent := early + late; float64(sent) > limit || float64(sent) < limit-2 {
+		t.Errorf("%d requests of a limit of %.1f went to the target", sent, limit)
 	}
 }
 
@@ -118,14 +118,14 @@
 		canary := NewCanary(testBounds, 0)
 		canary.Update(stateInPhase(Running), time.Hour)
 		spoil(canary)
-		if given, _ := offerSends(canary, 4*time.Second, 6*time.Second, "a"); given != 0 {
-			t.Errorf("%s: %d requests went to the target", name, given)
+		if sent, _ := offerSends(canary, 4*time.Second, 6*time.Second, "a"); sent != 0 {
+			t.Errorf("%s: %d requests went to the target", name, sent)
 		}
 	}
 	canary := NewCanary(testBounds, 0)
 	canary.Update(stateInPhase(Running), time.Hour)
 	canary.Halt(6) // Halt for an earlier order
-	if given, _ := offerSends(canary, 4*time.Second, 6*time.Second, "a"); given == 0 {
+	if sent, _ := offerSends(canary, 4*time.Second, 6*time.Second, "a"); sent == 0 {
 		t.Error("Halt for an earlier order stopped this one")
 	}
 }
@@ -160,10 +160,10 @@
 func TestRareRoutesGetTargetSends(t *testing.T) {
 	canary := NewCanary(testBounds, 0)
 	canary.Update(stateInPhase(Running), time.Hour)
-	given := make(map[string]int)
-	for now, place := time.Duration(0), 0; now < 12*time.Second; now, place = now+5*time.Millisecond, place+1 {
+	sent := make(map[string]int)
+	for now, number := time.Duration(0), 0; now < 12*time.Second; now, number = now+5*time.Millisecond, number+1 {
 		route := "busy"
-		if place%20 == 0 {
+		if number%20 == 0 {
 			route = "rare"
 		}
 		due := canary.ShouldSendToTarget(now, route)
@@ -171,11 +171,11 @@
 		canary.CountRequest()
 		if due {
 			canary.CountTargetSend()
-			given[route]++
+			sent[route]++
 		}
 	}
-	if given["rare"] < given["busy"]*2/3 {
-		t.Errorf("sends to the target by route: %v", given)
+	if sent["rare"] < sent["busy"]*2/3 {
+		t.Errorf("sends to the target by route: %v", sent)
 	}
 }
 
@@ -192,10 +192,10 @@
 	record := *unknown.Record
 	record.HasAlarm = true
 	alarmed.Record, alarmed.AlarmHeld, alarmed.AlarmSeenAt = &record, true, 40*time.Second
-	gone := alarmed
-	gone.AlarmHeld = false
-	unseen := gone
-	unseen.AlarmSeenAt = 0
+	expired := alarmed
+	expired.AlarmHeld = false
+	neverSeen := expired
+	neverSeen.AlarmSeenAt = 0
 	for name, test := range map[string]struct {
 		state State
 		now   time.Duration
@@ -205,8 +205,8 @@
 		"told by the record":      {unknown, 5 * time.Second, 12 * time.Second},
 		"before the alarm":        {alarmed, 5 * time.Second, 7 * time.Second},
 		"long before the alarm":   {alarmed, 41 * time.Second, 12 * time.Second},
-		"once the alarm is taken": {gone, 42 * time.Second, 16 * time.Second},
-		"an alarm that was taken": {unseen, 2 * time.Second, 20 * time.Second},
+		"once the alarm is taken": {expired, 42 * time.Second, 16 * time.Second},
+		"an alarm that was taken": {neverSeen, 2 * time.Second, 20 * time.Second},
 	} {
 		if got := test.state.Age(test.now); got != test.want {
 			t.Errorf("%s: %s, want %s", name, got, test.want)
@@ -221,18 +221,18 @@
 	if _, underLoad := canary.LoadTestServer(5 * time.Second); underLoad {
 		t.Error("the load test started too early")
 	}
-	var places []string
+	var indexes []string
 	for now := 12 * time.Second; canary.ShouldSendToTarget(now, "a"); now += time.Millisecond {
-		place, underLoad := canary.LoadTestServer(now)
+		index, underLoad := canary.LoadTestServer(now)
 		if !underLoad {
 			t.Fatal("the load test did not start in time")
 		}
-		if text := fmt.Sprint(place); len(places) == 0 || places[len(places)-1] != text {
-			places = append(places, text)
+		if text := fmt.Sprint(index); len(indexes) == 0 || indexes[len(indexes)-1] != text {
+			indexes = append(indexes, text)
 		}
 		canary.CountTargetSend()
 	}
-	if want := fmt.Sprint([]string{"7", "8"}); fmt.Sprint(places) != want {
-		t.Errorf("server indexes %v, want %s", places, want)
+	if want := fmt.Sprint([]string{"7", "8"}); fmt.Sprint(indexes) != want {
+		t.Errorf("server indexes %v, want %s", indexes, want)
 	}
 }
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -158,8 +158,8 @@
 	if answers, bad := judge.Answers(); answers != 4 || bad != 1 || judge.InvalidReports() != 2 {
 		t.Errorf("%d answers, %d bad, %d invalid reports; want 4, 1, 2", answers, bad, judge.InvalidReports())
 	}
-	if verdict, why := judge.Verdict(); verdict != Undecided || why == "" {
-		t.Errorf("verdict %d (%s), want Undecided", verdict, why)
+	if verdict, reason := judge.Verdict(); verdict != Undecided || reason == "" {
+		t.Errorf("verdict %d (%s), want Undecided", verdict, reason)
 	}
 }
 
@@ -170,7 +170,7 @@
 		Before: []Cell{{Route: "a", Counts: Counts{Answers: 60}}, {Route: "b", Counts: Counts{Answers: 40}}},
 		Target: []Cell{{Route: "a", Server: "s", Counts: Counts{Answers: 20}}},
 	})
-	if verdict, why := judge.Verdict(); verdict != Undecided {
-		t.Errorf("verdict %d (%s), want Undecided", verdict, why)
+	if verdict, reason := judge.Verdict(); verdict != Undecided {
+		t.Errorf("verdict %d (%s), want Undecided", verdict, reason)
 	}
 }
--- a/rollout/move_test.go
+++ b/rollout/move_test.go
@@ -16,16 +16,16 @@
 	d = NewDecider("x", testBounds)
 	d.Observe(0, input)
 	now = record.DecisionAt
-	for heard := time.Duration(0); heard < now; heard += 250 * time.Millisecond {
-		part := func(whole int) int { return int(float64(whole) * float64(heard) / float64(now)) }
+	for at := time.Duration(0); at < now; at += 250 * time.Millisecond {
+		portion := func(total int) int { return int(float64(total) * float64(at) / float64(now)) }
 		var cells []Cell
 		for server := range 3 {
-			cells = append(cells, Cell{Route: "a", Server: fmt.Sprint("server-", server), Counts: Counts{Answers: part(target / 3)}})
+			cells = append(cells, Cell{Route: "a", Server: fmt.Sprint("server-", server), Counts: Counts{Answers: portion(target / 3)}})
 		}
 		for _, node := range []string{"a", "b"} {
-			d.AddReport(heard, Report{
+			d.AddReport(at, Report{
 				Node: node, Process: "1", Service: "x", Order: 7,
-				Target: cells, Before: []Cell{{Route: "a", Counts: Counts{Answers: part(before)}}},
+				Target: cells, Before: []Cell{{Route: "a", Counts: Counts{Answers: portion(before)}}},
 			})
 		}
 	}
@@ -58,12 +58,12 @@
 			t.Errorf("%s: decided %s (%s), want no decision", name, write.Record.Phase, write.Record.Reason)
 			continue
 		}
-		all, given := float64(2*(test.target+test.before)), float64(2*test.target)
+		all, sent := float64(2*(test.target+test.before)), float64(2*test.target)
 		left := (20*time.Second - write.Record.MoveAt).Seconds()
 		perSecond := all / now.Seconds()
 		bound := 0.1*(all+perSecond*6) + 50
-		if write.Record.Phase != Moving || given+perSecond*left > bound || left < minMoveTime.Seconds() {
-			t.Errorf("%s: phase %s, move %.1f s before the deadline, %.0f requests of a bound of %.0f", name, write.Record.Phase, left, given+perSecond*left, bound)
+		if write.Record.Phase != Moving || sent+perSecond*left > bound || left < minMoveTime.Seconds() {
+			t.Errorf("%s: phase %s, move %.1f s before the deadline, %.0f requests of a bound of %.0f", name, write.Record.Phase, left, sent+perSecond*left, bound)
 		}
 		if write.Record.MoveAt < now+moveNotice {
 			t.Errorf("%s: nodes don't learn of the move at %s in time", name, write.Record.MoveAt)
@@ -74,18 +74,18 @@
 // If an order may be younger than assumed, its deadline may be later and the move longer. The move must
 // be planned shorter by that uncertainty, and by no more.
 func TestMovesAreShorterWhereTheOrderMayBeYounger(t *testing.T) {
-	lengthOf := func(doubt time.Duration) time.Duration {
+	lengthOf := func(uncertainty time.Duration) time.Duration {
 		d, now := deciderAtDecision(9, 60)
-		d.input.Latest = d.input.Since + doubt
+		d.input.Latest = d.input.Since + uncertainty
 		write, due := d.Tick(now)
 		if !due || write.Record.Phase != Moving {
-			t.Fatalf("with an uncertainty of %s: due %v, phase %s", doubt, due, write.Record.Phase)
+			t.Fatalf("with an uncertainty of %s: due %v, phase %s", uncertainty, due, write.Record.Phase)
 		}
 		return 20*time.Second - write.Record.MoveAt
 	}
-	sure, unsure := lengthOf(0), lengthOf(1500*time.Millisecond)
-	if sure <= unsure || sure-unsure > 1500*time.Millisecond {
-		t.Errorf("move times of %s and %s without and with uncertainty", sure, unsure)
+	certain, uncertain := lengthOf(0), lengthOf(1500*time.Millisecond)
+	if certain <= uncertain || certain-uncertain > 1500*time.Millisecond {
+		t.Errorf("move times of %s and %s without and with uncertainty", certain, uncertain)
 	}
 }
 
@@ -126,8 +126,8 @@
 	for _, offset := range []float64{0, 0.9} {
 		canary := NewCanary(testBounds, offset)
 		canary.Update(state, time.Hour)
-		if given, _ := offerSends(canary, 14*time.Second, 16*time.Second, "a"); given != 0 {
-			t.Errorf("%d requests went to the target before the move", given)
+		if sent, _ := offerSends(canary, 14*time.Second, 16*time.Second, "a"); sent != 0 {
+			t.Errorf("%d requests went to the target before the move", sent)
 		}
 		for _, version := range []string{"v1", "v2"} {
 			early, late := canary.TrafficMode(16*time.Second-1, version), canary.TrafficMode(16*time.Second+rampTime, version)
@@ -156,8 +156,8 @@
 	} {
 		j := NewJudge()
 		j.AddReport(time.Second, Report{Node: "n", Process: "1", Before: test.before, Target: test.target})
-		if got, why := j.Verdict(); got != test.want {
-			t.Errorf("%s: verdict %d (%s), want %d", name, got, why, test.want)
+		if got, reason := j.Verdict(); got != test.want {
+			t.Errorf("%s: verdict %d (%s), want %d", name, got, reason, test.want)
 		}
 	}
 }
--- a/rollout/send_limit.go
+++ b/rollout/send_limit.go
@@ -16,7 +16,7 @@
 	if !c.Active() || c.targetTrafficMode(now) != Limited || c.state.isMoving() || now >= c.freshUntil {
 		return false
 	}
-	elapsed, span := c.trialTime(now)
+	elapsed, span := c.runningTime(now)
 	limit := c.sendLimit(now)
 	if float64(c.allowance.Spent()+1) > limit {
 		return false
@@ -58,8 +58,8 @@
 	return float64(c.state.Granted) / extrabudget.Usable(c.bounds.ExposureSlack)
 }
 
-// trialTime returns the time since the grants were made, and the time from then to the decision.
-func (c *Canary) trialTime(now time.Duration) (elapsed, span time.Duration) {
+// runningTime returns the time since the grants were made, and the time from then to the decision.
+func (c *Canary) runningTime(now time.Duration) (elapsed, span time.Duration) {
 	granted := c.state.Record.Granted
 	return c.state.Age(now) - granted, c.state.Record.DecisionAt - granted
 }
@@ -70,7 +70,7 @@
 	if !c.Active() || c.targetTrafficMode(now) != Limited {
 		return 0, false
 	}
-	if elapsed, span := c.trialTime(now); elapsed < span-loadTestTime {
+	if elapsed, span := c.runningTime(now); elapsed < span-loadTestTime {
 		return 0, false
 	}
 	left := c.sendLimit(now) - float64(c.allowance.Spent())
@@ -85,7 +85,7 @@
 // countLoadTestServers returns the number of servers to load one after the other with the remaining
 // sends. Two distinguish a bad server from a bad version, but only if both come under load.
 func (c *Canary) countLoadTestServers(now time.Duration, left float64) int {
-	elapsed, _ := c.trialTime(now)
+	elapsed, _ := c.runningTime(now)
 	perSecond := float64(c.allowance.Counted()) / max(elapsed.Seconds(), 1)
 	if left < maxLoadTestServers*(perSecond*loadBuildUp+loadTestAnswers*c.nodeShare()) {
 		return 1
