--- a/rollout/baseline.go
+++ b/rollout/baseline.go
@@ -30,8 +30,7 @@
 	numKinds
 )
 
-// worse is what a bad version adds at least to the share of bad answers, by kind, and
-// least the share that is supposed where none was seen.
+// Shares of bad answers by kind.
 var (
 	// minBadIncrease is by how much a bad version at least raises the share of bad answers, per kind.
 	// minBaselineShare is the share assumed when no bad answers were seen.
--- a/rollout/decider.go
+++ b/rollout/decider.go
@@ -297,7 +297,8 @@
 	return grants
 }
 
-// decideRunning decides on the target's evidence.
+// decideRunning decides in the phase Running, on the target's evidence: to move traffic, to roll back,
+// or to wait.
 func (d *Decider) decideRunning(now time.Duration) (record Record, due bool) {
 	age := d.input.Age(now)
 	verdict, reason := d.judge.Verdict()
@@ -361,7 +362,7 @@
 	return record
 }
 
-// decideMoving decides when a move is completed or rolled back.
+// decideMoving decides in the phase Moving: to complete the move, to roll it back, or to wait.
 func (d *Decider) decideMoving(now time.Duration) (record Record, due bool) {
 	verdict, reason := d.judge.Verdict()
 	age := d.input.Age(now)
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -90,8 +90,8 @@
 	counts.add(answer)
 }
 
-// Cells returns at most maxCells cells of the target and of the previous versions, those with the
-// most answers first.
+// Cells returns the cells of the target and of the previous versions, at most maxCells each, those with
+// the most answers first.
 func (e *Evidence) Cells() (target, before []Cell) { return listCells(e.target), listCells(e.before) }
 
 func listCells(counted map[cellKey]*Counts) []Cell {
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -58,8 +58,7 @@
 	reason         string
 }
 
-// reporter identifies a reporting process. Its cells of the target and of the previous versions
-// differ in their server, which is empty for the previous versions.
+// reporter identifies a reporting process. In its cells an empty server means the previous versions.
 type reporter struct{ node, process string }
 
 // NewJudge returns a judge without any reports.
--- a/rollout/move_test.go
+++ b/rollout/move_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// If an order may be younger than assumed, its deadline may be later and the move longer. The move must
-// be planned shorter by that uncertainty, and by no more.
+// If an order may be younger than assumed, its deadline may be later, and the target may receive more
+// requests in the move. The move must be planned shorter by that uncertainty, and by no more.
 func TestMovesAreShorterWhereTheOrderMayBeYounger(t *testing.T) {
 	lengthOf := func(uncertainty time.Duration) time.Duration {
 		d, now := deciderAtDecision(9, 60)
@@ -89,7 +89,7 @@
 	}
 }
 
-// In two of 10,000 simulated roll-outs a bad version exceeded its bound by one to three requests: one
+// In two of 10,000 simulated roll-outs a bad version exceeded its bound by one or two requests: one
 // that was bad on a rare route (68 of 66.8) and one with 67 of 64.3. Neither could be distinguished from
 // a good version, and more requests came during the move than expected (37 instead of 25, two and a half
 // standard deviations, as happens in one move of a hundred). A move that takes more than the bound
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -35,9 +35,9 @@
 	earlyShare   = 0.35
 	initialShare = 0.25
 	// maxLoadTestServers is the number of the target's servers that receive the load test, one after the
-	// other, if the limit suffices: the first shows a server under load, and the second that the fault
-	// is not in one server alone. A server is under load after loadBuildUp of the service's requests per
-	// second, and loadTestAnswers more answers show how it behaves then.
+	// other, if the limit suffices: the first shows a server under load, and the second that the fault is
+	// not in one server alone. A server is under load once it has received the fraction loadBuildUp of
+	// the service's requests of one second, and loadTestAnswers more answers show how it behaves then.
 	maxLoadTestServers = 2
 	loadBuildUp        = 0.2
 	loadTestAnswers    = 9
@@ -59,7 +59,7 @@
 	// preferredMoveTime is the duration of a move that leaves time for nodes that learn of it late.
 	preferredMoveTime = 3200 * time.Millisecond
 	// usableBoundShare is the fraction of the bound that a bad target may use in a move. The rest is for
-	// answers that are not reported yet.
+	// requests that are not reported yet.
 	usableBoundShare = 0.95
 	// minDeviations is the number of standard deviations of the requests in a move that the bound must
 	// cover, and preferredDeviations the number that it covers if shortening the move makes that
