--- a/quarantine/evidence.go
+++ b/quarantine/evidence.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// startReviewIfProven starts a review if there is sufficient evidence and none is in progress.
+// startReviewIfProven records new evidence at now, and starts a review if the evidence
+// suffices and none is in progress.
 func (t *Tracker) startReviewIfProven(now time.Duration, s *suspect) {
 	s.lastSeen = now
 	if s.reviewUntil > 0 || s.quarantined || !t.hasProof(s) {
--- a/quarantine/finding.go
+++ b/quarantine/finding.go
@@ -16,6 +16,7 @@
 
 // Finding is a message to other nodes about one fingerprint.
 type Finding struct {
+	// Content is the fingerprint of the request.
 	Content Fingerprint
 	// Crashes lists the servers that crashed while they ran the request.
 	Crashes []Crash
@@ -36,6 +37,7 @@
 
 // Crash is the crash of a server while it ran a request.
 type Crash struct {
+	// ServerIncarnation is the incarnation that crashed.
 	ServerIncarnation Incarnation
 	// Alone is set when the request was sent to this server after an earlier crash, with no
 	// other attempt of the request in flight.
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -7,7 +7,7 @@
 	"errors"
 )
 
-// fingerprintBytes is the length of a Fingerprint: long enough that nobody can construct a
+// fingerprintBytes is the length of a Fingerprint: long enough that it is infeasible to construct a
 // request with the fingerprint of another request in order to get that one refused.
 const fingerprintBytes = 16
 
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -230,7 +230,7 @@
 }
 
 // Status returns whether and how a request that has arrived may be sent, and how long a review
-// will still last.
+// will still last. For a quarantined fingerprint the call extends the retention.
 func (t *Tracker) Status(now time.Duration, fingerprint Fingerprint) (status Status, remaining time.Duration) {
 	if _, recorded := t.recorded[fingerprint]; recorded {
 		return Quarantined, 0
