--- a/discovery/announcer_test.go
+++ b/discovery/announcer_test.go
@@ -111,12 +111,12 @@
 // While the announcer is enabled the entry is present at once and never expires; after it is
 // disabled the entry expires without a call; when enabled again it is present at once.
 func TestEntryIsRegisteredWhileEnabled(t *testing.T) {
-	const spell = time.Minute
+	const period = time.Minute
 	r := withAnnouncer(t, func(t *testing.T, r *registrar, a *discovery.Announcer) {
 		for _, when := range []string{"at first", "again"} {
 			a.SetEnabled(true)
 			synctest.Wait()
-			wantRegistered(t, r, spell, when)
+			wantRegistered(t, r, period, when)
 			a.SetEnabled(false)
 			synctest.Wait()
 			renewals := r.renewals
@@ -126,7 +126,7 @@
 			}
 		}
 	})
-	if most := int(2*spell/discovery.DefaultTimeToLive)*4 + 2; r.renewals > most || r.registrations > 3 || r.revocations > 0 {
+	if most := int(2*period/discovery.DefaultTimeToLive)*4 + 2; r.renewals > most || r.registrations > 3 || r.revocations > 0 {
 		t.Errorf("%d renewals (at most %d), %d registrations, %d revocations", r.renewals, most, r.registrations, r.revocations)
 	}
 }
--- a/discovery/apply.go
+++ b/discovery/apply.go
@@ -17,7 +17,7 @@
 // detectEpochChange starts a new epoch if the registry was restored from a backup. The lock must be held.
 func (f *Follower) detectEpochChange(now time.Duration, changes Changes) {
 	known := f.position
-	if _, heard := f.view.SyncedAt(); !heard || changes.Epoch <= known.Epoch {
+	if _, synced := f.view.SyncedAt(); !synced || changes.Epoch <= known.Epoch {
 		return
 	}
 	f.view.BeginEpoch(now, changes.Position())
@@ -30,9 +30,9 @@
 func (f *Follower) applyChanges(now time.Duration, changes Changes) {
 	f.reportInvalid(changes.Invalid)
 	f.applyAndObserve(func() {
-		before, heard := f.view.SyncedAt()
+		before, synced := f.view.SyncedAt()
 		f.recordSync(now, changes)
-		f.merge(now, changes, writeTime{at: before, known: heard && !changes.Relayed})
+		f.merge(now, changes, writeTime{at: before, known: synced && !changes.Relayed})
 	})
 }
 
@@ -62,7 +62,7 @@
 func (f *Follower) applyListing(now time.Duration, all Changes) {
 	f.reportInvalid(all.Invalid)
 	f.applyAndObserve(func() {
-		before, heard := f.view.SyncedAt()
+		before, synced := f.view.SyncedAt()
 		f.detectEpochChange(now, all)
 		f.recordSync(now, all)
 		if all.Relayed {
@@ -71,7 +71,7 @@
 		f.view.RetainServers(now, listedIDs(all.Servers, all.Invalid), all.Position())
 		f.view.RetainNodes(now, listedIDs(all.Nodes, all.Invalid), all.Position())
 		f.view.RetainDirectives(listedIDs(all.Directives, all.Invalid), all.Position())
-		f.merge(now, all, writeTime{at: before, known: heard && !all.Relayed})
+		f.merge(now, all, writeTime{at: before, known: synced && !all.Relayed})
 	})
 }
 
@@ -91,15 +91,15 @@
 
 // earliestWrite returns that time for one directive: another node sends its maximum age, and what
 // the registry itself reports was written after the previous sync.
-func (f *Follower) earliestWrite(key string, changes Changes, newest writeTime) writeTime {
-	if age, told := changes.MaxOrderAges[key]; told {
+func (f *Follower) earliestWrite(key string, changes Changes, fallback writeTime) writeTime {
+	if age, ok := changes.MaxOrderAges[key]; ok {
 		return writeTime{at: f.now() - age, known: true}
 	}
-	return newest
+	return fallback
 }
 
 // merge applies changes to the view. The lock must be held.
-func (f *Follower) merge(now time.Duration, changes Changes, newest writeTime) {
+func (f *Follower) merge(now time.Duration, changes Changes, fallback writeTime) {
 	for _, e := range changes.Servers {
 		if e.Gone {
 			f.view.RemoveServer(now, e.ID, changes.positionAt(e.Revision))
@@ -119,9 +119,9 @@
 			f.view.RemoveDirective(e.ID, changes.positionAt(e.Revision))
 			continue
 		}
-		born := f.earliestWrite(e.ID, changes, newest)
-		f.view.PutDirective(now, e.Value, changes.positionAt(e.Revision), born.at, born.known)
-		if age, told := changes.MinOrderAges[e.ID]; told {
+		earliest := f.earliestWrite(e.ID, changes, fallback)
+		f.view.PutDirective(now, e.Value, changes.positionAt(e.Revision), earliest.at, earliest.known)
+		if age, ok := changes.MinOrderAges[e.ID]; ok {
 			f.view.RecordDirectiveSeen(e.ID, f.now()-age)
 		}
 	}
--- a/discovery/atomic_test.go
+++ b/discovery/atomic_test.go
@@ -81,8 +81,8 @@
 	left := <-source.listingSent
 	for range 100 { // the listing is applied as far as possible
 		publication, ok := follower.Publish(discovery.PublicationRequest{})
-		believed := slices.ContainsFunc(publication.Servers, func(s discovery.Server) bool { return s.ID == "leaves" })
-		if since := time.Since(left); !ok || believed && publication.Age < since {
+		published := slices.ContainsFunc(publication.Servers, func(s discovery.Server) bool { return s.ID == "leaves" })
+		if since := time.Since(left); !ok || published && publication.Age < since {
 			t.Errorf("%s after a server left it is still published, with an age of %s (%t)", since, publication.Age, ok)
 			break
 		}
--- a/discovery/bootstrap.go
+++ b/discovery/bootstrap.go
@@ -11,18 +11,18 @@
 // minBootstrapNodes. All nodes with the same membership view select the same nodes.
 func BootstrapNodes(nodes []Node) []Node {
 	ranked := rankNodes(nodes)
-	var anchors, others []Node
+	var selected, others []Node
 	zones := make(map[string]struct{})
 	for _, node := range ranked {
-		if _, has := zones[node.Zone]; has {
+		if _, covered := zones[node.Zone]; covered {
 			others = append(others, node)
 			continue
 		}
 		zones[node.Zone] = struct{}{}
-		anchors = append(anchors, node)
+		selected = append(selected, node)
 	}
-	missing := min(max(minBootstrapNodes-len(anchors), 0), len(others))
-	return append(anchors, others[:missing]...)
+	missing := min(max(minBootstrapNodes-len(selected), 0), len(others))
+	return append(selected, others[:missing]...)
 }
 
 // compareRank orders nodes by decreasing capacity, and nodes of equal capacity in an order that
--- a/discovery/cluster_test.go
+++ b/discovery/cluster_test.go
@@ -85,45 +85,45 @@
 	r.mutex.Unlock()
 	for end := time.Now().Add(wait); ; time.Sleep(watchLatency) {
 		r.mutex.Lock()
-		told, down, epoch := r.after(after.Revision), r.down, r.epoch
+		answer, down, epoch := r.after(after.Revision), r.down, r.epoch
 		r.mutex.Unlock()
 		switch {
 		case down:
 			return discovery.Changes{}, discovery.ErrUnavailable
 		case epoch != after.Epoch:
 			return discovery.Changes{}, discovery.ErrHistoryGone
-		case told.Partial:
+		case answer.Partial:
 			time.Sleep(watchLatency) // simulates the transfer of a long answer
-			return told, nil
-		case told.Revision > after.Revision || !time.Now().Before(end):
-			return told, nil
+			return answer, nil
+		case answer.Revision > after.Revision || !time.Now().Before(end):
+			return answer, nil
 		}
 	}
 }
 
 func (r *registry) after(revision discovery.Revision) discovery.Changes {
-	told := discovery.Changes{Epoch: r.epoch, Revision: r.revision, Table: r.events.Table}
+	answer := discovery.Changes{Epoch: r.epoch, Revision: r.revision, Table: r.events.Table}
 	for _, e := range r.events.Servers {
 		if e.Revision <= revision {
 			continue
 		}
-		if r.maxChanges > 0 && len(told.Servers) == r.maxChanges {
-			told.Partial, told.Revision = true, told.Servers[r.maxChanges-1].Revision
+		if r.maxChanges > 0 && len(answer.Servers) == r.maxChanges {
+			answer.Partial, answer.Revision = true, answer.Servers[r.maxChanges-1].Revision
 			break
 		}
-		told.Servers = append(told.Servers, e)
+		answer.Servers = append(answer.Servers, e)
 	}
 	for _, e := range r.events.Nodes {
 		if e.Revision > revision {
-			told.Nodes = append(told.Nodes, e)
+			answer.Nodes = append(answer.Nodes, e)
 		}
 	}
 	for _, e := range r.events.Directives {
 		if e.Revision > revision {
-			told.Directives = append(told.Directives, e)
+			answer.Directives = append(answer.Directives, e)
 		}
 	}
-	return told
+	return answer
 }
 
 func (r *registry) setDown(down bool) {
@@ -147,7 +147,7 @@
 }
 
 // evacuate requests the evacuation of a zone, or removes the request.
-func (r *registry) evacuate(zone string, back bool) {
+func (r *registry) evacuate(zone string, remove bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.revision++
@@ -155,7 +155,7 @@
 	evacuation.StoredAt = discovery.Position{Epoch: r.epoch, Revision: r.revision}
 	evacuation.Number = evacuation.StoredAt.Number()
 	r.events.Directives = append(r.events.Directives, discovery.Entry[discovery.Directive]{
-		ID: evacuation.Key(), Revision: r.revision, Gone: back, Value: evacuation,
+		ID: evacuation.Key(), Revision: r.revision, Gone: remove, Value: evacuation,
 	})
 }
 
--- a/discovery/directive_test.go
+++ b/discovery/directive_test.go
@@ -51,9 +51,9 @@
 func TestNodesKnowMaximumAgeOfOrders(t *testing.T) {
 	const (
 		nodes = 6
-		// unheard is the maximum age of a node's view before the order arrives.
-		unheard = 2 * time.Second
-		known   = 3 * time.Second
+		// maxViewAge is the maximum age of a node's view before the order arrives.
+		maxViewAge = 2 * time.Second
+		settle     = 3 * time.Second
 	)
 	synctest.Test(t, func(t *testing.T) {
 		w := startCluster(t, nodes)
@@ -61,15 +61,15 @@
 			time.Sleep(1300 * time.Millisecond)
 			w.registry.putOrder("x", target)
 			written := time.Now()
-			time.Sleep(known)
+			time.Sleep(settle)
 			if target == "v2" {
 				w.seeds, w.seedTimeout = []string{"node-01"}, time.Second
 				w.addNode(t, "node-late")
-				time.Sleep(known)
+				time.Sleep(settle)
 			}
 			for number := range nodes + 1 {
 				since := w.orderSince(t, number, "x", target)
-				if since.IsZero() || since.After(written) || since.Before(written.Add(-unheard)) {
+				if since.IsZero() || since.After(written) || since.Before(written.Add(-maxViewAge)) {
 					t.Errorf("%s: node %d assumes that the order was written at %s at the earliest, it was written at %s", target, number, since, written)
 				}
 			}
@@ -84,10 +84,10 @@
 func TestNodesKnowMinimumAgeOfOrders(t *testing.T) {
 	const (
 		nodes = 6
-		// heard is the time by which the first node knows of the order, and late the delay after
+		// learned is the time by which the first node knows of the order, and late the delay after
 		// which another node starts.
-		heard = 2 * time.Second
-		late  = 10 * time.Second
+		learned = 2 * time.Second
+		late    = 10 * time.Second
 	)
 	synctest.Test(t, func(t *testing.T) {
 		w := startCluster(t, nodes)
@@ -100,7 +100,7 @@
 		time.Sleep(late)
 		for number := range nodes + 1 {
 			latest := w.findOrder(t, number, "x", "v2").Latest
-			if latest.Before(written) || latest.After(written.Add(heard)) {
+			if latest.Before(written) || latest.After(written.Add(learned)) {
 				t.Errorf("node %d: the registry is known to have held the order at %s, it was written at %s", number, latest, written)
 			}
 		}
@@ -129,18 +129,18 @@
 // During an upgrade, nodes of two builds identify directives alike, as long as the registry reports
 // no epoch.
 func TestDirectiveEncodingMatchesEarlierBuilds(t *testing.T) {
-	var told discovery.Directive
-	if err := json.Unmarshal([]byte(`{"kind":"roll_out","subject":"x","revision":9,"order":{"target":"v2"}}`), &told); err != nil {
+	var decoded discovery.Directive
+	if err := json.Unmarshal([]byte(`{"kind":"roll_out","subject":"x","revision":9,"order":{"target":"v2"}}`), &decoded); err != nil {
 		t.Fatal(err)
 	}
-	if told.Number != 9 || told.Lost || told.Order.Target != "v2" {
-		t.Errorf("decoded from an earlier build: %+v", told)
+	if decoded.Number != 9 || decoded.Lost || decoded.Order.Target != "v2" {
+		t.Errorf("decoded from an earlier build: %+v", decoded)
 	}
 	var earlier struct {
 		Revision uint64 `json:"revision"`
 	}
-	told.StoredAt = revisionPosition(9)
-	encoded, err := json.Marshal(told)
+	decoded.StoredAt = revisionPosition(9)
+	encoded, err := json.Marshal(decoded)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/discovery/directives.go
+++ b/discovery/directives.go
@@ -30,65 +30,65 @@
 
 // PutDirective stores a directive received at now; a position older than the known one is ignored.
 // A new directive cannot have been written before since, if sinceKnown.
-func (v *View) PutDirective(now time.Duration, told Directive, position Position, since time.Duration, sinceKnown bool) {
-	key := told.Key()
+func (v *View) PutDirective(now time.Duration, update Directive, position Position, since time.Duration, sinceKnown bool) {
+	key := update.Key()
 	known := v.directives[key]
 	if known != nil && position.Before(known.position) {
 		return
 	}
 	if known == nil {
-		v.directives[key] = v.trackDirective(now, told, position, since, sinceKnown)
+		v.directives[key] = v.trackDirective(now, update, position, since, sinceKnown)
 		return
 	}
 	known.position = position
 	switch {
-	case sameDirective(known.value, told):
-	case told.Kind == RolloutRecord && told.Number < known.value.Number:
-		if !told.Lost {
-			known.markLost(told.StoredAt) // the nodes' record is newer than the registry's
+	case sameDirective(known.value, update):
+	case update.Kind == RolloutRecord && update.Number < known.value.Number:
+		if !update.Lost {
+			known.markLost(update.StoredAt) // the nodes' record is newer than the registry's
 		}
-	case known.value.Lost && told.Lost && told.Number == known.value.Number:
-		known.value.StoredAt = told.StoredAt
-	case known.value.Lost && told.requestsSameAs(known.value) && told.Kind != RolloutRecord:
-		known.markRewritten(told)
-	case known.value.Lost && now < known.retainedUntil && v.maybeFromBackup(now, told.StoredAt):
-		known.value.StoredAt, known.replacement = told.StoredAt, &told
+	case known.value.Lost && update.Lost && update.Number == known.value.Number:
+		known.value.StoredAt = update.StoredAt
+	case known.value.Lost && update.requestsSameAs(known.value) && update.Kind != RolloutRecord:
+		known.markRewritten(update)
+	case known.value.Lost && now < known.retainedUntil && v.maybeFromBackup(now, update.StoredAt):
+		known.value.StoredAt, known.replacement = update.StoredAt, &update
 	default:
-		v.directives[key] = v.trackDirective(now, told, position, since, sinceKnown)
+		v.directives[key] = v.trackDirective(now, update, position, since, sinceKnown)
 	}
 }
 
 // trackDirective returns the state for a directive that is received for the first time. One that
 // the registry has lost stays in force for the same time as on nodes that knew it before.
-func (v *View) trackDirective(now time.Duration, told Directive, position Position, since time.Duration, sinceKnown bool) *trackedDirective {
-	held := &trackedDirective{value: told, position: position, since: since, sinceKnown: sinceKnown, latest: now}
-	if told.Lost && !told.Kind.writtenByNodes() {
-		held.retainedUntil = now + v.options.DirectiveGrace
+func (v *View) trackDirective(now time.Duration, update Directive, position Position, since time.Duration, sinceKnown bool) *trackedDirective {
+	tracked := &trackedDirective{value: update, position: position, since: since, sinceKnown: sinceKnown, latest: now}
+	if update.Lost && !update.Kind.writtenByNodes() {
+		tracked.retainedUntil = now + v.options.DirectiveGrace
 	}
-	return held
+	return tracked
 }
 
 // markLost records that the registry holds another directive, or none, at the key.
-func (h *trackedDirective) markLost(stored Position) {
-	h.value.Lost, h.value.StoredAt, h.value.Lease = true, stored, 0
+func (t *trackedDirective) markLost(stored Position) {
+	t.value.Lost, t.value.StoredAt, t.value.Lease = true, stored, 0
 }
 
 // markRewritten records that the registry holds the directive again, and keeps its number.
-func (h *trackedDirective) markRewritten(told Directive) {
-	number := h.value.Number
-	h.value = told
-	h.value.Number = number
-	h.retainedUntil, h.replacement = 0, nil
+func (t *trackedDirective) markRewritten(update Directive) {
+	number := t.value.Number
+	t.value = update
+	t.value.Number = number
+	t.retainedUntil, t.replacement = 0, nil
 }
 
 // beginEpoch marks all directives as lost, as the registry was restored from a backup; the next
 // listing shows which of them it still holds. Directives of operators stay in force until the
 // given time, and those of nodes until the nodes have written them again.
 func (d directives) beginEpoch(until time.Duration, epoch Epoch) {
-	for _, held := range d {
-		held.markLost(Position{Epoch: epoch})
-		if !held.value.Kind.writtenByNodes() {
-			held.retainedUntil = until
+	for _, tracked := range d {
+		tracked.markLost(Position{Epoch: epoch})
+		if !tracked.value.Kind.writtenByNodes() {
+			tracked.retainedUntil = until
 		}
 	}
 }
@@ -114,23 +114,23 @@
 // expire drops lost directives that were not written again in time, or puts their replacement
 // into force.
 func (d directives) expire(now time.Duration) {
-	for key, held := range d {
+	for key, tracked := range d {
 		switch {
-		case held.retainedUntil == 0 || now < held.retainedUntil:
-		case held.replacement == nil:
+		case tracked.retainedUntil == 0 || now < tracked.retainedUntil:
+		case tracked.replacement == nil:
 			delete(d, key)
 		default:
-			held.value, held.retainedUntil, held.replacement = *held.replacement, 0, nil
-			held.sinceKnown, held.latest = false, now
+			tracked.value, tracked.retainedUntil, tracked.replacement = *tracked.replacement, 0, nil
+			tracked.sinceKnown, tracked.latest = false, now
 		}
 	}
 }
 
 func (d directives) nextExpiry() time.Duration {
 	next := time.Duration(math.MaxInt64)
-	for _, held := range d {
-		if held.retainedUntil > 0 {
-			next = min(next, held.retainedUntil)
+	for _, tracked := range d {
+		if tracked.retainedUntil > 0 {
+			next = min(next, tracked.retainedUntil)
 		}
 	}
 	return next
@@ -139,8 +139,8 @@
 // lostCount returns the number of directives that the registry has lost.
 func (d directives) lostCount() int {
 	count := 0
-	for _, held := range d {
-		if held.value.Lost {
+	for _, tracked := range d {
+		if tracked.value.Lost {
 			count++
 		}
 	}
@@ -150,8 +150,8 @@
 // Directives returns the directives in force, sorted by key.
 func (v *View) Directives() []Directive {
 	listed := make([]Directive, 0, len(v.directives))
-	for held := range maps.Values(v.directives) {
-		listed = append(listed, held.value)
+	for tracked := range maps.Values(v.directives) {
+		listed = append(listed, tracked.value)
 	}
 	slices.SortFunc(listed, func(a, b Directive) int { return cmp.Compare(a.Key(), b.Key()) })
 	return listed
@@ -164,27 +164,27 @@
 // RecordDirectiveSeen records that, according to another node, the registry already held the
 // directive at the given time.
 func (v *View) RecordDirectiveSeen(key string, at time.Duration) {
-	if held := v.directives[key]; held != nil {
-		held.latest = min(held.latest, at)
+	if tracked := v.directives[key]; tracked != nil {
+		tracked.latest = min(tracked.latest, at)
 	}
 }
 
 // Latest returns a time at which the registry already held the directive, as early as is known: the
 // directive was written no later than that.
 func (v *View) Latest(key string) (at time.Duration, ok bool) {
-	held := v.directives[key]
-	if held == nil {
+	tracked := v.directives[key]
+	if tracked == nil {
 		return 0, false
 	}
-	return held.latest, true
+	return tracked.latest, true
 }
 
 // Since returns the earliest time at which a directive can have been written; ok is false if that
 // is unknown.
 func (v *View) Since(key string) (at time.Duration, ok bool) {
-	held := v.directives[key]
-	if held == nil || !held.sinceKnown {
+	tracked := v.directives[key]
+	if tracked == nil || !tracked.sinceKnown {
 		return 0, false
 	}
-	return held.since, true
+	return tracked.since, true
 }
--- a/discovery/epoch_test.go
+++ b/discovery/epoch_test.go
@@ -35,11 +35,11 @@
 }
 
 // restore restores the registry from a backup. The backup's directives belong to the new epoch.
-func (r *registry) restore(taken registryBackup) {
+func (r *registry) restore(backup registryBackup) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.epoch++
-	r.revision, r.events = taken.revision, taken.events
+	r.revision, r.events = backup.revision, backup.events
 	for place := range r.events.Directives {
 		r.events.Directives[place].Value.StoredAt.Epoch = r.epoch
 		r.events.Directives[place].Value.Number = r.events.Directives[place].Value.StoredAt.Number()
@@ -66,7 +66,7 @@
 			w.registry.evacuate("kept", false)
 			time.Sleep(evacuationBound)
 			for round := range 6 {
-				taken := w.registry.copy()
+				backup := w.registry.copy()
 				if random.IntN(3) == 0 {
 					w.registry.evacuate("other", random.IntN(2) == 0)
 				}
@@ -79,10 +79,10 @@
 				time.Sleep(time.Duration(random.IntN(6000)) * time.Millisecond)
 				w.registry.setDown(random.IntN(4) > 0)
 				time.Sleep(time.Duration(random.IntN(4000)) * time.Millisecond)
-				w.registry.restore(taken)
+				w.registry.restore(backup)
 				if random.IntN(3) == 0 {
 					time.Sleep(time.Duration(random.IntN(500)) * time.Millisecond)
-					w.registry.restore(taken)
+					w.registry.restore(backup)
 				}
 				w.registry.setDown(false)
 				for range random.IntN(40) { // so that revisions overlap those before the restore
@@ -115,14 +115,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := startCluster(t, 5)
 		const alone = 4
-		taken := w.registry.copy()
+		backup := w.registry.copy()
 		w.registry.putServer(discovery.Server{ID: "lost", Service: "x"}, false)
 		time.Sleep(3 * time.Second)
 		w.sources[alone].rejection.Store(int32(rejectsImmediately))
 		w.network.setIsolated("node-04", true)
 		w.registry.setDown(true)
 		time.Sleep(3 * time.Second)
-		w.registry.restore(taken)
+		w.registry.restore(backup)
 		w.registry.putServer(discovery.Server{ID: "new", Service: "x"}, false)
 		w.registry.setDown(false)
 		time.Sleep(6 * time.Second)
@@ -151,20 +151,20 @@
 	publications map[string]discovery.Publication
 }
 
-func (p *scriptedFetcher) Fetch(_ context.Context, address string, inquiry discovery.PublicationRequest) (discovery.Publication, error) {
+func (p *scriptedFetcher) Fetch(_ context.Context, address string, request discovery.PublicationRequest) (discovery.Publication, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	publication, there := p.publications[address]
-	if !there || publication.Before(inquiry.Position) {
+	publication, ok := p.publications[address]
+	if !ok || publication.Before(request.Position) {
 		return discovery.Publication{}, discovery.ErrUnavailable
 	}
 	return publication, nil
 }
 
-func (p *scriptedFetcher) set(told map[string]discovery.Publication) {
+func (p *scriptedFetcher) set(publications map[string]discovery.Publication) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.publications = told
+	p.publications = publications
 }
 
 // A reader that started after a restore does not know that a server in the backup has left, and
@@ -174,12 +174,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := route.Definition{Version: 1, Limits: route.Limits{HeaderBytes: 1, HeaderTimeout: 1, IdleTimeout: 1}}
 		publication := func(publisher string, position discovery.Position, ids ...string) map[string]discovery.Publication {
-			var told discovery.Publication
-			told.Cursor, told.Position, told.Table = discovery.Cursor{Publisher: publisher, Generation: 1}, position, &table
+			var publication discovery.Publication
+			publication.Cursor, publication.Position, publication.Table = discovery.Cursor{Publisher: publisher, Generation: 1}, position, &table
 			for _, id := range ids {
-				told.Servers = append(told.Servers, discovery.Server{ID: id, Service: "x"})
+				publication.Servers = append(publication.Servers, discovery.Server{ID: id, Service: "x"})
 			}
-			return map[string]discovery.Publication{publisher: told}
+			return map[string]discovery.Publication{publisher: publication}
 		}
 		publishers := new(scriptedFetcher)
 		var mutex sync.Mutex
@@ -202,19 +202,19 @@
 		ended := make(chan struct{})
 		go func() { defer close(ended); follower.Run(ctx) }()
 		for _, step := range []struct {
-			told map[string]discovery.Publication
-			want []string
+			publications map[string]discovery.Publication
+			want         []string
 		}{
 			{publication("a", epochPosition(1, 50), "s", "gone"), []string{"gone", "s"}},
 			{publication("a", epochPosition(1, 60), "s"), []string{"s"}},
 			{publication("a", epochPosition(2, 40), "s"), []string{"s"}},
 			{publication("b", epochPosition(2, 45), "s", "gone"), []string{"s"}},
 		} {
-			publishers.set(step.told)
+			publishers.set(step.publications)
 			time.Sleep(1500 * time.Millisecond)
 			mutex.Lock()
 			if !slices.Equal(used, step.want) {
-				t.Errorf("after publication %v: servers %v are used, want %v", step.told, used, step.want)
+				t.Errorf("after publication %v: servers %v are used, want %v", step.publications, used, step.want)
 			}
 			mutex.Unlock()
 		}
@@ -315,9 +315,9 @@
 // that this node did not know, takes effect.
 func TestRolloutRecordsSurviveRestore(t *testing.T) {
 	for name, test := range map[string]struct {
-		told discovery.Directive
-		want rollout.Phase
-		lost bool
+		update discovery.Directive
+		want   rollout.Phase
+		lost   bool
 	}{
 		"the copy has it":              {newRecord(1, rollout.Completed, epochPosition(2, 50)), rollout.Completed, false},
 		"the copy has an earlier one":  {newRecord(1, rollout.Moving, epochPosition(2, 40)), rollout.Completed, true},
@@ -335,10 +335,10 @@
 			if got := view.Directives(); len(got) != 1 || !got[0].Lost || got[0].StoredAt.Revision != 0 {
 				t.Fatalf("after a listing without the record: %+v", got)
 			}
-			view.PutDirective(time.Second, test.told, epochPosition(2, 52), 0, false)
+			view.PutDirective(time.Second, test.update, epochPosition(2, 52), 0, false)
 			view.Expire(time.Hour)
 			got := view.Directives()
-			if len(got) != 1 || got[0].Record.Phase != test.want || got[0].Lost != test.lost || got[0].StoredAt != test.told.StoredAt {
+			if len(got) != 1 || got[0].Record.Phase != test.want || got[0].Lost != test.lost || got[0].StoredAt != test.update.StoredAt {
 				t.Errorf("directives are %+v", got)
 			}
 		})
@@ -360,7 +360,7 @@
 	lost := order("v2", epochPosition(2, 0))
 	lost.Number, lost.Lost = epochPosition(1, 50).Number(), true
 	for name, test := range map[string]struct {
-		told                *discovery.Directive
+		update              *discovery.Directive
 		target, targetLater string
 		number              uint64
 	}{
@@ -380,8 +380,8 @@
 			now := time.Minute
 			view.BeginEpoch(now, epochPosition(2, 52))
 			view.RetainDirectives(map[string]struct{}{}, epochPosition(2, 52))
-			if test.told != nil {
-				view.PutDirective(now, *test.told, epochPosition(2, 70), 0, false)
+			if test.update != nil {
+				view.PutDirective(now, *test.update, epochPosition(2, 70), 0, false)
 			}
 			view.Expire(now + keptFor - 1)
 			if got := view.Directives(); len(got) != 1 || got[0].Order.Target != test.target || got[0].Number != test.number {
--- a/discovery/faults_test.go
+++ b/discovery/faults_test.go
@@ -39,21 +39,21 @@
 )
 
 // setFault starts or ends a fault of a node.
-func (w *testCluster) setFault(number int, how nodeFault, on bool) {
+func (w *testCluster) setFault(number int, fault nodeFault, active bool) {
 	id := fmt.Sprintf("node-%02d", number)
-	refused := rejectsNothing
+	mode := rejectsNothing
 	switch {
-	case on && how == faultRejected:
-		refused = rejectsImmediately
-	case on:
-		refused = rejectsByTimeout
+	case active && fault == faultRejected:
+		mode = rejectsImmediately
+	case active:
+		mode = rejectsByTimeout
 	}
-	w.sources[number].rejection.Store(int32(refused))
-	if how == faultIsolated || how == faultKilled {
+	w.sources[number].rejection.Store(int32(mode))
+	if fault == faultIsolated || fault == faultKilled {
 		w.network.mutex.Lock()
-		w.network.silent[id] = on
+		w.network.silent[id] = active
 		w.network.mutex.Unlock()
-		w.network.setIsolated(id, on)
+		w.network.setIsolated(id, active)
 	}
 }
 
@@ -62,10 +62,10 @@
 // 3, 5 and 6 s.
 func TestTablesPropagateWithThirdOfNodesFaulty(t *testing.T) {
 	for _, bound := range []time.Duration{3 * time.Second, 5 * time.Second, 6 * time.Second} {
-		for how := range nodeFaults {
+		for fault := range nodeFaults {
 			for seed := range uint64(4) {
-				t.Run(fmt.Sprintf("%s, harm %d, seed %d", bound, how, seed), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { runFaultRounds(t, bound, how, seed) })
+				t.Run(fmt.Sprintf("%s, harm %d, seed %d", bound, fault, seed), func(t *testing.T) {
+					synctest.Test(t, func(t *testing.T) { runFaultRounds(t, bound, fault, seed) })
 				})
 			}
 		}
@@ -73,7 +73,7 @@
 }
 
 // runFaultRounds runs rounds in which random nodes have a fault while tables change.
-func runFaultRounds(t *testing.T, bound time.Duration, how nodeFault, seed uint64) {
+func runFaultRounds(t *testing.T, bound time.Duration, fault nodeFault, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 13))
 	w := newCluster(t, faultTestNodes)
 	w.gossip, w.bound = true, bound
@@ -81,27 +81,27 @@
 	time.Sleep(settleTime)
 	version := uint64(1)
 	for range 3 {
-		harmed := make(map[int]bool)
+		faulty := make(map[int]bool)
 		for _, number := range random.Perm(faultTestNodes)[:faultyNodes] {
-			harmed[number] = true
-			w.setFault(number, how, true)
+			faulty[number] = true
+			w.setFault(number, fault, true)
 		}
-		harmedAt := time.Now()
-		for time.Since(harmedAt) < 2*settleTime+2*bound {
+		faultsAt := time.Now()
+		for time.Since(faultsAt) < 2*settleTime+2*bound {
 			time.Sleep(time.Duration(random.Int64N(int64(bound))))
 			version++
 			w.registry.putTable(version)
 			changed := time.Now()
 			time.Sleep(time.Duration(propagationShare * float64(bound)))
-			if changed.Sub(harmedAt) < settleTime && how == faultKilled {
+			if changed.Sub(faultsAt) < settleTime && fault == faultKilled {
 				continue // fetches from a node that was just killed cost time
 			}
 			w.wantVersion(t, version, func(number int) bool {
-				return !harmed[number] || how == faultRejected || how == faultTimeout
+				return !faulty[number] || fault == faultRejected || fault == faultTimeout
 			})
 		}
-		for number := range harmed {
-			w.setFault(number, how, false)
+		for number := range faulty {
+			w.setFault(number, fault, false)
 		}
 		time.Sleep(settleTime)
 	}
@@ -125,9 +125,9 @@
 // serves the others, all nodes must know within a second what changed in the meantime.
 func TestTablesPropagatePromptlyAfterRegistryOutage(t *testing.T) {
 	const (
-		nodes, turnedAway = 70, 23
-		silence           = 2500 * time.Millisecond
-		soon              = time.Second
+		nodes, rejected = 70, 23
+		outage          = 2500 * time.Millisecond
+		maxDelay        = time.Second
 	)
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -137,18 +137,18 @@
 				w.gossip, w.bound = true, 5*time.Second
 				w.start(t)
 				time.Sleep(settleTime)
-				harmed := random.Perm(nodes)[:turnedAway]
-				for _, number := range harmed {
+				faulty := random.Perm(nodes)[:rejected]
+				for _, number := range faulty {
 					w.setFault(number, faultTimeout, true)
 				}
 				time.Sleep(settleTime + time.Duration(random.Int64N(int64(settleTime))))
 				for number := range nodes {
 					w.setFault(number, faultTimeout, true)
 				}
-				time.Sleep(silence)
+				time.Sleep(outage)
 				w.registry.putTable(2)
 				for number := range nodes {
-					if !slices.Contains(harmed, number) {
+					if !slices.Contains(faulty, number) {
 						w.setFault(number, faultTimeout, false)
 					}
 				}
@@ -156,7 +156,7 @@
 				for !w.allHaveTable(2) && time.Since(returned) < 10*time.Second {
 					time.Sleep(10 * time.Millisecond)
 				}
-				if took := time.Since(returned); took > soon {
+				if took := time.Since(returned); took > maxDelay {
 					t.Errorf("all nodes have the table after %s", took)
 				}
 				w.stop()
--- a/discovery/fetch.go
+++ b/discovery/fetch.go
@@ -30,11 +30,11 @@
 	if f.options.Fetcher == nil || !f.initialized && f.options.Nodes == nil {
 		return ErrUnavailable
 	}
-	helped, failed := f.fetchFirst(ctx, f.orderedReaders(), f.options.FetchTimeout)
+	ok, failed := f.fetchFirst(ctx, f.orderedReaders(), f.options.FetchTimeout)
 	for _, reader := range failed {
 		f.avoided.add(time.Now(), reader)
 	}
-	if !helped {
+	if !ok {
 		return ErrUnavailable
 	}
 	f.initialized = true
@@ -51,9 +51,9 @@
 
 // moveToFront swaps the node with the given ID, if present, with the first one.
 func moveToFront(nodes []Node, id string) {
-	place := slices.IndexFunc(nodes, func(n Node) bool { return n.ID == id })
-	if place > 0 {
-		nodes[0], nodes[place] = nodes[place], nodes[0]
+	index := slices.IndexFunc(nodes, func(n Node) bool { return n.ID == id })
+	if index > 0 {
+		nodes[0], nodes[index] = nodes[index], nodes[0]
 	}
 }
 
@@ -96,8 +96,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, peersTimeout)
 	defer cancel()
-	helped, _ := f.fetchFirst(ctx, f.peerCandidates(), peerStagger)
-	return helped
+	ok, _ := f.fetchFirst(ctx, f.peerCandidates(), peerStagger)
+	return ok
 }
 
 // peerCandidates selects the nodes to try when no reader helps: first the last successful one, then
@@ -121,12 +121,12 @@
 // interleave merges two groups of nodes, alternating between them.
 func interleave(a, b []Node) []Node {
 	all := make([]Node, 0, len(a)+len(b))
-	for place := range max(len(a), len(b)) {
-		if place < len(a) {
-			all = append(all, a[place])
+	for index := range max(len(a), len(b)) {
+		if index < len(a) {
+			all = append(all, a[index])
 		}
-		if place < len(b) {
-			all = append(all, b[place])
+		if index < len(b) {
+			all = append(all, b[index])
 		}
 	}
 	return all
@@ -141,52 +141,52 @@
 
 // fetchFirst tries nodes in order, the next one as soon as one fails or has not answered within
 // stagger, and applies the first usable publication. It returns the IDs of those that failed.
-func (f *Follower) fetchFirst(ctx context.Context, nodes []Node, stagger time.Duration) (helped bool, failed []string) {
+func (f *Follower) fetchFirst(ctx context.Context, nodes []Node, stagger time.Duration) (ok bool, failed []string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers := make(chan fetchResult, len(nodes))
-	for waiting := nodes; len(failed) < len(nodes) && ctx.Err() == nil; {
-		if len(waiting) > 0 {
-			f.fetchAsync(ctx, waiting[0], answers)
-			waiting = waiting[1:]
+	results := make(chan fetchResult, len(nodes))
+	for remaining := nodes; len(failed) < len(nodes) && ctx.Err() == nil; {
+		if len(remaining) > 0 {
+			f.fetchAsync(ctx, remaining[0], results)
+			remaining = remaining[1:]
 		}
-		answer, answered := awaitResult(ctx, answers, stagger)
-		if !answered {
+		result, arrived := awaitResult(ctx, results, stagger)
+		if !arrived {
 			continue
 		}
-		err := answer.err
+		err := result.err
 		if err == nil {
-			err = f.adoptPublication(answer.node.ID, answer.publication)
+			err = f.adoptPublication(result.node.ID, result.publication)
 		}
 		if err == nil {
 			return true, failed
 		}
-		f.options.Logger.Debug().Err(err).Str("asked", answer.node.ID).Msg("fetch from node failed")
-		failed = append(failed, answer.node.ID)
+		f.options.Logger.Debug().Err(err).Str("asked", result.node.ID).Msg("fetch from node failed")
+		failed = append(failed, result.node.ID)
 	}
 	return false, failed
 }
 
 // awaitResult returns the next result, unless none arrives in time.
-func awaitResult(ctx context.Context, answers <-chan fetchResult, within time.Duration) (answer fetchResult, answered bool) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+func awaitResult(ctx context.Context, results <-chan fetchResult, timeout time.Duration) (result fetchResult, arrived bool) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	select {
-	case answer = <-answers:
-		return answer, true
+	case result = <-results:
+		return result, true
 	case <-ctx.Done():
 		return fetchResult{}, false
 	}
 }
 
 // fetchAsync starts a fetch from a node.
-func (f *Follower) fetchAsync(ctx context.Context, node Node, answers chan<- fetchResult) {
-	inquiry := PublicationRequest{Known: f.cursorFor(node.ID), Position: f.knownPosition(), MaxAge: f.options.StaleAfter}
+func (f *Follower) fetchAsync(ctx context.Context, node Node, results chan<- fetchResult) {
+	request := PublicationRequest{Known: f.cursorFor(node.ID), Position: f.knownPosition(), MaxAge: f.options.StaleAfter}
 	go func() {
-		asking, cancel := context.WithTimeout(ctx, f.options.FetchTimeout)
+		fetchCtx, cancel := context.WithTimeout(ctx, f.options.FetchTimeout)
 		defer cancel()
-		publication, err := f.options.Fetcher.Fetch(asking, node.Peer, inquiry)
-		answers <- fetchResult{node: node, publication: publication, err: err}
+		publication, err := f.options.Fetcher.Fetch(fetchCtx, node.Peer, request)
+		results <- fetchResult{node: node, publication: publication, err: err}
 	}()
 }
 
--- a/discovery/follower.go
+++ b/discovery/follower.go
@@ -229,11 +229,11 @@
 	if !f.mayRead() {
 		return f.fetchWhileWaiting(ctx, began)
 	}
-	helped := f.lastReadFailed() && f.fetchFromAnyPeer(ctx)
+	fetched := f.lastReadFailed() && f.fetchFromAnyPeer(ctx)
 	switch err := f.read(ctx); {
 	case err == nil:
 		f.turn.reset()
-	case helped || f.fetchFromAnyPeer(ctx):
+	case fetched || f.fetchFromAnyPeer(ctx):
 		f.turn.recordAttempt(time.Now())
 		return f.untilNextFetch(began)
 	default:
@@ -301,8 +301,8 @@
 // readInterval returns the time between two reads of the registry when every node reads it and
 // all share ReadsPerSecond.
 func (f *Follower) readInterval() time.Duration {
-	fair := time.Duration(float64(len(f.knownNodes())) / f.options.ReadsPerSecond * float64(time.Second))
-	return max(f.options.PollInterval, fair)
+	fairInterval := time.Duration(float64(len(f.knownNodes())) / f.options.ReadsPerSecond * float64(time.Second))
+	return max(f.options.PollInterval, fairInterval)
 }
 
 // retryPause returns an exponential back-off with jitter.
@@ -364,15 +364,15 @@
 func (f *Follower) readChanges(ctx context.Context, wait time.Duration) (Changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+f.options.CallTimeout)
 	defer cancel()
-	after := f.position
-	changes, err := f.options.Source.Changes(ctx, after, wait)
+	position := f.position
+	changes, err := f.options.Source.Changes(ctx, position, wait)
 	switch {
 	case err != nil:
 		return Changes{}, err
-	case changes.Epoch != after.Epoch:
-		return Changes{}, fmt.Errorf("%w: registry is in epoch %d, changes of epoch %d were requested", ErrHistoryGone, changes.Epoch, after.Epoch)
-	case changes.Partial && changes.Revision <= after.Revision:
-		return Changes{}, fmt.Errorf("%w: no progress after revision %d", ErrUnavailable, after.Revision)
+	case changes.Epoch != position.Epoch:
+		return Changes{}, fmt.Errorf("%w: registry is in epoch %d, changes of epoch %d were requested", ErrHistoryGone, changes.Epoch, position.Epoch)
+	case changes.Partial && changes.Revision <= position.Revision:
+		return Changes{}, fmt.Errorf("%w: no progress after revision %d", ErrUnavailable, position.Revision)
 	}
 	return changes, nil
 }
--- a/discovery/history.go
+++ b/discovery/history.go
@@ -56,8 +56,8 @@
 		old[key(one)] = one
 	}
 	for _, one := range after {
-		known, was := old[key(one)]
-		if !was || !same(known, one) {
+		known, existed := old[key(one)]
+		if !existed || !same(known, one) {
 			changed = append(changed, key(one))
 		}
 		delete(old, key(one))
--- a/discovery/network_test.go
+++ b/discovery/network_test.go
@@ -17,13 +17,13 @@
 }
 
 // setIsolated blocks a node's requests to other nodes, or unblocks them.
-func (n *network) setIsolated(id string, off bool) {
+func (n *network) setIsolated(id string, isolated bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.isolated == nil {
 		n.isolated = make(map[*discovery.Follower]bool)
 	}
-	n.isolated[n.followers[id]] = off
+	n.isolated[n.followers[id]] = isolated
 }
 
 // nodeFetcher is a node's own connection to the network.
@@ -32,18 +32,18 @@
 	id string
 }
 
-func (a nodeFetcher) Fetch(ctx context.Context, address string, inquiry discovery.PublicationRequest) (discovery.Publication, error) {
+func (a nodeFetcher) Fetch(ctx context.Context, address string, request discovery.PublicationRequest) (discovery.Publication, error) {
 	a.mutex.Lock()
-	off := a.isolated[a.followers[a.id]]
+	isolated := a.isolated[a.followers[a.id]]
 	a.mutex.Unlock()
-	if off {
+	if isolated {
 		<-ctx.Done()
 		return discovery.Publication{}, ctx.Err()
 	}
-	return a.network.Fetch(ctx, address, inquiry)
+	return a.network.Fetch(ctx, address, request)
 }
 
-func (n *network) Fetch(ctx context.Context, address string, inquiry discovery.PublicationRequest) (discovery.Publication, error) {
+func (n *network) Fetch(ctx context.Context, address string, request discovery.PublicationRequest) (discovery.Publication, error) {
 	n.mutex.Lock()
 	asked, silent := n.followers[address], n.silent[address]
 	n.mutex.Unlock()
@@ -51,7 +51,7 @@
 		<-ctx.Done()
 		return discovery.Publication{}, ctx.Err()
 	}
-	publication, ok := asked.Publish(inquiry)
+	publication, ok := asked.Publish(request)
 	if !ok {
 		return discovery.Publication{}, discovery.ErrUnavailable
 	}
--- a/discovery/publication.go
+++ b/discovery/publication.go
@@ -81,7 +81,7 @@
 	// Fetch returns the publication of the node at the address: the changes since the known
 	// generation if the publisher still has them, and otherwise the complete state. It fails
 	// when the publisher has nothing of use to the requester.
-	Fetch(ctx context.Context, address string, inquiry PublicationRequest) (Publication, error)
+	Fetch(ctx context.Context, address string, request PublicationRequest) (Publication, error)
 }
 
 // nodesPerReader is the number of nodes that one reader of the registry serves. Each of them
@@ -110,11 +110,11 @@
 	return ranked
 }
 
-// HighestRanked returns the nodes that duties fall to first, at most `most` of them, in order of
+// HighestRanked returns the nodes that duties fall to first, at most limit of them, in order of
 // preference.
-func HighestRanked(nodes []Node, most int) []Node {
+func HighestRanked(nodes []Node, limit int) []Node {
 	ranked := rankNodes(nodes)
-	return ranked[:min(len(ranked), most)]
+	return ranked[:min(len(ranked), limit)]
 }
 
 // readersToAsk returns the readers that a node fetches from, in order of preference; none when
@@ -141,17 +141,17 @@
 
 // Publish returns the follower's state for another node's PublicationFetcher. ok is false while
 // nothing is known, or nothing that is of use to the requester.
-func (f *Follower) Publish(inquiry PublicationRequest) (publication Publication, ok bool) {
+func (f *Follower) Publish(request PublicationRequest) (publication Publication, ok bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	age, heard := f.view.Age(f.now())
-	tooOld := inquiry.MaxAge > 0 && age > inquiry.MaxAge
-	if !heard || f.table == nil || tooOld || f.position.Before(inquiry.Position) {
+	age, synced := f.view.Age(f.now())
+	tooOld := request.MaxAge > 0 && age > request.MaxAge
+	if !synced || f.table == nil || tooOld || f.position.Before(request.Position) {
 		return Publication{}, false
 	}
-	known := inquiry.Known
+	known := request.Known
 	// Changes do not include what the registry has lost, so a requester of another epoch gets the complete state.
-	sameEpoch := inquiry.Position.Epoch == f.position.Epoch
+	sameEpoch := request.Position.Epoch == f.position.Epoch
 	if sameEpoch && known.Publisher == f.options.Self && f.history.covers(known.Generation) {
 		publication = f.changesAfter(known.Generation)
 	} else {
@@ -212,13 +212,13 @@
 	return lookup(n.Directives, Directive.Key, changed.directives, changed.goneDirectives)
 }
 
-func lookup[T any](all []T, key func(T) string, changed, went []string) (found []T, gone []string) {
-	wanted := slices.Concat(changed, went)
+func lookup[T any](all []T, key func(T) string, changed, removed []string) (found []T, gone []string) {
+	wanted := slices.Concat(changed, removed)
 	slices.Sort(wanted)
 	for _, id := range slices.Compact(wanted) {
-		place, there := slices.BinarySearchFunc(all, id, func(one T, id string) int { return cmp.Compare(key(one), id) })
-		if there {
-			found = append(found, all[place])
+		index, ok := slices.BinarySearchFunc(all, id, func(one T, id string) int { return cmp.Compare(key(one), id) })
+		if ok {
+			found = append(found, all[index])
 		} else {
 			gone = append(gone, id)
 		}
@@ -250,15 +250,15 @@
 
 // applyPublication applies a publication as of the time at which its publisher synced.
 func (f *Follower) applyPublication(publication Publication) error {
-	heardAt := f.now() - publication.Age
+	syncedAt := f.now() - publication.Age
 	changes, err := publication.changes()
 	if err != nil {
 		return err
 	}
 	if publication.Since == 0 {
-		f.applyListing(heardAt, changes)
+		f.applyListing(syncedAt, changes)
 	} else {
-		f.applyChanges(heardAt, changes)
+		f.applyChanges(syncedAt, changes)
 	}
 	return nil
 }
--- a/discovery/rejection_test.go
+++ b/discovery/rejection_test.go
@@ -56,8 +56,8 @@
 		return discovery.Changes{}, err
 	}
 	changes, err := g.registry.Changes(ctx, after, wait)
-	if refused := g.checkAccess(ctx); refused != nil {
-		return discovery.Changes{}, refused
+	if err := g.checkAccess(ctx); err != nil {
+		return discovery.Changes{}, err
 	}
 	return changes, err
 }
@@ -115,10 +115,10 @@
 			oldest := 0
 			for round := range rounds {
 				when := fmt.Sprintf("seed %d, round %d", seed, round)
-				how := rejection(1 + random.IntN(int(rejections)-1))
+				mode := rejection(1 + random.IntN(int(rejections)-1))
 				first := random.IntN(nodes)
 				for place := range 1 + random.IntN(nodes-2) {
-					w.sources[(first+place)%nodes].rejection.Store(int32(how))
+					w.sources[(first+place)%nodes].rejection.Store(int32(mode))
 				}
 				for end := time.Now().Add(9 * time.Second); time.Now().Before(end); time.Sleep(checkInterval) {
 					w.wantNoDepartedServers(t, left, when)
@@ -154,9 +154,9 @@
 	const (
 		kept = 2 * time.Second
 		// noticed is the maximum time until a reader is in contact with the registry again, and
-		// told the maximum time from then until the other nodes have fetched from it.
+		// relayed the maximum time from then until the other nodes have fetched from it.
 		noticed = 800 * time.Millisecond
-		told    = 900 * time.Millisecond
+		relayed = 900 * time.Millisecond
 	)
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) {
@@ -181,14 +181,14 @@
 				since := time.Since(returned)
 				for number := range w.states {
 					for _, id := range []string{"s0", "s1"} {
-						believed := w.knowsServer(number, id)
-						if !believed && id == "s0" && since < kept {
+						known := w.knowsServer(number, id)
+						if !known && id == "s0" && since < kept {
 							t.Fatalf("seed %d: node %d dropped %s %s after the return", seed, number, id, since)
 						}
-						if believed && since > max(noticed+kept, late+servedBound)+told-noticed {
+						if known && since > max(noticed+kept, late+servedBound)+relayed-noticed {
 							t.Fatalf("seed %d: node %d keeps %s %s after the return", seed, number, id, since)
 						}
-						if believed && id == "s1" && gone && since > late+servedBound+told {
+						if known && id == "s1" && gone && since > late+servedBound+relayed {
 							t.Fatalf("seed %d: node %d keeps %s %s after its removal", seed, number, id, since-late)
 						}
 					}
--- a/discovery/restore.go
+++ b/discovery/restore.go
@@ -64,8 +64,8 @@
 
 // wouldUndoDrain reports whether the listed state would make a server ready that is known to
 // be draining, within the same incarnation.
-func wouldUndoDrain(known, told Server) bool {
-	return known.State == Draining && told.State == Ready && known.Incarnation() == told.Incarnation()
+func wouldUndoDrain(known, listed Server) bool {
+	return known.State == Draining && listed.State == Ready && known.Incarnation() == listed.Incarnation()
 }
 
 // BeginEpoch records, at now, that the registry was restored from a backup: entries up to the
--- a/discovery/retention_test.go
+++ b/discovery/retention_test.go
@@ -13,18 +13,18 @@
 // Entries expire when the registry is unavailable for the owners' time-out, however long the nodes'
 // poll interval is. Entries removed in such an outage are retained for two seconds after its end.
 func TestOutagesOfEntryTTLRetainRemovedEntries(t *testing.T) {
-	const lapse = 3600 * time.Millisecond
+	const entryTTL = 3600 * time.Millisecond
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 11))
 			w := newCluster(t, 5)
-			w.bound, w.entryTTL = 5*time.Second, lapse
+			w.bound, w.entryTTL = 5*time.Second, entryTTL
 			w.start(t)
 			time.Sleep(3 * time.Second)
 			w.registry.putServer(discovery.Server{ID: "s", Service: "x"}, false)
 			time.Sleep(6 * time.Second)
 			w.registry.setDown(true)
-			time.Sleep(lapse + time.Second + time.Duration(random.IntN(1500))*time.Millisecond)
+			time.Sleep(entryTTL + time.Second + time.Duration(random.IntN(1500))*time.Millisecond)
 			w.registry.putServer(discovery.Server{ID: "s"}, true)
 			w.registry.setDown(false)
 			for returned := time.Now(); time.Since(returned) < 1900*time.Millisecond; time.Sleep(20 * time.Millisecond) {
--- a/discovery/seeds.go
+++ b/discovery/seeds.go
@@ -30,20 +30,20 @@
 }
 
 // fetchFromAnySeed sends requests to all seeds concurrently and returns the first answer.
-func (f *Follower) fetchFromAnySeed(ctx context.Context, inquiry PublicationRequest) (publication Publication, ok bool) {
+func (f *Follower) fetchFromAnySeed(ctx context.Context, request PublicationRequest) (publication Publication, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, f.options.FetchTimeout)
 	defer cancel()
 	answers := make(chan Publication, len(f.options.Seeds))
-	var asking sync.WaitGroup
+	var requests sync.WaitGroup
 	for _, seed := range f.options.Seeds {
-		asking.Go(func() {
-			if answer, err := f.options.Fetcher.Fetch(ctx, seed, inquiry); err == nil {
+		requests.Go(func() {
+			if answer, err := f.options.Fetcher.Fetch(ctx, seed, request); err == nil {
 				answers <- answer
 			}
 		})
 	}
 	go func() {
-		asking.Wait()
+		requests.Wait()
 		close(answers)
 	}()
 	publication, ok = <-answers
--- a/discovery/suspension_test.go
+++ b/discovery/suspension_test.go
@@ -56,11 +56,11 @@
 		if age, known := follower.Age(); !known || age < 10*time.Second {
 			t.Errorf("age of the view is %s, want at least 10s", age)
 		}
-		if _, told := follower.Publish(discovery.PublicationRequest{MaxAge: 3 * time.Second}); told {
+		if _, published := follower.Publish(discovery.PublicationRequest{MaxAge: 3 * time.Second}); published {
 			t.Error("a view from before the suspension is published to a node that requests a fresh one")
 		}
-		if told, _ := follower.Publish(discovery.PublicationRequest{}); told.Age < 10*time.Second {
-			t.Errorf("published age is %s, want at least 10s", told.Age)
+		if publication, _ := follower.Publish(discovery.PublicationRequest{}); publication.Age < 10*time.Second {
+			t.Errorf("published age is %s, want at least 10s", publication.Age)
 		}
 		source.unavailable.Store(false)
 		time.Sleep(2 * time.Second)
--- a/discovery/turn.go
+++ b/discovery/turn.go
@@ -51,17 +51,17 @@
 		age, _ := f.Age()
 		return f.now() >= aloneTimeout || age > f.options.StaleAfter
 	}
-	relied := rankNodes(f.reliableNodes())
-	rank := slices.IndexFunc(relied, func(n Node) bool { return n.ID == f.options.NodeID })
-	if rank < len(selectReaders(relied)) {
+	reliable := rankNodes(f.reliableNodes())
+	rank := slices.IndexFunc(reliable, func(n Node) bool { return n.ID == f.options.NodeID })
+	if rank < len(selectReaders(reliable)) {
 		return true
 	}
-	wait, again := f.readDelay(rank)
-	return now.Sub(f.turn.staleSince) >= wait && (f.turn.triedAt.IsZero() || now.Sub(f.turn.triedAt) >= again)
+	wait, retryAfter := f.readDelay(rank)
+	return now.Sub(f.turn.staleSince) >= wait && (f.turn.triedAt.IsZero() || now.Sub(f.turn.triedAt) >= retryAfter)
 }
 
 // readDelay returns how long a node of a given rank waits for others, and when it may try again.
-func (f *Follower) readDelay(rank int) (wait, again time.Duration) {
+func (f *Follower) readDelay(rank int) (wait, retryAfter time.Duration) {
 	slack := time.Duration(earlyReaderShare * float64(f.options.PollInterval))
 	if rank < earlyReaders {
 		return slack * time.Duration(rank) / earlyReaders, earlyRetryInterval
--- a/discovery/view.go
+++ b/discovery/view.go
@@ -234,7 +234,7 @@
 }
 
 // remove deletes an entry, or marks it as retained during the grace period.
-func remove[T any](v *View, entries map[string]*entry[T], now, keptUntil time.Duration, id string, position Position) {
+func remove[T any](v *View, entries map[string]*entry[T], now, retainedUntil time.Duration, id string, position Position) {
 	known := entries[id]
 	if known == nil || position.Before(known.position) || known.retained {
 		return
@@ -243,7 +243,7 @@
 		delete(entries, id)
 		return
 	}
-	known.retained, known.retainedUntil = true, keptUntil
+	known.retained, known.retainedUntil = true, retainedUntil
 }
 
 // RetainServers applies a complete listing as of a position: servers that are not listed are
@@ -319,11 +319,11 @@
 // SyncedAt returns the time of the last sync with the registry; ok is false if there was none.
 func (v *View) SyncedAt() (at time.Duration, ok bool) { return v.syncedAt, v.synced }
 
-func list[T any](entries map[string]*entry[T], missing bool, key func(T) string) []T {
+func list[T any](entries map[string]*entry[T], includeRetained bool, key func(T) string) []T {
 	compare := func(a, b T) int { return cmp.Compare(key(a), key(b)) }
 	values := make([]T, 0, len(entries))
 	for _, e := range entries {
-		if missing || !e.retained {
+		if includeRetained || !e.retained {
 			values = append(values, e.value)
 		}
 	}
--- a/serverstate/estimate.go
+++ b/serverstate/estimate.go
@@ -60,34 +60,34 @@
 }
 
 // IsLate reports whether the attempt takes long enough to make its server suspect.
-func (f *PendingAttempt) IsLate(now time.Duration) bool {
-	return f.typical > 0 && float64(now-f.sentAt) > SuspectSlowness*float64(f.typical)
+func (a *PendingAttempt) IsLate(now time.Duration) bool {
+	return a.typical > 0 && float64(now-a.sentAt) > SuspectSlowness*float64(a.typical)
 }
 
 // BeginAttempt notes an attempt that was sent at now, in a flight that the caller keeps until End;
-// usual is the latency that is usual for its kind, zero when that is not known.
-func (b *Estimate) BeginAttempt(flight *PendingAttempt, now, usual time.Duration) {
-	flight.sentAt, flight.typical = now, usual
-	b.pending = append(b.pending, flight)
+// typical is the latency that is usual for its kind, zero when that is not known.
+func (e *Estimate) BeginAttempt(attempt *PendingAttempt, now, typical time.Duration) {
+	attempt.sentAt, attempt.typical = now, typical
+	e.pending = append(e.pending, attempt)
 }
 
 // EndAttempt notes that an attempt ended.
-func (b *Estimate) EndAttempt(flight *PendingAttempt) {
-	if i := slices.Index(b.pending, flight); i >= 0 {
-		b.pending = slices.Delete(b.pending, i, i+1)
+func (e *Estimate) EndAttempt(attempt *PendingAttempt) {
+	if i := slices.Index(e.pending, attempt); i >= 0 {
+		e.pending = slices.Delete(e.pending, i, i+1)
 	}
 }
 
 // InFlight is the number of attempts that have not ended.
-func (b *Estimate) InFlight() int { return len(b.pending) }
+func (e *Estimate) InFlight() int { return len(e.pending) }
 
 // Slowness is what its answers make to be expected now, or those of other servers at their
 // start while it has not answered yet.
-func (b *Estimate) Slowness(now time.Duration, starts *ColdStarts) float64 {
+func (e *Estimate) Slowness(now time.Duration, starts *ColdStarts) float64 {
 	switch {
-	case b.slowness > 0:
-		return NormalSlowness + (b.slowness-NormalSlowness)*math.Exp2(-float64(now-b.observedAt)/float64(slownessDecayHalfLife))
-	case b.Cold(now):
+	case e.slowness > 0:
+		return NormalSlowness + (e.slowness-NormalSlowness)*math.Exp2(-float64(now-e.observedAt)/float64(slownessDecayHalfLife))
+	case e.Cold(now):
 		return starts.ExpectedSlowness()
 	default:
 		return NormalSlowness
@@ -96,11 +96,11 @@
 
 // OverdueSlowness is the greatest slowness that an attempt in flight already proves;
 // zero when none is late.
-func (b *Estimate) OverdueSlowness(now time.Duration) float64 {
+func (e *Estimate) OverdueSlowness(now time.Duration) float64 {
 	worst := 0.0
-	for _, flight := range b.pending {
-		if flight.typical > 0 {
-			worst = max(worst, float64(now-flight.sentAt)/float64(flight.typical))
+	for _, attempt := range e.pending {
+		if attempt.typical > 0 {
+			worst = max(worst, float64(now-attempt.sentAt)/float64(attempt.typical))
 		}
 	}
 	if worst < SuspectSlowness {
@@ -110,60 +110,60 @@
 }
 
 // ObserveSlowness takes the latency of an answer, as a multiple of what is usual.
-func (b *Estimate) ObserveSlowness(now time.Duration, slowness float64) {
+func (e *Estimate) ObserveSlowness(now time.Duration, slowness float64) {
 	slowness = min(max(slowness, 0), MaxSlowness)
-	if b.slowness == 0 {
-		b.slowness = slowness
+	if e.slowness == 0 {
+		e.slowness = slowness
 	} else {
-		kept := (1 - slownessWeight) * math.Exp2(-float64(now-b.observedAt)/float64(slownessHalfLife))
-		b.slowness = kept*b.slowness + (1-kept)*slowness
+		kept := (1 - slownessWeight) * math.Exp2(-float64(now-e.observedAt)/float64(slownessHalfLife))
+		e.slowness = kept*e.slowness + (1-kept)*slowness
 	}
-	b.observedAt = now
-	b.scheduleProbe(now)
+	e.observedAt = now
+	e.scheduleProbe(now)
 }
 
 // scheduleProbe sets when a slow server is tried again.
-func (b *Estimate) scheduleProbe(now time.Duration) {
-	if b.slowness < SuspectSlowness {
-		b.probePause = 0
+func (e *Estimate) scheduleProbe(now time.Duration) {
+	if e.slowness < SuspectSlowness {
+		e.probePause = 0
 		return
 	}
-	b.probePause = min(max(2*b.probePause, minProbePause), maxProbePause)
-	b.probeAt = now + b.probePause
+	e.probePause = min(max(2*e.probePause, minProbePause), maxProbePause)
+	e.probeAt = now + e.probePause
 }
 
 // ProbeDue reports whether a slow server should be tried again now.
-func (b *Estimate) ProbeDue(now time.Duration) bool {
-	return b.slowness >= SuspectSlowness && now >= b.probeAt && b.shedUntil <= now && len(b.pending) == 0
+func (e *Estimate) ProbeDue(now time.Duration) bool {
+	return e.slowness >= SuspectSlowness && now >= e.probeAt && e.shedUntil <= now && len(e.pending) == 0
 }
 
 // RecordProbe notes that a slow server is tried again: the next probe waits for its answer.
-func (b *Estimate) RecordProbe(now time.Duration) { b.probeAt = now + minProbePause }
+func (e *Estimate) RecordProbe(now time.Duration) { e.probeAt = now + minProbePause }
 
 // SetShedUntil notes that the server turned work away, and until when it is left alone.
-func (b *Estimate) SetShedUntil(until time.Duration) { b.shedUntil = until }
+func (e *Estimate) SetShedUntil(until time.Duration) { e.shedUntil = until }
 
 // ShedUntil is until when the server is left alone.
-func (b *Estimate) ShedUntil() time.Duration { return b.shedUntil }
+func (e *Estimate) ShedUntil() time.Duration { return e.shedUntil }
 
 // SetColdUntil notes until when the server is slow from its start.
-func (b *Estimate) SetColdUntil(until time.Duration) { b.coldUntil = until }
+func (e *Estimate) SetColdUntil(until time.Duration) { e.coldUntil = until }
 
 // Cold reports whether the server is slow from its start.
-func (b *Estimate) Cold(now time.Duration) bool { return now < b.coldUntil }
+func (e *Estimate) Cold(now time.Duration) bool { return now < e.coldUntil }
 
 // ObserveLoad takes the server's own account of its work: requests running and waiting, those
 // of this node among them.
-func (b *Estimate) ObserveLoad(now time.Duration, running, waiting int) {
-	b.load = float64(max(running+waiting-len(b.pending), 0))
-	b.loadAt = now
+func (e *Estimate) ObserveLoad(now time.Duration, running, waiting int) {
+	e.load = float64(max(running+waiting-len(e.pending), 0))
+	e.loadAt = now
 }
 
 // Utilization is the part of its slots that is taken, as far as it is known.
-func (b *Estimate) Utilization(now time.Duration, slots int) float64 {
-	work := float64(len(b.pending))
-	if b.load > 0 {
-		work += b.load * loadWeight * math.Exp2(-float64(now-b.loadAt)/float64(loadHalfLife))
+func (e *Estimate) Utilization(now time.Duration, slots int) float64 {
+	used := float64(len(e.pending))
+	if e.load > 0 {
+		used += e.load * loadWeight * math.Exp2(-float64(now-e.loadAt)/float64(loadHalfLife))
 	}
-	return work / float64(max(slots, 1))
+	return used / float64(max(slots, 1))
 }
