--- a/serverstate/coldstarts.go
+++ b/serverstate/coldstarts.go
@@ -1,18 +1,18 @@
 package serverstate
 
-// startWeight is the weight of a new answer in Starts: some ten servers that start tell
-// what to expect of the next one.
+// startWeight is the weight of a new answer in ColdStarts: about ten starting servers determine
+// the slowness expected of the next one.
 const startWeight = 0.1
 
-// ColdStarts is how slow servers were that said that they had just started; the zero value is
-// usual.
+// ColdStarts is the average slowness of servers that reported to be cold; the zero value is
+// NormalSlowness.
 type ColdStarts struct{ excess float64 }
 
-// Observe notes the slowness of an answer of a server that is cold.
+// Observe records the slowness of an answer of a cold server.
 func (s *ColdStarts) Observe(slowness float64) {
 	slowness = min(max(slowness, NormalSlowness), MaxSlowness)
 	s.excess += startWeight * (slowness - NormalSlowness - s.excess)
 }
 
-// ExpectedSlowness is the slowness to be expected of a server that is cold.
+// ExpectedSlowness returns the slowness to expect of a cold server.
 func (s *ColdStarts) ExpectedSlowness() float64 { return NormalSlowness + s.excess }
--- a/serverstate/doc.go
+++ b/serverstate/doc.go
@@ -1,7 +1,7 @@
-// Package serverstate holds what a node believes of a server from what it sees of it: how
-// slow it is against what is usual, what it has in hand, whether it shed, is slow enough to
-// be probed only, or has just started.
+// Package serverstate estimates the state of a server from what a node observes of it: its
+// slowness relative to the typical latency, its load, whether it sheds load, whether it is so
+// slow that it is only probed, and whether it has just started.
 //
-// It has no clock, goroutine or I/O; times are durations since an epoch that the caller
-// picks and never decrease. A Belief is not safe for concurrent use.
+// The package uses no clock, goroutines or I/O. Times are durations since an epoch that the
+// caller chooses, and never decrease. An Estimate is not safe for concurrent use.
 package serverstate
