--- a/discovery/cluster_test.go
+++ b/discovery/cluster_test.go
@@ -349,8 +349,8 @@
 			}
 			before := w.registry.count()
 			time.Sleep(10 * time.Second)
-			if readings := w.registry.count() - before; readings > 12 {
-				t.Errorf("%d reads in 10 s by six nodes", readings)
+			if reads := w.registry.count() - before; reads > 12 {
+				t.Errorf("%d reads in 10 s by six nodes", reads)
 			}
 			w.stop()
 			w.loops.Wait()
@@ -385,8 +385,8 @@
 		w := startCluster(t, 120)
 		before := w.registry.count()
 		time.Sleep(10 * time.Second)
-		if readings := w.registry.count() - before; readings > 40 {
-			t.Errorf("%d reads in 10 s by 120 nodes", readings)
+		if reads := w.registry.count() - before; reads > 40 {
+			t.Errorf("%d reads in 10 s by 120 nodes", reads)
 		}
 		w.stop()
 		w.loops.Wait()
--- a/serverstate/estimate.go
+++ b/serverstate/estimate.go
@@ -137,7 +137,8 @@
 	return e.slowness >= SuspectSlowness && now >= e.probeAt && e.shedUntil <= now && len(e.pending) == 0
 }
 
-// RecordProbe records that a probe was sent, which delays the next one by at least minProbePause.
+// RecordProbe records that a probe was sent. The next one waits for its answer, and for at least
+// minProbePause.
 func (e *Estimate) RecordProbe(now time.Duration) { e.probeAt = now + minProbePause }
 
 // SetShedUntil records that the server shed load, and until when it must not be used.
