--- a/exchange/client.go
+++ b/exchange/client.go
@@ -39,20 +39,20 @@
 	// IdleTimeout closes a connection that carried nothing for so long, unless
 	// the server said less; default 20 s.
 	IdleTimeout time.Duration
-	// SurplusTime is how long a connection rests beside one that was used later;
+	// SurplusIdleTimeout is how long a connection rests beside one that was used later;
 	// default 1.5 s. A machine that loses power leaves its connections open at
 	// the servers, which then have fewer for others.
-	SurplusTime time.Duration
-	// BodyBytes bounds an answer's body; default 8 MiB.
-	BodyBytes int64
+	SurplusIdleTimeout time.Duration
+	// MaxBodyBytes bounds an answer's body; default 8 MiB.
+	MaxBodyBytes int64
 }
 
 // Defaults of Options.
 const (
-	DefaultDialTimeout = 300 * time.Millisecond
-	DefaultIdleTimeout = 20 * time.Second
-	DefaultSurplusTime = 1500 * time.Millisecond
-	DefaultBodyBytes   = 8 << 20
+	DefaultDialTimeout        = 300 * time.Millisecond
+	DefaultIdleTimeout        = 20 * time.Second
+	DefaultSurplusIdleTimeout = 1500 * time.Millisecond
+	DefaultMaxBodyBytes       = 8 << 20
 )
 
 // Client asks servers. Its methods may be called from several goroutines.
@@ -78,8 +78,8 @@
 func NewClient(options Options) *Client {
 	options.DialTimeout = cmp.Or(options.DialTimeout, DefaultDialTimeout)
 	options.IdleTimeout = cmp.Or(options.IdleTimeout, DefaultIdleTimeout)
-	options.SurplusTime = cmp.Or(options.SurplusTime, DefaultSurplusTime)
-	options.BodyBytes = cmp.Or(options.BodyBytes, DefaultBodyBytes)
+	options.SurplusIdleTimeout = cmp.Or(options.SurplusIdleTimeout, DefaultSurplusIdleTimeout)
+	options.MaxBodyBytes = cmp.Or(options.MaxBodyBytes, DefaultMaxBodyBytes)
 	if options.Dial == nil {
 		options.Dial = (&net.Dialer{}).DialContext
 	}
@@ -241,10 +241,10 @@
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// Retain closes the idle connections to servers that are not listed, and those
+// PruneIdle closes the idle connections to servers that are not listed, and those
 // of the others that rested too long or were closed by the server. Of those that
 // rest beyond the surplus time it keeps so many to a server.
-func (c *Client) Retain(listed map[discovery.Incarnation]struct{}, resting int) {
+func (c *Client) PruneIdle(listed map[discovery.Incarnation]struct{}, resting int) {
 	for _, conn := range c.takeStale(listed, resting) {
 		conn.close()
 	}
@@ -260,7 +260,7 @@
 		p.closed = !kept
 		keep := p.idle[:0]
 		for place, conn := range p.idle {
-			if surplus := len(p.idle) - place; surplus > resting && now.Sub(conn.idleSince) > c.options.SurplusTime {
+			if surplus := len(p.idle) - place; surplus > resting && now.Sub(conn.idleSince) > c.options.SurplusIdleTimeout {
 				stale = append(stale, conn)
 				continue
 			}
@@ -280,8 +280,8 @@
 	return stale
 }
 
-// Connections counts the connections that are open or being opened.
-func (c *Client) Connections() int {
+// ConnectionCount counts the connections that are open or being opened.
+func (c *Client) ConnectionCount() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	count := 0
--- a/exchange/client_test.go
+++ b/exchange/client_test.go
@@ -74,7 +74,7 @@
 		if milliseconds, err := strconv.Atoi(told); err != nil || milliseconds != 800 {
 			t.Errorf("the server was told that %q ms remain, want 800", told)
 		}
-		client.Retain(nil, 0)
+		client.PruneIdle(nil, 0)
 	})
 }
 
@@ -95,7 +95,7 @@
 		if opened != 1 || requests != 5 {
 			t.Errorf("%d connections carried %d requests, want 1 and 5", opened, requests)
 		}
-		client.Retain(nil, 0)
+		client.PruneIdle(nil, 0)
 	})
 }
 
@@ -161,8 +161,8 @@
 		if took := time.Since(began); took != 300*time.Millisecond {
 			t.Errorf("it took %s", took)
 		}
-		if client.Connections() != 0 {
-			t.Errorf("%d connections are left", client.Connections())
+		if client.ConnectionCount() != 0 {
+			t.Errorf("%d connections are left", client.ConnectionCount())
 		}
 	})
 }
@@ -211,10 +211,10 @@
 			}
 			return near, nil
 		}})
-		if got := client.HasEnded(discovery.Server{ID: "server-1"}); got != ended {
+		if got := client.HasCrashed(discovery.Server{ID: "server-1"}); got != ended {
 			t.Errorf("%v: ended %v, want %v", refusal, got, ended)
 		}
-		client.Retain(nil, 0)
+		client.PruneIdle(nil, 0)
 		_, _ = near.Close(), far.Close()
 	}
 }
--- a/exchange/connection.go
+++ b/exchange/connection.go
@@ -165,14 +165,14 @@
 	if err != nil {
 		return nil, false, err
 	}
-	body, err := readBody(response, options.BodyBytes)
+	body, err := readBody(response, options.MaxBodyBytes)
 	if err != nil {
 		return nil, false, err
 	}
 	c.takeKeepAlive(response.Header)
 	keep = !response.Close
 	header := response.Header
-	StripConnection(header)
+	StripHopByHopHeaders(header)
 	return &Reply{Status: response.StatusCode, Header: header, Body: body}, keep, nil
 }
 
--- a/exchange/ended_test.go
+++ b/exchange/ended_test.go
@@ -31,8 +31,8 @@
 			time.AfterFunc(listensOn-time.Since(began), func() { _ = far.Close() })
 			return near, nil
 		}})
-		defer client.Retain(nil, 0)
-		if !client.HasEnded(discovery.Server{ID: "server-1"}) {
+		defer client.PruneIdle(nil, 0)
+		if !client.HasCrashed(discovery.Server{ID: "server-1"}) {
 			t.Error("a server that goes is taken for one that lost a connection")
 		}
 	})
@@ -65,10 +65,10 @@
 					server = far
 					return near, nil
 				}})
-				if got := client.HasEnded(discovery.Server{ID: "server-1"}); got != test.ended || dials > 3 {
+				if got := client.HasCrashed(discovery.Server{ID: "server-1"}); got != test.ended || dials > 3 {
 					t.Errorf("ended %v after %d connections, want %v", got, dials, test.ended)
 				}
-				client.Retain(nil, 0)
+				client.PruneIdle(nil, 0)
 				_ = server.Close()
 			})
 		})
--- a/exchange/look.go
+++ b/exchange/look.go
@@ -23,8 +23,8 @@
 	lookPause = 10 * time.Millisecond
 )
 
-// Look finds out whether a server is still there whose connection was lost.
-type Look struct {
+// CrashCheck finds out whether a server is still there whose connection was lost.
+type CrashCheck struct {
 	client *Client
 	server discovery.Server
 	// conn is the connection that tells; nil once it is known how the look ends.
@@ -33,21 +33,21 @@
 	ended bool
 }
 
-// Look asks whether somebody listens at a server's address. Its Ended says so at once where
+// StartCrashCheck asks whether somebody listens at a server's address. Its Crashed says so at once where
 // nobody does.
-func (c *Client) Look(server discovery.Server) *Look {
-	l := &Look{client: c, server: server}
+func (c *Client) StartCrashCheck(server discovery.Server) *CrashCheck {
+	l := &CrashCheck{client: c, server: server}
 	l.dial()
 	return l
 }
 
-// Settled reports whether it is known how the look ends: Ended does not wait then.
-func (l *Look) Settled() bool { return l.conn == nil }
+// IsComplete reports whether it is known how the look ends: Crashed does not wait then.
+func (l *CrashCheck) IsComplete() bool { return l.conn == nil }
 
-// Ended reports whether the server has ended: nobody listens at its address, or who did listen
+// Crashed reports whether the server has ended: nobody listens at its address, or who did listen
 // went within 20 ms. A connection that stays is kept for the next attempt. A server that says
 // nothing is not known to have ended.
-func (l *Look) Ended() bool {
+func (l *CrashCheck) Crashed() bool {
 	for l.conn != nil {
 		broken := l.conn.breaksWithin(leavingTime)
 		l.client.release(l.server.Incarnation(), l.conn, !broken)
@@ -63,7 +63,7 @@
 	return l.ended
 }
 
-func (l *Look) dial() {
+func (l *CrashCheck) dial() {
 	l.looks++
 	ctx, cancel := context.WithTimeout(context.Background(), endedTimeout)
 	defer cancel()
@@ -76,8 +76,8 @@
 	l.conn = conn
 }
 
-// HasEnded is the end of a look.
-func (c *Client) HasEnded(server discovery.Server) bool { return c.Look(server).Ended() }
+// HasCrashed is the end of a look.
+func (c *Client) HasCrashed(server discovery.Server) bool { return c.StartCrashCheck(server).Crashed() }
 
 // breaksWithin reports whether an idle connection ends within a time. Bytes on it, which would
 // belong to no request, are taken for an end.
--- a/exchange/message.go
+++ b/exchange/message.go
@@ -75,9 +75,9 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// StripConnection removes the headers that concern one connection only, and
+// StripHopByHopHeaders removes the headers that concern one connection only, and
 // those that Connection names.
-func StripConnection(header http.Header) {
+func StripHopByHopHeaders(header http.Header) {
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
 			if name = textproto.TrimString(name); name != "" {
--- a/front/listeners.go
+++ b/front/listeners.go
@@ -65,7 +65,7 @@
 	}, func() float64 { return float64(f.servingCount()) }))
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "banksail_evacuated_zones", Help: "Zones to whose servers nothing more is sent, as the operator asked.",
-	}, func() float64 { return float64(f.gateway.EvacuatedZones()) }))
+	}, func() float64 { return float64(f.gateway.EvacuatedZoneCount()) }))
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "banksail_cut_off", Help: "1 while the node can't reach enough servers for some route.",
 	}, func() float64 {
@@ -84,7 +84,7 @@
 	}))
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "banksail_server_connections", Help: "Connections to servers that are open or being opened.",
-	}, func() float64 { return float64(f.gateway.Connections()) }))
+	}, func() float64 { return float64(f.gateway.ConnectionCount()) }))
 	mux := http.NewServeMux()
 	mux.Handle("GET "+metricsPath, promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	server, err := f.serve(traffic.Checks, f.options.Settings.Metrics, mux, nil)
@@ -109,7 +109,7 @@
 	}
 	listener = f.meter.Listener(what, listener)
 	if connContext != nil {
-		listener = f.gateway.Watch(listener)
+		listener = f.gateway.WrapListener(listener)
 		server.ConnContext = connContext
 		server.ReadHeaderTimeout, server.IdleTimeout = longestHeaderTimeout, longestIdleTimeout
 	}
--- a/front/node.go
+++ b/front/node.go
@@ -170,10 +170,10 @@
 	f.grace.Store(int64(settings.Grace))
 	f.quarantines = newQuarantines(f, options.Quarantines, registry)
 	f.gateway = gateway.New(gateway.Options{
-		Findings:  f.quarantines,
-		Registry:  registry,
-		BeliefAge: f.beliefAge,
-		AbilityChanged: func(able bool) {
+		Findings: f.quarantines,
+		Registry: registry,
+		ViewAge:  f.beliefAge,
+		OnReachabilityChanged: func(able bool) {
 			f.unable.Store(!able)
 			f.nodesChanged()
 		},
@@ -287,7 +287,7 @@
 // and its listeners counts at the next start only.
 func (f *Front) Apply(settings Settings) {
 	f.grace.Store(int64(settings.Grace))
-	f.gateway.SetBounds(routing.SettingsChanged{
+	f.gateway.ApplySettings(routing.SettingsChanged{
 		Budget:  extrabudget.Options{Ratio: settings.BudgetRatio, Fixed: settings.BudgetFixed},
 		Cold:    coldOptions(settings),
 		Regions: settings.Regions,
@@ -406,7 +406,7 @@
 		case <-ticker.C:
 		case <-f.tend:
 		}
-		f.gateway.Tend()
+		f.gateway.MaintainConnections()
 		f.lookAtLoad()
 		f.lookAtSuspension()
 	}
@@ -414,7 +414,7 @@
 
 // lookAtLoad asks other nodes for help while this one is busy.
 func (f *Front) lookAtLoad() {
-	busy := f.load.take(time.Now(), f.gateway.Sends())
+	busy := f.load.take(time.Now(), f.gateway.SendCount())
 	if f.busy.Swap(busy) != busy {
 		f.options.Logger.Info().Bool("busy", busy).Float64("cores", f.load.capacity).Msg("load changed")
 	}
--- a/front/nodes.go
+++ b/front/nodes.go
@@ -88,7 +88,7 @@
 	serve := slices.ContainsFunc(serving, func(n discovery.Node) bool { return !f.isSelf(n) && !n.Leaving && !n.Unable })
 	if serve != f.othersAble {
 		f.othersAble = serve
-		f.gateway.SetOthersServe(serve)
+		f.gateway.SetPeersAvailable(serve)
 	}
 }
 
--- a/front/quarantines.go
+++ b/front/quarantines.go
@@ -52,7 +52,7 @@
 var repetitions = []time.Duration{250 * time.Millisecond, time.Second}
 
 // quarantines carries what the node finds out of requests that end servers, and what others do.
-// It implements gateway.Findings.
+// It implements gateway.FindingPublisher.
 type quarantines struct {
 	front  *Front
 	store  QuarantineStore
@@ -103,15 +103,15 @@
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "banksail_quarantines", Help: "Contents that are refused because servers end under them.",
 		}, func() float64 {
-			quarantined, _ := f.gateway.Quarantines()
+			quarantined, _ := f.gateway.QuarantineCounts()
 			return float64(quarantined)
 		}))
 	}
 	return q
 }
 
-// Tell implements gateway.Findings.
-func (q *quarantines) Tell(finding quarantine.Finding, audience quarantine.Audience) {
+// Publish implements gateway.FindingPublisher.
+func (q *quarantines) Publish(finding quarantine.Finding, audience quarantine.Audience) {
 	select {
 	case q.findings <- toldFinding{finding, audience}:
 	default:
@@ -119,8 +119,8 @@
 	}
 }
 
-// Record implements gateway.Findings: the record is written, or renewed where it stands.
-func (q *quarantines) Record(content quarantine.Fingerprint) {
+// RecordQuarantine implements gateway.FindingPublisher: the record is written, or renewed where it stands.
+func (q *quarantines) RecordQuarantine(content quarantine.Fingerprint) {
 	select {
 	case q.records <- content:
 	default:
@@ -135,8 +135,8 @@
 	return there && !known.lost
 }
 
-// CameAgain implements gateway.Findings.
-func (q *quarantines) CameAgain(content quarantine.Fingerprint) {
+// QuarantinedRequestRejected implements gateway.FindingPublisher.
+func (q *quarantines) QuarantinedRequestRejected(content quarantine.Fingerprint) {
 	q.mutex.Lock()
 	due := time.Since(q.renewed[content]) >= renewalPause
 	if due {
@@ -144,13 +144,13 @@
 	}
 	q.mutex.Unlock()
 	if due {
-		q.Record(content)
+		q.RecordQuarantine(content)
 	}
 }
 
 // hear takes another node's finding.
 func (q *quarantines) hear(finding quarantine.Finding) {
-	q.front.gateway.Hear(finding)
+	q.front.gateway.ReceiveFinding(finding)
 	if finding.Quarantined {
 		time.AfterFunc(keeperPause, func() { q.lookAfter(finding.Content) })
 	}
@@ -161,7 +161,7 @@
 func (q *quarantines) lookAfter(content quarantine.Fingerprint) {
 	keepers := gossip.KeepersOf(content, q.front.agent.Nodes())
 	if slices.ContainsFunc(keepers, q.front.isSelf) && !q.isRecorded(content) {
-		q.Record(content)
+		q.RecordQuarantine(content)
 	}
 }
 
--- a/front/rollouts.go
+++ b/front/rollouts.go
@@ -117,7 +117,7 @@
 		}
 	}
 	if len(states) > 0 {
-		r.front.gateway.SetRollouts(states, r.front.gateway.At(heardAt.Add(r.bounds.MaxViewAge())))
+		r.front.gateway.SetRollouts(states, r.front.gateway.SinceStart(heardAt.Add(r.bounds.MaxViewAge())))
 	}
 }
 
@@ -153,8 +153,8 @@
 		state.Order, state.Target, state.Duration = order.Number, order.Order.Target, order.Order.Duration
 		state.OrderRevision = uint64(order.StoredAt.Revision)
 		if !order.Since.IsZero() {
-			state.Since, state.OrderTimeKnown = r.front.gateway.At(order.Since), true
-			state.Latest = r.front.gateway.At(order.Latest)
+			state.Since, state.OrderTimeKnown = r.front.gateway.SinceStart(order.Since), true
+			state.Latest = r.front.gateway.SinceStart(order.Latest)
 		}
 	}
 	if record, there := r.directives[discovery.DirectiveKey(discovery.RolloutRecord, service)]; there {
@@ -194,7 +194,7 @@
 	}
 }
 
-func (r *rollouts) now() time.Duration { return r.front.gateway.At(time.Now()) }
+func (r *rollouts) now() time.Duration { return r.front.gateway.SinceStart(time.Now()) }
 
 // active reports whether a roll-out has not ended, or is to be written again. The lock is held.
 func (r *rollouts) active() bool {
--- a/front/stop.go
+++ b/front/stop.go
@@ -29,12 +29,12 @@
 	f.agent.Leave()
 	f.gateway.Drain()
 	time.Sleep(min(leaveTime, grace/2))
-	f.gateway.Refuse()
+	f.gateway.RejectRequests()
 	if shutdown(callers, time.Until(began.Add(grace-stopMargin))) {
 		return
 	}
-	f.options.Logger.Warn().Int("pending", f.gateway.Pending()).Msg("grace is over, what is at hand is given up")
-	f.gateway.GiveUp()
+	f.options.Logger.Warn().Int("pending", f.gateway.PendingCount()).Msg("grace is over, what is at hand is given up")
+	f.gateway.AbortPending()
 	shutdown(callers, flushTime)
 }
 
--- a/gateway/attempts.go
+++ b/gateway/attempts.go
@@ -32,7 +32,7 @@
 	reply, err := g.client.Do(attempt)
 	look := g.lookAfter(err, action)
 	g.reportEnd(action, g.report(asked.route, action, reply, err, look))
-	if look != nil && !look.Settled() {
+	if look != nil && !look.IsComplete() {
 		g.settle(asked, action, look)
 	}
 }
@@ -40,13 +40,13 @@
 // lookAfter looks after a server that broke its connection off; nil is that it didn't. A retry
 // does not wait for the end of the look, but that of a request that goes alone: it may end one
 // more server.
-func (g *Gateway) lookAfter(err error, action routing.Send) *exchange.Look {
+func (g *Gateway) lookAfter(err error, action routing.Send) *exchange.CrashCheck {
 	if !errors.Is(err, exchange.ErrConnectionLost) {
 		return nil
 	}
-	look := g.client.Look(action.Server)
+	look := g.client.StartCrashCheck(action.Server)
 	if action.Alone {
-		look.Ended()
+		look.Crashed()
 	}
 	return look
 }
@@ -64,15 +64,15 @@
 }
 
 // settle awaits the end of a look and tells the router.
-func (g *Gateway) settle(asked *pendingRequest, action routing.Send, look *exchange.Look) {
+func (g *Gateway) settle(asked *pendingRequest, action routing.Send, look *exchange.CrashCheck) {
 	began := time.Now()
-	ended := look.Ended()
+	ended := look.Crashed()
 	if ended {
 		g.counters.endsSeenLate.Inc()
 		g.options.Logger.Info().Stringer("content", contentOf(asked.outgoing)).Str("server", action.Server.ID).
 			Dur("after_ms", time.Since(began)).Msg("server ended after it had broken its connection off")
 	}
-	g.step(routing.CrashCheckCompleted{Attempt: action.Attempt, Ended: ended})
+	g.step(routing.CrashCheckCompleted{Attempt: action.Attempt, Crashed: ended})
 }
 
 // cancel lets an attempt go on for a while: most end soon, and their
@@ -82,11 +82,11 @@
 	if running == nil || running.straggler != nil {
 		return
 	}
-	running.straggler = time.AfterFunc(g.options.StragglerTime, running.Cancel)
+	running.straggler = time.AfterFunc(g.options.StragglerTimeout, running.Cancel)
 }
 
 // report tells how an attempt ended; look is that after its server, if there was one.
-func (g *Gateway) report(r *route.Route, action routing.Send, reply *exchange.Reply, err error, look *exchange.Look) routing.Event {
+func (g *Gateway) report(r *route.Route, action routing.Send, reply *exchange.Reply, err error, look *exchange.CrashCheck) routing.Event {
 	event := g.eventOf(r, action, reply, err, look)
 	switch event := event.(type) {
 	case routing.Failed:
@@ -97,7 +97,7 @@
 	return event
 }
 
-func (g *Gateway) eventOf(r *route.Route, action routing.Send, reply *exchange.Reply, err error, look *exchange.Look) routing.Event {
+func (g *Gateway) eventOf(r *route.Route, action routing.Send, reply *exchange.Reply, err error, look *exchange.CrashCheck) routing.Event {
 	if err != nil {
 		return failureOf(action, err, look)
 	}
@@ -114,12 +114,12 @@
 }
 
 // failureOf tells of an attempt without a whole reply.
-func failureOf(action routing.Send, err error, look *exchange.Look) routing.Failed {
+func failureOf(action routing.Send, err error, look *exchange.CrashCheck) routing.Failed {
 	failed := routing.Failed{Attempt: action.Attempt, Delivery: gather.DeliveryUnknown, Reason: failureName(err)}
 	switch {
-	case look != nil && !look.Settled():
+	case look != nil && !look.IsComplete():
 		failed.Delivery = gather.CrashUnconfirmed
-	case look != nil && look.Ended():
+	case look != nil && look.Crashed():
 		failed.Delivery, failed.Refused, failed.Reason = gather.ServerCrashed, true, serverEnded
 	case errors.Is(err, exchange.ErrNotDelivered):
 		failed.Delivery, failed.Refused = gather.NotDelivered, exchange.IsRefused(err)
--- a/gateway/connection_test.go
+++ b/gateway/connection_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	server := &http.Server{Handler: g, ConnContext: g.ConnContext, ReadHeaderTimeout: longest}
-	go func() { _ = server.Serve(g.Watch(listener)) }()
+	go func() { _ = server.Serve(g.WrapListener(listener)) }()
 	t.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String()
 }
--- a/gateway/connections.go
+++ b/gateway/connections.go
@@ -30,12 +30,12 @@
 	}
 }
 
-// Connections is the number of connections to servers.
-func (g *Gateway) Connections() int { return g.client.Connections() }
+// ConnectionCount is the number of connections to servers.
+func (g *Gateway) ConnectionCount() int { return g.client.ConnectionCount() }
 
-// Tend closes connections that are of no use any more and opens one to each
+// MaintainConnections closes connections that are of no use any more and opens one to each
 // server of a service in force that has none, unless its zone is evacuated.
-func (g *Gateway) Tend() {
+func (g *Gateway) MaintainConnections() {
 	g.mutex.Lock()
 	servers := g.servers
 	g.mutex.Unlock()
@@ -47,10 +47,10 @@
 	}
 	table := g.table.Load()
 	if table == nil || !g.serves.Load() {
-		g.client.Retain(listed, 0)
+		g.client.PruneIdle(listed, 0)
 		return
 	}
-	g.client.Retain(listed, 1)
+	g.client.PruneIdle(listed, 1)
 	used := make(map[string]struct{})
 	for _, name := range table.UsedServices() {
 		used[name] = struct{}{}
--- a/gateway/findings.go
+++ b/gateway/findings.go
@@ -19,33 +19,35 @@
 			Bool("answered", action.Finding.Answered).Bool("quarantined", action.Finding.Quarantined).
 			Bool("wide", action.Finding.Wide).Msg("finding on a request that ended servers")
 		if g.options.Findings != nil {
-			g.options.Findings.Tell(action.Finding, action.Audience)
+			g.options.Findings.Publish(action.Finding, action.Audience)
 		}
 	case routing.RecordQuarantine:
 		g.options.Logger.Warn().Stringer("content", action.Content).Msg("requests are refused that end servers")
 		g.counters.quarantined.Inc()
 		if g.options.Findings != nil {
-			g.options.Findings.Record(action.Content)
+			g.options.Findings.RecordQuarantine(action.Content)
 		}
 	case routing.QuarantinedRequestRejected:
 		g.counters.quarantineRefusals.Inc()
 		if g.options.Findings != nil {
-			g.options.Findings.CameAgain(action.Content)
+			g.options.Findings.QuarantinedRequestRejected(action.Content)
 		}
 	}
 }
 
-// Hear takes another node's finding.
-func (g *Gateway) Hear(finding quarantine.Finding) { g.step(routing.FindingReceived{Finding: finding}) }
+// ReceiveFinding takes another node's finding.
+func (g *Gateway) ReceiveFinding(finding quarantine.Finding) {
+	g.step(routing.FindingReceived{Finding: finding})
+}
 
 // SetQuarantines takes all contents that the registry says are to be refused.
 func (g *Gateway) SetQuarantines(contents []quarantine.Fingerprint) {
 	g.step(routing.QuarantinesChanged{Contents: contents})
 }
 
-// Quarantines is the number of contents that are refused, and that of those of which something
+// QuarantineCounts is the number of contents that are refused, and that of those of which something
 // is known.
-func (g *Gateway) Quarantines() (quarantines, suspects int) {
+func (g *Gateway) QuarantineCounts() (quarantines, suspects int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.router.QuarantineCounts()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -31,38 +31,38 @@
 	Logger        zerolog.Logger
 	// Registry takes the gateway's metrics; nil is none.
 	Registry prometheus.Registerer
-	// AbilityChanged is told when the node becomes unable to reach enough servers for its
+	// OnReachabilityChanged is told when the node becomes unable to reach enough servers for its
 	// routes, and when it is able again; it must not call the gateway. Nil is nobody.
-	AbilityChanged func(able bool)
-	// Findings carries what is found out of requests that end servers; nil is nobody.
-	Findings Findings
-	// BeliefAge tells how old what is believed of the servers is; nil is unknown.
-	BeliefAge func() time.Duration
+	OnReachabilityChanged func(able bool)
+	// FindingPublisher carries what is found out of requests that end servers; nil is nobody.
+	Findings FindingPublisher
+	// ViewAge tells how old what is believed of the servers is; nil is unknown.
+	ViewAge func() time.Duration
 	// CallerMargin is the part of a caller's deadline that is kept for the way
 	// back; default 10 ms.
 	CallerMargin time.Duration
 	// CallerRoundTrip is the time that a message takes to a caller and back where the
 	// caller's connection does not tell; default 6 ms.
 	CallerRoundTrip time.Duration
-	// StragglerTime is how long an attempt that its request gave up may go on:
+	// StragglerTimeout is how long an attempt that its request gave up may go on:
 	// its connection is worth keeping; default 300 ms.
-	StragglerTime time.Duration
-	// StartTime is how long after the start requests wait for the first table, which
+	StragglerTimeout time.Duration
+	// TableWaitTimeout is how long after the start requests wait for the first table, which
 	// is on its way; later ones are refused at once; default 500 ms.
-	StartTime time.Duration
-	// MaximumBytes bounds the bodies of the requests that are held; default 64 MiB.
-	MaximumBytes int64
+	TableWaitTimeout time.Duration
+	// MaxBufferedBytes bounds the bodies of the requests that are held; default 64 MiB.
+	MaxBufferedBytes int64
 }
 
-// Findings carries what a gateway finds out of requests that end servers to other nodes and
+// FindingPublisher carries what a gateway finds out of requests that end servers to other nodes and
 // to the registry. Its methods must neither block nor call the gateway.
-type Findings interface {
-	// Tell tells other nodes.
-	Tell(finding quarantine.Finding, audience quarantine.Audience)
-	// Record makes all nodes remember that a content is refused.
-	Record(content quarantine.Fingerprint)
-	// CameAgain tells that such a content was refused again.
-	CameAgain(content quarantine.Fingerprint)
+type FindingPublisher interface {
+	// Publish tells other nodes.
+	Publish(finding quarantine.Finding, audience quarantine.Audience)
+	// RecordQuarantine makes all nodes remember that a content is refused.
+	RecordQuarantine(content quarantine.Fingerprint)
+	// QuarantinedRequestRejected tells that such a content was refused again.
+	QuarantinedRequestRejected(content quarantine.Fingerprint)
 }
 
 // AnswerHeaders names the headers of merged answers.
@@ -75,11 +75,11 @@
 
 // Defaults of Options.
 const (
-	DefaultCallerMargin    = 10 * time.Millisecond
-	DefaultCallerRoundTrip = 6 * time.Millisecond
-	DefaultStragglerTime   = 300 * time.Millisecond
-	DefaultStartTime       = 500 * time.Millisecond
-	DefaultMaximumBytes    = 64 << 20
+	DefaultCallerMargin     = 10 * time.Millisecond
+	DefaultCallerRoundTrip  = 6 * time.Millisecond
+	DefaultStragglerTimeout = 300 * time.Millisecond
+	DefaultTableWaitTimeout = 500 * time.Millisecond
+	DefaultMaxBufferedBytes = 64 << 20
 )
 
 // Gateway carries callers' requests. Its methods may be called from several
@@ -138,9 +138,9 @@
 func New(options Options) *Gateway {
 	options.CallerMargin = cmp.Or(options.CallerMargin, DefaultCallerMargin)
 	options.CallerRoundTrip = cmp.Or(options.CallerRoundTrip, DefaultCallerRoundTrip)
-	options.StragglerTime = cmp.Or(options.StragglerTime, DefaultStragglerTime)
-	options.StartTime = cmp.Or(options.StartTime, DefaultStartTime)
-	options.MaximumBytes = cmp.Or(options.MaximumBytes, DefaultMaximumBytes)
+	options.StragglerTimeout = cmp.Or(options.StragglerTimeout, DefaultStragglerTimeout)
+	options.TableWaitTimeout = cmp.Or(options.TableWaitTimeout, DefaultTableWaitTimeout)
+	options.MaxBufferedBytes = cmp.Or(options.MaxBufferedBytes, DefaultMaxBufferedBytes)
 	options.Exchange.Headers = options.Headers
 	background, end := context.WithCancel(context.Background())
 	return &Gateway{
@@ -209,7 +209,7 @@
 
 // SetEvacuated tells the zones to whose servers nothing more may be sent, sorted. It
 // reports whether they are other ones than before. Connections to the servers that take
-// over are opened with the next Tend.
+// over are opened with the next MaintainConnections.
 func (g *Gateway) SetEvacuated(zones []string) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -224,8 +224,8 @@
 	return true
 }
 
-// EvacuatedZones is the number of zones to whose servers nothing more may be sent.
-func (g *Gateway) EvacuatedZones() int {
+// EvacuatedZoneCount is the number of zones to whose servers nothing more may be sent.
+func (g *Gateway) EvacuatedZoneCount() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return len(g.evacuated)
@@ -238,28 +238,28 @@
 	g.step(nodes)
 }
 
-// SetOthersServe tells whether another node is known that reaches enough servers and takes callers.
-func (g *Gateway) SetOthersServe(serve bool) {
+// SetPeersAvailable tells whether another node is known that reaches enough servers and takes callers.
+func (g *Gateway) SetPeersAvailable(serve bool) {
 	g.step(routing.PeerAvailabilityChanged{Available: serve})
 }
 
-// SetBounds takes bounds that were set anew.
-func (g *Gateway) SetBounds(bounds routing.SettingsChanged) { g.step(bounds) }
+// ApplySettings takes bounds that were set anew.
+func (g *Gateway) ApplySettings(bounds routing.SettingsChanged) { g.step(bounds) }
 
 // Drain makes every connection end with its next answer.
 func (g *Gateway) Drain() { g.draining.Store(true) }
 
-// Refuse refuses every request that comes from now on: another node is there for it.
-func (g *Gateway) Refuse() { g.closed.Store(true) }
+// RejectRequests refuses every request that comes from now on: another node is there for it.
+func (g *Gateway) RejectRequests() { g.closed.Store(true) }
 
-// GiveUp gives every request at hand its final answer.
-func (g *Gateway) GiveUp() { g.step(routing.Stopping{}) }
+// AbortPending gives every request at hand its final answer.
+func (g *Gateway) AbortPending() { g.step(routing.Stopping{}) }
 
-// Sends is the number of attempts that were sent to servers since the start.
-func (g *Gateway) Sends() uint64 { return g.sends.Load() }
+// SendCount is the number of attempts that were sent to servers since the start.
+func (g *Gateway) SendCount() uint64 { return g.sends.Load() }
 
-// Pending is the number of requests without a final answer.
-func (g *Gateway) Pending() int {
+// PendingCount is the number of requests without a final answer.
+func (g *Gateway) PendingCount() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return len(g.pending)
@@ -314,8 +314,8 @@
 
 func (g *Gateway) tellAbility(able bool) {
 	g.options.Logger.Warn().Bool("able", able).Msg("ability to reach enough servers changed")
-	if g.options.AbilityChanged != nil {
-		g.options.AbilityChanged(able)
+	if g.options.OnReachabilityChanged != nil {
+		g.options.OnReachabilityChanged(able)
 	}
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -143,16 +143,16 @@
 		atHand <- answer
 	}()
 	<-running
-	g.Refuse()
+	g.RejectRequests()
 	refused := httptest.NewRecorder()
 	g.ServeHTTP(refused, newRequest("/once/y", ""))
 	if refused.Code != http.StatusServiceUnavailable || refused.Header().Get("Retry-After") == "" {
 		t.Errorf("a late request: %d, come back after %q", refused.Code, refused.Header().Get("Retry-After"))
 	}
-	if pending := g.Pending(); pending != 1 {
+	if pending := g.PendingCount(); pending != 1 {
 		t.Errorf("%d requests are at hand, want 1", pending)
 	}
-	g.GiveUp()
+	g.AbortPending()
 	if answer := <-atHand; answer.Code != http.StatusBadGateway {
 		t.Errorf("at hand, and the server may have run it: status %d", answer.Code)
 	}
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -86,10 +86,10 @@
 
 // beliefAge is how old what the node believes of the servers is.
 func (g *Gateway) beliefAge() time.Duration {
-	if g.options.BeliefAge == nil {
+	if g.options.ViewAge == nil {
 		return 0
 	}
-	return g.options.BeliefAge()
+	return g.options.ViewAge()
 }
 
 // mostAttemptsLogged bounds the attempts in one line: those that did not end
--- a/gateway/rollouts.go
+++ b/gateway/rollouts.go
@@ -7,8 +7,8 @@
 	"github.com/banksail/banksail/routing"
 )
 
-// At is a time on the gateway's clock, by which SetRollouts is told of times.
-func (g *Gateway) At(when time.Time) time.Duration { return g.now() - time.Since(when) }
+// SinceStart is a time on the gateway's clock, by which SetRollouts is told of times.
+func (g *Gateway) SinceStart(when time.Time) time.Duration { return g.now() - time.Since(when) }
 
 // SetRollouts tells what is known of the roll-outs of services, and until when that is fresh.
 func (g *Gateway) SetRollouts(states map[string]rollout.State, freshUntil time.Duration) {
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -77,7 +77,7 @@
 	if table := g.table.Load(); table != nil {
 		return table
 	}
-	left := g.options.StartTime - g.now()
+	left := g.options.TableWaitTimeout - g.now()
 	if left <= 0 || !g.options.Routing.Disabled.Enabled(mechanism.TableWait) {
 		return nil
 	}
@@ -121,11 +121,11 @@
 		return nil, http.StatusRequestEntityTooLarge
 	case err != nil:
 		return nil, http.StatusBadRequest
-	case g.held.Load()+int64(len(body)) > g.options.MaximumBytes:
+	case g.held.Load()+int64(len(body)) > g.options.MaxBufferedBytes:
 		return nil, http.StatusServiceUnavailable
 	}
 	header := incoming.Header
-	exchange.StripConnection(header)
+	exchange.StripHopByHopHeaders(header)
 	attemptID := header.Get(g.options.Headers.AttemptID)
 	return &exchange.Request{
 		Method:    incoming.Method,
@@ -187,7 +187,7 @@
 // connectionKey finds a caller's connection in a request's context.
 type connectionKey struct{}
 
-// ConnContext lets the gateway see a connection that Watch's listener took in;
+// ConnContext lets the gateway see a connection that WrapListener's listener took in;
 // it is for http.Server.
 func (g *Gateway) ConnContext(ctx context.Context, conn net.Conn) context.Context {
 	if watched, ok := conn.(*watchedConn); ok {
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -22,10 +22,10 @@
 	return route.Limits{HeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout}
 }
 
-// Watch lets the gateway see the framing of the requests that come in, and hold
+// WrapListener lets the gateway see the framing of the requests that come in, and hold
 // callers to the table's limits on the time that a header takes and that a
 // connection rests.
-func (g *Gateway) Watch(listener net.Listener) net.Listener {
+func (g *Gateway) WrapListener(listener net.Listener) net.Listener {
 	return &watchedListener{Listener: listener, limits: g.callerLimits}
 }
 
--- a/gateway/zones_test.go
+++ b/gateway/zones_test.go
@@ -81,7 +81,7 @@
 	if got := inFlight(t, registry, "a"); got != 1 {
 		t.Errorf("%g attempts in flight while one runs", got)
 	}
-	if !g.SetEvacuated([]string{"a"}) || g.SetEvacuated([]string{"a"}) || g.EvacuatedZones() != 1 {
+	if !g.SetEvacuated([]string{"a"}) || g.SetEvacuated([]string{"a"}) || g.EvacuatedZoneCount() != 1 {
 		t.Error("the change is not told once")
 	}
 	began := time.Now()
--- a/routing/event.go
+++ b/routing/event.go
@@ -73,7 +73,7 @@
 // turned out to have terminated. It follows each such Failed event exactly once.
 type CrashCheckCompleted struct {
 	Attempt gather.AttemptID
-	Ended   bool
+	Crashed bool
 }
 
 // ConnectFailed reports that no connection to the server could be opened. Refused distinguishes a
--- a/routing/quarantine.go
+++ b/routing/quarantine.go
@@ -90,10 +90,10 @@
 	}
 	delete(r.inDoubt, event.Attempt)
 	q := r.requestOf(a)
-	if event.Ended && !q.query.HasSurvivor() {
+	if event.Crashed && !q.query.HasSurvivor() {
 		r.recordCrash(a, q)
 	}
-	q.query.ResolveCrash(r.now, event.Ended)
+	q.query.ResolveCrash(r.now, event.Crashed)
 	r.publishCrashes(q)
 	if !q.query.Finished() {
 		r.schedule(q)
--- a/routing/quarantine_test.go
+++ b/routing/quarantine_test.go
@@ -145,8 +145,8 @@
 			if _, finished := h.finished[id]; !finished {
 				t.Fatal("the request has no final answer")
 			}
-			h.step(routing.CrashCheckCompleted{Attempt: lost, Ended: test.ended})
-			h.step(routing.CrashCheckCompleted{Attempt: lost, Ended: true}) // a repeated report is ignored
+			h.step(routing.CrashCheckCompleted{Attempt: lost, Crashed: test.ended})
+			h.step(routing.CrashCheckCompleted{Attempt: lost, Crashed: true}) // a repeated report is ignored
 			repeated := h.submitTarget(r, "/doubted")
 			if open := h.inFlight(repeated); len(open) != 1 || open[0].Alone != test.suspected {
 				t.Errorf("%d sends, alone %v; want one, alone %v", len(open), open[0].Alone, test.suspected)
