--- a/mechanism/mechanism.go
+++ b/mechanism/mechanism.go
@@ -51,10 +51,10 @@
 	OutageRetention
 	// Quarantine: requests that end the servers that run them are refused (quarantine).
 	Quarantine
-	count
+	mechanismCount
 )
 
-var names = [count]string{
+var names = [mechanismCount]string{
 	"hedges", "hedges-in-time", "slowness", "overdue", "probes", "unreachable", "dark-zones", "load", "nearness",
 	"early-refusal", "fair-refusal", "last-tries", "fresh-connections", "table-wait", "capable", "readers", "doubt",
 	"quarantine",
@@ -74,28 +74,28 @@
 
 // Disable returns the set of the mechanisms given.
 func Disable(mechanisms ...Mechanism) Disabled {
-	var off Disabled
+	var disabled Disabled
 	for _, m := range mechanisms {
-		off |= 1 << m
+		disabled |= 1 << m
 	}
-	return off
+	return disabled
 }
 
 // Parse reads names separated by commas; its error names the one that is unknown.
 func Parse(text string) (Disabled, error) {
-	var off Disabled
+	var disabled Disabled
 	if text == "" {
-		return off, nil
+		return disabled, nil
 	}
 	for name := range strings.SplitSeq(text, ",") {
-		place := slices.Index(names[:], name)
-		if place < 0 {
+		index := slices.Index(names[:], name)
+		if index < 0 {
 			return 0, fmt.Errorf("%w: %q; there are %s", ErrUnknown, name, strings.Join(names[:], ", "))
 		}
-		off |= 1 << place
+		disabled |= 1 << index
 	}
-	return off, nil
+	return disabled, nil
 }
 
 // Enabled reports whether a mechanism is not switched off.
-func (o Disabled) Enabled(m Mechanism) bool { return o&(1<<m) == 0 }
+func (d Disabled) Enabled(m Mechanism) bool { return d&(1<<m) == 0 }
--- a/mechanism/mechanism_test.go
+++ b/mechanism/mechanism_test.go
@@ -14,11 +14,11 @@
 	if err != nil || none != 0 {
 		t.Errorf("nothing: %v, %v", none, err)
 	}
-	off, err := mechanism.Parse("hedges,doubt")
-	if err != nil || off != mechanism.Disable(mechanism.Hedging, mechanism.OutageRetention) {
-		t.Errorf("two: %v, %v", off, err)
+	disabled, err := mechanism.Parse("hedges,doubt")
+	if err != nil || disabled != mechanism.Disable(mechanism.Hedging, mechanism.OutageRetention) {
+		t.Errorf("two: %v, %v", disabled, err)
 	}
-	if off.Enabled(mechanism.Hedging) || off.Enabled(mechanism.OutageRetention) || !off.Enabled(mechanism.SlowServerProbes) {
+	if disabled.Enabled(mechanism.Hedging) || disabled.Enabled(mechanism.OutageRetention) || !disabled.Enabled(mechanism.SlowServerProbes) {
 		t.Error("the wrong mechanisms are off")
 	}
 	if _, err := mechanism.Parse("hedges,luck"); !errors.Is(err, mechanism.ErrUnknown) || !strings.Contains(err.Error(), `"luck"`) {
@@ -29,10 +29,10 @@
 // Every mechanism has a name of its own, by which it can be switched off.
 func TestNamesAreUnique(t *testing.T) {
 	all := mechanism.Names()
-	for number, name := range all {
-		off, err := mechanism.Parse(name)
-		if name == "" || err != nil || off != mechanism.Disable(mechanism.Mechanism(number)) || mechanism.Mechanism(number).String() != name {
-			t.Errorf("mechanism %d, %q: %v, %v", number, name, off, err)
+	for i, name := range all {
+		disabled, err := mechanism.Parse(name)
+		if name == "" || err != nil || disabled != mechanism.Disable(mechanism.Mechanism(i)) || mechanism.Mechanism(i).String() != name {
+			t.Errorf("mechanism %d, %q: %v, %v", i, name, disabled, err)
 		}
 	}
 	slices.Sort(all)
--- a/routing/event.go
+++ b/routing/event.go
@@ -69,8 +69,9 @@
 	Reason string
 }
 
-// CrashCheckCompleted reports whether the server of an attempt that had failed with gather.CrashUnconfirmed
-// turned out to have terminated. It follows each such Failed event exactly once.
+// CrashCheckCompleted reports whether the server of an attempt that had failed with
+// gather.CrashUnconfirmed turned out to have terminated. It follows each such Failed event exactly
+// once.
 type CrashCheckCompleted struct {
 	Attempt gather.AttemptID
 	Crashed bool
--- a/routing/quarantine.go
+++ b/routing/quarantine.go
@@ -10,8 +10,8 @@
 	"github.com/banksail/banksail/quarantine"
 )
 
-// fingerprintOf returns the fingerprint of a request's content; ok is false if the request is excluded
-// from crash tracking.
+// fingerprintOf returns the fingerprint of a request's content; ok is false if the request is
+// excluded from crash tracking.
 func (r *Router) fingerprintOf(spec *Request) (content quarantine.Fingerprint, ok bool) {
 	if spec.Content == nil || !r.enabled(mechanism.Quarantine) {
 		return content, false
@@ -21,8 +21,8 @@
 	return content, true
 }
 
-// quarantineStatus returns whether a new request may be sent, and how long a review of its content still
-// lasts.
+// quarantineStatus returns whether a new request may be sent, and how long a review of its content
+// still lasts.
 func (r *Router) quarantineStatus(spec *Request) (status quarantine.Status, left time.Duration) {
 	if r.tracker.IsEmpty() {
 		return quarantine.Clear, 0
@@ -56,15 +56,15 @@
 	if !ok {
 		return
 	}
-	end := quarantine.Crash{ServerIncarnation: quarantine.IncarnationOf(a.server.Incarnation().String()), Alone: a.Alone}
-	r.publish(r.tracker.ServerCrashed(r.now, content, end))
+	crash := quarantine.Crash{ServerIncarnation: quarantine.IncarnationOf(a.server.Incarnation().String()), Alone: a.Alone}
+	r.publish(r.tracker.ServerCrashed(r.now, content, crash))
 	if r.tracker.IsProven(content) {
 		q.query.Abort(r.now, gather.ReasonCrashesServers)
 	}
 }
 
-// publishCrashes publishes a request that has crashed several servers, one after the other, to all
-// nodes.
+// publishCrashes publishes the content of a request that has crashed several servers in
+// succession, unless a server has answered it.
 func (r *Router) publishCrashes(q *request) {
 	if !q.query.IsCrashSuspect() {
 		return
@@ -81,14 +81,14 @@
 }
 
 // handleCrashCheck handles the result of the crash check for an attempt that failed with
-// gather.CrashUnconfirmed. A crash does not count against the request if another server executed it and
-// survived.
+// gather.CrashUnconfirmed. A crash does not count against the request if another server executed
+// it and survived.
 func (r *Router) handleCrashCheck(event CrashCheckCompleted) {
-	a := r.inDoubt[event.Attempt]
+	a := r.unconfirmedCrashes[event.Attempt]
 	if a == nil {
 		return
 	}
-	delete(r.inDoubt, event.Attempt)
+	delete(r.unconfirmedCrashes, event.Attempt)
 	q := r.requestOf(a)
 	if event.Crashed && !q.query.HasSurvivor() {
 		r.recordCrash(a, q)
@@ -120,7 +120,8 @@
 	}
 }
 
-// applyQuarantineStatus applies a changed status of a content to the in-flight requests with that content.
+// applyQuarantineStatus applies a changed status of a content to the in-flight requests with that
+// content.
 func (r *Router) applyQuarantineStatus(content quarantine.Fingerprint) {
 	status, _ := r.tracker.Status(r.now, content)
 	if status == quarantine.Clear {
--- a/routing/request.go
+++ b/routing/request.go
@@ -23,10 +23,10 @@
 	finished     bool
 	// isRetry is set if this is probably a retry by the caller, who may not try again.
 	isRetry bool
-	// suspected is set if servers crashed while executing requests of the same content.
-	suspected   bool
-	lastFailure any // last error reply of a server
-	timerAt     time.Duration
+	// crashSuspect is set if servers crashed while executing requests of the same content.
+	crashSuspect bool
+	lastFailure  any // last error reply of a server
+	timerAt      time.Duration
 
 	sends, hedges, retries int
 	records                []AttemptRecord
@@ -91,7 +91,7 @@
 		RequiredCoverage: minimum,
 		Rank:             q.asked.Route.Priority,
 		Repeatable:       q.asked.Route.Repeatable,
-		CrashSuspect:     q.suspected,
+		CrashSuspect:     q.crashSuspect,
 		Stop:             aimStopPolicy{q},
 		MaximumRounds:    maxRounds,
 	}, q)
--- a/routing/router.go
+++ b/routing/router.go
@@ -54,13 +54,13 @@
 	tracker      *quarantine.Tracker
 	trackerDueAt time.Duration
 
-	requests    map[RequestID]*request
-	attempts    map[gather.AttemptID]*attempt
-	inDoubt     map[gather.AttemptID]*attempt // failed with gather.CrashUnconfirmed, awaiting a crash check
-	lastAttempt gather.AttemptID
-	sequence    uint64
-	dispatching *service
-	requeued    []queuedSegment
+	requests           map[RequestID]*request
+	attempts           map[gather.AttemptID]*attempt
+	unconfirmedCrashes map[gather.AttemptID]*attempt // failed with gather.CrashUnconfirmed
+	lastAttempt        gather.AttemptID
+	sequence           uint64
+	dispatching        *service
+	requeued           []queuedSegment
 
 	timers  *priority.Queue[timer]
 	timerAt time.Duration
@@ -75,20 +75,20 @@
 func New(now time.Duration, options Options) *Router {
 	options = options.withDefaults()
 	return &Router{
-		options:    options,
-		now:        now,
-		startedAt:  now,
-		random:     rand.New(rand.NewPCG(options.Seed, 0)),
-		services:   make(map[string]*service),
-		servers:    make(map[string]*server),
-		routeStats: make(map[string]*routeStats),
-		zones:      make(map[string]*zone),
-		tracker:    quarantine.NewTracker(),
-		requests:   make(map[RequestID]*request),
-		attempts:   make(map[gather.AttemptID]*attempt),
-		inDoubt:    make(map[gather.AttemptID]*attempt),
-		timers:     priority.NewQueue(func(a, b timer) bool { return a.at < b.at }, nil),
-		timerAt:    never,
+		options:            options,
+		now:                now,
+		startedAt:          now,
+		random:             rand.New(rand.NewPCG(options.Seed, 0)),
+		services:           make(map[string]*service),
+		servers:            make(map[string]*server),
+		routeStats:         make(map[string]*routeStats),
+		zones:              make(map[string]*zone),
+		tracker:            quarantine.NewTracker(),
+		requests:           make(map[RequestID]*request),
+		attempts:           make(map[gather.AttemptID]*attempt),
+		unconfirmedCrashes: make(map[gather.AttemptID]*attempt),
+		timers:             priority.NewQueue(func(a, b timer) bool { return a.at < b.at }, nil),
+		timerAt:            never,
 	}
 }
 
@@ -161,7 +161,7 @@
 		return
 	}
 	q := r.newRequest(spec)
-	q.suspected = status == quarantine.Suspected
+	q.crashSuspect = status == quarantine.Suspected
 	if reason := r.rejectionReason(q); reason != "" {
 		r.reject(q, reason)
 		return
@@ -281,7 +281,7 @@
 	case gather.ServerCrashed:
 		r.recordCrash(a, q)
 	case gather.CrashUnconfirmed:
-		r.inDoubt[event.Attempt] = a
+		r.unconfirmedCrashes[event.Attempt] = a
 	default:
 	}
 	if event.Delivery == gather.NotDelivered {
--- a/routing/zone_reachability.go
+++ b/routing/zone_reachability.go
@@ -174,12 +174,12 @@
 // behind a network partition that rejects connections.
 func (r *Router) updateReachability() {
 	r.connected = r.isConnected()
-	unable := slices.ContainsFunc(r.fanOuts, r.lacksReachableShards)
-	if unable == r.cannotServe {
+	cannotServe := slices.ContainsFunc(r.fanOuts, r.lacksReachableShards)
+	if cannotServe == r.cannotServe {
 		return
 	}
-	r.cannotServe = unable
-	r.emit(ReachabilityChanged{CanServe: !unable})
+	r.cannotServe = cannotServe
+	r.emit(ReachabilityChanged{CanServe: !cannotServe})
 }
 
 // lacksReachableShards reports whether too few shards of a route can be reached from this node.
