--- a/mechanism/mechanism.go
+++ b/mechanism/mechanism.go
@@ -1,6 +1,6 @@
-// Package mechanism names the mechanisms that a node decides with, so that each can
-// be switched off to measure what it is worth. It is for diagnosis: a node without
-// some of them is worse, and keeps all promises all the same.
+// Package mechanism lists the optional decision mechanisms of a node, so that each can be switched
+// off to measure its effect. This is for diagnosis only: a node with some of them disabled
+// performs worse but keeps all its guarantees.
 package mechanism
 
 import (
@@ -10,46 +10,59 @@
 	"strings"
 )
 
-// Mechanism is one of them.
+// Mechanism identifies a mechanism.
 type Mechanism int
 
-// The mechanisms, by the package that has them.
+// The mechanisms, each with its name on the command line and the package that implements it.
 const (
-	// Hedges: a second server is asked when the first takes long (routing).
+	// Hedging ("hedges") sends a second attempt to another server if the first takes long
+	// (routing).
 	Hedging Mechanism = iota
-	// TimelyHedges: no hedge that can't answer by the aim (routing).
+	// TimelyHedges ("hedges-in-time") omits hedges that are not expected to be answered within the
+	// latency target (routing).
 	TimelyHedges
-	// Slowness: servers are chosen by how slow their answers were (routing).
+	// LatencyRanking ("slowness") prefers servers whose replies were fast (routing).
 	LatencyRanking
-	// Overdue: attempts that have not ended are evidence, too (routing).
+	// OverdueAttempts ("overdue") also counts pending attempts as evidence of slowness (routing).
 	OverdueAttempts
-	// Probes: slow servers are tried again by single requests (routing).
+	// SlowServerProbes ("probes") sends single requests to slow servers to detect recovery
+	// (routing).
 	SlowServerProbes
-	// Unreachable: servers to which no connection opens are set aside (routing).
+	// UnreachableServers ("unreachable") excludes servers to which no connection can be opened
+	// (routing).
 	UnreachableServers
-	// UnreachableZones: a zone from which nothing comes is set aside whole (routing).
+	// UnreachableZones ("dark-zones") excludes all servers of a zone from which no reply arrives
+	// (routing).
 	UnreachableZones
-	// Load: what servers tell of their load counts (routing).
+	// ReportedLoad ("load") takes the load that servers report into account (routing).
 	ReportedLoad
-	// Nearness: servers that are near are preferred (routing).
+	// Locality ("nearness") prefers servers in the same zone or region (routing).
 	Locality
-	// EarlyRejection: what would wait too long is refused at once (routing).
+	// EarlyRejection ("early-refusal") immediately rejects requests that would wait too long
+	// (routing).
 	EarlyRejection
-	// PriorityRejection: less urgent requests are refused as often as urgent ones (routing).
+	// PriorityRejection ("fair-refusal") rejects less urgent requests at least at the rate of more
+	// urgent ones (routing).
 	PriorityRejection
-	// RetryAdmission: callers that tried before are taken while crowding is brief (routing).
+	// RetryAdmission ("last-tries") accepts retries by callers while an overload is brief
+	// (routing).
 	RetryAdmission
-	// RestartConnectionLimit: a fresh incarnation uses half of its connections (routing).
+	// RestartConnectionLimit ("fresh-connections") halves the connections of a restarted node for
+	// a while (routing).
 	RestartConnectionLimit
-	// TableWait: a starting node's first requests wait for the table (gateway).
+	// TableWait ("table-wait") lets the first requests of a starting node wait for the route table
+	// (gateway).
 	TableWait
-	// Capable: callers are sent to the most capable nodes (directory).
+	// CapableNodes ("capable") directs callers to the most capable nodes (directory).
 	CapableNodes
-	// Readers: few nodes read the registry and tell the others (discovery).
+	// RegistryReaders ("readers") lets only a few nodes read the registry, which relay its content
+	// to the others (discovery).
 	RegistryReaders
-	// Doubt: entries that went during an outage are kept for a while (discovery).
+	// OutageRetention ("doubt") keeps entries that disappeared during a registry outage for a
+	// while (discovery).
 	OutageRetention
-	// Quarantine: requests that end the servers that run them are refused (quarantine).
+	// Quarantine ("quarantine") rejects requests that crash the servers that run them
+	// (quarantine).
 	Quarantine
 	mechanismCount
 )
@@ -60,19 +73,19 @@
 	"quarantine",
 }
 
-// String is the mechanism's name.
+// String returns the mechanism's name on the command line.
 func (m Mechanism) String() string { return names[m] }
 
-// Names lists all mechanisms' names.
+// Names returns the names of all mechanisms.
 func Names() []string { return slices.Clone(names[:]) }
 
-// ErrUnknown is wrapped for a name that is no mechanism's.
-var ErrUnknown = errors.New("no such mechanism")
+// ErrUnknown is the error wrapped by Parse for an unknown name.
+var ErrUnknown = errors.New("mechanism: unknown name")
 
-// Disabled is the set of mechanisms that are switched off; the zero value is none.
+// Disabled is a set of mechanisms that are switched off. The zero value is empty.
 type Disabled uint32
 
-// Disable returns the set of the mechanisms given.
+// Disable returns the set of the given mechanisms.
 func Disable(mechanisms ...Mechanism) Disabled {
 	var disabled Disabled
 	for _, m := range mechanisms {
@@ -81,7 +94,8 @@
 	return disabled
 }
 
-// Parse reads names separated by commas; its error names the one that is unknown.
+// Parse parses a comma-separated list of names. For an unknown name, it returns an error that
+// wraps ErrUnknown and contains the name.
 func Parse(text string) (Disabled, error) {
 	var disabled Disabled
 	if text == "" {
@@ -90,12 +104,12 @@
 	for name := range strings.SplitSeq(text, ",") {
 		index := slices.Index(names[:], name)
 		if index < 0 {
-			return 0, fmt.Errorf("%w: %q; there are %s", ErrUnknown, name, strings.Join(names[:], ", "))
+			return 0, fmt.Errorf("%w %q, must be one of %s", ErrUnknown, name, strings.Join(names[:], ", "))
 		}
 		disabled |= 1 << index
 	}
 	return disabled, nil
 }
 
-// Enabled reports whether a mechanism is not switched off.
+// Enabled reports whether the mechanism is not in the set.
 func (d Disabled) Enabled(m Mechanism) bool { return d&(1<<m) == 0 }
--- a/mechanism/mechanism_test.go
+++ b/mechanism/mechanism_test.go
@@ -12,31 +12,31 @@
 func TestParse(t *testing.T) {
 	none, err := mechanism.Parse("")
 	if err != nil || none != 0 {
-		t.Errorf("nothing: %v, %v", none, err)
+		t.Errorf("empty list: Disabled %v, error %v; want neither", none, err)
 	}
 	disabled, err := mechanism.Parse("hedges,doubt")
 	if err != nil || disabled != mechanism.Disable(mechanism.Hedging, mechanism.OutageRetention) {
-		t.Errorf("two: %v, %v", disabled, err)
+		t.Errorf("two names: Disabled %v, error %v", disabled, err)
 	}
 	if disabled.Enabled(mechanism.Hedging) || disabled.Enabled(mechanism.OutageRetention) || !disabled.Enabled(mechanism.SlowServerProbes) {
-		t.Error("the wrong mechanisms are off")
+		t.Error("Enabled does not match the parsed names")
 	}
 	if _, err := mechanism.Parse("hedges,luck"); !errors.Is(err, mechanism.ErrUnknown) || !strings.Contains(err.Error(), `"luck"`) {
-		t.Errorf("an unknown one: %v", err)
+		t.Errorf("unknown name: error %v, want ErrUnknown with the name", err)
 	}
 }
 
-// Every mechanism has a name of its own, by which it can be switched off.
+// Every mechanism must have a unique name by which it can be disabled.
 func TestNamesAreUnique(t *testing.T) {
 	all := mechanism.Names()
 	for i, name := range all {
 		disabled, err := mechanism.Parse(name)
 		if name == "" || err != nil || disabled != mechanism.Disable(mechanism.Mechanism(i)) || mechanism.Mechanism(i).String() != name {
-			t.Errorf("mechanism %d, %q: %v, %v", i, name, disabled, err)
+			t.Errorf("mechanism %d with name %q: Disabled %v, error %v", i, name, disabled, err)
 		}
 	}
 	slices.Sort(all)
 	if len(slices.Compact(all)) != len(mechanism.Names()) {
-		t.Error("a name stands twice")
+		t.Error("names are not unique")
 	}
 }
