--- a/exchange/attempt.go
+++ b/exchange/attempt.go
@@ -22,9 +22,9 @@
 
 	mutex sync.Mutex
 	// mutex guards the fields below.
-	cancelled bool
-	conn      *connection        // that carries it
-	stopDial  context.CancelFunc // while a connection is opened for it
+	cancelled  bool
+	conn       *connection        // that carries it
+	cancelDial context.CancelFunc // while a connection is opened for it
 }
 
 // Cancel ends the attempt: its connection is closed, which tells the server to stop. It
@@ -32,28 +32,28 @@
 func (a *Attempt) Cancel() {
 	a.mutex.Lock()
 	a.cancelled = true
-	conn, stopDial := a.conn, a.stopDial
+	conn, cancelDial := a.conn, a.cancelDial
 	a.mutex.Unlock()
-	if stopDial != nil {
-		stopDial()
+	if cancelDial != nil {
+		cancelDial()
 	}
 	if conn != nil {
 		conn.close()
 	}
 }
 
-// dialing notes how to stop the opening of a connection; nil is none any more. It reports
+// setDialCancel notes how to stop the opening of a connection; nil is none any more. It reports
 // whether the attempt goes on.
-func (a *Attempt) dialing(stop context.CancelFunc) bool {
+func (a *Attempt) setDialCancel(cancel context.CancelFunc) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.stopDial = stop
+	a.cancelDial = cancel
 	return !a.cancelled
 }
 
-// carriedBy notes the connection that carries the attempt; nil is none any more. It
+// setConnection notes the connection that carries the attempt; nil is none any more. It
 // reports whether the attempt goes on.
-func (a *Attempt) carriedBy(conn *connection) bool {
+func (a *Attempt) setConnection(conn *connection) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.conn = conn
--- a/exchange/client.go
+++ b/exchange/client.go
@@ -70,8 +70,8 @@
 	idle []*connection
 	// open counts the connections that are idle, in use or being opened.
 	open int
-	// closed says that the server is gone.
-	closed bool
+	// retired says that the server is gone.
+	retired bool
 }
 
 // NewClient returns a client without connections.
@@ -97,60 +97,60 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotDelivered, err)
 	}
-	if !attempt.carriedBy(conn) {
+	if !attempt.setConnection(conn) {
 		c.release(attempt.Server.Incarnation(), conn, true)
 		return nil, fmt.Errorf("%w: %w", ErrNotDelivered, errCancelled)
 	}
-	conn.bound(deadline)
+	conn.setDeadline(deadline)
 	reply, err := conn.exchange(attempt, c.encode(attempt, time.Until(deadline)), c.options)
-	sound := attempt.carriedBy(nil) && err == nil && conn.reusable
-	if sound {
-		conn.bound(time.Time{})
+	reusable := attempt.setConnection(nil) && err == nil && conn.reusable
+	if reusable {
+		conn.setDeadline(time.Time{})
 	}
-	c.release(attempt.Server.Incarnation(), conn, sound)
+	c.release(attempt.Server.Incarnation(), conn, reusable)
 	return reply, err
 }
 
 // acquire returns an idle connection that is sound, or a new one.
 func (c *Client) acquire(attempt *Attempt, deadline time.Time) (*connection, error) {
 	for {
-		conn := c.takeIdle(attempt.Server.Incarnation())
+		conn := c.popIdleOrReserve(attempt.Server.Incarnation())
 		if conn == nil {
-			return c.openFor(attempt, deadline)
+			return c.dialAttempt(attempt, deadline)
 		}
-		if conn.quiet() {
+		if conn.isUsable() {
 			return conn, nil
 		}
 		c.release(attempt.Server.Incarnation(), conn, false)
 	}
 }
 
-// openFor opens a connection for an attempt, which takeIdle has counted.
-func (c *Client) openFor(attempt *Attempt, deadline time.Time) (*connection, error) {
+// dialAttempt opens a connection for an attempt, which popIdleOrReserve has counted.
+func (c *Client) dialAttempt(attempt *Attempt, deadline time.Time) (*connection, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	if !attempt.dialing(cancel) {
-		c.uncount(attempt.Server.Incarnation())
+	if !attempt.setDialCancel(cancel) {
+		c.unreserve(attempt.Server.Incarnation())
 		return nil, errCancelled
 	}
-	defer attempt.dialing(nil)
-	return c.open(ctx, attempt.Server)
+	defer attempt.setDialCancel(nil)
+	return c.dial(ctx, attempt.Server)
 }
 
-func (c *Client) poolOf(one discovery.Incarnation) *pool {
-	p := c.pools[one]
+func (c *Client) poolFor(incarnation discovery.Incarnation) *pool {
+	p := c.pools[incarnation]
 	if p == nil {
 		p = new(pool)
-		c.pools[one] = p
+		c.pools[incarnation] = p
 	}
 	return p
 }
 
-// takeIdle takes the connection used last; without one it counts one to be opened.
-func (c *Client) takeIdle(one discovery.Incarnation) *connection {
+// popIdleOrReserve takes the connection used last; without one it counts one to be opened.
+func (c *Client) popIdleOrReserve(incarnation discovery.Incarnation) *connection {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	p := c.poolOf(one)
+	p := c.poolFor(incarnation)
 	last := len(p.idle) - 1
 	if last < 0 {
 		p.open++
@@ -162,50 +162,50 @@
 	return conn
 }
 
-// open opens a connection, which takeIdle has counted.
-func (c *Client) open(ctx context.Context, server discovery.Server) (*connection, error) {
+// dial opens a connection, which popIdleOrReserve has counted.
+func (c *Client) dial(ctx context.Context, server discovery.Server) (*connection, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.DialTimeout)
 	defer cancel()
-	opened, err := c.options.Dial(ctx, "tcp", server.Address)
+	conn, err := c.options.Dial(ctx, "tcp", server.Address)
 	if err != nil {
-		c.uncount(server.Incarnation())
+		c.unreserve(server.Incarnation())
 		return nil, err
 	}
-	return newConnection(opened), nil
+	return newConnection(conn), nil
 }
 
-// count counts a connection that is to be opened.
-func (c *Client) count(one discovery.Incarnation) {
+// reserve counts a connection that is to be opened.
+func (c *Client) reserve(incarnation discovery.Incarnation) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.poolOf(one).open++
+	c.poolFor(incarnation).open++
 }
 
-func (c *Client) uncount(one discovery.Incarnation) {
+func (c *Client) unreserve(incarnation discovery.Incarnation) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.uncountLocked(one)
+	c.unreserveLocked(incarnation)
 }
 
-func (c *Client) uncountLocked(one discovery.Incarnation) {
-	p := c.pools[one]
+func (c *Client) unreserveLocked(incarnation discovery.Incarnation) {
+	p := c.pools[incarnation]
 	p.open--
 	if p.open == 0 {
-		delete(c.pools, one)
+		delete(c.pools, incarnation)
 	}
 }
 
 // release gives a connection back, or closes it when it is not sound.
-func (c *Client) release(one discovery.Incarnation, conn *connection, sound bool) {
+func (c *Client) release(incarnation discovery.Incarnation, conn *connection, reusable bool) {
 	c.mutex.Lock()
-	p := c.pools[one]
-	if sound && !p.closed {
+	p := c.pools[incarnation]
+	if reusable && !p.retired {
 		conn.idleSince = time.Now()
 		p.idle = append(p.idle, conn)
 		c.mutex.Unlock()
 		return
 	}
-	c.uncountLocked(one)
+	c.unreserveLocked(incarnation)
 	c.mutex.Unlock()
 	conn.close()
 }
@@ -214,7 +214,7 @@
 // ErrNotDelivered.
 func (c *Client) Warm(ctx context.Context, server discovery.Server) error {
 	c.mutex.Lock()
-	p := c.poolOf(server.Incarnation())
+	p := c.poolFor(server.Incarnation())
 	if p.open > 0 {
 		c.mutex.Unlock()
 		return nil
@@ -226,8 +226,8 @@
 // Open opens one more connection to the server: those that are there may have gone silent.
 // Its error wraps ErrNotDelivered.
 func (c *Client) Open(ctx context.Context, server discovery.Server) error {
-	c.count(server.Incarnation())
-	conn, err := c.open(ctx, server)
+	c.reserve(server.Incarnation())
+	conn, err := c.dial(ctx, server)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrNotDelivered, err)
 	}
@@ -244,37 +244,37 @@
 // PruneIdle closes the idle connections to servers that are not listed, and those
 // of the others that rested too long or were closed by the server. Of those that
 // rest beyond the surplus time it keeps so many to a server.
-func (c *Client) PruneIdle(listed map[discovery.Incarnation]struct{}, resting int) {
-	for _, conn := range c.takeStale(listed, resting) {
+func (c *Client) PruneIdle(listed map[discovery.Incarnation]struct{}, maxIdle int) {
+	for _, conn := range c.removeStale(listed, maxIdle) {
 		conn.close()
 	}
 }
 
-func (c *Client) takeStale(listed map[discovery.Incarnation]struct{}, resting int) []*connection {
+func (c *Client) removeStale(listed map[discovery.Incarnation]struct{}, maxIdle int) []*connection {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
 	var stale []*connection
-	for one, p := range c.pools {
-		_, kept := listed[one]
-		p.closed = !kept
-		keep := p.idle[:0]
-		for place, conn := range p.idle {
-			if surplus := len(p.idle) - place; surplus > resting && now.Sub(conn.idleSince) > c.options.SurplusIdleTimeout {
+	for incarnation, p := range c.pools {
+		_, isListed := listed[incarnation]
+		p.retired = !isListed
+		kept := p.idle[:0]
+		for index, conn := range p.idle {
+			if remaining := len(p.idle) - index; remaining > maxIdle && now.Sub(conn.idleSince) > c.options.SurplusIdleTimeout {
 				stale = append(stale, conn)
 				continue
 			}
-			if kept && now.Sub(conn.idleSince) < min(c.options.IdleTimeout, conn.keepFor) && conn.quiet() {
-				keep = append(keep, conn)
+			if isListed && now.Sub(conn.idleSince) < min(c.options.IdleTimeout, conn.keepAlive) && conn.isUsable() {
+				kept = append(kept, conn)
 				continue
 			}
 			stale = append(stale, conn)
 		}
-		clear(p.idle[len(keep):])
-		p.open -= len(p.idle) - len(keep)
-		p.idle = keep
+		clear(p.idle[len(kept):])
+		p.open -= len(p.idle) - len(kept)
+		p.idle = kept
 		if p.open == 0 {
-			delete(c.pools, one)
+			delete(c.pools, incarnation)
 		}
 	}
 	return stale
@@ -291,7 +291,7 @@
 	return count
 }
 
-// isSurplus reports whether an answer belongs to another request.
-func (h Headers) isSurplus(header http.Header, attemptID string) bool {
+// isStray reports whether an answer belongs to another request.
+func (h Headers) isStray(header http.Header, attemptID string) bool {
 	return attemptID != "" && header.Get(h.AttemptID) != attemptID
 }
--- a/exchange/ended_test.go
+++ b/exchange/crash_check_test.go
@@ -19,17 +19,17 @@
 // Nobody watched that connection, so the server was taken for one that is there. With contents on the
 // lines of lost connections, three plays of a soak showed the same for 45 of 186 attempts on contents
 // under which servers ended.
-func TestServersThatStopListeningAfterTheirConnectionsBreak(t *testing.T) {
-	const listensOn = 5 * time.Millisecond
+func TestCrashedServerListensBriefly(t *testing.T) {
+	const listenTime = 5 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
+		start := time.Now()
 		client := exchange.NewClient(exchange.Options{Headers: testHeaders, Dial: func(context.Context, string, string) (net.Conn, error) {
-			if time.Since(began) >= listensOn {
+			if time.Since(start) >= listenTime {
 				return nil, syscall.ECONNREFUSED
 			}
-			near, far := net.Pipe()
-			time.AfterFunc(listensOn-time.Since(began), func() { _ = far.Close() })
-			return near, nil
+			clientConn, serverConn := net.Pipe()
+			time.AfterFunc(listenTime-time.Since(start), func() { _ = serverConn.Close() })
+			return clientConn, nil
 		}})
 		defer client.PruneIdle(nil, 0)
 		if !client.HasCrashed(discovery.Server{ID: "server-1"}) {
@@ -40,33 +40,33 @@
 
 // What stands in front of a server takes connections and breaks them at once, for a while after the
 // server has gone; one that has too many connections does so for longer, and has not ended.
-func TestConnectionsThatBreakAtOnce(t *testing.T) {
-	for what, test := range map[string]struct {
-		breaksFor time.Duration
-		ended     bool
+func TestConnectionsClosedOnAccept(t *testing.T) {
+	for name, test := range map[string]struct {
+		closesFor time.Duration
+		crashed   bool
 	}{
-		"gone":                  {breaksFor: 8 * time.Millisecond, ended: true},
-		"too many connections":  {breaksFor: time.Minute},
-		"back after one resets": {breaksFor: 0},
+		"gone":                  {closesFor: 8 * time.Millisecond, crashed: true},
+		"too many connections":  {closesFor: time.Minute},
+		"back after one resets": {closesFor: 0},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				began, dials := time.Now(), 0
+				start, dials := time.Now(), 0
 				var server net.Conn
 				client := exchange.NewClient(exchange.Options{Headers: testHeaders, Dial: func(context.Context, string, string) (net.Conn, error) {
 					dials++
-					near, far := net.Pipe()
+					clientConn, serverConn := net.Pipe()
 					switch {
-					case dials == 1 || time.Since(began) < test.breaksFor:
-						_ = far.Close()
-					case test.ended:
+					case dials == 1 || time.Since(start) < test.closesFor:
+						_ = serverConn.Close()
+					case test.crashed:
 						return nil, syscall.ECONNREFUSED
 					}
-					server = far
-					return near, nil
+					server = serverConn
+					return clientConn, nil
 				}})
-				if got := client.HasCrashed(discovery.Server{ID: "server-1"}); got != test.ended || dials > 3 {
-					t.Errorf("ended %v after %d connections, want %v", got, dials, test.ended)
+				if got := client.HasCrashed(discovery.Server{ID: "server-1"}); got != test.crashed || dials > 3 {
+					t.Errorf("ended %v after %d connections, want %v", got, dials, test.crashed)
 				}
 				client.PruneIdle(nil, 0)
 				_ = server.Close()
--- a/exchange/message.go
+++ b/exchange/message.go
@@ -46,7 +46,7 @@
 // encodedHead is the request up to the headers that differ from attempt to attempt.
 func (r *Request) encodedHead() []byte {
 	r.headOnce.Do(func() {
-		buffer := bytes.NewBuffer(make([]byte, 0, encodedHeader))
+		buffer := bytes.NewBuffer(make([]byte, 0, headSizeHint))
 		buffer.WriteString(r.Method)
 		buffer.WriteByte(' ')
 		buffer.WriteString(r.Target)
@@ -69,8 +69,8 @@
 	Body   []byte
 }
 
-// perConnection are the headers that concern one connection only.
-var perConnection = []string{
+// hopByHopHeaders are the headers that concern one connection only.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
@@ -85,7 +85,7 @@
 			}
 		}
 	}
-	for _, name := range perConnection {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
@@ -94,7 +94,7 @@
 // now: a connection may have taken some of it.
 func (c *Client) encode(a *Attempt, remaining time.Duration) []byte {
 	head := a.Request.encodedHead()
-	encoded := make([]byte, 0, len(head)+len(a.Request.Body)+ownHeaders)
+	encoded := make([]byte, 0, len(head)+len(a.Request.Body)+attemptHeadersSizeHint)
 	encoded = append(encoded, head...)
 	encoded = append(encoded, c.options.Headers.Remaining...)
 	encoded = append(encoded, ": "...)
@@ -108,10 +108,10 @@
 }
 
 const (
-	// encodedHeader is the room for the header of most requests.
-	encodedHeader = 512
-	// ownHeaders is the room for the headers that differ from attempt to attempt.
-	ownHeaders = 128
+	// headSizeHint is the room for the header of most requests.
+	headSizeHint = 512
+	// attemptHeadersSizeHint is the room for the headers that differ from attempt to attempt.
+	attemptHeadersSizeHint = 128
 )
 
 func hasBody(method string) bool {
