--- a/exchange/attempt.go
+++ b/exchange/attempt.go
@@ -9,26 +9,26 @@
 	"github.com/banksail/banksail/discovery"
 )
 
-// errCancelled is wrapped in ErrNotDelivered for an attempt that was cancelled before
+// errCancelled is wrapped together with ErrNotDelivered if an attempt was cancelled before
 // anything was sent.
 var errCancelled = errors.New("exchange: cancelled")
 
-// Attempt is one sending of a request to one server. It is used for one Do.
+// Attempt is one delivery of a request to one server. It must not be passed to Do more than once.
 type Attempt struct {
 	Request *Request
 	Server  discovery.Server
-	// Remaining is the time that is left for it when Do is called.
+	// Remaining is the time budget of the attempt, counted from the call of Do.
 	Remaining time.Duration
 
 	mutex sync.Mutex
 	// mutex guards the fields below.
 	cancelled  bool
-	conn       *connection        // that carries it
-	cancelDial context.CancelFunc // while a connection is opened for it
+	conn       *connection        // in use by the attempt; nil before and after
+	cancelDial context.CancelFunc // set while a connection is being dialed
 }
 
-// Cancel ends the attempt: its connection is closed, which tells the server to stop. It
-// may be called at any time, from any goroutine.
+// Cancel aborts the attempt by closing its connection or stopping its dial; the closed
+// connection signals the server to stop. It may be called at any time, from any goroutine.
 func (a *Attempt) Cancel() {
 	a.mutex.Lock()
 	a.cancelled = true
@@ -42,8 +42,8 @@
 	}
 }
 
-// setDialCancel notes how to stop the opening of a connection; nil is none any more. It reports
-// whether the attempt goes on.
+// setDialCancel records the function that cancels the dial in progress, or nil after the dial.
+// It returns false if the attempt has been cancelled.
 func (a *Attempt) setDialCancel(cancel context.CancelFunc) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -51,8 +51,8 @@
 	return !a.cancelled
 }
 
-// setConnection notes the connection that carries the attempt; nil is none any more. It
-// reports whether the attempt goes on.
+// setConnection records the connection in use by the attempt, or nil once the attempt has
+// released it. It returns false if the attempt has been cancelled.
 func (a *Attempt) setConnection(conn *connection) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/exchange/client.go
+++ b/exchange/client.go
@@ -14,36 +14,36 @@
 	"github.com/banksail/banksail/discovery"
 )
 
-// Errors that Do returns, wrapped.
+// Errors returned by Do, wrapped.
 var (
 	// ErrNotDelivered: no byte of the request was written to the server.
 	ErrNotDelivered = errors.New("exchange: not delivered")
-	// ErrOutcomeUnknown: the server may have run the request; no whole answer came.
+	// ErrOutcomeUnknown: the server may have run the request, but no complete reply was received.
 	ErrOutcomeUnknown = errors.New("exchange: outcome unknown")
-	// ErrConnectionLost: the server's end of the connection went before a byte of an answer
-	// came. It is wrapped beside ErrOutcomeUnknown.
+	// ErrConnectionLost: the server closed or reset the connection before the first byte of a
+	// reply. It is wrapped together with ErrOutcomeUnknown.
 	ErrConnectionLost = errors.New("exchange: connection lost")
-	// ErrMalformed: bytes came that are no answer to the request. The server may
-	// have run it.
-	ErrMalformed = errors.New("exchange: malformed answer")
+	// ErrMalformed: the bytes received are not a valid reply to the request. The server may
+	// have run the request.
+	ErrMalformed = errors.New("exchange: malformed reply")
 )
 
-// Options configures a Client. Zero fields get defaults.
+// Options configures a Client. Zero fields are replaced by defaults, except Headers.
 type Options struct {
-	// Headers must be set.
+	// Headers is required.
 	Headers Headers
-	// Dial opens connections; the default is the operating system's TCP.
+	// Dial opens connections; default is TCP through net.Dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// DialTimeout bounds the opening of a connection; default 300 ms.
+	// DialTimeout bounds the time to open a connection; default 300 ms.
 	DialTimeout time.Duration
-	// IdleTimeout closes a connection that carried nothing for so long, unless
-	// the server said less; default 20 s.
+	// IdleTimeout is how long a connection may stay idle before it is closed, unless the
+	// server announced a shorter keep-alive time; default 20 s.
 	IdleTimeout time.Duration
-	// SurplusIdleTimeout is how long a connection rests beside one that was used later;
-	// default 1.5 s. A machine that loses power leaves its connections open at
-	// the servers, which then have fewer for others.
+	// SurplusIdleTimeout is the idle timeout of connections beyond the number per server
+	// that PruneIdle is told to keep; default 1.5 s. A machine that loses power leaves its
+	// connections open at the servers, which reduces the number available to other nodes.
 	SurplusIdleTimeout time.Duration
-	// MaxBodyBytes bounds an answer's body; default 8 MiB.
+	// MaxBodyBytes bounds the body of a reply; default 8 MiB.
 	MaxBodyBytes int64
 }
 
@@ -55,26 +55,26 @@
 	DefaultMaxBodyBytes       = 8 << 20
 )
 
-// Client asks servers. Its methods may be called from several goroutines.
+// Client sends requests to servers. It is safe for concurrent use.
 type Client struct {
 	options Options
 
 	mutex sync.Mutex
-	// mutex guards pools; it is not held while I/O runs. Invariant: all idle
-	// connections to a server's incarnation lie in its one pool.
+	// mutex guards pools and is not held during I/O. Invariant: all idle connections to
+	// one incarnation of a server are in its one pool.
 	pools map[discovery.Incarnation]*pool
 }
 
 // pool holds the connections to one incarnation of a server.
 type pool struct {
 	idle []*connection
-	// open counts the connections that are idle, in use or being opened.
+	// open is the number of connections that are idle, in use or being dialed.
 	open int
-	// retired says that the server is gone.
+	// retired is set when the server is no longer listed: released connections are closed.
 	retired bool
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a client without open connections.
 func NewClient(options Options) *Client {
 	options.DialTimeout = cmp.Or(options.DialTimeout, DefaultDialTimeout)
 	options.IdleTimeout = cmp.Or(options.IdleTimeout, DefaultIdleTimeout)
@@ -86,11 +86,13 @@
 	return &Client{options: options, pools: make(map[discovery.Incarnation]*pool)}
 }
 
-// Do sends the attempt and reads its whole answer, until its time is over or it is
-// cancelled: then the connection is closed, which tells the server to stop. Neither takes
-// a context: with one for each, and the head of a request encoded for each, a fan-out over
-// 129 servers on loopback takes 7,042 allocations and 30.7 µs a part, and 4,075 and 24.6 µs
-// without (BenchmarkFanOut, one processor, mean of five).
+// Do sends the attempt and reads the complete reply. When the attempt's time runs out or it is
+// cancelled, the connection is closed, which signals the server to stop.
+//
+// Deadlines and cancellation do not use a context, and attempts of one request share its encoded
+// head: a fan-out over 129 servers on loopback then needs 4,075 allocations and 24.6 µs per
+// part, against 7,042 and 30.7 µs with a context and an encoded head per attempt
+// (BenchmarkFanOut, one processor, mean of five runs).
 func (c *Client) Do(attempt *Attempt) (*Reply, error) {
 	deadline := time.Now().Add(attempt.Remaining)
 	conn, err := c.acquire(attempt, deadline)
@@ -111,7 +113,7 @@
 	return reply, err
 }
 
-// acquire returns an idle connection that is sound, or a new one.
+// acquire returns a usable idle connection, or dials a new one.
 func (c *Client) acquire(attempt *Attempt, deadline time.Time) (*connection, error) {
 	for {
 		conn := c.popIdleOrReserve(attempt.Server.Incarnation())
@@ -125,7 +127,7 @@
 	}
 }
 
-// dialAttempt opens a connection for an attempt, which popIdleOrReserve has counted.
+// dialAttempt dials a connection for an attempt. popIdleOrReserve has reserved it.
 func (c *Client) dialAttempt(attempt *Attempt, deadline time.Time) (*connection, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
@@ -146,7 +148,8 @@
 	return p
 }
 
-// popIdleOrReserve takes the connection used last; without one it counts one to be opened.
+// popIdleOrReserve removes and returns the most recently used idle connection. If there is none
+// it reserves a connection, which the caller must dial, and returns nil.
 func (c *Client) popIdleOrReserve(incarnation discovery.Incarnation) *connection {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -162,7 +165,7 @@
 	return conn
 }
 
-// dial opens a connection, which popIdleOrReserve has counted.
+// dial opens a reserved connection. On failure it drops the reservation.
 func (c *Client) dial(ctx context.Context, server discovery.Server) (*connection, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.DialTimeout)
 	defer cancel()
@@ -174,7 +177,7 @@
 	return newConnection(conn), nil
 }
 
-// reserve counts a connection that is to be opened.
+// reserve counts a connection that is about to be dialed as open.
 func (c *Client) reserve(incarnation discovery.Incarnation) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -195,7 +198,8 @@
 	}
 }
 
-// release gives a connection back, or closes it when it is not sound.
+// release returns a connection to its pool, or closes it if it is not reusable or the server is
+// no longer listed.
 func (c *Client) release(incarnation discovery.Incarnation, conn *connection, reusable bool) {
 	c.mutex.Lock()
 	p := c.pools[incarnation]
@@ -210,7 +214,7 @@
 	conn.close()
 }
 
-// Warm opens a connection to the server unless there is one. Its error wraps
+// Warm opens a connection to the server unless one is open or being dialed. Its error wraps
 // ErrNotDelivered.
 func (c *Client) Warm(ctx context.Context, server discovery.Server) error {
 	c.mutex.Lock()
@@ -223,8 +227,8 @@
 	return c.Open(ctx, server)
 }
 
-// Open opens one more connection to the server: those that are there may have gone silent.
-// Its error wraps ErrNotDelivered.
+// Open opens an additional connection to the server, because existing ones may no longer get
+// through. Its error wraps ErrNotDelivered.
 func (c *Client) Open(ctx context.Context, server discovery.Server) error {
 	c.reserve(server.Incarnation())
 	conn, err := c.dial(ctx, server)
@@ -235,15 +239,16 @@
 	return nil
 }
 
-// IsRefused reports whether an error of an attempt that was not delivered says that nobody listens
-// at the address: the machine answers so, or ends what was open or being opened.
+// IsRefused reports whether the error of an undelivered attempt shows that no process listens at
+// the address: the machine refuses the connection, or resets it while it is dialed or written to.
 func IsRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// PruneIdle closes the idle connections to servers that are not listed, and those
-// of the others that rested too long or were closed by the server. Of those that
-// rest beyond the surplus time it keeps so many to a server.
+// PruneIdle closes idle connections: all those to servers that are not listed, and to listed
+// servers those that exceeded their idle timeout, were closed by the server or received
+// unexpected bytes. Per server, only the maxIdle most recently used connections may stay idle
+// longer than Options.SurplusIdleTimeout.
 func (c *Client) PruneIdle(listed map[discovery.Incarnation]struct{}, maxIdle int) {
 	for _, conn := range c.removeStale(listed, maxIdle) {
 		conn.close()
@@ -280,7 +285,7 @@
 	return stale
 }
 
-// ConnectionCount counts the connections that are open or being opened.
+// ConnectionCount returns the number of connections that are open or being dialed.
 func (c *Client) ConnectionCount() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -291,7 +296,7 @@
 	return count
 }
 
-// isStray reports whether an answer belongs to another request.
+// isStray reports whether a reply belongs to another attempt.
 func (h Headers) isStray(header http.Header, attemptID string) bool {
 	return attemptID != "" && header.Get(h.AttemptID) != attemptID
 }
--- a/exchange/client_test.go
+++ b/exchange/client_test.go
@@ -20,10 +20,11 @@
 	AttemptID: "Attempt", Remaining: "Remaining", ExpectedServer: "Expected", Stamp: "Stamp", NotExecuted: "Not-Executed", Load: "Load",
 }
 
-// scriptedReply answers the requests of one connection, one after the other.
+// scriptedReply answers one request; it is called for the requests of a connection in order.
 type scriptedReply func(request *http.Request, conn net.Conn)
 
-// dialScript opens connections to a script after the given time; opened counts them.
+// dialScript returns a dial function whose connections are served by reply. Each dial takes
+// dialTime; dials counts them.
 func dialScript(dialTime time.Duration, reply scriptedReply, dials *int) func(context.Context, string, string) (net.Conn, error) {
 	return func(context.Context, string, string) (net.Conn, error) {
 		time.Sleep(dialTime)
@@ -46,7 +47,7 @@
 
 func write(conn net.Conn, text string) { _, _ = conn.Write([]byte(text)) }
 
-// replyTo is a good answer to the attempt.
+// replyTo returns a valid reply to the attempt.
 func replyTo(id string) string {
 	return "HTTP/1.1 200 OK\r\nAttempt: " + id + "\r\nStamp: s\r\nContent-Length: 4\r\n\r\nbody"
 }
@@ -59,8 +60,8 @@
 	}
 }
 
-// A server is told the time that remains when the request leaves, not that
-// which remained before its connection was opened.
+// The remaining time sent to the server is that at the moment of sending: the time spent on the
+// dial is deducted.
 func TestRemainingTimeExcludesDialTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		remaining, dials := "", 0
@@ -72,13 +73,13 @@
 			t.Fatal(err)
 		}
 		if milliseconds, err := strconv.Atoi(remaining); err != nil || milliseconds != 800 {
-			t.Errorf("the server was told that %q ms remain, want 800", remaining)
+			t.Errorf("server received a remaining time of %q ms, want 800", remaining)
 		}
 		client.PruneIdle(nil, 0)
 	})
 }
 
-// One connection carries one request after the other, and nothing is sent twice.
+// One connection carries consecutive requests, and none is sent twice.
 func TestConnectionIsReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dials, requests := 0, 0
@@ -122,15 +123,14 @@
 					t.Errorf("got %v, want %v", err, test.want)
 				}
 				if requests != 1 {
-					t.Errorf("the request was sent %d times", requests)
+					t.Errorf("request was sent %d times, want 1", requests)
 				}
 			})
 		})
 	}
 }
 
-// A late answer to an earlier request is passed over, and its connection is not
-// used again.
+// A late reply to an earlier attempt is skipped, and its connection is not reused.
 func TestStrayReplyIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dials := 0
@@ -149,26 +149,26 @@
 	})
 }
 
-// A server that falls silent costs no more than the time that remained.
+// A server that stops responding is waited for no longer than the attempt's remaining time.
 func TestSilentServerTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dials := 0
 		client := exchange.NewClient(exchange.Options{Headers: testHeaders, Dial: dialScript(0, func(*http.Request, net.Conn) {}, &dials)})
 		start := time.Now()
 		if _, err := client.Do(newAttempt("one", 300*time.Millisecond)); !errors.Is(err, exchange.ErrOutcomeUnknown) {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v, want ErrOutcomeUnknown", err)
 		}
 		if elapsed := time.Since(start); elapsed != 300*time.Millisecond {
-			t.Errorf("it took %s", elapsed)
+			t.Errorf("Do took %s, want 300ms", elapsed)
 		}
 		if client.ConnectionCount() != 0 {
-			t.Errorf("%d connections are left", client.ConnectionCount())
+			t.Errorf("%d connections remain open, want 0", client.ConnectionCount())
 		}
 	})
 }
 
-// A connection that the server ends before a byte of an answer is told from one that is
-// silent, cut off in an answer, or closed by the node itself.
+// ErrConnectionLost is reported only if the server closes the connection before the first byte of
+// a reply; not if it stays silent, closes it within a reply, or the node itself closes it.
 func TestLostConnections(t *testing.T) {
 	cases := map[string]struct {
 		reply  scriptedReply
@@ -194,7 +194,7 @@
 				}
 				_, err := client.Do(attempt)
 				if !errors.Is(err, exchange.ErrOutcomeUnknown) || errors.Is(err, exchange.ErrConnectionLost) != test.lost {
-					t.Errorf("%v, want a lost connection: %v", err, test.lost)
+					t.Errorf("got error %v, want ErrConnectionLost: %v", err, test.lost)
 				}
 				time.Sleep(3 * time.Second)
 			})
@@ -212,7 +212,7 @@
 			return clientConn, nil
 		}})
 		if got := client.HasCrashed(discovery.Server{ID: "server-1"}); got != crashed {
-			t.Errorf("%v: ended %v, want %v", dialErr, got, crashed)
+			t.Errorf("dial error %v: crashed %v, want %v", dialErr, got, crashed)
 		}
 		client.PruneIdle(nil, 0)
 		_, _ = clientConn.Close(), serverConn.Close()
--- a/exchange/connection.go
+++ b/exchange/connection.go
@@ -20,62 +20,63 @@
 )
 
 const (
-	// readBufferSize is the size of a connection's buffer.
+	// readBufferSize is the size of a connection's read buffer, in bytes.
 	readBufferSize = 2 << 10
-	// maxInlineWrite is the size up to which a request is written before its answer
-	// is read; a longer one might block until the server answers.
+	// maxInlineWrite is the largest request, in bytes, that is written in full before the reply
+	// is read. Writing a larger one could block until the server replies.
 	maxInlineWrite = 16 << 10
-	// maxStrayReplies is the number of answers to other requests that are passed over.
+	// maxStrayReplies is the number of replies to other attempts that are skipped.
 	maxStrayReplies = 2
-	// maxInterimResponses bounds the interim answers before a final one.
+	// maxInterimResponses bounds the 1xx responses before a final one.
 	maxInterimResponses = 4
-	// unacknowledgedTimeout is how long a server may leave sent bytes unacknowledged: many round trips
-	// and some lost packets. A connection that has gone silent without a reset, while new
-	// ones work, is shown by nothing else.
+	// unacknowledgedTimeout is how long sent data may remain unacknowledged before the
+	// connection fails; it covers many round trips and several lost packets. Nothing else
+	// detects a connection that goes silent without a reset while new ones work.
 	unacknowledgedTimeout = 600 * time.Millisecond
-	// unlimitedKeepAlive stands for a server that names no time.
+	// unlimitedKeepAlive is used for servers that announce no keep-alive timeout.
 	unlimitedKeepAlive = time.Duration(math.MaxInt64)
-	// keepAliveMargin is how much before the server a connection is closed.
+	// keepAliveMargin is how long before the server's keep-alive timeout a connection is closed.
 	keepAliveMargin = 500 * time.Millisecond
 )
 
-// connection carries one request at a time.
+// connection is an HTTP/1.1 connection to a server. It carries one request at a time.
 type connection struct {
 	conn   net.Conn
 	reader *bufio.Reader
-	// idleSince and keepAlive bound how long it may rest.
+	// idleSince and keepAlive bound how long the connection may stay idle.
 	idleSince time.Time
 	keepAlive time.Duration
-	// reusable says that the last answer left the connection clean.
+	// reusable reports whether the last exchange left the connection in a clean state.
 	reusable  bool
 	closeOnce sync.Once
-	// rawConn is the operating system's side of the connection; nil is none. peeked is what
-	// peek found there last.
+	// rawConn gives access to the socket; nil if the connection has none. nothingReceived is
+	// the result of the last peekFunc.
 	rawConn         syscall.RawConn
 	nothingReceived bool
 	peekFunc        func(descriptor uintptr) bool
-	peekBuffer      [1]byte // of what peek found
-	// parsedFor tells the parser of answers the method that was asked with.
+	peekBuffer      [1]byte // receives the peeked byte
+	// parsedFor carries the request's method to http.ReadResponse, which needs it to tell
+	// whether the reply has a body.
 	parsedFor http.Request
 }
 
 func newConnection(conn net.Conn) *connection {
-	_ = usertimeout.Set(conn, unacknowledgedTimeout) // without it, silence is left to the attempts' deadlines
+	_ = usertimeout.Set(conn, unacknowledgedTimeout) // if it fails, only the attempts' deadlines detect a silent connection
 	c := &connection{conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize), keepAlive: unlimitedKeepAlive}
 	if syscallConn, ok := conn.(syscall.Conn); ok {
-		c.rawConn, _ = syscallConn.SyscallConn() // without it, what comes between answers is seen with the next one
+		c.rawConn, _ = syscallConn.SyscallConn() // if it fails, data received while idle is noticed only with the next reply
 	}
 	c.peekFunc = c.peekDescriptor
 	return c
 }
 
-// setDeadline ends reading and writing at a time; the zero time is none.
-func (c *connection) setDeadline(deadline time.Time) { _ = c.conn.SetDeadline(deadline) } // a closed connection fails anyway
+// setDeadline sets the deadline of reads and writes; the zero time is none.
+func (c *connection) setDeadline(deadline time.Time) { _ = c.conn.SetDeadline(deadline) } // I/O on a closed connection fails anyway
 
 func (c *connection) close() { c.closeOnce.Do(func() { _ = c.conn.Close() }) }
 
-// isUsable reports whether nothing has come on an idle connection: neither an end
-// nor bytes, which would belong to no request.
+// isUsable reports whether an idle connection is still open and has received no bytes, which
+// would not belong to any request.
 func (c *connection) isUsable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -87,14 +88,14 @@
 	return c.rawConn.Read(c.peekFunc) == nil && c.nothingReceived
 }
 
-// peekDescriptor looks whether nothing has come, neither bytes nor an end.
+// peekDescriptor sets nothingReceived if the socket has neither data nor an end of file pending.
 func (c *connection) peekDescriptor(descriptor uintptr) bool {
 	_, _, err := unix.Recvfrom(int(descriptor), c.peekBuffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	c.nothingReceived = err == unix.EAGAIN
 	return true
 }
 
-// exchange writes the request and reads its answer.
+// exchange writes the encoded request and reads the reply to it.
 func (c *connection) exchange(a *Attempt, encoded []byte, options Options) (*Reply, error) {
 	c.reusable = false
 	length, writeDone, err := c.write(encoded)
@@ -102,7 +103,7 @@
 		if length == 0 {
 			return nil, fmt.Errorf("%w: %w", ErrNotDelivered, err)
 		}
-		return nil, fmt.Errorf("%w: writing: %w", ErrOutcomeUnknown, err)
+		return nil, fmt.Errorf("%w: writing request: %w", ErrOutcomeUnknown, err)
 	}
 	reply, keepOpen, err := c.readReply(a, options)
 	if err != nil {
@@ -112,8 +113,9 @@
 	return reply, nil
 }
 
-// writeSucceeded reports whether the whole request was written. Where the answer came before
-// that, the rest of the request would be taken for another one.
+// writeSucceeded reports whether the whole request has been written. If the reply arrives before
+// that, the connection must not be reused: the server would parse the rest of the request as
+// another one.
 func writeSucceeded(done <-chan error) bool {
 	if done == nil {
 		return true
@@ -126,8 +128,8 @@
 	}
 }
 
-// write writes the request, a long one in the background: its end is told on wrote, which
-// is nil for a short one.
+// write writes the request. A request larger than maxInlineWrite is written in the background and
+// its result is sent on done; done is nil for a smaller one.
 func (c *connection) write(encoded []byte) (length int, done <-chan error, err error) {
 	if len(encoded) <= maxInlineWrite {
 		length, err = c.conn.Write(encoded)
@@ -141,7 +143,8 @@
 	return len(encoded), result, nil
 }
 
-// readReply reads answers until the one to the attempt.
+// readReply reads replies until the one to the attempt. keepOpen reports whether the connection
+// may carry another request.
 func (c *connection) readReply(a *Attempt, options Options) (reply *Reply, keepOpen bool, err error) {
 	strays := 0
 	for {
@@ -154,12 +157,12 @@
 		}
 		strays++
 		if !keepOpen || strays > maxStrayReplies {
-			return nil, false, fmt.Errorf("%w: it belongs to another request", ErrMalformed)
+			return nil, false, fmt.Errorf("%w: reply belongs to another attempt", ErrMalformed)
 		}
 	}
 }
 
-// readNextReply reads one whole answer; keep says that another may follow.
+// readNextReply reads one complete reply. keepOpen reports whether another one may follow it.
 func (c *connection) readNextReply(a *Attempt, options Options) (reply *Reply, keepOpen bool, err error) {
 	response, err := c.readHeader(a.Request.Method)
 	if err != nil {
@@ -176,7 +179,7 @@
 	return &Reply{Status: response.StatusCode, Header: header, Body: body}, keepOpen, nil
 }
 
-// readHeader reads the header of the next final answer.
+// readHeader reads the header of the next final response, skipping interim ones.
 func (c *connection) readHeader(method string) (*http.Response, error) {
 	if _, err := c.reader.Peek(1); isDisconnect(err) {
 		return nil, fmt.Errorf("%w: %w: %w", ErrOutcomeUnknown, ErrConnectionLost, err)
@@ -186,19 +189,19 @@
 		response, err := http.ReadResponse(c.reader, &c.parsedFor)
 		switch {
 		case err != nil && isTransportError(err):
-			return nil, fmt.Errorf("%w: reading the answer: %w", ErrOutcomeUnknown, err)
+			return nil, fmt.Errorf("%w: reading reply: %w", ErrOutcomeUnknown, err)
 		case err != nil:
 			return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 		case response.StatusCode >= http.StatusOK:
 			return response, nil
 		case response.StatusCode == http.StatusSwitchingProtocols:
-			return nil, fmt.Errorf("%w: it switches protocols", ErrMalformed)
+			return nil, fmt.Errorf("%w: unexpected protocol switch", ErrMalformed)
 		}
 	}
-	return nil, fmt.Errorf("%w: too many interim answers", ErrMalformed)
+	return nil, fmt.Errorf("%w: too many interim responses", ErrMalformed)
 }
 
-// isDisconnect reports whether the other side ended the connection, by itself or by a reset.
+// isDisconnect reports whether an error shows that the other side closed or reset the connection.
 func isDisconnect(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
@@ -212,27 +215,27 @@
 func readBody(response *http.Response, limit int64) ([]byte, error) {
 	defer func() { _ = response.Body.Close() }()
 	if response.ContentLength > limit {
-		return nil, fmt.Errorf("%w: its body has %d bytes, more than %d", ErrMalformed, response.ContentLength, limit)
+		return nil, fmt.Errorf("%w: body of %d bytes exceeds limit of %d", ErrMalformed, response.ContentLength, limit)
 	}
 	if response.ContentLength >= 0 {
 		body := make([]byte, response.ContentLength)
 		if _, err := io.ReadFull(response.Body, body); err != nil {
-			return nil, fmt.Errorf("%w: reading the body: %w", ErrOutcomeUnknown, err)
+			return nil, fmt.Errorf("%w: reading reply body: %w", ErrOutcomeUnknown, err)
 		}
 		return body, nil
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, limit+1))
 	switch {
 	case err != nil:
-		return nil, fmt.Errorf("%w: reading the body: %w", ErrOutcomeUnknown, err)
+		return nil, fmt.Errorf("%w: reading reply body: %w", ErrOutcomeUnknown, err)
 	case int64(len(body)) > limit:
-		return nil, fmt.Errorf("%w: its body has more than %d bytes", ErrMalformed, limit)
+		return nil, fmt.Errorf("%w: body exceeds limit of %d bytes", ErrMalformed, limit)
 	default:
 		return body, nil
 	}
 }
 
-// updateKeepAlive notes how long the server keeps the connection.
+// updateKeepAlive records the timeout of the server's Keep-Alive header, less keepAliveMargin.
 func (c *connection) updateKeepAlive(header http.Header) {
 	for field := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/exchange/crash_check.go
+++ b/exchange/crash_check.go
@@ -10,43 +10,45 @@
 )
 
 const (
-	// crashDialTimeout bounds the opening of a connection for a look. An address at which nobody
-	// listens answers within a round trip, at most 40 ms between regions.
+	// crashDialTimeout bounds the dial of a crash check. An address without a listener refuses
+	// connections within a round trip, which takes at most 40 ms between regions.
 	crashDialTimeout = 100 * time.Millisecond
-	// listenerCloseDelay is how long the connection of a look is watched: a process that ends breaks
-	// its connections first, and listens on until the last of them are closed.
+	// listenerCloseDelay is how long the connection of a crash check is observed. A process that
+	// terminates closes its connections first, and accepts new ones until the last is closed.
 	listenerCloseDelay = 20 * time.Millisecond
-	// maxCrashDials bounds the connections of one look: a server that has too many resets each.
+	// maxCrashDials bounds the dials of one crash check: a server with too many connections
+	// resets each new one.
 	maxCrashDials = 3
-	// lastDialDelay lies before the last of them: what listens in front of a server may take
-	// connections, and break them, for some milliseconds after the server has gone.
+	// lastDialDelay is the pause before the last dial: a proxy in front of a server may accept
+	// and then close connections for some milliseconds after the server has crashed.
 	lastDialDelay = 10 * time.Millisecond
 )
 
-// CrashCheck finds out whether a server is still there whose connection was lost.
+// CrashCheck determines whether a server that lost a connection has crashed.
 type CrashCheck struct {
 	client *Client
 	server discovery.Server
-	// conn is the connection that tells; nil once it is known how the look ends.
+	// conn is the connection under observation; nil once the result is known.
 	conn    *connection
 	dials   int
 	crashed bool
 }
 
-// StartCrashCheck asks whether somebody listens at a server's address. Its Crashed says so at once where
-// nobody does.
+// StartCrashCheck dials the server's address once. If the dial fails, the check is complete
+// when it returns.
 func (c *Client) StartCrashCheck(server discovery.Server) *CrashCheck {
 	check := &CrashCheck{client: c, server: server}
 	check.dial()
 	return check
 }
 
-// IsComplete reports whether it is known how the look ends: Crashed does not wait then.
+// IsComplete reports whether the result is known, so that Crashed does not block.
 func (c *CrashCheck) IsComplete() bool { return c.conn == nil }
 
-// Crashed reports whether the server has ended: nobody listens at its address, or who did listen
-// went within 20 ms. A connection that stays is kept for the next attempt. A server that says
-// nothing is not known to have ended.
+// Crashed waits for the result and reports whether the server has crashed: no process listens at
+// its address, or the process that accepted a connection closed it within 20 ms and nothing
+// listens any more. A connection that stays open is kept for later attempts. A server that does
+// not respond at all is not considered crashed.
 func (c *CrashCheck) Crashed() bool {
 	for c.conn != nil {
 		closed := c.conn.closesWithin(listenerCloseDelay)
@@ -76,13 +78,13 @@
 	c.conn = conn
 }
 
-// HasCrashed is the end of a look.
+// HasCrashed runs a crash check and waits for its result.
 func (c *Client) HasCrashed(server discovery.Server) bool { return c.StartCrashCheck(server).Crashed() }
 
-// closesWithin reports whether an idle connection ends within a time. Bytes on it, which would
-// belong to no request, are taken for an end.
+// closesWithin reports whether an idle connection is closed by the server within the given time.
+// Received bytes, which would not belong to any request, count as a close.
 func (c *connection) closesWithin(wait time.Duration) bool {
-	_ = c.conn.SetReadDeadline(time.Now().Add(wait)) // a closed connection fails the read
+	_ = c.conn.SetReadDeadline(time.Now().Add(wait)) // on a closed connection the read fails
 	_, err := c.reader.Peek(1)
 	_ = c.conn.SetReadDeadline(time.Time{})
 	return !errors.Is(err, os.ErrDeadlineExceeded)
--- a/exchange/crash_check_test.go
+++ b/exchange/crash_check_test.go
@@ -12,13 +12,12 @@
 	"github.com/banksail/banksail/exchange"
 )
 
-// Eleven servers ended under one request before it was refused, which reached them four times more than
-// five seconds after the third end. Seven of the ends stand as "connection_lost" in the attempts, four
-// as "server_ended": a server that goes breaks its connections first, and one that is asked whether it
-// is still there a moment before its listener closes takes the connection, which breaks then.
-// Nobody watched that connection, so the server was taken for one that is there. With contents on the
-// lines of lost connections, three plays of a soak showed the same for 45 of 186 attempts on contents
-// under which servers ended.
+// A process that crashes closes its connections before its listener, so a crash check dialed in
+// between is accepted and then disconnected. If that connection is not observed, the server counts
+// as running: eleven servers crashed under one request, and seven of those crashes were recorded
+// as "connection_lost" instead of "server_ended"; four times the request reached a server more
+// than five seconds after the third crash. In three soak runs the same held for 45 of 186
+// attempts on fingerprints under which servers crashed.
 func TestCrashedServerListensBriefly(t *testing.T) {
 	const listenTime = 5 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
@@ -33,13 +32,13 @@
 		}})
 		defer client.PruneIdle(nil, 0)
 		if !client.HasCrashed(discovery.Server{ID: "server-1"}) {
-			t.Error("a server that goes is taken for one that lost a connection")
+			t.Error("crashed server was reported as running")
 		}
 	})
 }
 
-// What stands in front of a server takes connections and breaks them at once, for a while after the
-// server has gone; one that has too many connections does so for longer, and has not ended.
+// A proxy in front of a crashed server accepts connections and closes them at once for a short
+// time. A server with too many connections does so for longer, but has not crashed.
 func TestConnectionsClosedOnAccept(t *testing.T) {
 	for name, test := range map[string]struct {
 		closesFor time.Duration
@@ -66,7 +65,7 @@
 					return clientConn, nil
 				}})
 				if got := client.HasCrashed(discovery.Server{ID: "server-1"}); got != test.crashed || dials > 3 {
-					t.Errorf("ended %v after %d connections, want %v", got, dials, test.crashed)
+					t.Errorf("crashed %v after %d dials, want %v", got, dials, test.crashed)
 				}
 				client.PruneIdle(nil, 0)
 				_ = server.Close()
--- a/exchange/doc.go
+++ b/exchange/doc.go
@@ -1,12 +1,11 @@
-// Package exchange carries opaque HTTP/1.1 requests to servers and reads their
-// whole answers.
+// Package exchange sends opaque HTTP/1.1 requests to servers and reads their complete
+// replies.
 //
-// A request is written once: nothing is ever sent again here, on whatever
-// connection. An answer is taken only when it is whole and carries back the
-// attempt ID of the request; bytes after it belong to no request, and the
-// connection that brought them is closed. Methods, targets and bodies reach the
-// server byte for byte.
+// A request is written at most once; the package never retries, on any connection. A reply
+// is accepted only if it is complete and repeats the attempt ID of the request. Bytes after
+// a reply belong to no request, and the connection that delivered them is closed. Methods,
+// targets and bodies reach the server byte for byte.
 //
-// net/http reads answers (http.ReadResponse), but its Transport is not used: it
-// would send a GET again by itself when a kept connection has died.
+// Replies are parsed with net/http (http.ReadResponse), but not through its Transport, which
+// would resend a GET on its own when a kept-alive connection has failed.
 package exchange
--- a/exchange/message.go
+++ b/exchange/message.go
@@ -10,40 +10,40 @@
 	"time"
 )
 
-// Headers names the headers that carry what a node and a server tell each other.
+// Headers holds the names of the headers exchanged between nodes and servers.
 type Headers struct {
-	// AttemptID names the caller's attempt; every answer carries it back.
+	// AttemptID identifies the caller's attempt; every reply repeats it.
 	AttemptID string
-	// Remaining is the number of milliseconds that are left.
+	// Remaining is the time left for the request, in milliseconds.
 	Remaining string
-	// ExpectedServer is the incarnation that alone may run the request.
+	// ExpectedServer is the only server incarnation that may run the request.
 	ExpectedServer string
-	// Stamp is the server's proof of its answer.
+	// Stamp is the server's proof that it produced the reply.
 	Stamp string
-	// NotExecuted is set on answers of servers that did not run the request.
+	// NotExecuted is set on replies of servers that did not run the request.
 	NotExecuted string
-	// Load is the server's account of its work: running, waiting and slots.
+	// Load is the server's load: requests running, requests waiting and slots.
 	Load string
 }
 
-// Request is one caller's request as it goes to servers.
+// Request is a caller's request as it is forwarded to servers.
 type Request struct {
 	Method string
 	// Target is the request target as the caller wrote it.
 	Target string
 	Host   string
-	// Header must not be changed while the request is in flight.
+	// Header must not be modified while the request is in flight.
 	Header http.Header
 	Body   []byte
-	// AttemptID is the caller's; empty when it gave none.
+	// AttemptID is the attempt ID set by the caller; empty if it set none.
 	AttemptID string
 
-	// head is what all attempts have in common, encoded for the first of them.
+	// head is the part that all attempts share; it is encoded once, by the first of them.
 	head     []byte
 	headOnce sync.Once
 }
 
-// encodedHead is the request up to the headers that differ from attempt to attempt.
+// encodedHead returns the encoded request up to the headers that differ between attempts.
 func (r *Request) encodedHead() []byte {
 	r.headOnce.Do(func() {
 		buffer := bytes.NewBuffer(make([]byte, 0, headSizeHint))
@@ -53,7 +53,7 @@
 		buffer.WriteString(" HTTP/1.1\r\nHost: ")
 		buffer.WriteString(r.Host)
 		buffer.WriteString("\r\n")
-		_ = r.Header.Write(buffer) // a buffer takes everything
+		_ = r.Header.Write(buffer) // writes to a buffer do not fail
 		if len(r.Body) > 0 || hasBody(r.Method) {
 			writeHeader(buffer, "Content-Length", strconv.Itoa(len(r.Body)))
 		}
@@ -62,21 +62,21 @@
 	return r.head
 }
 
-// Reply is a server's whole answer.
+// Reply is a server's complete response.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// hopByHopHeaders are the headers that concern one connection only.
+// hopByHopHeaders are headers that apply to a single connection and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// StripHopByHopHeaders removes the headers that concern one connection only, and
-// those that Connection names.
+// StripHopByHopHeaders removes the headers that apply to a single connection, including those
+// listed in Connection.
 func StripHopByHopHeaders(header http.Header) {
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
@@ -90,8 +90,8 @@
 	}
 }
 
-// encode writes the request for one server, which is told how much time remains
-// now: a connection may have taken some of it.
+// encode encodes the request for one server. remaining must be the time left at the moment of
+// sending, as dialing may have used some of the attempt's time.
 func (c *Client) encode(a *Attempt, remaining time.Duration) []byte {
 	head := a.Request.encodedHead()
 	encoded := make([]byte, 0, len(head)+len(a.Request.Body)+attemptHeadersSizeHint)
@@ -108,9 +108,9 @@
 }
 
 const (
-	// headSizeHint is the room for the header of most requests.
+	// headSizeHint is the initial capacity, in bytes, for the encoded head; most requests fit.
 	headSizeHint = 512
-	// attemptHeadersSizeHint is the room for the headers that differ from attempt to attempt.
+	// attemptHeadersSizeHint is the capacity, in bytes, for the headers that differ between attempts.
 	attemptHeadersSizeHint = 128
 )
 
