--- a/cmd/banksail-front/serve.go
+++ b/cmd/banksail-front/serve.go
@@ -80,7 +80,7 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	go platform.WatchSettings(ctx, hangups,
-		func(changed platform.Settings) { d.node.Apply(changed.Front) },
+		func(changed platform.Settings) { d.node.ApplySettings(changed.Front) },
 		func(err error) { d.logger.Error().Err(err).Msg("settings can't be read, the last good ones stay") })
 	return d.node.Run(ctx)
 }
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -69,7 +69,7 @@
 		nodes = filter(nodes, caller.mayReach)
 	}
 	staying := prefer(nodes, func(n discovery.Node) bool { return !n.Leaving })
-	staying = Able(staying)
+	staying = NodesAbleToServe(staying)
 	staying = prefer(staying, func(n discovery.Node) bool { return !n.Suspect })
 	staying = nearServers(staying, presence)
 	near := nearOf(staying, caller)
@@ -146,11 +146,11 @@
 	return n.Region == c.Region || slices.Contains(c.Homes, n.Region)
 }
 
-// Able lists the nodes that can reach the servers, as far as that is known; all where none
+// NodesAbleToServe lists the nodes that can reach the servers, as far as that is known; all where none
 // can. From a zone that is cut off, the nodes of the others look dead, and they are the
 // able ones; but where only one other zone is left and looks dead, that may as well be
 // without power, and both are listed.
-func Able(nodes []discovery.Node) []discovery.Node {
+func NodesAbleToServe(nodes []discovery.Node) []discovery.Node {
 	able := filter(nodes, ableZones(nodes))
 	doubtful := make(map[string]struct{})
 	for _, n := range able {
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -79,10 +79,10 @@
 	for number := range 90 {
 		nodes = append(nodes, node(fmt.Sprintf("n%03d", number), []string{"a", "b", "c"}[number%3], "r"))
 	}
-	if got := directory.Serving(nodes[:20], 20, 0); len(got) != 20 {
+	if got := directory.ServingNodes(nodes[:20], 20, 0); len(got) != 20 {
 		t.Errorf("%d of 20 nodes serve where servers take 20 connections", len(got))
 	}
-	serving := directory.Serving(nodes, 20, 0)
+	serving := directory.ServingNodes(nodes, 20, 0)
 	zones := make(map[string]int)
 	for _, n := range serving {
 		zones[n.Zone]++
@@ -91,22 +91,22 @@
 		t.Errorf("%d nodes serve, by zone %v", len(serving), zones)
 	}
 	for connections, want := range map[int]int{8: 8, 4: 4, 1: 3} {
-		if got := directory.Serving(nodes[:9], connections, 0); len(got) != want {
+		if got := directory.ServingNodes(nodes[:9], connections, 0); len(got) != want {
 			t.Errorf("%d of 9 nodes serve where servers take %d connections, want %d", len(got), connections, want)
 		}
 	}
 	// Nodes that leave hold their connections until they are gone.
 	stopping := slices.Clone(nodes[:9])
-	first := directory.Serving(stopping, 6, 0)[:2]
+	first := directory.ServingNodes(stopping, 6, 0)[:2]
 	for i, n := range stopping {
 		stopping[i].Leaving = slices.Contains(first, n)
 	}
-	if got := directory.Serving(stopping, 6, 0); len(got) != 4 || slices.ContainsFunc(got, func(n discovery.Node) bool { return n.Leaving }) {
+	if got := directory.ServingNodes(stopping, 6, 0); len(got) != 4 || slices.ContainsFunc(got, func(n discovery.Node) bool { return n.Leaving }) {
 		t.Errorf("%d nodes serve beside two that leave, where servers take 6 connections; want 4", len(got))
 	}
 	without := slices.DeleteFunc(slices.Clone(nodes), func(n discovery.Node) bool { return n.ID == serving[0].ID })
 	stay := 0
-	for _, n := range directory.Serving(without, 20, 0) {
+	for _, n := range directory.ServingNodes(without, 20, 0) {
 		if slices.Contains(serving, n) {
 			stay++
 		}
@@ -129,25 +129,25 @@
 	strong := func(serving []discovery.Node) int {
 		return len(slices.DeleteFunc(slices.Clone(serving), func(n discovery.Node) bool { return n.Capacity < 0.5 }))
 	}
-	serving := directory.Serving(nodes, 50, 0)
+	serving := directory.ServingNodes(nodes, 50, 0)
 	if len(serving) != 8 || strong(serving) != 8 {
 		t.Errorf("%d nodes serve, %d of them capable; want the 8 capable ones", len(serving), strong(serving))
 	}
 	without := slices.DeleteFunc(slices.Clone(nodes), func(n discovery.Node) bool { return n.Capacity > 0.5 && n.Zone == "a" })
-	serving = directory.Serving(without, 50, 0)
+	serving = directory.ServingNodes(without, 50, 0)
 	if len(serving) != 8 || strong(serving) != 6 {
 		t.Errorf("a zone lost its capable nodes: %d serve, %d of them capable; want 8 and 6", len(serving), strong(serving))
 	}
 	busy := slices.Clone(nodes)
 	busy[30].Busy = true
-	if serving = directory.Serving(busy, 50, 0); len(serving) != 8 {
+	if serving = directory.ServingNodes(busy, 50, 0); len(serving) != 8 {
 		t.Errorf("a node that does not serve is busy, and %d serve", len(serving))
 	}
 	busy[3].Busy = true
-	if serving = directory.Serving(busy, 50, 0); len(serving) != 40 {
+	if serving = directory.ServingNodes(busy, 50, 0); len(serving) != 40 {
 		t.Errorf("a capable node is busy, and %d of 40 serve", len(serving))
 	}
-	if serving = directory.Serving(busy, 20, 0); len(serving) != 20 || strong(serving) != 8 {
+	if serving = directory.ServingNodes(busy, 20, 0); len(serving) != 20 || strong(serving) != 8 {
 		t.Errorf("a capable node is busy: %d nodes serve servers that take 20 connections, %d of them capable", len(serving), strong(serving))
 	}
 }
--- a/directory/serving.go
+++ b/directory/serving.go
@@ -21,14 +21,14 @@
 	capableShare = 0.5
 )
 
-// Serving returns the nodes to which callers are sent: the capable ones and at
+// ServingNodes returns the nodes to which callers are sent: the capable ones and at
 // least two of each zone, as long as none of them is busy, and all otherwise.
 // They are never more than can hold connections to every server, and are spread
 // over the zones. Connections is the least number that a server takes from all
 // nodes together. All nodes that see the same members choose the same, and one
 // that comes or goes changes few others' part. Off names the mechanisms that are
 // switched off.
-func Serving(nodes []discovery.Node, connections int, off mechanism.Disabled) []discovery.Node {
+func ServingNodes(nodes []discovery.Node, connections int, off mechanism.Disabled) []discovery.Node {
 	staying := filter(nodes, func(n discovery.Node) bool { return !n.Leaving })
 	if len(staying) == 0 {
 		return nodes
--- a/front/addresses.go
+++ b/front/addresses.go
@@ -69,7 +69,7 @@
 	self := f.self
 	self.Unable = true
 	others := slices.DeleteFunc(slices.Clone(*serving), func(n discovery.Node) bool { return n.Leaving || f.isSelf(n) })
-	return !slices.ContainsFunc(directory.Able(append(others, self)), f.isSelf)
+	return !slices.ContainsFunc(directory.NodesAbleToServe(append(others, self)), f.isSelf)
 }
 
 // Resolve implements directory.Resolver. The node itself counts as live as long as it
@@ -100,6 +100,6 @@
 	caller.Homes = f.gateway.Homes(host)
 	return directory.Answer{
 		Addresses:  directory.Addresses(kept, presence, caller, most),
-		TimeToLive: min(directoryTTL, f.options.Settings.LongestTTL),
+		TimeToLive: min(directoryTTL, f.options.Settings.MaxDirectoryTTL),
 	}
 }
--- a/front/node.go
+++ b/front/node.go
@@ -167,7 +167,7 @@
 		registry = options.Registry
 	}
 	f.meter = traffic.NewMeter(registry)
-	f.grace.Store(int64(settings.Grace))
+	f.grace.Store(int64(settings.GracePeriod))
 	f.quarantines = newQuarantines(f, options.Quarantines, registry)
 	f.gateway = gateway.New(gateway.Options{
 		Findings: f.quarantines,
@@ -243,7 +243,7 @@
 		Registrar:  options.Registrar,
 		Node:       entry,
 		Logger:     options.Logger,
-		TimeToLive: max(discovery.DefaultTimeToLive, settings.LeastLease),
+		TimeToLive: max(discovery.DefaultTimeToLive, settings.MinLeaseTTL),
 	})
 	return f, nil
 }
@@ -282,17 +282,17 @@
 	return slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return address == self })
 }
 
-// Apply takes settings that were changed while the node runs: the grace of a
+// ApplySettings takes settings that were changed while the node runs: the grace of a
 // stop, the budget of extra sends, and the regions of zones. What names the node
 // and its listeners counts at the next start only.
-func (f *Front) Apply(settings Settings) {
-	f.grace.Store(int64(settings.Grace))
+func (f *Front) ApplySettings(settings Settings) {
+	f.grace.Store(int64(settings.GracePeriod))
 	f.gateway.ApplySettings(routing.SettingsChanged{
 		Budget:  extrabudget.Options{Ratio: settings.BudgetRatio, Fixed: settings.BudgetFixed},
 		Cold:    coldOptions(settings),
 		Regions: settings.Regions,
 	})
-	f.options.Logger.Info().Dur("grace_ms", settings.Grace).Float64("budget_ratio", settings.BudgetRatio).
+	f.options.Logger.Info().Dur("grace_ms", settings.GracePeriod).Float64("budget_ratio", settings.BudgetRatio).
 		Float64("budget_fixed", settings.BudgetFixed).Msg("settings applied")
 }
 
--- a/front/node_test.go
+++ b/front/node_test.go
@@ -62,8 +62,8 @@
 	return Settings{
 		Node: "node-" + ip, Zone: "a", Region: "r", Regions: map[string]string{"a": "r", "b": "r", "c": "r"}, FirstStart: true,
 		Callers: ip + ":1", Readiness: ip + ":2", Directory: ip + ":3", Gossip: ip + ":4",
-		Grace: 6 * time.Second, DrainBound: 3 * time.Second, ApplyBound: 3 * time.Second,
-		BudgetRatio: 0.2, BudgetFixed: 50, BudgetWindow: 10 * time.Second, ReadsPerSecond: 1000, LongestTTL: 4 * time.Second,
+		GracePeriod: 6 * time.Second, DrainBound: 3 * time.Second, ApplyBound: 3 * time.Second,
+		BudgetRatio: 0.2, BudgetFixed: 50, BudgetWindow: 10 * time.Second, ReadsPerSecond: 1000, MaxDirectoryTTL: 4 * time.Second,
 	}
 }
 
--- a/front/nodes.go
+++ b/front/nodes.go
@@ -62,7 +62,7 @@
 	if isolated {
 		nodes = f.despiteSilence(nodes)
 	}
-	serving := directory.Serving(nodes, int(f.connections.Load()), f.options.Disabled)
+	serving := directory.ServingNodes(nodes, int(f.connections.Load()), f.options.Disabled)
 	f.serving.Store(&serving)
 	f.lookAtOthers(serving)
 	f.liveCount.Store(int64(len(nodes)))
--- a/front/settings.go
+++ b/front/settings.go
@@ -28,8 +28,8 @@
 	// Seeds are addresses of other nodes as Peer is, and GossipSeeds as Gossip is; they
 	// may be stale or down.
 	Seeds, GossipSeeds []string
-	// Grace is the time between the request to stop and the end.
-	Grace time.Duration
+	// GracePeriod is the time between the request to stop and the end.
+	GracePeriod time.Duration
 	// DrainBound is the time after which a leaving server gets no new request,
 	// and ApplyBound that after which a table is in force.
 	DrainBound, ApplyBound time.Duration
@@ -48,8 +48,8 @@
 	BudgetWindow             time.Duration
 	// ReadsPerSecond is what all nodes together may ask the registry.
 	ReadsPerSecond float64
-	// LongestTTL is the longest time for which an answer of the directory counts.
-	LongestTTL time.Duration
-	// LeastLease is the shortest lease of the registry.
-	LeastLease time.Duration
+	// MaxDirectoryTTL is the longest time for which an answer of the directory counts.
+	MaxDirectoryTTL time.Duration
+	// MinLeaseTTL is the shortest lease of the registry.
+	MinLeaseTTL time.Duration
 }
