--- a/discovery/apply.go
+++ b/discovery/apply.go
@@ -8,8 +8,8 @@
 	for _, e := range entries {
 		ids[e.ID] = struct{}{}
 	}
-	for _, one := range invalid {
-		ids[one.Name] = struct{}{}
+	for _, entry := range invalid {
+		ids[entry.Name] = struct{}{}
 	}
 	return ids
 }
--- a/discovery/epoch_test.go
+++ b/discovery/epoch_test.go
@@ -114,11 +114,11 @@
 func TestNodesIgnorePublicationsOfEarlierEpochs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := startCluster(t, 5)
-		const alone = 4
+		const isolated = 4
 		backup := w.registry.copy()
 		w.registry.putServer(discovery.Server{ID: "lost", Service: "x"}, false)
 		time.Sleep(3 * time.Second)
-		w.sources[alone].rejection.Store(int32(rejectsImmediately))
+		w.sources[isolated].rejection.Store(int32(rejectsImmediately))
 		w.network.setIsolated("node-04", true)
 		w.registry.setDown(true)
 		time.Sleep(3 * time.Second)
@@ -126,12 +126,12 @@
 		w.registry.putServer(discovery.Server{ID: "new", Service: "x"}, false)
 		w.registry.setDown(false)
 		time.Sleep(6 * time.Second)
-		if !w.knowsServer(alone, "lost") || w.knowsServer(alone, "new") {
+		if !w.knowsServer(isolated, "lost") || w.knowsServer(isolated, "new") {
 			t.Error("the isolated node changed its view")
 		}
-		ahead := w.network.followers["node-00"]
-		publication, _ := ahead.Publish(discovery.PublicationRequest{})
-		if got, ok := ahead.Publish(discovery.PublicationRequest{Known: publication.Cursor, Position: epochPosition(0, 1)}); !ok || got.Since != 0 {
+		newer := w.network.followers["node-00"]
+		publication, _ := newer.Publish(discovery.PublicationRequest{})
+		if got, ok := newer.Publish(discovery.PublicationRequest{Known: publication.Cursor, Position: epochPosition(0, 1)}); !ok || got.Since != 0 {
 			t.Errorf("a node in the earlier epoch gets changes since %d (%t), want the complete state", got.Since, ok)
 		}
 		if _, ok := w.network.followers["node-04"].Publish(discovery.PublicationRequest{Position: publication.Position}); ok {
--- a/discovery/fetch.go
+++ b/discovery/fetch.go
@@ -44,7 +44,7 @@
 // orderedReaders returns the readers to fetch from, the last successful one first: another one
 // would have to send its complete state.
 func (f *Follower) orderedReaders() []Node {
-	readers := readersToAsk(f.options.NodeID, f.reliableNodes())
+	readers := readersToFetchFrom(f.options.NodeID, f.reliableNodes())
 	moveToFront(readers, f.lastPublisher)
 	return readers
 }
--- a/discovery/follower.go
+++ b/discovery/follower.go
@@ -34,8 +34,8 @@
 	PollInterval time.Duration
 	// LapseTime is how long an owner may fail to renew its entry before it expires; zero is
 	// unknown. After that long without contact the registry may itself have been unavailable,
-	// so entries removed in the meantime are retained. Default: twice PollInterval, which is
-	// also the maximum.
+	// so entries removed in the meantime are retained. The limit for this is never more than
+	// twice PollInterval, which is also its default.
 	LapseTime time.Duration
 	// ReadsPerSecond is the total read rate of all nodes together; default 1,000.
 	ReadsPerSecond float64
@@ -58,7 +58,7 @@
 	Seed   uint64
 	Self   string
 	NodeID string
-	// Nodes returns the live nodes, including this one; the default are the nodes of the
+	// Nodes returns the live nodes, including this one; by default those of the
 	// registry.
 	Nodes func() []Node
 	// Fetcher fetches publications from the readers of the registry; if it is nil, each node
@@ -96,9 +96,9 @@
 }
 
 // equal reports whether two states are the same as far as other nodes are concerned.
-func (n ClusterState) equal(other ClusterState) bool {
-	return n.Table == other.Table && slices.Equal(n.Nodes, other.Nodes) && slices.EqualFunc(n.Directives, other.Directives, sameDirective) &&
-		slices.EqualFunc(n.Servers, other.Servers, sameForPeers)
+func (s ClusterState) equal(other ClusterState) bool {
+	return s.Table == other.Table && slices.Equal(s.Nodes, other.Nodes) && slices.EqualFunc(s.Directives, other.Directives, sameDirective) &&
+		slices.EqualFunc(s.Servers, other.Servers, sameForPeers)
 }
 
 // Default values of FollowerOptions.
--- a/discovery/network_test.go
+++ b/discovery/network_test.go
@@ -45,13 +45,13 @@
 
 func (n *network) Fetch(ctx context.Context, address string, request discovery.PublicationRequest) (discovery.Publication, error) {
 	n.mutex.Lock()
-	asked, silent := n.followers[address], n.silent[address]
+	publisher, silent := n.followers[address], n.silent[address]
 	n.mutex.Unlock()
-	if asked == nil || silent {
+	if publisher == nil || silent {
 		<-ctx.Done()
 		return discovery.Publication{}, ctx.Err()
 	}
-	publication, ok := asked.Publish(request)
+	publication, ok := publisher.Publish(request)
 	if !ok {
 		return discovery.Publication{}, discovery.ErrUnavailable
 	}
--- a/discovery/publication.go
+++ b/discovery/publication.go
@@ -84,9 +84,9 @@
 	Fetch(ctx context.Context, address string, request PublicationRequest) (Publication, error)
 }
 
-// nodesPerReader is the number of nodes that one reader of the registry serves. Each of them
-// fetches every 1.6 s at most intervals, which costs 0.1 ms of the reader's CPU time; each
-// reader costs one call to the registry per change.
+// nodesPerReader is the number of nodes that one reader of the registry serves. With most settings
+// of PollInterval each of them fetches every 1.6 s, which costs 0.1 ms of the reader's CPU time;
+// each reader costs one call to the registry per change.
 const nodesPerReader = 200
 
 // hashOf returns a hash that gives nodes the same order everywhere.
@@ -117,10 +117,10 @@
 	return ranked[:min(len(ranked), limit)]
 }
 
-// readersToAsk returns the readers that a node fetches from, in order of preference; none when
+// readersToFetchFrom returns the readers that a node fetches from, in order of preference; none when
 // it reads the registry itself. The last reader is a reserve, which fetches as the other nodes
 // do and reads the registry when it finds no active reader.
-func readersToAsk(self string, nodes []Node) []Node {
+func readersToFetchFrom(self string, nodes []Node) []Node {
 	readers := selectReaders(nodes)
 	active := readers[:max(len(readers)-1, 0)]
 	if len(readers) == 1 {
@@ -131,12 +131,12 @@
 			return nil
 		}
 	}
-	asked := slices.Clone(active)
-	slices.SortFunc(asked, func(a, b Node) int { return cmp.Compare(hashOf(self, a.ID), hashOf(self, b.ID)) })
-	if len(asked) == 1 && len(readers) == 2 && readers[1].ID != self {
-		asked = append(asked, readers[1])
+	preferred := slices.Clone(active)
+	slices.SortFunc(preferred, func(a, b Node) int { return cmp.Compare(hashOf(self, a.ID), hashOf(self, b.ID)) })
+	if len(preferred) == 1 && len(readers) == 2 && readers[1].ID != self {
+		preferred = append(preferred, readers[1])
 	}
-	return asked[:min(len(asked), maxReadersTried)]
+	return preferred[:min(len(preferred), maxReadersTried)]
 }
 
 // Publish returns the follower's state for another node's PublicationFetcher. ok is false while
@@ -200,16 +200,16 @@
 }
 
 // lookupServers returns the current values of changed servers, and the IDs of those that are gone.
-func (n ClusterState) lookupServers(changed generationChanges) (servers []Server, gone []string) {
-	return lookup(n.Servers, Server.key, changed.servers, changed.goneServers)
+func (s ClusterState) lookupServers(changed generationChanges) (servers []Server, gone []string) {
+	return lookup(s.Servers, Server.key, changed.servers, changed.goneServers)
 }
 
-func (n ClusterState) lookupNodes(changed generationChanges) (nodes []Node, gone []string) {
-	return lookup(n.Nodes, Node.key, changed.nodes, changed.goneNodes)
+func (s ClusterState) lookupNodes(changed generationChanges) (nodes []Node, gone []string) {
+	return lookup(s.Nodes, Node.key, changed.nodes, changed.goneNodes)
 }
 
-func (n ClusterState) lookupDirectives(changed generationChanges) (directives []Directive, gone []string) {
-	return lookup(n.Directives, Directive.Key, changed.directives, changed.goneDirectives)
+func (s ClusterState) lookupDirectives(changed generationChanges) (directives []Directive, gone []string) {
+	return lookup(s.Directives, Directive.Key, changed.directives, changed.goneDirectives)
 }
 
 func lookup[T any](all []T, key func(T) string, changed, removed []string) (found []T, gone []string) {
--- a/discovery/retention_test.go
+++ b/discovery/retention_test.go
@@ -55,18 +55,18 @@
 			w.registry.putServer(discovery.Server{ID: fmt.Sprintf("s%d", number), Service: "x"}, false)
 		}
 		time.Sleep(6 * time.Second)
-		const alone = 4
-		w.sources[alone].rejection.Store(int32(rejectsImmediately))
+		const isolated = 4
+		w.sources[isolated].rejection.Store(int32(rejectsImmediately))
 		w.network.setIsolated("node-04", true)
 		time.Sleep(6 * time.Second)
 		w.registry.putServer(discovery.Server{ID: "s1"}, true)
 		time.Sleep(2 * time.Second)
 		w.network.setIsolated("node-04", false)
 		time.Sleep(1500 * time.Millisecond) // less than the grace period
-		if w.knowsServer(alone, "s1") {
+		if w.knowsServer(isolated, "s1") {
 			t.Error("the node retains an entry that others saw removed")
 		}
-		if !w.knowsServer(alone, "s0") || !w.knowsServer(alone, "s2") {
+		if !w.knowsServer(isolated, "s0") || !w.knowsServer(isolated, "s2") {
 			t.Error("the node dropped registered servers")
 		}
 		w.stop()
--- a/discovery/turn.go
+++ b/discovery/turn.go
@@ -13,8 +13,8 @@
 	// more nodes than that while it serves others.
 	earlyReaders = 20
 	// earlyReaderShare is the share of PollInterval within which all early readers have tried.
-	// It is what remains of the staleness bound after a reader's view has become stale, two
-	// readers have timed out, and the read itself.
+	// It is what remains of the staleness bound after the time for a reader's view to become
+	// stale, for two readers to time out, and for the read itself.
 	earlyReaderShare = 0.15
 	// laterReaderStep is the delay between two nodes after the early readers.
 	laterReaderStep = 100 * time.Millisecond
