--- a/routing/admission.go
+++ b/routing/admission.go
@@ -115,8 +115,8 @@
 // expectedQueueWait returns the expected queueing time of a part with the given priority.
 func (r *Router) expectedQueueWait(s *service, priority int, median time.Duration) time.Duration {
 	ahead := 0
-	for _, w := range s.queue.All() {
-		if !w.isLate && w.priority <= priority && !w.request.finished && w.segment.IsWaiting() {
+	for _, queued := range s.queue.All() {
+		if !queued.isLate && queued.priority <= priority && !queued.request.finished && queued.segment.IsWaiting() {
 			ahead++
 		}
 	}
--- a/routing/rollouts.go
+++ b/routing/rollouts.go
@@ -184,9 +184,9 @@
 }
 
 // RolloutReports returns this node's reports on active roll-outs: the evidence that it collected
-// and whether it has moved its traffic. The owner adds the node's identity. hurried asks to report
-// more frequently to the deciders.
-func (r *Router) RolloutReports() (reports []rollout.Report, hurried bool) {
+// and whether it has moved its traffic. The owner adds the node's identity. needsFrequentReports
+// asks the owner to report more often to the deciders.
+func (r *Router) RolloutReports() (reports []rollout.Report, needsFrequentReports bool) {
 	for name, s := range r.services {
 		if s.canary == nil || !s.canary.Active() {
 			continue
@@ -198,11 +198,11 @@
 		if len(report.Target)+len(report.Before) == 0 && !s.canary.NeedsFrequentReports(r.now) {
 			continue
 		}
-		hurried = hurried || s.canary.NeedsFrequentReports(r.now)
+		needsFrequentReports = needsFrequentReports || s.canary.NeedsFrequentReports(r.now)
 		reports = append(reports, report)
 	}
 	slices.SortFunc(reports, func(a, b rollout.Report) int { return cmp.Compare(a.Service, b.Service) })
-	return reports, hurried
+	return reports, needsFrequentReports
 }
 
 // remainingAttempts counts attempts in flight at servers of blocked versions whose replies are
--- a/routing/rollouts_test.go
+++ b/routing/rollouts_test.go
@@ -157,9 +157,9 @@
 	h.advance(2 * time.Second)
 	h.submit(single("ledger", true))
 	remaining := func() int {
-		reports, hurried := h.router.RolloutReports()
-		if len(reports) != 1 || !reports[0].Moved || !hurried {
-			t.Fatalf("reports %+v, hurried %t", reports, hurried)
+		reports, frequent := h.router.RolloutReports()
+		if len(reports) != 1 || !reports[0].Moved || !frequent {
+			t.Fatalf("reports %+v, frequent %t", reports, frequent)
 		}
 		return reports[0].Remaining
 	}
--- a/routing/router.go
+++ b/routing/router.go
@@ -59,8 +59,10 @@
 	unconfirmedCrashes map[gather.AttemptID]*attempt // failed with gather.CrashUnconfirmed
 	lastAttempt        gather.AttemptID
 	sequence           uint64
-	dispatching        *service
-	requeued           []queuedSegment
+	// dispatching is the service whose queue is being dispatched, and requeued collects segments
+	// that are queued for it meanwhile.
+	dispatching *service
+	requeued    []queuedSegment
 
 	timers  *priority.Queue[timer]
 	timerAt time.Duration
--- a/routing/service.go
+++ b/routing/service.go
@@ -47,22 +47,22 @@
 
 // less orders segments by whether they can still meet the latency target, then by priority, then
 // by age.
-func (w queuedSegment) less(other queuedSegment) bool {
-	if w.isLate != other.isLate {
+func (qs queuedSegment) less(other queuedSegment) bool {
+	if qs.isLate != other.isLate {
 		return other.isLate
 	}
-	return cmp.Or(cmp.Compare(w.priority, other.priority), cmp.Compare(w.sequence, other.sequence)) < 0
+	return cmp.Or(cmp.Compare(qs.priority, other.priority), cmp.Compare(qs.sequence, other.sequence)) < 0
 }
 
 // enqueue queues a segment until a server has free capacity.
 func (r *Router) enqueue(s *service, segment *gather.Segment, q *request) {
 	r.sequence++
-	w := queuedSegment{isLate: q.isLate(), priority: q.asked.Route.Priority, sequence: r.sequence, segment: segment, request: q}
+	qs := queuedSegment{isLate: q.isLate(), priority: q.asked.Route.Priority, sequence: r.sequence, segment: segment, request: q}
 	if r.dispatching == s {
-		r.requeued = append(r.requeued, w)
+		r.requeued = append(r.requeued, qs)
 		return
 	}
-	s.queue.Push(w)
+	s.queue.Push(qs)
 }
 
 // scheduleDispatch schedules a retry of queued segments for when a server may have capacity again,
@@ -81,20 +81,20 @@
 	}
 	r.dispatching = s
 	for s.queue.Len() > 0 && len(r.requeued) == 0 {
-		first := s.queue.Pop()
-		if first.request.finished || !first.segment.IsWaiting() {
+		next := s.queue.Pop()
+		if next.request.finished || !next.segment.IsWaiting() {
 			continue
 		}
-		if !first.isLate && first.request.isLate() {
-			first.isLate = true
-			s.queue.Push(first)
+		if !next.isLate && next.request.isLate() {
+			next.isLate = true
+			s.queue.Push(next)
 			continue
 		}
-		first.request.query.ResumeSegment(r.now, first.segment)
-		r.schedule(first.request)
+		next.request.query.ResumeSegment(r.now, next.segment)
+		r.schedule(next.request)
 	}
-	for _, w := range r.requeued {
-		s.queue.Push(w)
+	for _, qs := range r.requeued {
+		s.queue.Push(qs)
 	}
 	clear(r.requeued)
 	r.requeued = r.requeued[:0]
@@ -107,11 +107,11 @@
 
 // extraSendAllowed reports whether the budget allows one more extra send to the service.
 func (r *Router) extraSendAllowed(s *service, kind gather.SendKind) bool {
-	left, most := s.budget.Remaining(r.now, r.options.Budget, r.fixedBudgetShare())
+	remaining, limit := s.budget.Remaining(r.now, r.options.Budget, r.fixedBudgetShare())
 	if kind == gather.HedgeSend {
-		left -= most * retryReserve
+		remaining -= limit * retryReserve
 	}
-	return left >= 1
+	return remaining >= 1
 }
 
 func (r *Router) countSend(s *service, q *request, part int) (extra bool) {
