--- a/backend/bound_test.go
+++ b/backend/bound_test.go
@@ -17,8 +17,8 @@
 	bound := &atomic.Int64{}
 	bound.Store(start)
 	options := backend.ClientOptions{
-		SparesPerServer:      -1,
-		ConnectionsPerServer: func(string) int { return int(bound.Load()) },
+		SpareConnectionsPerServer: -1,
+		ConnectionLimit:           func(string) int { return int(bound.Load()) },
 	}
 	return options, bound
 }
@@ -85,7 +85,7 @@
 	options, _ := changingBound(4)
 	inBubble(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
 		before := startMany(t, client, 6)
-		client.Forget("10.0.0.1:1")
+		client.CloseServerConnections("10.0.0.1:1")
 		after := startMany(t, client, 6)
 		before.Wait()
 		after.Wait()
@@ -101,7 +101,7 @@
 		start := time.Now()
 		started := startMany(t, client, 4)
 		bound.Store(4)
-		client.UpdateBound("10.0.0.1:1")
+		client.UpdateConnectionLimit("10.0.0.1:1")
 		started.Wait()
 		if took := time.Since(start); took != 13*time.Millisecond {
 			t.Errorf("four queries took %v, want 2 ms until the change, one dial and one service time", took)
@@ -111,11 +111,11 @@
 
 func TestASmallerBoundClosesIdleConnectionsAndSparesWithoutARequest(t *testing.T) {
 	bound := 8
-	options := backend.ClientOptions{ConnectionsPerServer: func(string) int { return bound }}
+	options := backend.ClientOptions{ConnectionLimit: func(string) int { return bound }}
 	inBubble(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
 		queryMany(t, client, 8)
 		bound = 2
-		client.UpdateBound("10.0.0.1:1")
+		client.UpdateConnectionLimit("10.0.0.1:1")
 		if open, _, _ := network.counts(); open != 2 {
 			t.Errorf("%d connections are open, want 2", open)
 		}
--- a/backend/client.go
+++ b/backend/client.go
@@ -30,24 +30,24 @@
 
 // Defaults of ClientOptions.
 const (
-	DefaultConnectionsPerServer = 8
-	DefaultSparesPerServer      = 2
-	DefaultDialTimeout          = 2 * time.Second
-	DefaultIdleTimeout          = 30 * time.Second
+	DefaultConnectionLimit           = 8
+	DefaultSpareConnectionsPerServer = 2
+	DefaultDialTimeout               = 2 * time.Second
+	DefaultIdleTimeout               = 30 * time.Second
 )
 
 // ClientOptions configures a Client. Zero fields get defaults.
 type ClientOptions struct {
 	// Dial opens connections; the default is the operating system's TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// ConnectionsPerServer bounds the open connections to the server at the
+	// ConnectionLimit bounds the open connections to the server at the
 	// address; less than 1 counts as 1. It is asked at each request and by
-	// UpdateBound. When it falls, connections above the bound close as soon as
+	// UpdateConnectionLimit. When it falls, connections above the bound close as soon as
 	// they carry no request; until then no others open.
-	ConnectionsPerServer func(address string) int
-	// SparesPerServer is the number of connections kept open before they are
+	ConnectionLimit func(address string) int
+	// SpareConnectionsPerServer is the number of connections kept open before they are
 	// needed, at most a quarter of the bound; a negative one means none.
-	SparesPerServer int
+	SpareConnectionsPerServer int
 	// DialTimeout bounds the opening of a connection.
 	DialTimeout time.Duration
 	// IdleTimeout closes a connection that carried no request for so long.
@@ -70,10 +70,10 @@
 	if options.Dial == nil {
 		options.Dial = (&net.Dialer{}).DialContext
 	}
-	if options.ConnectionsPerServer == nil {
-		options.ConnectionsPerServer = func(string) int { return DefaultConnectionsPerServer }
+	if options.ConnectionLimit == nil {
+		options.ConnectionLimit = func(string) int { return DefaultConnectionLimit }
 	}
-	options.SparesPerServer = cmp.Or(options.SparesPerServer, DefaultSparesPerServer)
+	options.SpareConnectionsPerServer = cmp.Or(options.SpareConnectionsPerServer, DefaultSpareConnectionsPerServer)
 	options.DialTimeout = cmp.Or(options.DialTimeout, DefaultDialTimeout)
 	options.IdleTimeout = cmp.Or(options.IdleTimeout, DefaultIdleTimeout)
 	return &Client{options: options, pools: make(map[string]*pool)}
@@ -129,9 +129,9 @@
 	}
 }
 
-// Forget closes the idle connections to a server; those of requests in flight
+// CloseServerConnections closes the idle connections to a server; those of requests in flight
 // close with them, unless a new request begins before.
-func (c *Client) Forget(address string) {
+func (c *Client) CloseServerConnections(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if open, ok := c.pools[address]; ok {
@@ -147,9 +147,9 @@
 	}
 }
 
-// UpdateBound asks for the bound of the connections to a server and closes idle
+// UpdateConnectionLimit asks for the bound of the connections to a server and closes idle
 // ones above it, without a request. A server without connections stays so.
-func (c *Client) UpdateBound(address string) {
+func (c *Client) UpdateConnectionLimit(address string) {
 	c.mutex.RLock()
 	open := c.pools[address]
 	c.mutex.RUnlock()
@@ -159,7 +159,7 @@
 }
 
 func (c *Client) bound(address string) int {
-	return max(1, c.options.ConnectionsPerServer(address))
+	return max(1, c.options.ConnectionLimit(address))
 }
 
 // pool returns the server's pool, made when there is none.
--- a/backend/client_test.go
+++ b/backend/client_test.go
@@ -163,7 +163,7 @@
 func TestQueryIsNotSentAgainOnAClosedKeptConnection(t *testing.T) {
 	server := startScripted(t, "a2")
 	client := newClient(t, backend.ClientOptions{
-		ConnectionsPerServer: func(string) int { return 1 },
+		ConnectionLimit: func(string) int { return 1 },
 	})
 	if _, err := client.Query(t.Context(), server.address, newQuery("a1")); err != nil {
 		t.Fatal(err)
@@ -222,7 +222,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			dials := 0
 			client := newClient(t, backend.ClientOptions{
-				SparesPerServer: -1,
+				SpareConnectionsPerServer: -1,
 				Dial: func(context.Context, string, string) (net.Conn, error) {
 					dials++
 					near, far := net.Pipe()
@@ -260,7 +260,7 @@
 	var kept atomic.Bool
 	dials := 0
 	client := newClient(t, backend.ClientOptions{
-		SparesPerServer: -1,
+		SpareConnectionsPerServer: -1,
 		Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 			fails := &kept
@@ -311,7 +311,7 @@
 		<-release
 		_, _ = io.WriteString(writer, doneReply)
 	})
-	client := newClient(t, backend.ClientOptions{ConnectionsPerServer: func(string) int { return 1 }})
+	client := newClient(t, backend.ClientOptions{ConnectionLimit: func(string) int { return 1 }})
 	first := make(chan error, 1)
 	go func() {
 		_, err := client.Query(t.Context(), address, newQuery("a1"))
--- a/backend/connections_test.go
+++ b/backend/connections_test.go
@@ -119,7 +119,7 @@
 }
 
 func TestConnectionsStayWithinTheBound(t *testing.T) {
-	options := backend.ClientOptions{ConnectionsPerServer: func(string) int { return 8 }}
+	options := backend.ClientOptions{ConnectionLimit: func(string) int { return 8 }}
 	inBubble(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
 		queryMany(t, client, 100)
 		if _, highest, _ := network.counts(); highest > 8 {
@@ -130,7 +130,7 @@
 
 func TestConnectionsFollowALowerBound(t *testing.T) {
 	bound := 8
-	options := backend.ClientOptions{ConnectionsPerServer: func(string) int { return bound }}
+	options := backend.ClientOptions{ConnectionLimit: func(string) int { return bound }}
 	inBubble(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
 		queryMany(t, client, 20)
 		bound = 2
--- a/backend/decode.go
+++ b/backend/decode.go
@@ -30,9 +30,9 @@
 	return statusCodes[s]
 }
 
-// Executed reports whether a reply with this status leaves open that the
+// MayHaveExecuted reports whether a reply with this status leaves open that the
 // sub-request was executed.
-func (s Status) Executed() bool {
+func (s Status) MayHaveExecuted() bool {
 	return s == StatusDone || s == StatusError
 }
 
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -146,7 +146,7 @@
 		return
 	}
 	p.bound = bound
-	extra := min(max(0, p.client.options.SparesPerServer), bound/spareFraction)
+	extra := min(max(0, p.client.options.SpareConnectionsPerServer), bound/spareFraction)
 	p.spares.resize(extra)
 	p.limit = bound - extra
 	p.closeIdle(p.live - p.limit)
--- a/lab/emulator/listener_test.go
+++ b/lab/emulator/listener_test.go
@@ -23,7 +23,7 @@
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(listener) }()
 
-	client := backend.NewClient(backend.ClientOptions{ConnectionsPerServer: func(string) int { return 1 }})
+	client := backend.NewClient(backend.ClientOptions{ConnectionLimit: func(string) int { return 1 }})
 	first := make(chan error, 1)
 	go func() {
 		_, err := client.Query(t.Context(), address, newQuery("a1"))
@@ -67,7 +67,7 @@
 	server := newServer(t, emulator.ServerOptions{})
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(listener) }()
-	client := backend.NewClient(backend.ClientOptions{ConnectionsPerServer: func(string) int { return 8 }})
+	client := backend.NewClient(backend.ClientOptions{ConnectionLimit: func(string) int { return 8 }})
 	defer client.CloseIdleConnections()
 
 	server.SetFaults(emulator.ServerFaults{ReplyDelayMilliseconds: 100})
--- a/lab/experiment/services.go
+++ b/lab/experiment/services.go
@@ -51,7 +51,7 @@
 			JitterShare: jitterShare,
 			ConnectTime: found.firm.Network.NewConnection,
 			IdleTimeout: backend.DefaultIdleTimeout,
-			Spares:      backend.DefaultSparesPerServer,
+			Spares:      backend.DefaultSpareConnectionsPerServer,
 		},
 		Reports: cluster.Reports{
 			Lag:    milliseconds(deployment.ReportLagMS),
--- a/node/configuration.go
+++ b/node/configuration.go
@@ -141,7 +141,7 @@
 	}
 	for _, server := range previous.servers {
 		if !kept[server.address] {
-			n.client.Forget(server.address)
+			n.client.CloseServerConnections(server.address)
 		}
 	}
 }
--- a/node/connections.go
+++ b/node/connections.go
@@ -101,9 +101,9 @@
 		switch {
 		case !known || now.connections == before.connections:
 		case now.connections == 0:
-			n.client.Forget(address)
+			n.client.CloseServerConnections(address)
 		default:
-			n.client.UpdateBound(address)
+			n.client.UpdateConnectionLimit(address)
 		}
 	}
 }
--- a/node/forward_bench_internal_test.go
+++ b/node/forward_bench_internal_test.go
@@ -61,8 +61,8 @@
 	address := server.Listener.Addr().String()
 	client := backend.NewClient(backend.ClientOptions{})
 	defer client.CloseIdleConnections()
-	served := testForwards(client, backend.DefaultConnectionsPerServer, b.Context())
-	served.own = func(string) (string, int) { return address, backend.DefaultConnectionsPerServer }
+	served := testForwards(client, backend.DefaultConnectionLimit, b.Context())
+	served.own = func(string) (string, int) { return address, backend.DefaultConnectionLimit }
 	agent := peer.NewAgent(peer.AgentOptions{Self: membership.Member{ID: "owner"}, Forwards: served, Seed: 1})
 	var asked, sent int64
 	owner := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -73,7 +73,7 @@
 	forwarding := testRouter(b, []membership.Member{{ID: "owner", Address: owner.Listener.Addr().String()}})
 	direct := testRouter(b, nil)
 	direct.direct = client
-	direct.route = func(string) route { return route{connections: backend.DefaultConnectionsPerServer} }
+	direct.route = func(string) route { return route{connections: backend.DefaultConnectionLimit} }
 	for _, way := range []struct {
 		name   string
 		router *router
--- a/node/node.go
+++ b/node/node.go
@@ -106,9 +106,9 @@
 		serverStates: make(map[string]dispatch.ServerState),
 	}
 	n.client = backend.NewClient(backend.ClientOptions{
-		Dial:                 options.Network.DialContext,
-		ConnectionsPerServer: n.connectionsTo,
-		SparesPerServer:      spareConnections(options.Settings.Backend.SpareConnections),
+		Dial:                      options.Network.DialContext,
+		ConnectionLimit:           n.connectionsTo,
+		SpareConnectionsPerServer: spareConnections(options.Settings.Backend.SpareConnections),
 	})
 	readings := n.openForwards()
 	asked := n.newRouter(readings)
--- a/node/route.go
+++ b/node/route.go
@@ -61,7 +61,7 @@
 func (n *Node) newRouter(readings *healthReadings) *router {
 	return &router{
 		direct:    n.client,
-		forget:    n.client.Forget,
+		forget:    n.client.CloseServerConnections,
 		route:     n.routeTo,
 		owners:    func(server membership.ServerPlace) []membership.Member { return n.agent.ForwardOwners(server) },
 		forwarder: n.forwarder,
