--- a/cmd/banksail-front/process_test.go
+++ b/cmd/banksail-front/process_test.go
@@ -63,10 +63,10 @@
 func (p *process) write(store string, grace int) {
 	p.t.Helper()
 	text := standin.NodeSettings{
-		Node: "front-1", Zone: "zone-a", Zones: []string{"zone-a"}, Host: p.host, First: true,
-		Callers: callersPort, Ready: readyPort, Directory: directoryPort, Control: controlPort, Internal: gossipPort,
-		GraceS: grace, Store: store,
-	}.Text()
+		NodeName: "front-1", Zone: "zone-a", Zones: []string{"zone-a"}, Host: p.host, Bootstrap: true,
+		CallerPort: callersPort, ReadyPort: readyPort, DirectoryPort: directoryPort, ControlPort: controlPort, InternalPort: gossipPort,
+		GraceSeconds: grace, StoreAddress: store,
+	}.TOML()
 	if err := os.WriteFile(p.settings, []byte(text), 0o600); err != nil {
 		p.t.Fatal(err)
 	}
--- a/lab/soak/callers.go
+++ b/lab/soak/callers.go
@@ -106,7 +106,7 @@
 		return // the next look-up asks another node
 	}
 	defer func() { _ = reply.Body.Close() }()
-	var told standin.Addresses
+	var told standin.ResolveResponse
 	if json.NewDecoder(reply.Body).Decode(&told) != nil || len(told.Addresses) == 0 {
 		return
 	}
@@ -176,8 +176,8 @@
 		return history.FailedAnswer(err)
 	}
 	request.Host = host
-	request.Header.Set(standin.AttemptHeader, id)
-	request.Header.Set(standin.RemainingHeader, strconv.FormatInt(deadline.Milliseconds(), 10))
+	request.Header.Set(standin.AttemptIDHeader, id)
+	request.Header.Set(standin.TimeoutHeader, strconv.FormatInt(deadline.Milliseconds(), 10))
 	reply, err := client.Do(request)
 	if err != nil {
 		return history.FailedAnswer(err)
@@ -206,7 +206,7 @@
 		parseMerged(&answer, reply.Header, body)
 		return answer
 	}
-	answer.RequestID = reply.Header.Get(standin.AttemptHeader)
+	answer.RequestID = reply.Header.Get(standin.AttemptIDHeader)
 	part := partOf(reply.Header.Get(standin.StampHeader))
 	part.Range = single
 	part.Whole = bytes.Equal(body, standin.Records(ledger))
--- a/lab/soak/deadly.go
+++ b/lab/soak/deadly.go
@@ -65,8 +65,8 @@
 // arm makes a server end under requests for some targets.
 func (f *fleet) arm(s *server, deadly []string) {
 	s.Set(func() {
-		s.Deadly, s.DeadlyWork = deadly, deadlyWork
-		s.Ended = func(target string) { go f.endUnder(s, target) }
+		s.CrashPrefixes, s.CrashDelay = deadly, deadlyWork
+		s.OnCrash = func(target string) { go f.endUnder(s, target) }
 	})
 }
 
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -59,20 +59,20 @@
 		wait()
 		f.store.Set(func() { f.store.Down = false })
 	case schedule.StoreFreeze:
-		f.store.Set(func() { f.store.Silent = true })
+		f.store.Set(func() { f.store.Unresponsive = true })
 		wait()
-		f.store.Set(func() { f.store.Silent = false })
+		f.store.Set(func() { f.store.Unresponsive = false })
 		f.resetStoreLinks() // calls that were left without an answer stay so
 	case schedule.StoreLostReply:
-		f.store.Set(func() { f.store.LoseWrites = true })
+		f.store.Set(func() { f.store.DropWriteResponses = true })
 		wait()
-		f.store.Set(func() { f.store.LoseWrites = false })
+		f.store.Set(func() { f.store.DropWriteResponses = false })
 	case StoreDeaf:
-		f.store.Set(func() { f.store.Deaf = true })
+		f.store.Set(func() { f.store.MuteWatches = true })
 		wait()
-		f.store.Set(func() { f.store.Deaf = false })
+		f.store.Set(func() { f.store.MuteWatches = false })
 	case StoreRestore:
-		taken := f.store.Copy()
+		taken := f.store.Backup()
 		_ = clock.Sleep(ctx, fault.Delay)
 		from = f.recorder.Now()
 		f.store.Set(func() { f.store.Down = true })
@@ -80,7 +80,7 @@
 		f.store.Restore(taken, operatorAfter)
 		f.store.Set(func() { f.store.Down = false })
 	case StoreForget:
-		f.store.Forget()
+		f.store.DropHistory()
 	case Configure:
 		f.configure()
 		return nil
@@ -99,9 +99,9 @@
 		f.sendDeadly(ctx, fault)
 		return nil
 	case OddEntries:
-		f.store.PutOddEntries()
+		f.store.PutInvalidEntries()
 		wait()
-		f.store.RemoveOddEntries()
+		f.store.RemoveInvalidEntries()
 		return nil
 	default:
 		return fmt.Errorf("%w: %s of %q", ErrFault, fault.Kind, fault.Target)
@@ -140,7 +140,7 @@
 		n.signal(syscall.SIGCONT)
 		f.disturb(history.Frozen, n.name, from, f.recorder.Now())
 	case ChangeSettings:
-		if err := n.writeSettings(n.told(false).Text() + "# changed\n"); err != nil {
+		if err := n.writeSettings(n.told(false).TOML() + "# changed\n"); err != nil {
 			return err
 		}
 		n.signal(syscall.SIGHUP)
@@ -150,7 +150,7 @@
 		}
 		n.signal(syscall.SIGHUP)
 		wait()
-		if err := n.writeSettings(n.told(false).Text()); err != nil {
+		if err := n.writeSettings(n.told(false).TOML()); err != nil {
 			return err
 		}
 		n.signal(syscall.SIGHUP)
@@ -174,7 +174,7 @@
 // slowAll makes all servers' work longer, so that requests are in flight at a planned stop.
 func (f *fleet) slowAll(by time.Duration) {
 	for _, s := range f.allServers() {
-		s.Set(func() { s.Work = max(s.Work+by, 0) })
+		s.Set(func() { s.ServiceTime = max(s.ServiceTime+by, 0) })
 	}
 }
 
@@ -262,9 +262,9 @@
 		return nil
 	}
 	if odd, is := oddities[fault.Kind]; is {
-		s.Set(func() { s.Odd = odd })
+		s.Set(func() { s.Fault = odd })
 		wait()
-		s.Set(func() { s.Odd = standin.Proper })
+		s.Set(func() { s.Fault = standin.NoFault })
 		return nil
 	}
 	switch fault.Kind {
@@ -282,21 +282,21 @@
 		_ = clock.Sleep(context.Background(), drainBound-f.since(s))
 		return f.bringBack(s, func() {}, 0)
 	case schedule.Straggle:
-		s.Set(func() { s.Work += fault.Delay })
+		s.Set(func() { s.ServiceTime += fault.Delay })
 		wait()
-		s.Set(func() { s.Work -= fault.Delay })
+		s.Set(func() { s.ServiceTime -= fault.Delay })
 	case schedule.Shed:
-		s.Set(func() { s.Shed = true })
+		s.Set(func() { s.RejectRequests = true })
 		wait()
-		s.Set(func() { s.Shed = false })
+		s.Set(func() { s.RejectRequests = false })
 	case LoseAnswers:
-		s.Set(func() { s.Lose = true })
+		s.Set(func() { s.DropResponses = true })
 		wait()
-		s.Set(func() { s.Lose = false })
+		s.Set(func() { s.DropResponses = false })
 	case FailAnswers:
-		s.Set(func() { s.Fail = true })
+		s.Set(func() { s.FailRequests = true })
 		wait()
-		s.Set(func() { s.Fail = false })
+		s.Set(func() { s.FailRequests = false })
 	default:
 		return fmt.Errorf("%w: %s of %q", ErrFault, fault.Kind, fault.Target)
 	}
@@ -304,8 +304,8 @@
 }
 
 // oddities are the faults in which a server's answers are not proper.
-var oddities = map[schedule.Kind]standin.Oddity{
-	CutAnswers: standin.CutOff, DoubleAnswers: standin.Surplus, EndlessAnswers: standin.Endless, ResetAnswers: standin.EndlessReset,
+var oddities = map[schedule.Kind]standin.ResponseFault{
+	CutAnswers: standin.Truncated, DoubleAnswers: standin.SentTwice, EndlessAnswers: standin.EndedByClose, ResetAnswers: standin.EndedByReset,
 }
 
 // since is how long ago a server began to drain.
@@ -372,7 +372,7 @@
 	wait()
 	successor, err := f.startServer(s.Service, f.nextNumber(), s.set, s.shard, s.Version, nil)
 	if err == nil && cold > 0 {
-		successor.Cool(cold)
+		successor.StartWarmup(cold)
 	}
 	return err
 }
--- a/lab/soak/fleet.go
+++ b/lab/soak/fleet.go
@@ -43,7 +43,7 @@
 	set, sets, replaced, returned int
 	longestPause                  time.Duration
 	// badness is how versions are bad, also on servers that come in the place of others.
-	badness map[string]standin.Badness
+	badness map[string]standin.Defect
 	// deadly are the targets of requests under which servers end.
 	deadly []string
 	// deadlyEnds are when servers ended under such requests, by their target.
@@ -117,13 +117,13 @@
 	}
 	zone := f.layout.Zones[number%replicas]
 	s := &server{link: way, set: set, shard: shard, number: number}
-	s.Server = standin.StartVersion(f.store, standin.ServerName(service, number), service, zone, version,
+	s.Server = standin.StartServerVersion(f.store, standin.ServerName(service, number), service, zone, version,
 		addressed{listener, way.listener.Addr()})
 	f.mutex.Lock()
 	f.servers[s.ID] = s
 	deadly, badness := slices.Clone(f.deadly), f.badness[version]
 	f.mutex.Unlock()
-	s.Set(func() { s.Badness = badness })
+	s.Set(func() { s.Defect = badness })
 	f.arm(s, deadly)
 	return s, nil
 }
@@ -154,7 +154,7 @@
 func (f *fleet) start() error {
 	f.version, f.set = 0, 1
 	f.servers = make(map[string]*server)
-	f.badness = make(map[string]standin.Badness)
+	f.badness = make(map[string]standin.Defect)
 	if err := f.startShards(f.set); err != nil {
 		return err
 	}
@@ -308,11 +308,11 @@
 	route := func(name, path, kind string, priority int) standin.Route {
 		return standin.Route{
 			Name: name, Host: host, PathPrefix: path, Type: kind, Priority: priority, MaxAttempts: 2,
-			TimeoutMS: routeTimeout.Milliseconds(), TargetMS: routeTarget.Milliseconds(),
+			TimeoutMS: routeTimeout.Milliseconds(), TargetLatencyMS: routeTarget.Milliseconds(),
 		}
 	}
 	search := route("search", searchPath, standin.Repeatable, 1)
-	search.Gather, search.TopK, search.LeastCoverage = shardsOf(set), topRecords, leastCoverage
+	search.Gather, search.TopK, search.MinimumCoverage = shardsOf(set), topRecords, leastCoverage
 	page, enter := route("page", pagePath, standin.Repeatable, 2), route("enter", enterPath, standin.NotRepeatable, 2)
 	page.Service, enter.Service = ledger, ledger
 	config := standin.Config{Version: version, Routes: []standin.Route{search, page, enter}}
@@ -322,7 +322,7 @@
 		config.Routes = append(config.Routes, marker)
 	}
 	for _, name := range append(shardsOf(set), ledger) {
-		config.Services = append(config.Services, standin.ServiceOf{Name: name, HealthPath: standin.HealthPath, MaxConnections: connectionsEach})
+		config.Services = append(config.Services, standin.ServiceConfig{Name: name, HealthPath: standin.HealthPath, MaxConnections: connectionsEach})
 	}
 	f.store.PutConfig(config)
 	f.recorder.Edit(func(h *history.History) {
--- a/lab/soak/judge.go
+++ b/lab/soak/judge.go
@@ -117,10 +117,10 @@
 	}
 	s.Set(func() {
 		ran := make(map[string]int)
-		for _, one := range s.Runs {
+		for _, one := range s.Executions {
 			ran[one.ID]++
 		}
-		for place, one := range s.Arrivals {
+		for place, one := range s.Received {
 			executed := ran[one.ID] > 0
 			ran[one.ID]--
 			at := one.At.Sub(epoch)
@@ -132,7 +132,7 @@
 				Snapshot: uint64(s.set), Range: covered, SentAt: at, ArrivedAt: at, Executed: executed,
 			})
 		}
-		for _, at := range s.BadAnswers {
+		for _, at := range s.DefectiveResponses {
 			r.bad = append(r.bad, at.Sub(epoch))
 		}
 	})
--- a/lab/soak/node.go
+++ b/lab/soak/node.go
@@ -106,9 +106,9 @@
 // told is what the platform writes into the machine's settings file.
 func (n *node) told(first bool) standin.NodeSettings {
 	settings := standin.NodeSettings{
-		Node: n.name, Zone: n.zone, Zones: n.fleet.layout.Zones, Host: n.host, First: first, GraceS: graceS, Rollouts: true,
-		Callers: callersPort, Ready: readyPort, Directory: directoryPort, Control: controlPort, Internal: gossipPort,
-		Store: n.store.address(), ApplyMS: n.fleet.options.ToldApplyBound.Milliseconds(),
+		NodeName: n.name, Zone: n.zone, Zones: n.fleet.layout.Zones, Host: n.host, Bootstrap: first, GraceSeconds: graceS, EnableRollouts: true,
+		CallerPort: callersPort, ReadyPort: readyPort, DirectoryPort: directoryPort, ControlPort: controlPort, InternalPort: gossipPort,
+		StoreAddress: n.store.address(), ApplyMS: n.fleet.options.ToldApplyBound.Milliseconds(),
 	}
 	for number := range seedNodes {
 		settings.Seeds = append(settings.Seeds, fmt.Sprintf("%s:%d", hostOf(number), controlPort))
@@ -130,7 +130,7 @@
 	if n.gone || n.process != nil {
 		return nil
 	}
-	if err := n.writeSettings(n.told(n.starts == 0).Text()); err != nil {
+	if err := n.writeSettings(n.told(n.starts == 0).TOML()); err != nil {
 		return err
 	}
 	n.starts++
--- a/lab/soak/operator.go
+++ b/lab/soak/operator.go
@@ -51,14 +51,14 @@
 	_ = clock.Sleep(context.Background(), evacuateBound) // so long at least, or nothing is shown
 	f.mutex.Lock()
 	f.evacuations[place].until = f.recorder.Now()
-	f.store.TakeBack(zone)
+	f.store.EndEvacuation(zone)
 	f.mutex.Unlock()
 }
 
 // order is a roll-out that was ordered.
 type order struct {
 	target, ended string
-	bad           Badness
+	bad           Defect
 	at, deadline  time.Duration
 	endedAt       time.Duration
 	replacedAt    time.Duration
@@ -75,7 +75,7 @@
 	}
 	f.options.Tell("%8.3f s  roll-out to v2 within %s, bad: %q", f.recorder.Now().Seconds(), drawn.Duration, drawn.Bad)
 	f.mutex.Lock()
-	f.badness[targetVersion] = badnessOf(drawn.Bad, time.Now().Add(drawn.Duration/4))
+	f.badness[targetVersion] = defectOf(drawn.Bad, time.Now().Add(drawn.Duration/4))
 	f.mutex.Unlock()
 	var targets []*server
 	for number := range targetServers {
@@ -110,7 +110,7 @@
 // follow waits for the end of a roll-out: the old servers stop at once, or the new ones drain.
 func (f *fleet) follow(ctx context.Context, o *order, targets []*server) error {
 	for clock.Sleep(ctx, statusGap) == nil && f.recorder.Now() < o.deadline+endSlack {
-		status, err := f.store.Rollout(ledger)
+		status, err := f.store.ReadRolloutStatus(ledger)
 		if err != nil {
 			return err
 		}
@@ -140,23 +140,23 @@
 	return nil
 }
 
-// badnessOf is how servers of a version behave that is bad; later is when it shows in one
+// defectOf is how servers of a version behave that is bad; later is when it shows in one
 // that turns bad.
-func badnessOf(bad Badness, later time.Time) standin.Badness {
+func defectOf(bad Defect, later time.Time) standin.Defect {
 	switch bad {
 	case FailsAlways:
-		return standin.Badness{Every: 1}
+		return standin.Defect{FailEvery: 1}
 	case FailsAThird:
-		return standin.Badness{Every: 3}
+		return standin.Defect{FailEvery: 3}
 	case Slow:
-		return standin.Badness{Slow: 6}
+		return standin.Defect{Slow: 6}
 	case FailsLater:
-		return standin.Badness{Every: 2, From: later}
+		return standin.Defect{FailEvery: 2, StartsAt: later}
 	case FailsOnRoute:
-		return standin.Badness{Every: 2, Path: enterPath}
+		return standin.Defect{FailEvery: 2, PathPrefix: enterPath}
 	case FailsLoaded:
-		return standin.Badness{Every: 1, Running: 2}
+		return standin.Defect{FailEvery: 1, MinConcurrency: 2}
 	default:
-		return standin.Badness{}
+		return standin.Defect{}
 	}
 }
--- a/lab/soak/schedule.go
+++ b/lab/soak/schedule.go
@@ -86,26 +86,26 @@
 	// Duration is the time until its deadline.
 	Duration time.Duration
 	// Bad names how the version is bad; empty is good.
-	Bad Badness
+	Bad Defect
 	// Replaced says that another order, of the version that runs, takes its place midway.
 	Replaced bool
 }
 
-// Badness names how a version is bad.
-type Badness string
+// Defect names how a version is bad.
+type Defect string
 
 // How versions are bad.
 const (
-	Good         Badness = ""
-	FailsAlways  Badness = "fails_always"
-	FailsAThird  Badness = "fails_a_third"
-	Slow         Badness = "slow"
-	FailsLater   Badness = "fails_later"
-	FailsOnRoute Badness = "fails_on_one_route"
-	FailsLoaded  Badness = "fails_under_load"
+	Good         Defect = ""
+	FailsAlways  Defect = "fails_always"
+	FailsAThird  Defect = "fails_a_third"
+	Slow         Defect = "slow"
+	FailsLater   Defect = "fails_later"
+	FailsOnRoute Defect = "fails_on_one_route"
+	FailsLoaded  Defect = "fails_under_load"
 )
 
-var badnesses = []Badness{Good, FailsAlways, FailsAThird, Slow, FailsLater, FailsOnRoute, FailsLoaded}
+var defects = []Defect{Good, FailsAlways, FailsAThird, Slow, FailsLater, FailsOnRoute, FailsLoaded}
 
 // Schedule is what a seed brings about.
 type Schedule struct {
@@ -220,7 +220,7 @@
 	return Order{
 		At:       leadTime,
 		Duration: d.between(shortestOrder, min(longestOrder, room)),
-		Bad:      badnesses[d.random.IntN(len(badnesses))],
+		Bad:      defects[d.random.IntN(len(defects))],
 		Replaced: d.random.IntN(8) == 0,
 	}
 }
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -327,7 +327,7 @@
 func TestServersOfABadVersionComeBackAsBad(t *testing.T) {
 	f := &fleet{
 		layout: DefaultLayout(), store: standin.NewStore(), servers: make(map[string]*server),
-		badness:  map[string]standin.Badness{targetVersion: badnessOf(Slow, time.Now())},
+		badness:  map[string]standin.Defect{targetVersion: defectOf(Slow, time.Now())},
 		recorder: history.NewRecorder(time.Now()),
 	}
 	defer f.close()
@@ -340,7 +340,7 @@
 	}
 	for _, s := range f.allServers() {
 		s.Set(func() {
-			if s.Badness.Slow == 0 {
+			if s.Defect.Slow == 0 {
 				t.Errorf("%s of %s is not slow", s.ID, s.Version)
 			}
 		})
