--- a/directory/directory.go
+++ b/directory/directory.go
@@ -35,23 +35,23 @@
 type Presence map[string]float64
 
 const (
-	// enoughNear is the number of nodes in a caller's own zone that are enough for
+	// minNearbyNodes is the number of nodes in a caller's own zone that are enough for
 	// it: one of them may be lost before its entry goes.
-	enoughNear = 2
-	// mostNear is the number of nodes of its own zone that a caller is told of, another sample
+	minNearbyNodes = 2
+	// maxOwnZoneNodes is the number of nodes of its own zone that a caller is told of, another sample
 	// with each answer. A caller whose zone is lost tries them in vain, as no look-up of its own
 	// zone is answered any more: of 300 machines in four zones it knew 15 there and 2 elsewhere,
 	// and knows 4 and 2. The worth of two deployments of that size is the same within noise
 	// (0.635 and 0.629, 0.476 and 0.492, one play each).
-	mostNear = 4
-	// nodesElsewhere is the number of nodes of other zones beside those of the caller's own.
+	maxOwnZoneNodes = 4
+	// otherZoneNodes is the number of nodes of other zones beside those of the caller's own.
 	// One serves less when the zone is cut off (worth 0.72 of a day with two cuts; 0.76 with
 	// two, 0.78 with all of the region), all cost 0.04 on a day of high load with 1.4 ms
 	// between zones, and two 0.006 (one play each).
-	nodesElsewhere = 2
-	// enoughPresence is the part of the best zone's presence from which on a zone
+	otherZoneNodes = 2
+	// minPresenceShare is the part of the best zone's presence from which on a zone
 	// counts as near to the servers.
-	enoughPresence = 0.5
+	minPresenceShare = 0.5
 )
 
 // Addresses lists where the caller may connect, at most the given number: the nodes of its
@@ -64,85 +64,85 @@
 // are no others, and so are those that can't reach the servers and, of the rest, those
 // that don't answer other nodes. Where the caller's request has homes, only nodes there
 // and in the caller's own region are named.
-func Addresses(nodes []discovery.Node, presence Presence, caller Caller, most int) []string {
+func Addresses(nodes []discovery.Node, presence Presence, caller Caller, limit int) []string {
 	if len(caller.Homes) > 0 {
-		nodes = filter(nodes, caller.mayReach)
+		nodes = filter(nodes, caller.mayUse)
 	}
-	staying := prefer(nodes, func(n discovery.Node) bool { return !n.Leaving })
-	staying = NodesAbleToServe(staying)
-	staying = prefer(staying, func(n discovery.Node) bool { return !n.Suspect })
-	staying = nearServers(staying, presence)
-	near := nearOf(staying, caller)
-	if len(near) > most {
+	candidates := prefer(nodes, func(n discovery.Node) bool { return !n.Leaving })
+	candidates = NodesAbleToServe(candidates)
+	candidates = prefer(candidates, func(n discovery.Node) bool { return !n.Suspect })
+	candidates = dropZonesWithFewServers(candidates, presence)
+	nearby := selectNearby(candidates, caller)
+	if len(nearby) > limit {
 		// Another sample for each caller, so that all nodes get some.
-		near = slices.Clone(near)
-		rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
-		near = near[:most]
+		nearby = slices.Clone(nearby)
+		rand.Shuffle(len(nearby), func(i, j int) { nearby[i], nearby[j] = nearby[j], nearby[i] })
+		nearby = nearby[:limit]
 	}
-	addresses := make([]string, 0, len(near))
-	for _, n := range near {
+	addresses := make([]string, 0, len(nearby))
+	for _, n := range nearby {
 		addresses = append(addresses, n.Address)
 	}
 	return addresses
 }
 
-// nearServers leaves out the nodes of zones that have few servers beside the
+// dropZonesWithFewServers leaves out the nodes of zones that have few servers beside the
 // best zone of their region.
-func nearServers(nodes []discovery.Node, presence Presence) []discovery.Node {
-	best := make(map[string]float64)
+func dropZonesWithFewServers(nodes []discovery.Node, presence Presence) []discovery.Node {
+	bestPresence := make(map[string]float64)
 	for _, n := range nodes {
-		best[n.Region] = max(best[n.Region], presence[n.Zone])
+		bestPresence[n.Region] = max(bestPresence[n.Region], presence[n.Zone])
 	}
 	return filter(nodes, func(n discovery.Node) bool {
-		return presence[n.Zone] >= best[n.Region]*enoughPresence
+		return presence[n.Zone] >= bestPresence[n.Region]*minPresenceShare
 	})
 }
 
-// nearOf lists the nodes that are near enough for a caller, and enough.
-func nearOf(nodes []discovery.Node, caller Caller) []discovery.Node {
+// selectNearby lists the nodes that are near enough for a caller, and enough.
+func selectNearby(nodes []discovery.Node, caller Caller) []discovery.Node {
 	inRegion := filter(nodes, func(n discovery.Node) bool { return n.Region == caller.Region })
-	if len(inRegion) < enoughNear {
+	if len(inRegion) < minNearbyNodes {
 		return nodes
 	}
 	inZone := filter(inRegion, func(n discovery.Node) bool { return n.Zone == caller.Zone })
-	if len(inZone) < enoughNear {
+	if len(inZone) < minNearbyNodes {
 		return inRegion
 	}
-	others := elsewhere(inRegion, caller.Zone)
-	if len(others) > 0 {
-		inZone = sample(inZone, mostNear)
+	otherZones := drawFromOtherZones(inRegion, caller.Zone)
+	if len(otherZones) > 0 {
+		inZone = sample(inZone, maxOwnZoneNodes)
 	}
-	return append(inZone, others...)
+	return append(inZone, otherZones...)
 }
 
 // sample draws so many of the nodes, in their order.
-func sample(nodes []discovery.Node, most int) []discovery.Node {
-	if len(nodes) <= most {
+func sample(nodes []discovery.Node, limit int) []discovery.Node {
+	if len(nodes) <= limit {
 		return nodes
 	}
-	places := rand.Perm(len(nodes))[:most]
-	slices.Sort(places)
-	drawn := make([]discovery.Node, 0, most)
-	for _, place := range places {
+	indexes := rand.Perm(len(nodes))[:limit]
+	slices.Sort(indexes)
+	drawn := make([]discovery.Node, 0, limit)
+	for _, place := range indexes {
 		drawn = append(drawn, nodes[place])
 	}
 	return drawn
 }
 
-// elsewhere draws the nodes of other zones that a caller is told of, each of another zone.
-func elsewhere(nodes []discovery.Node, zone string) []discovery.Node {
-	drawn := slices.Clone(nodes)
-	rand.Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
-	seen := map[string]struct{}{zone: {}}
-	return filter(drawn, func(n discovery.Node) bool {
-		_, known := seen[n.Zone]
-		seen[n.Zone] = struct{}{}
-		return !known && len(seen) <= nodesElsewhere+1
+// drawFromOtherZones draws the nodes of other zones that a caller is told of, each of another zone.
+func drawFromOtherZones(nodes []discovery.Node, zone string) []discovery.Node {
+	shuffled := slices.Clone(nodes)
+	rand.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
+	zones := map[string]struct{}{zone: {}}
+	return filter(shuffled, func(n discovery.Node) bool {
+		_, seen := zones[n.Zone]
+		zones[n.Zone] = struct{}{}
+		return !seen && len(zones) <= otherZoneNodes+1
 	})
 }
 
-// mayReach reports whether a request with homes may go to a node.
-func (c Caller) mayReach(n discovery.Node) bool {
+// mayUse reports whether a request with homes may go to a node.
+func (c Caller) mayUse(n discovery.Node) bool {
 	return n.Region == c.Region || slices.Contains(c.Homes, n.Region)
 }
 
@@ -151,35 +151,35 @@
 // able ones; but where only one other zone is left and looks dead, that may as well be
 // without power, and both are listed.
 func NodesAbleToServe(nodes []discovery.Node) []discovery.Node {
-	able := filter(nodes, ableZones(nodes))
-	doubtful := make(map[string]struct{})
+	able := filter(nodes, ableToServe(nodes))
+	suspectZones := make(map[string]struct{})
 	for _, n := range able {
 		if !n.Suspect {
 			return able
 		}
-		doubtful[n.Zone] = struct{}{}
+		suspectZones[n.Zone] = struct{}{}
 	}
-	if len(doubtful) < 2 {
+	if len(suspectZones) < 2 {
 		return nodes
 	}
 	return able
 }
 
-// cutShare is the part of a zone's nodes from which on none of them is able to reach the
+// zoneCutOffShare is the part of a zone's nodes from which on none of them is able to reach the
 // servers: those to which no callers come don't notice it.
-const cutShare = 0.5
+const zoneCutOffShare = 0.5
 
-// ableZones tells the nodes that can reach the servers, as far as that is known.
-func ableZones(nodes []discovery.Node) func(discovery.Node) bool {
-	all, unable := make(map[string]int), make(map[string]int)
+// ableToServe tells the nodes that can reach the servers, as far as that is known.
+func ableToServe(nodes []discovery.Node) func(discovery.Node) bool {
+	total, unable := make(map[string]int), make(map[string]int)
 	for _, n := range nodes {
-		all[n.Zone]++
+		total[n.Zone]++
 		if n.Unable {
 			unable[n.Zone]++
 		}
 	}
 	return func(n discovery.Node) bool {
-		return !n.Unable && (unable[n.Zone] == 0 || float64(unable[n.Zone]) < cutShare*float64(all[n.Zone]))
+		return !n.Unable && (unable[n.Zone] == 0 || float64(unable[n.Zone]) < zoneCutOffShare*float64(total[n.Zone]))
 	}
 }
 
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -59,22 +59,22 @@
 	for number := range 200 {
 		nodes = append(nodes, node(fmt.Sprintf("n%03d", number), "a", "r"))
 	}
-	told := make(map[string]bool)
+	returned := make(map[string]bool)
 	for range 100 {
 		got := directory.Addresses(nodes, nil, directory.Caller{Zone: "a", Region: "r"}, 64)
 		if len(got) != 64 {
 			t.Fatalf("%d addresses", len(got))
 		}
 		for _, address := range got {
-			told[address] = true
+			returned[address] = true
 		}
 	}
-	if len(told) != len(nodes) {
-		t.Errorf("callers are told of %d of %d nodes", len(told), len(nodes))
+	if len(returned) != len(nodes) {
+		t.Errorf("callers are told of %d of %d nodes", len(returned), len(nodes))
 	}
 }
 
-func TestServingNodesFollowTheConnections(t *testing.T) {
+func TestServingNodesFollowConnectionLimit(t *testing.T) {
 	var nodes []discovery.Node
 	for number := range 90 {
 		nodes = append(nodes, node(fmt.Sprintf("n%03d", number), []string{"a", "b", "c"}[number%3], "r"))
@@ -97,22 +97,22 @@
 	}
 	// Nodes that leave hold their connections until they are gone.
 	stopping := slices.Clone(nodes[:9])
-	first := directory.ServingNodes(stopping, 6, 0)[:2]
+	leavingNodes := directory.ServingNodes(stopping, 6, 0)[:2]
 	for i, n := range stopping {
-		stopping[i].Leaving = slices.Contains(first, n)
+		stopping[i].Leaving = slices.Contains(leavingNodes, n)
 	}
 	if got := directory.ServingNodes(stopping, 6, 0); len(got) != 4 || slices.ContainsFunc(got, func(n discovery.Node) bool { return n.Leaving }) {
 		t.Errorf("%d nodes serve beside two that leave, where servers take 6 connections; want 4", len(got))
 	}
-	without := slices.DeleteFunc(slices.Clone(nodes), func(n discovery.Node) bool { return n.ID == serving[0].ID })
-	stay := 0
-	for _, n := range directory.ServingNodes(without, 20, 0) {
+	remaining := slices.DeleteFunc(slices.Clone(nodes), func(n discovery.Node) bool { return n.ID == serving[0].ID })
+	stillServing := 0
+	for _, n := range directory.ServingNodes(remaining, 20, 0) {
 		if slices.Contains(serving, n) {
-			stay++
+			stillServing++
 		}
 	}
-	if stay != 19 {
-		t.Errorf("one node went, and %d of the other 19 still serve", stay)
+	if stillServing != 19 {
+		t.Errorf("one node went, and %d of the other 19 still serve", stillServing)
 	}
 }
 
@@ -126,17 +126,17 @@
 		}
 		nodes = append(nodes, n)
 	}
-	strong := func(serving []discovery.Node) int {
+	countCapable := func(serving []discovery.Node) int {
 		return len(slices.DeleteFunc(slices.Clone(serving), func(n discovery.Node) bool { return n.Capacity < 0.5 }))
 	}
 	serving := directory.ServingNodes(nodes, 50, 0)
-	if len(serving) != 8 || strong(serving) != 8 {
-		t.Errorf("%d nodes serve, %d of them capable; want the 8 capable ones", len(serving), strong(serving))
+	if len(serving) != 8 || countCapable(serving) != 8 {
+		t.Errorf("%d nodes serve, %d of them capable; want the 8 capable ones", len(serving), countCapable(serving))
 	}
-	without := slices.DeleteFunc(slices.Clone(nodes), func(n discovery.Node) bool { return n.Capacity > 0.5 && n.Zone == "a" })
-	serving = directory.ServingNodes(without, 50, 0)
-	if len(serving) != 8 || strong(serving) != 6 {
-		t.Errorf("a zone lost its capable nodes: %d serve, %d of them capable; want 8 and 6", len(serving), strong(serving))
+	remaining := slices.DeleteFunc(slices.Clone(nodes), func(n discovery.Node) bool { return n.Capacity > 0.5 && n.Zone == "a" })
+	serving = directory.ServingNodes(remaining, 50, 0)
+	if len(serving) != 8 || countCapable(serving) != 6 {
+		t.Errorf("a zone lost its capable nodes: %d serve, %d of them capable; want 8 and 6", len(serving), countCapable(serving))
 	}
 	busy := slices.Clone(nodes)
 	busy[30].Busy = true
@@ -147,8 +147,8 @@
 	if serving = directory.ServingNodes(busy, 50, 0); len(serving) != 40 {
 		t.Errorf("a capable node is busy, and %d of 40 serve", len(serving))
 	}
-	if serving = directory.ServingNodes(busy, 20, 0); len(serving) != 20 || strong(serving) != 8 {
-		t.Errorf("a capable node is busy: %d nodes serve servers that take 20 connections, %d of them capable", len(serving), strong(serving))
+	if serving = directory.ServingNodes(busy, 20, 0); len(serving) != 20 || countCapable(serving) != 8 {
+		t.Errorf("a capable node is busy: %d nodes serve servers that take 20 connections, %d of them capable", len(serving), countCapable(serving))
 	}
 }
 
@@ -160,28 +160,28 @@
 		nodes = append(nodes, node(zone+"1", zone, "r"), node(zone+"2", zone, "r"))
 	}
 	nodes = append(nodes, node("far", "z", "other"))
-	told := make(map[string]int)
+	counts := make(map[string]int)
 	for range 200 {
 		got := directory.Addresses(nodes, nil, directory.Caller{Zone: "a", Region: "r"}, 64)
 		if len(got) != 4 || got[0] != "a1" || got[1] != "a2" || got[2][0] == got[3][0] || got[2][0] == 'a' || got[3][0] == 'a' {
 			t.Fatalf("told of %v", got)
 		}
-		told[got[2]]++
-		told[got[3]]++
+		counts[got[2]]++
+		counts[got[3]]++
 	}
 	for _, name := range []string{"b1", "b2", "c1", "c2", "d1", "d2"} {
-		if told[name] < 30 {
-			t.Errorf("told of %s %d times of 200", name, told[name])
+		if counts[name] < 30 {
+			t.Errorf("told of %s %d times of 200", name, counts[name])
 		}
 	}
-	if told["far"] > 0 {
+	if counts["far"] > 0 {
 		t.Error("told of a node of another region")
 	}
 }
 
 // However many nodes a caller's own zone has, a third of the addresses that it is told are of
 // other zones: those are all that it has when the zone is lost, until a look-up succeeds.
-func TestAddressesOutlastALostZone(t *testing.T) {
+func TestAddressesIncludeOtherZones(t *testing.T) {
 	const own, others = 15, 3
 	var nodes []discovery.Node
 	presence := directory.Presence{"a": 1}
@@ -195,14 +195,14 @@
 			nodes = append(nodes, node(fmt.Sprintf("%s-%d", name, number), name, "r"))
 		}
 	}
-	told := directory.Addresses(nodes, presence, directory.Caller{Zone: "a", Region: "r"}, 64)
-	elsewhere := 0
-	for _, address := range told {
+	addresses := directory.Addresses(nodes, presence, directory.Caller{Zone: "a", Region: "r"}, 64)
+	otherZone := 0
+	for _, address := range addresses {
 		if address[0] != 'a' {
-			elsewhere++
+			otherZone++
 		}
 	}
-	if 3*elsewhere < len(told) {
-		t.Errorf("%d of %d addresses are of other zones", elsewhere, len(told))
+	if 3*otherZone < len(addresses) {
+		t.Errorf("%d of %d addresses are of other zones", otherZone, len(addresses))
 	}
 }
--- a/front/addresses.go
+++ b/front/addresses.go
@@ -9,42 +9,42 @@
 	"github.com/banksail/banksail/route"
 )
 
-// connectionsCounted is the part of a server's connections that may be held.
-const connectionsCounted = 0.8
+// usableConnectionShare is the part of a server's connections that may be held.
+const usableConnectionShare = 0.8
 
-// leastConnections is the least number that a server of a service in use takes.
-func leastConnections(table *route.Table) int {
+// minUsableConnections is the least number that a server of a service in use takes.
+func minUsableConnections(table *route.Table) int {
 	if table == nil {
 		return math.MaxInt32
 	}
-	least := math.MaxInt32
+	fewest := math.MaxInt32
 	for _, name := range table.UsedServices() {
-		least = min(least, int(float64(table.Services[name].Connections)*connectionsCounted))
+		fewest = min(fewest, int(float64(table.Services[name].Connections)*usableConnectionShare))
 	}
-	return least
+	return fewest
 }
 
-// presenceOf tells which part of the services in use each zone has a server of.
-func presenceOf(news discovery.ClusterState) *directory.Presence {
+// zonePresence tells which part of the services in use each zone has a server of.
+func zonePresence(state discovery.ClusterState) *directory.Presence {
 	presence := make(directory.Presence)
-	if news.Table == nil {
+	if state.Table == nil {
 		return &presence
 	}
 	used := make(map[string]struct{})
-	for _, name := range news.Table.UsedServices() {
+	for _, name := range state.Table.UsedServices() {
 		used[name] = struct{}{}
 	}
-	evacuated := discovery.EvacuatedZones(news.Directives)
-	type place struct{ zone, service string }
-	seen := make(map[place]struct{})
-	for _, server := range news.Servers {
-		at := place{server.Zone, server.Service}
-		_, twice := seen[at]
-		closed := slices.Contains(evacuated, server.Zone)
-		if _, inUse := used[server.Service]; !inUse || twice || closed || server.State != discovery.Ready {
+	evacuated := discovery.EvacuatedZones(state.Directives)
+	type zoneService struct{ zone, service string }
+	seen := make(map[zoneService]struct{})
+	for _, server := range state.Servers {
+		key := zoneService{server.Zone, server.Service}
+		_, counted := seen[key]
+		isEvacuated := slices.Contains(evacuated, server.Zone)
+		if _, inUse := used[server.Service]; !inUse || counted || isEvacuated || server.State != discovery.Ready {
 			continue
 		}
-		seen[at] = struct{}{}
+		seen[key] = struct{}{}
 		presence[server.Zone] += 1 / float64(len(used))
 	}
 	return &presence
@@ -52,46 +52,46 @@
 
 // Ready implements Node.
 func (f *Front) Ready() bool {
-	return f.knows.Load() && !f.leaving.Load() && !f.othersServe()
+	return f.hasTable.Load() && !f.leaving.Load() && !f.shouldYieldToPeers()
 }
 
-// othersServe reports whether this node can't reach enough servers while another one, as
+// shouldYieldToPeers reports whether this node can't reach enough servers while another one, as
 // far as it knows, can. Where no node can, all stay ready: what is missing may be back at
 // any moment, and callers have nowhere else to go.
-func (f *Front) othersServe() bool {
+func (f *Front) shouldYieldToPeers() bool {
 	if !f.unable.Load() {
 		return false
 	}
-	serving := f.serving.Load()
-	if serving == nil {
+	nodes := f.servingNodes.Load()
+	if nodes == nil {
 		return false
 	}
 	self := f.self
 	self.Unable = true
-	others := slices.DeleteFunc(slices.Clone(*serving), func(n discovery.Node) bool { return n.Leaving || f.isSelf(n) })
+	others := slices.DeleteFunc(slices.Clone(*nodes), func(n discovery.Node) bool { return n.Leaving || f.isSelf(n) })
 	return !slices.ContainsFunc(directory.NodesAbleToServe(append(others, self)), f.isSelf)
 }
 
 // Resolve implements directory.Resolver. The node itself counts as live as long as it
 // answers.
-func (f *Front) Resolve(host string, caller directory.Caller, most int) directory.Answer {
+func (f *Front) Resolve(host string, caller directory.Caller, limit int) directory.Answer {
 	var nodes []discovery.Node
-	if serving := f.serving.Load(); serving != nil {
+	if serving := f.servingNodes.Load(); serving != nil {
 		nodes = *serving
 	}
-	kept := make([]discovery.Node, 0, len(nodes)+1)
-	serves := len(nodes) == 0
+	candidates := make([]discovery.Node, 0, len(nodes)+1)
+	selfServes := len(nodes) == 0
 	for _, node := range nodes {
 		if node.ID == f.self.ID {
-			serves = true
+			selfServes = true
 			continue
 		}
-		kept = append(kept, node)
+		candidates = append(candidates, node)
 	}
 	self := f.self
 	self.Leaving, self.Unable = f.leaving.Load(), f.unable.Load()
-	if serves && f.knows.Load() || len(kept) == 0 {
-		kept = append(kept, self)
+	if selfServes && f.hasTable.Load() || len(candidates) == 0 {
+		candidates = append(candidates, self)
 	}
 	var presence directory.Presence
 	if known := f.presence.Load(); known != nil {
@@ -99,7 +99,7 @@
 	}
 	caller.Homes = f.gateway.Homes(host)
 	return directory.Answer{
-		Addresses:  directory.Addresses(kept, presence, caller, most),
+		Addresses:  directory.Addresses(candidates, presence, caller, limit),
 		TimeToLive: min(directoryTTL, f.options.Settings.MaxDirectoryTTL),
 	}
 }
--- a/front/belief.go
+++ b/front/adoption.go
@@ -7,9 +7,9 @@
 	"github.com/rs/zerolog"
 )
 
-// lateShare is the part of the shortest bound from which on a change that was taken in is
+// lateAdoptionShare is the part of the shortest bound from which on a change that was taken in is
 // logged: what is left is for requests that are on their way.
-const lateShare = 0.7
+const lateAdoptionShare = 0.7
 
 // adoptionBuckets are parts of the shortest bound.
 var adoptionBuckets = []float64{0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1, 1.5, 2, 4}
@@ -17,15 +17,15 @@
 // adoptionMeter tells how near changes of the registry come to the time in which they must
 // be in force.
 type adoptionMeter struct {
-	bound  time.Duration
-	shares prometheus.Histogram
-	logger zerolog.Logger
+	bound       time.Duration
+	boundShares prometheus.Histogram
+	logger      zerolog.Logger
 }
 
 func newAdoptionMeter(bound time.Duration, registry prometheus.Registerer, logger zerolog.Logger) *adoptionMeter {
 	m := &adoptionMeter{
 		bound: bound,
-		shares: prometheus.NewHistogram(prometheus.HistogramOpts{
+		boundShares: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "banksail_adoption_bound_share",
 			Help:    "Age of the belief that a change of the registry replaced, as a part of the shortest bound.",
 			Buckets: adoptionBuckets,
@@ -33,16 +33,16 @@
 		logger: logger,
 	}
 	if registry != nil {
-		registry.MustRegister(m.shares)
+		registry.MustRegister(m.boundShares)
 	}
 	return m
 }
 
-// adopted notes that a change was taken in, and how old the belief before it was.
-func (m *adoptionMeter) adopted(age time.Duration) {
+// observe notes that a change was taken in, and how old the belief before it was.
+func (m *adoptionMeter) observe(age time.Duration) {
 	share := age.Seconds() / m.bound.Seconds()
-	m.shares.Observe(share)
-	if share > lateShare {
+	m.boundShares.Observe(share)
+	if share > lateAdoptionShare {
 		m.logger.Warn().Dur("age_ms", age).Dur("bound_ms", m.bound).Msg("change adopted late")
 	}
 }
--- a/front/listeners.go
+++ b/front/listeners.go
@@ -45,7 +45,7 @@
 	}
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "banksail_belief_age_seconds", Help: "Age of what the node believes of the registry; -1 when nothing.",
-	}, func() float64 { return max(f.beliefAge().Seconds(), -1) }))
+	}, func() float64 { return max(f.viewAge().Seconds(), -1) }))
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "banksail_table_version", Help: "Version of the table in force; 0 when there is none.",
 	}, func() float64 {
@@ -56,13 +56,13 @@
 	}))
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "banksail_live_nodes", Help: "Nodes that are believed to be live.",
-	}, func() float64 { return float64(f.liveCount.Load()) }))
+	}, func() float64 { return float64(f.liveNodeCount.Load()) }))
 	registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "banksail_invalid_entries_total", Help: "Entries of the registry that could not be read.",
 	}, func() float64 { return float64(f.follower.InvalidEntries()) }))
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "banksail_serving_nodes", Help: "Nodes to which callers are sent.",
-	}, func() float64 { return float64(f.servingCount()) }))
+	}, func() float64 { return float64(f.servingNodeCount()) }))
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "banksail_evacuated_zones", Help: "Zones to whose servers nothing more is sent, as the operator asked.",
 	}, func() float64 { return float64(f.gateway.EvacuatedZoneCount()) }))
@@ -96,7 +96,7 @@
 }
 
 // serve answers on an address in the background.
-func (f *Front) serve(what traffic.Purpose, address string, handler http.Handler, connContext func(context.Context, net.Conn) context.Context) (*http.Server, error) {
+func (f *Front) serve(purpose traffic.Purpose, address string, handler http.Handler, connContext func(context.Context, net.Conn) context.Context) (*http.Server, error) {
 	listener, err := f.options.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("front: listening on %s: %w", address, err)
@@ -105,13 +105,13 @@
 		Handler:           handler,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    headerBytes,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
-	listener = f.meter.Listener(what, listener)
+	listener = f.meter.Listener(purpose, listener)
 	if connContext != nil {
 		listener = f.gateway.WrapListener(listener)
 		server.ConnContext = connContext
-		server.ReadHeaderTimeout, server.IdleTimeout = longestHeaderTimeout, longestIdleTimeout
+		server.ReadHeaderTimeout, server.IdleTimeout = callerHeaderTimeout, callerIdleTimeout
 	}
 	go func() { _ = server.Serve(listener) }() // ends when the server is closed
 	return server, nil
--- a/front/load_test.go
+++ b/front/load_test.go
@@ -8,34 +8,34 @@
 func TestLoadMeter(t *testing.T) {
 	now := time.Now()
 	m := loadMeter{capacity: 0.5}
-	sends := uint64(0)
-	// at lets a second pass at the given rate of attempts.
-	at := func(rate uint64) bool {
+	attempts := uint64(0)
+	// afterSecond lets a second pass at the given rate of attempts.
+	afterSecond := func(rate uint64) bool {
 		now = now.Add(time.Second)
-		sends += rate
-		return m.take(now, sends)
+		attempts += rate
+		return m.update(now, attempts)
 	}
-	busyRate := uint64(busyShare * sendsPerCore * m.capacity)
-	calmRate := uint64(calmShare*sendsPerCore*m.capacity) - 1
-	at(busyRate)
-	if at(busyRate - 1) {
+	busyRate := uint64(busyThreshold * attemptsPerCore * m.capacity)
+	calmRate := uint64(calmThreshold*attemptsPerCore*m.capacity) - 1
+	afterSecond(busyRate)
+	if afterSecond(busyRate - 1) {
 		t.Error("busy below the rate")
 	}
-	if !at(busyRate) {
+	if !afterSecond(busyRate) {
 		t.Error("not busy at the rate")
 	}
-	for second := range int(calmTime / time.Second) {
-		if busy := at(calmRate); busy != (time.Duration(second+1)*time.Second < calmTime) {
+	for second := range int(minBusyTime / time.Second) {
+		if busy := afterSecond(calmRate); busy != (time.Duration(second+1)*time.Second < minBusyTime) {
 			t.Errorf("busy is %t after %d calm seconds", busy, second+1)
 		}
 	}
-	at(busyRate)
-	if m.take(now.Add(time.Millisecond), sends+busyRate) != true {
+	afterSecond(busyRate)
+	if m.update(now.Add(time.Millisecond), attempts+busyRate) != true {
 		t.Error("a look soon after another changes the rate")
 	}
 	unknown := loadMeter{}
-	unknown.take(now, 0)
-	if unknown.take(now.Add(time.Second), 1_000_000) {
+	unknown.update(now, 0)
+	if unknown.update(now.Add(time.Second), 1_000_000) {
 		t.Error("a node of unknown capacity is busy")
 	}
 }
--- a/front/node.go
+++ b/front/node.go
@@ -66,51 +66,51 @@
 
 // Front is one node. Run must be called once.
 type Front struct {
-	options   Options
-	gateway   *gateway.Gateway
-	follower  *discovery.Follower
-	announcer *discovery.Announcer
-	agent     *gossip.Agent
-	meter     *traffic.Meter
-	self      discovery.Node
-	began     time.Time
-	leaving   atomic.Bool
-	grace     atomic.Int64 // in nanoseconds
-	// knows says that a table and the servers were heard of once.
-	knows atomic.Bool
-	tend  chan struct{}
-	// load tells when others should help; only tendLoop uses it.
+	options     Options
+	gateway     *gateway.Gateway
+	follower    *discovery.Follower
+	announcer   *discovery.Announcer
+	agent       *gossip.Agent
+	meter       *traffic.Meter
+	self        discovery.Node
+	startedAt   time.Time
+	leaving     atomic.Bool
+	gracePeriod atomic.Int64 // in nanoseconds
+	// hasTable says that a table and the servers were heard of once.
+	hasTable        atomic.Bool
+	maintenanceWake chan struct{}
+	// load tells when others should help; only maintenanceLoop uses it.
 	load loadMeter
-	// suspended is for how long the machine has been, as far as was told; only tendLoop uses it.
-	suspended time.Duration
+	// suspendedTotal is for how long the machine has been, as far as was told; only maintenanceLoop uses it.
+	suspendedTotal time.Duration
 	// presence tells where the servers stand; nil until it is known.
 	presence atomic.Pointer[directory.Presence]
-	// serving are the nodes to which callers are sent; nil until it is known.
-	serving atomic.Pointer[[]discovery.Node]
-	// connections is the least number that a server takes, and liveCount that of the
+	// servingNodes are the nodes to which callers are sent; nil until it is known.
+	servingNodes atomic.Pointer[[]discovery.Node]
+	// minConnections is the least number that a server takes, and liveNodeCount that of the
 	// nodes that are there.
-	connections, liveCount atomic.Int64
-	// nodesNews says that the nodes may have changed; it holds one token.
-	nodesNews chan struct{}
-	// role is the node's part among the nodes as it was told last, and anchorSince when
+	minConnections, liveNodeCount atomic.Int64
+	// nodesWake says that the nodes may have changed; it holds one token.
+	nodesWake chan struct{}
+	// role is the node's part among the nodes as it was told last, and bootstrapSince when
 	// it became a node that keeps an entry in the registry; only nodesLoop uses them.
-	role        routing.NodesChanged
-	anchorSince time.Time
-	// loneAnchorWait is how much longer the node waits for that when it knows nobody.
-	loneAnchorWait time.Duration
-	// othersAble says that another node reaches enough servers; only nodesLoop uses it.
-	othersAble bool
+	role           routing.NodesChanged
+	bootstrapSince time.Time
+	// loneBootstrapDelay is how much longer the node waits for that when it knows nobody.
+	loneBootstrapDelay time.Duration
+	// peersAvailable says that another node reaches enough servers; only nodesLoop uses it.
+	peersAvailable bool
 	// unable says that the node can't reach enough servers, and remembered are the nodes
 	// as they were before that or the like happened to a node of its zone; only nodesLoop
 	// uses remembered.
-	unable     atomic.Bool
-	remembered []discovery.Node
+	unable          atomic.Bool
+	rememberedNodes []discovery.Node
 	// busy says that others should help the node.
 	busy atomic.Bool
 	// rollouts moves services to other versions.
-	rollouts *rollouts
+	rollouts *rolloutManager
 	// quarantines carries what is found out of requests that end servers.
-	quarantines *quarantines
+	quarantines *quarantineManager
 	// relay asks the nodes that read the registry; nil when this node has no
 	// address for other nodes.
 	relay *relay.Client
@@ -119,22 +119,22 @@
 const (
 	// directoryTTL is how long an answer of the directory counts.
 	directoryTTL = 5 * time.Second
-	// readShare is the part of the registry's readings that following may take.
-	readShare = 0.6
-	// tendInterval is the time between two looks at the connections.
-	tendInterval = time.Second
-	// readPace is the part of the bounds on leaving servers and on tables that
+	// followerReadShare is the part of the registry's readings that following may take.
+	followerReadShare = 0.6
+	// maintenanceInterval is the time between two looks at the connections.
+	maintenanceInterval = time.Second
+	// pollShare is the part of the bounds on leaving servers and on tables that
 	// may pass between two readings of the registry: one reading may fail, and
 	// the next still falls within the bound.
-	readPace = 0.6
-	// headerBytes, headerTimeout and idleTimeout bound those who call a node.
-	headerBytes   = 64 << 10
-	headerTimeout = 3 * time.Second
-	idleTimeout   = time.Minute
-	// longestHeaderTimeout and longestIdleTimeout bound callers whatever the table
+	pollShare = 0.6
+	// maxHeaderBytes, headerTimeout and idleTimeout bound those who call a node.
+	maxHeaderBytes = 64 << 10
+	headerTimeout  = 3 * time.Second
+	idleTimeout    = time.Minute
+	// callerHeaderTimeout and callerIdleTimeout bound callers whatever the table
 	// says; the gateway holds them to the table's own limits.
-	longestHeaderTimeout = 30 * time.Second
-	longestIdleTimeout   = 10 * time.Minute
+	callerHeaderTimeout = 30 * time.Second
+	callerIdleTimeout   = 10 * time.Minute
 )
 
 // New returns a node that has not started. Its error says what of the settings the
@@ -145,13 +145,13 @@
 		options.Listen = net.Listen
 	}
 	f := &Front{
-		options: options,
-		began:   time.Now(),
-		tend:    make(chan struct{}, 1),
+		options:         options,
+		startedAt:       time.Now(),
+		maintenanceWake: make(chan struct{}, 1),
 
-		nodesNews:      make(chan struct{}, 1),
-		loneAnchorWait: loneWait(options.Seed),
-		load:           loadMeter{capacity: settings.Capacity},
+		nodesWake:          make(chan struct{}, 1),
+		loneBootstrapDelay: drawLoneBootstrapDelay(options.Seed),
+		load:               loadMeter{capacity: settings.Capacity},
 		self: discovery.Node{
 			ID:       settings.Node,
 			Address:  settings.Callers,
@@ -167,15 +167,15 @@
 		registry = options.Registry
 	}
 	f.meter = traffic.NewMeter(registry)
-	f.grace.Store(int64(settings.GracePeriod))
-	f.quarantines = newQuarantines(f, options.Quarantines, registry)
+	f.gracePeriod.Store(int64(settings.GracePeriod))
+	f.quarantines = newQuarantineManager(f, options.Quarantines, registry)
 	f.gateway = gateway.New(gateway.Options{
 		Findings: f.quarantines,
 		Registry: registry,
-		ViewAge:  f.beliefAge,
+		ViewAge:  f.viewAge,
 		OnReachabilityChanged: func(able bool) {
 			f.unable.Store(!able)
-			f.nodesChanged()
+			f.wakeNodesLoop()
 		},
 		Headers:       options.Headers,
 		AnswerHeaders: options.AnswerHeaders,
@@ -196,8 +196,8 @@
 			Disabled:  options.Disabled,
 		},
 	})
-	f.rollouts = newRollouts(f, options.Rollouts, registry)
-	f.connections.Store(math.MaxInt32)
+	f.rollouts = newRolloutManager(f, options.Rollouts, registry)
+	f.minConnections.Store(math.MaxInt32)
 	var err error
 	f.agent, err = gossip.NewAgent(gossip.Options{
 		Self:         f.self,
@@ -207,8 +207,8 @@
 		Logger:       options.Logger,
 		Registry:     registry,
 		ListenPacket: options.ListenPacket,
-		Heard:        f.quarantines.hear,
-		Changed:      f.nodesChanged,
+		Heard:        f.quarantines.receiveFinding,
+		Changed:      f.wakeNodesLoop,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("front: %w", err)
@@ -226,16 +226,16 @@
 		NodeID:         settings.Node,
 		Nodes:          f.agent.Nodes,
 		Fetcher:        publishers,
-		Seeds:          otherThan(settings.Seeds, settings.Peer),
-		SeedTimeout:    seedTime(settings),
+		Seeds:          excludeAddress(settings.Seeds, settings.Peer),
+		SeedTimeout:    seedTimeout(settings),
 		Source:         options.Source,
 		Logger:         options.Logger,
 		View:           discovery.Options{Disabled: options.Disabled},
-		Changed:        f.changed,
-		OnAdopted:      newAdoptionMeter(leastBound(settings), registry, options.Logger).adopted,
-		PollInterval:   time.Duration(float64(leastBound(settings)) * readPace),
+		Changed:        f.applyClusterState,
+		OnAdopted:      newAdoptionMeter(shortestBound(settings), registry, options.Logger).observe,
+		PollInterval:   time.Duration(float64(shortestBound(settings)) * pollShare),
 		LapseTime:      settings.LapseTime,
-		ReadsPerSecond: settings.ReadsPerSecond * readShare,
+		ReadsPerSecond: settings.ReadsPerSecond * followerReadShare,
 	})
 	entry := f.self
 	entry.ID = settings.Node + "." + options.Incarnation // a late write of an earlier incarnation changes nothing
@@ -248,8 +248,8 @@
 	return f, nil
 }
 
-// leastBound is the shortest time in which what the registry tells is in force.
-func leastBound(settings Settings) time.Duration {
+// shortestBound is the shortest time in which what the registry tells is in force.
+func shortestBound(settings Settings) time.Duration {
 	return min(settings.DrainBound, settings.ApplyBound, cmp.Or(settings.EvacuateBound, settings.DrainBound))
 }
 
@@ -258,27 +258,27 @@
 }
 
 const (
-	// firstSeedTime is for how long the nodes of a first start ask the seeds.
-	firstSeedTime = 2 * time.Second
-	// seedTimeAgain is the same for nodes that start again, whose callers wait: a seed
+	// firstStartSeedTimeout is for how long the nodes of a first start ask the seeds.
+	firstStartSeedTimeout = 2 * time.Second
+	// restartSeedTimeout is the same for nodes that start again, whose callers wait: a seed
 	// that is there answers within it, and reading everything costs two calls.
-	seedTimeAgain = 150 * time.Millisecond
+	restartSeedTimeout = 150 * time.Millisecond
 )
 
-// seedTime is for how long the node asks its seeds before it reads the registry. At a
+// seedTimeout is for how long the node asks its seeds before it reads the registry. At a
 // first start the seeds themselves read it, and the others learn from them.
-func seedTime(settings Settings) time.Duration {
+func seedTimeout(settings Settings) time.Duration {
 	switch {
 	case !settings.FirstStart:
-		return seedTimeAgain
+		return restartSeedTimeout
 	case slices.Contains(settings.Seeds, settings.Peer):
 		return 0
 	default:
-		return firstSeedTime
+		return firstStartSeedTimeout
 	}
 }
 
-func otherThan(addresses []string, self string) []string {
+func excludeAddress(addresses []string, self string) []string {
 	return slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return address == self })
 }
 
@@ -286,7 +286,7 @@
 // stop, the budget of extra sends, and the regions of zones. What names the node
 // and its listeners counts at the next start only.
 func (f *Front) ApplySettings(settings Settings) {
-	f.grace.Store(int64(settings.GracePeriod))
+	f.gracePeriod.Store(int64(settings.GracePeriod))
 	f.gateway.ApplySettings(routing.SettingsChanged{
 		Budget:  extrabudget.Options{Ratio: settings.BudgetRatio, Fixed: settings.BudgetFixed},
 		Cold:    coldOptions(settings),
@@ -296,48 +296,48 @@
 		Float64("budget_fixed", settings.BudgetFixed).Msg("settings applied")
 }
 
-// changed takes what the follower believes.
-func (f *Front) changed(news discovery.ClusterState) {
-	f.agent.SetContacts(news.Nodes)
-	f.connections.Store(int64(leastConnections(news.Table)))
-	f.nodesChanged()
+// applyClusterState takes what the follower believes.
+func (f *Front) applyClusterState(state discovery.ClusterState) {
+	f.agent.SetContacts(state.Nodes)
+	f.minConnections.Store(int64(minUsableConnections(state.Table)))
+	f.wakeNodesLoop()
 	// Servers come first: those of a zone that is given back may be cold.
-	f.gateway.SetServers(news.Servers)
-	f.setEvacuated(discovery.EvacuatedZones(news.Directives))
-	f.quarantines.take(news.Directives)
-	f.rollouts.take(news, f.heardAt())
-	f.presence.Store(presenceOf(news))
-	if news.Table == nil {
+	f.gateway.SetServers(state.Servers)
+	f.setEvacuated(discovery.EvacuatedZones(state.Directives))
+	f.quarantines.update(state.Directives)
+	f.rollouts.update(state, f.syncedAt())
+	f.presence.Store(zonePresence(state))
+	if state.Table == nil {
 		return
 	}
-	if f.gateway.SetTable(news.Table) {
-		f.options.Logger.Info().Uint64("version", news.Table.Version).Int("routes", news.Table.Len()).Msg("table in force")
-		f.tendNow()
+	if f.gateway.SetTable(state.Table) {
+		f.options.Logger.Info().Uint64("version", state.Table.Version).Int("routes", state.Table.Len()).Msg("table in force")
+		f.wakeMaintenance()
 	}
-	f.knows.Store(true)
+	f.hasTable.Store(true)
 }
 
 // setEvacuated takes the zones to whose servers nothing more may be sent.
 func (f *Front) setEvacuated(zones []string) {
 	if f.gateway.SetEvacuated(zones) {
 		f.options.Logger.Info().Strs("zones", zones).Msg("evacuated zones changed")
-		f.tendNow()
+		f.wakeMaintenance()
 	}
 }
 
-func (f *Front) tendNow() {
+func (f *Front) wakeMaintenance() {
 	select {
-	case f.tend <- struct{}{}:
+	case f.maintenanceWake <- struct{}{}:
 	default:
 	}
 }
 
-// heardAt is when the registry was heard last, by this node or by one that told it.
-func (f *Front) heardAt() time.Time { return time.Now().Add(-max(f.beliefAge(), 0)) }
+// syncedAt is when the registry was heard last, by this node or by one that told it.
+func (f *Front) syncedAt() time.Time { return time.Now().Add(-max(f.viewAge(), 0)) }
 
-// beliefAge is how old what the node believes of the registry is; -1 when it
+// viewAge is how old what the node believes of the registry is; -1 when it
 // believes nothing.
-func (f *Front) beliefAge() time.Duration {
+func (f *Front) viewAge() time.Duration {
 	age, known := f.follower.Age()
 	if !known {
 		return -1
@@ -367,11 +367,11 @@
 	metrics := f.serveMetrics()
 	background, stop := context.WithCancel(context.Background())
 	var loops sync.WaitGroup
-	loops.Go(func() { f.watchNodes(background) })
+	loops.Go(func() { f.runAgent(background) })
 	loops.Go(func() { f.nodesLoop(background) })
 	loops.Go(func() { f.follower.Run(background) })
 	loops.Go(func() { f.announcer.Run(background) })
-	loops.Go(func() { f.tendLoop(background) })
+	loops.Go(func() { f.maintenanceLoop(background) })
 	loops.Go(func() { f.rollouts.run(background) })
 	loops.Go(func() { f.quarantines.run(background) })
 	f.options.Logger.Info().Str("callers", settings.Callers).Msg("started")
@@ -395,44 +395,44 @@
 	return nil
 }
 
-// tendLoop looks after the connections to servers.
-func (f *Front) tendLoop(ctx context.Context) {
-	ticker := time.NewTicker(tendInterval)
+// maintenanceLoop looks after the connections to servers.
+func (f *Front) maintenanceLoop(ctx context.Context) {
+	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-f.tend:
+		case <-f.maintenanceWake:
 		}
 		f.gateway.MaintainConnections()
-		f.lookAtLoad()
-		f.lookAtSuspension()
+		f.updateLoad()
+		f.logSuspension()
 	}
 }
 
-// lookAtLoad asks other nodes for help while this one is busy.
-func (f *Front) lookAtLoad() {
-	busy := f.load.take(time.Now(), f.gateway.SendCount())
+// updateLoad asks other nodes for help while this one is busy.
+func (f *Front) updateLoad() {
+	busy := f.load.update(time.Now(), f.gateway.SendCount())
 	if f.busy.Swap(busy) != busy {
 		f.options.Logger.Info().Bool("busy", busy).Float64("cores", f.load.capacity).Msg("load changed")
 	}
 	f.agent.SetBusy(busy)
 }
 
-// lookAtSuspension tells when the machine has been suspended.
-func (f *Front) lookAtSuspension() {
+// logSuspension tells when the machine has been suspended.
+func (f *Front) logSuspension() {
 	total := clock.Suspended()
-	if missed := total - f.suspended; missed > 0 {
+	if missed := total - f.suspendedTotal; missed > 0 {
 		f.options.Logger.Warn().Dur("missed_ms", missed).Msg("the machine was suspended")
 	}
-	f.suspended = total
+	f.suspendedTotal = total
 }
 
-// watchNodes runs the agent that watches the other nodes. A node that can't listen for
+// runAgent runs the agent that watches the other nodes. A node that can't listen for
 // their datagrams serves on without them.
-func (f *Front) watchNodes(ctx context.Context) {
+func (f *Front) runAgent(ctx context.Context) {
 	if err := f.agent.Run(ctx); err != nil {
 		f.options.Logger.Error().Err(err).Msg("other nodes are not watched")
 	}
--- a/front/node_test.go
+++ b/front/node_test.go
@@ -22,29 +22,29 @@
 	"github.com/banksail/banksail/route"
 )
 
-// registry is a source and a registrar in memory, which knows one table once it is open.
-type registry struct {
-	mutex sync.Mutex
-	open  bool
+// fakeRegistry is a source and a registrar in memory, which knows one table once it is open.
+type fakeRegistry struct {
+	mutex     sync.Mutex
+	available bool
 }
 
-func (r *registry) setOpen() {
+func (r *fakeRegistry) setAvailable() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.open = true
+	r.available = true
 }
 
-func (r *registry) List(context.Context) (discovery.Listing, error) {
+func (r *fakeRegistry) List(context.Context) (discovery.Listing, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if !r.open {
+	if !r.available {
 		return discovery.Listing{}, discovery.ErrUnavailable
 	}
 	table, err := route.New(route.Definition{Version: 1, Limits: route.Limits{HeaderBytes: 4096, HeaderTimeout: time.Second, IdleTimeout: 10 * time.Second}})
 	return discovery.Listing{Revision: 1, Table: table}, err
 }
 
-func (r *registry) Changes(ctx context.Context, after discovery.Position, wait time.Duration) (discovery.Changes, error) {
+func (r *fakeRegistry) Changes(ctx context.Context, after discovery.Position, wait time.Duration) (discovery.Changes, error) {
 	select {
 	case <-ctx.Done():
 		return discovery.Changes{}, ctx.Err()
@@ -53,7 +53,7 @@
 	}
 }
 
-func (r *registry) Register(context.Context, discovery.Node, time.Duration) (discovery.Lease, error) {
+func (r *fakeRegistry) Register(context.Context, discovery.Node, time.Duration) (discovery.Lease, error) {
 	return nil, errors.New("no leases here")
 }
 
@@ -68,7 +68,7 @@
 }
 
 // newFront is a node on a network of its own that has not started.
-func newFront(t *testing.T, source *registry, process *network.Process, settings Settings) *Front {
+func newFront(t *testing.T, source *fakeRegistry, process *network.Process, settings Settings) *Front {
 	t.Helper()
 	options := Options{
 		Settings: settings, Incarnation: "1", Source: source, Registrar: source, Logger: zerolog.Nop(),
@@ -99,23 +99,23 @@
 
 // A node is ready from its first table on until it stops; it tells of itself as long as it
 // serves, and of the time for which that counts no more than it may.
-func TestReadinessOfANode(t *testing.T) {
+func TestReadinessFollowsTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lab := network.New(network.Options{Seed: 1})
 		process, err := lab.Start("10.0.0.1")
 		if err != nil {
 			t.Fatal(err)
 		}
-		source := new(registry)
+		source := new(fakeRegistry)
 		f := newFront(t, source, process, testSettings("10.0.0.1"))
 		ctx, stop := context.WithCancel(t.Context())
-		ended := make(chan error, 1)
-		go func() { ended <- f.Run(ctx) }()
+		done := make(chan error, 1)
+		go func() { done <- f.Run(ctx) }()
 		time.Sleep(2 * time.Second)
 		if f.Ready() {
 			t.Error("ready without a table")
 		}
-		source.setOpen()
+		source.setAvailable()
 		time.Sleep(3 * time.Second)
 		if !f.Ready() {
 			t.Error("not ready with a table")
@@ -125,21 +125,21 @@
 			t.Errorf("%v", answer)
 		}
 		client := &http.Client{Transport: &http.Transport{DialContext: process.DialContext, DisableKeepAlives: true}}
-		reply, err := client.Get("http://10.0.0.1:3/")
+		response, err := client.Get("http://10.0.0.1:3/")
 		if err != nil {
 			t.Fatal(err)
 		}
-		told, _ := io.ReadAll(reply.Body)
-		_ = reply.Body.Close()
-		if string(told) != "[10.0.0.1:1]" {
-			t.Errorf("the directory tells %q", told)
+		body, _ := io.ReadAll(response.Body)
+		_ = response.Body.Close()
+		if string(body) != "[10.0.0.1:1]" {
+			t.Errorf("the directory tells %q", body)
 		}
 		stop()
 		synctest.Wait()
 		if f.Ready() {
 			t.Error("ready while it stops")
 		}
-		if err := <-ended; err != nil {
+		if err := <-done; err != nil {
 			t.Error(err)
 		}
 		lab.Close()
@@ -147,47 +147,47 @@
 }
 
 // An address that can't be listened on ends the start with an error that names it.
-func TestStartNamesTheAddress(t *testing.T) {
+func TestStartErrorNamesAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lab := network.New(network.Options{Seed: 1})
 		process, err := lab.Start("10.0.0.1")
 		if err != nil {
 			t.Fatal(err)
 		}
-		taken, err := process.Listen("10.0.0.1:2")
+		listener, err := process.Listen("10.0.0.1:2")
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := newFront(t, new(registry), process, testSettings("10.0.0.1"))
+		f := newFront(t, new(fakeRegistry), process, testSettings("10.0.0.1"))
 		if err := f.Run(t.Context()); err == nil || !strings.Contains(err.Error(), "10.0.0.1:2") {
 			t.Errorf("%v", err)
 		}
-		_ = taken.Close()
+		_ = listener.Close()
 		lab.Close()
 	})
 }
 
-func inZone(id, zone string) discovery.Node {
+func nodeInZone(id, zone string) discovery.Node {
 	return discovery.Node{ID: id, Address: id, Zone: zone, Region: "r"}
 }
 
 // Nodes of other zones that are out of sight are remembered only while none of them is
 // seen and a node of this zone can't reach the servers.
-func TestNodesOutOfSight(t *testing.T) {
+func TestUnreachableNodesAreRemembered(t *testing.T) {
 	unable := func(n discovery.Node) discovery.Node { n.Unable = true; return n }
 	suspect := func(n discovery.Node) discovery.Node { n.Suspect = true; return n }
-	a1, a2, b, c := inZone("a1", "a"), inZone("a2", "a"), inZone("b", "b"), inZone("c", "c")
-	f := newFront(t, new(registry), nil, testSettings("10.0.0.1"))
+	a1, a2, b, c := nodeInZone("a1", "a"), nodeInZone("a2", "a"), nodeInZone("b", "b"), nodeInZone("c", "c")
+	f := newFront(t, new(fakeRegistry), nil, testSettings("10.0.0.1"))
 	names := func(nodes []discovery.Node) string {
-		var all []string
+		var parts []string
 		for _, n := range nodes {
 			name := n.ID
 			if n.Suspect {
 				name += "?"
 			}
-			all = append(all, name)
+			parts = append(parts, name)
 		}
-		return strings.Join(all, " ")
+		return strings.Join(parts, " ")
 	}
 	for _, step := range []struct {
 		name string
@@ -201,7 +201,7 @@
 		{"the cut is over", []discovery.Node{a1, a2, b, c}, "a1 a2 b c"},
 		{"others are gone, the servers are reached", []discovery.Node{a1, a2}, "a1 a2"},
 	} {
-		if got := names(f.withRemembered(step.seen)); got != step.want {
+		if got := names(f.withRememberedNodes(step.seen)); got != step.want {
 			t.Errorf("%s: %q, want %q", step.name, got, step.want)
 		}
 	}
@@ -211,7 +211,7 @@
 func TestReadinessWithoutServers(t *testing.T) {
 	unable := func(n discovery.Node) discovery.Node { n.Unable = true; return n }
 	suspect := func(n discovery.Node) discovery.Node { n.Suspect = true; return n }
-	b, c := inZone("b", "b"), inZone("c", "c")
+	b, c := nodeInZone("b", "b"), nodeInZone("c", "c")
 	for name, test := range map[string]struct {
 		others []discovery.Node
 		ready  bool
@@ -224,10 +224,10 @@
 		"the other one leaves":            {[]discovery.Node{{ID: "b", Zone: "b", Leaving: true}}, true},
 		"one can, though another one not": {[]discovery.Node{unable(b), c}, false},
 	} {
-		f := newFront(t, new(registry), nil, testSettings("10.0.0.1"))
+		f := newFront(t, new(fakeRegistry), nil, testSettings("10.0.0.1"))
 		serving := append(slices.Clone(test.others), f.self)
-		f.serving.Store(&serving)
-		f.knows.Store(true)
+		f.servingNodes.Store(&serving)
+		f.hasTable.Store(true)
 		if !f.Ready() {
 			t.Errorf("%s: not ready while the servers can be reached", name)
 		}
@@ -239,18 +239,18 @@
 }
 
 // All nodes of a role have different places, so that what they share divides.
-func TestPlacesAmongNodesDiffer(t *testing.T) {
-	nodes := []discovery.Node{inZone("n1", "a"), inZone("n2", "a"), inZone("n3", "b"), inZone("n4", "b")}
+func TestIndexesAmongNodesDiffer(t *testing.T) {
+	nodes := []discovery.Node{nodeInZone("n1", "a"), nodeInZone("n2", "a"), nodeInZone("n3", "b"), nodeInZone("n4", "b")}
 	serving := []discovery.Node{nodes[1], nodes[3]}
-	places := make(map[bool][]int)
+	indexes := make(map[bool][]int)
 	for _, n := range nodes {
 		settings := testSettings("10.0.0.1")
 		settings.Node = n.ID
-		f := newFront(t, new(registry), nil, settings)
-		serves := slices.ContainsFunc(serving, f.isSelf)
-		places[serves] = append(places[serves], f.placeAmong(nodes, serving, serves))
+		f := newFront(t, new(fakeRegistry), nil, settings)
+		isServing := slices.ContainsFunc(serving, f.isSelf)
+		indexes[isServing] = append(indexes[isServing], f.indexAmong(nodes, serving, isServing))
 	}
-	if !slices.Equal(places[true], []int{0, 1}) || !slices.Equal(places[false], []int{0, 1}) {
-		t.Errorf("places of those that serve %v, of the others %v", places[true], places[false])
+	if !slices.Equal(indexes[true], []int{0, 1}) || !slices.Equal(indexes[false], []int{0, 1}) {
+		t.Errorf("places of those that serve %v, of the others %v", indexes[true], indexes[false])
 	}
 }
--- a/front/quarantines.go
+++ b/front/quarantines.go
@@ -29,36 +29,36 @@
 }
 
 const (
-	// findingsPerSecond bounds the findings that a node tells, and findingsAtOnce those
+	// findingsPerSecond bounds the findings that a node tells, and findingsBurst those
 	// without a pause: at 1,400 nodes that all lose servers, each hears some 30 a second.
 	findingsPerSecond = 10
-	findingsAtOnce    = 20
-	// findingsWaiting and recordsWaiting bound what waits to be told and to be written.
-	findingsWaiting = 128
-	recordsWaiting  = 64
-	// keeperPause is how long a keeper waits for the record of a content that another node
+	findingsBurst     = 20
+	// findingQueueSize and recordQueueSize bound what waits to be told and to be written.
+	findingQueueSize = 128
+	recordQueueSize  = 64
+	// aggregatorDelay is how long a keeper waits for the record of a content that another node
 	// refuses, before it writes the record itself.
-	keeperPause = 2 * time.Second
-	// quarantineCall bounds a call to the registry, and quarantinePause is the time between
+	aggregatorDelay = 2 * time.Second
+	// quarantineWriteTimeout bounds a call to the registry, and quarantineRetryInterval is the time between
 	// two tries.
-	quarantineCall  = time.Second
-	quarantinePause = time.Second
-	// renewalPause is the time between two renewals of a record: the registry keeps it ten
+	quarantineWriteTimeout  = time.Second
+	quarantineRetryInterval = time.Second
+	// renewalInterval is the time between two renewals of a record: the registry keeps it ten
 	// minutes, so four may be lost.
-	renewalPause = 2 * time.Minute
+	renewalInterval = 2 * time.Minute
 )
 
-// repetitions are when what all nodes are told is told again: datagrams are lost.
-var repetitions = []time.Duration{250 * time.Millisecond, time.Second}
+// repeatDelays are when what all nodes are told is told again: datagrams are lost.
+var repeatDelays = []time.Duration{250 * time.Millisecond, time.Second}
 
-// quarantines carries what the node finds out of requests that end servers, and what others do.
+// quarantineManager carries what the node finds out of requests that end servers, and what others do.
 // It implements gateway.FindingPublisher.
-type quarantines struct {
+type quarantineManager struct {
 	front  *Front
 	store  QuarantineStore
 	logger zerolog.Logger
 	// findings wait to be told, and records to be written or renewed.
-	findings chan toldFinding
+	findings chan queuedFinding
 	records  chan quarantine.Fingerprint
 	limiter  *rate.Limiter
 	dropped  prometheus.Counter
@@ -66,37 +66,37 @@
 	mutex sync.Mutex
 	// mutex guards the fields below: the contents that the registry holds or has lost, and
 	// when they were renewed last.
-	recorded map[quarantine.Fingerprint]recordedContent
-	renewed  map[quarantine.Fingerprint]time.Time
+	recorded  map[quarantine.Fingerprint]quarantineRecord
+	renewedAt map[quarantine.Fingerprint]time.Time
 }
 
-// recordedContent is a content's record in the registry. One that is lost is believed, and to be
+// quarantineRecord is a content's record in the registry. One that is lost is believed, and to be
 // written again: the registry has come back from a copy without it.
-type recordedContent struct {
+type quarantineRecord struct {
 	lease uint64
 	epoch discovery.Epoch
 	lost  bool
 }
 
-// toldFinding is a finding and whom it concerns.
-type toldFinding struct {
+// queuedFinding is a finding and whom it concerns.
+type queuedFinding struct {
 	finding  quarantine.Finding
 	audience quarantine.Audience
 }
 
-func newQuarantines(f *Front, store QuarantineStore, registry prometheus.Registerer) *quarantines {
-	q := &quarantines{
+func newQuarantineManager(f *Front, store QuarantineStore, registry prometheus.Registerer) *quarantineManager {
+	q := &quarantineManager{
 		front:    f,
 		store:    store,
 		logger:   f.options.Logger,
-		findings: make(chan toldFinding, findingsWaiting),
-		records:  make(chan quarantine.Fingerprint, recordsWaiting),
-		limiter:  rate.NewLimiter(findingsPerSecond, findingsAtOnce),
+		findings: make(chan queuedFinding, findingQueueSize),
+		records:  make(chan quarantine.Fingerprint, recordQueueSize),
+		limiter:  rate.NewLimiter(findingsPerSecond, findingsBurst),
 		dropped: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "banksail_findings_dropped_total", Help: "Findings on requests that end servers that were not passed on, as there were too many.",
 		}),
-		recorded: make(map[quarantine.Fingerprint]recordedContent),
-		renewed:  make(map[quarantine.Fingerprint]time.Time),
+		recorded:  make(map[quarantine.Fingerprint]quarantineRecord),
+		renewedAt: make(map[quarantine.Fingerprint]time.Time),
 	}
 	if registry != nil {
 		registry.MustRegister(q.dropped)
@@ -111,82 +111,82 @@
 }
 
 // Publish implements gateway.FindingPublisher.
-func (q *quarantines) Publish(finding quarantine.Finding, audience quarantine.Audience) {
+func (q *quarantineManager) Publish(finding quarantine.Finding, audience quarantine.Audience) {
 	select {
-	case q.findings <- toldFinding{finding, audience}:
+	case q.findings <- queuedFinding{finding, audience}:
 	default:
 		q.dropped.Inc()
 	}
 }
 
 // RecordQuarantine implements gateway.FindingPublisher: the record is written, or renewed where it stands.
-func (q *quarantines) RecordQuarantine(content quarantine.Fingerprint) {
+func (q *quarantineManager) RecordQuarantine(fingerprint quarantine.Fingerprint) {
 	select {
-	case q.records <- content:
+	case q.records <- fingerprint:
 	default:
 		q.dropped.Inc() // a keeper writes it, or the next node to which it comes
 	}
 }
 
-func (q *quarantines) isRecorded(content quarantine.Fingerprint) bool {
+func (q *quarantineManager) isRecorded(fingerprint quarantine.Fingerprint) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	known, there := q.recorded[content]
-	return there && !known.lost
+	record, found := q.recorded[fingerprint]
+	return found && !record.lost
 }
 
 // QuarantinedRequestRejected implements gateway.FindingPublisher.
-func (q *quarantines) QuarantinedRequestRejected(content quarantine.Fingerprint) {
+func (q *quarantineManager) QuarantinedRequestRejected(fingerprint quarantine.Fingerprint) {
 	q.mutex.Lock()
-	due := time.Since(q.renewed[content]) >= renewalPause
+	due := time.Since(q.renewedAt[fingerprint]) >= renewalInterval
 	if due {
-		q.renewed[content] = time.Now()
+		q.renewedAt[fingerprint] = time.Now()
 	}
 	q.mutex.Unlock()
 	if due {
-		q.RecordQuarantine(content)
+		q.RecordQuarantine(fingerprint)
 	}
 }
 
-// hear takes another node's finding.
-func (q *quarantines) hear(finding quarantine.Finding) {
+// receiveFinding takes another node's finding.
+func (q *quarantineManager) receiveFinding(finding quarantine.Finding) {
 	q.front.gateway.ReceiveFinding(finding)
 	if finding.Quarantined {
-		time.AfterFunc(keeperPause, func() { q.lookAfter(finding.Content) })
+		time.AfterFunc(aggregatorDelay, func() { q.ensureRecorded(finding.Content) })
 	}
 }
 
-// lookAfter writes a record that its finder has not written, or that the registry has lost, if
+// ensureRecorded writes a record that its finder has not written, or that the registry has lost, if
 // this node is a keeper.
-func (q *quarantines) lookAfter(content quarantine.Fingerprint) {
-	keepers := gossip.KeepersOf(content, q.front.agent.Nodes())
-	if slices.ContainsFunc(keepers, q.front.isSelf) && !q.isRecorded(content) {
-		q.RecordQuarantine(content)
+func (q *quarantineManager) ensureRecorded(fingerprint quarantine.Fingerprint) {
+	aggregators := gossip.KeepersOf(fingerprint, q.front.agent.Nodes())
+	if slices.ContainsFunc(aggregators, q.front.isSelf) && !q.isRecorded(fingerprint) {
+		q.RecordQuarantine(fingerprint)
 	}
 }
 
-// take takes what the registry holds.
-func (q *quarantines) take(directives []discovery.Directive) {
-	recorded := make(map[quarantine.Fingerprint]recordedContent)
+// update takes what the registry holds.
+func (q *quarantineManager) update(directives []discovery.Directive) {
+	recorded := make(map[quarantine.Fingerprint]quarantineRecord)
 	for _, directive := range directives {
 		if directive.Kind != discovery.QuarantineContent {
 			continue
 		}
-		content, err := quarantine.ParseFingerprint(directive.Subject)
+		fingerprint, err := quarantine.ParseFingerprint(directive.Subject)
 		if err != nil {
 			q.logger.Warn().Err(err).Str("subject", directive.Subject).Msg("quarantine not understood")
 			continue
 		}
-		recorded[content] = recordedContent{lease: directive.Lease, epoch: directive.StoredAt.Epoch, lost: directive.Lost}
+		recorded[fingerprint] = quarantineRecord{lease: directive.Lease, epoch: directive.StoredAt.Epoch, lost: directive.Lost}
 	}
 	q.mutex.Lock()
 	before := q.recorded
 	changed := !maps.Equal(before, recorded)
 	q.recorded = recorded
 	q.mutex.Unlock()
-	for content, known := range recorded {
-		if known.lost && !before[content].lost {
-			q.lookAfter(content)
+	for content, record := range recorded {
+		if record.lost && !before[content].lost {
+			q.ensureRecorded(content)
 		}
 	}
 	if changed {
@@ -196,52 +196,52 @@
 }
 
 // run tells and writes until ctx ends.
-func (q *quarantines) run(ctx context.Context) {
+func (q *quarantineManager) run(ctx context.Context) {
 	var loops sync.WaitGroup
-	loops.Go(func() { q.tellLoop(ctx) })
+	loops.Go(func() { q.publishLoop(ctx) })
 	loops.Go(func() { q.recordLoop(ctx) })
 	loops.Wait()
 }
 
-// tellLoop tells other nodes what was found out.
-func (q *quarantines) tellLoop(ctx context.Context) {
+// publishLoop tells other nodes what was found out.
+func (q *quarantineManager) publishLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case told := <-q.findings:
+		case queued := <-q.findings:
 			if !q.limiter.Allow() {
 				q.dropped.Inc()
 				continue
 			}
-			q.front.agent.Tell(told.finding, told.audience)
-			if told.audience == quarantine.AudienceAll {
-				q.repeat(ctx, told)
+			q.front.agent.Tell(queued.finding, queued.audience)
+			if queued.audience == quarantine.AudienceAll {
+				q.scheduleRepeats(ctx, queued)
 			}
 		}
 	}
 }
 
-// repeat tells a finding again later.
-func (q *quarantines) repeat(ctx context.Context, told toldFinding) {
-	for _, after := range repetitions {
-		time.AfterFunc(after, func() {
+// scheduleRepeats tells a finding again later.
+func (q *quarantineManager) scheduleRepeats(ctx context.Context, queued queuedFinding) {
+	for _, delay := range repeatDelays {
+		time.AfterFunc(delay, func() {
 			if ctx.Err() == nil {
-				q.front.agent.Tell(told.finding, told.audience)
+				q.front.agent.Tell(queued.finding, queued.audience)
 			}
 		})
 	}
 }
 
 // recordLoop writes records to the registry, each until it is there.
-func (q *quarantines) recordLoop(ctx context.Context) {
+func (q *quarantineManager) recordLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case content := <-q.records:
-			for q.store != nil && !q.record(ctx, content) {
-				if clock.Sleep(ctx, quarantinePause) != nil {
+		case fingerprint := <-q.records:
+			for q.store != nil && !q.writeRecord(ctx, fingerprint) {
+				if clock.Sleep(ctx, quarantineRetryInterval) != nil {
 					return
 				}
 			}
@@ -249,24 +249,24 @@
 	}
 }
 
-// record writes a content to the registry, or renews it there; it reports whether it stands.
-func (q *quarantines) record(ctx context.Context, content quarantine.Fingerprint) bool {
-	ctx, cancel := context.WithTimeout(ctx, quarantineCall)
+// writeRecord writes a content to the registry, or renews it there; it reports whether it stands.
+func (q *quarantineManager) writeRecord(ctx context.Context, fingerprint quarantine.Fingerprint) bool {
+	ctx, cancel := context.WithTimeout(ctx, quarantineWriteTimeout)
 	defer cancel()
 	q.mutex.Lock()
-	known, there := q.recorded[content]
-	there = there && !known.lost
+	record, isRecorded := q.recorded[fingerprint]
+	isRecorded = isRecorded && !record.lost
 	q.mutex.Unlock()
 	var err error
-	if there {
-		err = q.store.RenewQuarantine(ctx, known.lease, known.epoch)
+	if isRecorded {
+		err = q.store.RenewQuarantine(ctx, record.lease, record.epoch)
 	} else {
-		err = q.store.WriteQuarantine(ctx, content)
+		err = q.store.WriteQuarantine(ctx, fingerprint)
 	}
 	if err == nil || errors.Is(err, ErrConflict) {
-		q.logger.Info().Stringer("content", content).Bool("renewed", there).Msg("quarantine recorded")
+		q.logger.Info().Stringer("content", fingerprint).Bool("renewed", isRecorded).Msg("quarantine recorded")
 		return true
 	}
-	q.logger.Warn().Err(err).Stringer("content", content).Bool("renewed", there).Msg("quarantine not recorded")
-	return there // a record whose lease is over goes, and leaves a suspicion
+	q.logger.Warn().Err(err).Stringer("content", fingerprint).Bool("renewed", isRecorded).Msg("quarantine not recorded")
+	return isRecorded // a record whose lease is over goes, and leaves a suspicion
 }
--- a/front/rolloutmetrics.go
+++ b/front/rolloutmetrics.go
@@ -3,10 +3,10 @@
 import "github.com/prometheus/client_golang/prometheus"
 
 // rolloutCollector gives the figures of the roll-outs that have not ended.
-type rolloutCollector struct{ rollouts *rollouts }
+type rolloutCollector struct{ rollouts *rolloutManager }
 
 var (
-	exposureGivenDesc = prometheus.NewDesc("banksail_rollout_given",
+	exposureSentDesc = prometheus.NewDesc("banksail_rollout_given",
 		"Requests that the target of a roll-out got from this node.", []string{"service", "version"}, nil)
 	exposureAllowedDesc = prometheus.NewDesc("banksail_rollout_allowed",
 		"Requests that the target of a roll-out may have got from this node before a decision.", []string{"service", "version"}, nil)
@@ -20,7 +20,7 @@
 
 // Describe implements prometheus.Collector.
 func (c *rolloutCollector) Describe(descriptions chan<- *prometheus.Desc) {
-	for _, description := range []*prometheus.Desc{exposureGivenDesc, exposureAllowedDesc, rolloutAnswersDesc, rolloutAgeDesc, rolloutPhaseDesc} {
+	for _, description := range []*prometheus.Desc{exposureSentDesc, exposureAllowedDesc, rolloutAnswersDesc, rolloutAgeDesc, rolloutPhaseDesc} {
 		descriptions <- description
 	}
 }
@@ -31,7 +31,7 @@
 		metrics <- prometheus.MustNewConstMetric(description, prometheus.GaugeValue, value, labels...)
 	}
 	for _, exposure := range c.rollouts.front.gateway.RolloutExposures() {
-		gauge(exposureGivenDesc, float64(exposure.Sent), exposure.Service, exposure.Target)
+		gauge(exposureSentDesc, float64(exposure.Sent), exposure.Service, exposure.Target)
 		gauge(exposureAllowedDesc, exposure.Allowed, exposure.Service, exposure.Target)
 	}
 	c.rollouts.mutex.Lock()
--- a/front/rollouts.go
+++ b/front/rollouts.go
@@ -30,24 +30,24 @@
 }
 
 const (
-	// rolloutTick is the time between two looks at the roll-outs that have not ended.
-	rolloutTick = 100 * time.Millisecond
-	// reportPause is the time between two reports of a node, and hurriedPause the same while
+	// rolloutInterval is the time between two looks at the roll-outs that have not ended.
+	rolloutInterval = 100 * time.Millisecond
+	// reportInterval is the time between two reports of a node, and frequentReportInterval the same while
 	// a target gets much: bad answers are known to the deciders that soon.
-	reportPause  = 500 * time.Millisecond
-	hurriedPause = 250 * time.Millisecond
+	reportInterval         = 500 * time.Millisecond
+	frequentReportInterval = 250 * time.Millisecond
 	// reportTimeout bounds one report, and rolloutWriteTimeout a write to the registry.
 	reportTimeout       = 250 * time.Millisecond
 	rolloutWriteTimeout = time.Second
-	// deciders is the number of nodes that hear the reports and may decide.
-	deciders = 3
-	// ageMemory is the span of which the greatest age of a belief is remembered.
-	ageMemory = 15 * time.Second
+	// deciderCount is the number of nodes that hear the reports and may decide.
+	deciderCount = 3
+	// viewAgeWindow is the span of which the greatest age of a belief is remembered.
+	viewAgeWindow = 15 * time.Second
 )
 
-// rollouts drives the roll-outs of a node: it tells the gateway what is known of them,
+// rolloutManager drives the roll-outs of a node: it tells the gateway what is known of them,
 // reports what was seen, and decides where that is this node's duty.
-type rollouts struct {
+type rolloutManager struct {
 	front *Front
 	store RolloutStore
 	// wake tells that something may have become active; it holds one token.
@@ -57,38 +57,38 @@
 
 	mutex sync.Mutex
 	// mutex guards the fields below.
-	directives map[string]discovery.Directive
-	versions   map[string][]string // of each service's servers that take work
-	known      map[string]struct{} // services of the table in force
-	states     map[string]rollout.State
-	recordAt   map[string]time.Duration // when the record of a service was heard of
-	alarmAt    map[string]time.Duration // when its alarm was seen last
-	deciders   map[string]*rollout.Decider
-	ages       [2]agePeak // of this span and of the one before
-	reportAt   time.Time
-	// told is the phase of each service that was logged last.
-	told map[string]rollout.Phase
+	directives    map[string]discovery.Directive
+	versions      map[string][]string // of each service's servers that take work
+	knownServices map[string]struct{} // services of the table in force
+	states        map[string]rollout.State
+	recordSeenAt  map[string]time.Duration // when the record of a service was heard of
+	alarmSeenAt   map[string]time.Duration // when its alarm was seen last
+	deciders      map[string]*rollout.Decider
+	viewAgePeaks  [2]viewAgePeak // of this span and of the one before
+	reportedAt    time.Time
+	// loggedPhases is the phase of each service that was logged last.
+	loggedPhases map[string]rollout.Phase
 }
 
-// agePeak is the greatest age of a belief within a span.
-type agePeak struct {
-	since    time.Time
-	greatest time.Duration
+// viewAgePeak is the greatest age of a belief within a span.
+type viewAgePeak struct {
+	since  time.Time
+	maxAge time.Duration
 }
 
-func newRollouts(f *Front, store RolloutStore, registry prometheus.Registerer) *rollouts {
-	r := &rollouts{
-		front:      f,
-		store:      store,
-		wake:       make(chan struct{}, 1),
-		bounds:     f.options.Settings.Rollouts,
-		logger:     f.options.Logger,
-		directives: make(map[string]discovery.Directive),
-		states:     make(map[string]rollout.State),
-		recordAt:   make(map[string]time.Duration),
-		alarmAt:    make(map[string]time.Duration),
-		deciders:   make(map[string]*rollout.Decider),
-		told:       make(map[string]rollout.Phase),
+func newRolloutManager(f *Front, store RolloutStore, registry prometheus.Registerer) *rolloutManager {
+	r := &rolloutManager{
+		front:        f,
+		store:        store,
+		wake:         make(chan struct{}, 1),
+		bounds:       f.options.Settings.Rollouts,
+		logger:       f.options.Logger,
+		directives:   make(map[string]discovery.Directive),
+		states:       make(map[string]rollout.State),
+		recordSeenAt: make(map[string]time.Duration),
+		alarmSeenAt:  make(map[string]time.Duration),
+		deciders:     make(map[string]*rollout.Decider),
+		loggedPhases: make(map[string]rollout.Phase),
 	}
 	if registry != nil {
 		registry.MustRegister(&rolloutCollector{r})
@@ -96,19 +96,19 @@
 	return r
 }
 
-// on reports whether versions are rolled out on request here.
-func (r *rollouts) on() bool { return r.bounds.Enabled() && r.store != nil }
+// enabled reports whether versions are rolled out on request here.
+func (r *rolloutManager) enabled() bool { return r.bounds.Enabled() && r.store != nil }
 
-// take takes what the node believes now, as heard at the given time.
-func (r *rollouts) take(news discovery.ClusterState, heardAt time.Time) {
-	if !r.on() {
+// update takes what the node believes now, as heard at the given time.
+func (r *rolloutManager) update(state discovery.ClusterState, syncedAt time.Time) {
+	if !r.enabled() {
 		return
 	}
 	r.mutex.Lock()
-	r.takeDirectives(news.Directives)
-	r.takeServices(news)
+	r.updateDirectives(state.Directives)
+	r.updateServices(state)
 	states := maps.Clone(r.states)
-	active := r.active()
+	active := r.hasActive()
 	r.mutex.Unlock()
 	if active {
 		select {
@@ -117,14 +117,14 @@
 		}
 	}
 	if len(states) > 0 {
-		r.front.gateway.SetRollouts(states, r.front.gateway.SinceStart(heardAt.Add(r.bounds.MaxViewAge())))
+		r.front.gateway.SetRollouts(states, r.front.gateway.SinceStart(syncedAt.Add(r.bounds.MaxViewAge())))
 	}
 }
 
-// takeDirectives brings the states up to what is believed. The lock is held.
-func (r *rollouts) takeDirectives(listed []discovery.Directive) {
+// updateDirectives brings the states up to what is believed. The lock is held.
+func (r *rolloutManager) updateDirectives(listed []discovery.Directive) {
 	now := r.now()
-	before := r.directives
+	previous := r.directives
 	r.directives = make(map[string]discovery.Directive)
 	services := make(map[string]struct{})
 	for _, d := range listed {
@@ -133,23 +133,23 @@
 		}
 		r.directives[d.Key()] = d
 		services[d.Subject] = struct{}{}
-		if known, was := before[d.Key()]; d.Kind == discovery.RolloutRecord && (!was || known.Number != d.Number) {
-			r.recordAt[d.Subject] = now
+		if last, found := previous[d.Key()]; d.Kind == discovery.RolloutRecord && (!found || last.Number != d.Number) {
+			r.recordSeenAt[d.Subject] = now
 		}
 		if d.Kind == discovery.RolloutAlarm {
-			r.alarmAt[d.Subject] = now
+			r.alarmSeenAt[d.Subject] = now
 		}
 	}
 	r.states = make(map[string]rollout.State, len(services))
 	for service := range services {
-		r.states[service] = r.stateOf(service, now)
+		r.states[service] = r.stateFor(service, now)
 	}
 }
 
-// stateOf is what is known of a service's roll-out. The lock is held.
-func (r *rollouts) stateOf(service string, now time.Duration) rollout.State {
+// stateFor is what is known of a service's roll-out. The lock is held.
+func (r *rolloutManager) stateFor(service string, now time.Duration) rollout.State {
 	var state rollout.State
-	if order, there := r.directives[discovery.DirectiveKey(discovery.RollOut, service)]; there {
+	if order, found := r.directives[discovery.DirectiveKey(discovery.RollOut, service)]; found {
 		state.Order, state.Target, state.Duration = order.Number, order.Order.Target, order.Order.Duration
 		state.OrderRevision = uint64(order.StoredAt.Revision)
 		if !order.Since.IsZero() {
@@ -158,24 +158,24 @@
 		}
 	}
 	if record, there := r.directives[discovery.DirectiveKey(discovery.RolloutRecord, service)]; there {
-		state.Record, state.RecordSeenAt, state.RecordLost = record.Record, r.recordAt[service], record.Lost
+		state.Record, state.RecordSeenAt, state.RecordLost = record.Record, r.recordSeenAt[service], record.Lost
 	}
 	if state.RecordMatchesRestoredOrder() {
 		state.Order = state.Record.Order
 	}
 	alarm, there := r.directives[discovery.DirectiveKey(discovery.RolloutAlarm, service)]
 	state.AlarmHeld = there && alarm.Record.Order == state.Order
-	state.AlarmSeenAt = r.alarmAt[service]
-	state.Granted = state.GrantFor(now, r.front.self.ID, time.Since(r.front.began))
+	state.AlarmSeenAt = r.alarmSeenAt[service]
+	state.Granted = state.GrantFor(now, r.front.self.ID, time.Since(r.front.startedAt))
 	return state
 }
 
-// takeServices notes the versions of the services with a roll-out, and which of them stand
+// updateServices notes the versions of the services with a roll-out, and which of them stand
 // in the table. The lock is held.
-func (r *rollouts) takeServices(news discovery.ClusterState) {
+func (r *rolloutManager) updateServices(state discovery.ClusterState) {
 	r.versions = make(map[string][]string)
-	for _, server := range news.Servers {
-		if _, concerned := r.states[server.Service]; concerned && server.State == discovery.Ready {
+	for _, server := range state.Servers {
+		if _, hasRollout := r.states[server.Service]; hasRollout && server.State == discovery.Ready {
 			r.versions[server.Service] = append(r.versions[server.Service], server.Version)
 		}
 	}
@@ -183,21 +183,21 @@
 		slices.Sort(versions)
 		r.versions[service] = slices.Compact(versions)
 	}
-	r.known = make(map[string]struct{})
+	r.knownServices = make(map[string]struct{})
 	for service := range r.states {
-		if news.Table == nil {
+		if state.Table == nil {
 			continue
 		}
-		if _, stands := news.Table.Services[service]; stands {
-			r.known[service] = struct{}{}
+		if _, inTable := state.Table.Services[service]; inTable {
+			r.knownServices[service] = struct{}{}
 		}
 	}
 }
 
-func (r *rollouts) now() time.Duration { return r.front.gateway.SinceStart(time.Now()) }
+func (r *rolloutManager) now() time.Duration { return r.front.gateway.SinceStart(time.Now()) }
 
-// active reports whether a roll-out has not ended, or is to be written again. The lock is held.
-func (r *rollouts) active() bool {
+// hasActive reports whether a roll-out has not ended, or is to be written again. The lock is held.
+func (r *rolloutManager) hasActive() bool {
 	for _, state := range r.states {
 		if !state.Ended() || state.NeedsRewrite() {
 			return true
@@ -207,7 +207,7 @@
 }
 
 // run looks at the roll-outs until ctx ends, as long as one has not ended.
-func (r *rollouts) run(ctx context.Context) {
+func (r *rolloutManager) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -217,46 +217,46 @@
 	}
 }
 
-func (r *rollouts) runActive(ctx context.Context) {
+func (r *rolloutManager) runActive(ctx context.Context) {
 	active := true
-	for active && clock.Sleep(ctx, rolloutTick) == nil {
+	for active && clock.Sleep(ctx, rolloutInterval) == nil {
 		r.mutex.Lock()
-		active = r.active()
+		active = r.hasActive()
 		r.mutex.Unlock()
-		r.noteAge()
-		r.report(ctx)
+		r.recordViewAge()
+		r.sendReports(ctx)
 		for _, write := range r.decide() {
-			go r.write(ctx, write)
+			go r.writeDecision(ctx, write)
 		}
 	}
 }
 
-// noteAge remembers how old the belief of the registry was of late.
-func (r *rollouts) noteAge() {
-	age, now := r.front.beliefAge(), time.Now()
+// recordViewAge remembers how old the belief of the registry was of late.
+func (r *rolloutManager) recordViewAge() {
+	age, now := r.front.viewAge(), time.Now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if now.Sub(r.ages[0].since) > ageMemory {
-		r.ages[1] = r.ages[0]
-		r.ages[0] = agePeak{since: now}
+	if now.Sub(r.viewAgePeaks[0].since) > viewAgeWindow {
+		r.viewAgePeaks[1] = r.viewAgePeaks[0]
+		r.viewAgePeaks[0] = viewAgePeak{since: now}
 	}
-	r.ages[0].greatest = max(r.ages[0].greatest, age)
+	r.viewAgePeaks[0].maxAge = max(r.viewAgePeaks[0].maxAge, age)
 }
 
-// report tells the deciders what this node has seen, when it is time for that.
-func (r *rollouts) report(ctx context.Context) {
-	reports, hurried := r.front.gateway.RolloutReports()
+// sendReports tells the deciders what this node has seen, when it is time for that.
+func (r *rolloutManager) sendReports(ctx context.Context) {
+	reports, frequent := r.front.gateway.RolloutReports()
 	if len(reports) == 0 {
 		return
 	}
-	pause := reportPause
-	if hurried {
-		pause = hurriedPause
+	interval := reportInterval
+	if frequent {
+		interval = frequentReportInterval
 	}
 	r.mutex.Lock()
-	due := time.Since(r.reportAt) >= pause
+	due := time.Since(r.reportedAt) >= interval
 	if due {
-		r.reportAt = time.Now()
+		r.reportedAt = time.Now()
 	}
 	r.mutex.Unlock()
 	if !due {
@@ -265,37 +265,37 @@
 	for i := range reports {
 		reports[i].Node, reports[i].Process = r.front.self.ID, r.front.options.Incarnation
 	}
-	for _, leader := range discovery.HighestRanked(r.front.agent.Nodes(), deciders) {
-		if leader.ID == r.front.self.ID {
-			r.halt(r.ReceiveReports(reports))
+	for _, decider := range discovery.HighestRanked(r.front.agent.Nodes(), deciderCount) {
+		if decider.ID == r.front.self.ID {
+			r.applyHalts(r.ReceiveReports(reports))
 			continue
 		}
-		go r.reportTo(ctx, leader, reports)
+		go r.sendReportsTo(ctx, decider, reports)
 	}
 }
 
-func (r *rollouts) reportTo(ctx context.Context, leader discovery.Node, reports []rollout.Report) {
+func (r *rolloutManager) sendReportsTo(ctx context.Context, decider discovery.Node, reports []rollout.Report) {
 	if r.front.relay == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	halts, err := r.front.relay.Report(ctx, leader.Peer, reports)
+	halts, err := r.front.relay.Report(ctx, decider.Peer, reports)
 	if err != nil {
-		r.logger.Debug().Err(err).Str("decider", leader.ID).Msg("report on roll-outs not delivered")
+		r.logger.Debug().Err(err).Str("decider", decider.ID).Msg("report on roll-outs not delivered")
 		return
 	}
-	r.halt(halts)
+	r.applyHalts(halts)
 }
 
-func (r *rollouts) halt(halts []relay.Halt) {
+func (r *rolloutManager) applyHalts(halts []relay.Halt) {
 	for _, halt := range halts {
 		r.front.gateway.HaltRollout(halt.Service, halt.Order)
 	}
 }
 
 // ReceiveReports implements relay.ReportReceiver.
-func (r *rollouts) ReceiveReports(reports []rollout.Report) (halts []relay.Halt) {
+func (r *rolloutManager) ReceiveReports(reports []rollout.Report) (halts []relay.Halt) {
 	now := r.now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -303,7 +303,7 @@
 		if _, known := r.states[report.Service]; !known {
 			continue
 		}
-		decider := r.deciderOf(report.Service)
+		decider := r.deciderFor(report.Service)
 		decider.AddReport(now, report)
 		if decider.Halt() {
 			halts = append(halts, relay.Halt{Service: report.Service, Order: report.Order})
@@ -312,8 +312,8 @@
 	return halts
 }
 
-// deciderOf is a service's decider. The lock is held.
-func (r *rollouts) deciderOf(service string) *rollout.Decider {
+// deciderFor is a service's decider. The lock is held.
+func (r *rolloutManager) deciderFor(service string) *rollout.Decider {
 	decider := r.deciders[service]
 	if decider == nil {
 		decider = rollout.NewDecider(service, r.bounds)
@@ -323,7 +323,7 @@
 }
 
 // decide lists what this node should write now.
-func (r *rollouts) decide() []rollout.Write {
+func (r *rolloutManager) decide() []rollout.Write {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if len(r.states) == 0 {
@@ -331,18 +331,18 @@
 	}
 	now := r.now()
 	nodes := r.front.agent.Nodes()
-	world := rollout.DeciderInput{
-		DeciderIndex: placeOf(r.front.self.ID, discovery.HighestRanked(nodes, deciders)),
-		Nodes:        idsOf(nodes),
-		MaxViewAge:   max(r.ages[0].greatest, r.ages[1].greatest),
+	input := rollout.DeciderInput{
+		DeciderIndex: nodeIndex(r.front.self.ID, discovery.HighestRanked(nodes, deciderCount)),
+		Nodes:        nodeIDs(nodes),
+		MaxViewAge:   max(r.viewAgePeaks[0].maxAge, r.viewAgePeaks[1].maxAge),
 	}
-	if serving := r.front.serving.Load(); serving != nil {
-		world.ServingNodes = idsOf(*serving)
+	if serving := r.front.servingNodes.Load(); serving != nil {
+		input.ServingNodes = nodeIDs(*serving)
 	}
 	var writes []rollout.Write
 	for _, service := range slices.Sorted(maps.Keys(r.states)) {
-		decider := r.deciderOf(service)
-		decider.Observe(now, r.worldOf(service, world))
+		decider := r.deciderFor(service)
+		decider.Observe(now, r.deciderInputFor(service, input))
 		r.logPhase(service)
 		if write, due := decider.Tick(now); due {
 			writes = append(writes, write)
@@ -351,60 +351,60 @@
 	return writes
 }
 
-// worldOf adds to what is known of the nodes what is known of a service. The lock is held.
-func (r *rollouts) worldOf(service string, world rollout.DeciderInput) rollout.DeciderInput {
-	world.State = r.states[service]
-	world.Versions = r.versions[service]
-	_, world.ServiceKnown = r.known[service]
-	if order, there := r.directives[discovery.DirectiveKey(discovery.RollOut, service)]; there {
-		world.OrderFault = order.Order.Fault
-		world.Epoch = uint64(order.StoredAt.Epoch)
+// deciderInputFor adds to what is known of the nodes what is known of a service. The lock is held.
+func (r *rolloutManager) deciderInputFor(service string, input rollout.DeciderInput) rollout.DeciderInput {
+	input.State = r.states[service]
+	input.Versions = r.versions[service]
+	_, input.ServiceKnown = r.knownServices[service]
+	if order, found := r.directives[discovery.DirectiveKey(discovery.RollOut, service)]; found {
+		input.OrderFault = order.Order.Fault
+		input.Epoch = uint64(order.StoredAt.Epoch)
 	}
 	if record, there := r.directives[discovery.DirectiveKey(discovery.RolloutRecord, service)]; there {
-		world.Epoch, world.RecordRevision = uint64(record.StoredAt.Epoch), uint64(record.StoredAt.Revision)
+		input.Epoch, input.RecordRevision = uint64(record.StoredAt.Epoch), uint64(record.StoredAt.Revision)
 	}
-	return world
+	return input
 }
 
 // logPhase writes a line when a service's roll-out has come to another phase. The lock is held.
-func (r *rollouts) logPhase(service string) {
+func (r *rolloutManager) logPhase(service string) {
 	state := r.states[service]
-	if state.Record == nil || r.told[service] == state.Record.Phase {
+	if state.Record == nil || r.loggedPhases[service] == state.Record.Phase {
 		return
 	}
-	r.told[service] = state.Record.Phase
+	r.loggedPhases[service] = state.Record.Phase
 	r.logger.Info().Str("service", service).Str("target", state.Record.Target).Str("phase", string(state.Record.Phase)).
 		Str("reason", state.Record.Reason).Uint64("order", state.Record.Order).Msg("roll-out")
 }
 
-// write carries a decision out. Whatever becomes of it is heard of from the registry.
-func (r *rollouts) write(ctx context.Context, write rollout.Write) {
+// writeDecision carries a decision out. Whatever becomes of it is heard of from the registry.
+func (r *rolloutManager) writeDecision(ctx context.Context, write rollout.Write) {
 	ctx, cancel := context.WithTimeout(ctx, rolloutWriteTimeout)
 	defer cancel()
 	revision, err := r.store.WriteRollout(ctx, write)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	answers, bad := r.deciderOf(write.Service).Judge().Answers()
+	answers, bad := r.deciderFor(write.Service).Judge().Answers()
 	line := r.logger.Info().Str("service", write.Service).Str("target", write.Record.Target).
 		Str("phase", string(write.Record.Phase)).Str("reason", write.Record.Reason).
 		Dur("elapsed_ms", write.Record.Elapsed).Int("answers", answers).Int("bad", bad)
 	if errors.Is(err, ErrConflict) {
-		r.deciderOf(write.Service).WriteRejected()
+		r.deciderFor(write.Service).WriteRejected()
 	}
 	if err != nil {
 		line.Err(err).Msg("decision on a roll-out not written")
 		return
 	}
 	line.Uint64("revision", revision).Msg("decision on a roll-out written")
-	r.deciderOf(write.Service).WriteAccepted(r.now(), write, revision)
+	r.deciderFor(write.Service).WriteAccepted(r.now(), write, revision)
 }
 
-// placeOf is the place of a node among others; -1 is none.
-func placeOf(id string, nodes []discovery.Node) int {
+// nodeIndex is the place of a node among others; -1 is none.
+func nodeIndex(id string, nodes []discovery.Node) int {
 	return slices.IndexFunc(nodes, func(n discovery.Node) bool { return n.ID == id })
 }
 
-func idsOf(nodes []discovery.Node) []string {
+func nodeIDs(nodes []discovery.Node) []string {
 	ids := make([]string, 0, len(nodes))
 	for _, n := range nodes {
 		ids = append(ids, n.ID)
