--- a/front/addresses.go
+++ b/front/addresses.go
@@ -9,10 +9,11 @@
 	"github.com/banksail/banksail/route"
 )
 
-// usableConnectionShare is the part of a server's connections that may be held.
+// usableConnectionShare is the share of a server's connection limit that the nodes may use.
 const usableConnectionShare = 0.8
 
-// minUsableConnections is the least number that a server of a service in use takes.
+// minUsableConnections returns the smallest number of connections that all nodes together may hold
+// to a server of any service in use.
 func minUsableConnections(table *route.Table) int {
 	if table == nil {
 		return math.MaxInt32
@@ -24,7 +25,8 @@
 	return fewest
 }
 
-// zonePresence tells which part of the services in use each zone has a server of.
+// zonePresence returns, for each zone, the share of the services in use that have a ready server
+// there. Evacuated zones have none.
 func zonePresence(state discovery.ClusterState) *directory.Presence {
 	presence := make(directory.Presence)
 	if state.Table == nil {
@@ -55,9 +57,9 @@
 	return f.hasTable.Load() && !f.leaving.Load() && !f.shouldYieldToPeers()
 }
 
-// shouldYieldToPeers reports whether this node can't reach enough servers while another one, as
-// far as it knows, can. Where no node can, all stay ready: what is missing may be back at
-// any moment, and callers have nowhere else to go.
+// shouldYieldToPeers reports whether this node cannot reach enough servers while another node, as
+// far as is known, can. If no node can, all of them stay ready: the servers may become reachable
+// again at any moment, and callers have nowhere else to go.
 func (f *Front) shouldYieldToPeers() bool {
 	if !f.unable.Load() {
 		return false
@@ -72,8 +74,7 @@
 	return !slices.ContainsFunc(directory.NodesAbleToServe(append(others, self)), f.isSelf)
 }
 
-// Resolve implements directory.Resolver. The node itself counts as live as long as it
-// answers.
+// Resolve implements directory.Resolver. This node counts itself as live, as it is able to answer.
 func (f *Front) Resolve(host string, caller directory.Caller, limit int) directory.Answer {
 	var nodes []discovery.Node
 	if serving := f.servingNodes.Load(); serving != nil {
--- a/front/adoption.go
+++ b/front/adoption.go
@@ -7,15 +7,15 @@
 	"github.com/rs/zerolog"
 )
 
-// lateAdoptionShare is the part of the shortest bound from which on a change that was taken in is
-// logged: what is left is for requests that are on their way.
+// lateAdoptionShare is the share of the shortest bound above which the adoption of a change is
+// logged as late. The rest of the bound is left for requests that are already in flight.
 const lateAdoptionShare = 0.7
 
-// adoptionBuckets are parts of the shortest bound.
+// adoptionBuckets are shares of the shortest bound.
 var adoptionBuckets = []float64{0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1, 1.5, 2, 4}
 
-// adoptionMeter tells how near changes of the registry come to the time in which they must
-// be in force.
+// adoptionMeter measures how much of the shortest time bound on registry changes has passed when a
+// change is adopted.
 type adoptionMeter struct {
 	bound       time.Duration
 	boundShares prometheus.Histogram
@@ -38,7 +38,8 @@
 	return m
 }
 
-// observe notes that a change was taken in, and how old the belief before it was.
+// observe records the adoption of a change and the age of the view that it replaced. A late
+// adoption is logged.
 func (m *adoptionMeter) observe(age time.Duration) {
 	share := age.Seconds() / m.bound.Seconds()
 	m.boundShares.Observe(share)
--- a/front/doc.go
+++ b/front/doc.go
@@ -1,4 +1,4 @@
-// Package front assembles a node that callers reach directly: a gateway, what
-// it believes of the servers and of the other nodes, the directory's decisions,
-// and planned stops.
+// Package front assembles a node that serves callers directly: the gateway, the node's view of
+// servers and other nodes, the directory that tells callers where to connect, and graceful
+// shutdown.
 package front
--- a/front/listeners.go
+++ b/front/listeners.go
@@ -13,7 +13,8 @@
 	"github.com/banksail/banksail/relay"
 )
 
-// servePeers answers other nodes; nil when the node has no address for them.
+// servePeers starts the listener for requests of other nodes. The server is nil if the settings
+// have no address for it.
 func (f *Front) servePeers() (*http.Server, error) {
 	if f.options.Settings.Peer == "" {
 		return nil, nil
@@ -24,8 +25,8 @@
 	return f.serve(traffic.Nodes, f.options.Settings.Peer, mux, nil)
 }
 
-// serveDirectory answers callers that ask where to connect; nil when the node has no
-// address for them.
+// serveDirectory starts the listener on which callers look up the addresses to connect to. The
+// server is nil if the settings have no address for it.
 func (f *Front) serveDirectory() (*http.Server, error) {
 	if f.options.Settings.Directory == "" {
 		return nil, nil
@@ -33,11 +34,11 @@
 	return f.serve(traffic.Checks, f.options.Settings.Directory, f.options.Directory(f), nil)
 }
 
-// metricsPath is where the node's figures are.
+// metricsPath is the HTTP path of the node's metrics.
 const metricsPath = "/metrics"
 
-// serveMetrics answers with the node's figures; nil when it has no address for
-// them, or can't listen there: a node without metrics still serves callers.
+// serveMetrics registers the node's metrics and serves them over HTTP. It returns nil if there is
+// no registry or no address, or if listening fails: a node without metrics still serves callers.
 func (f *Front) serveMetrics() *http.Server {
 	registry := f.options.Registry
 	if registry == nil || f.options.Settings.Metrics == "" {
@@ -89,13 +90,15 @@
 	mux.Handle("GET "+metricsPath, promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	server, err := f.serve(traffic.Checks, f.options.Settings.Metrics, mux, nil)
 	if err != nil {
-		f.options.Logger.Warn().Err(err).Msg("metrics are not served")
+		f.options.Logger.Warn().Err(err).Msg("cannot listen on the metrics address; metrics are not served")
 		return nil
 	}
 	return server
 }
 
-// serve answers on an address in the background.
+// serve starts an HTTP server on an address and returns without waiting for it. The purpose labels
+// the listener's traffic metrics. A non-nil connContext marks the callers' listener, whose limits
+// are enforced by the gateway.
 func (f *Front) serve(purpose traffic.Purpose, address string, handler http.Handler, connContext func(context.Context, net.Conn) context.Context) (*http.Server, error) {
 	listener, err := f.options.Listen("tcp", address)
 	if err != nil {
@@ -113,6 +116,6 @@
 		server.ConnContext = connContext
 		server.ReadHeaderTimeout, server.IdleTimeout = callerHeaderTimeout, callerIdleTimeout
 	}
-	go func() { _ = server.Serve(listener) }() // ends when the server is closed
+	go func() { _ = server.Serve(listener) }() // returns when the server is closed
 	return server, nil
 }
--- a/front/node.go
+++ b/front/node.go
@@ -28,43 +28,45 @@
 	"github.com/banksail/banksail/routing"
 )
 
-// Node is what the handler of checks asks.
+// Node is the interface that the handler of readiness checks needs.
 type Node interface {
-	// Ready reports whether callers should come.
+	// Ready reports whether callers should be sent to this node.
 	Ready() bool
 }
 
-// Options sets up a Front.
+// Options configures a Front.
 type Options struct {
 	Settings Settings
-	// Incarnation tells this process from earlier ones of the same node.
+	// Incarnation distinguishes this process from earlier ones of the same node.
 	Incarnation   string
 	Headers       exchange.Headers
 	AnswerHeaders gateway.AnswerHeaders
 	Source        discovery.Source
 	Registrar     discovery.Registrar
-	// Rollouts keeps records of roll-outs; nil is that versions are not rolled out.
+	// Rollouts stores the records of roll-outs; nil disables roll-outs on request.
 	Rollouts RolloutStore
-	// Quarantines keeps the contents that are refused; nil is that only nodes remember them.
+	// Quarantines stores the fingerprints of rejected requests; if nil, only the nodes' memory
+	// holds them.
 	Quarantines QuarantineStore
-	// Readiness and Directory answer the node's other listeners.
+	// Readiness and Directory create the handlers of the listeners for readiness checks and for
+	// address look-ups.
 	Readiness func(Node) http.Handler
 	Directory func(directory.Resolver) http.Handler
 	Logger    zerolog.Logger
-	// Registry holds the node's metrics, which are served on their own address;
-	// nil is none.
+	// Registry holds the node's metrics, which are served on their own address; nil disables
+	// metrics.
 	Registry *prometheus.Registry
 	Seed     uint64
-	// Disabled names the mechanisms that are switched off, for diagnosis.
+	// Disabled is the set of mechanisms that are switched off, for diagnosis.
 	Disabled mechanism.Disabled
-	// Listen opens a listener, ListenPacket a socket for datagrams and Dial a connection
-	// to a server; the default is the operating system's TCP and UDP.
+	// Listen opens a listener, ListenPacket a datagram socket and Dial a connection to a server or
+	// node. The defaults are the operating system's TCP and UDP.
 	Listen       func(network, address string) (net.Listener, error)
 	ListenPacket func(network, address string) (net.PacketConn, error)
 	Dial         func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Front is one node. Run must be called once.
+// Front is one node. Run must be called exactly once.
 type Front struct {
 	options     Options
 	gateway     *gateway.Gateway
@@ -75,70 +77,76 @@
 	self        discovery.Node
 	startedAt   time.Time
 	leaving     atomic.Bool
-	gracePeriod atomic.Int64 // in nanoseconds
-	// hasTable says that a table and the servers were heard of once.
+	gracePeriod atomic.Int64 // nanoseconds
+	// hasTable is set once the node has received a table and the servers.
 	hasTable        atomic.Bool
 	maintenanceWake chan struct{}
-	// load tells when others should help; only maintenanceLoop uses it.
+	// load decides whether other nodes should take over callers; used by maintenanceLoop only.
 	load loadMeter
-	// suspendedTotal is for how long the machine has been, as far as was told; only maintenanceLoop uses it.
+	// suspendedTotal is how long the machine has been suspended in total, as of the last check;
+	// used by maintenanceLoop only.
 	suspendedTotal time.Duration
-	// presence tells where the servers stand; nil until it is known.
+	// presence describes in which zones servers are ready; nil until it is known.
 	presence atomic.Pointer[directory.Presence]
-	// servingNodes are the nodes to which callers are sent; nil until it is known.
+	// servingNodes are the nodes to which callers are sent; nil until they are known.
 	servingNodes atomic.Pointer[[]discovery.Node]
-	// minConnections is the least number that a server takes, and liveNodeCount that of the
-	// nodes that are there.
+	// minConnections is the smallest number of connections that all nodes together may hold to any
+	// server. liveNodeCount is the number of live nodes.
 	minConnections, liveNodeCount atomic.Int64
-	// nodesWake says that the nodes may have changed; it holds one token.
+	// nodesWake signals that the set of nodes may have changed; it holds one token.
 	nodesWake chan struct{}
-	// role is the node's part among the nodes as it was told last, and bootstrapSince when
-	// it became a node that keeps an entry in the registry; only nodesLoop uses them.
+	// role is the role last passed to the gateway. bootstrapSince is when this node became one of
+	// those that keep a bootstrap entry in the registry; zero if it is none of them. Used by
+	// nodesLoop only.
 	role           routing.NodesChanged
 	bootstrapSince time.Time
-	// loneBootstrapDelay is how much longer the node waits for that when it knows nobody.
+	// loneBootstrapDelay is how much longer the node waits before it writes its bootstrap entry if
+	// it knows no other node.
 	loneBootstrapDelay time.Duration
-	// peersAvailable says that another node reaches enough servers; only nodesLoop uses it.
+	// peersAvailable reports whether another node accepts callers and reaches enough servers; used
+	// by nodesLoop only.
 	peersAvailable bool
-	// unable says that the node can't reach enough servers, and remembered are the nodes
-	// as they were before that or the like happened to a node of its zone; only nodesLoop
-	// uses remembered.
+	// unable is set while this node cannot reach enough servers. rememberedNodes are the nodes as
+	// last seen before this node or another one of its zone became unable; they are used by
+	// nodesLoop only.
 	unable          atomic.Bool
 	rememberedNodes []discovery.Node
-	// busy says that others should help the node.
+	// busy is set while other nodes should take over callers of this node.
 	busy atomic.Bool
-	// rollouts moves services to other versions.
+	// rollouts runs this node's part in roll-outs.
 	rollouts *rolloutManager
-	// quarantines carries what is found out of requests that end servers.
+	// quarantines exchanges findings on requests that crash servers.
 	quarantines *quarantineManager
-	// relay asks the nodes that read the registry; nil when this node has no
+	// relay fetches publications from the nodes that read the registry; nil if this node has no
 	// address for other nodes.
 	relay *relay.Client
 }
 
 const (
-	// directoryTTL is how long an answer of the directory counts.
+	// directoryTTL is how long callers may use an answer of the directory, unless the settings
+	// demand a shorter time.
 	directoryTTL = 5 * time.Second
-	// followerReadShare is the part of the registry's readings that following may take.
+	// followerReadShare is the share of the registry's read budget that the follower may use.
 	followerReadShare = 0.6
-	// maintenanceInterval is the time between two looks at the connections.
+	// maintenanceInterval is the time between two maintenance passes over the connections to
+	// servers.
 	maintenanceInterval = time.Second
-	// pollShare is the part of the bounds on leaving servers and on tables that
-	// may pass between two readings of the registry: one reading may fail, and
-	// the next still falls within the bound.
+	// pollShare is the registry poll interval as a share of the shortest bound on the adoption of
+	// changes. One read may fail, and the next one still falls within the bound.
 	pollShare = 0.6
-	// maxHeaderBytes, headerTimeout and idleTimeout bound those who call a node.
+	// maxHeaderBytes limits request headers on all listeners; headerTimeout and idleTimeout apply
+	// to all listeners but the callers'.
 	maxHeaderBytes = 64 << 10
 	headerTimeout  = 3 * time.Second
 	idleTimeout    = time.Minute
-	// callerHeaderTimeout and callerIdleTimeout bound callers whatever the table
-	// says; the gateway holds them to the table's own limits.
+	// callerHeaderTimeout and callerIdleTimeout apply to callers whatever the table says; the
+	// gateway enforces the table's own limits.
 	callerHeaderTimeout = 30 * time.Second
 	callerIdleTimeout   = 10 * time.Minute
 )
 
-// New returns a node that has not started. Its error says what of the settings the
-// node can't be known by.
+// New returns a node that has not been started. It fails if the settings do not identify the node
+// to the other nodes.
 func New(options Options) (*Front, error) {
 	settings := options.Settings
 	if options.Listen == nil {
@@ -238,7 +246,7 @@
 		ReadsPerSecond: settings.ReadsPerSecond * followerReadShare,
 	})
 	entry := f.self
-	entry.ID = settings.Node + "." + options.Incarnation // a late write of an earlier incarnation changes nothing
+	entry.ID = settings.Node + "." + options.Incarnation // per incarnation, so that a late write of an earlier process has no effect
 	f.announcer = discovery.NewAnnouncer(discovery.AnnouncerOptions{
 		Registrar:  options.Registrar,
 		Node:       entry,
@@ -248,7 +256,8 @@
 	return f, nil
 }
 
-// shortestBound is the shortest time in which what the registry tells is in force.
+// shortestBound returns the shortest of the times within which changes in the registry must be in
+// force.
 func shortestBound(settings Settings) time.Duration {
 	return min(settings.DrainBound, settings.ApplyBound, cmp.Or(settings.EvacuateBound, settings.DrainBound))
 }
@@ -258,15 +267,16 @@
 }
 
 const (
-	// firstStartSeedTimeout is for how long the nodes of a first start ask the seeds.
+	// firstStartSeedTimeout is how long nodes try to reach the seeds at the first start of all
+	// nodes.
 	firstStartSeedTimeout = 2 * time.Second
-	// restartSeedTimeout is the same for nodes that start again, whose callers wait: a seed
-	// that is there answers within it, and reading everything costs two calls.
+	// restartSeedTimeout applies to restarted nodes, whose callers are waiting. A live seed answers
+	// within this time, and reading everything from the registry costs two calls.
 	restartSeedTimeout = 150 * time.Millisecond
 )
 
-// seedTimeout is for how long the node asks its seeds before it reads the registry. At a
-// first start the seeds themselves read it, and the others learn from them.
+// seedTimeout returns how long the node tries its seeds before it reads the registry. At the first
+// start of all nodes the seeds read the registry at once, and the other nodes fetch from them.
 func seedTimeout(settings Settings) time.Duration {
 	switch {
 	case !settings.FirstStart:
@@ -282,9 +292,9 @@
 	return slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return address == self })
 }
 
-// ApplySettings takes settings that were changed while the node runs: the grace of a
-// stop, the budget of extra sends, and the regions of zones. What names the node
-// and its listeners counts at the next start only.
+// ApplySettings applies settings that changed while the node runs: the grace period of a shutdown,
+// the budget of extra attempts, the limits on cold servers and the regions of zones. Settings that
+// identify the node or its listeners take effect at the next start only.
 func (f *Front) ApplySettings(settings Settings) {
 	f.gracePeriod.Store(int64(settings.GracePeriod))
 	f.gateway.ApplySettings(routing.SettingsChanged{
@@ -296,12 +306,14 @@
 		Float64("budget_fixed", settings.BudgetFixed).Msg("settings applied")
 }
 
-// applyClusterState takes what the follower believes.
+// applyClusterState passes a new view of the cluster, as adopted by the follower, to all parts of
+// the node.
 func (f *Front) applyClusterState(state discovery.ClusterState) {
 	f.agent.SetContacts(state.Nodes)
 	f.minConnections.Store(int64(minUsableConnections(state.Table)))
 	f.wakeNodesLoop()
-	// Servers come first: those of a zone that is given back may be cold.
+	// Servers are set before evacuated zones, as the servers of a zone that returns to service may
+	// be cold.
 	f.gateway.SetServers(state.Servers)
 	f.setEvacuated(discovery.EvacuatedZones(state.Directives))
 	f.quarantines.update(state.Directives)
@@ -317,7 +329,7 @@
 	f.hasTable.Store(true)
 }
 
-// setEvacuated takes the zones to whose servers nothing more may be sent.
+// setEvacuated sets the zones whose servers must not receive any more requests.
 func (f *Front) setEvacuated(zones []string) {
 	if f.gateway.SetEvacuated(zones) {
 		f.options.Logger.Info().Strs("zones", zones).Msg("evacuated zones changed")
@@ -332,11 +344,11 @@
 	}
 }
 
-// syncedAt is when the registry was heard last, by this node or by one that told it.
+// syncedAt returns when the registry was last read, by this node or by the one that it fetched the
+// view from.
 func (f *Front) syncedAt() time.Time { return time.Now().Add(-max(f.viewAge(), 0)) }
 
-// viewAge is how old what the node believes of the registry is; -1 when it
-// believes nothing.
+// viewAge returns the age of the node's view of the registry, or -1 if it has none.
 func (f *Front) viewAge() time.Duration {
 	age, known := f.follower.Age()
 	if !known {
@@ -345,7 +357,8 @@
 	return age
 }
 
-// Run serves until ctx ends, then stops as planned, and returns.
+// Run serves until ctx ends and then shuts down gracefully. It returns an error if it cannot listen
+// on one of the addresses other than that for metrics.
 func (f *Front) Run(ctx context.Context) error {
 	settings := f.options.Settings
 	callers, err := f.serve(traffic.Callers, settings.Callers, f.gateway, f.gateway.ConnContext)
@@ -395,7 +408,8 @@
 	return nil
 }
 
-// maintenanceLoop looks after the connections to servers.
+// maintenanceLoop maintains the connections to servers and checks the load and suspensions, once
+// per maintenanceInterval and when woken.
 func (f *Front) maintenanceLoop(ctx context.Context) {
 	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
@@ -412,7 +426,7 @@
 	}
 }
 
-// updateLoad asks other nodes for help while this one is busy.
+// updateLoad measures the load and announces to other nodes whether this one is busy.
 func (f *Front) updateLoad() {
 	busy := f.load.update(time.Now(), f.gateway.SendCount())
 	if f.busy.Swap(busy) != busy {
@@ -421,7 +435,7 @@
 	f.agent.SetBusy(busy)
 }
 
-// logSuspension tells when the machine has been suspended.
+// logSuspension logs a warning if the machine was suspended since the last call.
 func (f *Front) logSuspension() {
 	total := clock.Suspended()
 	if missed := total - f.suspendedTotal; missed > 0 {
@@ -430,10 +444,10 @@
 	f.suspendedTotal = total
 }
 
-// runAgent runs the agent that watches the other nodes. A node that can't listen for
-// their datagrams serves on without them.
+// runAgent runs the gossip agent that monitors the other nodes. A node that cannot listen for their
+// datagrams keeps serving without it.
 func (f *Front) runAgent(ctx context.Context) {
 	if err := f.agent.Run(ctx); err != nil {
-		f.options.Logger.Error().Err(err).Msg("other nodes are not watched")
+		f.options.Logger.Error().Err(err).Msg("gossip agent failed; other nodes are not monitored")
 	}
 }
--- a/front/node_test.go
+++ b/front/node_test.go
@@ -22,7 +22,8 @@
 	"github.com/banksail/banksail/route"
 )
 
-// fakeRegistry is a source and a registrar in memory, which knows one table once it is open.
+// fakeRegistry is an in-memory discovery.Source and Registrar. It lists one table once it is
+// available, and grants no leases.
 type fakeRegistry struct {
 	mutex     sync.Mutex
 	available bool
@@ -57,7 +58,7 @@
 	return nil, errors.New("no leases here")
 }
 
-// testSettings are those of a node at an address in zone a.
+// testSettings returns settings of a node in zone a with the given IP address.
 func testSettings(ip string) Settings {
 	return Settings{
 		Node: "node-" + ip, Zone: "a", Region: "r", Regions: map[string]string{"a": "r", "b": "r", "c": "r"}, FirstStart: true,
@@ -67,7 +68,8 @@
 	}
 }
 
-// newFront is a node on a network of its own that has not started.
+// newFront returns a node that has not been started. A nil process leaves it without a simulated
+// network.
 func newFront(t *testing.T, source *fakeRegistry, process *network.Process, settings Settings) *Front {
 	t.Helper()
 	options := Options{
@@ -97,8 +99,8 @@
 	return f
 }
 
-// A node is ready from its first table on until it stops; it tells of itself as long as it
-// serves, and of the time for which that counts no more than it may.
+// A node is ready from its first table until it shuts down. While it serves, the directory lists
+// it, with a TTL no longer than the settings allow.
 func TestReadinessFollowsTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lab := network.New(network.Options{Seed: 1})
@@ -122,7 +124,7 @@
 		}
 		answer := f.Resolve("h", directory.Caller{Zone: "a", Region: "r"}, 8)
 		if !slices.Equal(answer.Addresses, []string{"10.0.0.1:1"}) || answer.TimeToLive != 4*time.Second {
-			t.Errorf("%v", answer)
+			t.Errorf("Resolve = %v, want 10.0.0.1:1 with a TTL of 4s", answer)
 		}
 		client := &http.Client{Transport: &http.Transport{DialContext: process.DialContext, DisableKeepAlives: true}}
 		response, err := client.Get("http://10.0.0.1:3/")
@@ -132,12 +134,12 @@
 		body, _ := io.ReadAll(response.Body)
 		_ = response.Body.Close()
 		if string(body) != "[10.0.0.1:1]" {
-			t.Errorf("the directory tells %q", body)
+			t.Errorf("directory response %q, want [10.0.0.1:1]", body)
 		}
 		stop()
 		synctest.Wait()
 		if f.Ready() {
-			t.Error("ready while it stops")
+			t.Error("ready after shutdown began")
 		}
 		if err := <-done; err != nil {
 			t.Error(err)
@@ -146,7 +148,7 @@
 	})
 }
 
-// An address that can't be listened on ends the start with an error that names it.
+// Start fails with an error that names the address that cannot be listened on.
 func TestStartErrorNamesAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lab := network.New(network.Options{Seed: 1})
@@ -160,7 +162,7 @@
 		}
 		f := newFront(t, new(fakeRegistry), process, testSettings("10.0.0.1"))
 		if err := f.Run(t.Context()); err == nil || !strings.Contains(err.Error(), "10.0.0.1:2") {
-			t.Errorf("%v", err)
+			t.Errorf("Run: %v, want an error that names 10.0.0.1:2", err)
 		}
 		_ = listener.Close()
 		lab.Close()
@@ -171,8 +173,8 @@
 	return discovery.Node{ID: id, Address: id, Zone: zone, Region: "r"}
 }
 
-// Nodes of other zones that are out of sight are remembered only while none of them is
-// seen and a node of this zone can't reach the servers.
+// Nodes of other zones that are no longer seen are remembered only while no node of another zone is
+// seen and a node of this zone cannot reach the servers.
 func TestUnreachableNodesAreRemembered(t *testing.T) {
 	unable := func(n discovery.Node) discovery.Node { n.Unable = true; return n }
 	suspect := func(n discovery.Node) discovery.Node { n.Suspect = true; return n }
@@ -207,7 +209,7 @@
 	}
 }
 
-// A node that can't reach the servers is ready all the same unless others can serve.
+// A node that cannot reach the servers stays ready unless other nodes can serve.
 func TestReadinessWithoutServers(t *testing.T) {
 	unable := func(n discovery.Node) discovery.Node { n.Unable = true; return n }
 	suspect := func(n discovery.Node) discovery.Node { n.Suspect = true; return n }
@@ -229,16 +231,17 @@
 		f.servingNodes.Store(&serving)
 		f.hasTable.Store(true)
 		if !f.Ready() {
-			t.Errorf("%s: not ready while the servers can be reached", name)
+			t.Errorf("%s: not ready although the servers are reachable", name)
 		}
 		f.unable.Store(true)
 		if f.Ready() != test.ready {
-			t.Errorf("%s: ready is %v", name, f.Ready())
+			t.Errorf("%s: Ready() = %v", name, f.Ready())
 		}
 	}
 }
 
-// All nodes of a role have different places, so that what they share divides.
+// All nodes with the same role have different indexes, so that shared totals are divided among them
+// without overlap.
 func TestIndexesAmongNodesDiffer(t *testing.T) {
 	nodes := []discovery.Node{nodeInZone("n1", "a"), nodeInZone("n2", "a"), nodeInZone("n3", "b"), nodeInZone("n4", "b")}
 	serving := []discovery.Node{nodes[1], nodes[3]}
@@ -251,6 +254,6 @@
 		indexes[isServing] = append(indexes[isServing], f.indexAmong(nodes, serving, isServing))
 	}
 	if !slices.Equal(indexes[true], []int{0, 1}) || !slices.Equal(indexes[false], []int{0, 1}) {
-		t.Errorf("places of those that serve %v, of the others %v", indexes[true], indexes[false])
+		t.Errorf("indexes of serving nodes %v, of the other nodes %v; want 0 and 1 each", indexes[true], indexes[false])
 	}
 }
--- a/front/nodes.go
+++ b/front/nodes.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// nodesUpdateInterval is the time between two looks at the nodes: many of them change at
-	// once when a zone is lost, and each look sorts them all.
+	// nodesUpdateInterval is the minimum time between two updates of the nodes: many nodes change
+	// at once when a zone is lost, and each update sorts all of them.
 	nodesUpdateInterval = 50 * time.Millisecond
-	// joinTimeout is how long a node waits at its start for others to tell it who is
-	// there; what all nodes share is not its own until then.
+	// joinTimeout is how long a starting node waits for other nodes to tell it about the
+	// membership. Until then it claims no part of totals that all nodes share.
 	joinTimeout = 2 * time.Second
-	// bootstrapDelay is how long a node has had to keep an entry in the registry before
-	// it writes one, as nodes that start learn of each other one by one.
+	// bootstrapDelay is how long a node must have been a bootstrap node before it writes its
+	// registry entry, as starting nodes discover each other one by one.
 	bootstrapDelay = time.Second
-	// loneBootstrapSpread spreads the first entries of nodes that know nobody: the others
-	// hear of the first one.
+	// loneBootstrapSpread is the range of the random delay before the first entry of a node that
+	// knows no other, so that the other nodes discover the first one to write.
 	loneBootstrapSpread = 4 * time.Second
 )
 
-// nodesLoop takes what is known of the nodes whenever that has changed.
+// nodesLoop runs updateNodes whenever the nodes may have changed, and once per bootstrapDelay.
 func (f *Front) nodesLoop(ctx context.Context) {
-	ticker := time.NewTicker(bootstrapDelay) // what depends on time alone
+	ticker := time.NewTicker(bootstrapDelay) // for conditions that depend on time alone
 	defer ticker.Stop()
 	for {
 		select {
@@ -40,11 +40,11 @@
 		case <-ticker.C:
 		}
 		f.updateNodes()
-		_ = clock.Sleep(ctx, nodesUpdateInterval) // the loop looks at ctx
+		_ = clock.Sleep(ctx, nodesUpdateInterval) // an error means that ctx has ended, which the select handles
 	}
 }
 
-// wakeNodesLoop arranges that the nodes are looked at soon.
+// wakeNodesLoop schedules an update of the nodes.
 func (f *Front) wakeNodesLoop() {
 	select {
 	case f.nodesWake <- struct{}{}:
@@ -52,8 +52,8 @@
 	}
 }
 
-// updateNodes decides who serves callers, and what of that is this node's part. One that
-// is cut off from all others stays with what it knew: they may well be there.
+// updateNodes decides which nodes serve callers and passes this node's role to the gateway. A node
+// that is isolated from all others keeps its role, as the others are probably still running.
 func (f *Front) updateNodes() {
 	f.agent.SetUnable(f.unable.Load())
 	nodes := f.withRememberedNodes(f.agent.Nodes())
@@ -83,7 +83,8 @@
 	f.gateway.SetNodes(role)
 }
 
-// updatePeerAvailability tells the gateway whether another node serves, as far as this one knows.
+// updatePeerAvailability informs the gateway whether another node, as far as is known, serves
+// callers.
 func (f *Front) updatePeerAvailability(serving []discovery.Node) {
 	available := slices.ContainsFunc(serving, func(n discovery.Node) bool { return !f.isSelf(n) && !n.Leaving && !n.Unable })
 	if available != f.peersAvailable {
@@ -92,9 +93,10 @@
 	}
 }
 
-// withRememberedNodes adds the nodes of other zones while none of them is seen any more and
-// this zone's nodes can't reach enough servers: then the way there is cut, and they may
-// well serve callers, who may reach them.
+// withRememberedNodes adds the last seen nodes of other zones while none of them is seen and nodes
+// of this zone cannot reach enough servers. In that case the network between the zones is probably
+// cut, and callers may still reach those nodes, which may serve them. Added nodes are marked as
+// suspect.
 func (f *Front) withRememberedNodes(nodes []discovery.Node) []discovery.Node {
 	unable := slices.ContainsFunc(nodes, func(n discovery.Node) bool { return n.Zone == f.self.Zone && n.Unable })
 	otherZoneSeen := slices.ContainsFunc(nodes, func(n discovery.Node) bool { return n.Zone != f.self.Zone && !n.Suspect })
@@ -117,7 +119,7 @@
 	return all
 }
 
-// indexAmong is this node's place among the nodes of its role, by ID.
+// indexAmong returns this node's index among the nodes with the same role, ordered by ID.
 func (f *Front) indexAmong(nodes, serving []discovery.Node, selfServing bool) int {
 	index := 0
 	for _, n := range nodes {
@@ -131,10 +133,11 @@
 
 func (f *Front) isSelf(n discovery.Node) bool { return n.ID == f.self.ID }
 
-// candidatesWhenIsolated lists the nodes that may serve callers while none answers this one. Where
-// the registry is silent, too, this node is cut off, and the others may well be there; one
-// that hears the registry is not, and callers who ask it are safe with itself alone: named
-// the others, they tried nodes that were gone for good.
+// candidatesWhenIsolated returns the nodes that may serve callers while no other node answers this
+// one. If the registry does not answer either, this node is cut off and the others are probably
+// running: they are no longer suspects. If the view of the registry is fresh, suspects are left
+// out, and callers that ask this node are served by it alone; otherwise they would try nodes that
+// are permanently gone.
 func (f *Front) candidatesWhenIsolated(nodes []discovery.Node) []discovery.Node {
 	if f.hasFreshView() {
 		return slices.DeleteFunc(slices.Clone(nodes), func(n discovery.Node) bool { return n.Suspect })
@@ -146,20 +149,20 @@
 	return cleared
 }
 
-// hasFreshView reports whether what the node believes of the registry is fresh.
+// hasFreshView reports whether the node's view of the registry is no older than the shortest bound.
 func (f *Front) hasFreshView() bool {
 	age := f.viewAge()
 	return age >= 0 && age <= shortestBound(f.options.Settings)
 }
 
-// logRole writes a line when the node's own part among the nodes has changed.
+// logRole logs a change of this node between serving and not serving callers.
 func (f *Front) logRole(role routing.NodesChanged) {
 	if f.role.IsServing != role.IsServing || f.role.Live == 0 {
 		f.options.Logger.Info().Bool("serves", role.IsServing).Int("serving", role.Serving).Int("live", role.Live).Msg("role changed")
 	}
 }
 
-// updateBootstrapEntry decides whether this node keeps an entry in the registry.
+// updateBootstrapEntry decides whether this node keeps a bootstrap entry in the registry.
 func (f *Front) updateBootstrapEntry(nodes []discovery.Node) {
 	delay := bootstrapDelay
 	if len(nodes) <= 1 {
@@ -178,12 +181,12 @@
 	}
 }
 
-// drawLoneBootstrapDelay draws a node's part of loneBootstrapSpread.
+// drawLoneBootstrapDelay draws a random delay below loneBootstrapSpread.
 func drawLoneBootstrapDelay(seed uint64) time.Duration {
 	return time.Duration(rand.New(rand.NewPCG(seed, 0)).Int64N(int64(loneBootstrapSpread)))
 }
 
-// servingNodeCount is the number of nodes to which callers are sent.
+// servingNodeCount returns the number of nodes to which callers are sent.
 func (f *Front) servingNodeCount() int {
 	if serving := f.servingNodes.Load(); serving != nil {
 		return len(*serving)
--- a/front/quarantines.go
+++ b/front/quarantines.go
@@ -18,67 +18,71 @@
 	"github.com/banksail/banksail/quarantine"
 )
 
-// QuarantineStore keeps the contents that are refused in the registry, each for some minutes
-// from when it was written or renewed.
+// QuarantineStore stores the fingerprints of rejected requests in the registry. A record expires
+// some minutes after it was last written or renewed.
 type QuarantineStore interface {
-	// WriteQuarantine writes a content. Its error wraps ErrConflict when it is there already;
-	// after any other one it may have been written.
-	WriteQuarantine(ctx context.Context, content quarantine.Fingerprint) error
-	// RenewQuarantine makes the content with a lease of an epoch stay.
+	// WriteQuarantine writes the record of a fingerprint. Its error wraps ErrConflict if the record
+	// exists already; after any other error it may have been written.
+	WriteQuarantine(ctx context.Context, fingerprint quarantine.Fingerprint) error
+	// RenewQuarantine renews a record by its lease, which was granted in the given epoch.
 	RenewQuarantine(ctx context.Context, lease uint64, epoch discovery.Epoch) error
 }
 
 const (
-	// findingsPerSecond bounds the findings that a node tells, and findingsBurst those
-	// without a pause: at 1,400 nodes that all lose servers, each hears some 30 a second.
+	// findingsPerSecond limits the rate at which a node sends findings, and findingsBurst the
+	// number sent at once. With 1,400 nodes that all lose servers, each node receives some 30
+	// findings per second.
 	findingsPerSecond = 10
 	findingsBurst     = 20
-	// findingQueueSize and recordQueueSize bound what waits to be told and to be written.
+	// findingQueueSize and recordQueueSize limit the findings that wait to be sent and the
+	// fingerprints that wait to be recorded.
 	findingQueueSize = 128
 	recordQueueSize  = 64
-	// aggregatorDelay is how long a keeper waits for the record of a content that another node
-	// refuses, before it writes the record itself.
+	// aggregatorDelay is how long an aggregator waits for another node to record a fingerprint that
+	// it rejects, before the aggregator writes the record itself.
 	aggregatorDelay = 2 * time.Second
-	// quarantineWriteTimeout bounds a call to the registry, and quarantineRetryInterval is the time between
-	// two tries.
+	// quarantineWriteTimeout limits a call to the registry, and quarantineRetryInterval is the time
+	// between two attempts.
 	quarantineWriteTimeout  = time.Second
 	quarantineRetryInterval = time.Second
-	// renewalInterval is the time between two renewals of a record: the registry keeps it ten
-	// minutes, so four may be lost.
+	// renewalInterval is the minimum time between two renewals of a record. The registry keeps a
+	// record for ten minutes, so four renewals may be lost.
 	renewalInterval = 2 * time.Minute
 )
 
-// repeatDelays are when what all nodes are told is told again: datagrams are lost.
+// repeatDelays are the delays after which a finding for all nodes is sent again, as datagrams may
+// be lost.
 var repeatDelays = []time.Duration{250 * time.Millisecond, time.Second}
 
-// quarantineManager carries what the node finds out of requests that end servers, and what others do.
-// It implements gateway.FindingPublisher.
+// quarantineManager exchanges findings on requests that crash servers with other nodes, and records
+// quarantined fingerprints in the registry. It implements gateway.FindingPublisher.
 type quarantineManager struct {
 	front  *Front
 	store  QuarantineStore
 	logger zerolog.Logger
-	// findings wait to be told, and records to be written or renewed.
+	// findings holds findings to be sent to other nodes, and records fingerprints whose record is
+	// to be written or renewed.
 	findings chan queuedFinding
 	records  chan quarantine.Fingerprint
 	limiter  *rate.Limiter
 	dropped  prometheus.Counter
 
 	mutex sync.Mutex
-	// mutex guards the fields below: the contents that the registry holds or has lost, and
-	// when they were renewed last.
+	// mutex guards the fields below. recorded holds the fingerprints that the registry lists or has
+	// lost; renewedAt is when the renewal of a fingerprint was last requested.
 	recorded  map[quarantine.Fingerprint]quarantineRecord
 	renewedAt map[quarantine.Fingerprint]time.Time
 }
 
-// quarantineRecord is a content's record in the registry. One that is lost is believed, and to be
-// written again: the registry has come back from a copy without it.
+// quarantineRecord is the registry's record of a fingerprint. A lost record stays in force and is
+// written again: the registry was restored from a backup that did not contain it.
 type quarantineRecord struct {
 	lease uint64
 	epoch discovery.Epoch
 	lost  bool
 }
 
-// queuedFinding is a finding and whom it concerns.
+// queuedFinding is a finding and the nodes that it is sent to.
 type queuedFinding struct {
 	finding  quarantine.Finding
 	audience quarantine.Audience
@@ -110,7 +114,7 @@
 	return q
 }
 
-// Publish implements gateway.FindingPublisher.
+// Publish implements gateway.FindingPublisher. Findings that exceed the queue are dropped.
 func (q *quarantineManager) Publish(finding quarantine.Finding, audience quarantine.Audience) {
 	select {
 	case q.findings <- queuedFinding{finding, audience}:
@@ -119,12 +123,13 @@
 	}
 }
 
-// RecordQuarantine implements gateway.FindingPublisher: the record is written, or renewed where it stands.
+// RecordQuarantine implements gateway.FindingPublisher. The record is written, or renewed if it
+// exists.
 func (q *quarantineManager) RecordQuarantine(fingerprint quarantine.Fingerprint) {
 	select {
 	case q.records <- fingerprint:
 	default:
-		q.dropped.Inc() // a keeper writes it, or the next node to which it comes
+		q.dropped.Inc() // an aggregator writes the record, or the next node that receives the request
 	}
 }
 
@@ -135,7 +140,8 @@
 	return found && !record.lost
 }
 
-// QuarantinedRequestRejected implements gateway.FindingPublisher.
+// QuarantinedRequestRejected implements gateway.FindingPublisher. It renews the record if the last
+// renewal is at least renewalInterval ago.
 func (q *quarantineManager) QuarantinedRequestRejected(fingerprint quarantine.Fingerprint) {
 	q.mutex.Lock()
 	due := time.Since(q.renewedAt[fingerprint]) >= renewalInterval
@@ -148,7 +154,7 @@
 	}
 }
 
-// receiveFinding takes another node's finding.
+// receiveFinding handles a finding of another node. The gossip agent calls it.
 func (q *quarantineManager) receiveFinding(finding quarantine.Finding) {
 	q.front.gateway.ReceiveFinding(finding)
 	if finding.Quarantined {
@@ -156,8 +162,8 @@
 	}
 }
 
-// ensureRecorded writes a record that its finder has not written, or that the registry has lost, if
-// this node is a keeper.
+// ensureRecorded writes a record that the node which found it has not written, or that the registry
+// has lost, if this node is an aggregator for the fingerprint.
 func (q *quarantineManager) ensureRecorded(fingerprint quarantine.Fingerprint) {
 	aggregators := gossip.KeepersOf(fingerprint, q.front.agent.Nodes())
 	if slices.ContainsFunc(aggregators, q.front.isSelf) && !q.isRecorded(fingerprint) {
@@ -165,7 +171,7 @@
 	}
 }
 
-// update takes what the registry holds.
+// update applies the quarantines that the registry lists.
 func (q *quarantineManager) update(directives []discovery.Directive) {
 	recorded := make(map[quarantine.Fingerprint]quarantineRecord)
 	for _, directive := range directives {
@@ -174,7 +180,7 @@
 		}
 		fingerprint, err := quarantine.ParseFingerprint(directive.Subject)
 		if err != nil {
-			q.logger.Warn().Err(err).Str("subject", directive.Subject).Msg("quarantine not understood")
+			q.logger.Warn().Err(err).Str("subject", directive.Subject).Msg("ignoring quarantine with an invalid fingerprint")
 			continue
 		}
 		recorded[fingerprint] = quarantineRecord{lease: directive.Lease, epoch: directive.StoredAt.Epoch, lost: directive.Lost}
@@ -195,7 +201,7 @@
 	}
 }
 
-// run tells and writes until ctx ends.
+// run sends findings and writes records until ctx ends.
 func (q *quarantineManager) run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { q.publishLoop(ctx) })
@@ -203,7 +209,7 @@
 	loops.Wait()
 }
 
-// publishLoop tells other nodes what was found out.
+// publishLoop sends findings to other nodes. Findings above the rate limit are dropped.
 func (q *quarantineManager) publishLoop(ctx context.Context) {
 	for {
 		select {
@@ -222,7 +228,7 @@
 	}
 }
 
-// scheduleRepeats tells a finding again later.
+// scheduleRepeats schedules further transmissions of a finding.
 func (q *quarantineManager) scheduleRepeats(ctx context.Context, queued queuedFinding) {
 	for _, delay := range repeatDelays {
 		time.AfterFunc(delay, func() {
@@ -233,7 +239,7 @@
 	}
 }
 
-// recordLoop writes records to the registry, each until it is there.
+// recordLoop writes records to the registry and retries each one until it is stored.
 func (q *quarantineManager) recordLoop(ctx context.Context) {
 	for {
 		select {
@@ -249,7 +255,8 @@
 	}
 }
 
-// writeRecord writes a content to the registry, or renews it there; it reports whether it stands.
+// writeRecord writes or renews the record of a fingerprint. It reports whether the fingerprint
+// needs no further attempt.
 func (q *quarantineManager) writeRecord(ctx context.Context, fingerprint quarantine.Fingerprint) bool {
 	ctx, cancel := context.WithTimeout(ctx, quarantineWriteTimeout)
 	defer cancel()
@@ -268,5 +275,5 @@
 		return true
 	}
 	q.logger.Warn().Err(err).Stringer("content", fingerprint).Bool("renewed", isRecorded).Msg("quarantine not recorded")
-	return isRecorded // a record whose lease is over goes, and leaves a suspicion
+	return isRecorded // a failed renewal is not retried: the record expires and leaves a suspicion
 }
--- a/front/rolloutmetrics.go
+++ b/front/rolloutmetrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// rolloutCollector gives the figures of the roll-outs that have not ended.
+// rolloutCollector exports the metrics of roll-outs.
 type rolloutCollector struct{ rollouts *rolloutManager }
 
 var (
--- a/front/rollouts.go
+++ b/front/rollouts.go
@@ -17,40 +17,41 @@
 	"github.com/banksail/banksail/rollout"
 )
 
-// ErrConflict is returned for a write whose condition is not met: something else was written
-// meanwhile.
-var ErrConflict = errors.New("front: written meanwhile")
+// ErrConflict is returned for a conditional write whose condition does not hold, because another
+// write came first.
+var ErrConflict = errors.New("front: write conflict")
 
-// RolloutStore keeps the nodes' records of roll-outs in the registry.
+// RolloutStore stores the nodes' records of roll-outs in the registry.
 type RolloutStore interface {
-	// WriteRollout writes a record and what the operator is told of it, if order and record
-	// stand at the revisions named, and returns the record's revision. Its error wraps
-	// ErrConflict when they don't; after any other one it may have been written.
+	// WriteRollout writes a record and the status for the operator, provided that order and record
+	// are at the given revisions, and returns the record's new revision. Its error wraps
+	// ErrConflict if they are not; after any other error the record may have been written.
 	WriteRollout(ctx context.Context, write rollout.Write) (revision uint64, err error)
 }
 
 const (
-	// rolloutInterval is the time between two looks at the roll-outs that have not ended.
+	// rolloutInterval is the time between two passes over the active roll-outs.
 	rolloutInterval = 100 * time.Millisecond
-	// reportInterval is the time between two reports of a node, and frequentReportInterval the same while
-	// a target gets much: bad answers are known to the deciders that soon.
+	// reportInterval is the time between two reports of a node. frequentReportInterval applies
+	// while a target receives much traffic, so that the deciders learn of bad answers sooner.
 	reportInterval         = 500 * time.Millisecond
 	frequentReportInterval = 250 * time.Millisecond
-	// reportTimeout bounds one report, and rolloutWriteTimeout a write to the registry.
+	// reportTimeout limits the delivery of one report, and rolloutWriteTimeout a write to the
+	// registry.
 	reportTimeout       = 250 * time.Millisecond
 	rolloutWriteTimeout = time.Second
-	// deciderCount is the number of nodes that hear the reports and may decide.
+	// deciderCount is the number of nodes that receive the reports and may decide.
 	deciderCount = 3
-	// viewAgeWindow is the span of which the greatest age of a belief is remembered.
+	// viewAgeWindow is the length of a window over which the maximum age of the view is kept.
 	viewAgeWindow = 15 * time.Second
 )
 
-// rolloutManager drives the roll-outs of a node: it tells the gateway what is known of them,
-// reports what was seen, and decides where that is this node's duty.
+// rolloutManager runs a node's part in roll-outs: it passes their state to the gateway, reports the
+// node's observations to the deciders, and decides if this node is a decider.
 type rolloutManager struct {
 	front *Front
 	store RolloutStore
-	// wake tells that something may have become active; it holds one token.
+	// wake signals that a roll-out may have become active; it holds one token.
 	wake   chan struct{}
 	bounds rollout.Bounds
 	logger zerolog.Logger
@@ -58,19 +59,19 @@
 	mutex sync.Mutex
 	// mutex guards the fields below.
 	directives    map[string]discovery.Directive
-	versions      map[string][]string // of each service's servers that take work
-	knownServices map[string]struct{} // services of the table in force
+	versions      map[string][]string // versions of the ready servers, by service
+	knownServices map[string]struct{} // services with a roll-out that are in the table
 	states        map[string]rollout.State
-	recordSeenAt  map[string]time.Duration // when the record of a service was heard of
-	alarmSeenAt   map[string]time.Duration // when its alarm was seen last
+	recordSeenAt  map[string]time.Duration // when the current record was first seen, by service
+	alarmSeenAt   map[string]time.Duration // when the alarm was last seen, by service
 	deciders      map[string]*rollout.Decider
-	viewAgePeaks  [2]viewAgePeak // of this span and of the one before
+	viewAgePeaks  [2]viewAgePeak // current window and the one before
 	reportedAt    time.Time
-	// loggedPhases is the phase of each service that was logged last.
+	// loggedPhases holds the last logged phase of each service's roll-out.
 	loggedPhases map[string]rollout.Phase
 }
 
-// viewAgePeak is the greatest age of a belief within a span.
+// viewAgePeak is the maximum age of the view within a window.
 type viewAgePeak struct {
 	since  time.Time
 	maxAge time.Duration
@@ -96,10 +97,10 @@
 	return r
 }
 
-// enabled reports whether versions are rolled out on request here.
+// enabled reports whether this node takes part in roll-outs on request.
 func (r *rolloutManager) enabled() bool { return r.bounds.Enabled() && r.store != nil }
 
-// update takes what the node believes now, as heard at the given time.
+// update applies a new view of the cluster, whose data was read from the registry at syncedAt.
 func (r *rolloutManager) update(state discovery.ClusterState, syncedAt time.Time) {
 	if !r.enabled() {
 		return
@@ -121,7 +122,8 @@
 	}
 }
 
-// updateDirectives brings the states up to what is believed. The lock is held.
+// updateDirectives rebuilds the roll-out states from the listed directives. The caller holds the
+// mutex.
 func (r *rolloutManager) updateDirectives(listed []discovery.Directive) {
 	now := r.now()
 	previous := r.directives
@@ -146,7 +148,7 @@
 	}
 }
 
-// stateFor is what is known of a service's roll-out. The lock is held.
+// stateFor returns the state of a service's roll-out. The caller holds the mutex.
 func (r *rolloutManager) stateFor(service string, now time.Duration) rollout.State {
 	var state rollout.State
 	if order, found := r.directives[discovery.DirectiveKey(discovery.RollOut, service)]; found {
@@ -157,21 +159,21 @@
 			state.Latest = r.front.gateway.SinceStart(order.Latest)
 		}
 	}
-	if record, there := r.directives[discovery.DirectiveKey(discovery.RolloutRecord, service)]; there {
+	if record, found := r.directives[discovery.DirectiveKey(discovery.RolloutRecord, service)]; found {
 		state.Record, state.RecordSeenAt, state.RecordLost = record.Record, r.recordSeenAt[service], record.Lost
 	}
 	if state.RecordMatchesRestoredOrder() {
 		state.Order = state.Record.Order
 	}
-	alarm, there := r.directives[discovery.DirectiveKey(discovery.RolloutAlarm, service)]
-	state.AlarmHeld = there && alarm.Record.Order == state.Order
+	alarm, found := r.directives[discovery.DirectiveKey(discovery.RolloutAlarm, service)]
+	state.AlarmHeld = found && alarm.Record.Order == state.Order
 	state.AlarmSeenAt = r.alarmSeenAt[service]
 	state.Granted = state.GrantFor(now, r.front.self.ID, time.Since(r.front.startedAt))
 	return state
 }
 
-// updateServices notes the versions of the services with a roll-out, and which of them stand
-// in the table. The lock is held.
+// updateServices updates the server versions of the services with a roll-out, and which of these
+// services are in the table. The caller holds the mutex.
 func (r *rolloutManager) updateServices(state discovery.ClusterState) {
 	r.versions = make(map[string][]string)
 	for _, server := range state.Servers {
@@ -196,7 +198,8 @@
 
 func (r *rolloutManager) now() time.Duration { return r.front.gateway.SinceStart(time.Now()) }
 
-// hasActive reports whether a roll-out has not ended, or is to be written again. The lock is held.
+// hasActive reports whether any roll-out has not ended or needs to be rewritten. The caller holds
+// the mutex.
 func (r *rolloutManager) hasActive() bool {
 	for _, state := range r.states {
 		if !state.Ended() || state.NeedsRewrite() {
@@ -206,7 +209,7 @@
 	return false
 }
 
-// run looks at the roll-outs until ctx ends, as long as one has not ended.
+// run processes roll-outs while any is active, until ctx ends.
 func (r *rolloutManager) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -231,7 +234,7 @@
 	}
 }
 
-// recordViewAge remembers how old the belief of the registry was of late.
+// recordViewAge tracks the recent maximum age of the node's view of the registry.
 func (r *rolloutManager) recordViewAge() {
 	age, now := r.front.viewAge(), time.Now()
 	r.mutex.Lock()
@@ -243,7 +246,7 @@
 	r.viewAgePeaks[0].maxAge = max(r.viewAgePeaks[0].maxAge, age)
 }
 
-// sendReports tells the deciders what this node has seen, when it is time for that.
+// sendReports reports this node's observations to the deciders if the report interval has passed.
 func (r *rolloutManager) sendReports(ctx context.Context) {
 	reports, frequent := r.front.gateway.RolloutReports()
 	if len(reports) == 0 {
@@ -282,7 +285,7 @@
 	defer cancel()
 	halts, err := r.front.relay.Report(ctx, decider.Peer, reports)
 	if err != nil {
-		r.logger.Debug().Err(err).Str("decider", decider.ID).Msg("report on roll-outs not delivered")
+		r.logger.Debug().Err(err).Str("decider", decider.ID).Msg("cannot deliver roll-out reports")
 		return
 	}
 	r.applyHalts(halts)
@@ -312,7 +315,7 @@
 	return halts
 }
 
-// deciderFor is a service's decider. The lock is held.
+// deciderFor returns a service's decider, creating it if necessary. The caller holds the mutex.
 func (r *rolloutManager) deciderFor(service string) *rollout.Decider {
 	decider := r.deciders[service]
 	if decider == nil {
@@ -322,7 +325,7 @@
 	return decider
 }
 
-// decide lists what this node should write now.
+// decide returns the records that this node should write now.
 func (r *rolloutManager) decide() []rollout.Write {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -351,7 +354,8 @@
 	return writes
 }
 
-// deciderInputFor adds to what is known of the nodes what is known of a service. The lock is held.
+// deciderInputFor completes the input, which describes the nodes, with the state of a service. The
+// caller holds the mutex.
 func (r *rolloutManager) deciderInputFor(service string, input rollout.DeciderInput) rollout.DeciderInput {
 	input.State = r.states[service]
 	input.Versions = r.versions[service]
@@ -360,13 +364,13 @@
 		input.OrderFault = order.Order.Fault
 		input.Epoch = uint64(order.StoredAt.Epoch)
 	}
-	if record, there := r.directives[discovery.DirectiveKey(discovery.RolloutRecord, service)]; there {
+	if record, found := r.directives[discovery.DirectiveKey(discovery.RolloutRecord, service)]; found {
 		input.Epoch, input.RecordRevision = uint64(record.StoredAt.Epoch), uint64(record.StoredAt.Revision)
 	}
 	return input
 }
 
-// logPhase writes a line when a service's roll-out has come to another phase. The lock is held.
+// logPhase logs a change in the phase of a service's roll-out. The caller holds the mutex.
 func (r *rolloutManager) logPhase(service string) {
 	state := r.states[service]
 	if state.Record == nil || r.loggedPhases[service] == state.Record.Phase {
@@ -374,10 +378,11 @@
 	}
 	r.loggedPhases[service] = state.Record.Phase
 	r.logger.Info().Str("service", service).Str("target", state.Record.Target).Str("phase", string(state.Record.Phase)).
-		Str("reason", state.Record.Reason).Uint64("order", state.Record.Order).Msg("roll-out")
+		Str("reason", state.Record.Reason).Uint64("order", state.Record.Order).Msg("roll-out phase changed")
 }
 
-// writeDecision carries a decision out. Whatever becomes of it is heard of from the registry.
+// writeDecision writes a decision to the registry. If the outcome of the write is unknown, it shows
+// in the next view of the registry.
 func (r *rolloutManager) writeDecision(ctx context.Context, write rollout.Write) {
 	ctx, cancel := context.WithTimeout(ctx, rolloutWriteTimeout)
 	defer cancel()
@@ -399,7 +404,7 @@
 	r.deciderFor(write.Service).WriteAccepted(r.now(), write, revision)
 }
 
-// nodeIndex is the place of a node among others; -1 is none.
+// nodeIndex returns the index of a node in a list, or -1.
 func nodeIndex(id string, nodes []discovery.Node) int {
 	return slices.IndexFunc(nodes, func(n discovery.Node) bool { return n.ID == id })
 }
--- a/front/settings.go
+++ b/front/settings.go
@@ -6,50 +6,49 @@
 	"github.com/banksail/banksail/rollout"
 )
 
-// Settings are those of one node.
+// Settings configures one node.
 type Settings struct {
-	// Node names the node; Zone and Region are where it stands.
+	// Node is the node's ID; Zone and Region are its location.
 	Node, Zone, Region string
-	// Regions names the region of each zone.
+	// Regions maps zones to regions.
 	Regions map[string]string
-	// Capacity is the node's processor capacity, in cores; zero is unknown.
+	// Capacity is the node's processor capacity in cores; zero means unknown.
 	Capacity float64
-	// FirstStart says that no earlier incarnation of any node has run.
+	// FirstStart is set if no node has ever run before.
 	FirstStart bool
-	// LapseTime is how long a server may be silent until its entry goes from the registry;
-	// zero is unknown.
+	// LapseTime is how long a server may stay silent before its registry entry expires; zero means
+	// unknown.
 	LapseTime time.Duration
-	// Callers and Readiness are the addresses that are listened on. Directory is that for
-	// callers that ask where to connect; it and Metrics may be empty. Peer is that for other
-	// nodes; empty is none.
+	// Callers and Readiness are the listen addresses for callers and for readiness checks.
+	// Directory, for callers' address look-ups, Metrics and Peer, for other nodes, are optional.
 	Callers, Readiness, Directory, Metrics, Peer string
-	// Gossip is the address for the datagrams by which nodes watch each other.
+	// Gossip is the address for the datagrams with which nodes monitor each other.
 	Gossip string
-	// Seeds are addresses of other nodes as Peer is, and GossipSeeds as Gossip is; they
-	// may be stale or down.
+	// Seeds are Peer addresses of other nodes, and GossipSeeds their Gossip addresses. They may be
+	// stale, and the nodes may be down.
 	Seeds, GossipSeeds []string
-	// GracePeriod is the time between the request to stop and the end.
+	// GracePeriod is the time from the stop signal until the process must have ended.
 	GracePeriod time.Duration
-	// DrainBound is the time after which a leaving server gets no new request,
-	// and ApplyBound that after which a table is in force.
+	// DrainBound is the time within which a draining server must stop receiving new requests, and
+	// ApplyBound the time within which a new table must be in force.
 	DrainBound, ApplyBound time.Duration
-	// EvacuateBound is the time after which nothing more is sent to the servers of a zone
-	// that the operator wants to be empty; zero is DrainBound.
+	// EvacuateBound is the time within which requests to the servers of an evacuated zone must
+	// stop; zero means DrainBound.
 	EvacuateBound time.Duration
-	// Rollouts bounds what unproven versions of servers get; the zero value is that versions
-	// are not rolled out on request, and mean nothing.
+	// Rollouts limits what unproven server versions receive. With the zero value there are no
+	// roll-outs on request, and versions have no meaning.
 	Rollouts rollout.Bounds
-	// ColdOvershoot and ColdSlack bound what a cold server gets in a second: so many times
-	// the rate that it bears, and so many requests more.
+	// ColdOvershoot and ColdSlack limit the requests per second to a cold server, to Overshoot
+	// times the rate that it can handle plus Slack.
 	ColdOvershoot, ColdSlack float64
-	// BudgetRatio, BudgetFixed and BudgetWindow bound the extra sends to a
-	// service by all nodes together.
+	// BudgetRatio, BudgetFixed and BudgetWindow limit the extra attempts to a service by all nodes
+	// together.
 	BudgetRatio, BudgetFixed float64
 	BudgetWindow             time.Duration
-	// ReadsPerSecond is what all nodes together may ask the registry.
+	// ReadsPerSecond is the registry's read budget for all nodes together.
 	ReadsPerSecond float64
-	// MaxDirectoryTTL is the longest time for which an answer of the directory counts.
+	// MaxDirectoryTTL is the maximum TTL of directory answers.
 	MaxDirectoryTTL time.Duration
-	// MinLeaseTTL is the shortest lease of the registry.
+	// MinLeaseTTL is the minimum TTL of registry leases.
 	MinLeaseTTL time.Duration
 }
--- a/front/stop.go
+++ b/front/stop.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// drainDelay is how long a leaving node goes on taking requests, while callers
-	// that ask anew are sent elsewhere. What it takes later it might have to cut.
+	// drainDelay is how long a draining node continues to accept requests, while new look-ups send
+	// callers elsewhere. Requests accepted later might have to be aborted.
 	drainDelay = 2900 * time.Millisecond
-	// stopMargin is kept at the end of the grace: for the final answers of what is
-	// at hand then, and for the process's own end.
+	// stopMargin is reserved at the end of the grace period, for the final answers of requests that
+	// are still pending and for the exit of the process.
 	stopMargin = 800 * time.Millisecond
-	// flushTimeout is how long those answers have.
+	// flushTimeout is how long the node waits until these final answers are written.
 	flushTimeout = 250 * time.Millisecond
 )
 
-// stop ends the node as planned: it is no longer ready, the directory leaves it
-// out, and kept connections end with their next answer. After a while it takes no
-// more requests; what is at hand then has until near the end of the grace, when
-// it gets its final answer. The process goes as soon as nothing is pending.
+// stop shuts the node down gracefully. It is no longer ready, the directory leaves it out, and
+// persistent connections end with their next answer. After drainDelay, or half the grace period if
+// that is shorter, it rejects new requests. Requests that are still pending near the end of the
+// grace period get their final answer then. It returns as soon as no request is pending.
 func (f *Front) stop(callers *http.Server) {
 	startedAt := time.Now()
 	grace := time.Duration(f.gracePeriod.Load())
@@ -38,8 +38,8 @@
 	shutdown(callers, flushTimeout)
 }
 
-// shutdown stops to listen, closes the connections that rest, and waits for the
-// others; it reports whether all have ended in time.
+// shutdown stops listening, closes idle connections and waits for the others. It reports whether
+// all of them ended within the timeout.
 func shutdown(server *http.Server, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
