--- a/gateway/attempts.go
+++ b/gateway/attempts.go
@@ -13,114 +13,114 @@
 // runningAttempt is one that was not reported back.
 type runningAttempt struct {
 	*exchange.Attempt
-	straggler *time.Timer // set once its request gave it up
+	stragglerTimer *time.Timer // set once its request gave it up
 }
 
 func (g *Gateway) send(action routing.Send) {
-	asked := g.pending[action.Request]
-	running := &runningAttempt{Attempt: &exchange.Attempt{Request: asked.outgoing, Server: action.Server, Remaining: action.Remaining}}
+	pending := g.pending[action.Request]
+	running := &runningAttempt{Attempt: &exchange.Attempt{Request: pending.outgoing, Server: action.Server, Remaining: action.Remaining}}
 	g.attempts[action.Attempt] = running
-	g.wantedUntil[action.Server.ID] = g.now() + wantedFor
+	g.warmUntil[action.Server.ID] = g.now() + keepWarmTime
 	g.sends.Add(1)
-	g.counters.sent(action.Kind)
+	g.counters.countAttempt(action.Kind)
 	g.counters.inFlight.WithLabelValues(action.Server.Zone).Inc()
-	go g.carry(running.Attempt, asked, action)
+	go g.runAttempt(running.Attempt, pending, action)
 }
 
-// carry sends one attempt and reports its end.
-func (g *Gateway) carry(attempt *exchange.Attempt, asked *pendingRequest, action routing.Send) {
+// runAttempt sends one attempt and reports its end.
+func (g *Gateway) runAttempt(attempt *exchange.Attempt, pending *pendingRequest, action routing.Send) {
 	reply, err := g.client.Do(attempt)
-	look := g.lookAfter(err, action)
-	g.reportEnd(action, g.report(asked.route, action, reply, err, look))
-	if look != nil && !look.IsComplete() {
-		g.settle(asked, action, look)
+	check := g.startCrashCheck(err, action)
+	g.completeAttempt(action, g.resultEvent(pending.route, action, reply, err, check))
+	if check != nil && !check.IsComplete() {
+		g.awaitCrashCheck(pending, action, check)
 	}
 }
 
-// lookAfter looks after a server that broke its connection off; nil is that it didn't. A retry
+// startCrashCheck looks after a server that broke its connection off; nil is that it didn't. A retry
 // does not wait for the end of the look, but that of a request that goes alone: it may end one
 // more server.
-func (g *Gateway) lookAfter(err error, action routing.Send) *exchange.CrashCheck {
+func (g *Gateway) startCrashCheck(err error, action routing.Send) *exchange.CrashCheck {
 	if !errors.Is(err, exchange.ErrConnectionLost) {
 		return nil
 	}
-	look := g.client.StartCrashCheck(action.Server)
+	check := g.client.StartCrashCheck(action.Server)
 	if action.Alone {
-		look.Crashed()
+		check.Crashed()
 	}
-	return look
+	return check
 }
 
-// reportEnd tells the router how an attempt ended.
-func (g *Gateway) reportEnd(action routing.Send, event routing.Event) {
+// completeAttempt tells the router how an attempt ended.
+func (g *Gateway) completeAttempt(action routing.Send, event routing.Event) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if running := g.attempts[action.Attempt]; running.straggler != nil {
-		running.straggler.Stop()
+	if running := g.attempts[action.Attempt]; running.stragglerTimer != nil {
+		running.stragglerTimer.Stop()
 	}
 	delete(g.attempts, action.Attempt)
 	g.counters.inFlight.WithLabelValues(action.Server.Zone).Dec()
 	g.stepLocked(event)
 }
 
-// settle awaits the end of a look and tells the router.
-func (g *Gateway) settle(asked *pendingRequest, action routing.Send, look *exchange.CrashCheck) {
-	began := time.Now()
-	ended := look.Crashed()
-	if ended {
-		g.counters.endsSeenLate.Inc()
-		g.options.Logger.Info().Stringer("content", contentOf(asked.outgoing)).Str("server", action.Server.ID).
-			Dur("after_ms", time.Since(began)).Msg("server ended after it had broken its connection off")
+// awaitCrashCheck awaits the end of a look and tells the router.
+func (g *Gateway) awaitCrashCheck(pending *pendingRequest, action routing.Send, check *exchange.CrashCheck) {
+	start := time.Now()
+	crashed := check.Crashed()
+	if crashed {
+		g.counters.lateDetectedCrashes.Inc()
+		g.options.Logger.Info().Stringer("content", fingerprintOf(pending.outgoing)).Str("server", action.Server.ID).
+			Dur("after_ms", time.Since(start)).Msg("server ended after it had broken its connection off")
 	}
-	g.step(routing.CrashCheckCompleted{Attempt: action.Attempt, Crashed: ended})
+	g.step(routing.CrashCheckCompleted{Attempt: action.Attempt, Crashed: crashed})
 }
 
-// cancel lets an attempt go on for a while: most end soon, and their
+// scheduleCancel lets an attempt go on for a while: most end soon, and their
 // connections can be used again.
-func (g *Gateway) cancel(id gather.AttemptID) {
+func (g *Gateway) scheduleCancel(id gather.AttemptID) {
 	running := g.attempts[id]
-	if running == nil || running.straggler != nil {
+	if running == nil || running.stragglerTimer != nil {
 		return
 	}
-	running.straggler = time.AfterFunc(g.options.StragglerTimeout, running.Cancel)
+	running.stragglerTimer = time.AfterFunc(g.options.StragglerTimeout, running.Cancel)
 }
 
-// report tells how an attempt ended; look is that after its server, if there was one.
-func (g *Gateway) report(r *route.Route, action routing.Send, reply *exchange.Reply, err error, look *exchange.CrashCheck) routing.Event {
-	event := g.eventOf(r, action, reply, err, look)
+// resultEvent tells how an attempt ended; look is that after its server, if there was one.
+func (g *Gateway) resultEvent(r *route.Route, action routing.Send, reply *exchange.Reply, err error, check *exchange.CrashCheck) routing.Event {
+	event := g.classifyResult(r, action, reply, err, check)
 	switch event := event.(type) {
 	case routing.Failed:
-		g.counters.ended(event.Reason)
+		g.counters.countAttemptResult(event.Reason)
 	case routing.Replied:
-		g.counters.ended(routing.StatusName(event.Status))
+		g.counters.countAttemptResult(routing.StatusName(event.Status))
 	}
 	return event
 }
 
-func (g *Gateway) eventOf(r *route.Route, action routing.Send, reply *exchange.Reply, err error, look *exchange.CrashCheck) routing.Event {
+func (g *Gateway) classifyResult(r *route.Route, action routing.Send, reply *exchange.Reply, err error, check *exchange.CrashCheck) routing.Event {
 	if err != nil {
-		return failureOf(action, err, look)
+		return failureEvent(action, err, check)
 	}
-	status, why := g.classify(r, reply)
-	if why != "" {
-		return routing.Failed{Attempt: action.Attempt, Delivery: gather.DeliveryUnknown, Reason: why}
+	status, failure := g.classify(r, reply)
+	if failure != "" {
+		return routing.Failed{Attempt: action.Attempt, Delivery: gather.DeliveryUnknown, Reason: failure}
 	}
 	event := routing.Replied{Attempt: action.Attempt, Status: status, Body: reply}
 	event.Load, event.LoadKnown = parseLoad(reply.Header.Get(g.options.Headers.Load))
 	if status == gather.ReplyShed {
-		event.RetryAfter = retryAfter(reply.Header)
+		event.RetryAfter = parseRetryAfter(reply.Header)
 	}
 	return event
 }
 
-// failureOf tells of an attempt without a whole reply.
-func failureOf(action routing.Send, err error, look *exchange.CrashCheck) routing.Failed {
-	failed := routing.Failed{Attempt: action.Attempt, Delivery: gather.DeliveryUnknown, Reason: failureName(err)}
+// failureEvent tells of an attempt without a whole reply.
+func failureEvent(action routing.Send, err error, check *exchange.CrashCheck) routing.Failed {
+	failed := routing.Failed{Attempt: action.Attempt, Delivery: gather.DeliveryUnknown, Reason: failureReason(err)}
 	switch {
-	case look != nil && !look.IsComplete():
+	case check != nil && !check.IsComplete():
 		failed.Delivery = gather.CrashUnconfirmed
-	case look != nil && look.Crashed():
-		failed.Delivery, failed.Refused, failed.Reason = gather.ServerCrashed, true, serverEnded
+	case check != nil && check.Crashed():
+		failed.Delivery, failed.Refused, failed.Reason = gather.ServerCrashed, true, reasonServerCrashed
 	case errors.Is(err, exchange.ErrNotDelivered):
 		failed.Delivery, failed.Refused = gather.NotDelivered, exchange.IsRefused(err)
 	}
@@ -128,17 +128,17 @@
 }
 
 const (
-	// serverEnded is the end of an attempt whose server was not there any more when its
+	// reasonServerCrashed is the end of an attempt whose server was not there any more when its
 	// connection was lost.
-	serverEnded = "server_ended"
-	// connectionLost is that of one whose server listened then.
-	connectionLost = "connection_lost"
+	reasonServerCrashed = "server_ended"
+	// reasonConnectionLost is that of one whose server listened then.
+	reasonConnectionLost = "connection_lost"
 )
 
-func failureName(err error) string {
+func failureReason(err error) string {
 	switch {
 	case errors.Is(err, exchange.ErrConnectionLost):
-		return connectionLost
+		return reasonConnectionLost
 	case errors.Is(err, exchange.ErrNotDelivered):
 		return "not_delivered"
 	case errors.Is(err, exchange.ErrMalformed):
--- a/gateway/connection_test.go
+++ b/gateway/connection_test.go
@@ -22,70 +22,70 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &http.Server{Handler: g, ConnContext: g.ConnContext, ReadHeaderTimeout: longest}
+	server := &http.Server{Handler: g, ConnContext: g.ConnContext, ReadHeaderTimeout: testTimeout}
 	go func() { _ = server.Serve(g.WrapListener(listener)) }()
 	t.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String()
 }
 
-// caller is one connection of a caller that writes its requests by itself.
-type caller struct {
+// rawCaller is one connection of a caller that writes its requests by itself.
+type rawCaller struct {
 	t      *testing.T
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-func newCaller(t *testing.T, address string) *caller {
+func newRawCaller(t *testing.T, address string) *rawCaller {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	if err := conn.SetDeadline(time.Now().Add(longest)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	return &caller{t: t, conn: conn, reader: bufio.NewReader(conn)}
+	return &rawCaller{t: t, conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// ask writes a request with the given header lines and body, and returns the status; 0 when the
+// send writes a request with the given header lines and body, and returns the status; 0 when the
 // connection ends without an answer.
-func (c *caller) ask(lines, body string) (status int, closes bool) {
+func (c *rawCaller) send(lines, body string) (status int, closes bool) {
 	c.t.Helper()
 	_, err := fmt.Fprintf(c.conn, "POST /once/x HTTP/1.1\r\nHost: %s\r\n%s: a1\r\n%s: 4000\r\n%s\r\n%s",
 		testHost, attemptHeader, remainingHeader, lines, body)
 	if err != nil {
 		return 0, true
 	}
-	answer, err := http.ReadResponse(c.reader, nil)
+	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0, true
 	}
-	_, err = io.Copy(io.Discard, answer.Body)
+	_, err = io.Copy(io.Discard, response.Body)
 	if err != nil {
 		c.t.Errorf("the answer's body: %v", err)
 	}
-	_ = answer.Body.Close()
-	return answer.StatusCode, answer.Close
+	_ = response.Body.Close()
+	return response.StatusCode, response.Close
 }
 
 // Bodies reach the server whole, in whichever framing a caller gives them, one after the other on
 // a kept connection.
-func TestBodiesOnAKeptConnection(t *testing.T) {
+func TestBodiesOnKeepAliveConnection(t *testing.T) {
 	var bodies []string
 	g := newGateway(t, func(_ http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
 		bodies = append(bodies, string(body))
 	})
-	c := newCaller(t, listen(t, g))
-	for _, one := range []struct{ lines, body string }{
+	c := newRawCaller(t, listen(t, g))
+	for _, test := range []struct{ lines, body string }{
 		{"Content-Length: 5\r\n", "first"},
 		{"Transfer-Encoding: chunked\r\n", "3\r\nsec\r\n3\r\nond\r\n0\r\n\r\n"},
 		{"Content-Length: 0\r\n", ""},
 		{"Content-Length: 6\r\n", "fourth"},
 	} {
-		if status, closes := c.ask(one.lines, one.body); status != http.StatusOK || closes {
-			t.Fatalf("%q: status %d, closes %v", one.body, status, closes)
+		if status, closes := c.send(test.lines, test.body); status != http.StatusOK || closes {
+			t.Fatalf("%q: status %d, closes %v", test.body, status, closes)
 		}
 	}
 	if got := strings.Join(bodies, ","); got != "first,second,,fourth" {
@@ -95,7 +95,7 @@
 
 // A request that two readers could take for two things reaches no server, and nothing more is
 // read of its connection: what follows may be a part of it.
-func TestAmbiguousRequestsEndTheirConnection(t *testing.T) {
+func TestAmbiguousRequestsCloseConnection(t *testing.T) {
 	for name, test := range map[string]struct {
 		lines, body string
 		status      int
@@ -113,12 +113,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGateway(t, func(http.ResponseWriter, *http.Request) { t.Error("the server was asked") })
-			c := newCaller(t, listen(t, g))
-			status, closes := c.ask(test.lines, test.body)
+			c := newRawCaller(t, listen(t, g))
+			status, closes := c.send(test.lines, test.body)
 			if status != test.status {
 				t.Errorf("status %d, want %d", status, test.status)
 			}
-			if isBound := strings.Contains(name, "bound"); !closes && !isBound {
+			if exceedsLimit := strings.Contains(name, "bound"); !closes && !exceedsLimit {
 				t.Error("the connection goes on")
 			}
 		})
@@ -127,7 +127,7 @@
 
 // A time to wait that is no whole number of milliseconds counts as none told, and the route's own
 // counts; with none left a request is refused at once, with a time to come back.
-func TestOddDeadlines(t *testing.T) {
+func TestCallerTimeoutHeader(t *testing.T) {
 	g := newGateway(t, func(http.ResponseWriter, *http.Request) {})
 	for value, want := range map[string]int{
 		"abc": http.StatusOK, "NaN": http.StatusOK, "1e300": http.StatusOK, "": http.StatusOK, " 250": http.StatusOK,
@@ -137,14 +137,14 @@
 	} {
 		request := newRequest("/once/x", "")
 		request.Header.Set(remainingHeader, value)
-		answer := httptest.NewRecorder()
-		g.ServeHTTP(answer, request)
-		if answer.Code != want {
-			t.Errorf("%q: status %d, want %d", value, answer.Code, want)
+		recorder := httptest.NewRecorder()
+		g.ServeHTTP(recorder, request)
+		if recorder.Code != want {
+			t.Errorf("%q: status %d, want %d", value, recorder.Code, want)
 		}
-		again, err := strconv.ParseFloat(answer.Header().Get("Retry-After"), 64)
-		if refused := want != http.StatusOK; refused && (err != nil || !(again > 0 && again <= longest.Seconds())) {
-			t.Errorf("%q: come back after %q", value, answer.Header().Get("Retry-After"))
+		retryAfter, err := strconv.ParseFloat(recorder.Header().Get("Retry-After"), 64)
+		if rejected := want != http.StatusOK; rejected && (err != nil || !(retryAfter > 0 && retryAfter <= testTimeout.Seconds())) {
+			t.Errorf("%q: come back after %q", value, recorder.Header().Get("Retry-After"))
 		}
 	}
 }
--- a/gateway/connections.go
+++ b/gateway/connections.go
@@ -10,22 +10,22 @@
 	"github.com/banksail/banksail/routing"
 )
 
-// wantedFor is how long a connection to a server is kept ready after it was
+// keepWarmTime is how long a connection to a server is kept ready after it was
 // used, or after the server came: one that is seldom used would only be opened
 // again and again as the server closes it.
-const wantedFor = 15 * time.Second
+const keepWarmTime = 15 * time.Second
 
-// want keeps a connection ready to the servers that came, and forgets those that
+// updateWarmServers keeps a connection ready to the servers that came, and forgets those that
 // went. The caller holds the mutex.
-func (g *Gateway) want(servers map[string]discovery.Server) {
+func (g *Gateway) updateWarmServers(servers map[string]discovery.Server) {
 	for id, server := range servers {
 		if known, listed := g.servers[id]; !listed || known.Incarnation() != server.Incarnation() {
-			g.wantedUntil[id] = g.now() + wantedFor
+			g.warmUntil[id] = g.now() + keepWarmTime
 		}
 	}
-	for id := range g.wantedUntil {
+	for id := range g.warmUntil {
 		if _, listed := servers[id]; !listed {
-			delete(g.wantedUntil, id)
+			delete(g.warmUntil, id)
 		}
 	}
 }
@@ -46,7 +46,7 @@
 		}
 	}
 	table := g.table.Load()
-	if table == nil || !g.serves.Load() {
+	if table == nil || !g.isServing.Load() {
 		g.client.PruneIdle(listed, 0)
 		return
 	}
@@ -57,11 +57,11 @@
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	for one := range listed {
-		server := servers[one.ID]
+	for incarnation := range listed {
+		server := servers[incarnation.ID]
 		_, inUse := used[server.Service]
-		if inUse && g.wantedUntil[one.ID] > g.now() && !slices.Contains(g.evacuated, server.Zone) {
-			g.run(func() { g.warm(server) })
+		if inUse && g.warmUntil[incarnation.ID] > g.now() && !slices.Contains(g.evacuated, server.Zone) {
+			g.startTask(func() { g.warm(server) })
 		}
 	}
 }
@@ -73,13 +73,13 @@
 	}
 }
 
-// reachPause is the time between two tries to connect to a server that could
+// reconnectInterval is the time between two tries to connect to a server that could
 // not be reached.
-const reachPause = 250 * time.Millisecond
+const reconnectInterval = 250 * time.Millisecond
 
-// reach opens a connection to a server that could not be reached.
-func (g *Gateway) reach(server discovery.Server) {
-	for g.lists(server.Incarnation()) && clock.Sleep(g.background, reachPause) == nil {
+// reconnect opens a connection to a server that could not be reached.
+func (g *Gateway) reconnect(server discovery.Server) {
+	for g.isListed(server.Incarnation()) && clock.Sleep(g.background, reconnectInterval) == nil {
 		if g.client.Open(g.background, server) == nil {
 			g.step(routing.Connected{Server: server.Incarnation()})
 			return
@@ -87,10 +87,10 @@
 	}
 }
 
-// lists reports whether the server may still be there.
-func (g *Gateway) lists(one discovery.Incarnation) bool {
+// isListed reports whether the server may still be there.
+func (g *Gateway) isListed(incarnation discovery.Incarnation) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	server, listed := g.servers[one.ID]
-	return listed && server.Incarnation() == one
+	server, listed := g.servers[incarnation.ID]
+	return listed && server.Incarnation() == incarnation
 }
--- a/gateway/fanout_bench_test.go
+++ b/gateway/fanout_bench_test.go
@@ -25,7 +25,7 @@
 // does as little as it can, so that the benchmark tells of the gateway.
 func serveParts(b *testing.B, listener net.Listener) {
 	b.Helper()
-	answer := func(id []byte) []byte {
+	reply := func(id []byte) []byte {
 		return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n%s: %s\r\n%s: s-1\r\nTest-Load: 1,0,2\r\n\r\n%s",
 			attemptHeader, id, stampHeader, bytes.Repeat([]byte("r"), 100))
 	}
@@ -48,7 +48,7 @@
 					id = bytes.TrimSpace(bytes.Clone(value))
 				}
 				if len(line) == 2 {
-					if _, err := conn.Write(answer(id)); err != nil {
+					if _, err := conn.Write(reply(id)); err != nil {
 						return
 					}
 				}
@@ -66,22 +66,22 @@
 		Logger:        zerolog.Nop(),
 	})
 	defer g.Close()
-	definition := route.Definition{Version: 1, Limits: route.Limits{HeaderBytes: 4096, HeaderTimeout: longest, IdleTimeout: longest}}
+	definition := route.Definition{Version: 1, Limits: route.Limits{HeaderBytes: 4096, HeaderTimeout: testTimeout, IdleTimeout: testTimeout}}
 	var shards []string
 	var servers []discovery.Server
-	for number := range benchShards {
+	for index := range benchShards {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			b.Fatal(err)
 		}
 		defer func() { _ = listener.Close() }()
 		go serveParts(b, listener)
-		name := fmt.Sprintf("shard-%d", number)
+		name := fmt.Sprintf("shard-%d", index)
 		shards = append(shards, name)
 		servers = append(servers, discovery.Server{ID: name, Service: name, Address: listener.Addr().String(), Zone: "a", Slots: 2})
 		definition.Services = append(definition.Services, route.Service{Name: name, Connections: 100})
 	}
-	definition.Routes = []route.Route{{Name: "all", Host: testHost, PathPrefix: "/", Repeatable: true, Timeout: longest, Attempts: 1, Target: route.Target{Shards: shards, Top: 5, MinimumCoverage: 1}}}
+	definition.Routes = []route.Route{{Name: "all", Host: testHost, PathPrefix: "/", Repeatable: true, Timeout: testTimeout, Attempts: 1, Target: route.Target{Shards: shards, Top: 5, MinimumCoverage: 1}}}
 	table, err := route.New(definition)
 	if err != nil {
 		b.Fatal(err)
@@ -89,7 +89,7 @@
 	g.SetTable(table)
 	g.SetNodes(routing.NodesChanged{Live: 1, Serving: 1, IsServing: true})
 	g.SetServers(servers)
-	ask := func() {
+	query := func() {
 		recorder := httptest.NewRecorder()
 		request := httptest.NewRequest(http.MethodGet, "/x", nil)
 		request.Host, request.RequestURI = testHost, "/x"
@@ -100,11 +100,11 @@
 			b.Fatalf("status %d", recorder.Code)
 		}
 	}
-	ask() // opens the connections
+	query() // opens the connections
 	b.ReportAllocs()
 	b.ResetTimer()
 	for b.Loop() {
-		ask()
+		query()
 	}
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/benchShards, "µs/part")
 }
--- a/gateway/findings.go
+++ b/gateway/findings.go
@@ -6,13 +6,13 @@
 	"github.com/banksail/banksail/routing"
 )
 
-// contentOf names what a request asks for.
-func contentOf(request *exchange.Request) quarantine.Fingerprint {
+// fingerprintOf names what a request asks for.
+func fingerprintOf(request *exchange.Request) quarantine.Fingerprint {
 	return quarantine.FingerprintOf(request.Method, request.Host, request.Target, request.Body)
 }
 
-// carryFinding passes on what the router found out of a request.
-func (g *Gateway) carryFinding(action routing.Action) {
+// handleFinding passes on what the router found out of a request.
+func (g *Gateway) handleFinding(action routing.Action) {
 	switch action := action.(type) {
 	case routing.PublishFinding:
 		g.options.Logger.Info().Stringer("content", action.Finding.Content).Int("ends", len(action.Finding.Crashes)).
@@ -28,7 +28,7 @@
 			g.options.Findings.RecordQuarantine(action.Content)
 		}
 	case routing.QuarantinedRequestRejected:
-		g.counters.quarantineRefusals.Inc()
+		g.counters.quarantineRejections.Inc()
 		if g.options.Findings != nil {
 			g.options.Findings.QuarantinedRequestRejected(action.Content)
 		}
@@ -41,8 +41,8 @@
 }
 
 // SetQuarantines takes all contents that the registry says are to be refused.
-func (g *Gateway) SetQuarantines(contents []quarantine.Fingerprint) {
-	g.step(routing.QuarantinesChanged{Contents: contents})
+func (g *Gateway) SetQuarantines(fingerprints []quarantine.Fingerprint) {
+	g.step(routing.QuarantinesChanged{Contents: fingerprints})
 }
 
 // QuarantineCounts is the number of contents that are refused, and that of those of which something
--- a/gateway/framing.go
+++ b/gateway/framing.go
@@ -12,93 +12,93 @@
 	mutex sync.Mutex
 	// mutex guards the fields below: net/http reads in the background while a
 	// handler runs.
-	line            []byte
-	lines, size     int
-	ended           bool
-	length, chunked bool
-	requests        int
+	line                           []byte
+	lineCount, size                int
+	complete                       bool
+	hasLength, hasTransferEncoding bool
+	requestCount                   int
 }
 
-// longestName is the length of the longest header name that matters, with its colon.
-const longestName = len("transfer-encoding:")
+// maxNameLength is the length of the longest header name that matters, with its colon.
+const maxNameLength = len("transfer-encoding:")
 
-// progress tells how far a request's header has come.
-type progress int
+// headerProgress tells how far a request's header has come.
+type headerProgress int
 
 const (
-	// headerAwaited: no byte of it has come.
-	headerAwaited progress = iota
-	// headerBegun: it has not ended.
-	headerBegun
-	// headerWhole: it has ended.
-	headerWhole
+	// headerNotStarted: no byte of it has come.
+	headerNotStarted headerProgress = iota
+	// headerStarted: it has not ended.
+	headerStarted
+	// headerComplete: it has ended.
+	headerComplete
 )
 
-// take looks at bytes that the caller has sent, and tells how far they bring the
+// consume looks at bytes that the caller has sent, and tells how far they bring the
 // request's header.
-func (f *framing) take(data []byte) progress {
+func (f *framing) consume(data []byte) headerProgress {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, b := range data {
-		if f.ended {
-			return headerWhole
+		if f.complete {
+			return headerComplete
 		}
 		f.size++
 		if b == '\n' {
 			f.endLine()
 			continue
 		}
-		if b != '\r' && len(f.line) < longestName {
+		if b != '\r' && len(f.line) < maxNameLength {
 			f.line = append(f.line, b)
 		}
 	}
 	switch {
-	case f.ended:
-		return headerWhole
+	case f.complete:
+		return headerComplete
 	case f.size > 0:
-		return headerBegun
+		return headerStarted
 	default:
-		return headerAwaited
+		return headerNotStarted
 	}
 }
 
 func (f *framing) endLine() {
 	name := bytes.ToLower(f.line)
 	f.line = f.line[:0]
-	f.lines++
+	f.lineCount++
 	switch {
-	case len(name) == 0 && f.lines > 1:
-		f.ended = true
+	case len(name) == 0 && f.lineCount > 1:
+		f.complete = true
 	case bytes.HasPrefix(name, []byte("content-length:")):
-		f.length = true
+		f.hasLength = true
 	case bytes.HasPrefix(name, []byte("transfer-encoding:")):
-		f.chunked = true
+		f.hasTransferEncoding = true
 	}
 }
 
-// header is what was seen of one request's header.
-type header struct {
+// headerInfo is what was seen of one request's header.
+type headerInfo struct {
 	// size is in bytes, with the request line.
 	size int64
 	// ambiguous says that the header gives both a length and chunks.
 	ambiguous bool
-	// first says that it is the connection's first request.
-	first bool
+	// isFirst says that it is the connection's first request.
+	isFirst bool
 }
 
-// request returns what was seen of the request at hand.
-func (f *framing) request() header {
+// beginRequest returns what was seen of the request at hand.
+func (f *framing) beginRequest() headerInfo {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.requests++
-	return header{size: int64(f.size), ambiguous: f.length && f.chunked, first: f.requests == 1}
+	f.requestCount++
+	return headerInfo{size: int64(f.size), ambiguous: f.hasLength && f.hasTransferEncoding, isFirst: f.requestCount == 1}
 }
 
-// next begins with the next request.
-func (f *framing) next() {
+// reset begins with the next request.
+func (f *framing) reset() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.line = f.line[:0]
-	f.lines, f.size = 0, 0
-	f.ended, f.length, f.chunked = false, false, false
+	f.lineCount, f.size = 0, 0
+	f.complete, f.hasLength, f.hasTransferEncoding = false, false, false
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -91,12 +91,12 @@
 	table   atomic.Pointer[route.Table]
 	// draining says that connections are to end with their next answer.
 	draining atomic.Bool
-	// known is closed once there is a table.
-	known chan struct{}
-	// closed says that requests are taken no more.
-	closed atomic.Bool
-	held   atomic.Int64
-	serves atomic.Bool
+	// tableKnown is closed once there is a table.
+	tableKnown chan struct{}
+	// rejecting says that requests are taken no more.
+	rejecting     atomic.Bool
+	bufferedBytes atomic.Int64
+	isServing     atomic.Bool
 	// sends counts the attempts that were sent since the start.
 	sends    atomic.Uint64
 	counters *counters
@@ -105,33 +105,33 @@
 	// mutex serialises Step and guards the fields below. Invariants: pending
 	// holds exactly the requests without a Finish; attempts holds exactly the
 	// attempts that were sent and not reported back.
-	router      *routing.Router
-	pending     map[routing.RequestID]*pendingRequest
-	attempts    map[gather.AttemptID]*runningAttempt
-	lastRequest routing.RequestID
-	wake        *time.Timer
-	servers     map[string]discovery.Server
-	evacuated   []string
-	// wantedUntil is until when a connection to a server is kept ready.
-	wantedUntil map[string]time.Duration
+	router        *routing.Router
+	pending       map[routing.RequestID]*pendingRequest
+	attempts      map[gather.AttemptID]*runningAttempt
+	lastRequestID routing.RequestID
+	timer         *time.Timer
+	servers       map[string]discovery.Server
+	evacuated     []string
+	// warmUntil is until when a connection to a server is kept ready.
+	warmUntil map[string]time.Duration
 
 	// background ends with the gateway; loops counts what runs until then. loops
 	// grows only under mutex and before background ends.
 	background context.Context
-	end        context.CancelFunc
-	loops      sync.WaitGroup
+	stop       context.CancelFunc
+	tasks      sync.WaitGroup
 }
 
 // pendingRequest is one without a final answer.
 type pendingRequest struct {
-	id       routing.RequestID
-	outgoing *exchange.Request
-	caller   string // its address
-	route    *route.Route
-	header   header
-	way      way
-	arrived  time.Time
-	done     chan routing.Outcome // has room for the one outcome
+	id            routing.RequestID
+	outgoing      *exchange.Request
+	callerAddress string // its address
+	route         *route.Route
+	header        headerInfo
+	latency       callerLatency
+	arrived       time.Time
+	outcome       chan routing.Outcome // has room for the one outcome
 }
 
 // New returns a Gateway that knows no table and no server.
@@ -142,21 +142,21 @@
 	options.TableWaitTimeout = cmp.Or(options.TableWaitTimeout, DefaultTableWaitTimeout)
 	options.MaxBufferedBytes = cmp.Or(options.MaxBufferedBytes, DefaultMaxBufferedBytes)
 	options.Exchange.Headers = options.Headers
-	background, end := context.WithCancel(context.Background())
+	background, stop := context.WithCancel(context.Background())
 	return &Gateway{
 		counters:   newCounters(options.Registry),
 		background: background,
-		end:        end,
+		stop:       stop,
 
-		options:  options,
-		epoch:    clock.Begin(),
-		client:   exchange.NewClient(options.Exchange),
-		router:   routing.New(0, options.Routing),
-		known:    make(chan struct{}),
-		pending:  make(map[routing.RequestID]*pendingRequest),
-		attempts: make(map[gather.AttemptID]*runningAttempt),
+		options:    options,
+		epoch:      clock.Begin(),
+		client:     exchange.NewClient(options.Exchange),
+		router:     routing.New(0, options.Routing),
+		tableKnown: make(chan struct{}),
+		pending:    make(map[routing.RequestID]*pendingRequest),
+		attempts:   make(map[gather.AttemptID]*runningAttempt),
 
-		wantedUntil: make(map[string]time.Duration),
+		warmUntil: make(map[string]time.Duration),
 	}
 }
 
@@ -187,7 +187,7 @@
 	}
 	g.stepLocked(routing.TableChanged{Table: table})
 	if g.table.Swap(table) == nil {
-		close(g.known)
+		close(g.tableKnown)
 	}
 	return true
 }
@@ -200,7 +200,7 @@
 	}
 	g.mutex.Lock()
 	if !maps.Equal(byID, g.servers) {
-		g.want(byID)
+		g.updateWarmServers(byID)
 		g.servers = byID
 		g.stepLocked(routing.ServersChanged{Servers: servers})
 	}
@@ -218,7 +218,7 @@
 	}
 	g.evacuated = zones
 	for id := range g.servers {
-		g.wantedUntil[id] = g.now() + wantedFor
+		g.warmUntil[id] = g.now() + keepWarmTime
 	}
 	g.stepLocked(routing.ZonesChanged{Evacuated: zones})
 	return true
@@ -234,23 +234,23 @@
 // SetNodes tells of the nodes that are live. One to which no callers are sent
 // keeps no connections that rest.
 func (g *Gateway) SetNodes(nodes routing.NodesChanged) {
-	g.serves.Store(nodes.IsServing)
+	g.isServing.Store(nodes.IsServing)
 	g.step(nodes)
 }
 
 // SetPeersAvailable tells whether another node is known that reaches enough servers and takes callers.
-func (g *Gateway) SetPeersAvailable(serve bool) {
-	g.step(routing.PeerAvailabilityChanged{Available: serve})
+func (g *Gateway) SetPeersAvailable(available bool) {
+	g.step(routing.PeerAvailabilityChanged{Available: available})
 }
 
 // ApplySettings takes bounds that were set anew.
-func (g *Gateway) ApplySettings(bounds routing.SettingsChanged) { g.step(bounds) }
+func (g *Gateway) ApplySettings(settings routing.SettingsChanged) { g.step(settings) }
 
 // Drain makes every connection end with its next answer.
 func (g *Gateway) Drain() { g.draining.Store(true) }
 
 // RejectRequests refuses every request that comes from now on: another node is there for it.
-func (g *Gateway) RejectRequests() { g.closed.Store(true) }
+func (g *Gateway) RejectRequests() { g.rejecting.Store(true) }
 
 // AbortPending gives every request at hand its final answer.
 func (g *Gateway) AbortPending() { g.step(routing.Stopping{}) }
@@ -265,22 +265,22 @@
 	return len(g.pending)
 }
 
-// run starts what goes on in the background. The caller holds the mutex.
-func (g *Gateway) run(loop func()) {
+// startTask starts what goes on in the background. The caller holds the mutex.
+func (g *Gateway) startTask(task func()) {
 	if g.background.Err() == nil {
-		g.loops.Go(loop)
+		g.tasks.Go(task)
 	}
 }
 
 // Close ends what goes on in the background.
 func (g *Gateway) Close() {
 	g.mutex.Lock()
-	g.end()
-	if g.wake != nil {
-		g.wake.Stop()
+	g.stop()
+	if g.timer != nil {
+		g.timer.Stop()
 	}
 	g.mutex.Unlock()
-	g.loops.Wait()
+	g.tasks.Wait()
 }
 
 // step passes an event to the router and carries out its actions.
@@ -297,39 +297,39 @@
 		case routing.Send:
 			g.send(action)
 		case routing.Cancel:
-			g.cancel(action.Attempt)
+			g.scheduleCancel(action.Attempt)
 		case routing.Connect:
-			g.run(func() { g.reach(action.Server) })
+			g.startTask(func() { g.reconnect(action.Server) })
 		case routing.Finish:
 			g.finish(action)
 		case routing.ReachabilityChanged:
-			g.tellAbility(action.CanServe)
+			g.reportReachability(action.CanServe)
 		case routing.PublishFinding, routing.RecordQuarantine, routing.QuarantinedRequestRejected:
-			g.carryFinding(action)
+			g.handleFinding(action)
 		case routing.SetTimer:
-			g.setWake(action.At - now)
+			g.setTimer(action.At - now)
 		}
 	}
 }
 
-func (g *Gateway) tellAbility(able bool) {
-	g.options.Logger.Warn().Bool("able", able).Msg("ability to reach enough servers changed")
+func (g *Gateway) reportReachability(canServe bool) {
+	g.options.Logger.Warn().Bool("able", canServe).Msg("ability to reach enough servers changed")
 	if g.options.OnReachabilityChanged != nil {
-		g.options.OnReachabilityChanged(able)
+		g.options.OnReachabilityChanged(canServe)
 	}
 }
 
-func (g *Gateway) setWake(after time.Duration) {
+func (g *Gateway) setTimer(after time.Duration) {
 	after = max(after, 0)
-	if g.wake == nil {
-		g.wake = time.AfterFunc(after, func() { g.step(routing.TimerFired{}) })
+	if g.timer == nil {
+		g.timer = time.AfterFunc(after, func() { g.step(routing.TimerFired{}) })
 		return
 	}
-	g.wake.Reset(after)
+	g.timer.Reset(after)
 }
 
 func (g *Gateway) finish(action routing.Finish) {
-	asked := g.pending[action.Request]
+	pending := g.pending[action.Request]
 	delete(g.pending, action.Request)
-	asked.done <- action.Outcome
+	pending.outcome <- action.Outcome
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -25,18 +25,18 @@
 	stampHeader     = "Test-Stamp"
 	missingHeader   = "Test-Missing"
 
-	testHost = "search.example"
-	longest  = 5 * time.Second
+	testHost    = "search.example"
+	testTimeout = 5 * time.Second
 )
 
 // newGateway returns a gateway before one server that runs the handler; route /once/
 // leads to it, with bodies of 100 bytes at most.
-func newGateway(t *testing.T, serve http.HandlerFunc) *gateway.Gateway {
+func newGateway(t *testing.T, handler http.HandlerFunc) *gateway.Gateway {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set(attemptHeader, request.Header.Get(attemptHeader))
 		writer.Header().Set(stampHeader, "stamp")
-		serve(writer, request)
+		handler(writer, request)
 	}))
 	g := gateway.New(gateway.Options{
 		Headers: exchange.Headers{
@@ -52,10 +52,10 @@
 	})
 	table, err := route.New(route.Definition{
 		Version:  1,
-		Limits:   route.Limits{HeaderBytes: 4096, BodyBytes: 100, HeaderTimeout: longest, IdleTimeout: longest},
+		Limits:   route.Limits{HeaderBytes: 4096, BodyBytes: 100, HeaderTimeout: testTimeout, IdleTimeout: testTimeout},
 		Services: []route.Service{{Name: "ledger", Connections: 10}},
 		Routes: []route.Route{{
-			Name: "once", Host: testHost, PathPrefix: "/once/", Timeout: longest, Attempts: 1,
+			Name: "once", Host: testHost, PathPrefix: "/once/", Timeout: testTimeout, Attempts: 1,
 			Target: route.Target{Shares: []route.Share{{Service: "ledger", Weight: 1}}},
 		}},
 	})
@@ -80,11 +80,11 @@
 
 // A request reaches the server as the caller wrote it, but for what concerns one
 // connection and for what the gateway itself tells.
-func TestRequestReachesTheServerUnchanged(t *testing.T) {
-	var seen *http.Request
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	var received *http.Request
 	var body []byte
 	g := newGateway(t, func(_ http.ResponseWriter, request *http.Request) {
-		seen = request.Clone(request.Context())
+		received = request.Clone(request.Context())
 		body, _ = io.ReadAll(request.Body)
 	})
 	request := newRequest("/once/a%2Fb?q=1%202", "entry")
@@ -92,25 +92,25 @@
 	request.Header.Set("X-Hop", "1")
 	request.Header.Set("X-Kept", "2")
 	request.Header.Set(serverHeader, "another")
-	answer := httptest.NewRecorder()
-	g.ServeHTTP(answer, request)
-	if answer.Code != http.StatusOK {
-		t.Fatalf("status %d", answer.Code)
+	recorder := httptest.NewRecorder()
+	g.ServeHTTP(recorder, request)
+	if recorder.Code != http.StatusOK {
+		t.Fatalf("status %d", recorder.Code)
 	}
-	if seen.RequestURI != "/once/a%2Fb?q=1%202" || seen.Host != testHost || string(body) != "entry" {
-		t.Errorf("the server saw %s %s with %q", seen.Host, seen.RequestURI, body)
+	if received.RequestURI != "/once/a%2Fb?q=1%202" || received.Host != testHost || string(body) != "entry" {
+		t.Errorf("the server saw %s %s with %q", received.Host, received.RequestURI, body)
 	}
 	for header, want := range map[string]string{
 		"X-Hop": "", "X-Kept": "2", attemptHeader: "attempt-1", serverHeader: "ledger-1",
 	} {
-		if got := seen.Header.Get(header); got != want {
+		if got := received.Header.Get(header); got != want {
 			t.Errorf("%s is %q at the server, want %q", header, got, want)
 		}
 	}
 }
 
 // What is at fault gets its own answer and reaches no server.
-func TestFaultyRequestsReachNoServer(t *testing.T) {
+func TestInvalidRequestsReachNoServer(t *testing.T) {
 	g := newGateway(t, func(http.ResponseWriter, *http.Request) { t.Error("the server was asked") })
 	for name, test := range map[string]struct {
 		request *http.Request
@@ -119,41 +119,41 @@
 		"no route":        {newRequest("/other/x", ""), http.StatusNotFound},
 		"a body too long": {newRequest("/once/x", strings.Repeat("x", 101)), http.StatusRequestEntityTooLarge},
 	} {
-		answer := httptest.NewRecorder()
-		g.ServeHTTP(answer, test.request)
-		if answer.Code != test.status {
-			t.Errorf("%s: status %d, want %d", name, answer.Code, test.status)
+		recorder := httptest.NewRecorder()
+		g.ServeHTTP(recorder, test.request)
+		if recorder.Code != test.status {
+			t.Errorf("%s: status %d, want %d", name, recorder.Code, test.status)
 		}
 	}
 }
 
 // A node that ends refuses what comes, with when to come back, and gives what is at
 // hand its final answer at once.
-func TestEndOfANode(t *testing.T) {
-	running, end := make(chan struct{}), make(chan struct{})
+func TestStoppingGateway(t *testing.T) {
+	running, release := make(chan struct{}), make(chan struct{})
 	g := newGateway(t, func(http.ResponseWriter, *http.Request) {
 		close(running)
-		<-end
+		<-release
 	})
-	defer close(end)
-	atHand := make(chan *httptest.ResponseRecorder, 1)
+	defer close(release)
+	pending := make(chan *httptest.ResponseRecorder, 1)
 	go func() {
 		answer := httptest.NewRecorder()
 		g.ServeHTTP(answer, newRequest("/once/x", ""))
-		atHand <- answer
+		pending <- answer
 	}()
 	<-running
 	g.RejectRequests()
-	refused := httptest.NewRecorder()
-	g.ServeHTTP(refused, newRequest("/once/y", ""))
-	if refused.Code != http.StatusServiceUnavailable || refused.Header().Get("Retry-After") == "" {
-		t.Errorf("a late request: %d, come back after %q", refused.Code, refused.Header().Get("Retry-After"))
+	rejected := httptest.NewRecorder()
+	g.ServeHTTP(rejected, newRequest("/once/y", ""))
+	if rejected.Code != http.StatusServiceUnavailable || rejected.Header().Get("Retry-After") == "" {
+		t.Errorf("a late request: %d, come back after %q", rejected.Code, rejected.Header().Get("Retry-After"))
 	}
 	if pending := g.PendingCount(); pending != 1 {
 		t.Errorf("%d requests are at hand, want 1", pending)
 	}
 	g.AbortPending()
-	if answer := <-atHand; answer.Code != http.StatusBadGateway {
+	if answer := <-pending; answer.Code != http.StatusBadGateway {
 		t.Errorf("at hand, and the server may have run it: status %d", answer.Code)
 	}
 }
--- a/gateway/load_test.go
+++ b/gateway/load_test.go
@@ -7,7 +7,7 @@
 )
 
 // A load may have more fields than are read: a fourth tells how long work takes.
-func TestLoadsWithMoreFields(t *testing.T) {
+func TestParseLoadIgnoresExtraFields(t *testing.T) {
 	want := routing.Load{Running: 1, Waiting: 4, Slots: 2}
 	for _, value := range []string{"1,4,2", "1, 4, 2", "1,4,2,130", "1,4,2,130,x"} {
 		if got, known := parseLoad(value); !known || got != want {
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -14,44 +14,44 @@
 	"github.com/banksail/banksail/telemetry"
 )
 
-// sampledShare is one in how many good requests are logged: the same ones on
+// sampleInterval is one in how many good requests are logged: the same ones on
 // every node, by their ID.
-const sampledShare = 64
+const sampleInterval = 64
 
-// sampled reports whether a good request is logged.
-func sampled(id string) bool { return xxhash.Sum64String(id)%sampledShare == 0 }
+// isSampled reports whether a good request is logged.
+func isSampled(id string) bool { return xxhash.Sum64String(id)%sampleInterval == 0 }
 
 // logRequest tells of a final answer: always of one that is not whole and in
 // time, and of a sample of the others.
-func (g *Gateway) logRequest(asked *pendingRequest, table *route.Table, outcome routing.Outcome) {
-	took := time.Since(asked.arrived)
-	result := g.resultOf(asked, outcome, took)
-	g.counters.answered(asked.route, result, took)
-	if result == resultGood && !sampled(asked.outgoing.AttemptID) {
+func (g *Gateway) logRequest(request *pendingRequest, table *route.Table, outcome routing.Outcome) {
+	elapsed := time.Since(request.arrived)
+	result := g.classifyOutcome(request, outcome, elapsed)
+	g.counters.countRequest(request.route, result, elapsed)
+	if result == resultGood && !isSampled(request.outgoing.AttemptID) {
 		return
 	}
 	line := g.options.Logger.Info()
 	if line == nil {
 		return
 	}
-	if lostServers(outcome.Attempts) > 0 || outcome.Reason == gather.ReasonCrashesServers {
-		line.Stringer("content", contentOf(asked.outgoing)).Str("caller", asked.caller)
+	if countLostServers(outcome.Attempts) > 0 || outcome.Reason == gather.ReasonCrashesServers {
+		line.Stringer("content", fingerprintOf(request.outgoing)).Str("caller", request.callerAddress)
 	}
-	line.Str(telemetry.FieldRequestID, asked.outgoing.AttemptID).Str("route", asked.route.Name).
+	line.Str(telemetry.FieldRequestID, request.outgoing.AttemptID).Str("route", request.route.Name).
 		Str("result", string(result)).Str("reason", string(outcome.Reason)).
-		Uint64("version", table.Version).Dur("belief_age_ms", g.beliefAge()).
+		Uint64("version", table.Version).Dur("belief_age_ms", g.viewAge()).
 		Int("missing", outcome.Missing).
 		Int("sends", outcome.Sends).Int("hedges", outcome.Hedges).Int("retries", outcome.Retries).
 		Int("unaffordable", outcome.HedgesOverBudget).Int("roomless", outcome.SendsWithoutCapacity).Int("hopeless", outcome.HedgesTooLate).
-		Dur("took_ms", took).Dur("retry_after_ms", outcome.RetryAfter).
+		Dur("took_ms", elapsed).Dur("retry_after_ms", outcome.RetryAfter).
 		Array("attempts", attemptList(outcome.Attempts)).
 		Msg("request answered")
 }
 
-// lostServers counts the attempts whose servers ended, or broke the connection off.
-func lostServers(attempts []routing.AttemptRecord) (count int) {
-	for _, one := range attempts {
-		if one.Result == serverEnded || one.Result == connectionLost {
+// countLostServers counts the attempts whose servers ended, or broke the connection off.
+func countLostServers(attempts []routing.AttemptRecord) (count int) {
+	for _, attempt := range attempts {
+		if attempt.Result == reasonServerCrashed || attempt.Result == reasonConnectionLost {
 			count++
 		}
 	}
@@ -69,13 +69,13 @@
 	resultFailed  result = "failed"
 )
 
-func (g *Gateway) resultOf(asked *pendingRequest, outcome routing.Outcome, took time.Duration) result {
+func (g *Gateway) classifyOutcome(request *pendingRequest, outcome routing.Outcome, elapsed time.Duration) result {
 	switch {
 	case outcome.Execution == gather.ExecutionNotRun:
 		return resultRefused
 	case outcome.Execution != gather.ExecutionDone:
 		return resultFailed
-	case asked.route.Aim > 0 && took > asked.route.Aim:
+	case request.route.Aim > 0 && elapsed > request.route.Aim:
 		return resultLate
 	case outcome.Missing > 0:
 		return resultPartial
@@ -84,17 +84,17 @@
 	}
 }
 
-// beliefAge is how old what the node believes of the servers is.
-func (g *Gateway) beliefAge() time.Duration {
+// viewAge is how old what the node believes of the servers is.
+func (g *Gateway) viewAge() time.Duration {
 	if g.options.ViewAge == nil {
 		return 0
 	}
 	return g.options.ViewAge()
 }
 
-// mostAttemptsLogged bounds the attempts in one line: those that did not end
+// maxLoggedAttempts bounds the attempts in one line: those that did not end
 // well, the extra ones first.
-const mostAttemptsLogged = 24
+const maxLoggedAttempts = 24
 
 // attemptList logs the attempts that tell something: extra ones, those that did
 // not answer, and those that took long.
@@ -103,14 +103,14 @@
 // MarshalZerologArray implements zerolog.LogArrayMarshaler.
 func (l attemptList) MarshalZerologArray(array *zerolog.Array) {
 	logged := 0
-	for _, one := range l {
-		if logged == mostAttemptsLogged {
+	for _, attempt := range l {
+		if logged == maxLoggedAttempts {
 			return
 		}
-		if one.Kind == gather.FirstSend && one.Result == "answered" && len(l) > 1 {
+		if attempt.Kind == gather.FirstSend && attempt.Result == "answered" && len(l) > 1 {
 			continue
 		}
-		array.Object(attemptLine(one))
+		array.Object(attemptLine(attempt))
 		logged++
 	}
 }
@@ -119,12 +119,12 @@
 
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
 func (a attemptLine) MarshalZerologObject(line *zerolog.Event) {
-	end := a.Result
-	if end == "" {
-		end = "awaited"
+	attemptResult := a.Result
+	if attemptResult == "" {
+		attemptResult = "awaited"
 	}
 	line.Str("kind", kindName(a.Kind)).Str("service", a.Service).Str("server", a.Server).
-		Dur("sent_ms", a.SentAt).Dur("ended_ms", a.EndedAt).Str("end", end).
+		Dur("sent_ms", a.SentAt).Dur("ended_ms", a.EndedAt).Str("end", attemptResult).
 		Float64("slowness", math.Round(a.Estimate.Slowness*100)/100).Int("in_flight", a.Estimate.InFlight)
 }
 
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -10,23 +10,23 @@
 	"github.com/banksail/banksail/route"
 )
 
-// mostPriorities bounds the label of priorities; routes, which operators add by
+// maxPriorityLabels bounds the label of priorities; routes, which operators add by
 // the hundred, are no label.
-const mostPriorities = 8
+const maxPriorityLabels = 8
 
 // latencyBuckets are in seconds.
 var latencyBuckets = []float64{0.005, 0.01, 0.02, 0.035, 0.05, 0.075, 0.1, 0.15, 0.25, 0.5, 1, 2, 4, 8}
 
 // counters count what a gateway did since its start.
 type counters struct {
-	rejected atomic.Uint64
-	attempts *prometheus.CounterVec
-	ends     *prometheus.CounterVec
-	requests *prometheus.CounterVec
-	latency  *prometheus.HistogramVec
-	inFlight *prometheus.GaugeVec
+	rejected       atomic.Uint64
+	attempts       *prometheus.CounterVec
+	attemptResults *prometheus.CounterVec
+	requests       *prometheus.CounterVec
+	latency        *prometheus.HistogramVec
+	inFlight       *prometheus.GaugeVec
 
-	quarantined, quarantineRefusals, endsSeenLate prometheus.Counter
+	quarantined, quarantineRejections, lateDetectedCrashes prometheus.Counter
 }
 
 func newCounters(registry prometheus.Registerer) *counters {
@@ -34,7 +34,7 @@
 		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "banksail_gateway_attempts_total", Help: "Attempts sent to servers, by why they were sent.",
 		}, []string{"kind"}),
-		ends: prometheus.NewCounterVec(prometheus.CounterOpts{
+		attemptResults: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "banksail_gateway_attempt_ends_total", Help: "Attempts that ended, by how.",
 		}, []string{"end"}),
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -49,15 +49,15 @@
 		quarantined: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "banksail_quarantined_total", Help: "Contents that this node found to end servers.",
 		}),
-		quarantineRefusals: prometheus.NewCounter(prometheus.CounterOpts{
+		quarantineRejections: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "banksail_quarantine_refusals_total", Help: "Requests refused because their content ends servers.",
 		}),
-		endsSeenLate: prometheus.NewCounter(prometheus.CounterOpts{
+		lateDetectedCrashes: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "banksail_server_ends_seen_late_total", Help: "Servers that listened when a connection was lost, and ended right after.",
 		}),
 	}
 	if registry != nil {
-		registry.MustRegister(c.attempts, c.ends, c.requests, c.latency, c.inFlight, c.quarantined, c.quarantineRefusals, c.endsSeenLate)
+		registry.MustRegister(c.attempts, c.attemptResults, c.requests, c.latency, c.inFlight, c.quarantined, c.quarantineRejections, c.lateDetectedCrashes)
 		registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "banksail_gateway_rejected_total", Help: "Requests that were at fault or had no route.",
 		}, func() float64 { return float64(c.rejected.Load()) }))
@@ -65,14 +65,16 @@
 	return c
 }
 
-func (c *counters) sent(kind gather.SendKind) { c.attempts.WithLabelValues(kindName(kind)).Inc() }
+func (c *counters) countAttempt(kind gather.SendKind) {
+	c.attempts.WithLabelValues(kindName(kind)).Inc()
+}
 
-func (c *counters) ended(end string) { c.ends.WithLabelValues(end).Inc() }
+func (c *counters) countAttemptResult(result string) { c.attemptResults.WithLabelValues(result).Inc() }
 
-func (c *counters) answered(answering *route.Route, end result, took time.Duration) {
-	priority := priorityLabels[min(answering.Priority, mostPriorities-1)]
-	c.requests.WithLabelValues(priority, string(end)).Inc()
-	c.latency.WithLabelValues(priority).Observe(took.Seconds())
+func (c *counters) countRequest(matched *route.Route, outcome result, elapsed time.Duration) {
+	priority := priorityLabels[min(matched.Priority, maxPriorityLabels-1)]
+	c.requests.WithLabelValues(priority, string(outcome)).Inc()
+	c.latency.WithLabelValues(priority).Observe(elapsed.Seconds())
 }
 
-var priorityLabels = [mostPriorities]string{"0", "1", "2", "3", "4", "5", "6", "7_or_more"}
+var priorityLabels = [maxPriorityLabels]string{"0", "1", "2", "3", "4", "5", "6", "7_or_more"}
--- a/gateway/reply.go
+++ b/gateway/reply.go
@@ -14,7 +14,7 @@
 )
 
 // classify tells what a whole answer means; why is set when it is none.
-func (g *Gateway) classify(r *route.Route, reply *exchange.Reply) (status gather.ReplyStatus, why string) {
+func (g *Gateway) classify(r *route.Route, reply *exchange.Reply) (status gather.ReplyStatus, failure string) {
 	success := reply.Status >= 200 && reply.Status < 300
 	switch {
 	case reply.Status == http.StatusMisdirectedRequest:
@@ -52,13 +52,13 @@
 	return routing.Load{Running: numbers[0], Waiting: numbers[1], Slots: numbers[2]}, true
 }
 
-// mostRetryAfter bounds what a server's Retry-After says.
-const mostRetryAfter = 5 * time.Second
+// maxRetryAfter bounds what a server's Retry-After says.
+const maxRetryAfter = 5 * time.Second
 
-func retryAfter(header http.Header) time.Duration {
+func parseRetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0) || math.IsInf(seconds, 0) {
 		return 0
 	}
-	return time.Duration(min(seconds, mostRetryAfter.Seconds()) * float64(time.Second))
+	return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second))
 }
--- a/gateway/reply_test.go
+++ b/gateway/reply_test.go
@@ -7,12 +7,12 @@
 )
 
 // What a server says of when to come back is a finite time within its bound, or is passed over.
-func TestRetryAfterOfServers(t *testing.T) {
+func TestParseRetryAfter(t *testing.T) {
 	for value, want := range map[string]time.Duration{
-		"": 0, "0.25": 250 * time.Millisecond, "3": 3 * time.Second, "600": mostRetryAfter, "-1": 0, "soon": 0,
-		"NaN": 0, "+Inf": 0, "-Inf": 0, "1e300": mostRetryAfter, "1e-300": 0,
+		"": 0, "0.25": 250 * time.Millisecond, "3": 3 * time.Second, "600": maxRetryAfter, "-1": 0, "soon": 0,
+		"NaN": 0, "+Inf": 0, "-Inf": 0, "1e300": maxRetryAfter, "1e-300": 0,
 	} {
-		if got := retryAfter(http.Header{"Retry-After": {value}}); got != want {
+		if got := parseRetryAfter(http.Header{"Retry-After": {value}}); got != want {
 			t.Errorf("%q: %s, want %s", value, got, want)
 		}
 	}
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -25,50 +25,50 @@
 // ServeHTTP answers one caller's request.
 func (g *Gateway) ServeHTTP(writer http.ResponseWriter, incoming *http.Request) {
 	arrived := time.Now()
-	var seen header
-	way := g.usualWay()
+	var parsedHeader headerInfo
+	latency := g.defaultCallerLatency()
 	if watched, ok := incoming.Context().Value(connectionKey{}).(*watchedConn); ok {
-		seen = watched.framing.request()
-		way = g.wayOf(watched)
-		watched.await(awaitNothing)
-		defer watched.answered()
+		parsedHeader = watched.framing.beginRequest()
+		latency = g.measureCallerLatency(watched)
+		watched.setState(stateActive)
+		defer watched.finishRequest()
 	}
 	if g.draining.Load() {
 		writer.Header().Set("Connection", "close")
 	}
-	if g.closed.Load() {
-		g.refuse(writer, incoming, gather.ReasonStopping, routing.DefaultRedirectRetryAfter)
+	if g.rejecting.Load() {
+		g.rejectUnavailable(writer, incoming, gather.ReasonStopping, routing.DefaultRedirectRetryAfter)
 		return
 	}
 	table := g.awaitTable(incoming.Context())
 	if table == nil {
-		g.refuse(writer, incoming, gather.ReasonNoConfiguration, noTableRetryAfter)
+		g.rejectUnavailable(writer, incoming, gather.ReasonNoConfiguration, noTableRetryAfter)
 		return
 	}
-	if status := faultOf(seen, table.Limits); status != 0 {
+	if status := headerStatus(parsedHeader, table.Limits); status != 0 {
 		writer.Header().Set("Connection", "close")
 		g.reject(writer, incoming, status, "header")
 		return
 	}
-	matched := table.Match(incoming.Host, pathOf(incoming))
+	matched := table.Match(incoming.Host, rawPath(incoming))
 	if matched == nil {
 		g.reject(writer, incoming, http.StatusNotFound, "no_route")
 		return
 	}
-	outgoing, status := g.outgoing(incoming, table.Limits)
+	outgoing, status := g.buildOutgoing(incoming, table.Limits)
 	if outgoing == nil {
 		g.reject(writer, incoming, status, "body")
 		return
 	}
-	g.held.Add(int64(len(outgoing.Body)))
-	defer g.held.Add(-int64(len(outgoing.Body)))
-	asked := &pendingRequest{outgoing: outgoing, caller: incoming.RemoteAddr, route: matched, header: seen, way: way, arrived: arrived, done: make(chan routing.Outcome, 1)}
-	outcome := g.carryOut(incoming, asked)
+	g.bufferedBytes.Add(int64(len(outgoing.Body)))
+	defer g.bufferedBytes.Add(-int64(len(outgoing.Body)))
+	pending := &pendingRequest{outgoing: outgoing, callerAddress: incoming.RemoteAddr, route: matched, header: parsedHeader, latency: latency, arrived: arrived, outcome: make(chan routing.Outcome, 1)}
+	outcome := g.execute(incoming, pending)
 	if outcome.RetryElsewhere {
 		writer.Header().Set("Connection", "close")
 	}
-	g.answer(writer, asked, outcome)
-	g.logRequest(asked, table, outcome)
+	g.writeOutcome(writer, pending, outcome)
+	g.logRequest(pending, table, outcome)
 }
 
 // awaitTable returns the table in force. A node that has just started is about to
@@ -77,40 +77,40 @@
 	if table := g.table.Load(); table != nil {
 		return table
 	}
-	left := g.options.TableWaitTimeout - g.now()
-	if left <= 0 || !g.options.Routing.Disabled.Enabled(mechanism.TableWait) {
+	remaining := g.options.TableWaitTimeout - g.now()
+	if remaining <= 0 || !g.options.Routing.Disabled.Enabled(mechanism.TableWait) {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, left)
+	ctx, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
 	select {
-	case <-g.known:
+	case <-g.tableKnown:
 	case <-ctx.Done():
 	}
 	return g.table.Load()
 }
 
-// faultOf is the status for a header that can't be taken; zero when it can.
-func faultOf(seen header, limits route.Limits) int {
+// headerStatus is the status for a header that can't be taken; zero when it can.
+func headerStatus(header headerInfo, limits route.Limits) int {
 	switch {
-	case seen.ambiguous:
+	case header.ambiguous:
 		return http.StatusBadRequest
-	case seen.size > limits.HeaderBytes:
+	case header.size > limits.HeaderBytes:
 		return http.StatusRequestHeaderFieldsTooLarge
 	default:
 		return 0
 	}
 }
 
-// pathOf is the path as the caller wrote it, without the query.
-func pathOf(incoming *http.Request) string {
+// rawPath is the path as the caller wrote it, without the query.
+func rawPath(incoming *http.Request) string {
 	path, _, _ := strings.Cut(incoming.RequestURI, "?")
 	return path
 }
 
-// outgoing is the request as it goes to servers; nil, with a status, when it
+// buildOutgoing is the request as it goes to servers; nil, with a status, when it
 // can't be taken.
-func (g *Gateway) outgoing(incoming *http.Request, limits route.Limits) (*exchange.Request, int) {
+func (g *Gateway) buildOutgoing(incoming *http.Request, limits route.Limits) (*exchange.Request, int) {
 	if incoming.ContentLength > limits.BodyBytes {
 		return nil, http.StatusRequestEntityTooLarge
 	}
@@ -121,7 +121,7 @@
 		return nil, http.StatusRequestEntityTooLarge
 	case err != nil:
 		return nil, http.StatusBadRequest
-	case g.held.Load()+int64(len(body)) > g.options.MaxBufferedBytes:
+	case g.bufferedBytes.Load()+int64(len(body)) > g.options.MaxBufferedBytes:
 		return nil, http.StatusServiceUnavailable
 	}
 	header := incoming.Header
@@ -137,51 +137,51 @@
 	}, 0
 }
 
-// carryOut hands the request to the router and waits for its outcome.
-func (g *Gateway) carryOut(incoming *http.Request, asked *pendingRequest) routing.Outcome {
-	header := asked.outgoing.Header
-	remaining := asked.route.Timeout
-	told, known := toldTime(header.Get(g.options.Headers.Remaining))
+// execute hands the request to the router and waits for its outcome.
+func (g *Gateway) execute(incoming *http.Request, pending *pendingRequest) routing.Outcome {
+	header := pending.outgoing.Header
+	remaining := pending.route.Timeout
+	callerTimeout, known := parseCallerTimeout(header.Get(g.options.Headers.Remaining))
 	if known {
-		remaining = min(remaining, told)
+		remaining = min(remaining, callerTimeout)
 	}
-	waited := time.Since(asked.arrived)
+	waited := time.Since(pending.arrived)
 	header.Del(g.options.Headers.Remaining)
 	header.Del(g.options.Headers.ExpectedServer)
 	g.mutex.Lock()
-	g.lastRequest++
-	asked.id = g.lastRequest
-	g.pending[asked.id] = asked
+	g.lastRequestID++
+	pending.id = g.lastRequestID
+	g.pending[pending.id] = pending
 	g.stepLocked(routing.Arrived{Request: routing.Request{
-		ID:            asked.id,
-		Route:         asked.route,
+		ID:            pending.id,
+		Route:         pending.route,
 		Remaining:     remaining - waited - g.options.CallerMargin,
-		CallerTimeout: told,
-		Elapsed:       asked.spent() + waited,
-		ReturnTime:    asked.way.back(),
-		Content:       func() quarantine.Fingerprint { return contentOf(asked.outgoing) },
+		CallerTimeout: callerTimeout,
+		Elapsed:       pending.transitTime() + waited,
+		ReturnTime:    pending.latency.returnTime(),
+		Content:       func() quarantine.Fingerprint { return fingerprintOf(pending.outgoing) },
 	}})
 	g.mutex.Unlock()
 	select {
-	case outcome := <-asked.done:
+	case outcome := <-pending.outcome:
 		return outcome
 	case <-incoming.Context().Done():
-		g.step(routing.CallerGone{Request: asked.id})
-		return <-asked.done
+		g.step(routing.CallerGone{Request: pending.id})
+		return <-pending.outcome
 	}
 }
 
-// longestTold bounds the time that a caller may say it waits.
-const longestTold = time.Hour
+// maxCallerTimeout bounds the time that a caller may say it waits.
+const maxCallerTimeout = time.Hour
 
-// toldTime reads the time that a caller says it waits, in milliseconds; known is
+// parseCallerTimeout reads the time that a caller says it waits, in milliseconds; known is
 // false when it says none.
-func toldTime(text string) (told time.Duration, known bool) {
+func parseCallerTimeout(text string) (timeout time.Duration, known bool) {
 	milliseconds, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
 		return 0, false
 	}
-	return time.Duration(min(max(milliseconds, 0), longestTold.Milliseconds())) * time.Millisecond, true
+	return time.Duration(min(max(milliseconds, 0), maxCallerTimeout.Milliseconds())) * time.Millisecond, true
 }
 
 // connectionKey finds a caller's connection in a request's context.
@@ -196,15 +196,15 @@
 	return ctx
 }
 
-// answer writes the final answer.
-func (g *Gateway) answer(writer http.ResponseWriter, asked *pendingRequest, outcome routing.Outcome) {
+// writeOutcome writes the final answer.
+func (g *Gateway) writeOutcome(writer http.ResponseWriter, pending *pendingRequest, outcome routing.Outcome) {
 	switch {
-	case outcome.Execution == gather.ExecutionDone && asked.route.Target.FanOut():
-		g.writeMerged(writer, asked, outcome)
+	case outcome.Execution == gather.ExecutionDone && pending.route.Target.FanOut():
+		g.writeMerged(writer, pending, outcome)
 	case outcome.Execution == gather.ExecutionDone:
 		writeReply(writer, outcome.Parts[0].Body.(*exchange.Reply))
 	case outcome.Execution == gather.ExecutionNotRun:
-		writeRefusal(writer, outcome.RetryAfter)
+		writeRejection(writer, outcome.RetryAfter)
 	case outcome.Failure != nil:
 		writeReply(writer, outcome.Failure.(*exchange.Reply))
 	case outcome.Reason == gather.ReasonDeadline:
@@ -215,7 +215,7 @@
 }
 
 // writeMerged writes the greatest records of the parts that are in.
-func (g *Gateway) writeMerged(writer http.ResponseWriter, asked *pendingRequest, outcome routing.Outcome) {
+func (g *Gateway) writeMerged(writer http.ResponseWriter, pending *pendingRequest, outcome routing.Outcome) {
 	stamps := make([]string, 0, len(outcome.Parts))
 	bodies := make([][]byte, 0, len(outcome.Parts))
 	for _, part := range outcome.Parts {
@@ -223,12 +223,12 @@
 		stamps = append(stamps, reply.Header.Get(g.options.Headers.Stamp))
 		bodies = append(bodies, reply.Body)
 	}
-	body := record.Top(bodies, asked.route.Target.Top)
+	body := record.Top(bodies, pending.route.Target.Top)
 	header := writer.Header()
 	header.Set(g.options.AnswerHeaders.PartStamps, strings.Join(stamps, ", "))
 	header.Set(g.options.AnswerHeaders.MissingParts, strconv.Itoa(outcome.Missing))
-	if asked.outgoing.AttemptID != "" {
-		header.Set(g.options.Headers.AttemptID, asked.outgoing.AttemptID)
+	if pending.outgoing.AttemptID != "" {
+		header.Set(g.options.Headers.AttemptID, pending.outgoing.AttemptID)
 	}
 	header.Set("Content-Type", "application/octet-stream")
 	writeBody(writer, http.StatusOK, body)
@@ -257,9 +257,9 @@
 	_, _ = writer.Write(body) // a caller that has gone needs no answer
 }
 
-// writeRefusal promises that the request has not run and never will.
-func writeRefusal(writer http.ResponseWriter, after time.Duration) {
-	writer.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
+// writeRejection promises that the request has not run and never will.
+func writeRejection(writer http.ResponseWriter, retryAfter time.Duration) {
+	writer.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	writeEmpty(writer, http.StatusServiceUnavailable)
 }
 
@@ -268,17 +268,17 @@
 	writer.WriteHeader(status)
 }
 
-// refuse answers a request that reached no route.
-func (g *Gateway) refuse(writer http.ResponseWriter, incoming *http.Request, reason gather.Reason, after time.Duration) {
+// rejectUnavailable answers a request that reached no route.
+func (g *Gateway) rejectUnavailable(writer http.ResponseWriter, incoming *http.Request, reason gather.Reason, retryAfter time.Duration) {
 	g.logRejected(incoming, http.StatusServiceUnavailable, string(reason))
-	writeRefusal(writer, after)
+	writeRejection(writer, retryAfter)
 }
 
 // reject answers a request that is at fault.
 func (g *Gateway) reject(writer http.ResponseWriter, incoming *http.Request, status int, reason string) {
 	g.logRejected(incoming, status, reason)
 	if status == http.StatusServiceUnavailable {
-		writeRefusal(writer, g.options.Routing.RetryAfter)
+		writeRejection(writer, g.options.Routing.RetryAfter)
 		return
 	}
 	writeEmpty(writer, status)
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -42,19 +42,19 @@
 		return nil, err
 	}
 	watched := &watchedConn{Conn: conn, limits: l.limits}
-	watched.await(awaitHeader)
+	watched.setState(stateHeader)
 	return watched, nil
 }
 
 // awaited is what a caller's connection waits for.
-type awaited int
+type connState int
 
 const (
-	awaitNothing awaited = iota
-	// awaitHeader: the rest of a request's header must come in time.
-	awaitHeader
-	// awaitRequest: the connection rests between two requests.
-	awaitRequest
+	stateActive connState = iota
+	// stateHeader: the rest of a request's header must come in time.
+	stateHeader
+	// stateIdle: the connection rests between two requests.
+	stateIdle
 )
 
 // watchedConn is a caller's connection. It is closed when what it waits for does
@@ -67,20 +67,20 @@
 	mutex sync.Mutex
 	// mutex guards the fields below. Invariant: the timer runs only while something
 	// is awaited.
-	awaited awaited
-	timer   *time.Timer
-	closed  bool
+	state  connState
+	timer  *time.Timer
+	closed bool
 }
 
 // Read implements net.Conn.
 func (c *watchedConn) Read(data []byte) (int, error) {
 	count, err := c.Conn.Read(data)
-	switch c.framing.take(data[:count]) {
-	case headerBegun:
-		c.await(awaitHeader)
-	case headerWhole:
-		c.await(awaitNothing)
-	case headerAwaited:
+	switch c.framing.consume(data[:count]) {
+	case headerStarted:
+		c.setState(stateHeader)
+	case headerComplete:
+		c.setState(stateActive)
+	case headerNotStarted:
 	}
 	return count, err
 }
@@ -89,51 +89,51 @@
 func (c *watchedConn) Close() error {
 	c.mutex.Lock()
 	c.closed = true
-	c.stopLocked()
+	c.stopTimerLocked()
 	c.mutex.Unlock()
 	return c.Conn.Close()
 }
 
-// answered tells that the request at hand has its answer.
-func (c *watchedConn) answered() {
-	c.framing.next()
-	c.await(awaitRequest)
+// finishRequest tells that the request at hand has its answer.
+func (c *watchedConn) finishRequest() {
+	c.framing.reset()
+	c.setState(stateIdle)
 }
 
-// await starts to wait for something else. A header that is awaited already goes
+// setState starts to wait for something else. A header that is awaited already goes
 // on in the time that it has.
-func (c *watchedConn) await(what awaited) {
+func (c *watchedConn) setState(state connState) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.awaited == what || c.closed {
+	if c.state == state || c.closed {
 		return
 	}
-	c.stopLocked()
-	c.awaited = what
+	c.stopTimerLocked()
+	c.state = state
 	limits := c.limits()
-	switch what {
-	case awaitHeader:
-		c.timer = time.AfterFunc(limits.HeaderTimeout, func() { c.expire(awaitHeader) })
-	case awaitRequest:
-		c.timer = time.AfterFunc(limits.IdleTimeout, func() { c.expire(awaitRequest) })
-	case awaitNothing:
+	switch state {
+	case stateHeader:
+		c.timer = time.AfterFunc(limits.HeaderTimeout, func() { c.expire(stateHeader) })
+	case stateIdle:
+		c.timer = time.AfterFunc(limits.IdleTimeout, func() { c.expire(stateIdle) })
+	case stateActive:
 	}
 }
 
-func (c *watchedConn) stopLocked() {
+func (c *watchedConn) stopTimerLocked() {
 	if c.timer != nil {
 		c.timer.Stop()
 		c.timer = nil
 	}
-	c.awaited = awaitNothing
+	c.state = stateActive
 }
 
 // expire closes the connection if it still waits.
-func (c *watchedConn) expire(what awaited) {
+func (c *watchedConn) expire(state connState) {
 	c.mutex.Lock()
-	waits := c.awaited == what && !c.closed
+	expired := c.state == state && !c.closed
 	c.mutex.Unlock()
-	if waits {
+	if expired {
 		_ = c.Close()
 	}
 }
--- a/gateway/zones_test.go
+++ b/gateway/zones_test.go
@@ -39,7 +39,7 @@
 
 // What runs in a zone that is evacuated ends there and is seen to end; what comes later is
 // refused at once where no other zone has a server.
-func TestEvacuatedZoneIsSeenToBecomeEmpty(t *testing.T) {
+func TestEvacuatedZoneDrains(t *testing.T) {
 	arrived, release := make(chan struct{}), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		close(arrived)
@@ -56,9 +56,9 @@
 	})
 	defer g.Close()
 	table, err := route.New(route.Definition{
-		Version: 1, Limits: route.Limits{HeaderBytes: 4096, HeaderTimeout: longest, IdleTimeout: longest},
+		Version: 1, Limits: route.Limits{HeaderBytes: 4096, HeaderTimeout: testTimeout, IdleTimeout: testTimeout},
 		Services: []route.Service{{Name: "ledger", Connections: 10}},
-		Routes: []route.Route{{Name: "one", Host: testHost, PathPrefix: "/", Repeatable: true, Timeout: longest, Attempts: 1,
+		Routes: []route.Route{{Name: "one", Host: testHost, PathPrefix: "/", Repeatable: true, Timeout: testTimeout, Attempts: 1,
 			Target: route.Target{Shares: []route.Share{{Service: "ledger", Weight: 1}}}}},
 	})
 	if err != nil {
@@ -67,7 +67,7 @@
 	g.SetTable(table)
 	g.SetNodes(routing.NodesChanged{Live: 1, Serving: 1, IsServing: true})
 	g.SetServers([]discovery.Server{{ID: "s", Service: "ledger", Address: strings.TrimPrefix(server.URL, "http://"), Zone: "a", Slots: 2}})
-	ask := func() *httptest.ResponseRecorder {
+	query := func() *httptest.ResponseRecorder {
 		recorder := httptest.NewRecorder()
 		request := httptest.NewRequest(http.MethodGet, "/x", nil)
 		request.Host, request.RequestURI = testHost, "/x"
@@ -76,7 +76,7 @@
 		return recorder
 	}
 	first := make(chan *httptest.ResponseRecorder, 1)
-	go func() { first <- ask() }()
+	go func() { first <- query() }()
 	<-arrived
 	if got := inFlight(t, registry, "a"); got != 1 {
 		t.Errorf("%g attempts in flight while one runs", got)
@@ -84,9 +84,9 @@
 	if !g.SetEvacuated([]string{"a"}) || g.SetEvacuated([]string{"a"}) || g.EvacuatedZoneCount() != 1 {
 		t.Error("the change is not told once")
 	}
-	began := time.Now()
-	if got := ask(); got.Code != http.StatusServiceUnavailable || got.Header().Get("Retry-After") == "" || time.Since(began) > longest/2 {
-		t.Errorf("after the evacuation: %d after %s", got.Code, time.Since(began))
+	start := time.Now()
+	if got := query(); got.Code != http.StatusServiceUnavailable || got.Header().Get("Retry-After") == "" || time.Since(start) > testTimeout/2 {
+		t.Errorf("after the evacuation: %d after %s", got.Code, time.Since(start))
 	}
 	close(release)
 	if got := <-first; got.Code != http.StatusOK {
