--- a/backend/bound_test.go
+++ b/backend/bound_test.go
@@ -11,40 +11,40 @@
 	"github.com/banksail/banksail/backend"
 )
 
-// changingBound returns options without spares whose bound is read from the
+// optionsWithVariableLimit returns options without spares whose bound is read from the
 // returned number.
-func changingBound(start int64) (backend.ClientOptions, *atomic.Int64) {
-	bound := &atomic.Int64{}
-	bound.Store(start)
+func optionsWithVariableLimit(initial int64) (backend.ClientOptions, *atomic.Int64) {
+	limit := &atomic.Int64{}
+	limit.Store(initial)
 	options := backend.ClientOptions{
 		SpareConnectionsPerServer: -1,
-		ConnectionLimit:           func(string) int { return int(bound.Load()) },
+		ConnectionLimit:           func(string) int { return int(limit.Load()) },
 	}
-	return options, bound
+	return options, limit
 }
 
-// startMany starts queries and returns once each has a connection or waits for one.
-func startMany(t *testing.T, client *backend.Client, count int) *sync.WaitGroup {
+// startQueries starts queries and returns once each has a connection or waits for one.
+func startQueries(t *testing.T, client *backend.Client, count int) *sync.WaitGroup {
 	t.Helper()
 	started := &sync.WaitGroup{}
-	started.Go(func() { queryMany(t, client, count) })
+	started.Go(func() { runQueries(t, client, count) })
 	time.Sleep(2 * time.Millisecond) // Virtual: the dial's millisecond is over, the service time is not.
 	return started
 }
 
-func TestAChangedBoundKeepsOpenConnections(t *testing.T) {
-	for name, test := range map[string]struct{ bound, queries, open int }{
-		"greater bound":                   {bound: 8, queries: 4, open: 4},
-		"greater bound, more are opened":  {bound: 6, queries: 6, open: 6},
-		"smaller bound, idle ones close":  {bound: 3, queries: 3, open: 3},
-		"smaller bound than the requests": {bound: 1, queries: 3, open: 1},
+func TestConnectionLimitChangeKeepsOpenConnections(t *testing.T) {
+	for name, test := range map[string]struct{ limit, queries, open int }{
+		"greater bound":                   {limit: 8, queries: 4, open: 4},
+		"greater bound, more are opened":  {limit: 6, queries: 6, open: 6},
+		"smaller bound, idle ones close":  {limit: 3, queries: 3, open: 3},
+		"smaller bound than the requests": {limit: 1, queries: 3, open: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			options, bound := changingBound(4)
-			inBubble(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
-				queryMany(t, client, 4)
-				bound.Store(int64(test.bound))
-				queryMany(t, client, test.queries)
+			options, bound := optionsWithVariableLimit(4)
+			runOnVirtualClock(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
+				runQueries(t, client, 4)
+				bound.Store(int64(test.limit))
+				runQueries(t, client, test.queries)
 				open, _, dials := network.counts()
 				if want := max(4, test.open); open != test.open || dials != want {
 					t.Errorf("%d connections are open after %d dials, want %d after %d", open, dials, test.open, want)
@@ -54,26 +54,26 @@
 	}
 }
 
-func TestConnectionsInFlightCountAgainstAChangedBound(t *testing.T) {
-	for name, bounds := range map[string][]int64{
+func TestInFlightConnectionsCountAgainstChangedLimit(t *testing.T) {
+	for name, limits := range map[string][]int64{
 		"smaller":              {8, 4},
 		"greater":              {4, 8},
 		"smaller, then as was": {8, 1, 8},
 		"by one at a time":     {8, 7, 6, 5, 6, 7, 8},
 	} {
 		t.Run(name, func(t *testing.T) {
-			options, bound := changingBound(bounds[0])
-			inBubble(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
+			options, bound := optionsWithVariableLimit(limits[0])
+			runOnVirtualClock(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
 				var started []*sync.WaitGroup
-				for _, next := range bounds {
-					bound.Store(next)
-					started = append(started, startMany(t, client, 8))
+				for _, current := range limits {
+					bound.Store(current)
+					started = append(started, startQueries(t, client, 8))
 				}
 				for _, group := range started {
 					group.Wait()
 				}
 				open, highest, _ := network.counts()
-				if last := bounds[len(bounds)-1]; highest > 8 || int64(open) > last {
+				if last := limits[len(limits)-1]; highest > 8 || int64(open) > last {
 					t.Errorf("%d connections were open at once and %d are, want 8 and %d at most", highest, open, last)
 				}
 			})
@@ -81,12 +81,12 @@
 	}
 }
 
-func TestConnectionsInFlightCountAfterTheServerWasForgotten(t *testing.T) {
-	options, _ := changingBound(4)
-	inBubble(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
-		before := startMany(t, client, 6)
+func TestInFlightConnectionsCountAfterServerConnectionsClosed(t *testing.T) {
+	options, _ := optionsWithVariableLimit(4)
+	runOnVirtualClock(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
+		before := startQueries(t, client, 6)
 		client.CloseServerConnections("10.0.0.1:1")
-		after := startMany(t, client, 6)
+		after := startQueries(t, client, 6)
 		before.Wait()
 		after.Wait()
 		if _, highest, _ := network.counts(); highest > 4 {
@@ -95,11 +95,11 @@
 	})
 }
 
-func TestAGreaterBoundServesRequestsThatWait(t *testing.T) {
-	options, bound := changingBound(1)
-	inBubble(t, options, func(t *testing.T, client *backend.Client, _ *pipeNetwork) {
+func TestRaisedLimitServesWaitingRequests(t *testing.T) {
+	options, bound := optionsWithVariableLimit(1)
+	runOnVirtualClock(t, options, func(t *testing.T, client *backend.Client, _ *pipeNetwork) {
 		start := time.Now()
-		started := startMany(t, client, 4)
+		started := startQueries(t, client, 4)
 		bound.Store(4)
 		client.UpdateConnectionLimit("10.0.0.1:1")
 		started.Wait()
@@ -109,12 +109,12 @@
 	})
 }
 
-func TestASmallerBoundClosesIdleConnectionsAndSparesWithoutARequest(t *testing.T) {
-	bound := 8
-	options := backend.ClientOptions{ConnectionLimit: func(string) int { return bound }}
-	inBubble(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
-		queryMany(t, client, 8)
-		bound = 2
+func TestLoweredLimitClosesIdleAndSpareConnections(t *testing.T) {
+	limit := 8
+	options := backend.ClientOptions{ConnectionLimit: func(string) int { return limit }}
+	runOnVirtualClock(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
+		runQueries(t, client, 8)
+		limit = 2
 		client.UpdateConnectionLimit("10.0.0.1:1")
 		if open, _, _ := network.counts(); open != 2 {
 			t.Errorf("%d connections are open, want 2", open)
@@ -122,17 +122,17 @@
 	})
 }
 
-func TestARequestThatStopsWaitingLeavesTheConnectionToOthers(t *testing.T) {
-	options, _ := changingBound(1)
-	inBubble(t, options, func(t *testing.T, client *backend.Client, _ *pipeNetwork) {
-		started := startMany(t, client, 1)
+func TestCancelledWaitLeavesConnectionToOthers(t *testing.T) {
+	options, _ := optionsWithVariableLimit(1)
+	runOnVirtualClock(t, options, func(t *testing.T, client *backend.Client, _ *pipeNetwork) {
+		started := startQueries(t, client, 1)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
 		_, err := client.Query(ctx, "10.0.0.1:1", newQuery("a1"))
 		if !errors.Is(err, backend.ErrNotDelivered) || !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("error is %v, want ErrNotDelivered and the deadline", err)
 		}
-		queryMany(t, client, 2)
+		runQueries(t, client, 2)
 		started.Wait()
 	})
 }
--- a/backend/client.go
+++ b/backend/client.go
@@ -124,8 +124,8 @@
 func (c *Client) CloseIdleConnections() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for address, open := range c.pools {
-		c.forget(address, open)
+	for address, serverPool := range c.pools {
+		c.drainPool(address, serverPool)
 	}
 }
 
@@ -134,15 +134,15 @@
 func (c *Client) CloseServerConnections(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if open, ok := c.pools[address]; ok {
-		c.forget(address, open)
+	if serverPool, ok := c.pools[address]; ok {
+		c.drainPool(address, serverPool)
 	}
 }
 
-// forget is called with the mutex held.
-func (c *Client) forget(address string, open *pool) {
-	open.forget()
-	if open.dropIfOver() {
+// drainPool is called with the mutex held.
+func (c *Client) drainPool(address string, serverPool *pool) {
+	serverPool.drain()
+	if serverPool.removeIfDrained() {
 		delete(c.pools, address)
 	}
 }
@@ -151,19 +151,19 @@
 // ones above it, without a request. A server without connections stays so.
 func (c *Client) UpdateConnectionLimit(address string) {
 	c.mutex.RLock()
-	open := c.pools[address]
+	serverPool := c.pools[address]
 	c.mutex.RUnlock()
-	if open != nil {
-		open.resize(c.bound(address))
+	if serverPool != nil {
+		serverPool.resize(c.connectionLimit(address))
 	}
 }
 
-func (c *Client) bound(address string) int {
+func (c *Client) connectionLimit(address string) int {
 	return max(1, c.options.ConnectionLimit(address))
 }
 
 // pool returns the server's pool, made when there is none.
-func (c *Client) pool(address string, bound int) *pool {
+func (c *Client) pool(address string, connectionLimit int) *pool {
 	c.mutex.RLock()
 	open := c.pools[address]
 	c.mutex.RUnlock()
@@ -173,7 +173,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if open = c.pools[address]; open == nil {
-		open = c.newPool(bound)
+		open = c.newPool(connectionLimit)
 		c.pools[address] = open
 	}
 	return open
@@ -182,24 +182,24 @@
 // acquire waits for a connection to the server; the caller must release it.
 func (c *Client) acquire(ctx context.Context, address string) (*pool, *connection, error) {
 	for {
-		bound := c.bound(address)
-		open := c.pool(address, bound)
-		conn, live, err := open.acquire(ctx, bound)
-		if live {
-			return open, conn, err
+		connectionLimit := c.connectionLimit(address)
+		serverPool := c.pool(address, connectionLimit)
+		conn, ok, err := serverPool.acquire(ctx, connectionLimit)
+		if ok {
+			return serverPool, conn, err
 		}
 	}
 }
 
 // release gives a connection back, and drops a forgotten pool with its last one.
-func (c *Client) release(address string, open *pool, conn *connection, sound bool) {
-	open.release(conn, sound)
-	if !open.isOver() {
+func (c *Client) release(address string, serverPool *pool, conn *connection, reusable bool) {
+	serverPool.release(conn, reusable)
+	if !serverPool.isDrained() {
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.pools[address] == open && open.dropIfOver() {
+	if c.pools[address] == serverPool && serverPool.removeIfDrained() {
 		delete(c.pools, address)
 	}
 }
@@ -214,22 +214,22 @@
 // whose reply can't be decoded is closed: later replies on it may belong to
 // other requests.
 func (c *Client) exchange(ctx context.Context, call httpcall.Call, decode func(data []byte, code int) error) error {
-	open, conn, err := c.acquire(ctx, call.Address)
+	serverPool, conn, err := c.acquire(ctx, call.Address)
 	if err != nil {
 		return fmt.Errorf("asking %s: %w", call.Address, err)
 	}
-	defer func() { c.release(call.Address, open, conn, err == nil) }()
+	defer func() { c.release(call.Address, serverPool, conn, err == nil) }()
 	for {
-		trackedContext, tracker := delivery.Track(ctx)
+		trackedCtx, tracker := delivery.Track(ctx)
 		var reply httpcall.Reply
-		reply, err = conn.roundTrip(trackedContext, call)
+		reply, err = conn.roundTrip(trackedCtx, call)
 		if err == nil {
 			err = decode(reply.Body, reply.Code)
 		}
 		if err == nil {
 			return nil
 		}
-		err = classify(tracker, err)
+		err = classifyError(tracker, err)
 		if !errors.Is(err, ErrNotDelivered) || !tracker.Reused() || ctx.Err() != nil {
 			return fmt.Errorf("asking %s: %w", call.Address, err)
 		}
@@ -248,9 +248,9 @@
 	return reply, err
 }
 
-// classify turns the error of a request by what had been written, and closes
+// classifyError turns the error of a request by what had been written, and closes
 // the request's connection.
-func classify(tracker *delivery.Tracker, err error) error {
+func classifyError(tracker *delivery.Tracker, err error) error {
 	written := tracker.Seal()
 	if errors.Is(err, ErrMalformed) {
 		return err
--- a/backend/client_test.go
+++ b/backend/client_test.go
@@ -44,11 +44,11 @@
 
 func TestQueryReplies(t *testing.T) {
 	cases := []struct {
-		name  string
-		code  int
-		body  string
-		want  backend.Status
-		fails error
+		name    string
+		code    int
+		body    string
+		want    backend.Status
+		wantErr error
 	}{
 		{name: "done", code: 200, body: doneReply, want: backend.StatusDone},
 		{name: "shed", code: 503, body: `{"attempt_id":"a1","status":"shed","retry_after_ms":20}`, want: backend.StatusShed},
@@ -56,27 +56,27 @@
 		{name: "unknown snapshot", code: 409, body: `{"attempt_id":"a1","status":"unknown_snapshot","snapshots":[8]}`, want: backend.StatusUnknownSnapshot},
 		{name: "not owner", code: 409, body: `{"attempt_id":"a1","status":"not_owner"}`, want: backend.StatusNotOwner},
 		{name: "error", code: 500, body: `{"attempt_id":"a1","status":"error"}`, want: backend.StatusError},
-		{name: "missing snapshot", code: 200, body: strings.Replace(doneReply, `"snapshot":7,`, ``, 1), fails: backend.ErrMalformed},
-		{name: "missing range", code: 200, body: strings.Replace(doneReply, `"range":{"start":0,"end":10},`, ``, 1), fails: backend.ErrMalformed},
-		{name: "range without end", code: 200, body: strings.Replace(doneReply, `,"end":10`, ``, 1), fails: backend.ErrMalformed},
-		{name: "missing body", code: 200, body: strings.Replace(doneReply, `,"body":{}`, ``, 1), fails: backend.ErrMalformed},
-		{name: "missing attempt", code: 200, body: strings.Replace(doneReply, `"attempt_id":"a1",`, ``, 1), fails: backend.ErrMalformed},
-		{name: "another attempt", code: 200, body: strings.Replace(doneReply, `a1`, `a2`, 1), fails: backend.ErrMalformed},
-		{name: "shed of another attempt", code: 503, body: `{"attempt_id":"a2","status":"shed"}`, fails: backend.ErrMalformed},
-		{name: "another snapshot", code: 200, body: strings.Replace(doneReply, `:7`, `:8`, 1), fails: backend.ErrMalformed},
-		{name: "another range", code: 200, body: strings.Replace(doneReply, `:10`, `:11`, 1), fails: backend.ErrMalformed},
-		{name: "status under another code", code: 200, body: `{"attempt_id":"a1","status":"shed"}`, fails: backend.ErrMalformed},
-		{name: "done under an error code", code: 500, body: doneReply, fails: backend.ErrMalformed},
-		{name: "unknown status", code: 200, body: strings.Replace(doneReply, `done`, `fine`, 1), fails: backend.ErrMalformed},
-		{name: "unknown field", code: 200, body: strings.Replace(doneReply, `"body"`, `"bodies":1,"body"`, 1), fails: backend.ErrMalformed},
-		{name: "field in another case", code: 200, body: strings.Replace(doneReply, `"status"`, `"Status"`, 1), fails: backend.ErrMalformed},
-		{name: "field given twice", code: 200, body: strings.Replace(doneReply, `"body"`, `"status":"done","body"`, 1), fails: backend.ErrMalformed},
-		{name: "load without queued", code: 200, body: strings.Replace(doneReply, `"body"`, `"load":{"in_flight":1},"body"`, 1), fails: backend.ErrMalformed},
-		{name: "trailing data", code: 200, body: doneReply + `{}`, fails: backend.ErrMalformed},
-		{name: "no JSON", code: 503, body: `Service Unavailable`, fails: backend.ErrMalformed},
-		{name: "empty", code: 200, body: ``, fails: backend.ErrMalformed},
-		{name: "redirect", code: 307, body: ``, fails: backend.ErrMalformed},
-		{name: "too large", code: 200, body: strings.Repeat(" ", backend.MaximumReplyBytes+1), fails: backend.ErrMalformed},
+		{name: "missing snapshot", code: 200, body: strings.Replace(doneReply, `"snapshot":7,`, ``, 1), wantErr: backend.ErrMalformed},
+		{name: "missing range", code: 200, body: strings.Replace(doneReply, `"range":{"start":0,"end":10},`, ``, 1), wantErr: backend.ErrMalformed},
+		{name: "range without end", code: 200, body: strings.Replace(doneReply, `,"end":10`, ``, 1), wantErr: backend.ErrMalformed},
+		{name: "missing body", code: 200, body: strings.Replace(doneReply, `,"body":{}`, ``, 1), wantErr: backend.ErrMalformed},
+		{name: "missing attempt", code: 200, body: strings.Replace(doneReply, `"attempt_id":"a1",`, ``, 1), wantErr: backend.ErrMalformed},
+		{name: "another attempt", code: 200, body: strings.Replace(doneReply, `a1`, `a2`, 1), wantErr: backend.ErrMalformed},
+		{name: "shed of another attempt", code: 503, body: `{"attempt_id":"a2","status":"shed"}`, wantErr: backend.ErrMalformed},
+		{name: "another snapshot", code: 200, body: strings.Replace(doneReply, `:7`, `:8`, 1), wantErr: backend.ErrMalformed},
+		{name: "another range", code: 200, body: strings.Replace(doneReply, `:10`, `:11`, 1), wantErr: backend.ErrMalformed},
+		{name: "status under another code", code: 200, body: `{"attempt_id":"a1","status":"shed"}`, wantErr: backend.ErrMalformed},
+		{name: "done under an error code", code: 500, body: doneReply, wantErr: backend.ErrMalformed},
+		{name: "unknown status", code: 200, body: strings.Replace(doneReply, `done`, `fine`, 1), wantErr: backend.ErrMalformed},
+		{name: "unknown field", code: 200, body: strings.Replace(doneReply, `"body"`, `"bodies":1,"body"`, 1), wantErr: backend.ErrMalformed},
+		{name: "field in another case", code: 200, body: strings.Replace(doneReply, `"status"`, `"Status"`, 1), wantErr: backend.ErrMalformed},
+		{name: "field given twice", code: 200, body: strings.Replace(doneReply, `"body"`, `"status":"done","body"`, 1), wantErr: backend.ErrMalformed},
+		{name: "load without queued", code: 200, body: strings.Replace(doneReply, `"body"`, `"load":{"in_flight":1},"body"`, 1), wantErr: backend.ErrMalformed},
+		{name: "trailing data", code: 200, body: doneReply + `{}`, wantErr: backend.ErrMalformed},
+		{name: "no JSON", code: 503, body: `Service Unavailable`, wantErr: backend.ErrMalformed},
+		{name: "empty", code: 200, body: ``, wantErr: backend.ErrMalformed},
+		{name: "redirect", code: 307, body: ``, wantErr: backend.ErrMalformed},
+		{name: "too large", code: 200, body: strings.Repeat(" ", backend.MaximumReplyBytes+1), wantErr: backend.ErrMalformed},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -88,10 +88,10 @@
 				_, _ = io.WriteString(writer, test.body)
 			})
 			reply, err := newClient(t, backend.ClientOptions{}).Query(t.Context(), address, newQuery("a1"))
-			if !errors.Is(err, test.fails) {
-				t.Fatalf("error is %v, want %v", err, test.fails)
+			if !errors.Is(err, test.wantErr) {
+				t.Fatalf("error is %v, want %v", err, test.wantErr)
 			}
-			if test.fails == nil && reply.Status != test.want {
+			if test.wantErr == nil && reply.Status != test.want {
 				t.Errorf("status is %q, want %q", reply.Status, test.want)
 			}
 			if requests.Load() != 1 {
@@ -104,21 +104,21 @@
 // scriptedServer reads requests of each connection and notes their attempts; it
 // closes a connection after reading the request that the script names.
 type scriptedServer struct {
-	address  string
-	closesOn string
+	address           string
+	closeAfterAttempt string
 
 	mutex    sync.Mutex
 	attempts []string
 }
 
-func startScripted(t *testing.T, closesOn string) *scriptedServer {
+func startScripted(t *testing.T, closeAfterAttempt string) *scriptedServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	server := &scriptedServer{address: listener.Addr().String(), closesOn: closesOn}
+	server := &scriptedServer{address: listener.Addr().String(), closeAfterAttempt: closeAfterAttempt}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -146,7 +146,7 @@
 		s.mutex.Lock()
 		s.attempts = append(s.attempts, query.AttemptID)
 		s.mutex.Unlock()
-		if query.AttemptID == s.closesOn {
+		if query.AttemptID == s.closeAfterAttempt {
 			return
 		}
 		body := strings.Replace(doneReply, "a1", query.AttemptID, 1)
@@ -154,13 +154,13 @@
 	}
 }
 
-func (s *scriptedServer) seen() string {
+func (s *scriptedServer) readAttempts() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return strings.Join(s.attempts, " ")
 }
 
-func TestQueryIsNotSentAgainOnAClosedKeptConnection(t *testing.T) {
+func TestQueryIsNotResentAfterConnectionCloses(t *testing.T) {
 	server := startScripted(t, "a2")
 	client := newClient(t, backend.ClientOptions{
 		ConnectionLimit: func(string) int { return 1 },
@@ -175,12 +175,12 @@
 	if _, err := client.Query(t.Context(), server.address, newQuery("a3")); err != nil {
 		t.Fatal(err)
 	}
-	if seen := server.seen(); seen != "a1 a2 a3" {
+	if seen := server.readAttempts(); seen != "a1 a2 a3" {
 		t.Errorf("the server read %q, want each attempt once", seen)
 	}
 }
 
-func TestQueryThatNoServerTakes(t *testing.T) {
+func TestQueryToRefusedAddressIsNotDelivered(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -193,13 +193,13 @@
 	}
 }
 
-// brokenConn accepts a number of bytes and then fails.
-type brokenConn struct {
+// limitedWriteConn accepts a number of bytes and then fails.
+type limitedWriteConn struct {
 	net.Conn
 	accepts int
 }
 
-func (c *brokenConn) Write(data []byte) (int, error) {
+func (c *limitedWriteConn) Write(data []byte) (int, error) {
 	count := min(c.accepts, len(data))
 	c.accepts -= count
 	if count == len(data) {
@@ -208,7 +208,7 @@
 	return count, net.ErrClosed
 }
 
-func TestQueryThatBreaksWhileWritten(t *testing.T) {
+func TestWriteFailureOutcome(t *testing.T) {
 	cases := []struct {
 		name    string
 		accepts int
@@ -227,7 +227,7 @@
 					dials++
 					near, far := net.Pipe()
 					t.Cleanup(func() { far.Close() })
-					return &brokenConn{Conn: near, accepts: test.accepts}, nil
+					return &limitedWriteConn{Conn: near, accepts: test.accepts}, nil
 				},
 			})
 			_, err := client.Query(t.Context(), "10.0.0.1:1", newQuery("a1"))
@@ -241,55 +241,55 @@
 	}
 }
 
-// failingConn refuses every write once it is told to, as a connection does
+// failingWriteConn refuses every write once it is told to, as a connection does
 // whose end is not noticed yet.
-type failingConn struct {
+type failingWriteConn struct {
 	net.Conn
-	fails *atomic.Bool
+	failWrites *atomic.Bool
 }
 
-func (c *failingConn) Write(data []byte) (int, error) {
-	if c.fails.Load() {
+func (c *failingWriteConn) Write(data []byte) (int, error) {
+	if c.failWrites.Load() {
 		return 0, net.ErrClosed
 	}
 	return c.Conn.Write(data)
 }
 
-func TestQueryTakesAnotherConnectionWhenAKeptOneTakesNoByte(t *testing.T) {
+func TestQueryRetriesOnNewConnectionAfterUnwrittenRequest(t *testing.T) {
 	server := startScripted(t, "")
-	var kept atomic.Bool
+	var failFirst atomic.Bool
 	dials := 0
 	client := newClient(t, backend.ClientOptions{
 		SpareConnectionsPerServer: -1,
 		Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
-			fails := &kept
+			failWrites := &failFirst
 			if dials++; dials > 1 {
-				fails = &atomic.Bool{}
+				failWrites = &atomic.Bool{}
 			}
-			return &failingConn{Conn: conn, fails: fails}, err
+			return &failingWriteConn{Conn: conn, failWrites: failWrites}, err
 		},
 	})
 	if _, err := client.Query(t.Context(), server.address, newQuery("a1")); err != nil {
 		t.Fatal(err)
 	}
-	kept.Store(true)
+	failFirst.Store(true)
 	if _, err := client.Query(t.Context(), server.address, newQuery("a2")); err != nil {
 		t.Fatal(err)
 	}
-	if seen := server.seen(); seen != "a1 a2" || dials != 2 {
+	if seen := server.readAttempts(); seen != "a1 a2" || dials != 2 {
 		t.Errorf("the server read %q over %d connections, want each attempt once over 2", seen, dials)
 	}
 }
 
-func TestQueryCancelClosesTheConnection(t *testing.T) {
+func TestCancelledQueryClosesConnection(t *testing.T) {
 	arrived := make(chan struct{})
-	gone := make(chan struct{})
+	cancelled := make(chan struct{})
 	address := startHTTP(t, func(_ http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(io.Discard, request.Body)
 		close(arrived)
 		<-request.Context().Done()
-		close(gone)
+		close(cancelled)
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
@@ -300,10 +300,10 @@
 	if !errors.Is(err, backend.ErrOutcomeUnknown) || !errors.Is(err, context.Canceled) {
 		t.Errorf("error is %v, want ErrOutcomeUnknown and context.Canceled", err)
 	}
-	<-gone
+	<-cancelled
 }
 
-func TestQueryThatWaitsForAConnectionIsNotDelivered(t *testing.T) {
+func TestQueryCancelledWhileWaitingForConnectionIsNotDelivered(t *testing.T) {
 	arrived := make(chan struct{}, 1)
 	release := make(chan struct{})
 	address := startHTTP(t, func(writer http.ResponseWriter, _ *http.Request) {
--- a/backend/connection.go
+++ b/backend/connection.go
@@ -14,14 +14,14 @@
 type connection struct {
 	transport *http.Transport
 	spares    *spares
-	// closed ends dials that outlive their request.
-	closed context.Context
-	cancel context.CancelFunc
+	// dialContext ends dials that outlive their request.
+	dialContext context.Context
+	cancelDials context.CancelFunc
 }
 
-func (c *Client) newConnection(extra *spares) *connection {
-	closed, cancel := context.WithCancel(context.Background())
-	conn := &connection{spares: extra, closed: closed, cancel: cancel}
+func (c *Client) newConnection(spareConns *spares) *connection {
+	dialContext, cancelDials := context.WithCancel(context.Background())
+	conn := &connection{spares: spareConns, dialContext: dialContext, cancelDials: cancelDials}
 	conn.transport = httpcall.NewTransport(delivery.WrapDial(conn.dial), 1)
 	conn.transport.IdleConnTimeout = c.options.IdleTimeout
 	return conn
@@ -31,12 +31,12 @@
 func (c *connection) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(c.closed, cancel)()
+	defer context.AfterFunc(c.dialContext, cancel)()
 	conn, err := c.spares.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	if c.closed.Err() != nil {
+	if c.dialContext.Err() != nil {
 		_ = conn.Close()
 		return nil, net.ErrClosed
 	}
@@ -45,6 +45,6 @@
 
 // close is called while the connection carries no request.
 func (c *connection) close() {
-	c.cancel()
+	c.cancelDials()
 	c.transport.CloseIdleConnections()
 }
--- a/backend/connections_test.go
+++ b/backend/connections_test.go
@@ -18,8 +18,8 @@
 // pipeNetwork connects a client to one HTTP server in memory and counts the
 // open connections.
 type pipeNetwork struct {
-	conns chan net.Conn
-	setup time.Duration
+	conns     chan net.Conn
+	dialDelay time.Duration
 
 	closed  sync.Once
 	mutex   sync.Mutex
@@ -35,11 +35,11 @@
 }
 
 func (c *pipeConn) Close() error {
-	c.once.Do(func() { c.network.count(-1) })
+	c.once.Do(func() { c.network.addOpen(-1) })
 	return c.Conn.Close()
 }
 
-func (n *pipeNetwork) count(change int) {
+func (n *pipeNetwork) addOpen(change int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.open += change
@@ -50,9 +50,9 @@
 }
 
 func (n *pipeNetwork) dial(context.Context, string, string) (net.Conn, error) {
-	time.Sleep(n.setup)
+	time.Sleep(n.dialDelay)
 	near, far := net.Pipe()
-	n.count(1)
+	n.addOpen(1)
 	n.conns <- far
 	return &pipeConn{Conn: near, network: n}, nil
 }
@@ -78,7 +78,7 @@
 
 func (n *pipeNetwork) Addr() net.Addr { return &net.TCPAddr{} }
 
-func echoDone(serviceTime time.Duration) http.HandlerFunc {
+func replyDoneAfter(serviceTime time.Duration) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		query := backend.Request{}
 		_ = json.NewDecoder(request.Body).Decode(&query)
@@ -87,11 +87,11 @@
 	}
 }
 
-// inBubble runs a test on a virtual clock with a client on a pipe network.
-func inBubble(t *testing.T, options backend.ClientOptions, test func(*testing.T, *backend.Client, *pipeNetwork)) {
+// runOnVirtualClock runs a test on a virtual clock with a client on a pipe network.
+func runOnVirtualClock(t *testing.T, options backend.ClientOptions, test func(*testing.T, *backend.Client, *pipeNetwork)) {
 	synctest.Test(t, func(t *testing.T) {
-		network := &pipeNetwork{conns: make(chan net.Conn), setup: time.Millisecond}
-		server := &http.Server{Handler: echoDone(10 * time.Millisecond)}
+		network := &pipeNetwork{conns: make(chan net.Conn), dialDelay: time.Millisecond}
+		server := &http.Server{Handler: replyDoneAfter(10 * time.Millisecond)}
 		go server.Serve(network)
 		options.Dial = network.dial
 		client := backend.NewClient(options)
@@ -105,7 +105,7 @@
 	})
 }
 
-func queryMany(t *testing.T, client *backend.Client, count int) {
+func runQueries(t *testing.T, client *backend.Client, count int) {
 	t.Helper()
 	var group sync.WaitGroup
 	for range count {
@@ -118,49 +118,49 @@
 	group.Wait()
 }
 
-func TestConnectionsStayWithinTheBound(t *testing.T) {
+func TestConnectionsStayWithinLimit(t *testing.T) {
 	options := backend.ClientOptions{ConnectionLimit: func(string) int { return 8 }}
-	inBubble(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
-		queryMany(t, client, 100)
+	runOnVirtualClock(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
+		runQueries(t, client, 100)
 		if _, highest, _ := network.counts(); highest > 8 {
 			t.Errorf("%d connections were open at once, want 8 at most", highest)
 		}
 	})
 }
 
-func TestConnectionsFollowALowerBound(t *testing.T) {
-	bound := 8
-	options := backend.ClientOptions{ConnectionLimit: func(string) int { return bound }}
-	inBubble(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
-		queryMany(t, client, 20)
-		bound = 2
-		queryMany(t, client, 20)
+func TestConnectionsShrinkToLoweredLimit(t *testing.T) {
+	limit := 8
+	options := backend.ClientOptions{ConnectionLimit: func(string) int { return limit }}
+	runOnVirtualClock(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
+		runQueries(t, client, 20)
+		limit = 2
+		runQueries(t, client, 20)
 		if open, _, _ := network.counts(); open > 2 {
 			t.Errorf("%d connections are open, want 2 at most", open)
 		}
 	})
 }
 
-func TestSpareConnectionsAreWarm(t *testing.T) {
-	inBubble(t, backend.ClientOptions{}, func(t *testing.T, client *backend.Client, _ *pipeNetwork) {
-		queryMany(t, client, 1)
+func TestSpareConnectionsAvoidDialDelay(t *testing.T) {
+	runOnVirtualClock(t, backend.ClientOptions{}, func(t *testing.T, client *backend.Client, _ *pipeNetwork) {
+		runQueries(t, client, 1)
 		time.Sleep(100 * time.Millisecond)
 		start := time.Now()
-		queryMany(t, client, 3)
+		runQueries(t, client, 3)
 		if took := time.Since(start); took != 10*time.Millisecond {
 			t.Errorf("three queries at once took %v, want the service time alone", took)
 		}
 	})
 }
 
-func TestSpareConnectionsThatClosedAreNotUsed(t *testing.T) {
+func TestExpiredSpareConnectionsAreNotUsed(t *testing.T) {
 	options := backend.ClientOptions{IdleTimeout: time.Second}
-	inBubble(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
-		queryMany(t, client, 1)
+	runOnVirtualClock(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
+		runQueries(t, client, 1)
 		time.Sleep(time.Minute)
 		if open, _, _ := network.counts(); open != 0 {
 			t.Errorf("%d idle connections are open after their time", open)
 		}
-		queryMany(t, client, 3)
+		runQueries(t, client, 3)
 	})
 }
--- a/backend/decode.go
+++ b/backend/decode.go
@@ -45,7 +45,7 @@
 	if err := reply.validate(code); err != nil {
 		return nil, err
 	}
-	if err := reply.echoes(request); err != nil {
+	if err := reply.validateEcho(request); err != nil {
 		return nil, err
 	}
 	return reply, nil
@@ -57,11 +57,11 @@
 	if err := r.validate(r.Status.HTTPCode()); err != nil {
 		return err
 	}
-	return r.echoes(request)
+	return r.validateEcho(request)
 }
 
-// echoes checks that the reply belongs to the request.
-func (r *Reply) echoes(request *Request) error {
+// validateEcho checks that the reply belongs to the request.
+func (r *Reply) validateEcho(request *Request) error {
 	if r.AttemptID != request.AttemptID {
 		return fmt.Errorf("%w: it is for attempt %q, not %q", ErrMalformed, r.AttemptID, request.AttemptID)
 	}
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// spareFraction is the least number of connections per spare one.
-const spareFraction = 4
+// connectionsPerSpare is the least number of connections per spare one.
+const connectionsPerSpare = 4
 
 // pool holds the connections to one server within a bound, which may change.
 //
@@ -25,76 +25,76 @@
 	// use and in idle; idle holds no connection in use, the last used at its
 	// end; a request waits only while idle is empty and live is at least limit;
 	// a dropped pool has no connection and takes no request.
-	mutex   sync.Mutex
-	bound   int
-	limit   int
-	live    int
-	idle    []*connection
-	waiting []*waiter
-	// forgotten says that connections close as their requests end, until a new
+	mutex                  sync.Mutex
+	connectionLimit        int
+	requestConnectionLimit int
+	openCount              int
+	idle                   []*connection
+	waiting                []*waiter
+	// draining says that connections close as their requests end, until a new
 	// request begins.
-	forgotten bool
-	dropped   bool
+	draining bool
+	removed  bool
 }
 
 // waiter is a request that waits for a connection.
 type waiter struct {
-	// given receives the connection; it has room for it.
-	given chan *connection
+	// assigned receives the connection; it has room for it.
+	assigned chan *connection
 }
 
 // newPool returns a pool with no connection.
-func (c *Client) newPool(bound int) *pool {
-	open := &pool{
+func (c *Client) newPool(connectionLimit int) *pool {
+	created := &pool{
 		client: c,
-		spares: &spares{dial: c.dial, idle: c.options.IdleTimeout},
+		spares: &spares{dial: c.dial, idleTimeout: c.options.IdleTimeout},
 	}
-	open.setBound(bound)
-	return open
+	created.setConnectionLimit(connectionLimit)
+	return created
 }
 
 // acquire returns a connection as soon as the bound allows; it must be released.
 // It is false when the pool was dropped.
-func (p *pool) acquire(ctx context.Context, bound int) (conn *connection, live bool, err error) {
+func (p *pool) acquire(ctx context.Context, connectionLimit int) (conn *connection, ok bool, err error) {
 	p.mutex.Lock()
-	if p.dropped {
+	if p.removed {
 		p.mutex.Unlock()
 		return nil, false, nil
 	}
-	p.forgotten = false
-	p.setBound(bound)
-	if conn = p.take(); conn != nil {
+	p.draining = false
+	p.setConnectionLimit(connectionLimit)
+	if conn = p.takeIdleOrNew(); conn != nil {
 		p.mutex.Unlock()
 		return conn, true, nil
 	}
-	request := &waiter{given: make(chan *connection, 1)}
+	request := &waiter{assigned: make(chan *connection, 1)}
 	p.waiting = append(p.waiting, request)
 	p.mutex.Unlock()
 	select {
-	case conn = <-request.given:
+	case conn = <-request.assigned:
 		return conn, true, nil
 	case <-ctx.Done():
-		p.giveUp(request)
+		p.cancelWait(request)
 		return nil, true, fmt.Errorf("%w: waiting for a connection: %w", ErrNotDelivered, ctx.Err())
 	}
 }
 
-// take returns the connection used last, or a new one; nil when there is no room.
-func (p *pool) take() *connection {
+// takeIdleOrNew returns the connection used last, or a new one; nil when there is no room.
+func (p *pool) takeIdleOrNew() *connection {
 	if newest := len(p.idle) - 1; newest >= 0 {
-		taken := p.idle[newest]
+		conn := p.idle[newest]
 		p.idle = p.idle[:newest]
-		return taken
+		return conn
 	}
-	if p.live >= p.limit {
+	if p.openCount >= p.requestConnectionLimit {
 		return nil
 	}
-	p.live++
+	p.openCount++
 	return p.client.newConnection(p.spares)
 }
 
-// giveUp ends the wait of a request, which may have got its connection just now.
-func (p *pool) giveUp(request *waiter) {
+// cancelWait ends the wait of a request, which may have got its connection just now.
+func (p *pool) cancelWait(request *waiter) {
 	p.mutex.Lock()
 	index := slices.Index(p.waiting, request)
 	if index >= 0 {
@@ -102,56 +102,56 @@
 	}
 	p.mutex.Unlock()
 	if index < 0 {
-		p.release(<-request.given, true)
+		p.release(<-request.assigned, true)
 	}
 }
 
 // release takes a connection back. After a failed request it is the last to be
 // used again: it may still be opening.
-func (p *pool) release(conn *connection, sound bool) {
+func (p *pool) release(conn *connection, reusable bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	switch {
-	case p.live > p.limit || p.forgotten && len(p.waiting) == 0:
-		p.live--
+	case p.openCount > p.requestConnectionLimit || p.draining && len(p.waiting) == 0:
+		p.openCount--
 		conn.close()
 	case len(p.waiting) > 0:
-		p.serveFirst(conn)
-	case sound:
+		p.assignToFirstWaiter(conn)
+	case reusable:
 		p.idle = append(p.idle, conn)
 	default:
 		p.idle = slices.Insert(p.idle, 0, conn)
 	}
 }
 
-func (p *pool) serveFirst(conn *connection) {
+func (p *pool) assignToFirstWaiter(conn *connection) {
 	first := p.waiting[0]
 	p.waiting = slices.Delete(p.waiting, 0, 1)
-	first.given <- conn
+	first.assigned <- conn
 }
 
 // resize changes the bound without a request.
-func (p *pool) resize(bound int) {
+func (p *pool) resize(connectionLimit int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if !p.forgotten {
-		p.setBound(bound)
+	if !p.draining {
+		p.setConnectionLimit(connectionLimit)
 	}
 }
 
-// setBound shares the bound out between spares and other connections. The caller
+// setConnectionLimit shares the bound out between spares and other connections. The caller
 // holds the mutex.
-func (p *pool) setBound(bound int) {
-	if p.bound == bound {
+func (p *pool) setConnectionLimit(connectionLimit int) {
+	if p.connectionLimit == connectionLimit {
 		return
 	}
-	p.bound = bound
-	extra := min(max(0, p.client.options.SpareConnectionsPerServer), bound/spareFraction)
-	p.spares.resize(extra)
-	p.limit = bound - extra
-	p.closeIdle(p.live - p.limit)
-	for len(p.waiting) > 0 && p.live < p.limit {
-		p.serveFirst(p.take())
+	p.connectionLimit = connectionLimit
+	spareCount := min(max(0, p.client.options.SpareConnectionsPerServer), connectionLimit/connectionsPerSpare)
+	p.spares.resize(spareCount)
+	p.requestConnectionLimit = connectionLimit - spareCount
+	p.closeIdle(p.openCount - p.requestConnectionLimit)
+	for len(p.waiting) > 0 && p.openCount < p.requestConnectionLimit {
+		p.assignToFirstWaiter(p.takeIdleOrNew())
 	}
 }
 
@@ -162,30 +162,30 @@
 		conn.close()
 	}
 	p.idle = slices.Delete(p.idle, 0, count)
-	p.live -= count
+	p.openCount -= count
 }
 
-// forget closes idle connections and spares; requests that wait go on one after
+// drain closes idle connections and spares; requests that wait go on one after
 // the other.
-func (p *pool) forget() {
+func (p *pool) drain() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.forgotten = true
-	p.setBound(1)
+	p.draining = true
+	p.setConnectionLimit(1)
 	p.closeIdle(len(p.idle))
 }
 
-// dropIfOver drops a forgotten pool whose requests have ended.
-func (p *pool) dropIfOver() bool {
+// removeIfDrained drops a forgotten pool whose requests have ended.
+func (p *pool) removeIfDrained() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.dropped = p.forgotten && p.live == 0
-	return p.dropped
+	p.removed = p.draining && p.openCount == 0
+	return p.removed
 }
 
-// isOver reports whether dropIfOver would drop the pool.
-func (p *pool) isOver() bool {
+// isDrained reports whether removeIfDrained would drop the pool.
+func (p *pool) isDrained() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.forgotten && p.live == 0 && !p.dropped
+	return p.draining && p.openCount == 0 && !p.removed
 }
