--- a/backend/benchmark_test.go
+++ b/backend/benchmark_test.go
@@ -20,8 +20,8 @@
 	return server.Listener.Addr().String()
 }
 
-// BenchmarkQuery is compared with BenchmarkBareClient: the same exchange by
-// net/http's client alone.
+// BenchmarkQuery is the counterpart of BenchmarkBareClient, which does the same
+// exchange with the client of net/http alone.
 func BenchmarkQuery(b *testing.B) {
 	address := startBenchmarkServer(b)
 	client := backend.NewClient(backend.ClientOptions{})
--- a/backend/bound_test.go
+++ b/backend/bound_test.go
@@ -11,8 +11,8 @@
 	"github.com/banksail/banksail/backend"
 )
 
-// optionsWithVariableLimit returns options without spares whose bound is read from the
-// returned number.
+// optionsWithVariableLimit returns options without spare connections whose
+// connection limit is read from the returned counter.
 func optionsWithVariableLimit(initial int64) (backend.ClientOptions, *atomic.Int64) {
 	limit := &atomic.Int64{}
 	limit.Store(initial)
@@ -23,12 +23,13 @@
 	return options, limit
 }
 
-// startQueries starts queries and returns once each has a connection or waits for one.
+// startQueries starts queries in the background and returns once each of them
+// has a connection or waits for one.
 func startQueries(t *testing.T, client *backend.Client, count int) *sync.WaitGroup {
 	t.Helper()
 	started := &sync.WaitGroup{}
 	started.Go(func() { runQueries(t, client, count) })
-	time.Sleep(2 * time.Millisecond) // Virtual: the dial's millisecond is over, the service time is not.
+	time.Sleep(2 * time.Millisecond) // Virtual time: after the dial delay of 1 ms, before the service time of 10 ms ends.
 	return started
 }
 
@@ -40,10 +41,10 @@
 		"smaller bound than the requests": {limit: 1, queries: 3, open: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			options, bound := optionsWithVariableLimit(4)
+			options, limit := optionsWithVariableLimit(4)
 			runOnVirtualClock(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
 				runQueries(t, client, 4)
-				bound.Store(int64(test.limit))
+				limit.Store(int64(test.limit))
 				runQueries(t, client, test.queries)
 				open, _, dials := network.counts()
 				if want := max(4, test.open); open != test.open || dials != want {
@@ -62,11 +63,11 @@
 		"by one at a time":     {8, 7, 6, 5, 6, 7, 8},
 	} {
 		t.Run(name, func(t *testing.T) {
-			options, bound := optionsWithVariableLimit(limits[0])
+			options, limit := optionsWithVariableLimit(limits[0])
 			runOnVirtualClock(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
 				var started []*sync.WaitGroup
 				for _, current := range limits {
-					bound.Store(current)
+					limit.Store(current)
 					started = append(started, startQueries(t, client, 8))
 				}
 				for _, group := range started {
@@ -74,7 +75,7 @@
 				}
 				open, highest, _ := network.counts()
 				if last := limits[len(limits)-1]; highest > 8 || int64(open) > last {
-					t.Errorf("%d connections were open at once and %d are, want 8 and %d at most", highest, open, last)
+					t.Errorf("%d connections were open at once and %d are open now, want at most 8 and %d", highest, open, last)
 				}
 			})
 		})
@@ -90,21 +91,21 @@
 		before.Wait()
 		after.Wait()
 		if _, highest, _ := network.counts(); highest > 4 {
-			t.Errorf("%d connections were open at once, want 4 at most", highest)
+			t.Errorf("%d connections were open at once, want at most 4", highest)
 		}
 	})
 }
 
 func TestRaisedLimitServesWaitingRequests(t *testing.T) {
-	options, bound := optionsWithVariableLimit(1)
+	options, limit := optionsWithVariableLimit(1)
 	runOnVirtualClock(t, options, func(t *testing.T, client *backend.Client, _ *pipeNetwork) {
 		start := time.Now()
 		started := startQueries(t, client, 4)
-		bound.Store(4)
+		limit.Store(4)
 		client.UpdateConnectionLimit("10.0.0.1:1")
 		started.Wait()
 		if took := time.Since(start); took != 13*time.Millisecond {
-			t.Errorf("four queries took %v, want 2 ms until the change, one dial and one service time", took)
+			t.Errorf("four queries took %v, want 13 ms: 2 ms until the limit was raised, one dial and one service time", took)
 		}
 	})
 }
@@ -130,7 +131,7 @@
 		defer cancel()
 		_, err := client.Query(ctx, "10.0.0.1:1", newQuery("a1"))
 		if !errors.Is(err, backend.ErrNotDelivered) || !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("error is %v, want ErrNotDelivered and the deadline", err)
+			t.Errorf("error is %v, want ErrNotDelivered and context.DeadlineExceeded", err)
 		}
 		runQueries(t, client, 2)
 		started.Wait()
--- a/backend/client.go
+++ b/backend/client.go
@@ -16,19 +16,21 @@
 	"github.com/banksail/banksail/internal/strictjson"
 )
 
-// Errors that Client returns, wrapped.
+// Errors that Client returns; they are wrapped.
 var (
-	// ErrNotDelivered: no byte of the request was written to the server.
+	// ErrNotDelivered means that no byte of the request was written to the
+	// server, so the request can be sent elsewhere.
 	ErrNotDelivered = errors.New("backend: not delivered")
-	// ErrOutcomeUnknown: the server may have executed the request; no whole
-	// reply came.
+	// ErrOutcomeUnknown means that at least one byte of the request was written
+	// but no complete reply was received. The server may have executed the
+	// request.
 	ErrOutcomeUnknown = errors.New("backend: outcome unknown")
-	// ErrMalformed: a reply came that does not follow the protocol or does not
-	// belong to the request. The server may have executed the request.
+	// ErrMalformed means that the reply violates the protocol or does not match
+	// the request. The server may have executed the request.
 	ErrMalformed = errors.New("backend: malformed reply")
 )
 
-// Defaults of ClientOptions.
+// Default values of ClientOptions.
 const (
 	DefaultConnectionLimit           = 8
 	DefaultSpareConnectionsPerServer = 2
@@ -36,36 +38,39 @@
 	DefaultIdleTimeout               = 30 * time.Second
 )
 
-// ClientOptions configures a Client. Zero fields get defaults.
+// ClientOptions configures a Client. Zero fields are set to their defaults.
 type ClientOptions struct {
-	// Dial opens connections; the default is the operating system's TCP.
+	// Dial opens connections. The default is a net.Dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// ConnectionLimit bounds the open connections to the server at the
-	// address; less than 1 counts as 1. It is asked at each request and by
-	// UpdateConnectionLimit. When it falls, connections above the bound close as soon as
-	// they carry no request; until then no others open.
+	// ConnectionLimit returns the maximum number of open connections to the
+	// server at the address; values below 1 count as 1. It is called for each
+	// request and by UpdateConnectionLimit. After the limit is lowered,
+	// connections above it close as soon as they carry no request, and no new
+	// ones open until then.
 	ConnectionLimit func(address string) int
-	// SpareConnectionsPerServer is the number of connections kept open before they are
-	// needed, at most a quarter of the bound; a negative one means none.
+	// SpareConnectionsPerServer is the number of connections to each server
+	// that are opened in advance, at most a quarter of its connection limit. A
+	// negative value disables spare connections.
 	SpareConnectionsPerServer int
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout limits the time to open one connection.
 	DialTimeout time.Duration
-	// IdleTimeout closes a connection that carried no request for so long.
+	// IdleTimeout is the time after which a connection that has carried no
+	// request is closed.
 	IdleTimeout time.Duration
 }
 
-// Client asks back ends. It never sends a request twice. Its methods may be
-// called from several goroutines.
+// Client sends sub-requests to back-end servers and reads their health and
+// load. It never sends a request twice. It is safe for concurrent use.
 type Client struct {
 	options ClientOptions
 
-	// mutex guards pools; it is locked before a pool's own. Invariant: all
-	// connections to an address belong to its one pool here.
+	// mutex guards pools; it is locked before a pool's own mutex. Invariant:
+	// all connections to an address belong to its one pool here.
 	mutex sync.RWMutex
 	pools map[string]*pool
 }
 
-// NewClient returns a client with no open connection.
+// NewClient returns a client without open connections.
 func NewClient(options ClientOptions) *Client {
 	if options.Dial == nil {
 		options.Dial = (&net.Dialer{}).DialContext
@@ -79,9 +84,10 @@
 	return &Client{options: options, pools: make(map[string]*pool)}
 }
 
-// Query sends one sub-request. The end of the context closes its connection,
-// which tells the server to stop. A returned reply echoes the request's
-// attempt ID; a reply with StatusDone also echoes its snapshot and range.
+// Query sends one sub-request and returns the server's reply. When the context
+// ends, its connection is closed, which signals the server to stop. The reply
+// has the attempt ID of the request; a reply with StatusDone also has its
+// snapshot and range.
 func (c *Client) Query(ctx context.Context, address string, request *Request) (*Reply, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -99,7 +105,8 @@
 	return reply, err
 }
 
-// Health reads a server's account of its health, which may lag or mislead.
+// Health fetches the health that a server reports about itself. The report may
+// be stale or wrong.
 func (c *Client) Health(ctx context.Context, address string) (*Health, error) {
 	var health *Health
 	err := c.exchange(ctx, httpcall.Call{Address: address, Path: HealthPath}, func(data []byte, code int) (err error) {
@@ -109,7 +116,8 @@
 	return health, err
 }
 
-// Load reads a server's account of its work, which may lag or mislead.
+// Load fetches the load that a server reports about itself. The report may be
+// stale or wrong.
 func (c *Client) Load(ctx context.Context, address string) (*Load, error) {
 	var load *Load
 	err := c.exchange(ctx, httpcall.Call{Address: address, Path: LoadPath}, func(data []byte, code int) (err error) {
@@ -119,8 +127,8 @@
 	return load, err
 }
 
-// CloseIdleConnections closes the connections that carry no request. Those of
-// requests in flight close with them.
+// CloseIdleConnections closes the connections to all servers that carry no
+// request. Connections with a request in flight close when the request ends.
 func (c *Client) CloseIdleConnections() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -129,8 +137,9 @@
 	}
 }
 
-// CloseServerConnections closes the idle connections to a server; those of requests in flight
-// close with them, unless a new request begins before.
+// CloseServerConnections closes the idle connections to one server. Connections
+// with a request in flight close when it ends, unless a new request to the
+// server begins before that.
 func (c *Client) CloseServerConnections(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -139,7 +148,8 @@
 	}
 }
 
-// drainPool is called with the mutex held.
+// drainPool drains a pool and removes it if it has no connection left. The
+// caller holds the mutex.
 func (c *Client) drainPool(address string, serverPool *pool) {
 	serverPool.drain()
 	if serverPool.removeIfDrained() {
@@ -147,8 +157,9 @@
 	}
 }
 
-// UpdateConnectionLimit asks for the bound of the connections to a server and closes idle
-// ones above it, without a request. A server without connections stays so.
+// UpdateConnectionLimit calls ConnectionLimit for a server and applies the
+// result without waiting for the next request, which closes idle connections
+// above the limit. It opens no connection to a server that has none.
 func (c *Client) UpdateConnectionLimit(address string) {
 	c.mutex.RLock()
 	serverPool := c.pools[address]
@@ -158,11 +169,12 @@
 	}
 }
 
+// connectionLimit returns the limit for a server, at least 1.
 func (c *Client) connectionLimit(address string) int {
 	return max(1, c.options.ConnectionLimit(address))
 }
 
-// pool returns the server's pool, made when there is none.
+// pool returns the server's pool and creates it if necessary.
 func (c *Client) pool(address string, connectionLimit int) *pool {
 	c.mutex.RLock()
 	open := c.pools[address]
@@ -179,7 +191,7 @@
 	return open
 }
 
-// acquire waits for a connection to the server; the caller must release it.
+// acquire waits for a connection to the server. The caller must release it.
 func (c *Client) acquire(ctx context.Context, address string) (*pool, *connection, error) {
 	for {
 		connectionLimit := c.connectionLimit(address)
@@ -191,7 +203,8 @@
 	}
 }
 
-// release gives a connection back, and drops a forgotten pool with its last one.
+// release returns a connection to its pool, and removes a drained pool from the
+// client.
 func (c *Client) release(address string, serverPool *pool, conn *connection, reusable bool) {
 	serverPool.release(conn, reusable)
 	if !serverPool.isDrained() {
@@ -210,13 +223,13 @@
 	return c.options.Dial(ctx, network, address)
 }
 
-// exchange sends one request and gives its whole reply to decode. A connection
-// whose reply can't be decoded is closed: later replies on it may belong to
-// other requests.
+// exchange sends one request and passes the complete reply to decode. If
+// decoding fails, the connection is closed, because later replies on it could
+// belong to other requests.
 func (c *Client) exchange(ctx context.Context, call httpcall.Call, decode func(data []byte, code int) error) error {
 	serverPool, conn, err := c.acquire(ctx, call.Address)
 	if err != nil {
-		return fmt.Errorf("asking %s: %w", call.Address, err)
+		return fmt.Errorf("request to %s: %w", call.Address, err)
 	}
 	defer func() { c.release(call.Address, serverPool, conn, err == nil) }()
 	for {
@@ -231,14 +244,14 @@
 		}
 		err = classifyError(tracker, err)
 		if !errors.Is(err, ErrNotDelivered) || !tracker.Reused() || ctx.Err() != nil {
-			return fmt.Errorf("asking %s: %w", call.Address, err)
+			return fmt.Errorf("request to %s: %w", call.Address, err)
 		}
-		// The kept connection had closed before a byte was written; it is gone
-		// now, so the next one is new.
+		// The reused connection had been closed before a byte was written. It has
+		// been discarded, so the next iteration dials a new one.
 	}
 }
 
-// roundTrip sends one request and reads its whole reply.
+// roundTrip sends one request and reads the complete reply.
 func (c *connection) roundTrip(ctx context.Context, call httpcall.Call) (httpcall.Reply, error) {
 	call.Limit = MaximumReplyBytes
 	reply, err := httpcall.Send(ctx, c.transport, call)
@@ -248,8 +261,9 @@
 	return reply, err
 }
 
-// classifyError turns the error of a request by what had been written, and closes
-// the request's connection.
+// classifyError wraps err in ErrNotDelivered or ErrOutcomeUnknown, depending on
+// whether a byte of the request was written. It keeps ErrMalformed. It also
+// closes the request's connection.
 func classifyError(tracker *delivery.Tracker, err error) error {
 	written := tracker.Seal()
 	if errors.Is(err, ErrMalformed) {
--- a/backend/client_test.go
+++ b/backend/client_test.go
@@ -95,14 +95,15 @@
 				t.Errorf("status is %q, want %q", reply.Status, test.want)
 			}
 			if requests.Load() != 1 {
-				t.Errorf("the server read %d requests, want 1", requests.Load())
+				t.Errorf("the server received %d requests, want 1", requests.Load())
 			}
 		})
 	}
 }
 
-// scriptedServer reads requests of each connection and notes their attempts; it
-// closes a connection after reading the request that the script names.
+// scriptedServer records the attempt ID of each request that it reads. It
+// closes the connection, without a reply, after reading the attempt in
+// closeAfterAttempt.
 type scriptedServer struct {
 	address           string
 	closeAfterAttempt string
@@ -176,7 +177,7 @@
 		t.Fatal(err)
 	}
 	if seen := server.readAttempts(); seen != "a1 a2 a3" {
-		t.Errorf("the server read %q, want each attempt once", seen)
+		t.Errorf("the server received %q, want each attempt once", seen)
 	}
 }
 
@@ -193,7 +194,8 @@
 	}
 }
 
-// limitedWriteConn accepts a number of bytes and then fails.
+// limitedWriteConn writes up to the given number of bytes and then fails with
+// net.ErrClosed.
 type limitedWriteConn struct {
 	net.Conn
 	accepts int
@@ -241,8 +243,8 @@
 	}
 }
 
-// failingWriteConn refuses every write once it is told to, as a connection does
-// whose end is not noticed yet.
+// failingWriteConn fails every write once failWrites is set, like a connection
+// whose loss has not been noticed yet.
 type failingWriteConn struct {
 	net.Conn
 	failWrites *atomic.Bool
@@ -278,7 +280,7 @@
 		t.Fatal(err)
 	}
 	if seen := server.readAttempts(); seen != "a1 a2" || dials != 2 {
-		t.Errorf("the server read %q over %d connections, want each attempt once over 2", seen, dials)
+		t.Errorf("the server received %q over %d connections, want each attempt once over 2", seen, dials)
 	}
 }
 
--- a/backend/connection.go
+++ b/backend/connection.go
@@ -9,12 +9,14 @@
 	"github.com/banksail/banksail/internal/httpcall"
 )
 
-// connection carries one request at a time. It is opened by the first one, and
-// anew by the next one after it was lost; it is at most one open connection.
+// connection carries one request at a time and has at most one open network
+// connection. The first request dials it; after a loss the next request dials
+// again.
 type connection struct {
 	transport *http.Transport
 	spares    *spares
-	// dialContext ends dials that outlive their request.
+	// dialContext is cancelled by close. It aborts a dial that is still running
+	// after its request has ended.
 	dialContext context.Context
 	cancelDials context.CancelFunc
 }
@@ -27,7 +29,8 @@
 	return conn
 }
 
-// dial takes a spare connection or opens one, unless this one closed meanwhile.
+// dial takes a spare connection or opens one. It returns net.ErrClosed if close
+// was called in the meantime.
 func (c *connection) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -43,7 +46,8 @@
 	return conn, nil
 }
 
-// close is called while the connection carries no request.
+// close aborts a running dial and closes the network connection. It must not be
+// called while the connection carries a request.
 func (c *connection) close() {
 	c.cancelDials()
 	c.transport.CloseIdleConnections()
--- a/backend/connections_test.go
+++ b/backend/connections_test.go
@@ -15,8 +15,8 @@
 	"github.com/banksail/banksail/backend"
 )
 
-// pipeNetwork connects a client to one HTTP server in memory and counts the
-// open connections.
+// pipeNetwork connects a client to one HTTP server through in-memory pipes and
+// counts the open connections.
 type pipeNetwork struct {
 	conns     chan net.Conn
 	dialDelay time.Duration
@@ -78,6 +78,7 @@
 
 func (n *pipeNetwork) Addr() net.Addr { return &net.TCPAddr{} }
 
+// replyDoneAfter replies to each query with StatusDone after the service time.
 func replyDoneAfter(serviceTime time.Duration) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		query := backend.Request{}
@@ -87,7 +88,8 @@
 	}
 }
 
-// runOnVirtualClock runs a test on a virtual clock with a client on a pipe network.
+// runOnVirtualClock runs a test on a virtual clock with a client and a server
+// on a pipeNetwork, and checks that no connection stays open.
 func runOnVirtualClock(t *testing.T, options backend.ClientOptions, test func(*testing.T, *backend.Client, *pipeNetwork)) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &pipeNetwork{conns: make(chan net.Conn), dialDelay: time.Millisecond}
@@ -123,7 +125,7 @@
 	runOnVirtualClock(t, options, func(t *testing.T, client *backend.Client, network *pipeNetwork) {
 		runQueries(t, client, 100)
 		if _, highest, _ := network.counts(); highest > 8 {
-			t.Errorf("%d connections were open at once, want 8 at most", highest)
+			t.Errorf("%d connections were open at once, want at most 8", highest)
 		}
 	})
 }
@@ -136,7 +138,7 @@
 		limit = 2
 		runQueries(t, client, 20)
 		if open, _, _ := network.counts(); open > 2 {
-			t.Errorf("%d connections are open, want 2 at most", open)
+			t.Errorf("%d connections are open, want at most 2", open)
 		}
 	})
 }
@@ -148,7 +150,7 @@
 		start := time.Now()
 		runQueries(t, client, 3)
 		if took := time.Since(start); took != 10*time.Millisecond {
-			t.Errorf("three queries at once took %v, want the service time alone", took)
+			t.Errorf("three concurrent queries took %v, want only the service time of 10 ms", took)
 		}
 	})
 }
@@ -159,7 +161,7 @@
 		runQueries(t, client, 1)
 		time.Sleep(time.Minute)
 		if open, _, _ := network.counts(); open != 0 {
-			t.Errorf("%d idle connections are open after their time", open)
+			t.Errorf("%d idle connections are open after IdleTimeout", open)
 		}
 		runQueries(t, client, 3)
 	})
--- a/backend/decode.go
+++ b/backend/decode.go
@@ -7,13 +7,13 @@
 	"github.com/banksail/banksail/internal/strictjson"
 )
 
-// MaximumSnapshots bounds the snapshots that a server may list.
+// MaximumSnapshots is the maximum number of snapshots that a server may list.
 const MaximumSnapshots = 1024
 
-// replyLimits bounds the JSON documents of replies.
+// replyLimits limits the size of JSON documents in replies.
 var replyLimits = strictjson.Limits{Bytes: MaximumReplyBytes}
 
-// statusCodes gives the HTTP status code that carries each Status.
+// statusCodes maps each Status to the HTTP status code that carries it.
 var statusCodes = map[Status]int{
 	StatusDone:            http.StatusOK,
 	StatusShed:            http.StatusServiceUnavailable,
@@ -24,19 +24,19 @@
 	StatusError:           http.StatusInternalServerError,
 }
 
-// HTTPCode returns the HTTP status code that carries the status; zero for an
-// unknown one.
+// HTTPCode returns the HTTP status code that carries the status, or zero if the
+// status is unknown.
 func (s Status) HTTPCode() int {
 	return statusCodes[s]
 }
 
-// MayHaveExecuted reports whether a reply with this status leaves open that the
-// sub-request was executed.
+// MayHaveExecuted reports whether the server may have executed the sub-request
+// that it answered with this status.
 func (s Status) MayHaveExecuted() bool {
 	return s == StatusDone || s == StatusError
 }
 
-// decodeReply checks that data is a whole reply to the request.
+// decodeReply decodes data and validates it as the reply to the request.
 func decodeReply(data []byte, code int, request *Request) (*Reply, error) {
 	reply := &Reply{}
 	if err := strictjson.Unmarshal(data, replyLimits, reply); err != nil {
@@ -51,8 +51,9 @@
 	return reply, nil
 }
 
-// Check returns ErrMalformed, wrapped, unless the reply follows the protocol and
-// belongs to the request. It is for replies that another node passes on.
+// Check returns an error that wraps ErrMalformed unless the reply follows the
+// protocol and belongs to the request. It is for replies that another node
+// forwards.
 func (r *Reply) Check(request *Request) error {
 	if err := r.validate(r.Status.HTTPCode()); err != nil {
 		return err
@@ -60,24 +61,25 @@
 	return r.validateEcho(request)
 }
 
-// validateEcho checks that the reply belongs to the request.
+// validateEcho returns ErrMalformed unless the reply has the attempt ID of the
+// request and, with StatusDone, its snapshot and range.
 func (r *Reply) validateEcho(request *Request) error {
 	if r.AttemptID != request.AttemptID {
-		return fmt.Errorf("%w: it is for attempt %q, not %q", ErrMalformed, r.AttemptID, request.AttemptID)
+		return fmt.Errorf("%w: reply has attempt ID %q, want %q", ErrMalformed, r.AttemptID, request.AttemptID)
 	}
 	if r.Status != StatusDone {
 		return nil
 	}
 	if *r.Snapshot != request.Snapshot {
-		return fmt.Errorf("%w: its snapshot is %d, not %d", ErrMalformed, *r.Snapshot, request.Snapshot)
+		return fmt.Errorf("%w: reply has snapshot %d, want %d", ErrMalformed, *r.Snapshot, request.Snapshot)
 	}
 	if *r.Range != request.Range {
-		return fmt.Errorf("%w: its range is %s, not %s", ErrMalformed, *r.Range, request.Range)
+		return fmt.Errorf("%w: reply has range %s, want %s", ErrMalformed, *r.Range, request.Range)
 	}
 	return nil
 }
 
-// validate checks the reply by itself, without the request it is for.
+// validate checks the reply on its own, without its request.
 func (r *Reply) validate(code int) error {
 	expected := r.Status.HTTPCode()
 	switch {
--- a/backend/decode_bench_test.go
+++ b/backend/decode_bench_test.go
@@ -9,7 +9,8 @@
 	"github.com/banksail/banksail/coverage"
 )
 
-// BenchmarkDecodeReply decodes replies whose body lists that many items.
+// BenchmarkDecodeReply decodes replies whose body lists the given number of
+// items.
 func BenchmarkDecodeReply(b *testing.B) {
 	for _, items := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("items=%d", items), func(b *testing.B) {
--- a/backend/fuzz_test.go
+++ b/backend/fuzz_test.go
@@ -23,10 +23,10 @@
 			return
 		}
 		if reply.AttemptID != request.AttemptID || reply.Status.HTTPCode() != code {
-			t.Fatalf("took %+v under code %d", reply, code)
+			t.Fatalf("accepted %+v with HTTP status %d", reply, code)
 		}
 		if reply.Status == StatusDone && (*reply.Snapshot != request.Snapshot || *reply.Range != request.Range) {
-			t.Fatalf("took %+v", reply)
+			t.Fatalf("accepted %+v, which does not match the request", reply)
 		}
 	})
 }
--- a/backend/message.go
+++ b/backend/message.go
@@ -1,5 +1,5 @@
-// Package backend is the client towards the back ends: sub-requests, health
-// and load, over HTTP/1.1 and JSON.
+// Package backend is a client for back-end servers. It sends sub-requests and
+// reads health and load reports over HTTP/1.1 with JSON bodies.
 package backend
 
 import (
@@ -8,17 +8,19 @@
 	"github.com/banksail/banksail/coverage"
 )
 
-// Paths of a back end's endpoints.
+// Paths of a back end's HTTP endpoints.
 const (
 	QueryPath  = "/v1/query"
 	HealthPath = "/v1/health"
 	LoadPath   = "/v1/load"
 )
 
-// MaximumReplyBytes bounds what is read of one reply.
+// MaximumReplyBytes is the maximum size of a reply body. A larger reply is
+// rejected with ErrMalformed.
 const MaximumReplyBytes = 16 << 20
 
-// Request is the body of a POST to QueryPath.
+// Request is the body of a POST to QueryPath: one sub-request, for one key
+// range.
 type Request struct {
 	AttemptID string         `json:"attempt_id" validate:"required,max=128"`
 	RequestID string         `json:"request_id" validate:"required,max=128"`
@@ -32,11 +34,11 @@
 	Body                  json.RawMessage `json:"body"`
 }
 
-// Status is the kind of a reply, in its JSON body.
+// Status is the outcome that a server states in the body of its reply.
 type Status string
 
-// Statuses of replies, with the HTTP status code that carries them. All but
-// done and error say that the sub-request was not executed.
+// Statuses of replies, each with the HTTP status code that carries it. All but
+// StatusDone and StatusError state that the sub-request was not executed.
 const (
 	StatusDone            Status = "done"             // 200
 	StatusShed            Status = "shed"             // 503
@@ -47,8 +49,8 @@
 	StatusError           Status = "error"            // 500
 )
 
-// Reply is the body of the reply to a Request. Pointers tell a missing field
-// from a zero.
+// Reply is the body of the reply to a Request. Pointer fields distinguish a
+// missing field from a zero value.
 type Reply struct {
 	AttemptID string          `json:"attempt_id"`
 	Status    Status          `json:"status"`
@@ -59,29 +61,31 @@
 	Snapshots []uint64 `json:"snapshots,omitempty"`
 	Load      *Load    `json:"load,omitempty"`
 	Draining  bool     `json:"draining,omitempty"`
-	// RetryAfterMilliseconds is set on shed replies.
+	// RetryAfterMilliseconds is the back-off that a server asks for when it
+	// sheds a sub-request. It is set on replies with StatusShed.
 	RetryAfterMilliseconds float64 `json:"retry_after_ms,omitempty"`
 	Message                string  `json:"message,omitempty"`
 }
 
-// Load is a server's account of its work, on LoadPath and in replies.
+// Load is the load that a server reports, at LoadPath and in replies to
+// sub-requests.
 type Load struct {
 	InFlight  int      `json:"in_flight"`
 	Queued    int      `json:"queued"`
 	Snapshots []uint64 `json:"snapshots,omitempty"`
 }
 
-// HealthState is a server's account of its health.
+// HealthState is the health that a server reports.
 type HealthState string
 
-// States of health.
+// Health states.
 const (
 	HealthStarting HealthState = "starting"
 	HealthReady    HealthState = "ready"
 	HealthDraining HealthState = "draining"
 )
 
-// Health is the body of a reply to a GET of HealthPath.
+// Health is the body of the reply to a GET of HealthPath.
 type Health struct {
 	State       HealthState `json:"state"`
 	Incarnation string      `json:"incarnation"`
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -7,43 +7,50 @@
 	"sync"
 )
 
-// connectionsPerSpare is the least number of connections per spare one.
+// connectionsPerSpare is the minimum connection limit per spare connection: at
+// most a quarter of the limit is used for spares.
 const connectionsPerSpare = 4
 
-// pool holds the connections to one server within a bound, which may change.
+// pool holds the connections to one server within a connection limit, which can
+// change at run time.
 //
-// The bound counts connections that carry a request, idle ones and spares. When
-// it falls, idle connections and spares close at once; those that carry a
-// request close when it ends, and no request takes their place while there are
-// too many. There are thus never more connections than the greatest of the
-// bounds under which a request began that still runs.
+// The limit counts connections that carry a request, idle connections and
+// spares. When it is lowered, idle connections and spares close at once.
+// Connections that carry a request close when the request ends, and no new
+// connection opens while the count is above the limit. The number of
+// connections therefore never exceeds the highest limit under which any request
+// in flight began.
 type pool struct {
 	client *Client
 	spares *spares
 
-	// mutex guards the fields below. Invariants: live counts the connections in
-	// use and in idle; idle holds no connection in use, the last used at its
-	// end; a request waits only while idle is empty and live is at least limit;
-	// a dropped pool has no connection and takes no request.
+	// mutex guards the fields below.
+	//
+	// Invariants: openCount counts the connections in use and in idle. idle
+	// holds no connection in use; its last element was used last. A request
+	// waits only while idle is empty and openCount is at least
+	// requestConnectionLimit. A removed pool has no connections and accepts no
+	// requests.
 	mutex                  sync.Mutex
 	connectionLimit        int
 	requestConnectionLimit int
 	openCount              int
 	idle                   []*connection
 	waiting                []*waiter
-	// draining says that connections close as their requests end, until a new
-	// request begins.
+	// draining means that each connection closes when its request ends. A new
+	// request ends the draining.
 	draining bool
 	removed  bool
 }
 
 // waiter is a request that waits for a connection.
 type waiter struct {
-	// assigned receives the connection; it has room for it.
+	// assigned receives the connection. It is buffered, so the sender never
+	// blocks.
 	assigned chan *connection
 }
 
-// newPool returns a pool with no connection.
+// newPool returns a pool without connections.
 func (c *Client) newPool(connectionLimit int) *pool {
 	created := &pool{
 		client: c,
@@ -53,8 +60,10 @@
 	return created
 }
 
-// acquire returns a connection as soon as the bound allows; it must be released.
-// It is false when the pool was dropped.
+// acquire waits until a connection is available within the limit. The caller
+// must release the connection. ok is false if the pool has been removed; the
+// caller must then get a new pool. If ctx ends first, the error wraps
+// ErrNotDelivered and the cause.
 func (p *pool) acquire(ctx context.Context, connectionLimit int) (conn *connection, ok bool, err error) {
 	p.mutex.Lock()
 	if p.removed {
@@ -79,7 +88,8 @@
 	}
 }
 
-// takeIdleOrNew returns the connection used last, or a new one; nil when there is no room.
+// takeIdleOrNew returns the most recently used idle connection or a new one, or
+// nil if the limit is reached. The caller holds the mutex.
 func (p *pool) takeIdleOrNew() *connection {
 	if newest := len(p.idle) - 1; newest >= 0 {
 		conn := p.idle[newest]
@@ -93,7 +103,8 @@
 	return p.client.newConnection(p.spares)
 }
 
-// cancelWait ends the wait of a request, which may have got its connection just now.
+// cancelWait removes a request from the waiting list. If a connection was
+// assigned to it in the meantime, the connection is released.
 func (p *pool) cancelWait(request *waiter) {
 	p.mutex.Lock()
 	index := slices.Index(p.waiting, request)
@@ -106,8 +117,10 @@
 	}
 }
 
-// release takes a connection back. After a failed request it is the last to be
-// used again: it may still be opening.
+// release returns a connection to the pool, which assigns it to a waiting
+// request, keeps it idle or closes it. A connection whose request failed
+// (reusable is false) goes to the end of the reuse order, because it may still
+// be dialing.
 func (p *pool) release(conn *connection, reusable bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -124,13 +137,16 @@
 	}
 }
 
+// assignToFirstWaiter gives the connection to the request that has waited
+// longest. The caller holds the mutex.
 func (p *pool) assignToFirstWaiter(conn *connection) {
 	first := p.waiting[0]
 	p.waiting = slices.Delete(p.waiting, 0, 1)
 	first.assigned <- conn
 }
 
-// resize changes the bound without a request.
+// resize applies a changed connection limit outside of a request. It has no
+// effect on a draining pool.
 func (p *pool) resize(connectionLimit int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -139,8 +155,9 @@
 	}
 }
 
-// setConnectionLimit shares the bound out between spares and other connections. The caller
-// holds the mutex.
+// setConnectionLimit divides the limit between spares and connections for
+// requests, closes idle connections above it and serves waiting requests. The
+// caller holds the mutex.
 func (p *pool) setConnectionLimit(connectionLimit int) {
 	if p.connectionLimit == connectionLimit {
 		return
@@ -155,7 +172,8 @@
 	}
 }
 
-// closeIdle closes up to count idle connections, the longest unused first.
+// closeIdle closes up to count idle connections, least recently used first. The
+// caller holds the mutex.
 func (p *pool) closeIdle(count int) {
 	count = min(max(0, count), len(p.idle))
 	for _, conn := range p.idle[:count] {
@@ -165,8 +183,8 @@
 	p.openCount -= count
 }
 
-// drain closes idle connections and spares; requests that wait go on one after
-// the other.
+// drain closes idle connections and spares. Requests that are waiting then run
+// one after another on a single connection.
 func (p *pool) drain() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -175,7 +193,8 @@
 	p.closeIdle(len(p.idle))
 }
 
-// removeIfDrained drops a forgotten pool whose requests have ended.
+// removeIfDrained marks a draining pool without connections as removed and
+// reports whether it did.
 func (p *pool) removeIfDrained() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -183,7 +202,7 @@
 	return p.removed
 }
 
-// isDrained reports whether removeIfDrained would drop the pool.
+// isDrained reports whether removeIfDrained would remove the pool.
 func (p *pool) isDrained() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/backend/spares.go
+++ b/backend/spares.go
@@ -12,33 +12,35 @@
 	"github.com/banksail/banksail/internal/delivery"
 )
 
-// spares keeps a few connections to one server open before they are needed,
-// so that a query doesn't wait for a new one.
+// spares keeps a number of connections to one server open in advance, so that a
+// request does not wait for a dial.
 type spares struct {
 	dial delivery.DialFunc
 	// idleTimeout is how long a spare connection is kept.
 	idleTimeout time.Duration
 
-	// mutex guards the fields below. Invariants: ready never exceeds size, and
-	// holds no connection that was taken; none begins to open while ready and
-	// opening together reach size.
+	// mutex guards the fields below.
+	//
+	// Invariants: len(idle) never exceeds target, and idle holds no connection
+	// that has been taken. No dial starts while len(idle)+dialing is at least
+	// target.
 	mutex   sync.Mutex
 	target  int
 	idle    []*spare
 	dialing int
 }
 
-// spare is one open connection that carried nothing yet.
+// spare is an open connection that has not carried any data yet.
 type spare struct {
 	net.Conn
-	// readDone is closed when nothing reads from the connection any more; alive
-	// is final then.
+	// readDone is closed when the read in watchUntilClosed has returned.
+	// reusable does not change after that.
 	readDone chan struct{}
 	reusable bool
 }
 
-// DialContext returns a spare connection or opens one, and sees to it that
-// spares for later requests open.
+// DialContext returns a spare connection or opens one, and starts dials in the
+// background to replace the spares that are missing.
 func (s *spares) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	conn := s.takeOpen()
 	if conn == nil {
@@ -52,14 +54,15 @@
 	return conn, nil
 }
 
-// takeOpen returns the newest spare that is still open, nil when there is none.
+// takeOpen returns the newest spare that is still open, or nil if there is
+// none.
 func (s *spares) takeOpen() net.Conn {
 	for {
 		candidate := s.popNewest()
 		if candidate == nil {
 			return nil
 		}
-		// The past deadline ends the read in watch.
+		// A deadline in the past interrupts the read in watchUntilClosed.
 		_ = candidate.SetReadDeadline(time.Unix(1, 0))
 		<-candidate.readDone
 		if candidate.reusable && candidate.SetReadDeadline(time.Time{}) == nil {
@@ -81,8 +84,8 @@
 	return conn
 }
 
-// refill opens the missing spares in the background. A spare that can't be
-// opened is tried again with the next request that needs a connection.
+// refill dials the missing spares in the background. A failed dial is not
+// repeated until the next request that needs a connection.
 func (s *spares) refill(network, address string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -92,6 +95,8 @@
 	}
 }
 
+// openSpare dials one spare and closes it again if target was lowered during
+// the dial.
 func (s *spares) openSpare(network, address string) {
 	conn, err := s.dial(context.Background(), network, address)
 	s.mutex.Lock()
@@ -110,8 +115,9 @@
 	go s.watchUntilClosed(opened)
 }
 
-// watchUntilClosed notices when the server closes a spare, or sends what was not asked
-// for, and when the spare has idled too long.
+// watchUntilClosed waits until the server closes a spare or sends unsolicited
+// data, or idleTimeout has passed, and then removes and closes the spare. If
+// takeOpen interrupts the read, the spare stays open and is reusable.
 func (s *spares) watchUntilClosed(conn *spare) {
 	count, err := conn.Read(make([]byte, 1))
 	interrupted := count == 0 && errors.Is(err, os.ErrDeadlineExceeded)
@@ -122,7 +128,8 @@
 	close(conn.readDone)
 }
 
-// remove takes a connection out; it is false when the connection was taken.
+// remove takes a connection out of idle. It returns false if the connection had
+// already been taken.
 func (s *spares) remove(conn *spare) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -134,7 +141,8 @@
 	return true
 }
 
-// resize changes the number of spares; those above it close.
+// resize changes the number of spares to keep and closes those above it, oldest
+// first.
 func (s *spares) resize(target int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
