--- a/gateway/attempts.go
+++ b/gateway/attempts.go
@@ -16,6 +16,7 @@
 	stragglerTimer *time.Timer // cancels the attempt; set once the router has cancelled it
 }
 
+// send starts an attempt. The caller holds the mutex.
 func (g *Gateway) send(action routing.Send) {
 	pending := g.pending[action.Request]
 	running := &runningAttempt{Attempt: &exchange.Attempt{Request: pending.outgoing, Server: action.Server, Remaining: action.Remaining}}
@@ -131,7 +132,8 @@
 const (
 	// reasonServerCrashed: the connection was lost because the server crashed.
 	reasonServerCrashed = "server_ended"
-	// reasonConnectionLost: the connection was lost, but the server accepted a new one.
+	// reasonConnectionLost: the connection was lost, and the server still accepted connections or
+	// was not found to have crashed at that time.
 	reasonConnectionLost = "connection_lost"
 )
 
--- a/gateway/connections.go
+++ b/gateway/connections.go
@@ -11,8 +11,8 @@
 )
 
 // keepWarmTime is how long a connection to a server is kept open after the server was last used
-// or registered. For a server that is seldom used, the connection would only be reopened each
-// time the server closes it.
+// or registered. It is limited because a connection to a server that is seldom used would only be
+// reopened again and again as the server closes it.
 const keepWarmTime = 15 * time.Second
 
 // updateWarmServers starts keeping connections open to servers that were added or restarted, and
--- a/gateway/framing.go
+++ b/gateway/framing.go
@@ -11,7 +11,7 @@
 type framing struct {
 	mutex sync.Mutex
 	// mutex guards the fields below: net/http reads in the background while a handler runs.
-	line                           []byte
+	line                           []byte // the current line, up to maxNameLength bytes
 	lineCount, size                int
 	complete                       bool
 	hasLength, hasTransferEncoding bool
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -138,9 +138,9 @@
 	defer close(release)
 	pending := make(chan *httptest.ResponseRecorder, 1)
 	go func() {
-		answer := httptest.NewRecorder()
-		g.ServeHTTP(answer, newRequest("/once/x", ""))
-		pending <- answer
+		recorder := httptest.NewRecorder()
+		g.ServeHTTP(recorder, newRequest("/once/x", ""))
+		pending <- recorder
 	}()
 	<-running
 	g.RejectRequests()
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -50,6 +50,7 @@
 type connState int
 
 const (
+	// stateActive: a request is being read or answered, without a timeout.
 	stateActive connState = iota
 	// stateHeader: a request's header is being received, within the header timeout.
 	stateHeader
