--- a/directory/directory.go
+++ b/directory/directory.go
@@ -19,7 +19,7 @@
 type Resolver interface {
 	// Resolve lists at most the given number of addresses for a caller of a host; none
 	// when it is not known where callers should go.
-	Resolve(host string, caller Caller, most int) Answer
+	Resolve(host string, caller Caller, limit int) Answer
 }
 
 // Caller is who asks.
@@ -123,8 +123,8 @@
 	indexes := rand.Perm(len(nodes))[:limit]
 	slices.Sort(indexes)
 	drawn := make([]discovery.Node, 0, limit)
-	for _, place := range indexes {
-		drawn = append(drawn, nodes[place])
+	for _, index := range indexes {
+		drawn = append(drawn, nodes[index])
 	}
 	return drawn
 }
@@ -151,7 +151,7 @@
 // able ones; but where only one other zone is left and looks dead, that may as well be
 // without power, and both are listed.
 func NodesAbleToServe(nodes []discovery.Node) []discovery.Node {
-	able := filter(nodes, ableToServe(nodes))
+	able := filter(nodes, ableAmong(nodes))
 	suspectZones := make(map[string]struct{})
 	for _, n := range able {
 		if !n.Suspect {
@@ -169,8 +169,8 @@
 // servers: those to which no callers come don't notice it.
 const zoneCutOffShare = 0.5
 
-// ableToServe tells the nodes that can reach the servers, as far as that is known.
-func ableToServe(nodes []discovery.Node) func(discovery.Node) bool {
+// ableAmong tells the nodes that can reach the servers, as far as that is known.
+func ableAmong(nodes []discovery.Node) func(discovery.Node) bool {
 	total, unable := make(map[string]int), make(map[string]int)
 	for _, n := range nodes {
 		total[n.Zone]++
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -14,13 +14,13 @@
 }
 
 func TestAddresses(t *testing.T) {
-	a1, a2, b1, b2, c1, far := node("a1", "a", "r"), node("a2", "a", "r"), node("b1", "b", "r"), node("b2", "b", "r"),
+	a1, a2, b1, b2, c1, remote := node("a1", "a", "r"), node("a2", "a", "r"), node("b1", "b", "r"), node("b2", "b", "r"),
 		node("c1", "c", "r"), node("far", "z", "other")
 	a3 := node("a3", "a", "r")
 	unable := func(n discovery.Node) discovery.Node { n.Unable = true; return n }
 	suspect := func(n discovery.Node) discovery.Node { n.Suspect = true; return n }
 	leaving := func(n discovery.Node) discovery.Node { n.Leaving = true; return n }
-	all := []discovery.Node{a1, a2, b1, b2, c1, far}
+	all := []discovery.Node{a1, a2, b1, b2, c1, remote}
 	everywhere := directory.Presence{"a": 1, "b": 1, "c": 1, "z": 1}
 	for name, test := range map[string]struct {
 		nodes    []discovery.Node
@@ -96,12 +96,12 @@
 		}
 	}
 	// Nodes that leave hold their connections until they are gone.
-	stopping := slices.Clone(nodes[:9])
-	leavingNodes := directory.ServingNodes(stopping, 6, 0)[:2]
-	for i, n := range stopping {
-		stopping[i].Leaving = slices.Contains(leavingNodes, n)
+	withLeaving := slices.Clone(nodes[:9])
+	leavingNodes := directory.ServingNodes(withLeaving, 6, 0)[:2]
+	for i, n := range withLeaving {
+		withLeaving[i].Leaving = slices.Contains(leavingNodes, n)
 	}
-	if got := directory.ServingNodes(stopping, 6, 0); len(got) != 4 || slices.ContainsFunc(got, func(n discovery.Node) bool { return n.Leaving }) {
+	if got := directory.ServingNodes(withLeaving, 6, 0); len(got) != 4 || slices.ContainsFunc(got, func(n discovery.Node) bool { return n.Leaving }) {
 		t.Errorf("%d nodes serve beside two that leave, where servers take 6 connections; want 4", len(got))
 	}
 	remaining := slices.DeleteFunc(slices.Clone(nodes), func(n discovery.Node) bool { return n.ID == serving[0].ID })
--- a/directory/serving.go
+++ b/directory/serving.go
@@ -34,7 +34,7 @@
 		return nodes
 	}
 	limit := max(connections-countLeavingServing(nodes, connections), minServing)
-	serving := spread(staying, limit, hasCapacity(staying))
+	serving := spread(staying, limit, capableAmong(staying))
 	if !disabled.Enabled(mechanism.CapableNodes) || slices.ContainsFunc(serving, func(n discovery.Node) bool { return n.Busy }) {
 		serving = spread(staying, limit, func(discovery.Node) bool { return true })
 	}
@@ -44,12 +44,12 @@
 // countLeavingServing is the number of leaving nodes that served callers until they
 // began to leave, and hold connections to servers until they are gone.
 func countLeavingServing(nodes []discovery.Node, connections int) int {
-	serving := spread(nodes, max(connections, minServing), hasCapacity(nodes))
+	serving := spread(nodes, max(connections, minServing), capableAmong(nodes))
 	return len(filter(serving, func(n discovery.Node) bool { return n.Leaving }))
 }
 
-// hasCapacity tells which nodes are capable beside the best of them.
-func hasCapacity(nodes []discovery.Node) func(discovery.Node) bool {
+// capableAmong tells which nodes are capable beside the best of them.
+func capableAmong(nodes []discovery.Node) func(discovery.Node) bool {
 	maxCapacity := 0.0
 	for _, n := range nodes {
 		maxCapacity = max(maxCapacity, n.Capacity)
