--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,4 +1,4 @@
-// Package directory decides which addresses a caller is told to connect to.
+// Package directory decides which node addresses a caller should connect to.
 package directory
 
 import (
@@ -9,61 +9,63 @@
 	"github.com/banksail/banksail/discovery"
 )
 
-// Answer tells a caller where to connect, and for how long that counts.
+// Answer lists the addresses that a caller should connect to, and how long it may use them.
 type Answer struct {
 	Addresses  []string
 	TimeToLive time.Duration
 }
 
-// Resolver tells callers where to connect.
+// Resolver answers callers' address look-ups.
 type Resolver interface {
-	// Resolve lists at most the given number of addresses for a caller of a host; none
-	// when it is not known where callers should go.
+	// Resolve returns at most limit addresses for a caller's requests to a host. It returns none if
+	// no suitable node is known.
 	Resolve(host string, caller Caller, limit int) Answer
 }
 
-// Caller is who asks.
+// Caller describes the client that looks up addresses.
 type Caller struct {
 	Zone   string
 	Region string
-	// Homes are the regions in which what the caller asks for may be served; none is
-	// everywhere.
+	// Homes are the regions in which the caller's requests may be served; none means all regions.
 	Homes []string
 }
 
-// Presence tells, for each zone, which part of the services in use has a server there.
+// Presence holds, for each zone, the share of the services in use that have a ready server there.
 type Presence map[string]float64
 
 const (
-	// minNearbyNodes is the number of nodes in a caller's own zone that are enough for
-	// it: one of them may be lost before its entry goes.
+	// minNearbyNodes is the number of nodes that suffices in a caller's own zone, or else in its
+	// region: one of them may fail before its entry expires.
 	minNearbyNodes = 2
-	// maxOwnZoneNodes is the number of nodes of its own zone that a caller is told of, another sample
-	// with each answer. A caller whose zone is lost tries them in vain, as no look-up of its own
-	// zone is answered any more: of 300 machines in four zones it knew 15 there and 2 elsewhere,
-	// and knows 4 and 2. The worth of two deployments of that size is the same within noise
-	// (0.635 and 0.629, 0.476 and 0.492, one play each).
+	// maxOwnZoneNodes is the maximum number of nodes of its own zone that a caller receives while
+	// there are nodes of other zones; each answer holds a new random sample. A caller whose zone
+	// fails tries these nodes in vain, and look-ups in its own zone are no longer answered: of 300
+	// machines in four zones it has 4 addresses there and 2 elsewhere, but 15 and 2 without this
+	// limit. The limit does not change the value of all answers in two deployments of that size
+	// beyond noise (0.635 and 0.629, 0.476 and 0.492, one run each).
 	maxOwnZoneNodes = 4
-	// otherZoneNodes is the number of nodes of other zones beside those of the caller's own.
-	// One serves less when the zone is cut off (worth 0.72 of a day with two cuts; 0.76 with
-	// two, 0.78 with all of the region), all cost 0.04 on a day of high load with 1.4 ms
-	// between zones, and two 0.006 (one play each).
+	// otherZoneNodes is the number of nodes of other zones that a caller receives in addition. With
+	// one, less is served when the caller's zone is cut off: on a day with two cuts the value of
+	// all answers is 0.72 with one node, 0.76 with two and 0.78 with all of the region. On a day of
+	// high load with 1.4 ms between zones, all nodes of the region cost 0.04 of that value, and two
+	// cost 0.006 (one run each).
 	otherZoneNodes = 2
-	// minPresenceShare is the part of the best zone's presence from which on a zone
-	// counts as near to the servers.
+	// minPresenceShare is the share of the best presence of a zone in the region at which a zone's
+	// nodes count as close to the servers.
 	minPresenceShare = 0.5
 )
 
-// Addresses lists where the caller may connect, at most the given number: the nodes of its
-// zone and a few of other zones of its region, or all of the region, or all, if there are
-// too few. Those of its own zone alone would leave it without any when the zone is lost,
-// until the answer is over; all of the region are farther away, by which answers that leave
-// at the last moment are late. An answer is smaller than
-// the parts that make it, so nodes in zones without servers are passed over for those of
-// the region that stand near servers. Nodes that are leaving are left out, unless there
-// are no others, and so are those that can't reach the servers and, of the rest, those
-// that don't answer other nodes. Where the caller's request has homes, only nodes there
-// and in the caller's own region are named.
+// Addresses returns at most limit addresses for the caller: some nodes of its own zone and a few of
+// other zones of its region. If its zone has too few nodes, it returns nodes of the whole region,
+// and if the region has too few, all nodes. With nodes of its own zone alone, a caller would have
+// no address after the loss of the zone until the answer expires; with all nodes of the region, the
+// distance makes late those answers that are sent just before their deadline.
+//
+// An answer is smaller than the parts that it is merged from, so nodes should be close to the
+// servers: zones with few servers are left out if others of the region have more. Leaving nodes are
+// left out unless there are no others, and so are nodes that cannot reach the servers and, of the
+// rest, suspects. If the caller's requests have homes, only nodes there and in the caller's own
+// region are returned.
 func Addresses(nodes []discovery.Node, presence Presence, caller Caller, limit int) []string {
 	if len(caller.Homes) > 0 {
 		nodes = filter(nodes, caller.mayUse)
@@ -74,7 +76,7 @@
 	candidates = dropZonesWithFewServers(candidates, presence)
 	nearby := selectNearby(candidates, caller)
 	if len(nearby) > limit {
-		// Another sample for each caller, so that all nodes get some.
+		// Each answer holds a new random sample, so that all nodes get some of the callers.
 		nearby = slices.Clone(nearby)
 		rand.Shuffle(len(nearby), func(i, j int) { nearby[i], nearby[j] = nearby[j], nearby[i] })
 		nearby = nearby[:limit]
@@ -86,8 +88,8 @@
 	return addresses
 }
 
-// dropZonesWithFewServers leaves out the nodes of zones that have few servers beside the
-// best zone of their region.
+// dropZonesWithFewServers removes the nodes of zones whose presence is below minPresenceShare of
+// the best one in their region.
 func dropZonesWithFewServers(nodes []discovery.Node, presence Presence) []discovery.Node {
 	bestPresence := make(map[string]float64)
 	for _, n := range nodes {
@@ -98,7 +100,8 @@
 	})
 }
 
-// selectNearby lists the nodes that are near enough for a caller, and enough.
+// selectNearby returns the nodes of the smallest area around the caller that has enough of them:
+// its zone with some of other zones, its region, or all.
 func selectNearby(nodes []discovery.Node, caller Caller) []discovery.Node {
 	inRegion := filter(nodes, func(n discovery.Node) bool { return n.Region == caller.Region })
 	if len(inRegion) < minNearbyNodes {
@@ -115,7 +118,7 @@
 	return append(inZone, otherZones...)
 }
 
-// sample draws so many of the nodes, in their order.
+// sample draws at most limit of the nodes at random and keeps their order.
 func sample(nodes []discovery.Node, limit int) []discovery.Node {
 	if len(nodes) <= limit {
 		return nodes
@@ -129,7 +132,8 @@
 	return drawn
 }
 
-// drawFromOtherZones draws the nodes of other zones that a caller is told of, each of another zone.
+// drawFromOtherZones draws up to otherZoneNodes nodes at random, each in a different zone other
+// than the given one.
 func drawFromOtherZones(nodes []discovery.Node, zone string) []discovery.Node {
 	shuffled := slices.Clone(nodes)
 	rand.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
@@ -141,15 +145,15 @@
 	})
 }
 
-// mayUse reports whether a request with homes may go to a node.
+// mayUse reports whether a node may serve the caller's requests, given their homes.
 func (c Caller) mayUse(n discovery.Node) bool {
 	return n.Region == c.Region || slices.Contains(c.Homes, n.Region)
 }
 
-// NodesAbleToServe lists the nodes that can reach the servers, as far as that is known; all where none
-// can. From a zone that is cut off, the nodes of the others look dead, and they are the
-// able ones; but where only one other zone is left and looks dead, that may as well be
-// without power, and both are listed.
+// NodesAbleToServe returns the nodes that, as far as is known, can reach the servers, or all nodes
+// if none can. From a zone that is cut off, the nodes of other zones appear to be dead, but they
+// are the ones that can serve. If only one other zone is left and appears to be dead, it may as
+// well have lost power, and the nodes of both zones are returned.
 func NodesAbleToServe(nodes []discovery.Node) []discovery.Node {
 	able := filter(nodes, ableAmong(nodes))
 	suspectZones := make(map[string]struct{})
@@ -165,11 +169,12 @@
 	return able
 }
 
-// zoneCutOffShare is the part of a zone's nodes from which on none of them is able to reach the
-// servers: those to which no callers come don't notice it.
+// zoneCutOffShare is the share of unable nodes in a zone at which all of the zone's nodes count as
+// unable: nodes that receive no requests do not notice that they cannot reach the servers.
 const zoneCutOffShare = 0.5
 
-// ableAmong tells the nodes that can reach the servers, as far as that is known.
+// ableAmong returns a predicate that reports whether a node of the list can, as far as is known,
+// reach the servers.
 func ableAmong(nodes []discovery.Node) func(discovery.Node) bool {
 	total, unable := make(map[string]int), make(map[string]int)
 	for _, n := range nodes {
@@ -183,7 +188,7 @@
 	}
 }
 
-// prefer leaves out the nodes that are not wanted, unless there are no others.
+// prefer returns the wanted nodes, or all nodes if none is wanted.
 func prefer(nodes []discovery.Node, wanted func(discovery.Node) bool) []discovery.Node {
 	if preferred := filter(nodes, wanted); len(preferred) > 0 {
 		return preferred
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -63,14 +63,14 @@
 	for range 100 {
 		got := directory.Addresses(nodes, nil, directory.Caller{Zone: "a", Region: "r"}, 64)
 		if len(got) != 64 {
-			t.Fatalf("%d addresses", len(got))
+			t.Fatalf("got %d addresses, want 64", len(got))
 		}
 		for _, address := range got {
 			returned[address] = true
 		}
 	}
 	if len(returned) != len(nodes) {
-		t.Errorf("callers are told of %d of %d nodes", len(returned), len(nodes))
+		t.Errorf("answers contain %d of %d nodes", len(returned), len(nodes))
 	}
 }
 
@@ -80,7 +80,7 @@
 		nodes = append(nodes, node(fmt.Sprintf("n%03d", number), []string{"a", "b", "c"}[number%3], "r"))
 	}
 	if got := directory.ServingNodes(nodes[:20], 20, 0); len(got) != 20 {
-		t.Errorf("%d of 20 nodes serve where servers take 20 connections", len(got))
+		t.Errorf("%d of 20 nodes serve with 20 connections per server, want 20", len(got))
 	}
 	serving := directory.ServingNodes(nodes, 20, 0)
 	zones := make(map[string]int)
@@ -88,21 +88,21 @@
 		zones[n.Zone]++
 	}
 	if len(serving) != 20 || zones["a"] < 6 || zones["b"] < 6 || zones["c"] < 6 {
-		t.Errorf("%d nodes serve, by zone %v", len(serving), zones)
+		t.Errorf("%d nodes serve, by zone %v; want 20, at least 6 in each zone", len(serving), zones)
 	}
 	for connections, want := range map[int]int{8: 8, 4: 4, 1: 3} {
 		if got := directory.ServingNodes(nodes[:9], connections, 0); len(got) != want {
-			t.Errorf("%d of 9 nodes serve where servers take %d connections, want %d", len(got), connections, want)
+			t.Errorf("%d of 9 nodes serve with %d connections per server, want %d", len(got), connections, want)
 		}
 	}
-	// Nodes that leave hold their connections until they are gone.
+	// Leaving nodes keep their connections to servers until they have ended.
 	withLeaving := slices.Clone(nodes[:9])
 	leavingNodes := directory.ServingNodes(withLeaving, 6, 0)[:2]
 	for i, n := range withLeaving {
 		withLeaving[i].Leaving = slices.Contains(leavingNodes, n)
 	}
 	if got := directory.ServingNodes(withLeaving, 6, 0); len(got) != 4 || slices.ContainsFunc(got, func(n discovery.Node) bool { return n.Leaving }) {
-		t.Errorf("%d nodes serve beside two that leave, where servers take 6 connections; want 4", len(got))
+		t.Errorf("%d nodes serve besides two leaving ones, with 6 connections per server; want 4, none of them leaving", len(got))
 	}
 	remaining := slices.DeleteFunc(slices.Clone(nodes), func(n discovery.Node) bool { return n.ID == serving[0].ID })
 	stillServing := 0
@@ -112,7 +112,7 @@
 		}
 	}
 	if stillServing != 19 {
-		t.Errorf("one node went, and %d of the other 19 still serve", stillServing)
+		t.Errorf("after the loss of one node, %d of the other 19 still serve; want all", stillServing)
 	}
 }
 
@@ -136,24 +136,24 @@
 	remaining := slices.DeleteFunc(slices.Clone(nodes), func(n discovery.Node) bool { return n.Capacity > 0.5 && n.Zone == "a" })
 	serving = directory.ServingNodes(remaining, 50, 0)
 	if len(serving) != 8 || countCapable(serving) != 6 {
-		t.Errorf("a zone lost its capable nodes: %d serve, %d of them capable; want 8 and 6", len(serving), countCapable(serving))
+		t.Errorf("with no capable nodes in one zone, %d nodes serve, %d of them capable; want 8 and 6", len(serving), countCapable(serving))
 	}
 	busy := slices.Clone(nodes)
 	busy[30].Busy = true
 	if serving = directory.ServingNodes(busy, 50, 0); len(serving) != 8 {
-		t.Errorf("a node that does not serve is busy, and %d serve", len(serving))
+		t.Errorf("with a busy node that does not serve, %d nodes serve; want 8", len(serving))
 	}
 	busy[3].Busy = true
 	if serving = directory.ServingNodes(busy, 50, 0); len(serving) != 40 {
-		t.Errorf("a capable node is busy, and %d of 40 serve", len(serving))
+		t.Errorf("with a busy capable node, %d of 40 nodes serve; want all", len(serving))
 	}
 	if serving = directory.ServingNodes(busy, 20, 0); len(serving) != 20 || countCapable(serving) != 8 {
-		t.Errorf("a capable node is busy: %d nodes serve servers that take 20 connections, %d of them capable", len(serving), countCapable(serving))
+		t.Errorf("with a busy capable node and 20 connections per server, %d nodes serve, %d of them capable; want 20 and 8", len(serving), countCapable(serving))
 	}
 }
 
-// A caller is told of the nodes of its own zone, first, and of one each of two other zones
-// of its region, other ones each time.
+// A caller receives the nodes of its own zone first, followed by one node each of two other zones
+// of its region, drawn anew for each answer.
 func TestAddressesOfOtherZones(t *testing.T) {
 	var nodes []discovery.Node
 	for _, zone := range []string{"a", "b", "c", "d"} {
@@ -164,23 +164,23 @@
 	for range 200 {
 		got := directory.Addresses(nodes, nil, directory.Caller{Zone: "a", Region: "r"}, 64)
 		if len(got) != 4 || got[0] != "a1" || got[1] != "a2" || got[2][0] == got[3][0] || got[2][0] == 'a' || got[3][0] == 'a' {
-			t.Fatalf("told of %v", got)
+			t.Fatalf("got %v, want a1, a2 and one node each of two other zones", got)
 		}
 		counts[got[2]]++
 		counts[got[3]]++
 	}
 	for _, name := range []string{"b1", "b2", "c1", "c2", "d1", "d2"} {
 		if counts[name] < 30 {
-			t.Errorf("told of %s %d times of 200", name, counts[name])
+			t.Errorf("%s is in %d of 200 answers, want at least 30", name, counts[name])
 		}
 	}
 	if counts["far"] > 0 {
-		t.Error("told of a node of another region")
+		t.Error("an answer contains a node of another region")
 	}
 }
 
-// However many nodes a caller's own zone has, a third of the addresses that it is told are of
-// other zones: those are all that it has when the zone is lost, until a look-up succeeds.
+// However many nodes the caller's own zone has, at least a third of the returned addresses are in
+// other zones. They are all that the caller has left when its zone fails, until a look-up succeeds.
 func TestAddressesIncludeOtherZones(t *testing.T) {
 	const own, others = 15, 3
 	var nodes []discovery.Node
@@ -203,6 +203,6 @@
 		}
 	}
 	if 3*otherZone < len(addresses) {
-		t.Errorf("%d of %d addresses are of other zones", otherZone, len(addresses))
+		t.Errorf("%d of %d addresses are in other zones, want at least a third", otherZone, len(addresses))
 	}
 }
--- a/directory/serving.go
+++ b/directory/serving.go
@@ -11,23 +11,26 @@
 )
 
 const (
-	// minServing is the number of nodes that serve callers at least, however few
-	// connections a server takes: any one of them may be lost.
+	// minServing is the minimum number of nodes that serve callers, however few connections a
+	// server accepts: any one of the nodes may fail.
 	minServing = 3
-	// minServingPerZone is the number of nodes of each zone that serve callers at least.
+	// minServingPerZone is the number of nodes of each zone that serve callers before nodes with
+	// less capacity are left out.
 	minServingPerZone = minNearbyNodes
-	// capableShare is the part of the greatest capacity from which on a node is
-	// capable. On one with less the node itself is the slowest step of a request.
+	// capableShare is the share of the greatest capacity of any node at which a node counts as
+	// capable. With less, the node itself is the slowest step of a request.
 	capableShare = 0.5
 )
 
-// ServingNodes returns the nodes to which callers are sent: the capable ones and at
-// least two of each zone, as long as none of them is busy, and all otherwise.
-// They are never more than can hold connections to every server, and are spread
-// over the zones. Connections is the least number that a server takes from all
-// nodes together. All nodes that see the same members choose the same, and one
-// that comes or goes changes few others' part. Off names the mechanisms that are
-// switched off.
+// ServingNodes returns the nodes to which callers are sent. As long as none of them is busy, these
+// are the capable nodes and at least two of each zone, otherwise all nodes. Their number is limited
+// by the connections that the servers accept, and they are spread over the zones. Leaving nodes are
+// returned only if there are no others.
+//
+// The parameter connections is the smallest number of connections that any server accepts from all
+// nodes together, and disabled is the set of mechanisms that are switched off. All nodes with the
+// same membership view compute the same result, and a node that joins or leaves changes the role of
+// few others.
 func ServingNodes(nodes []discovery.Node, connections int, disabled mechanism.Disabled) []discovery.Node {
 	staying := filter(nodes, func(n discovery.Node) bool { return !n.Leaving })
 	if len(staying) == 0 {
@@ -41,14 +44,15 @@
 	return serving
 }
 
-// countLeavingServing is the number of leaving nodes that served callers until they
-// began to leave, and hold connections to servers until they are gone.
+// countLeavingServing returns the number of leaving nodes that served callers until they began to
+// leave. They hold connections to servers until they have ended.
 func countLeavingServing(nodes []discovery.Node, connections int) int {
 	serving := spread(nodes, max(connections, minServing), capableAmong(nodes))
 	return len(filter(serving, func(n discovery.Node) bool { return n.Leaving }))
 }
 
-// capableAmong tells which nodes are capable beside the best of them.
+// capableAmong returns a predicate that reports whether a node is capable, compared with the one in
+// the list that has the greatest capacity.
 func capableAmong(nodes []discovery.Node) func(discovery.Node) bool {
 	maxCapacity := 0.0
 	for _, n := range nodes {
@@ -57,8 +61,8 @@
 	return func(n discovery.Node) bool { return n.Capacity >= maxCapacity*capableShare }
 }
 
-// spread picks at most the given number of nodes, from all zones in turn, the
-// limit capable first: the least of each zone, and beyond those the wanted ones.
+// spread picks at most limit nodes, from all zones in turn and in each zone in descending order of
+// capacity: minServingPerZone nodes of each zone first, and beyond these only wanted ones.
 func spread(nodes []discovery.Node, limit int, wanted func(discovery.Node) bool) []discovery.Node {
 	zones := byZone(nodes)
 	var picked []discovery.Node
@@ -78,7 +82,7 @@
 	}
 }
 
-// byZone lists the nodes of each zone, the most capable first.
+// byZone groups the nodes by zone, in descending order of capacity.
 func byZone(nodes []discovery.Node) [][]discovery.Node {
 	sorted := slices.Clone(nodes)
 	slices.SortFunc(sorted, func(a, b discovery.Node) int {
