--- a/cmd/banksailctl/command_test.go
+++ b/cmd/banksailctl/command_test.go
@@ -46,7 +46,7 @@
 func newSession(t *testing.T) *session {
 	t.Helper()
 	memory := store.NewMemory(store.MemoryOptions{})
-	keeper := spread.NewKeeper(spread.KeeperOptions{
+	keeper := spread.NewReplicator(spread.ReplicatorOptions{
 		Core:           spread.CoreOptions{Self: "node-a"},
 		Store:          memory,
 		Logger:         zerolog.Nop(),
--- a/cmd/banksailctl/confirm.go
+++ b/cmd/banksailctl/confirm.go
@@ -59,7 +59,7 @@
 }
 
 func (c *confirmCommand) show(receipt policy.Receipt) {
-	if receipt.Repeated {
+	if receipt.AlreadyApplied {
 		c.print("plan %s was applied already: revision %d\n", receipt.PlanID, receipt.Revision)
 		return
 	}
--- a/cmd/banksailctl/plan.go
+++ b/cmd/banksailctl/plan.go
@@ -100,7 +100,7 @@
 		p.print("  (no difference)\n")
 	}
 	for _, difference := range plan.Differences {
-		p.print("  %s\n", difference.Short(maximumLine))
+		p.print("  %s\n", difference.Abbreviate(maximumLine))
 	}
 	for _, warning := range plan.Warnings {
 		p.print("warning: %s: %s\n", warning.Field, warning.Message)
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -21,7 +21,7 @@
 		{"configuration_push_failures_total", "Offers that failed.", func(c spread.Counters) uint64 { return c.PushFailures }},
 		{"configuration_comparisons_total", "Comparisons with another node.", func(c spread.Counters) uint64 { return c.Comparisons }},
 		{"confirmations_total", "Plans confirmed at this node.", func(c spread.Counters) uint64 { return c.Confirmations }},
-		{"confirmations_unknown_total", "Confirmations whose outcome stayed unknown.", func(c spread.Counters) uint64 { return c.UnknownOutcome }},
+		{"confirmations_unknown_total", "Confirmations whose outcome stayed unknown.", func(c spread.Counters) uint64 { return c.UnknownOutcomes }},
 	}
 	for _, total := range totals {
 		n.metrics.WatchTotal(total.name, total.help, func() uint64 { return total.read(n.keeper.Counters()) })
--- a/node/node.go
+++ b/node/node.go
@@ -39,7 +39,7 @@
 	asker        asker
 	agent        *peer.Agent
 	peerClient   *http.Client
-	keeper       *spread.Keeper
+	keeper       *spread.Replicator
 	poller       *poller
 	once         *once
 
@@ -131,11 +131,11 @@
 	return n, nil
 }
 
-// connectPeers makes the keeper of configurations and the agent, which need
+// connectPeers makes the configuration replicator and the agent, which need
 // each other.
 func (n *Node) connectPeers() {
 	identity := n.options.Settings.Node
-	n.keeper = spread.NewKeeper(spread.KeeperOptions{
+	n.keeper = spread.NewReplicator(spread.ReplicatorOptions{
 		Core:   spread.CoreOptions{Self: identity.ID, Zone: identity.Zone, Seed: n.options.Seed},
 		Store:  n.options.Store,
 		Logger: n.log,
--- a/node/peers.go
+++ b/node/peers.go
@@ -14,7 +14,7 @@
 	"github.com/banksail/banksail/spread"
 )
 
-// spreadPeers shows the agent's members to the keeper of configurations.
+// spreadPeers shows the agent's members to the configuration replicator.
 type spreadPeers struct{ agent *peer.Agent }
 
 // Members lists the nodes that take part in spreading configurations.
--- a/operator/service.go
+++ b/operator/service.go
@@ -19,7 +19,7 @@
 // Root is the path under which the API stands.
 const Root = "/v1/operator"
 
-// Configurations plans and confirms; spread's keeper implements it.
+// Configurations plans and confirms; spread.Replicator implements it.
 type Configurations interface {
 	// Plan works out what an intent would change.
 	Plan(ctx context.Context, intent policy.Intent) (policy.Plan, error)
--- a/operator/service_test.go
+++ b/operator/service_test.go
@@ -29,10 +29,10 @@
 	return json.RawMessage(document), found
 }
 
-// harness is a node's operator API over a keeper and the store's twin.
+// harness is a node's operator API over a replicator and the store's twin.
 type harness struct {
 	store  *store.Memory
-	keeper *spread.Keeper
+	keeper *spread.Replicator
 	server *httptest.Server
 	client *Client
 }
@@ -46,7 +46,7 @@
 func newHarnessWithin(t *testing.T, confirm time.Duration) *harness {
 	t.Helper()
 	h := &harness{store: store.NewMemory(store.MemoryOptions{})}
-	h.keeper = spread.NewKeeper(spread.KeeperOptions{
+	h.keeper = spread.NewReplicator(spread.ReplicatorOptions{
 		Core:           spread.CoreOptions{Self: "node-a"},
 		Store:          h.store,
 		Logger:         zerolog.Nop(),
@@ -108,7 +108,7 @@
 		t.Fatalf("got %+v, %v", receipt, err)
 	}
 	receipt, err = h.client.Confirm(ctx, plan)
-	if err != nil || !receipt.Repeated || receipt.Revision != 1 {
+	if err != nil || !receipt.AlreadyApplied || receipt.Revision != 1 {
 		t.Fatalf("confirmed again: %+v, %v", receipt, err)
 	}
 	configuration, err := h.client.Configuration(ctx)
--- a/peer/options.go
+++ b/peer/options.go
@@ -59,7 +59,7 @@
 	MaximumProbeTimeout = 5 * time.Second
 )
 
-// ConfigurationSource is what the agent needs of the keeper of configurations.
+// ConfigurationSource is what the agent needs of the configuration replicator.
 // Its methods are called from several goroutines, and under no lock of the agent.
 type ConfigurationSource interface {
 	// Revision is the one in force; zero when there is none.
@@ -80,7 +80,7 @@
 	HTTPClient *http.Client
 	// MachineList names the machines; nil for none.
 	MachineList machinelist.Conn
-	// Configurations is the node's keeper of configurations; nil for none.
+	// Configurations is the node's configuration replicator; nil for none.
 	Configurations ConfigurationSource
 	// Forwards asks servers for other nodes; nil for a node that owns no
 	// connections.
--- a/policy/difference.go
+++ b/policy/difference.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// Short formats the difference on one line of at most this many bytes.
-func (d Difference) Short(limit int) string { return truncate(d.String(), limit) }
+// Abbreviate formats the difference on one line of at most this many bytes.
+func (d Difference) Abbreviate(limit int) string { return truncate(d.String(), limit) }
 
 // compact drops the white space between the tokens of a JSON value.
 func compact(value json.RawMessage) string {
--- a/policy/errors.go
+++ b/policy/errors.go
@@ -58,9 +58,9 @@
 	Between []HistoryEntry
 	// Truncated says that the history no longer reaches back to Base.
 	Truncated bool
-	// Forgotten says that the plan may have been applied so long ago that the
+	// PlanMayBeEvicted says that the plan may have been applied so long ago that the
 	// record no longer names it.
-	Forgotten bool
+	PlanMayBeEvicted bool
 }
 
 // Error names both revisions and the changes between them.
--- a/policy/plan.go
+++ b/policy/plan.go
@@ -147,11 +147,11 @@
 	if current.Revision != plan.BaseRevision {
 		between, truncated := current.since(plan.BaseRevision)
 		return Decision{}, &ConflictError{
-			Base:      plan.BaseRevision,
-			Current:   current.Revision,
-			Between:   between,
-			Truncated: truncated,
-			Forgotten: current.Forgot(plan.BaseRevision),
+			Base:             plan.BaseRevision,
+			Current:          current.Revision,
+			Between:          between,
+			Truncated:        truncated,
+			PlanMayBeEvicted: current.MayHaveEvictedPlan(plan.BaseRevision),
 		}
 	}
 	config, err := Apply(current.Config, plan.Intent)
@@ -216,7 +216,7 @@
 func summarize(differences []Difference) []string {
 	summary := []string{}
 	for _, difference := range differences[:min(len(differences), maximumSummary)] {
-		summary = append(summary, difference.Short(maximumSummaryLine))
+		summary = append(summary, difference.Abbreviate(maximumSummaryLine))
 	}
 	return summary
 }
--- a/policy/receipt.go
+++ b/policy/receipt.go
@@ -22,8 +22,8 @@
 	Revision Revision `json:"revision,omitempty"`
 	// Current is the highest revision that the node knows.
 	Current Revision `json:"current"`
-	// Repeated says that the plan had been applied before this confirmation.
-	Repeated bool `json:"repeated,omitempty"`
+	// AlreadyApplied says that the plan had been applied before this confirmation.
+	AlreadyApplied bool `json:"repeated,omitempty"`
 	// Detail explains an outcome other than applied.
 	Detail string `json:"detail,omitempty"`
 }
--- a/policy/record.go
+++ b/policy/record.go
@@ -122,9 +122,9 @@
 	return items
 }
 
-// Forgot tells whether plans made for a base revision may have
+// MayHaveEvictedPlan tells whether plans made for a base revision may have
 // been applied and dropped from RecentPlans since.
-func (r Record) Forgot(base Revision) bool {
+func (r Record) MayHaveEvictedPlan(base Revision) bool {
 	if len(r.RecentPlans) == 0 {
 		return false
 	}
--- a/spread/cluster_test.go
+++ b/spread/cluster_test.go
@@ -20,7 +20,7 @@
 type cluster struct {
 	t       *testing.T
 	store   *store.Memory
-	keepers []*Keeper
+	keepers []*Replicator
 
 	mutex sync.Mutex
 	// isolated nodes reach no peer and are reached by none.
@@ -87,7 +87,7 @@
 
 var errCut = errors.New("cut off")
 
-func (p nodePeers) reach(id string) (*Keeper, error) {
+func (p nodePeers) reach(id string) (*Replicator, error) {
 	p.cluster.mutex.Lock()
 	defer p.cluster.mutex.Unlock()
 	if p.cluster.isolated[id] || p.cluster.isolated[p.self] {
@@ -123,10 +123,10 @@
 	return &cluster{t: t, store: store.NewMemory(store.MemoryOptions{}), isolated: map[string]bool{}}
 }
 
-func (c *cluster) all() []*Keeper {
+func (c *cluster) all() []*Replicator {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return append([]*Keeper{}, c.keepers...)
+	return append([]*Replicator{}, c.keepers...)
 }
 
 func (c *cluster) isolate(id string, isolated bool) {
@@ -136,12 +136,12 @@
 }
 
 // start runs a keeper until the test's context ends.
-func (c *cluster) start(ctx context.Context, conn store.Conn) *Keeper {
+func (c *cluster) start(ctx context.Context, conn store.Conn) *Replicator {
 	c.mutex.Lock()
 	number := len(c.keepers)
 	id := fmt.Sprintf("node-%d", number)
 	plans := 0
-	keeper := NewKeeper(KeeperOptions{
+	keeper := NewReplicator(ReplicatorOptions{
 		Core:   CoreOptions{Self: id, Zone: fmt.Sprintf("zone-%d", number%3), Seed: uint64(number)},
 		Store:  conn,
 		Peers:  nodePeers{cluster: c, self: id},
@@ -157,14 +157,14 @@
 	return keeper
 }
 
-func (c *cluster) startMany(ctx context.Context, count int) []*Keeper {
+func (c *cluster) startMany(ctx context.Context, count int) []*Replicator {
 	for range count {
 		c.start(ctx, c.store)
 	}
 	return c.keepers
 }
 
-func (c *cluster) wantRevision(want policy.Revision, keepers ...*Keeper) {
+func (c *cluster) wantRevision(want policy.Revision, keepers ...*Replicator) {
 	c.t.Helper()
 	for _, keeper := range keepers {
 		if got := keeper.Revision(); got != want {
@@ -199,7 +199,7 @@
 	return policy.Intent{Author: author, Changes: []policy.Change{{SetClass: &class}}}
 }
 
-func mustPlan(t *testing.T, keeper *Keeper, intent policy.Intent) policy.Plan {
+func mustPlan(t *testing.T, keeper *Replicator, intent policy.Intent) policy.Plan {
 	t.Helper()
 	plan, err := keeper.Plan(t.Context(), intent)
 	if err != nil {
@@ -208,7 +208,7 @@
 	return plan
 }
 
-func mustConfirm(t *testing.T, keeper *Keeper, plan policy.Plan) policy.Receipt {
+func mustConfirm(t *testing.T, keeper *Replicator, plan policy.Plan) policy.Receipt {
 	t.Helper()
 	receipt, err := keeper.Confirm(t.Context(), plan)
 	if err != nil {
--- a/spread/confirm.go
+++ b/spread/confirm.go
@@ -21,7 +21,7 @@
 // Plan works out what an intent would change. It reads the store for the
 // newest revision; when the store can't be read, it plans on the revision in
 // force at this node, and the plan carries a warning.
-func (k *Keeper) Plan(ctx context.Context, intent policy.Intent) (policy.Plan, error) {
+func (k *Replicator) Plan(ctx context.Context, intent policy.Intent) (policy.Plan, error) {
 	storeErr := k.refresh(ctx)
 	base := policy.Record{}
 	if current := k.snapshot(); current != nil {
@@ -41,7 +41,7 @@
 }
 
 // refresh reads the store's record and offers it.
-func (k *Keeper) refresh(ctx context.Context) error {
+func (k *Replicator) refresh(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, k.options.StoreTimeout)
 	defer cancel()
 	record, err := k.options.Store.Get(ctx, policy.StoreKey)
@@ -54,7 +54,7 @@
 	return k.offerStored(record)
 }
 
-func (k *Keeper) liveNodes() int {
+func (k *Replicator) liveNodes() int {
 	nodes := 1
 	peers := k.currentPeers()
 	if peers == nil {
@@ -75,7 +75,7 @@
 // stands, it sends the same swap again. The error is a *policy.ConflictError
 // when another plan came first, ErrOutcomeUnknown when the plan may be in
 // effect, and any other error means that nothing changed.
-func (k *Keeper) Confirm(ctx context.Context, plan policy.Plan) (policy.Receipt, error) {
+func (k *Replicator) Confirm(ctx context.Context, plan policy.Plan) (policy.Receipt, error) {
 	k.metrics.confirmations.Add(1)
 	if err := plan.Verify(); err != nil {
 		return k.receipt(plan, policy.OutcomeNotApplied), err
@@ -87,12 +87,12 @@
 	if err == nil {
 		receipt := k.receipt(plan, policy.OutcomeApplied)
 		receipt.Revision = revision
-		receipt.Repeated = confirmation.found && !confirmation.maybeSent
+		receipt.AlreadyApplied = confirmation.found && !confirmation.maybeSent
 		return receipt, nil
 	}
 	var conflict *policy.ConflictError
 	switch {
-	case errors.As(err, &conflict) && conflict.Forgotten:
+	case errors.As(err, &conflict) && conflict.PlanMayBeEvicted:
 		receipt := k.receipt(plan, policy.OutcomeUnknown)
 		receipt.Detail = forgottenDetail
 		return receipt, err
@@ -107,14 +107,14 @@
 // forgottenDetail explains an outcome that can't be known any more.
 const forgottenDetail = "the record no longer names plans that old"
 
-func (k *Keeper) receipt(plan policy.Plan, outcome policy.Outcome) policy.Receipt {
+func (k *Replicator) receipt(plan policy.Plan, outcome policy.Outcome) policy.Receipt {
 	revision, _ := k.Record()
 	return policy.Receipt{PlanID: plan.ID, Outcome: outcome, Current: revision}
 }
 
 // confirmation is one call of Confirm.
 type confirmation struct {
-	keeper *Keeper
+	keeper *Replicator
 	plan   policy.Plan
 	at     time.Time
 	// maybeSent says that a swap was sent whose outcome is not known.
@@ -161,7 +161,7 @@
 
 // readForSwap reads the record and the store's own revision of it. It refuses
 // a record that is older than what is known to be in force.
-func (k *Keeper) readForSwap(ctx context.Context, plan policy.Plan) (record policy.Record, base uint64, err error) {
+func (k *Replicator) readForSwap(ctx context.Context, plan policy.Plan) (record policy.Record, base uint64, err error) {
 	if current := k.snapshot(); current != nil {
 		if _, found := current.record.FindPlan(plan.ID); found {
 			return current.record, 0, nil
@@ -201,7 +201,7 @@
 // restore writes the record in force back to a store that lost it. The swap
 // fails when the store only answered an old revision. It always returns
 // ErrStoreBehind or ErrStoreUnavailable, after which the caller reads again.
-func (k *Keeper) restore(ctx context.Context, current *state, found policy.Revision, base uint64) error {
+func (k *Replicator) restore(ctx context.Context, current *state, found policy.Revision, base uint64) error {
 	_, err := k.options.Store.Put(ctx, policy.StoreKey, current.bytes, base, "")
 	if err != nil && !errors.Is(err, store.ErrConflict) {
 		return fmt.Errorf("%w: %w", ErrStoreUnavailable, err)
@@ -244,7 +244,7 @@
 // Outcome looks up whether a plan made for a base revision is in effect. It
 // says not applied only when another plan took its place: as long as the base
 // stands, a swap may be under way, or the store may answer an old revision.
-func (k *Keeper) Outcome(ctx context.Context, planID string, base policy.Revision) (policy.Receipt, error) {
+func (k *Replicator) Outcome(ctx context.Context, planID string, base policy.Revision) (policy.Receipt, error) {
 	storeErr := k.refresh(ctx)
 	receipt := k.receipt(policy.Plan{ID: planID}, policy.OutcomeUnknown)
 	current := k.snapshot()
@@ -260,7 +260,7 @@
 		receipt.Detail = storeErr.Error()
 	case receipt.Current <= base:
 		receipt.Detail = "nothing took its place yet; confirm it again: it is applied once at most"
-	case current.record.Forgot(base):
+	case current.record.MayHaveEvictedPlan(base):
 		receipt.Detail = forgottenDetail
 	default:
 		receipt.Outcome = policy.OutcomeNotApplied
--- a/spread/core.go
+++ b/spread/core.go
@@ -37,8 +37,8 @@
 	PushFanout int
 	// CompareInterval is the mean time between comparisons with a random peer.
 	CompareInterval time.Duration
-	// WatchWait is how long one watch of the store may last.
-	WatchWait time.Duration
+	// WatchTimeout is how long one watch of the store may last.
+	WatchTimeout time.Duration
 	// MinimumWatchers is the least number of nodes that watch the store.
 	MinimumWatchers int
 	// MaximumWatchers bounds the nodes that watch the store, one a zone.
@@ -49,7 +49,7 @@
 const (
 	DefaultPushFanout      = 3
 	DefaultCompareInterval = 2 * time.Second
-	DefaultWatchWait       = 20 * time.Second
+	DefaultWatchTimeout    = 20 * time.Second
 	DefaultMinimumWatchers = 3
 	DefaultMaximumWatchers = 8
 )
@@ -87,7 +87,7 @@
 func (o CoreOptions) withDefaults() CoreOptions {
 	o.PushFanout = cmp.Or(o.PushFanout, DefaultPushFanout)
 	o.CompareInterval = cmp.Or(o.CompareInterval, DefaultCompareInterval)
-	o.WatchWait = cmp.Or(o.WatchWait, DefaultWatchWait)
+	o.WatchTimeout = cmp.Or(o.WatchTimeout, DefaultWatchTimeout)
 	o.MinimumWatchers = cmp.Or(o.MinimumWatchers, DefaultMinimumWatchers)
 	o.MaximumWatchers = cmp.Or(o.MaximumWatchers, DefaultMaximumWatchers)
 	return o
@@ -135,25 +135,25 @@
 // Revision is the highest revision that the core has adopted.
 func (c *Core) Revision() policy.Revision { return c.revision }
 
-// Watcher tells whether the node watches the store.
-func (c *Core) Watcher() bool { return c.watcher }
+// IsWatcher tells whether the node watches the store.
+func (c *Core) IsWatcher() bool { return c.watcher }
 
 // Step takes one event and returns what the owner must do, in order.
 func (c *Core) Step(now time.Duration, event Event) []Action {
 	c.start(now)
 	var actions []Action
 	switch event := event.(type) {
-	case Offered:
+	case RecordOffered:
 		actions = c.offered(now, event)
 	case MembersChanged:
 		c.membersChanged(now, event.Members)
-	case StoreAnswered:
+	case StoreReadCompleted:
 		c.storeAnswered(now, event)
-	case FetchAnswered:
+	case FetchCompleted:
 		c.fetchAnswered(now, event)
-	case PushAnswered:
+	case PushCompleted:
 		actions = c.pushAnswered(event)
-	case Woken:
+	case TimerFired:
 		c.wakeAt = never
 	}
 	actions = append(actions, c.dueActions(now)...)
@@ -170,10 +170,10 @@
 }
 
 // offered adopts a higher revision and pushes it on; anything else changes nothing.
-func (c *Core) offered(now time.Duration, event Offered) []Action {
+func (c *Core) offered(now time.Duration, event RecordOffered) []Action {
 	c.heard(event.From, event.Revision)
 	if event.Revision == c.revision && event.Digest != c.digest {
-		return []Action{Diverged{Revision: event.Revision, From: event.From}}
+		return []Action{ReportDivergence{Revision: event.Revision, From: event.From}}
 	}
 	if event.Revision <= c.revision {
 		return nil
@@ -210,18 +210,18 @@
 }
 
 // pushAnswered replaces a failed push by one to another member.
-func (c *Core) pushAnswered(event PushAnswered) []Action {
+func (c *Core) pushAnswered(event PushCompleted) []Action {
 	if !event.Failed {
 		c.heard(event.Member, event.Revision)
 		return nil
 	}
-	if event.Pushed != c.revision {
+	if event.PushedRevision != c.revision {
 		return nil
 	}
 	return c.pushes(1)
 }
 
-func (c *Core) fetchAnswered(now time.Duration, event FetchAnswered) {
+func (c *Core) fetchAnswered(now time.Duration, event FetchCompleted) {
 	c.fetching = false
 	if event.Failed {
 		c.compareDue = now + c.jitter(max(retryFetchDelay, c.compareInterval()/4))
@@ -238,7 +238,7 @@
 	return c.options.CompareInterval
 }
 
-func (c *Core) storeAnswered(now time.Duration, event StoreAnswered) {
+func (c *Core) storeAnswered(now time.Duration, event StoreReadCompleted) {
 	c.storeReading = false
 	if event.Failed {
 		c.storeBackoff = min(max(2*c.storeBackoff, storeBackoffBase), storeBackoffMaximum)
@@ -269,9 +269,9 @@
 		c.storeReading = true
 		wait := time.Duration(0)
 		if c.watcher {
-			wait = c.options.WatchWait
+			wait = c.options.WatchTimeout
 		}
-		actions = append(actions, ReadStore{Wait: wait})
+		actions = append(actions, ReadStore{MaxWait: wait})
 	}
 	if !c.fetching && now >= c.compareDue {
 		if len(c.members) == 0 {
@@ -310,7 +310,7 @@
 		return nil
 	}
 	c.wakeAt = at
-	return []Action{Wake{At: at}}
+	return []Action{SetTimer{At: at}}
 }
 
 // jitter draws evenly between half and one and a half times the duration.
--- a/spread/core_bench_test.go
+++ b/spread/core_bench_test.go
@@ -16,7 +16,7 @@
 				members = append(members, Member{ID: fmt.Sprintf("node-%04d", index), Zone: fmt.Sprintf("zone-%d", index%8), Revision: 1})
 			}
 			core := NewCore(CoreOptions{Self: "node-0000", Zone: "zone-0"})
-			core.Step(0, Offered{Revision: 1})
+			core.Step(0, RecordOffered{Revision: 1})
 			b.ReportAllocs()
 			for b.Loop() {
 				core.Step(time.Second, MembersChanged{Members: members})
--- a/spread/delta_test.go
+++ b/spread/delta_test.go
@@ -72,7 +72,7 @@
 		if err := stranger.Offer(2, delta); err != nil {
 			t.Fatal(err)
 		}
-		if revision := stranger.Revision(); revision != 1 || stranger.Counters().DeltaMisfits != 1 {
+		if revision := stranger.Revision(); revision != 1 || stranger.Counters().DeltaMismatches != 1 {
 			t.Fatalf("revision %d, %+v", revision, stranger.Counters())
 		}
 		if err := stranger.Offer(2, append([]byte(`{"delta":`), "1}"...)); err == nil {
@@ -116,12 +116,12 @@
 			"the base is in force":                               {base.bytes, 0},
 			"another history gets the whole record in its place": {strangerStore.snapshot().bytes, 1},
 		} {
-			behind := NewKeeper(KeeperOptions{Core: CoreOptions{Self: "behind"}, Peers: nodePeers{cluster: c, self: "behind"}, Logger: zerolog.Nop()})
+			behind := NewReplicator(ReplicatorOptions{Core: CoreOptions{Self: "behind"}, Peers: nodePeers{cluster: c, self: "behind"}, Logger: zerolog.Nop()})
 			if err := behind.Offer(1, test.base); err != nil {
 				t.Fatal(err)
 			}
 			behind.fetch(ctx, Fetch{Member: "node-0", Above: 1})
-			if revision := behind.Revision(); revision != 2 || behind.Counters().DeltaMisfits != test.misfits {
+			if revision := behind.Revision(); revision != 2 || behind.Counters().DeltaMismatches != test.misfits {
 				t.Errorf("%s: revision %d, %+v", name, revision, behind.Counters())
 			}
 		}
@@ -134,10 +134,10 @@
 // whole record, as the answer told the revision before.
 func TestADeltaThatIsBeingTakenInIsNotAnsweredByTheRevisionBefore(t *testing.T) {
 	c := newCluster(t)
-	source := NewKeeper(KeeperOptions{Core: CoreOptions{Self: "source"}, Store: c.store, Logger: zerolog.Nop()})
+	source := NewReplicator(ReplicatorOptions{Core: CoreOptions{Self: "source"}, Store: c.store, Logger: zerolog.Nop()})
 	mustConfirm(t, source, mustPlan(t, source, initialIntent()))
-	target := NewKeeper(KeeperOptions{Core: CoreOptions{Self: "node-0"}, Logger: zerolog.Nop()})
-	c.keepers = []*Keeper{target}
+	target := NewReplicator(ReplicatorOptions{Core: CoreOptions{Self: "node-0"}, Logger: zerolog.Nop()})
+	c.keepers = []*Replicator{target}
 	if err := target.Offer(1, source.snapshot().bytes); err != nil {
 		t.Fatal(err)
 	}
@@ -149,10 +149,10 @@
 		}
 	})
 	mustConfirm(t, source, mustPlan(t, source, deadlineIntent("ann", 80)))
-	pushers, pushed := make([]*Keeper, 2), make(chan policy.Revision, 2)
+	pushers, pushed := make([]*Replicator, 2), make(chan policy.Revision, 2)
 	push := func(number int) {
 		name := fmt.Sprintf("pusher-%d", number)
-		pushers[number] = NewKeeper(KeeperOptions{Core: CoreOptions{Self: name}, Peers: nodePeers{cluster: c, self: name}, Logger: zerolog.Nop()})
+		pushers[number] = NewReplicator(ReplicatorOptions{Core: CoreOptions{Self: name}, Peers: nodePeers{cluster: c, self: name}, Logger: zerolog.Nop()})
 		go func() {
 			revision, err := pushers[number].pushState(t.Context(), "node-0", source.snapshot())
 			if err != nil {
--- a/spread/example_test.go
+++ b/spread/example_test.go
@@ -27,10 +27,10 @@
 
 // An operator's intent becomes a plan, and takes effect once it is confirmed. A
 // plan that is confirmed again changes nothing.
-func ExampleKeeper() {
+func ExampleReplicator() {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	keeper := spread.NewKeeper(spread.KeeperOptions{
+	keeper := spread.NewReplicator(spread.ReplicatorOptions{
 		Core:      spread.CoreOptions{Self: "node-1"},
 		Store:     store.NewMemory(store.MemoryOptions{}),
 		Peers:     alone{},
@@ -61,7 +61,7 @@
 	}
 	for range 2 {
 		receipt, err := keeper.Confirm(ctx, plan)
-		fmt.Println(receipt.Outcome, "at revision", receipt.Revision, "repeated:", receipt.Repeated, err)
+		fmt.Println(receipt.Outcome, "at revision", receipt.Revision, "repeated:", receipt.AlreadyApplied, err)
 	}
 	stop()
 	<-ended
--- a/spread/metrics.go
+++ b/spread/metrics.go
@@ -21,19 +21,19 @@
 	// StoreReads counts reads and watches; StoreFailures, those that failed.
 	StoreReads, StoreFailures uint64
 	// DeltaPushes and RecordPushes count offers to peers; PushFailures, those
-	// that failed; DeltaMisfits, deltas that did not lead to their record.
-	DeltaPushes, RecordPushes, PushFailures, DeltaMisfits uint64
+	// that failed; DeltaMismatches, deltas that did not lead to their record.
+	DeltaPushes, RecordPushes, PushFailures, DeltaMismatches uint64
 	// Comparisons counts questions to peers; CompareFailures, those that failed.
 	Comparisons, CompareFailures uint64
-	// Confirmations counts plans to confirm; UnknownOutcome, those whose
+	// Confirmations counts plans to confirm; UnknownOutcomes, those whose
 	// outcome stayed unknown.
-	Confirmations, UnknownOutcome uint64
-	// Restored counts records written back to a store that had lost them.
-	Restored uint64
+	Confirmations, UnknownOutcomes uint64
+	// RestoredRecords counts records written back to a store that had lost them.
+	RestoredRecords uint64
 }
 
 // Counters reads the counters.
-func (k *Keeper) Counters() Counters {
+func (k *Replicator) Counters() Counters {
 	return Counters{
 		Adopted:         k.metrics.adopted.Load(),
 		Rejected:        k.metrics.rejected.Load(),
@@ -43,11 +43,11 @@
 		DeltaPushes:     k.metrics.deltaPushes.Load(),
 		RecordPushes:    k.metrics.recordPushes.Load(),
 		PushFailures:    k.metrics.pushFailures.Load(),
-		DeltaMisfits:    k.metrics.deltaMisfits.Load(),
+		DeltaMismatches: k.metrics.deltaMisfits.Load(),
 		Comparisons:     k.metrics.comparisons.Load(),
 		CompareFailures: k.metrics.compareFailures.Load(),
 		Confirmations:   k.metrics.confirmations.Load(),
-		UnknownOutcome:  k.metrics.unknownOutcome.Load(),
-		Restored:        k.metrics.restored.Load(),
+		UnknownOutcomes: k.metrics.unknownOutcome.Load(),
+		RestoredRecords: k.metrics.restored.Load(),
 	}
 }
--- a/spread/property_test.go
+++ b/spread/property_test.go
@@ -20,7 +20,7 @@
 // interleaving plays one list of operations on a few nodes.
 type interleaving struct {
 	store   *store.Memory
-	keepers []*Keeper
+	keepers []*Replicator
 	// records holds every record ever seen, for late and crossed offers.
 	records []policy.Revision
 	bytes   map[policy.Revision][]byte
@@ -42,7 +42,7 @@
 	for index := range operationNodes {
 		plans := 0
 		id := fmt.Sprintf("node-%d", index)
-		play.keepers = append(play.keepers, NewKeeper(KeeperOptions{
+		play.keepers = append(play.keepers, NewReplicator(ReplicatorOptions{
 			Core:      CoreOptions{Self: id, Seed: uint64(index)},
 			Store:     play.store,
 			Logger:    zerolog.Nop(),
--- a/spread/keeper.go
+++ b/spread/replicator.go
@@ -43,8 +43,8 @@
 	Push(ctx context.Context, member string, revision policy.Revision, record []byte) (policy.Revision, error)
 }
 
-// KeeperOptions sets up a keeper; zero values of times mean the defaults.
-type KeeperOptions struct {
+// ReplicatorOptions sets up a keeper; zero values of times mean the defaults.
+type ReplicatorOptions struct {
 	// Core sets identity, seed and pace.
 	Core CoreOptions
 	// Store holds the record.
@@ -63,16 +63,16 @@
 	PeerTimeout time.Duration
 	// ConfirmTimeout bounds a confirmation with all its retries.
 	ConfirmTimeout time.Duration
-	// MembersInterval is the time between two looks at the members.
-	MembersInterval time.Duration
+	// MemberPollInterval is the time between two looks at the members.
+	MemberPollInterval time.Duration
 }
 
-// Defaults of KeeperOptions.
+// Defaults of ReplicatorOptions.
 const (
-	DefaultStoreTimeout    = 3 * time.Second
-	DefaultPeerTimeout     = 1500 * time.Millisecond
-	DefaultConfirmTimeout  = 8 * time.Second
-	DefaultMembersInterval = time.Second
+	DefaultStoreTimeout       = 3 * time.Second
+	DefaultPeerTimeout        = 1500 * time.Millisecond
+	DefaultConfirmTimeout     = 8 * time.Second
+	DefaultMemberPollInterval = time.Second
 )
 
 // state is one adopted record; it is never changed once made.
@@ -84,10 +84,10 @@
 	delta []byte
 }
 
-// Keeper drives the Core of one node: it owns the record in force, the calls
+// Replicator drives the Core of one node: it owns the record in force, the calls
 // to store and peers, and the operators' plans.
-type Keeper struct {
-	options KeeperOptions
+type Replicator struct {
+	options ReplicatorOptions
 	epoch   time.Time
 
 	// mutex guards core, current, pending and peers. Invariant: current is the
@@ -111,19 +111,19 @@
 	metrics keeperMetrics
 }
 
-// NewKeeper makes a keeper that knows no configuration; Run starts it.
-func NewKeeper(options KeeperOptions) *Keeper {
+// NewReplicator makes a keeper that knows no configuration; Run starts it.
+func NewReplicator(options ReplicatorOptions) *Replicator {
 	options.StoreTimeout = cmp.Or(options.StoreTimeout, DefaultStoreTimeout)
 	options.PeerTimeout = cmp.Or(options.PeerTimeout, DefaultPeerTimeout)
 	options.ConfirmTimeout = cmp.Or(options.ConfirmTimeout, DefaultConfirmTimeout)
-	options.MembersInterval = cmp.Or(options.MembersInterval, DefaultMembersInterval)
+	options.MemberPollInterval = cmp.Or(options.MemberPollInterval, DefaultMemberPollInterval)
 	if options.Now == nil {
 		options.Now = time.Now
 	}
 	if options.NewPlanID == nil {
 		options.NewPlanID = uuid.NewString
 	}
-	return &Keeper{
+	return &Replicator{
 		options: options,
 		epoch:   time.Now(),
 		core:    NewCore(options.Core),
@@ -133,19 +133,19 @@
 }
 
 // SetPeers gives the keeper its peers; it must be called before Run.
-func (k *Keeper) SetPeers(peers Peers) {
+func (k *Replicator) SetPeers(peers Peers) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.peers = peers
 }
 
 // Revision is the revision in force at this node; zero when none is.
-func (k *Keeper) Revision() policy.Revision {
+func (k *Replicator) Revision() policy.Revision {
 	return policy.Revision(k.inForce.Load())
 }
 
 // Record returns the record in force, byte for byte. The bytes must not be changed.
-func (k *Keeper) Record() (policy.Revision, []byte) {
+func (k *Replicator) Record() (policy.Revision, []byte) {
 	current := k.snapshot()
 	if current == nil {
 		return 0, nil
@@ -157,7 +157,7 @@
 // to the one in force here: a delta when it is one revision behind and there is
 // one, else the record, byte for byte. Nothing is returned when it is not behind.
 // The bytes must not be changed.
-func (k *Keeper) RecordAbove(above policy.Revision) (policy.Revision, []byte) {
+func (k *Replicator) RecordAbove(above policy.Revision) (policy.Revision, []byte) {
 	current := k.snapshot()
 	if current == nil || current.record.Revision <= above {
 		return 0, nil
@@ -171,7 +171,7 @@
 
 // Current returns the configuration in force; ok is false when none is known.
 // The configuration must not be changed.
-func (k *Keeper) Current() (revision policy.Revision, config policy.Config, ok bool) {
+func (k *Replicator) Current() (revision policy.Revision, config policy.Config, ok bool) {
 	current := k.snapshot()
 	if current == nil {
 		return 0, policy.Config{}, false
@@ -180,7 +180,7 @@
 }
 
 // History lists the latest changes, oldest first.
-func (k *Keeper) History() []policy.HistoryEntry {
+func (k *Replicator) History() []policy.HistoryEntry {
 	current := k.snapshot()
 	if current == nil {
 		return []policy.HistoryEntry{}
@@ -188,7 +188,7 @@
 	return current.record.History
 }
 
-func (k *Keeper) snapshot() *state {
+func (k *Replicator) snapshot() *state {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.current
@@ -197,7 +197,7 @@
 // Subscribe calls back with each configuration that comes into force, in
 // growing order of revisions, starting with the present one. The callback must
 // not call Subscribe, Offer or Confirm.
-func (k *Keeper) Subscribe(callback func(policy.Revision, policy.Config)) {
+func (k *Replicator) Subscribe(callback func(policy.Revision, policy.Config)) {
 	k.notifyMutex.Lock()
 	defer k.notifyMutex.Unlock()
 	k.subscribers = append(k.subscribers, callback)
@@ -209,7 +209,7 @@
 // Offer takes a record, or a delta to one, from a peer. Lower and equal
 // revisions change nothing, nor does a delta that does not fit the record in
 // force: the peer sees by the revision in force that it must send the record.
-func (k *Keeper) Offer(revision policy.Revision, data []byte) error {
+func (k *Replicator) Offer(revision policy.Revision, data []byte) error {
 	// What another call is taking into force is in force when this one ends. Without that, the
 	// peer was told of the revision before, and sent the whole record (3 of 380 plays).
 	defer k.notify()
@@ -220,7 +220,7 @@
 }
 
 // offer checks a record and adopts it if its revision is higher.
-func (k *Keeper) offer(revision policy.Revision, data []byte, from string) error {
+func (k *Replicator) offer(revision policy.Revision, data []byte, from string) error {
 	current := k.snapshot()
 	if current != nil && revision < current.record.Revision {
 		return nil
@@ -241,7 +241,7 @@
 }
 
 // offerDelta applies a delta to the record in force, if it is the base.
-func (k *Keeper) offerDelta(revision policy.Revision, data []byte) error {
+func (k *Replicator) offerDelta(revision policy.Revision, data []byte) error {
 	current := k.snapshot()
 	if current == nil || revision != current.record.Revision+1 {
 		return nil
@@ -280,14 +280,14 @@
 }
 
 // adopt lets the core decide on a checked record.
-func (k *Keeper) adopt(next *state, from string) error {
-	event := Offered{Revision: next.record.Revision, Digest: next.digest, From: from}
+func (k *Replicator) adopt(next *state, from string) error {
+	event := RecordOffered{Revision: next.record.Revision, Digest: next.digest, From: from}
 	err := k.offerToCore(event, next)
 	k.notify()
 	return err
 }
 
-func (k *Keeper) offerToCore(event Offered, next *state) error {
+func (k *Replicator) offerToCore(event RecordOffered, next *state) error {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	var diverged error
@@ -297,7 +297,7 @@
 			k.current = next
 			k.metrics.adopted.Add(1)
 			k.options.Logger.Info().Uint64("revision", uint64(action.Revision)).Str("from", from(event)).Msg("configuration adopted")
-		case Diverged:
+		case ReportDivergence:
 			diverged = fmt.Errorf("%w: revision %d", ErrDiverged, action.Revision)
 			k.metrics.diverged.Add(1)
 			k.options.Logger.Error().Uint64("revision", uint64(action.Revision)).Str("from", from(event)).Msg("two records of one revision differ")
@@ -309,7 +309,7 @@
 	return diverged
 }
 
-func from(event Offered) string {
+func from(event RecordOffered) string {
 	if event.From == "" {
 		return "store or push"
 	}
@@ -317,7 +317,7 @@
 }
 
 // notify gives the record in force to the subscribers that have not seen it.
-func (k *Keeper) notify() {
+func (k *Replicator) notify() {
 	k.notifyMutex.Lock()
 	defer k.notifyMutex.Unlock()
 	current := k.snapshot()
@@ -330,11 +330,11 @@
 	k.inForce.Store(uint64(current.record.Revision))
 }
 
-func (k *Keeper) wakeRun() {
+func (k *Replicator) wakeRun() {
 	select {
 	case k.signal <- struct{}{}:
 	default:
 	}
 }
 
-func (k *Keeper) now() time.Duration { return time.Since(k.epoch) }
+func (k *Replicator) now() time.Duration { return time.Since(k.epoch) }
--- a/spread/keeper_bench_test.go
+++ b/spread/replicator_bench_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	keeper := NewKeeper(KeeperOptions{Core: CoreOptions{Self: "a"}, Store: store.NewMemory(store.MemoryOptions{}), Logger: zerolog.Nop()})
+	keeper := NewReplicator(ReplicatorOptions{Core: CoreOptions{Self: "a"}, Store: store.NewMemory(store.MemoryOptions{}), Logger: zerolog.Nop()})
 	if err := keeper.Offer(1, record); err != nil {
 		b.Fatal(err)
 	}
--- a/spread/keeper_test.go
+++ b/spread/replicator_test.go
@@ -60,7 +60,7 @@
 		plan := mustPlan(t, keepers[0], initialIntent())
 		first := mustConfirm(t, keepers[0], plan)
 		second := mustConfirm(t, keepers[1], plan)
-		if first.Revision != 1 || second.Revision != 1 || first.Repeated || !second.Repeated {
+		if first.Revision != 1 || second.Revision != 1 || first.AlreadyApplied || !second.AlreadyApplied {
 			t.Fatalf("got %+v and %+v", first, second)
 		}
 	})
@@ -72,7 +72,7 @@
 		plan := mustPlan(t, keepers[0], initialIntent())
 		c.store.SetFaults(store.MemoryFaults{LoseReplies: 1})
 		receipt := mustConfirm(t, keepers[0], plan)
-		if receipt.Revision != 1 || receipt.Repeated {
+		if receipt.Revision != 1 || receipt.AlreadyApplied {
 			t.Fatalf("got %+v", receipt)
 		}
 		c.wantRevision(1, keepers...)
@@ -220,7 +220,7 @@
 		if !errors.Is(err, ErrStoreBehind) || receipt.Outcome != policy.OutcomeNotApplied {
 			t.Fatalf("got %+v, %v", receipt, err)
 		}
-		if restored := keepers[1].Counters().Restored; restored != 0 {
+		if restored := keepers[1].Counters().RestoredRecords; restored != 0 {
 			t.Fatal("a stale read was taken for a loss")
 		}
 		c.store.SetFaults(store.MemoryFaults{})
@@ -244,7 +244,7 @@
 			t.Fatal(err)
 		}
 		receipt := mustConfirm(t, keeper, mustPlan(t, keeper, deadlineIntent("bob", 60)))
-		if receipt.Revision != 3 || keeper.Counters().Restored != 1 {
+		if receipt.Revision != 3 || keeper.Counters().RestoredRecords != 1 {
 			t.Fatalf("got %+v, %+v", receipt, keeper.Counters())
 		}
 	})
@@ -335,7 +335,7 @@
 }
 
 func TestOfferRefuses(t *testing.T) {
-	keeper := NewKeeper(KeeperOptions{Core: CoreOptions{Self: "a"}, Logger: zerolog.Nop()})
+	keeper := NewReplicator(ReplicatorOptions{Core: CoreOptions{Self: "a"}, Logger: zerolog.Nop()})
 	first := nextRecord(t, policy.Record{}, "p")
 	data, err := policy.EncodeRecord(first)
 	if err != nil {
--- a/spread/restored_test.go
+++ b/spread/restored_test.go
@@ -28,7 +28,7 @@
 		c.isolate(keepers[2].options.Core.Self, true)
 		for number, deadline := range []policy.Milliseconds{70, 60} {
 			mustConfirm(t, keepers[1], mustPlan(t, keepers[1], deadlineIntent("bob", deadline)))
-			time.Sleep(2 * DefaultWatchWait)
+			time.Sleep(2 * DefaultWatchTimeout)
 			c.wantRevision(policy.Revision(3+number), keepers...)
 		}
 	})
--- a/spread/run.go
+++ b/spread/run.go
@@ -14,11 +14,11 @@
 
 // Run watches and spreads the configuration until the context ends; it then
 // waits for its calls to end and returns nil.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Replicator) Run(ctx context.Context) error {
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	reader := &storeReader{keeper: k}
-	membersTicker := time.NewTicker(k.options.MembersInterval)
+	membersTicker := time.NewTicker(k.options.MemberPollInterval)
 	defer membersTicker.Stop()
 	wake := time.NewTimer(0)
 	defer wake.Stop()
@@ -32,7 +32,7 @@
 			return nil
 		case <-k.signal:
 		case <-wake.C:
-			k.step(Woken{})
+			k.step(TimerFired{})
 		case <-membersTicker.C:
 			k.step(k.membersEvent())
 		}
@@ -40,14 +40,14 @@
 }
 
 // step gives the core an event that can't adopt anything.
-func (k *Keeper) step(event Event) {
+func (k *Replicator) step(event Event) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.pending = append(k.pending, k.core.Step(k.now(), event)...)
 	k.wakeRun()
 }
 
-func (k *Keeper) takePending() []Action {
+func (k *Replicator) takePending() []Action {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	actions := k.pending
@@ -55,7 +55,7 @@
 	return actions
 }
 
-func (k *Keeper) membersEvent() MembersChanged {
+func (k *Replicator) membersEvent() MembersChanged {
 	peers := k.currentPeers()
 	if peers == nil {
 		return MembersChanged{}
@@ -63,7 +63,7 @@
 	return MembersChanged{Members: peers.Members()}
 }
 
-func (k *Keeper) currentPeers() Peers {
+func (k *Replicator) currentPeers() Peers {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.peers
@@ -71,12 +71,12 @@
 
 // perform starts an action; calls run in goroutines of their own, which the
 // core bounds: one store read, one comparison, and the fan-out of pushes.
-func (k *Keeper) perform(ctx context.Context, calls *sync.WaitGroup, reader *storeReader, wake *time.Timer, action Action) {
+func (k *Replicator) perform(ctx context.Context, calls *sync.WaitGroup, reader *storeReader, wake *time.Timer, action Action) {
 	switch action := action.(type) {
-	case Wake:
+	case SetTimer:
 		wake.Reset(max(0, action.At-k.now()))
 	case ReadStore:
-		calls.Go(func() { reader.read(ctx, action.Wait) })
+		calls.Go(func() { reader.read(ctx, action.MaxWait) })
 	case Fetch:
 		calls.Go(func() { k.fetch(ctx, action) })
 	case Push:
@@ -84,7 +84,7 @@
 	}
 }
 
-func (k *Keeper) fetch(ctx context.Context, action Fetch) {
+func (k *Replicator) fetch(ctx context.Context, action Fetch) {
 	ctx, cancel := context.WithTimeout(ctx, k.options.PeerTimeout)
 	defer cancel()
 	k.metrics.comparisons.Add(1)
@@ -100,12 +100,12 @@
 		k.metrics.compareFailures.Add(1)
 		k.options.Logger.Debug().Err(err).Str("member", action.Member).Msg("comparison failed")
 	}
-	k.step(FetchAnswered{Member: action.Member, Revision: revision, Failed: err != nil})
+	k.step(FetchCompleted{Member: action.Member, Revision: revision, Failed: err != nil})
 }
 
 // push offers the record in force: by its delta first, which is small, then
 // whole if the member says that it is still behind.
-func (k *Keeper) push(ctx context.Context, action Push) {
+func (k *Replicator) push(ctx context.Context, action Push) {
 	ctx, cancel := context.WithTimeout(ctx, k.options.PeerTimeout)
 	defer cancel()
 	current := k.snapshot()
@@ -114,10 +114,10 @@
 		k.metrics.pushFailures.Add(1)
 		k.options.Logger.Debug().Err(err).Str("member", action.Member).Msg("push failed")
 	}
-	k.step(PushAnswered{Member: action.Member, Pushed: action.Revision, Revision: revision, Failed: err != nil})
+	k.step(PushCompleted{Member: action.Member, PushedRevision: action.Revision, Revision: revision, Failed: err != nil})
 }
 
-func (k *Keeper) pushState(ctx context.Context, member string, current *state) (policy.Revision, error) {
+func (k *Replicator) pushState(ctx context.Context, member string, current *state) (policy.Revision, error) {
 	peers := k.currentPeers()
 	pushed := current.record.Revision
 	if current.delta != nil {
@@ -133,7 +133,7 @@
 
 // takeFetched offers what a member answered to a comparison. When a delta does
 // not fit the record in force, it asks for the whole record.
-func (k *Keeper) takeFetched(ctx context.Context, member string, revision policy.Revision, data []byte) error {
+func (k *Replicator) takeFetched(ctx context.Context, member string, revision policy.Revision, data []byte) error {
 	if !policy.IsDelta(data) {
 		return k.offer(revision, data, member)
 	}
@@ -152,7 +152,7 @@
 
 // storeReader reads the store for Run; one read runs at a time.
 type storeReader struct {
-	keeper *Keeper
+	keeper *Replicator
 	// after is the store's own revision of the record read last.
 	after uint64
 }
@@ -167,7 +167,7 @@
 		k.metrics.storeFailures.Add(1)
 		k.options.Logger.Debug().Err(err).Msg("store read failed")
 	}
-	k.step(StoreAnswered{Failed: err != nil})
+	k.step(StoreReadCompleted{Failed: err != nil})
 }
 
 // readOnce offers what the store answers. A revision below the one in force
@@ -199,7 +199,7 @@
 }
 
 // offerStored offers the value of the store's record.
-func (k *Keeper) offerStored(record store.Record) error {
+func (k *Replicator) offerStored(record store.Record) error {
 	if current := k.snapshot(); current != nil && bytes.Equal(record.Value, current.bytes) {
 		return nil
 	}
--- a/spread/spread_calls_test.go
+++ b/spread/spread_calls_test.go
@@ -22,7 +22,7 @@
 	to := r.byID[action.Member]
 	if to.dead || r.lost() {
 		r.after(r.options.PeerTimeout, func() {
-			r.step(from, spread.PushAnswered{Member: to.id, Pushed: action.Revision, Failed: true})
+			r.step(from, spread.PushCompleted{Member: to.id, PushedRevision: action.Revision, Failed: true})
 		})
 		return
 	}
@@ -30,10 +30,10 @@
 		if to.core.Revision() < action.Revision {
 			r.counts.PushesTaken++
 		}
-		r.step(to, spread.Offered{Revision: action.Revision})
+		r.step(to, spread.RecordOffered{Revision: action.Revision})
 		revision := to.core.Revision()
 		r.after(r.delay(r.options.PeerDelay), func() {
-			r.step(from, spread.PushAnswered{Member: to.id, Pushed: action.Revision, Revision: revision})
+			r.step(from, spread.PushCompleted{Member: to.id, PushedRevision: action.Revision, Revision: revision})
 		})
 	})
 }
@@ -44,7 +44,7 @@
 	to := r.byID[action.Member]
 	if to.dead || r.lost() {
 		r.after(r.options.PeerTimeout, func() {
-			r.step(from, spread.FetchAnswered{Member: to.id, Failed: true})
+			r.step(from, spread.FetchCompleted{Member: to.id, Failed: true})
 		})
 		return
 	}
@@ -56,9 +56,9 @@
 		r.after(r.delay(r.options.PeerDelay), func() {
 			if revision > from.core.Revision() {
 				r.counts.ComparisonsTaken++
-				r.step(from, spread.Offered{Revision: revision, From: to.id})
+				r.step(from, spread.RecordOffered{Revision: revision, From: to.id})
 			}
-			r.step(from, spread.FetchAnswered{Member: to.id, Revision: revision})
+			r.step(from, spread.FetchCompleted{Member: to.id, Revision: revision})
 		})
 	})
 }
@@ -67,17 +67,17 @@
 func (r *run) readStore(from *node, action spread.ReadStore) {
 	r.counts.StoreReads++
 	if from.zone >= r.options.StoreZones {
-		r.after(r.options.StoreTimeout, func() { r.step(from, spread.StoreAnswered{Failed: true}) })
+		r.after(r.options.StoreTimeout, func() { r.step(from, spread.StoreReadCompleted{Failed: true}) })
 		return
 	}
 	r.after(r.delay(r.options.StoreDelay), func() {
 		held := &watch{node: from, after: from.core.Revision()}
-		if r.stored > held.after || action.Wait == 0 {
+		if r.stored > held.after || action.MaxWait == 0 {
 			r.answer(held)
 			return
 		}
 		r.waiting = append(r.waiting, held)
-		r.after(action.Wait, func() { r.answer(held) })
+		r.after(action.MaxWait, func() { r.answer(held) })
 	})
 }
 
@@ -96,8 +96,8 @@
 	held.done = true
 	stored := r.stored
 	r.after(r.delay(r.options.StoreDelay), func() {
-		r.step(held.node, spread.Offered{Revision: stored})
-		r.step(held.node, spread.StoreAnswered{})
+		r.step(held.node, spread.RecordOffered{Revision: stored})
+		r.step(held.node, spread.StoreReadCompleted{})
 	})
 }
 
--- a/spread/spread_world_test.go
+++ b/spread/spread_world_test.go
@@ -130,7 +130,7 @@
 	result.QuietTime = run.options.Settle - half
 	result.Change = run.counts.minus(changed)
 	for _, node := range run.nodes {
-		if node.core.Watcher() {
+		if node.core.IsWatcher() {
 			result.Watchers++
 		}
 	}
@@ -195,7 +195,7 @@
 	}
 	for _, started := range r.nodes {
 		r.step(started, spread.MembersChanged{Members: members})
-		r.step(started, spread.Offered{Revision: firstRevision})
+		r.step(started, spread.RecordOffered{Revision: firstRevision})
 	}
 	return r
 }
@@ -211,7 +211,7 @@
 		r.reached++
 		return
 	}
-	r.step(confirmer, spread.Offered{Revision: r.stored})
+	r.step(confirmer, spread.RecordOffered{Revision: r.stored})
 }
 
 // until runs the queue up to a time, or until every node has the change.
@@ -244,7 +244,7 @@
 			r.fetch(stepped, action)
 		case spread.ReadStore:
 			r.readStore(stepped, action)
-		case spread.Wake:
+		case spread.SetTimer:
 			r.wake(stepped, action.At)
 		}
 	}
@@ -254,7 +254,7 @@
 	woken.wakeAt = at
 	r.queue.add(max(at, r.now), func() {
 		if woken.wakeAt == at {
-			r.step(woken, spread.Woken{})
+			r.step(woken, spread.TimerFired{})
 		}
 	})
 }
--- a/spread/watchers.go
+++ b/spread/watchers.go
@@ -16,11 +16,11 @@
 
 func hashID(id string) uint64 { return xxhash.Sum64String(id) }
 
-// Watchers chooses the nodes that watch the store: one in each zone, so that
+// SelectWatchers chooses the nodes that watch the store: one in each zone, so that
 // a zone that alone can reach the store has one, at most maximum; when there
 // are fewer zones than minimum, others are added. The order of members does
 // not matter.
-func Watchers(members []Member, minimum, maximum int) []string {
+func SelectWatchers(members []Member, minimum, maximum int) []string {
 	byZone := map[string][]string{}
 	zones := []string{}
 	for _, member := range members {
@@ -99,7 +99,7 @@
 
 func (c *Core) chooseWatchers(now time.Duration) {
 	all := append(slices.Clone(c.members), Member{ID: c.options.Self, Zone: c.options.Zone})
-	watchers := Watchers(all, c.options.MinimumWatchers, c.options.MaximumWatchers)
+	watchers := SelectWatchers(all, c.options.MinimumWatchers, c.options.MaximumWatchers)
 	watcher := slices.Contains(watchers, c.options.Self)
 	if watcher == c.watcher {
 		return
