--- a/store/conn_test.go
+++ b/store/conn_test.go
@@ -162,7 +162,7 @@
 	}{
 		{name: "down", faults: store.MemoryFaults{Down: true}, want: store.ErrUnavailable},
 		{name: "lost reply", faults: store.MemoryFaults{LoseReplies: 1}, want: store.ErrOutcomeUnknown, effects: true},
-		{name: "cut change", faults: store.MemoryFaults{CutChanges: 1}, want: store.ErrOutcomeUnknown},
+		{name: "cut change", faults: store.MemoryFaults{DropChanges: 1}, want: store.ErrOutcomeUnknown},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -188,7 +188,7 @@
 	}{
 		{name: "down", faults: store.MemoryFaults{Down: true}, want: store.ErrUnavailable},
 		{name: "lost reply", faults: store.MemoryFaults{LoseReplies: 10}, want: store.ErrOutcomeUnknown},
-		{name: "cut change", faults: store.MemoryFaults{CutChanges: 10}, want: store.ErrOutcomeUnknown},
+		{name: "cut change", faults: store.MemoryFaults{DropChanges: 10}, want: store.ErrOutcomeUnknown},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/store/memory.go
+++ b/store/memory.go
@@ -27,9 +27,9 @@
 	Down bool `json:"down"`
 	// DelayMilliseconds slows each call.
 	DelayMilliseconds float64 `json:"delay_ms" validate:"min=0,max=600000"`
-	// CutChanges lets that many changes go without effect or reply, so that
+	// DropChanges lets that many changes go without effect or reply, so that
 	// their writer can't tell them from lost replies.
-	CutChanges int `json:"cut_changes" validate:"min=0,max=1000000"`
+	DropChanges int `json:"cut_changes" validate:"min=0,max=1000000"`
 	// LoseReplies lets that many changes take effect with their reply lost.
 	LoseReplies int `json:"lose_replies" validate:"min=0,max=1000000"`
 	// StaleRevisions makes reads answer with the value that many revisions
@@ -278,10 +278,10 @@
 
 // cutChange applies the loss of a change before it took effect; mutex is held.
 func (m *Memory) cutChange() error {
-	if m.faults.CutChanges == 0 {
+	if m.faults.DropChanges == 0 {
 		return nil
 	}
-	m.faults.CutChanges--
+	m.faults.DropChanges--
 	return fmt.Errorf("%w: the change was cut", ErrOutcomeUnknown)
 }
 
