--- a/store/conn_test.go
+++ b/store/conn_test.go
@@ -35,8 +35,8 @@
 	c.now = c.now.Add(duration)
 }
 
-// onBoth runs a test against the in-memory service and against the same over HTTP.
-func onBoth(t *testing.T, test func(t *testing.T, conn store.Conn, memory *store.Memory, clock *manualClock)) {
+// forEachConn runs a test against the in-memory service and against the same over HTTP.
+func forEachConn(t *testing.T, test func(t *testing.T, conn store.Conn, memory *store.Memory, clock *manualClock)) {
 	t.Run("memory", func(t *testing.T) {
 		clock := &manualClock{now: time.Unix(1000, 0)}
 		memory := store.NewMemory(store.MemoryOptions{Now: clock.Now})
@@ -62,8 +62,8 @@
 	return record
 }
 
-func TestSwap(t *testing.T) {
-	onBoth(t, func(t *testing.T, conn store.Conn, _ *store.Memory, _ *manualClock) {
+func TestPutComparesRevisions(t *testing.T) {
+	forEachConn(t, func(t *testing.T, conn store.Conn, _ *store.Memory, _ *manualClock) {
 		if _, err := conn.Get(t.Context(), key); !errors.Is(err, store.ErrNotFound) {
 			t.Errorf("error is %v, want ErrNotFound", err)
 		}
@@ -83,7 +83,7 @@
 }
 
 func TestWatch(t *testing.T) {
-	onBoth(t, func(t *testing.T, conn store.Conn, memory *store.Memory, _ *manualClock) {
+	forEachConn(t, func(t *testing.T, conn store.Conn, memory *store.Memory, _ *manualClock) {
 		first := mustPut(t, conn, "one", 0, "")
 		if _, err := conn.Watch(t.Context(), key, first.Revision, 0); !errors.Is(err, store.ErrUnchanged) {
 			t.Errorf("error is %v, want ErrUnchanged", err)
@@ -101,7 +101,7 @@
 }
 
 func TestLeases(t *testing.T) {
-	onBoth(t, func(t *testing.T, conn store.Conn, _ *store.Memory, clock *manualClock) {
+	forEachConn(t, func(t *testing.T, conn store.Conn, _ *store.Memory, clock *manualClock) {
 		lease, err := conn.Grant(t.Context(), 10*time.Second)
 		if err != nil {
 			t.Fatal(err)
@@ -139,8 +139,8 @@
 	})
 }
 
-func TestRevisionsGrowOverARemoval(t *testing.T) {
-	onBoth(t, func(t *testing.T, conn store.Conn, _ *store.Memory, clock *manualClock) {
+func TestRevisionsGrowAcrossRemoval(t *testing.T) {
+	forEachConn(t, func(t *testing.T, conn store.Conn, _ *store.Memory, clock *manualClock) {
 		lease, err := conn.Grant(t.Context(), time.Second)
 		if err != nil {
 			t.Fatal(err)
@@ -153,34 +153,34 @@
 	})
 }
 
-func TestFaultsOfAPut(t *testing.T) {
+func TestPutFaults(t *testing.T) {
 	cases := []struct {
-		name    string
-		faults  store.MemoryFaults
-		want    error
-		effects bool
+		name        string
+		faults      store.MemoryFaults
+		want        error
+		takesEffect bool
 	}{
 		{name: "down", faults: store.MemoryFaults{Down: true}, want: store.ErrUnavailable},
-		{name: "lost reply", faults: store.MemoryFaults{LoseReplies: 1}, want: store.ErrOutcomeUnknown, effects: true},
+		{name: "lost reply", faults: store.MemoryFaults{LoseReplies: 1}, want: store.ErrOutcomeUnknown, takesEffect: true},
 		{name: "cut change", faults: store.MemoryFaults{DropChanges: 1}, want: store.ErrOutcomeUnknown},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			onBoth(t, func(t *testing.T, conn store.Conn, memory *store.Memory, _ *manualClock) {
+			forEachConn(t, func(t *testing.T, conn store.Conn, memory *store.Memory, _ *manualClock) {
 				memory.SetFaults(test.faults)
 				if _, err := conn.Put(t.Context(), key, []byte("one"), 0, ""); !errors.Is(err, test.want) {
 					t.Errorf("error is %v, want %v", err, test.want)
 				}
 				memory.SetFaults(store.MemoryFaults{})
-				if _, err := conn.Get(t.Context(), key); (err == nil) != test.effects {
-					t.Errorf("the read gave %v, want effect %v", err, test.effects)
+				if _, err := conn.Get(t.Context(), key); (err == nil) != test.takesEffect {
+					t.Errorf("the read gave %v, want effect %v", err, test.takesEffect)
 				}
 			})
 		})
 	}
 }
 
-func TestFaultsOfLeases(t *testing.T) {
+func TestLeaseFaults(t *testing.T) {
 	cases := []struct {
 		name   string
 		faults store.MemoryFaults
@@ -192,7 +192,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			onBoth(t, func(t *testing.T, conn store.Conn, memory *store.Memory, _ *manualClock) {
+			forEachConn(t, func(t *testing.T, conn store.Conn, memory *store.Memory, _ *manualClock) {
 				lease, err := conn.Grant(t.Context(), time.Second)
 				if err != nil {
 					t.Fatal(err)
@@ -213,7 +213,7 @@
 }
 
 func TestStaleReads(t *testing.T) {
-	onBoth(t, func(t *testing.T, conn store.Conn, memory *store.Memory, _ *manualClock) {
+	forEachConn(t, func(t *testing.T, conn store.Conn, memory *store.Memory, _ *manualClock) {
 		first := mustPut(t, conn, "one", 0, "")
 		mustPut(t, conn, "two", first.Revision, "")
 		memory.SetFaults(store.MemoryFaults{StaleRevisions: 1})
@@ -229,7 +229,7 @@
 }
 
 func TestRateLimit(t *testing.T) {
-	onBoth(t, func(t *testing.T, conn store.Conn, memory *store.Memory, clock *manualClock) {
+	forEachConn(t, func(t *testing.T, conn store.Conn, memory *store.Memory, clock *manualClock) {
 		memory.SetFaults(store.MemoryFaults{CallsPerSecond: 1})
 		mustPut(t, conn, "one", 0, "")
 		if _, err := conn.Put(t.Context(), key, []byte("two"), 1, ""); !errors.Is(err, store.ErrRateLimited) {
@@ -242,7 +242,7 @@
 	})
 }
 
-func TestPutIsNotSentAgainOnAClosedKeptConnection(t *testing.T) {
+func TestPutIsNotResentAfterConnectionCloses(t *testing.T) {
 	var mutex sync.Mutex
 	var methods []string
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -273,7 +273,7 @@
 	}
 }
 
-func TestRepliesToAPut(t *testing.T) {
+func TestPutReplies(t *testing.T) {
 	cases := []struct {
 		name string
 		code int
@@ -339,32 +339,32 @@
 	}
 }
 
-func TestArgumentsThatTheProtocolCannotCarry(t *testing.T) {
-	onBoth(t, func(t *testing.T, conn store.Conn, _ *store.Memory, _ *manualClock) {
-		const bad = "../key"
+func TestInvalidArguments(t *testing.T) {
+	forEachConn(t, func(t *testing.T, conn store.Conn, _ *store.Memory, _ *manualClock) {
+		const invalidKey = "../key"
 		calls := map[string]func() error{
 			"get": func() error {
-				_, err := conn.Get(t.Context(), bad)
+				_, err := conn.Get(t.Context(), invalidKey)
 				return err
 			},
 			"watch": func() error {
-				_, err := conn.Watch(t.Context(), bad, 1, time.Minute)
+				_, err := conn.Watch(t.Context(), invalidKey, 1, time.Minute)
 				return err
 			},
 			"put": func() error {
-				_, err := conn.Put(t.Context(), bad, nil, 0, "")
+				_, err := conn.Put(t.Context(), invalidKey, nil, 0, "")
 				return err
 			},
 			"put under a lease": func() error {
-				_, err := conn.Put(t.Context(), key, nil, 0, bad)
+				_, err := conn.Put(t.Context(), key, nil, 0, invalidKey)
 				return err
 			},
 			"put of a large value": func() error {
 				_, err := conn.Put(t.Context(), key, make([]byte, store.MaximumValueBytes+1), 0, "")
 				return err
 			},
-			"keep-alive": func() error { return conn.KeepAlive(t.Context(), bad) },
-			"revoke":     func() error { return conn.Revoke(t.Context(), bad) },
+			"keep-alive": func() error { return conn.KeepAlive(t.Context(), invalidKey) },
+			"revoke":     func() error { return conn.Revoke(t.Context(), invalidKey) },
 		}
 		for name, call := range calls {
 			if err := call(); !errors.Is(err, store.ErrInvalid) {
--- a/store/decode.go
+++ b/store/decode.go
@@ -30,9 +30,9 @@
 	return Record{Value: reply.Body, Revision: revision}, nil
 }
 
-// changeError classes the HTTP status of a reply to a change; nil is success.
+// changeStatusError classes the HTTP status of a reply to a change; nil is success.
 // A status that the protocol does not name leaves the outcome unknown.
-func changeError(code int) error {
+func changeStatusError(code int) error {
 	switch code {
 	case http.StatusOK, http.StatusCreated, http.StatusNoContent:
 		return nil
--- a/store/http.go
+++ b/store/http.go
@@ -22,7 +22,7 @@
 	DefaultTimeout     = 5 * time.Second
 	DefaultConnections = 4
 
-	millisecondsPerSec = 1000
+	millisecondsPerSecond = 1000
 )
 
 // HTTPOptions configures a connection over HTTP. Zero fields get defaults.
@@ -64,7 +64,7 @@
 	}
 	reply, err := c.do(ctx, httpcall.Call{Path: RecordsPath + key, Limit: MaximumValueBytes}, 0)
 	if err != nil {
-		return Record{}, readError(err)
+		return Record{}, readOnlyError(err)
 	}
 	return decodeRecord(reply)
 }
@@ -79,7 +79,7 @@
 	query.Set(WaitParameter, strconv.FormatInt(wait.Milliseconds(), 10))
 	reply, err := c.do(ctx, httpcall.Call{Path: RecordsPath + key, Query: query, Limit: MaximumValueBytes}, wait)
 	if err != nil {
-		return Record{}, readError(err)
+		return Record{}, readOnlyError(err)
 	}
 	record, err := decodeRecord(reply)
 	if err != nil {
@@ -111,7 +111,7 @@
 	if err != nil {
 		return Record{}, err
 	}
-	if err := changeError(reply.Code); err != nil {
+	if err := changeStatusError(reply.Code); err != nil {
 		return Record{}, err
 	}
 	revision, err := ParseETag(reply.Header.Get("ETag"))
@@ -126,7 +126,7 @@
 
 func (c *httpConn) Grant(ctx context.Context, timeToLive time.Duration) (LeaseID, error) {
 	body, err := json.Marshal(GrantRequest{
-		TimeToLiveMilliseconds: timeToLive.Seconds() * millisecondsPerSec,
+		TimeToLiveMilliseconds: timeToLive.Seconds() * millisecondsPerSecond,
 	})
 	if err != nil {
 		return "", fmt.Errorf("store: encoding the grant: %w", err)
@@ -135,7 +135,7 @@
 	if err != nil {
 		return "", err
 	}
-	if err := changeError(reply.Code); err != nil {
+	if err := changeStatusError(reply.Code); err != nil {
 		return "", err
 	}
 	return decodeGrant(reply.Body)
@@ -157,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	return changeError(reply.Code)
+	return changeStatusError(reply.Code)
 }
 
 // do sends one call, which the service may hold back for the wait. Without a
@@ -170,12 +170,12 @@
 	call.Address = c.address
 	reply, err := httpcall.Send(ctx, c.transport, call)
 	if err != nil {
-		return httpcall.Reply{}, unansweredError(tracker, err)
+		return httpcall.Reply{}, classifyCallError(tracker, err)
 	}
 	return reply, nil
 }
 
-func unansweredError(tracker *delivery.Tracker, err error) error {
+func classifyCallError(tracker *delivery.Tracker, err error) error {
 	if errors.Is(err, strictjson.ErrTooLarge) {
 		err = fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
@@ -185,9 +185,9 @@
 	return fmt.Errorf("%w: %w", ErrUnavailable, err)
 }
 
-// readError turns the outcome of a call that changes nothing: a lost reply is
+// readOnlyError turns the outcome of a call that changes nothing: a lost reply is
 // no more than an unavailable service.
-func readError(err error) error {
+func readOnlyError(err error) error {
 	if errors.Is(err, ErrMalformed) {
 		return fmt.Errorf("%w: %s", ErrMalformed, err.Error())
 	}
--- a/store/memory.go
+++ b/store/memory.go
@@ -100,7 +100,7 @@
 		m.limiter = newLimiter(faults.CallsPerSecond)
 	}
 	m.faults = faults
-	m.notify()
+	m.notifyWatchers()
 }
 
 func newLimiter(callsPerSecond float64) *rate.Limiter {
@@ -122,12 +122,12 @@
 	if err := ValidateKey(key); err != nil {
 		return Record{}, err
 	}
-	if err := m.enter(ctx); err != nil {
+	if err := m.admitCall(ctx); err != nil {
 		return Record{}, err
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	record, ok := m.read(key)
+	record, ok := m.readRecord(key)
 	if !ok {
 		return Record{}, fmt.Errorf("%w: record %q", ErrNotFound, key)
 	}
@@ -140,14 +140,14 @@
 		return Record{}, err
 	}
 	var record Record
-	err := m.change(ctx, func() error {
+	err := m.applyChange(ctx, func() error {
 		if lease != "" && m.leases[lease] == nil {
 			return fmt.Errorf("%w: lease %q", ErrNotFound, lease)
 		}
 		if current := m.currentRevision(key); current != base {
 			return fmt.Errorf("%w: record %q is at revision %d, not %d", ErrConflict, key, current, base)
 		}
-		record = m.write(key, value, lease)
+		record = m.writeRecord(key, value, lease)
 		return nil
 	})
 	if err != nil {
@@ -161,13 +161,13 @@
 	if err := ValidateKey(key); err != nil {
 		return Record{}, err
 	}
-	if err := m.enter(ctx); err != nil {
+	if err := m.admitCall(ctx); err != nil {
 		return Record{}, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		record, changed, err := m.poll(key)
+		record, changed, err := m.readForWatch(key)
 		if err != nil {
 			return Record{}, err
 		}
@@ -184,21 +184,21 @@
 	}
 }
 
-// poll reads a record and the channel that tells of the next change.
-func (m *Memory) poll(key string) (Record, <-chan struct{}, error) {
+// readForWatch reads a record and the channel that tells of the next change.
+func (m *Memory) readForWatch(key string) (Record, <-chan struct{}, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.faults.Down {
 		return Record{}, nil, fmt.Errorf("%w: switched down", ErrUnavailable)
 	}
-	record, _ := m.read(key)
+	record, _ := m.readRecord(key)
 	return record, m.changed, nil
 }
 
 // Grant creates a lease.
 func (m *Memory) Grant(ctx context.Context, timeToLive time.Duration) (LeaseID, error) {
 	var id LeaseID
-	err := m.change(ctx, func() error {
+	err := m.applyChange(ctx, func() error {
 		m.leaseSeq++
 		id = LeaseID(fmt.Sprintf("lease-%d", m.leaseSeq))
 		m.leases[id] = &memoryLease{timeToLive: timeToLive, expires: m.now().Add(timeToLive)}
@@ -212,54 +212,54 @@
 
 // KeepAlive renews a lease.
 func (m *Memory) KeepAlive(ctx context.Context, lease LeaseID) error {
-	return m.changeLease(ctx, lease, func() error {
-		held, ok := m.leases[lease]
+	return m.applyLeaseChange(ctx, lease, func() error {
+		existing, ok := m.leases[lease]
 		if !ok {
 			return fmt.Errorf("%w: lease %q", ErrNotFound, lease)
 		}
-		held.expires = m.now().Add(held.timeToLive)
+		existing.expires = m.now().Add(existing.timeToLive)
 		return nil
 	})
 }
 
 // Revoke ends a lease; its records go away.
 func (m *Memory) Revoke(ctx context.Context, lease LeaseID) error {
-	return m.changeLease(ctx, lease, func() error {
+	return m.applyLeaseChange(ctx, lease, func() error {
 		if _, ok := m.leases[lease]; !ok {
 			return fmt.Errorf("%w: lease %q", ErrNotFound, lease)
 		}
-		m.drop(lease)
+		m.removeLease(lease)
 		return nil
 	})
 }
 
-// changeLease makes one change of a lease; apply runs with mutex held.
-func (m *Memory) changeLease(ctx context.Context, lease LeaseID, apply func() error) error {
+// applyLeaseChange makes one change of a lease; apply runs with mutex held.
+func (m *Memory) applyLeaseChange(ctx context.Context, lease LeaseID, apply func() error) error {
 	if err := ValidateKey(string(lease)); err != nil {
 		return err
 	}
-	return m.change(ctx, apply)
+	return m.applyChange(ctx, apply)
 }
 
-// change makes one change under the fault switches; apply runs with mutex held.
-func (m *Memory) change(ctx context.Context, apply func() error) error {
-	if err := m.enter(ctx); err != nil {
+// applyChange makes one change under the fault switches; apply runs with mutex held.
+func (m *Memory) applyChange(ctx context.Context, apply func() error) error {
+	if err := m.admitCall(ctx); err != nil {
 		return err
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if err := m.cutChange(); err != nil {
+	if err := m.dropChange(); err != nil {
 		return err
 	}
-	m.expire()
+	m.expireLeases()
 	if err := apply(); err != nil {
 		return err
 	}
 	return m.loseReply()
 }
 
-// enter applies the faults that act before a call takes effect.
-func (m *Memory) enter(ctx context.Context) error {
+// admitCall applies the faults that act before a call takes effect.
+func (m *Memory) admitCall(ctx context.Context) error {
 	m.mutex.Lock()
 	faults := m.faults
 	limiter := m.limiter
@@ -276,8 +276,8 @@
 	return nil
 }
 
-// cutChange applies the loss of a change before it took effect; mutex is held.
-func (m *Memory) cutChange() error {
+// dropChange applies the loss of a change before it took effect; mutex is held.
+func (m *Memory) dropChange() error {
 	if m.faults.DropChanges == 0 {
 		return nil
 	}
@@ -294,16 +294,16 @@
 	return fmt.Errorf("%w: the reply was lost", ErrOutcomeUnknown)
 }
 
-// read returns what a read sees under the stale fault; mutex is held.
-func (m *Memory) read(key string) (Record, bool) {
-	m.expire()
+// readRecord returns what a read sees under the stale fault; mutex is held.
+func (m *Memory) readRecord(key string) (Record, bool) {
+	m.expireLeases()
 	stored, ok := m.records[key]
 	if !ok {
 		return Record{}, false
 	}
 	newest := len(stored.history) - 1
-	shown := stored.history[max(0, newest-m.faults.StaleRevisions)]
-	return Record{Value: bytes.Clone(shown.Value), Revision: shown.Revision}, true
+	visible := stored.history[max(0, newest-m.faults.StaleRevisions)]
+	return Record{Value: bytes.Clone(visible.Value), Revision: visible.Revision}, true
 }
 
 func (m *Memory) currentRevision(key string) uint64 {
@@ -314,7 +314,7 @@
 	return stored.history[len(stored.history)-1].Revision
 }
 
-func (m *Memory) write(key string, value []byte, lease LeaseID) Record {
+func (m *Memory) writeRecord(key string, value []byte, lease LeaseID) Record {
 	m.revision++
 	record := Record{Value: bytes.Clone(value), Revision: m.revision}
 	stored := m.records[key]
@@ -328,32 +328,32 @@
 	}
 	stored.lease = lease
 	m.onChange(key, record)
-	m.notify()
+	m.notifyWatchers()
 	return record
 }
 
-// expire drops the leases whose time has come; mutex is held.
-func (m *Memory) expire() {
+// expireLeases drops the leases whose time has come; mutex is held.
+func (m *Memory) expireLeases() {
 	now := m.now()
 	for id, lease := range m.leases {
 		if !now.Before(lease.expires) {
-			m.drop(id)
+			m.removeLease(id)
 		}
 	}
 }
 
-// drop ends a lease and removes its records; mutex is held.
-func (m *Memory) drop(id LeaseID) {
+// removeLease ends a lease and removes its records; mutex is held.
+func (m *Memory) removeLease(id LeaseID) {
 	delete(m.leases, id)
 	for key, stored := range m.records {
 		if stored.lease == id {
 			delete(m.records, key)
-			m.notify()
+			m.notifyWatchers()
 		}
 	}
 }
 
-func (m *Memory) notify() {
+func (m *Memory) notifyWatchers() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
--- a/store/memory_copy.go
+++ b/store/memory_copy.go
@@ -17,18 +17,18 @@
 func (m *Memory) Copy() *MemoryCopy {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.expire()
+	m.expireLeases()
 	return &MemoryCopy{revision: m.revision, records: cloneRecords(m.records), leases: maps.Clone(m.leases), leaseSeq: m.leaseSeq}
 }
 
 // Restore brings the service back from a copy: what was written since has not happened, and
 // revisions and leases are given out again.
-func (m *Memory) Restore(taken *MemoryCopy) {
+func (m *Memory) Restore(saved *MemoryCopy) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.revision, m.records = taken.revision, cloneRecords(taken.records)
-	m.leases, m.leaseSeq = maps.Clone(taken.leases), taken.leaseSeq
-	m.notify()
+	m.revision, m.records = saved.revision, cloneRecords(saved.records)
+	m.leases, m.leaseSeq = maps.Clone(saved.leases), saved.leaseSeq
+	m.notifyWatchers()
 }
 
 func cloneRecords(records map[string]*memoryRecord) map[string]*memoryRecord {
