--- a/store/conn.go
+++ b/store/conn.go
@@ -1,8 +1,8 @@
-// Package store is the client towards the platform's small key-value service.
+// Package store is a client for the platform's key-value service.
 //
-// The service is rate-limited and has outages, and a reply may be lost after
-// the change took effect. Conn hides its protocol; Memory in this package is
-// the in-memory twin for tests.
+// The service limits the rate of calls and has outages, and a reply may be lost
+// after the change took effect. Conn abstracts from the protocol. Memory is an
+// in-memory implementation for tests.
 package store
 
 import (
@@ -11,50 +11,56 @@
 	"time"
 )
 
-// Errors that every Conn returns, wrapped.
+// Errors that every Conn returns; they are wrapped.
 var (
-	// ErrNotFound: the record or lease does not exist.
+	// ErrNotFound means that the record or lease does not exist.
 	ErrNotFound = errors.New("store: not found")
-	// ErrConflict: the record's revision is not the base of the swap; nothing changed.
+	// ErrConflict means that the record's current revision is not the base
+	// revision of the Put. Nothing changed.
 	ErrConflict = errors.New("store: revision conflict")
-	// ErrUnchanged: a watch ended without a newer revision.
+	// ErrUnchanged means that a watch ended without a newer revision.
 	ErrUnchanged = errors.New("store: unchanged")
-	// ErrRateLimited: the service refused for its rate; nothing changed.
+	// ErrRateLimited means that the service rejected the call because of its
+	// rate limit. Nothing changed.
 	ErrRateLimited = errors.New("store: rate limited")
-	// ErrUnavailable: the service can't be reached; nothing changed.
+	// ErrUnavailable means that the service cannot be reached. Nothing changed.
 	ErrUnavailable = errors.New("store: unavailable")
-	// ErrOutcomeUnknown: a change was sent and no reply came; it may be in effect.
+	// ErrOutcomeUnknown means that a change was sent but no valid reply was
+	// received. The change may have taken effect.
 	ErrOutcomeUnknown = errors.New("store: outcome unknown")
-	// ErrInvalid: the protocol can't carry a key, a lease's ID or a value; nothing
-	// was sent.
+	// ErrInvalid means that the protocol does not allow a key, lease ID or
+	// value. Nothing was sent.
 	ErrInvalid = errors.New("store: invalid argument")
-	// ErrMalformed: the service's reply does not follow its protocol.
+	// ErrMalformed means that the service's reply violates the protocol.
 	ErrMalformed = errors.New("store: malformed reply")
 )
 
-// Record is a stored value with its revision. Revisions of a key only grow.
+// Record is a stored value and its revision. The revisions of a key increase,
+// also across its removal.
 type Record struct {
 	Value    []byte
 	Revision uint64
 }
 
-// LeaseID names a lease.
+// LeaseID identifies a lease.
 type LeaseID string
 
-// Conn is a connection to the key-value service. Its methods may be called
-// from several goroutines.
+// Conn is a connection to the key-value service. It is safe for concurrent use.
 type Conn interface {
-	// Get reads a record.
+	// Get reads a record. It returns ErrNotFound if the record does not exist.
 	Get(ctx context.Context, key string) (Record, error)
-	// Put swaps a record whose revision is base; base zero creates it. The
-	// record goes away with the lease unless lease is empty.
+	// Put writes a record if its current revision is base, and returns
+	// ErrConflict otherwise. A base of zero creates the record. Unless lease is
+	// empty, the record is removed when the lease expires or is revoked.
 	Put(ctx context.Context, key string, value []byte, base uint64, lease LeaseID) (Record, error)
-	// Watch waits until the record's revision is greater than after, at most wait.
+	// Watch waits until the record's revision is greater than after. It returns
+	// ErrUnchanged if that does not happen within wait.
 	Watch(ctx context.Context, key string, after uint64, wait time.Duration) (Record, error)
-	// Grant creates a lease.
+	// Grant creates a lease that expires after timeToLive unless it is renewed.
 	Grant(ctx context.Context, timeToLive time.Duration) (LeaseID, error)
-	// KeepAlive renews a lease; ErrNotFound means that it has lapsed.
+	// KeepAlive renews a lease. It returns ErrNotFound if the lease has
+	// expired.
 	KeepAlive(ctx context.Context, lease LeaseID) error
-	// Revoke ends a lease.
+	// Revoke ends a lease and removes its records.
 	Revoke(ctx context.Context, lease LeaseID) error
 }
--- a/store/conn_test.go
+++ b/store/conn_test.go
@@ -17,7 +17,7 @@
 	"github.com/banksail/banksail/store"
 )
 
-// manualClock is a clock that tests advance.
+// manualClock is a clock that advances only when a test calls advance.
 type manualClock struct {
 	mutex sync.Mutex
 	now   time.Time
@@ -35,7 +35,8 @@
 	c.now = c.now.Add(duration)
 }
 
-// forEachConn runs a test against the in-memory service and against the same over HTTP.
+// forEachConn runs a test against a Memory directly and against the same kind
+// of service over HTTP.
 func forEachConn(t *testing.T, test func(t *testing.T, conn store.Conn, memory *store.Memory, clock *manualClock)) {
 	t.Run("memory", func(t *testing.T) {
 		clock := &manualClock{now: time.Unix(1000, 0)}
@@ -69,11 +70,11 @@
 		}
 		first := mustPut(t, conn, "one", 0, "")
 		if _, err := conn.Put(t.Context(), key, []byte("two"), 0, ""); !errors.Is(err, store.ErrConflict) {
-			t.Errorf("creation over a record: %v, want ErrConflict", err)
+			t.Errorf("creation of an existing record: %v, want ErrConflict", err)
 		}
 		second := mustPut(t, conn, "two", first.Revision, "")
 		if _, err := conn.Put(t.Context(), key, []byte("three"), first.Revision, ""); !errors.Is(err, store.ErrConflict) {
-			t.Errorf("swap of an old revision: %v, want ErrConflict", err)
+			t.Errorf("put on an old revision: %v, want ErrConflict", err)
 		}
 		record, err := conn.Get(t.Context(), key)
 		if err != nil || string(record.Value) != "two" || record.Revision != second.Revision || second.Revision <= first.Revision {
@@ -95,7 +96,7 @@
 		}()
 		mustPut(t, memory, "two", first.Revision, "")
 		if record := <-changed; string(record.Value) != "two" {
-			t.Errorf("the watch gave %+v", record)
+			t.Errorf("the watch returned %+v", record)
 		}
 	})
 }
@@ -117,13 +118,13 @@
 		}
 		clock.advance(time.Second)
 		if _, err := conn.Get(t.Context(), key); !errors.Is(err, store.ErrNotFound) {
-			t.Errorf("the record of a lapsed lease: %v, want ErrNotFound", err)
+			t.Errorf("the record of an expired lease: %v, want ErrNotFound", err)
 		}
 		if err := conn.KeepAlive(t.Context(), lease); !errors.Is(err, store.ErrNotFound) {
-			t.Errorf("renewal of a lapsed lease: %v, want ErrNotFound", err)
+			t.Errorf("renewal of an expired lease: %v, want ErrNotFound", err)
 		}
 		if _, err := conn.Put(t.Context(), key, nil, 0, lease); !errors.Is(err, store.ErrNotFound) {
-			t.Errorf("record under a lapsed lease: %v, want ErrNotFound", err)
+			t.Errorf("put with an expired lease: %v, want ErrNotFound", err)
 		}
 		again, err := conn.Grant(t.Context(), time.Second)
 		if err != nil {
@@ -148,7 +149,7 @@
 		first := mustPut(t, conn, "one", 0, lease)
 		clock.advance(time.Second)
 		if second := mustPut(t, conn, "two", 0, ""); second.Revision <= first.Revision {
-			t.Errorf("revision %d follows %d", second.Revision, first.Revision)
+			t.Errorf("revision %d after revision %d, want a higher one", second.Revision, first.Revision)
 		}
 	})
 }
@@ -173,7 +174,7 @@
 				}
 				memory.SetFaults(store.MemoryFaults{})
 				if _, err := conn.Get(t.Context(), key); (err == nil) != test.takesEffect {
-					t.Errorf("the read gave %v, want effect %v", err, test.takesEffect)
+					t.Errorf("read after the fault: %v, want the change in effect: %v", err, test.takesEffect)
 				}
 			})
 		})
@@ -223,7 +224,7 @@
 		}
 		copy(record.Value, "two")
 		if again, err := conn.Get(t.Context(), key); err != nil || string(again.Value) != "one" {
-			t.Errorf("a reader's change shows in %+v, %v", again, err)
+			t.Errorf("modifying a returned value changed the stored record: %+v, %v", again, err)
 		}
 	})
 }
@@ -269,7 +270,7 @@
 	mutex.Lock()
 	defer mutex.Unlock()
 	if got := strings.Join(methods, " "); got != "GET PUT GET" {
-		t.Errorf("the service read %q", got)
+		t.Errorf("the service received %q, want each request once", got)
 	}
 }
 
@@ -334,7 +335,7 @@
 func TestInvalidKeys(t *testing.T) {
 	for _, invalid := range []string{"", "/a", "a//b", "a/../b", "a b", "a?b", "a/", "é"} {
 		if err := store.ValidateKey(invalid); !errors.Is(err, store.ErrInvalid) {
-			t.Errorf("key %q gave %v", invalid, err)
+			t.Errorf("key %q: error is %v, want ErrInvalid", invalid, err)
 		}
 	}
 }
--- a/store/decode.go
+++ b/store/decode.go
@@ -8,7 +8,7 @@
 	"github.com/banksail/banksail/internal/strictjson"
 )
 
-// decodeRecord reads the reply to a GET of a record.
+// decodeRecord decodes the reply to a GET of a record.
 func decodeRecord(reply httpcall.Reply) (Record, error) {
 	switch reply.Code {
 	case http.StatusOK:
@@ -30,8 +30,9 @@
 	return Record{Value: reply.Body, Revision: revision}, nil
 }
 
-// changeStatusError classes the HTTP status of a reply to a change; nil is success.
-// A status that the protocol does not name leaves the outcome unknown.
+// changeStatusError maps the HTTP status of the reply to a change to an error,
+// nil on success. With a status that the protocol does not define, the outcome
+// is unknown.
 func changeStatusError(code int) error {
 	switch code {
 	case http.StatusOK, http.StatusCreated, http.StatusNoContent:
@@ -49,6 +50,8 @@
 	}
 }
 
+// decodeGrant decodes the reply to the grant of a lease. If it is malformed,
+// the lease may exist, so the outcome is unknown.
 func decodeGrant(body []byte) (LeaseID, error) {
 	reply := GrantReply{}
 	if err := strictjson.Unmarshal(body, strictjson.Limits{Bytes: MaximumLeaseBytes}, &reply); err != nil {
--- a/store/fuzz_test.go
+++ b/store/fuzz_test.go
@@ -19,10 +19,10 @@
 		header.Set("ETag", tag)
 		record, err := decodeRecord(httpcall.Reply{Code: code, Header: header, Body: body})
 		if err == nil && (code != http.StatusOK || record.Revision == 0) {
-			t.Fatalf("took %+v under code %d", record, code)
+			t.Fatalf("accepted %+v with HTTP status %d", record, code)
 		}
 		if err == nil && FormatETag(record.Revision) != tag && len(tag) < len(FormatETag(record.Revision)) {
-			t.Fatalf("read revision %d from %q", record.Revision, tag)
+			t.Fatalf("parsed revision %d from %q", record.Revision, tag)
 		}
 	})
 }
@@ -40,7 +40,7 @@
 			return
 		}
 		if ValidateKey(string(lease)) != nil {
-			t.Fatalf("took lease %q", lease)
+			t.Fatalf("accepted invalid lease ID %q", lease)
 		}
 	})
 }
--- a/store/http.go
+++ b/store/http.go
@@ -17,7 +17,7 @@
 	"github.com/banksail/banksail/internal/strictjson"
 )
 
-// Defaults of HTTPOptions.
+// Default values of HTTPOptions.
 const (
 	DefaultTimeout     = 5 * time.Second
 	DefaultConnections = 4
@@ -25,26 +25,28 @@
 	millisecondsPerSecond = 1000
 )
 
-// HTTPOptions configures a connection over HTTP. Zero fields get defaults.
+// HTTPOptions configures a connection over HTTP. Zero fields are set to their
+// defaults.
 type HTTPOptions struct {
-	// Address is the service's IP number and port.
+	// Address is the IP address and port of the service.
 	Address string
-	// Dial opens connections; the default is the operating system's TCP.
+	// Dial opens connections. The default is a net.Dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Timeout bounds each call, for a watch in addition to its wait.
+	// Timeout limits each call. For a watch it is added to the wait time.
 	Timeout time.Duration
-	// Connections bounds the open connections.
+	// Connections is the maximum number of open connections.
 	Connections int
 }
 
+// httpConn implements Conn over HTTP.
 type httpConn struct {
 	address   string
 	timeout   time.Duration
 	transport *http.Transport
 }
 
-// NewHTTP returns a connection to the service at an address. It never sends a
-// change twice.
+// NewHTTP returns a connection to the service at options.Address. It never
+// sends a change twice.
 func NewHTTP(options HTTPOptions) Conn {
 	if options.Dial == nil {
 		options.Dial = (&net.Dialer{}).DialContext
@@ -119,7 +121,7 @@
 		return Record{}, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	if revision <= base {
-		return Record{}, fmt.Errorf("%w: %w: swap of revision %d gave %d", ErrOutcomeUnknown, ErrMalformed, base, revision)
+		return Record{}, fmt.Errorf("%w: %w: put on base revision %d returned revision %d", ErrOutcomeUnknown, ErrMalformed, base, revision)
 	}
 	return Record{Value: value, Revision: revision}, nil
 }
@@ -129,7 +131,7 @@
 		TimeToLiveMilliseconds: timeToLive.Seconds() * millisecondsPerSecond,
 	})
 	if err != nil {
-		return "", fmt.Errorf("store: encoding the grant: %w", err)
+		return "", fmt.Errorf("store: encoding the grant request: %w", err)
 	}
 	reply, err := c.do(ctx, httpcall.Call{Method: http.MethodPost, Path: LeasesPath, Body: body, Limit: MaximumLeaseBytes}, 0)
 	if err != nil {
@@ -160,9 +162,9 @@
 	return changeStatusError(reply.Code)
 }
 
-// do sends one call, which the service may hold back for the wait. Without a
-// whole reply its error is ErrUnavailable when no byte was written, else
-// ErrOutcomeUnknown.
+// do sends one call. wait is the time for which the service may delay the
+// reply, in addition to the timeout. Without a complete reply, the error is
+// ErrUnavailable if no byte was written and ErrOutcomeUnknown otherwise.
 func (c *httpConn) do(ctx context.Context, call httpcall.Call, wait time.Duration) (httpcall.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout+wait)
 	defer cancel()
@@ -175,6 +177,8 @@
 	return reply, nil
 }
 
+// classifyCallError maps the error of a call without a complete reply,
+// depending on whether a byte of the request was written.
 func classifyCallError(tracker *delivery.Tracker, err error) error {
 	if errors.Is(err, strictjson.ErrTooLarge) {
 		err = fmt.Errorf("%w: %w", ErrMalformed, err)
@@ -185,8 +189,8 @@
 	return fmt.Errorf("%w: %w", ErrUnavailable, err)
 }
 
-// readOnlyError turns the outcome of a call that changes nothing: a lost reply is
-// no more than an unavailable service.
+// readOnlyError maps the error of a call that changes nothing: a lost reply
+// means only that the service is unavailable.
 func readOnlyError(err error) error {
 	if errors.Is(err, ErrMalformed) {
 		return fmt.Errorf("%w: %s", ErrMalformed, err.Error())
--- a/store/memory.go
+++ b/store/memory.go
@@ -12,46 +12,49 @@
 	"github.com/banksail/banksail/internal/clock"
 )
 
-// MemoryOptions configures a Memory. Zero fields get defaults.
+// MemoryOptions configures a Memory. Zero fields are set to their defaults.
 type MemoryOptions struct {
-	// Now is the clock that leases and the rate limit go by.
+	// Now is the clock for lease expiry and the rate limit.
 	Now func() time.Time
-	// OnChange, if set, is told of each change of a record, in order. It must
-	// not call the Memory.
+	// OnChange, if set, is called for each write of a record, in order and with
+	// the mutex held. It must not call methods of the Memory.
 	OnChange func(key string, record Record)
 }
 
-// MemoryFaults switches faults of a Memory. The zero value has none.
+// MemoryFaults configures fault injection for a Memory. The zero value injects
+// no faults.
 type MemoryFaults struct {
-	// Down makes each call fail with ErrUnavailable; nothing changes.
+	// Down makes every call fail with ErrUnavailable. Nothing changes.
 	Down bool `json:"down"`
-	// DelayMilliseconds slows each call.
+	// DelayMilliseconds delays each call.
 	DelayMilliseconds float64 `json:"delay_ms" validate:"min=0,max=600000"`
-	// DropChanges lets that many changes go without effect or reply, so that
-	// their writer can't tell them from lost replies.
+	// DropChanges is the number of next changes that have no effect and get no
+	// reply. The writer cannot distinguish them from changes whose reply was
+	// lost.
 	DropChanges int `json:"cut_changes" validate:"min=0,max=1000000"`
-	// LoseReplies lets that many changes take effect with their reply lost.
+	// LoseReplies is the number of next changes that take effect but whose
+	// reply is lost.
 	LoseReplies int `json:"lose_replies" validate:"min=0,max=1000000"`
-	// StaleRevisions makes reads answer with the value that many revisions
-	// before the newest.
+	// StaleRevisions makes reads return the value that is this many revisions
+	// older than the current one, or the oldest one kept.
 	StaleRevisions int `json:"stale_revisions" validate:"min=0,max=16"`
-	// CallsPerSecond bounds the rate of calls, with a burst of one second; zero
-	// means no bound.
+	// CallsPerSecond limits the rate of calls, with a burst of one second. Zero
+	// means no limit.
 	CallsPerSecond float64 `json:"calls_per_second" validate:"min=0,max=1000000"`
 }
 
-// historyLength is the number of old values kept of each record, for stale reads.
+// historyLength is the number of previous values kept for each record, for
+// StaleRevisions.
 const historyLength = 16
 
-// Memory is an in-memory key-value service. Its methods may be called from
-// several goroutines.
+// Memory is an in-memory key-value service. It is safe for concurrent use.
 type Memory struct {
 	now      func() time.Time
 	onChange func(key string, record Record)
 
-	// mutex guards the fields below. Invariant: revision is at least that of
-	// every record ever stored, and changed is closed and replaced with each
-	// change of a record.
+	// mutex guards the fields below. Invariants: revision is at least the
+	// revision of every record ever stored, and changed is closed and replaced
+	// on each change of a record.
 	mutex    sync.Mutex
 	revision uint64
 	records  map[string]*memoryRecord
@@ -63,7 +66,7 @@
 }
 
 type memoryRecord struct {
-	// history holds the newest value last.
+	// history holds the revisions of the record, newest last.
 	history []Record
 	lease   LeaseID
 }
@@ -75,7 +78,7 @@
 
 var _ Conn = (*Memory)(nil)
 
-// NewMemory returns an empty service.
+// NewMemory returns an empty key-value service.
 func NewMemory(options MemoryOptions) *Memory {
 	if options.Now == nil {
 		options.Now = time.Now
@@ -92,7 +95,8 @@
 	}
 }
 
-// SetFaults replaces the fault switches.
+// SetFaults replaces the injected faults and wakes all watches, so that they
+// see them.
 func (m *Memory) SetFaults(faults MemoryFaults) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -110,7 +114,7 @@
 	return rate.NewLimiter(rate.Limit(callsPerSecond), max(1, int(callsPerSecond)))
 }
 
-// Faults returns the fault switches.
+// Faults returns the injected faults.
 func (m *Memory) Faults() MemoryFaults {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -134,7 +138,8 @@
 	return record, nil
 }
 
-// Put swaps a record whose revision is base; base zero creates it.
+// Put writes a record if its current revision is base. A base of zero creates
+// the record.
 func (m *Memory) Put(ctx context.Context, key string, value []byte, base uint64, lease LeaseID) (Record, error) {
 	if err := validatePut(key, value, lease); err != nil {
 		return Record{}, err
@@ -156,7 +161,7 @@
 	return record, nil
 }
 
-// Watch waits until the record's revision is greater than after, at most wait.
+// Watch waits up to wait until the record's revision is greater than after.
 func (m *Memory) Watch(ctx context.Context, key string, after uint64, wait time.Duration) (Record, error) {
 	if err := ValidateKey(key); err != nil {
 		return Record{}, err
@@ -184,12 +189,13 @@
 	}
 }
 
-// readForWatch reads a record and the channel that tells of the next change.
+// readForWatch reads a record and returns it with the channel that is closed on
+// the next change of any record.
 func (m *Memory) readForWatch(key string) (Record, <-chan struct{}, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.faults.Down {
-		return Record{}, nil, fmt.Errorf("%w: switched down", ErrUnavailable)
+		return Record{}, nil, fmt.Errorf("%w: the Down fault is set", ErrUnavailable)
 	}
 	record, _ := m.readRecord(key)
 	return record, m.changed, nil
@@ -222,7 +228,7 @@
 	})
 }
 
-// Revoke ends a lease; its records go away.
+// Revoke ends a lease and removes its records.
 func (m *Memory) Revoke(ctx context.Context, lease LeaseID) error {
 	return m.applyLeaseChange(ctx, lease, func() error {
 		if _, ok := m.leases[lease]; !ok {
@@ -233,7 +239,7 @@
 	})
 }
 
-// applyLeaseChange makes one change of a lease; apply runs with mutex held.
+// applyLeaseChange validates the lease ID and calls applyChange.
 func (m *Memory) applyLeaseChange(ctx context.Context, lease LeaseID, apply func() error) error {
 	if err := ValidateKey(string(lease)); err != nil {
 		return err
@@ -241,7 +247,8 @@
 	return m.applyChange(ctx, apply)
 }
 
-// applyChange makes one change under the fault switches; apply runs with mutex held.
+// applyChange makes one change, subject to the injected faults. apply runs with
+// the mutex held.
 func (m *Memory) applyChange(ctx context.Context, apply func() error) error {
 	if err := m.admitCall(ctx); err != nil {
 		return err
@@ -258,7 +265,8 @@
 	return m.loseReply()
 }
 
-// admitCall applies the faults that act before a call takes effect.
+// admitCall applies the faults that act before a call takes effect: delay,
+// outage and rate limit.
 func (m *Memory) admitCall(ctx context.Context) error {
 	m.mutex.Lock()
 	faults := m.faults
@@ -268,7 +276,7 @@
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	if faults.Down {
-		return fmt.Errorf("%w: switched down", ErrUnavailable)
+		return fmt.Errorf("%w: the Down fault is set", ErrUnavailable)
 	}
 	if limiter != nil && !limiter.AllowN(m.now(), 1) {
 		return ErrRateLimited
@@ -276,25 +284,28 @@
 	return nil
 }
 
-// dropChange applies the loss of a change before it took effect; mutex is held.
+// dropChange simulates a change that is lost before it takes effect. The caller
+// holds the mutex.
 func (m *Memory) dropChange() error {
 	if m.faults.DropChanges == 0 {
 		return nil
 	}
 	m.faults.DropChanges--
-	return fmt.Errorf("%w: the change was cut", ErrOutcomeUnknown)
+	return fmt.Errorf("%w: the change was dropped by fault injection", ErrOutcomeUnknown)
 }
 
-// loseReply applies the loss of a reply after the change; mutex is held.
+// loseReply simulates a reply that is lost after the change took effect. The
+// caller holds the mutex.
 func (m *Memory) loseReply() error {
 	if m.faults.LoseReplies == 0 {
 		return nil
 	}
 	m.faults.LoseReplies--
-	return fmt.Errorf("%w: the reply was lost", ErrOutcomeUnknown)
+	return fmt.Errorf("%w: the reply was lost by fault injection", ErrOutcomeUnknown)
 }
 
-// readRecord returns what a read sees under the stale fault; mutex is held.
+// readRecord returns the record that a reader sees, which may be stale because
+// of StaleRevisions. The caller holds the mutex.
 func (m *Memory) readRecord(key string) (Record, bool) {
 	m.expireLeases()
 	stored, ok := m.records[key]
@@ -332,7 +343,8 @@
 	return record
 }
 
-// expireLeases drops the leases whose time has come; mutex is held.
+// expireLeases removes the leases that have expired. The caller holds the
+// mutex.
 func (m *Memory) expireLeases() {
 	now := m.now()
 	for id, lease := range m.leases {
@@ -342,7 +354,7 @@
 	}
 }
 
-// removeLease ends a lease and removes its records; mutex is held.
+// removeLease removes a lease and its records. The caller holds the mutex.
 func (m *Memory) removeLease(id LeaseID) {
 	delete(m.leases, id)
 	for key, stored := range m.records {
@@ -353,6 +365,7 @@
 	}
 }
 
+// notifyWatchers wakes all watches. The caller holds the mutex.
 func (m *Memory) notifyWatchers() {
 	close(m.changed)
 	m.changed = make(chan struct{})
--- a/store/memory_copy.go
+++ b/store/memory_copy.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// MemoryCopy is what a Memory held at one moment.
+// MemoryCopy is a copy of the state of a Memory at one moment.
 type MemoryCopy struct {
 	revision uint64
 	records  map[string]*memoryRecord
@@ -13,7 +13,7 @@
 	leaseSeq uint64
 }
 
-// Copy copies what the service holds.
+// Copy returns a copy of the current state.
 func (m *Memory) Copy() *MemoryCopy {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -21,8 +21,9 @@
 	return &MemoryCopy{revision: m.revision, records: cloneRecords(m.records), leases: maps.Clone(m.leases), leaseSeq: m.leaseSeq}
 }
 
-// Restore brings the service back from a copy: what was written since has not happened, and
-// revisions and leases are given out again.
+// Restore replaces the state with a copy, as if the service had been restored
+// from a backup: later writes are lost, and revisions and lease IDs are
+// assigned again.
 func (m *Memory) Restore(saved *MemoryCopy) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/store/protocol.go
+++ b/store/protocol.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
-// Paths and parameters of the key-value service's HTTP protocol.
+// Paths and query parameters of the key-value service's HTTP protocol.
 const (
-	// RecordsPath is followed by a record's key.
+	// RecordsPath is followed by the key of a record.
 	RecordsPath = "/v1/records/"
-	// LeasesPath is where leases are granted; a lease's own path is below it.
+	// LeasesPath is the path for granting leases. The path of one lease is
+	// LeasesPath, a slash and its ID.
 	LeasesPath = "/v1/leases"
 
 	AfterParameter = "after"
@@ -20,24 +21,27 @@
 	LeaseParameter = "lease"
 )
 
-// Bounds of the protocol.
+// Limits of the protocol.
 const (
-	// MaximumValueBytes bounds the value of a record.
+	// MaximumValueBytes is the maximum size of a record's value.
 	MaximumValueBytes = 16 << 20
-	// MaximumKeyBytes bounds a record's key.
+	// MaximumKeyBytes is the maximum length of a key or lease ID.
 	MaximumKeyBytes = 256
-	// MaximumWait bounds one long poll.
+	// MaximumWait is the maximum duration of one long poll.
 	MaximumWait = time.Minute
-	// MaximumLeaseBytes bounds a document about a lease.
+	// MaximumLeaseBytes is the maximum size of a request or reply body about a
+	// lease.
 	MaximumLeaseBytes = 4 << 10
-	// MaximumTimeToLive bounds a lease.
+	// MaximumTimeToLive is the maximum time to live of a lease.
 	MaximumTimeToLive = 24 * time.Hour
 )
 
 var keyPattern = regexp.MustCompile(`^[A-Za-z0-9_-][A-Za-z0-9._-]*(/[A-Za-z0-9_-][A-Za-z0-9._-]*)*$`)
 
-// ValidateKey returns ErrInvalid unless key is made of letters, digits, dot,
-// underscore and hyphen in segments that slashes part.
+// ValidateKey returns ErrInvalid unless key consists of segments separated by
+// slashes, each made of letters, digits, dots, underscores and hyphens and not
+// beginning with a dot, with at most MaximumKeyBytes in total. It also
+// validates lease IDs.
 func ValidateKey(key string) error {
 	if len(key) > MaximumKeyBytes || !keyPattern.MatchString(key) {
 		return fmt.Errorf("%w: key %q", ErrInvalid, key)
@@ -45,13 +49,14 @@
 	return nil
 }
 
-// validatePut returns ErrInvalid for a swap that the protocol can't carry.
+// validatePut returns ErrInvalid if the protocol does not allow the arguments
+// of a Put.
 func validatePut(key string, value []byte, lease LeaseID) error {
 	if err := ValidateKey(key); err != nil {
 		return err
 	}
 	if len(value) > MaximumValueBytes {
-		return fmt.Errorf("%w: value over %d bytes", ErrInvalid, MaximumValueBytes)
+		return fmt.Errorf("%w: value exceeds %d bytes", ErrInvalid, MaximumValueBytes)
 	}
 	if lease == "" {
 		return nil
@@ -64,17 +69,18 @@
 	TimeToLiveMilliseconds float64 `json:"ttl_ms"`
 }
 
-// GrantReply is the reply to a GrantRequest.
+// GrantReply is the body of the reply to a GrantRequest.
 type GrantReply struct {
 	Lease LeaseID `json:"lease"`
 }
 
-// FormatETag writes a revision as an entity tag.
+// FormatETag formats a revision as an entity tag.
 func FormatETag(revision uint64) string {
 	return `"` + strconv.FormatUint(revision, 10) + `"`
 }
 
-// ParseETag reads a revision, which is never zero, from an entity tag.
+// ParseETag parses the revision in an entity tag. It rejects weak tags and
+// revision zero.
 func ParseETag(tag string) (uint64, error) {
 	digits, ok := strings.CutPrefix(tag, `"`)
 	if !ok {
