--- a/node/node.go
+++ b/node/node.go
@@ -189,7 +189,7 @@
 func (n *Node) now() time.Duration { return time.Since(n.epoch) }
 
 // newMachine makes the decision core of one service.
-func (n *Node) newMachine(seed uint64) Machine {
+func (n *Node) newMachine(seed uint64) Dispatcher {
 	return dispatch.New(dispatch.Options{Seed: seed, Zone: n.options.Settings.Node.Zone})
 }
 
--- a/node/shard.go
+++ b/node/shard.go
@@ -10,8 +10,9 @@
 	"github.com/banksail/banksail/dispatch"
 )
 
-// Machine decides for the queries of one service; *dispatch.Dispatcher is one.
-type Machine interface {
+// Dispatcher decides how the queries of one service are run; *dispatch.Dispatcher
+// implements it.
+type Dispatcher interface {
 	Step(now time.Duration, event dispatch.Event) []dispatch.Action
 }
 
@@ -27,7 +28,7 @@
 	// attemptPrefix starts the attempt IDs on the wire; no other shard of any
 	// node, in any incarnation, has the same one.
 	attemptPrefix string
-	machine       Machine
+	machine       Dispatcher
 	asker         asker
 	// now is the time since the node's epoch.
 	now func() time.Duration
