--- a/front/nodes.go
+++ b/front/nodes.go
@@ -40,7 +40,7 @@
 		case <-ticker.C:
 		}
 		f.updateNodes()
-		_ = clock.Sleep(ctx, nodesUpdateInterval) // an error means that ctx has ended, which the select handles
+		_ = clock.Sleep(ctx, nodesUpdateInterval) // the select above handles the end of ctx
 	}
 }
 
--- a/front/quarantines.go
+++ b/front/quarantines.go
@@ -129,7 +129,7 @@
 	select {
 	case q.records <- fingerprint:
 	default:
-		q.dropped.Inc() // an aggregator writes the record, or the next node that receives the request
+		q.dropped.Inc() // an aggregator or the next node that receives the request writes it
 	}
 }
 
