--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -57,7 +57,7 @@
 	}
 	for name, steps := range tests {
 		t.Run(name, func(t *testing.T) {
-			ledger := NewLedger(LedgerOptions{Window: time.Minute})
+			ledger := NewTable(TableOptions{TTL: time.Minute})
 			for i, step := range steps {
 				claim := Claim{Key: "key", Holder: step.holder, Sequence: step.number}
 				if step.release {
@@ -73,7 +73,7 @@
 }
 
 func TestFullLedgerForgetsNoLiveClaim(t *testing.T) {
-	ledger := NewLedger(LedgerOptions{Maximum: 1})
+	ledger := NewTable(TableOptions{MaxClaims: 1})
 	ledger.Claim(0, Claim{Key: "a", Holder: first})
 	if got := ledger.Claim(0, Claim{Key: "b", Holder: first}); got.Verdict != Full {
 		t.Fatalf("verdict %d, want Full", got.Verdict)
@@ -105,10 +105,10 @@
 		t.Run(name, func(t *testing.T) {
 			round := NewRound(test.owners)
 			for _, answer := range test.answers {
-				round.Answered(answer)
+				round.AddAnswer(answer)
 			}
 			for range test.failed {
-				round.Failed()
+				round.AddFailure()
 			}
 			if test.closed {
 				round.Close()
@@ -128,7 +128,7 @@
 	properties := gopter.NewProperties(parameters)
 	properties.Property("at most one round wins", prop.ForAll(func(seed uint64) bool {
 		random := rand.New(rand.NewPCG(seed, 0))
-		ledgers := []*Ledger{NewLedger(LedgerOptions{}), NewLedger(LedgerOptions{}), NewLedger(LedgerOptions{})}
+		ledgers := []*Table{NewTable(TableOptions{}), NewTable(TableOptions{}), NewTable(TableOptions{})}
 		rounds := make([]*Round, 4)
 		type call struct{ claimant, owner int }
 		var calls []call
@@ -141,11 +141,11 @@
 		random.Shuffle(len(calls), func(i, j int) { calls[i], calls[j] = calls[j], calls[i] })
 		for _, call := range calls {
 			if random.IntN(4) == 0 {
-				rounds[call.claimant].Failed()
+				rounds[call.claimant].AddFailure()
 				continue
 			}
 			holder := Holder{Node: fmt.Sprint(call.claimant)}
-			rounds[call.claimant].Answered(ledgers[call.owner].Claim(0, Claim{Key: "key", Holder: holder}))
+			rounds[call.claimant].AddAnswer(ledgers[call.owner].Claim(0, Claim{Key: "key", Holder: holder}))
 		}
 		won := 0
 		for _, round := range rounds {
@@ -183,7 +183,7 @@
 }
 
 func TestAdoptedClaim(t *testing.T) {
-	kept := Kept{Claim: Claim{Key: "key", Holder: first}, Remaining: 10 * time.Second}
+	kept := ActiveClaim{Claim: Claim{Key: "key", Holder: first}, Remaining: 10 * time.Second}
 	claimed := Claim{Key: "key", Holder: second}
 	tests := map[string]struct {
 		before *Claim
@@ -196,7 +196,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			ledger := NewLedger(LedgerOptions{Window: time.Minute})
+			ledger := NewTable(TableOptions{TTL: time.Minute})
 			if test.before != nil {
 				ledger.Claim(0, *test.before)
 			}
--- a/claim/doc.go
+++ b/claim/doc.go
@@ -5,6 +5,6 @@
 // is asked to run the same ID again claims it at nearly the same owners, and is
 // told that it is held.
 //
-// Ledger is the owners' side, Round the claimant's. Both are pure: no
+// Table is the owners' side, Round the claimant's. Both are pure: no
 // goroutine, clock or I/O; times are durations since an epoch of the caller's.
 package claim
--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -39,26 +39,26 @@
 	Holder  Holder
 }
 
-// LedgerOptions sets up a Ledger. The zero value of a field stands for its default.
-type LedgerOptions struct {
-	// Window is how long a claim is kept; default twenty minutes. It covers the
+// TableOptions sets up a Ledger. The zero value of a field stands for its default.
+type TableOptions struct {
+	// TTL is how long a claim is kept; default twenty minutes. It covers the
 	// longest deadline, in which the request may still run, and the time for
 	// which the holder itself remembers the outcome.
-	Window time.Duration
-	// Maximum is the number of claims that are kept; default 100,000.
-	Maximum int
+	TTL time.Duration
+	// MaxClaims is the number of claims that are kept; default 100,000.
+	MaxClaims int
 }
 
-// Defaults of LedgerOptions.
+// Defaults of TableOptions.
 const (
-	DefaultWindow  = 20 * time.Minute
-	DefaultMaximum = 100_000
+	DefaultTTL       = 20 * time.Minute
+	DefaultMaxClaims = 100_000
 )
 
-// Ledger keeps the claims of which this node is an owner. It is not safe for
+// Table keeps the claims of which this node is an owner. It is not safe for
 // concurrent use.
-type Ledger struct {
-	options LedgerOptions
+type Table struct {
+	options TableOptions
 	entries map[string]*list.Element
 	// order lists the entries by when they were recorded or renewed. Adopted ones
 	// may expire earlier than their place tells; they then only take up room
@@ -71,47 +71,47 @@
 	expires time.Duration
 }
 
-// NewLedger returns an empty Ledger.
-func NewLedger(options LedgerOptions) *Ledger {
-	if options.Window <= 0 {
-		options.Window = DefaultWindow
+// NewTable returns an empty Ledger.
+func NewTable(options TableOptions) *Table {
+	if options.TTL <= 0 {
+		options.TTL = DefaultTTL
 	}
-	if options.Maximum <= 0 {
-		options.Maximum = DefaultMaximum
+	if options.MaxClaims <= 0 {
+		options.MaxClaims = DefaultMaxClaims
 	}
-	return &Ledger{options: options, entries: make(map[string]*list.Element)}
+	return &Table{options: options, entries: make(map[string]*list.Element)}
 }
 
 // Claim records the claim unless another holder has the key. A claim that the
 // same holder repeats is granted again and kept for a whole window from now.
-func (l *Ledger) Claim(now time.Duration, claim Claim) Answer {
+func (l *Table) Claim(now time.Duration, claim Claim) Answer {
 	known, element := l.find(now, claim.Key)
 	if known == nil {
-		return l.record(claim, now+l.options.Window)
+		return l.record(claim, now+l.options.TTL)
 	}
 	if known.claim.Holder != claim.Holder {
 		return Answer{Verdict: Held, Holder: known.claim.Holder}
 	}
 	known.claim.Sequence = max(known.claim.Sequence, claim.Sequence)
-	known.expires = now + l.options.Window
+	known.expires = now + l.options.TTL
 	l.order.MoveToBack(element)
 	return Answer{Verdict: Granted}
 }
 
-// Kept is a claim with the time for which it is still kept.
-type Kept struct {
+// ActiveClaim is a claim with the time for which it is still kept.
+type ActiveClaim struct {
 	Claim     Claim
 	Remaining time.Duration
 }
 
-// Kept lists the claims, so that they can be handed to other owners.
-func (l *Ledger) Kept(now time.Duration) []Kept {
+// ActiveClaim lists the claims, so that they can be handed to other owners.
+func (l *Table) ActiveClaims(now time.Duration) []ActiveClaim {
 	l.expire(now)
-	claims := make([]Kept, 0, len(l.entries))
+	claims := make([]ActiveClaim, 0, len(l.entries))
 	for element := l.order.Front(); element != nil; element = element.Next() {
 		known := element.Value.(*entry)
 		if known.expires > now {
-			claims = append(claims, Kept{Claim: known.claim, Remaining: known.expires - now})
+			claims = append(claims, ActiveClaim{Claim: known.claim, Remaining: known.expires - now})
 		}
 	}
 	return claims
@@ -119,15 +119,15 @@
 
 // Adopt records a claim that another owner kept, for the time that remains. A
 // claim of the same key that this ledger knows stays as it is.
-func (l *Ledger) Adopt(now time.Duration, kept Kept) {
+func (l *Table) Adopt(now time.Duration, kept ActiveClaim) {
 	if known, _ := l.find(now, kept.Claim.Key); known != nil || kept.Remaining <= 0 {
 		return
 	}
-	l.record(kept.Claim, now+min(kept.Remaining, l.options.Window))
+	l.record(kept.Claim, now+min(kept.Remaining, l.options.TTL))
 }
 
 // find returns the claim of a key, unless it has expired.
-func (l *Ledger) find(now time.Duration, key string) (*entry, *list.Element) {
+func (l *Table) find(now time.Duration, key string) (*entry, *list.Element) {
 	l.expire(now)
 	element := l.entries[key]
 	if element == nil {
@@ -141,8 +141,8 @@
 	return known, element
 }
 
-func (l *Ledger) record(claim Claim, expires time.Duration) Answer {
-	if len(l.entries) >= l.options.Maximum {
+func (l *Table) record(claim Claim, expires time.Duration) Answer {
+	if len(l.entries) >= l.options.MaxClaims {
 		return Answer{Verdict: Full}
 	}
 	l.entries[claim.Key] = l.order.PushBack(&entry{claim: claim, expires: expires})
@@ -151,7 +151,7 @@
 
 // Release forgets a claim whose holder certainly did not run the request. The
 // claim of another holder, and a later one of the same holder, stay.
-func (l *Ledger) Release(claim Claim) {
+func (l *Table) Release(claim Claim) {
 	element := l.entries[claim.Key]
 	if element == nil {
 		return
@@ -163,9 +163,9 @@
 }
 
 // Len is the number of claims kept.
-func (l *Ledger) Len() int { return len(l.entries) }
+func (l *Table) Len() int { return len(l.entries) }
 
-func (l *Ledger) expire(now time.Duration) {
+func (l *Table) expire(now time.Duration) {
 	for front := l.order.Front(); front != nil; front = l.order.Front() {
 		if front.Value.(*entry).expires > now {
 			return
@@ -174,7 +174,7 @@
 	}
 }
 
-func (l *Ledger) remove(element *list.Element) {
+func (l *Table) remove(element *list.Element) {
 	l.order.Remove(element)
 	delete(l.entries, element.Value.(*entry).claim.Key)
 }
--- a/claim/round.go
+++ b/claim/round.go
@@ -33,8 +33,8 @@
 // NewRound returns a Round that awaits the answers of so many owners.
 func NewRound(owners int) *Round { return &Round{owners: owners, pending: owners} }
 
-// Answered takes an owner's answer; each owner answers once.
-func (r *Round) Answered(answer Answer) {
+// AddAnswer takes an owner's answer; each owner answers once.
+func (r *Round) AddAnswer(answer Answer) {
 	r.pending--
 	switch answer.Verdict {
 	case Granted:
@@ -45,8 +45,8 @@
 	}
 }
 
-// Failed tells that an owner can't be reached.
-func (r *Round) Failed() { r.pending-- }
+// AddFailure tells that an owner can't be reached.
+func (r *Round) AddFailure() { r.pending-- }
 
 // Close tells that no further answer is awaited.
 func (r *Round) Close() { r.pending = 0 }
--- a/peer/agent.go
+++ b/peer/agent.go
@@ -84,7 +84,7 @@
 		seed:           options.Seed,
 		selfID:         self.ID,
 		started:        self.Incarnation,
-		claims:         claimTable{ledger: claim.NewLedger(options.Claims)},
+		claims:         claimTable{ledger: claim.NewTable(options.Claims)},
 		listAsked:      make(chan struct{}),
 		nodes:          nodeTable{core: membership.NewNodes(nodesOptions)},
 		servers:        serverTable{core: membership.NewServers(options.Servers), foundNews: make(chan struct{}, 1)},
--- a/peer/claim.go
+++ b/peer/claim.go
@@ -33,7 +33,7 @@
 	// decrease, as the clock is read under the lock; once closed is set, the
 	// ledger grants nothing, so that all it granted was handed over.
 	mutex  sync.Mutex
-	ledger *claim.Ledger
+	ledger *claim.Table
 	closed bool
 	// asking counts the calls to owners that are out. It grows only under mutex
 	// and while closed is not set, so that waiting for it after that is safe.
@@ -65,7 +65,7 @@
 	}}
 	if answer := a.recordClaim(made.claim); answer.Verdict != claim.Granted {
 		round := claim.NewRound(1)
-		round.Answered(answer)
+		round.AddAnswer(answer)
 		made.Decision, made.Holder = round.Decision(), round.Holder()
 		return made
 	}
@@ -174,7 +174,7 @@
 // unavailable is a round that an owner did not answer.
 func unavailable() *claim.Round {
 	round := claim.NewRound(1)
-	round.Failed()
+	round.AddFailure()
 	return round
 }
 
@@ -195,9 +195,9 @@
 		select {
 		case answer := <-answers:
 			if answer.failed {
-				round.Failed()
+				round.AddFailure()
 			} else {
-				round.Answered(answer.answer)
+				round.AddAnswer(answer.answer)
 			}
 		case <-straggle:
 			round.Close()
--- a/peer/handover.go
+++ b/peer/handover.go
@@ -25,7 +25,7 @@
 type batch struct {
 	member  string
 	address string
-	claims  []claim.Kept
+	claims  []claim.ActiveClaim
 }
 
 // handOver gives the claims that this node keeps to all their owners among the
@@ -49,21 +49,21 @@
 }
 
 // closeLedger ends the granting of claims and returns those that are kept.
-func (a *Agent) closeLedger() []claim.Kept {
+func (a *Agent) closeLedger() []claim.ActiveClaim {
 	a.claims.mutex.Lock()
 	defer a.claims.mutex.Unlock()
 	a.claims.closed = true
-	return a.claims.ledger.Kept(a.now())
+	return a.claims.ledger.ActiveClaims(a.now())
 }
 
 // handoverBatches divides the claims by their owners.
-func (a *Agent) handoverBatches(kept []claim.Kept) []batch {
+func (a *Agent) handoverBatches(kept []claim.ActiveClaim) []batch {
 	candidates := a.claimCandidates()
 	ids := make([]string, 0, len(candidates))
 	for id := range candidates {
 		ids = append(ids, id)
 	}
-	owned := make(map[string][]claim.Kept)
+	owned := make(map[string][]claim.ActiveClaim)
 	for _, one := range kept {
 		holder := one.Claim.Holder.Node
 		others := slices.DeleteFunc(slices.Clone(ids), func(id string) bool { return id == holder })
@@ -103,7 +103,7 @@
 		if err != nil {
 			return nil, err
 		}
-		s.agent.adoptClaim(claim.Kept{
+		s.agent.adoptClaim(claim.ActiveClaim{
 			Claim:     made,
 			Remaining: time.Duration(message.GetRemainingMs()) * time.Millisecond,
 		})
@@ -111,7 +111,7 @@
 	return &AdoptClaimsResponse{}, nil
 }
 
-func (a *Agent) adoptClaim(kept claim.Kept) {
+func (a *Agent) adoptClaim(kept claim.ActiveClaim) {
 	a.claims.mutex.Lock()
 	defer a.claims.mutex.Unlock()
 	a.claims.ledger.Adopt(a.now(), kept)
--- a/peer/options.go
+++ b/peer/options.go
@@ -96,5 +96,5 @@
 	// Servers overrides times of the table of servers.
 	Servers membership.ServersOptions
 	// Claims bounds the claims of requests that are kept for other nodes.
-	Claims claim.LedgerOptions
+	Claims claim.TableOptions
 }
