--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -16,13 +16,13 @@
 	second = Holder{Node: "node-2", Incarnation: 1}
 )
 
-func TestLedger(t *testing.T) {
+func TestTable(t *testing.T) {
 	type step struct {
-		at      time.Duration
-		holder  Holder
-		number  uint64
-		release bool
-		want    Verdict
+		at       time.Duration
+		holder   Holder
+		sequence uint64
+		release  bool
+		want     Verdict
 	}
 	tests := map[string][]step{
 		"first holder is granted, another is told who holds": {
@@ -41,9 +41,9 @@
 			{holder: first, want: Granted}, {holder: second, release: true}, {holder: second, want: Held},
 		},
 		"late release does not undo a later claim": {
-			{holder: first, number: 1, want: Granted},
-			{holder: first, number: 2, want: Granted},
-			{holder: first, number: 1, release: true},
+			{holder: first, sequence: 1, want: Granted},
+			{holder: first, sequence: 2, want: Granted},
+			{holder: first, sequence: 1, release: true},
 			{holder: second, want: Held},
 		},
 		"claim lapses after its window": {
@@ -57,14 +57,14 @@
 	}
 	for name, steps := range tests {
 		t.Run(name, func(t *testing.T) {
-			ledger := NewTable(TableOptions{TTL: time.Minute})
+			table := NewTable(TableOptions{TTL: time.Minute})
 			for i, step := range steps {
-				claim := Claim{Key: "key", Holder: step.holder, Sequence: step.number}
+				claim := Claim{Key: "key", Holder: step.holder, Sequence: step.sequence}
 				if step.release {
-					ledger.Release(claim)
+					table.Release(claim)
 					continue
 				}
-				if got := ledger.Claim(step.at, claim); got.Verdict != step.want {
+				if got := table.Claim(step.at, claim); got.Verdict != step.want {
 					t.Fatalf("step %d: verdict %d, want %d", i, got.Verdict, step.want)
 				}
 			}
@@ -72,13 +72,13 @@
 	}
 }
 
-func TestFullLedgerForgetsNoLiveClaim(t *testing.T) {
-	ledger := NewTable(TableOptions{MaxClaims: 1})
-	ledger.Claim(0, Claim{Key: "a", Holder: first})
-	if got := ledger.Claim(0, Claim{Key: "b", Holder: first}); got.Verdict != Full {
+func TestFullTableKeepsActiveClaims(t *testing.T) {
+	table := NewTable(TableOptions{MaxClaims: 1})
+	table.Claim(0, Claim{Key: "a", Holder: first})
+	if got := table.Claim(0, Claim{Key: "b", Holder: first}); got.Verdict != Full {
 		t.Fatalf("verdict %d, want Full", got.Verdict)
 	}
-	if got := ledger.Claim(0, Claim{Key: "a", Holder: second}); got.Verdict != Held {
+	if got := table.Claim(0, Claim{Key: "a", Holder: second}); got.Verdict != Held {
 		t.Fatalf("verdict %d, want Held", got.Verdict)
 	}
 }
@@ -128,13 +128,13 @@
 	properties := gopter.NewProperties(parameters)
 	properties.Property("at most one round wins", prop.ForAll(func(seed uint64) bool {
 		random := rand.New(rand.NewPCG(seed, 0))
-		ledgers := []*Table{NewTable(TableOptions{}), NewTable(TableOptions{}), NewTable(TableOptions{})}
+		tables := []*Table{NewTable(TableOptions{}), NewTable(TableOptions{}), NewTable(TableOptions{})}
 		rounds := make([]*Round, 4)
 		type call struct{ claimant, owner int }
 		var calls []call
 		for claimant := range rounds {
-			rounds[claimant] = NewRound(len(ledgers))
-			for owner := range ledgers {
+			rounds[claimant] = NewRound(len(tables))
+			for owner := range tables {
 				calls = append(calls, call{claimant, owner})
 			}
 		}
@@ -145,7 +145,7 @@
 				continue
 			}
 			holder := Holder{Node: fmt.Sprint(call.claimant)}
-			rounds[call.claimant].AddAnswer(ledgers[call.owner].Claim(0, Claim{Key: "key", Holder: holder}))
+			rounds[call.claimant].AddAnswer(tables[call.owner].Claim(0, Claim{Key: "key", Holder: holder}))
 		}
 		won := 0
 		for _, round := range rounds {
@@ -158,8 +158,8 @@
 	properties.TestingRun(t)
 }
 
-// TestOwnersChangeByOne: a node that leaves takes at most one owner with it.
-func TestOwnersChangeByOne(t *testing.T) {
+// TestNodeRemovalChangesAtMostOneOwner: a node that leaves takes at most one owner with it.
+func TestNodeRemovalChangesAtMostOneOwner(t *testing.T) {
 	nodes := make([]string, 20)
 	for i := range nodes {
 		nodes[i] = fmt.Sprintf("node-%d", i)
@@ -183,7 +183,7 @@
 }
 
 func TestAdoptedClaim(t *testing.T) {
-	kept := ActiveClaim{Claim: Claim{Key: "key", Holder: first}, Remaining: 10 * time.Second}
+	active := ActiveClaim{Claim: Claim{Key: "key", Holder: first}, Remaining: 10 * time.Second}
 	claimed := Claim{Key: "key", Holder: second}
 	tests := map[string]struct {
 		before *Claim
@@ -196,12 +196,12 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			ledger := NewTable(TableOptions{TTL: time.Minute})
+			table := NewTable(TableOptions{TTL: time.Minute})
 			if test.before != nil {
-				ledger.Claim(0, *test.before)
+				table.Claim(0, *test.before)
 			}
-			ledger.Adopt(0, kept)
-			if got := ledger.Claim(test.at, claimed); got.Verdict != test.want {
+			table.Adopt(0, active)
+			if got := table.Claim(test.at, claimed); got.Verdict != test.want {
 				t.Fatalf("verdict %d, want %d", got.Verdict, test.want)
 			}
 		})
--- a/claim/example_test.go
+++ b/claim/example_test.go
@@ -9,15 +9,15 @@
 // Two nodes claim the same request, one after the other.
 func Example() {
 	owners := []string{"node-b", "node-c", "node-d"}
-	ledgers := make(map[string]*claim.Table)
+	tables := make(map[string]*claim.Table)
 	for _, owner := range claim.Owners("orders/17", owners) {
-		ledgers[owner] = claim.NewTable(claim.TableOptions{})
+		tables[owner] = claim.NewTable(claim.TableOptions{})
 	}
 	for _, node := range []string{"node-a", "node-e"} {
-		made := claim.Claim{Key: "orders/17", Holder: claim.Holder{Node: node, Incarnation: 1}, Sequence: 1}
-		round := claim.NewRound(len(ledgers))
-		for _, ledger := range ledgers {
-			round.AddAnswer(ledger.Claim(0, made))
+		request := claim.Claim{Key: "orders/17", Holder: claim.Holder{Node: node, Incarnation: 1}, Sequence: 1}
+		round := claim.NewRound(len(tables))
+		for _, table := range tables {
+			round.AddAnswer(table.Claim(0, request))
 		}
 		if round.Decision() == claim.Won {
 			fmt.Println(node, "may run it")
--- a/claim/owners.go
+++ b/claim/owners.go
@@ -12,14 +12,14 @@
 
 // Owners picks the owners of a key among the other nodes by rendezvous hashing,
 // so that a node that comes or goes changes at most one owner of a key.
-func Owners(key string, others []string) []string {
+func Owners(key string, otherNodes []string) []string {
 	type ranked struct {
 		node   string
 		weight uint64
 	}
-	nodes := make([]ranked, 0, len(others))
-	for _, node := range others {
-		nodes = append(nodes, ranked{node: node, weight: weight(key, node)})
+	nodes := make([]ranked, 0, len(otherNodes))
+	for _, node := range otherNodes {
+		nodes = append(nodes, ranked{node: node, weight: hashWeight(key, node)})
 	}
 	slices.SortFunc(nodes, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.node, b.node))
@@ -31,7 +31,7 @@
 	return owners
 }
 
-func weight(key, node string) uint64 {
+func hashWeight(key, node string) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(node)
 	_, _ = digest.Write([]byte{0})
--- a/claim/ledger.go
+++ b/claim/table.go
@@ -60,10 +60,10 @@
 type Table struct {
 	options TableOptions
 	entries map[string]*list.Element
-	// order lists the entries by when they were recorded or renewed. Adopted ones
+	// byRenewal lists the entries by when they were recorded or renewed. Adopted ones
 	// may expire earlier than their place tells; they then only take up room
 	// until their turn.
-	order list.List
+	byRenewal list.List
 }
 
 type entry struct {
@@ -84,17 +84,17 @@
 
 // Claim records the claim unless another holder has the key. A claim that the
 // same holder repeats is granted again and kept for a whole window from now.
-func (l *Table) Claim(now time.Duration, claim Claim) Answer {
-	known, element := l.find(now, claim.Key)
-	if known == nil {
-		return l.record(claim, now+l.options.TTL)
+func (t *Table) Claim(now time.Duration, claim Claim) Answer {
+	existing, element := t.findActive(now, claim.Key)
+	if existing == nil {
+		return t.record(claim, now+t.options.TTL)
 	}
-	if known.claim.Holder != claim.Holder {
-		return Answer{Verdict: Held, Holder: known.claim.Holder}
+	if existing.claim.Holder != claim.Holder {
+		return Answer{Verdict: Held, Holder: existing.claim.Holder}
 	}
-	known.claim.Sequence = max(known.claim.Sequence, claim.Sequence)
-	known.expires = now + l.options.TTL
-	l.order.MoveToBack(element)
+	existing.claim.Sequence = max(existing.claim.Sequence, claim.Sequence)
+	existing.expires = now + t.options.TTL
+	t.byRenewal.MoveToBack(element)
 	return Answer{Verdict: Granted}
 }
 
@@ -105,13 +105,13 @@
 }
 
 // ActiveClaim lists the claims, so that they can be handed to other owners.
-func (l *Table) ActiveClaims(now time.Duration) []ActiveClaim {
-	l.expire(now)
-	claims := make([]ActiveClaim, 0, len(l.entries))
-	for element := l.order.Front(); element != nil; element = element.Next() {
-		known := element.Value.(*entry)
-		if known.expires > now {
-			claims = append(claims, ActiveClaim{Claim: known.claim, Remaining: known.expires - now})
+func (t *Table) ActiveClaims(now time.Duration) []ActiveClaim {
+	t.removeExpired(now)
+	claims := make([]ActiveClaim, 0, len(t.entries))
+	for element := t.byRenewal.Front(); element != nil; element = element.Next() {
+		existing := element.Value.(*entry)
+		if existing.expires > now {
+			claims = append(claims, ActiveClaim{Claim: existing.claim, Remaining: existing.expires - now})
 		}
 	}
 	return claims
@@ -119,62 +119,62 @@
 
 // Adopt records a claim that another owner kept, for the time that remains. A
 // claim of the same key that this ledger knows stays as it is.
-func (l *Table) Adopt(now time.Duration, kept ActiveClaim) {
-	if known, _ := l.find(now, kept.Claim.Key); known != nil || kept.Remaining <= 0 {
+func (t *Table) Adopt(now time.Duration, active ActiveClaim) {
+	if existing, _ := t.findActive(now, active.Claim.Key); existing != nil || active.Remaining <= 0 {
 		return
 	}
-	l.record(kept.Claim, now+min(kept.Remaining, l.options.TTL))
+	t.record(active.Claim, now+min(active.Remaining, t.options.TTL))
 }
 
-// find returns the claim of a key, unless it has expired.
-func (l *Table) find(now time.Duration, key string) (*entry, *list.Element) {
-	l.expire(now)
-	element := l.entries[key]
+// findActive returns the claim of a key, unless it has expired.
+func (t *Table) findActive(now time.Duration, key string) (*entry, *list.Element) {
+	t.removeExpired(now)
+	element := t.entries[key]
 	if element == nil {
 		return nil, nil
 	}
-	known := element.Value.(*entry)
-	if known.expires <= now {
-		l.remove(element)
+	existing := element.Value.(*entry)
+	if existing.expires <= now {
+		t.remove(element)
 		return nil, nil
 	}
-	return known, element
+	return existing, element
 }
 
-func (l *Table) record(claim Claim, expires time.Duration) Answer {
-	if len(l.entries) >= l.options.MaxClaims {
+func (t *Table) record(claim Claim, expires time.Duration) Answer {
+	if len(t.entries) >= t.options.MaxClaims {
 		return Answer{Verdict: Full}
 	}
-	l.entries[claim.Key] = l.order.PushBack(&entry{claim: claim, expires: expires})
+	t.entries[claim.Key] = t.byRenewal.PushBack(&entry{claim: claim, expires: expires})
 	return Answer{Verdict: Granted}
 }
 
 // Release forgets a claim whose holder certainly did not run the request. The
 // claim of another holder, and a later one of the same holder, stay.
-func (l *Table) Release(claim Claim) {
-	element := l.entries[claim.Key]
+func (t *Table) Release(claim Claim) {
+	element := t.entries[claim.Key]
 	if element == nil {
 		return
 	}
-	known := element.Value.(*entry).claim
-	if known.Holder == claim.Holder && known.Sequence <= claim.Sequence {
-		l.remove(element)
+	existing := element.Value.(*entry).claim
+	if existing.Holder == claim.Holder && existing.Sequence <= claim.Sequence {
+		t.remove(element)
 	}
 }
 
 // Len is the number of claims kept.
-func (l *Table) Len() int { return len(l.entries) }
+func (t *Table) Len() int { return len(t.entries) }
 
-func (l *Table) expire(now time.Duration) {
-	for front := l.order.Front(); front != nil; front = l.order.Front() {
+func (t *Table) removeExpired(now time.Duration) {
+	for front := t.byRenewal.Front(); front != nil; front = t.byRenewal.Front() {
 		if front.Value.(*entry).expires > now {
 			return
 		}
-		l.remove(front)
+		t.remove(front)
 	}
 }
 
-func (l *Table) remove(element *list.Element) {
-	l.order.Remove(element)
-	delete(l.entries, element.Value.(*entry).claim.Key)
+func (t *Table) remove(element *list.Element) {
+	t.byRenewal.Remove(element)
+	delete(t.entries, element.Value.(*entry).claim.Key)
 }
