--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -121,7 +121,7 @@
 }
 
 // TestAtMostOneRoundWins lets several nodes claim one key at the same owners in
-// any order, with any owner out of reach for any of them.
+// random order, with random owners unreachable for each of them.
 func TestAtMostOneRoundWins(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 500
@@ -158,7 +158,8 @@
 	properties.TestingRun(t)
 }
 
-// TestNodeRemovalChangesAtMostOneOwner: a node that leaves takes at most one owner with it.
+// TestNodeRemovalChangesAtMostOneOwner guards against an owner choice that
+// moves more than one owner of a key when a node leaves.
 func TestNodeRemovalChangesAtMostOneOwner(t *testing.T) {
 	nodes := make([]string, 20)
 	for i := range nodes {
@@ -177,7 +178,7 @@
 			}
 		}
 		if kept < OwnersPerRequest-1 {
-			t.Fatalf("%s: owners %v became %v", key, before, after)
+			t.Fatalf("%s: owners changed from %v to %v, want at most one changed", key, before, after)
 		}
 	}
 }
--- a/claim/owners.go
+++ b/claim/owners.go
@@ -7,11 +7,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// OwnersPerRequest is the number of owners of a request, where there are as many nodes.
+// OwnersPerRequest is the number of owners of a request, or all other nodes if
+// there are fewer.
 const OwnersPerRequest = 3
 
-// Owners picks the owners of a key among the other nodes by rendezvous hashing,
-// so that a node that comes or goes changes at most one owner of a key.
+// Owners chooses the owners of a key among the other nodes by rendezvous
+// hashing, so that a node that joins or leaves changes at most one owner of
+// each key.
 func Owners(key string, otherNodes []string) []string {
 	type ranked struct {
 		node   string
@@ -31,6 +33,8 @@
 	return owners
 }
 
+// hashWeight returns the rendezvous weight of a node for a key. The zero byte
+// separates the two, so that different pairs cannot hash the same bytes.
 func hashWeight(key, node string) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(node)
--- a/claim/round.go
+++ b/claim/round.go
@@ -1,27 +1,27 @@
 package claim
 
-// Decision is where a Round stands.
+// Decision is the state of a Round.
 type Decision int
 
 const (
-	// Undecided means that an owner has not answered yet.
+	// Undecided means that answers are still outstanding.
 	Undecided Decision = iota
 	// Won means that the request may run: a majority of the owners recorded the
 	// claim, and no answer named another holder.
 	Won
 	// Lost means that another holder has the request.
 	Lost
-	// Unavailable means that too few owners answered, or had room. The request
-	// must not run.
+	// Unavailable means that too few owners granted the claim, because they did
+	// not answer or were full. The request must not run.
 	Unavailable
 )
 
 // Round collects the owners' answers to one claim.
 //
-// Two rounds for the same key and the same owners can't both win: their
+// Two rounds for the same key and the same owners cannot both be won: their
 // majorities share an owner, and that owner grants only one of them. A Round
-// nevertheless waits for every owner until its caller closes it, so that a
-// claim usually stands at all of them and outlives a change of owners.
+// nevertheless waits for all owners until the caller closes it, so that the
+// claim is usually recorded at all of them and survives a change of owners.
 type Round struct {
 	owners  int
 	granted int
@@ -30,10 +30,12 @@
 	holder  Holder
 }
 
-// NewRound returns a Round that awaits the answers of so many owners.
+// NewRound returns a Round that waits for the answers of the given number of
+// owners.
 func NewRound(owners int) *Round { return &Round{owners: owners, pending: owners} }
 
-// AddAnswer takes an owner's answer; each owner answers once.
+// AddAnswer records an owner's answer. It must be called at most once per
+// owner.
 func (r *Round) AddAnswer(answer Answer) {
 	r.pending--
 	switch answer.Verdict {
@@ -45,13 +47,13 @@
 	}
 }
 
-// AddFailure tells that an owner can't be reached.
+// AddFailure records that an owner cannot be reached.
 func (r *Round) AddFailure() { r.pending-- }
 
-// Close tells that no further answer is awaited.
+// Close ends the round without waiting for outstanding answers.
 func (r *Round) Close() { r.pending = 0 }
 
-// Decision tells where the round stands. It changes no more once it is decided.
+// Decision returns the state of the round. Once decided, it does not change.
 func (r *Round) Decision() Decision {
 	switch {
 	case r.held:
@@ -68,11 +70,11 @@
 // HasMajority reports whether a majority of the owners has granted the claim.
 func (r *Round) HasMajority() bool { return r.granted >= majority(r.owners) }
 
-// Holder is the node that has the request, once the round is lost.
+// Holder returns the node that has the request, once the round is lost.
 func (r *Round) Holder() Holder { return r.holder }
 
-// majority is the least number of owners of which any two sets share one; of
-// no owners, none is asked for.
+// majority returns the smallest quorum, of which any two share an owner.
+// Without owners it is zero, because there is nobody to ask.
 func majority(owners int) int {
 	if owners == 0 {
 		return 0
--- a/claim/table.go
+++ b/claim/table.go
@@ -11,67 +11,69 @@
 	Incarnation uint64
 }
 
-// Claim is what a claimant sends to an owner.
+// Claim is a claimant's request to an owner.
 type Claim struct {
-	// Key names the request.
+	// Key identifies the request.
 	Key    string
 	Holder Holder
-	// Sequence grows with each claim of the holder, so that a release that
-	// arrives late can't undo a later claim of the same key.
+	// Sequence increases with each claim of the holder, so that a delayed
+	// release cannot undo a later claim of the same key.
 	Sequence uint64
 }
 
-// Verdict is an owner's answer to a claim.
+// Verdict is an owner's decision on a claim.
 type Verdict int
 
 const (
 	// Granted means that the claim is recorded and no other holder is known.
 	Granted Verdict = iota + 1
-	// Held means that another holder claimed the request before.
+	// Held means that another holder has already claimed the request.
 	Held
-	// Full means that the owner has no room; the claim is not recorded.
+	// Full means that the owner's table is full. The claim is not recorded.
 	Full
 )
 
-// Answer is an owner's verdict; Holder is set when the request is held.
+// Answer is an owner's reply to a claim. Holder is set if the verdict is Held.
 type Answer struct {
 	Verdict Verdict
 	Holder  Holder
 }
 
-// TableOptions sets up a Ledger. The zero value of a field stands for its default.
+// TableOptions configures a Table. Zero fields are set to their defaults.
 type TableOptions struct {
-	// TTL is how long a claim is kept; default twenty minutes. It covers the
-	// longest deadline, in which the request may still run, and the time for
-	// which the holder itself remembers the outcome.
+	// TTL is how long a claim is kept after it was recorded or renewed; default
+	// 20 minutes. It covers the longest deadline, within which the request may
+	// still be running, and the time for which the holder itself remembers the
+	// outcome.
 	TTL time.Duration
-	// MaxClaims is the number of claims that are kept; default 100,000.
+	// MaxClaims is the maximum number of claims that are kept; default 100,000.
 	MaxClaims int
 }
 
-// Defaults of TableOptions.
+// Default values of TableOptions.
 const (
 	DefaultTTL       = 20 * time.Minute
 	DefaultMaxClaims = 100_000
 )
 
-// Table keeps the claims of which this node is an owner. It is not safe for
+// Table holds the claims for which this node is an owner. It is not safe for
 // concurrent use.
 type Table struct {
 	options TableOptions
 	entries map[string]*list.Element
-	// byRenewal lists the entries by when they were recorded or renewed. Adopted ones
-	// may expire earlier than their place tells; they then only take up room
-	// until their turn.
+	// byRenewal lists the entries in the order in which they were recorded or
+	// renewed. Adopted entries can expire earlier than their position implies;
+	// until they reach the front they only take up space.
 	byRenewal list.List
 }
 
+// entry is a claim and the time at which it expires.
 type entry struct {
 	claim   Claim
 	expires time.Duration
 }
 
-// NewTable returns an empty Ledger.
+// NewTable returns an empty Table.
 func NewTable(options TableOptions) *Table {
 	if options.TTL <= 0 {
 		options.TTL = DefaultTTL
@@ -82,8 +84,9 @@
 	return &Table{options: options, entries: make(map[string]*list.Element)}
 }
 
-// Claim records the claim unless another holder has the key. A claim that the
-// same holder repeats is granted again and kept for a whole window from now.
+// Claim records the claim unless another holder has the key or the table is
+// full. If the same holder repeats a claim, it is granted again and expires a
+// full TTL from now.
 func (t *Table) Claim(now time.Duration, claim Claim) Answer {
 	existing, element := t.findActive(now, claim.Key)
 	if existing == nil {
@@ -98,13 +101,14 @@
 	return Answer{Verdict: Granted}
 }
 
-// ActiveClaim is a claim with the time for which it is still kept.
+// ActiveClaim is a claim that has not expired, with its remaining TTL.
 type ActiveClaim struct {
 	Claim     Claim
 	Remaining time.Duration
 }
 
-// ActiveClaim lists the claims, so that they can be handed to other owners.
+// ActiveClaims returns the claims that have not expired, so that they can be
+// handed over to other owners.
 func (t *Table) ActiveClaims(now time.Duration) []ActiveClaim {
 	t.removeExpired(now)
 	claims := make([]ActiveClaim, 0, len(t.entries))
@@ -117,8 +121,9 @@
 	return claims
 }
 
-// Adopt records a claim that another owner kept, for the time that remains. A
-// claim of the same key that this ledger knows stays as it is.
+// Adopt records a claim handed over by another owner, for its remaining TTL. It
+// does not change an existing claim of the same key, and drops the claim if the
+// table is full.
 func (t *Table) Adopt(now time.Duration, active ActiveClaim) {
 	if existing, _ := t.findActive(now, active.Claim.Key); existing != nil || active.Remaining <= 0 {
 		return
@@ -126,7 +131,8 @@
 	t.record(active.Claim, now+min(active.Remaining, t.options.TTL))
 }
 
-// findActive returns the claim of a key, unless it has expired.
+// findActive returns the claim of a key, or nil if there is none or it has
+// expired.
 func (t *Table) findActive(now time.Duration, key string) (*entry, *list.Element) {
 	t.removeExpired(now)
 	element := t.entries[key]
@@ -141,6 +147,7 @@
 	return existing, element
 }
 
+// record adds a claim unless the table is full.
 func (t *Table) record(claim Claim, expires time.Duration) Answer {
 	if len(t.entries) >= t.options.MaxClaims {
 		return Answer{Verdict: Full}
@@ -149,8 +156,8 @@
 	return Answer{Verdict: Granted}
 }
 
-// Release forgets a claim whose holder certainly did not run the request. The
-// claim of another holder, and a later one of the same holder, stay.
+// Release removes a claim whose holder definitely did not run the request. A
+// claim of another holder, or a later claim of the same holder, is kept.
 func (t *Table) Release(claim Claim) {
 	element := t.entries[claim.Key]
 	if element == nil {
@@ -162,9 +169,10 @@
 	}
 }
 
-// Len is the number of claims kept.
+// Len returns the number of claims in the table.
 func (t *Table) Len() int { return len(t.entries) }
 
+// removeExpired removes expired claims from the front of byRenewal.
 func (t *Table) removeExpired(now time.Duration) {
 	for front := t.byRenewal.Front(); front != nil; front = t.byRenewal.Front() {
 		if front.Value.(*entry).expires > now {
