--- a/spread/cluster_test.go
+++ b/spread/cluster_test.go
@@ -16,56 +16,56 @@
 	"github.com/banksail/banksail/store"
 )
 
-// cluster joins keepers without a network; it runs in a synctest bubble.
+// cluster joins replicators without a network; it runs in a synctest bubble.
 type cluster struct {
-	t       *testing.T
-	store   *store.Memory
-	keepers []*Replicator
+	t           *testing.T
+	store       *store.Memory
+	replicators []*Replicator
 
 	mutex sync.Mutex
 	// isolated nodes reach no peer and are reached by none.
 	isolated map[string]bool
 }
 
-// gatedStore cuts one node off the store.
-type gatedStore struct {
+// partitionedStore cuts one node off the store.
+type partitionedStore struct {
 	store.Conn
-	mutex sync.Mutex
-	cut   bool
+	mutex       sync.Mutex
+	partitioned bool
 }
 
-func (g *gatedStore) setCut(cut bool) {
+func (g *partitionedStore) setPartitioned(partitioned bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.cut = cut
+	g.partitioned = partitioned
 }
 
-func (g *gatedStore) isCut() bool {
+func (g *partitionedStore) isPartitioned() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.cut
+	return g.partitioned
 }
 
-func (g *gatedStore) Get(ctx context.Context, key string) (store.Record, error) {
-	if g.isCut() {
+func (g *partitionedStore) Get(ctx context.Context, key string) (store.Record, error) {
+	if g.isPartitioned() {
 		return store.Record{}, store.ErrUnavailable
 	}
 	return g.Conn.Get(ctx, key)
 }
 
-func (g *gatedStore) Watch(ctx context.Context, key string, after uint64, wait time.Duration) (store.Record, error) {
-	if g.isCut() {
+func (g *partitionedStore) Watch(ctx context.Context, key string, after uint64, wait time.Duration) (store.Record, error) {
+	if g.isPartitioned() {
 		return store.Record{}, store.ErrUnavailable
 	}
 	record, err := g.Conn.Watch(ctx, key, after, wait)
-	if g.isCut() {
+	if g.isPartitioned() {
 		return store.Record{}, store.ErrUnavailable
 	}
 	return record, err
 }
 
-func (g *gatedStore) Put(ctx context.Context, key string, value []byte, base uint64, lease store.LeaseID) (store.Record, error) {
-	if g.isCut() {
+func (g *partitionedStore) Put(ctx context.Context, key string, value []byte, base uint64, lease store.LeaseID) (store.Record, error) {
+	if g.isPartitioned() {
 		return store.Record{}, store.ErrUnavailable
 	}
 	return g.Conn.Put(ctx, key, value, base, lease)
@@ -79,54 +79,54 @@
 
 func (p nodePeers) Members() []Member {
 	members := []Member{}
-	for _, keeper := range p.cluster.all() {
-		members = append(members, Member{ID: keeper.options.Core.Self, Zone: keeper.options.Core.Zone})
+	for _, replicator := range p.cluster.allReplicators() {
+		members = append(members, Member{ID: replicator.options.Core.Self, Zone: replicator.options.Core.Zone})
 	}
 	return members
 }
 
-var errCut = errors.New("cut off")
+var errUnreachable = errors.New("cut off")
 
-func (p nodePeers) reach(id string) (*Replicator, error) {
+func (p nodePeers) lookup(id string) (*Replicator, error) {
 	p.cluster.mutex.Lock()
 	defer p.cluster.mutex.Unlock()
 	if p.cluster.isolated[id] || p.cluster.isolated[p.self] {
-		return nil, errCut
+		return nil, errUnreachable
 	}
-	for _, keeper := range p.cluster.keepers {
-		if keeper.options.Core.Self == id {
-			return keeper, nil
+	for _, replicator := range p.cluster.replicators {
+		if replicator.options.Core.Self == id {
+			return replicator, nil
 		}
 	}
-	return nil, errCut
+	return nil, errUnreachable
 }
 
 func (p nodePeers) Fetch(_ context.Context, member string, above policy.Revision) (policy.Revision, []byte, error) {
-	keeper, err := p.reach(member)
+	replicator, err := p.lookup(member)
 	if err != nil {
 		return 0, nil, err
 	}
-	revision, record := keeper.RecordAbove(above)
+	revision, record := replicator.RecordAbove(above)
 	return revision, record, nil
 }
 
 func (p nodePeers) Push(_ context.Context, member string, revision policy.Revision, record []byte) (policy.Revision, error) {
-	keeper, err := p.reach(member)
+	replicator, err := p.lookup(member)
 	if err != nil {
 		return 0, err
 	}
-	err = keeper.Offer(revision, record)
-	return keeper.Revision(), err
+	err = replicator.Offer(revision, record)
+	return replicator.Revision(), err
 }
 
 func newCluster(t *testing.T) *cluster {
 	return &cluster{t: t, store: store.NewMemory(store.MemoryOptions{}), isolated: map[string]bool{}}
 }
 
-func (c *cluster) all() []*Replicator {
+func (c *cluster) allReplicators() []*Replicator {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return append([]*Replicator{}, c.keepers...)
+	return append([]*Replicator{}, c.replicators...)
 }
 
 func (c *cluster) isolate(id string, isolated bool) {
@@ -135,13 +135,13 @@
 	c.isolated[id] = isolated
 }
 
-// start runs a keeper until the test's context ends.
-func (c *cluster) start(ctx context.Context, conn store.Conn) *Replicator {
+// startNode runs a replicator until the test's context ends.
+func (c *cluster) startNode(ctx context.Context, conn store.Conn) *Replicator {
 	c.mutex.Lock()
-	number := len(c.keepers)
+	number := len(c.replicators)
 	id := fmt.Sprintf("node-%d", number)
 	plans := 0
-	keeper := NewReplicator(ReplicatorOptions{
+	replicator := NewReplicator(ReplicatorOptions{
 		Core:   CoreOptions{Self: id, Zone: fmt.Sprintf("zone-%d", number%3), Seed: uint64(number)},
 		Store:  conn,
 		Peers:  nodePeers{cluster: c, self: id},
@@ -151,24 +151,24 @@
 			return fmt.Sprintf("%s-plan-%d", id, plans)
 		},
 	})
-	c.keepers = append(c.keepers, keeper)
+	c.replicators = append(c.replicators, replicator)
 	c.mutex.Unlock()
-	go func() { _ = keeper.Run(ctx) }()
-	return keeper
+	go func() { _ = replicator.Run(ctx) }()
+	return replicator
 }
 
-func (c *cluster) startMany(ctx context.Context, count int) []*Replicator {
+func (c *cluster) startNodes(ctx context.Context, count int) []*Replicator {
 	for range count {
-		c.start(ctx, c.store)
+		c.startNode(ctx, c.store)
 	}
-	return c.keepers
+	return c.replicators
 }
 
-func (c *cluster) wantRevision(want policy.Revision, keepers ...*Replicator) {
+func (c *cluster) wantRevision(want policy.Revision, replicators ...*Replicator) {
 	c.t.Helper()
-	for _, keeper := range keepers {
-		if got := keeper.Revision(); got != want {
-			c.t.Errorf("%s is at revision %d, want %d", keeper.options.Core.Self, got, want)
+	for _, replicator := range replicators {
+		if got := replicator.Revision(); got != want {
+			c.t.Errorf("%s is at revision %d, want %d", replicator.options.Core.Self, got, want)
 		}
 	}
 }
@@ -199,26 +199,26 @@
 	return policy.Intent{Author: author, Changes: []policy.Change{{SetClass: &class}}}
 }
 
-func mustPlan(t *testing.T, keeper *Replicator, intent policy.Intent) policy.Plan {
+func mustPlan(t *testing.T, replicator *Replicator, intent policy.Intent) policy.Plan {
 	t.Helper()
-	plan, err := keeper.Plan(t.Context(), intent)
+	plan, err := replicator.Plan(t.Context(), intent)
 	if err != nil {
 		t.Fatalf("plan: %v", err)
 	}
 	return plan
 }
 
-func mustConfirm(t *testing.T, keeper *Replicator, plan policy.Plan) policy.Receipt {
+func mustConfirm(t *testing.T, replicator *Replicator, plan policy.Plan) policy.Receipt {
 	t.Helper()
-	receipt, err := keeper.Confirm(t.Context(), plan)
+	receipt, err := replicator.Confirm(t.Context(), plan)
 	if err != nil {
 		t.Fatalf("confirm: %v", err)
 	}
 	return receipt
 }
 
-// inBubble runs a test on a virtual clock; its keepers stop at the end.
-func inBubble(t *testing.T, run func(t *testing.T, ctx context.Context, c *cluster)) {
+// runInBubble runs a test on a virtual clock; its replicators stop at the end.
+func runInBubble(t *testing.T, run func(t *testing.T, ctx context.Context, c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer synctest.Wait()
--- a/spread/confirm.go
+++ b/spread/confirm.go
@@ -21,16 +21,16 @@
 // Plan works out what an intent would change. It reads the store for the
 // newest revision; when the store can't be read, it plans on the revision in
 // force at this node, and the plan carries a warning.
-func (k *Replicator) Plan(ctx context.Context, intent policy.Intent) (policy.Plan, error) {
-	storeErr := k.refresh(ctx)
+func (r *Replicator) Plan(ctx context.Context, intent policy.Intent) (policy.Plan, error) {
+	storeErr := r.refreshFromStore(ctx)
 	base := policy.Record{}
-	if current := k.snapshot(); current != nil {
+	if current := r.snapshot(); current != nil {
 		base = current.record
 	}
 	if storeErr != nil && base.Revision == 0 {
 		return policy.Plan{}, storeErr
 	}
-	options := policy.PlanOptions{ID: k.options.NewPlanID(), Base: base, Intent: intent, Nodes: k.liveNodes()}
+	options := policy.PlanOptions{ID: r.options.NewPlanID(), Base: base, Intent: intent, Nodes: r.liveNodeCount()}
 	if storeErr != nil {
 		options.Warnings = []policy.Warning{{
 			Field:   "base_revision",
@@ -40,28 +40,28 @@
 	return policy.NewPlan(options)
 }
 
-// refresh reads the store's record and offers it.
-func (k *Replicator) refresh(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, k.options.StoreTimeout)
+// refreshFromStore reads the store's record and offers it.
+func (r *Replicator) refreshFromStore(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, r.options.StoreTimeout)
 	defer cancel()
-	record, err := k.options.Store.Get(ctx, policy.StoreKey)
+	record, err := r.options.Store.Get(ctx, policy.StoreKey)
 	if errors.Is(err, store.ErrNotFound) {
 		return nil
 	}
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrStoreUnavailable, err)
 	}
-	return k.offerStored(record)
+	return r.offerStored(record)
 }
 
-func (k *Replicator) liveNodes() int {
+func (r *Replicator) liveNodeCount() int {
 	nodes := 1
-	peers := k.currentPeers()
+	peers := r.currentPeers()
 	if peers == nil {
 		return nodes
 	}
 	for _, member := range peers.Members() {
-		if member.ID != k.options.Core.Self {
+		if member.ID != r.options.Core.Self {
 			nodes++
 		}
 	}
@@ -75,52 +75,52 @@
 // stands, it sends the same swap again. The error is a *policy.ConflictError
 // when another plan came first, ErrOutcomeUnknown when the plan may be in
 // effect, and any other error means that nothing changed.
-func (k *Replicator) Confirm(ctx context.Context, plan policy.Plan) (policy.Receipt, error) {
-	k.metrics.confirmations.Add(1)
+func (r *Replicator) Confirm(ctx context.Context, plan policy.Plan) (policy.Receipt, error) {
+	r.metrics.confirmations.Add(1)
 	if err := plan.Verify(); err != nil {
-		return k.receipt(plan, policy.OutcomeNotApplied), err
+		return r.receipt(plan, policy.OutcomeNotApplied), err
 	}
-	ctx, cancel := context.WithTimeout(ctx, k.options.ConfirmTimeout)
+	ctx, cancel := context.WithTimeout(ctx, r.options.ConfirmTimeout)
 	defer cancel()
-	confirmation := &confirmation{keeper: k, plan: plan, at: k.options.Now()}
+	confirmation := &confirmation{replicator: r, plan: plan, confirmedAt: r.options.Now()}
 	revision, err := confirmation.run(ctx)
 	if err == nil {
-		receipt := k.receipt(plan, policy.OutcomeApplied)
+		receipt := r.receipt(plan, policy.OutcomeApplied)
 		receipt.Revision = revision
-		receipt.AlreadyApplied = confirmation.found && !confirmation.maybeSent
+		receipt.AlreadyApplied = confirmation.alreadyApplied && !confirmation.mayBeApplied
 		return receipt, nil
 	}
 	var conflict *policy.ConflictError
 	switch {
 	case errors.As(err, &conflict) && conflict.PlanMayBeEvicted:
-		receipt := k.receipt(plan, policy.OutcomeUnknown)
-		receipt.Detail = forgottenDetail
+		receipt := r.receipt(plan, policy.OutcomeUnknown)
+		receipt.Detail = planEvictedDetail
 		return receipt, err
-	case confirmation.maybeSent && conflict == nil:
-		k.metrics.unknownOutcome.Add(1)
-		return k.receipt(plan, policy.OutcomeUnknown), fmt.Errorf("%w: plan %s: %w", ErrOutcomeUnknown, plan.ID, err)
+	case confirmation.mayBeApplied && conflict == nil:
+		r.metrics.unknownOutcomes.Add(1)
+		return r.receipt(plan, policy.OutcomeUnknown), fmt.Errorf("%w: plan %s: %w", ErrOutcomeUnknown, plan.ID, err)
 	default:
-		return k.receipt(plan, policy.OutcomeNotApplied), err
+		return r.receipt(plan, policy.OutcomeNotApplied), err
 	}
 }
 
-// forgottenDetail explains an outcome that can't be known any more.
-const forgottenDetail = "the record no longer names plans that old"
+// planEvictedDetail explains an outcome that can't be known any more.
+const planEvictedDetail = "the record no longer names plans that old"
 
-func (k *Replicator) receipt(plan policy.Plan, outcome policy.Outcome) policy.Receipt {
-	revision, _ := k.Record()
+func (r *Replicator) receipt(plan policy.Plan, outcome policy.Outcome) policy.Receipt {
+	revision, _ := r.Record()
 	return policy.Receipt{PlanID: plan.ID, Outcome: outcome, Current: revision}
 }
 
 // confirmation is one call of Confirm.
 type confirmation struct {
-	keeper *Replicator
-	plan   policy.Plan
-	at     time.Time
-	// maybeSent says that a swap was sent whose outcome is not known.
-	maybeSent bool
-	// found says that the plan was found in the record.
-	found bool
+	replicator  *Replicator
+	plan        policy.Plan
+	confirmedAt time.Time
+	// mayBeApplied says that a swap was sent whose outcome is not known.
+	mayBeApplied bool
+	// alreadyApplied says that the plan was found in the record.
+	alreadyApplied bool
 }
 
 // run tries until the outcome is known or the time is over.
@@ -128,7 +128,7 @@
 	backoff := confirmBackoffBase
 	for {
 		revision, err := c.attempt(ctx)
-		if err == nil || !retryable(err) {
+		if err == nil || !isRetryable(err) {
 			return revision, err
 		}
 		if clock.Sleep(ctx, jitter(backoff)) != nil {
@@ -138,22 +138,22 @@
 	}
 }
 
-func retryable(err error) bool {
+func isRetryable(err error) bool {
 	return errors.Is(err, ErrStoreUnavailable) || errors.Is(err, ErrStoreBehind) || errors.Is(err, ErrOutcomeUnknown)
 }
 
 // attempt reads the record and swaps in the one that the plan makes.
 func (c *confirmation) attempt(ctx context.Context) (policy.Revision, error) {
-	current, base, err := c.keeper.readForSwap(ctx, c.plan)
+	current, base, err := c.replicator.readForSwap(ctx, c.plan)
 	if err != nil {
 		return 0, err
 	}
-	decision, err := policy.Decide(current, c.plan, c.at)
+	decision, err := policy.Decide(current, c.plan, c.confirmedAt)
 	if err != nil {
 		return 0, err
 	}
 	if decision.Applied {
-		c.found = true
+		c.alreadyApplied = true
 		return decision.Revision, nil
 	}
 	return c.swap(ctx, decision.Next, base)
@@ -161,15 +161,15 @@
 
 // readForSwap reads the record and the store's own revision of it. It refuses
 // a record that is older than what is known to be in force.
-func (k *Replicator) readForSwap(ctx context.Context, plan policy.Plan) (record policy.Record, base uint64, err error) {
-	if current := k.snapshot(); current != nil {
+func (r *Replicator) readForSwap(ctx context.Context, plan policy.Plan) (record policy.Record, base uint64, err error) {
+	if current := r.snapshot(); current != nil {
 		if _, found := current.record.FindPlan(plan.ID); found {
 			return current.record, 0, nil
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, k.options.StoreTimeout)
+	ctx, cancel := context.WithTimeout(ctx, r.options.StoreTimeout)
 	defer cancel()
-	stored, err := k.options.Store.Get(ctx, policy.StoreKey)
+	stored, err := r.options.Store.Get(ctx, policy.StoreKey)
 	switch {
 	case errors.Is(err, store.ErrNotFound):
 		stored = store.Record{}
@@ -180,55 +180,55 @@
 		if err != nil {
 			return policy.Record{}, 0, fmt.Errorf("%w: %w", ErrRejected, err)
 		}
-		if err := k.offerStored(stored); err != nil {
+		if err := r.offerStored(stored); err != nil {
 			return policy.Record{}, 0, err
 		}
 	}
-	current := k.snapshot()
+	current := r.snapshot()
 	switch {
 	case current != nil && record.Revision < current.record.Revision:
-		return policy.Record{}, 0, k.restore(ctx, current, record.Revision, stored.Revision)
+		return policy.Record{}, 0, r.restoreStore(ctx, current, record.Revision, stored.Revision)
 	case record.Revision < plan.BaseRevision:
-		return policy.Record{}, 0, behind(record.Revision, plan.BaseRevision)
+		return policy.Record{}, 0, storeBehindError(record.Revision, plan.BaseRevision)
 	}
 	return record, stored.Revision, nil
 }
 
-func behind(stored, known policy.Revision) error {
+func storeBehindError(stored, known policy.Revision) error {
 	return fmt.Errorf("%w: %d, known is %d", ErrStoreBehind, stored, known)
 }
 
-// restore writes the record in force back to a store that lost it. The swap
+// restoreStore writes the record in force back to a store that lost it. The swap
 // fails when the store only answered an old revision. It always returns
 // ErrStoreBehind or ErrStoreUnavailable, after which the caller reads again.
-func (k *Replicator) restore(ctx context.Context, current *state, found policy.Revision, base uint64) error {
-	_, err := k.options.Store.Put(ctx, policy.StoreKey, current.bytes, base, "")
+func (r *Replicator) restoreStore(ctx context.Context, current *state, found policy.Revision, base uint64) error {
+	_, err := r.options.Store.Put(ctx, policy.StoreKey, current.bytes, base, "")
 	if err != nil && !errors.Is(err, store.ErrConflict) {
 		return fmt.Errorf("%w: %w", ErrStoreUnavailable, err)
 	}
 	if err == nil {
-		k.metrics.restored.Add(1)
-		k.options.Logger.Warn().Uint64("found", uint64(found)).Uint64("restored", uint64(current.record.Revision)).
+		r.metrics.restoredRecords.Add(1)
+		r.options.Logger.Warn().Uint64("found", uint64(found)).Uint64("restored", uint64(current.record.Revision)).
 			Msg("the store had lost revisions; the one in force was written back")
 	}
-	return behind(found, current.record.Revision)
+	return storeBehindError(found, current.record.Revision)
 }
 
 // swap writes the next record if the store still holds the base.
 func (c *confirmation) swap(ctx context.Context, next policy.Record, base uint64) (policy.Revision, error) {
-	k := c.keeper
+	r := c.replicator
 	data, err := policy.EncodeRecord(next)
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, k.options.StoreTimeout)
+	ctx, cancel := context.WithTimeout(ctx, r.options.StoreTimeout)
 	defer cancel()
-	_, err = k.options.Store.Put(ctx, policy.StoreKey, data, base, "")
+	_, err = r.options.Store.Put(ctx, policy.StoreKey, data, base, "")
 	switch {
 	case err == nil:
-		err = k.adopt(stateOf(next, data), "")
+		err = r.adoptRecord(buildState(next, data), "")
 		if err != nil {
-			c.maybeSent = true // it is in the store, though not in force here
+			c.mayBeApplied = true // it is in the store, though not in force here
 		}
 		return next.Revision, err
 	case errors.Is(err, store.ErrInvalid):
@@ -236,7 +236,7 @@
 	case errors.Is(err, store.ErrConflict), errors.Is(err, store.ErrRateLimited), errors.Is(err, store.ErrUnavailable):
 		return 0, fmt.Errorf("%w: %w", ErrStoreUnavailable, err)
 	default:
-		c.maybeSent = true
+		c.mayBeApplied = true
 		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 }
@@ -244,10 +244,10 @@
 // Outcome looks up whether a plan made for a base revision is in effect. It
 // says not applied only when another plan took its place: as long as the base
 // stands, a swap may be under way, or the store may answer an old revision.
-func (k *Replicator) Outcome(ctx context.Context, planID string, base policy.Revision) (policy.Receipt, error) {
-	storeErr := k.refresh(ctx)
-	receipt := k.receipt(policy.Plan{ID: planID}, policy.OutcomeUnknown)
-	current := k.snapshot()
+func (r *Replicator) Outcome(ctx context.Context, planID string, base policy.Revision) (policy.Receipt, error) {
+	storeErr := r.refreshFromStore(ctx)
+	receipt := r.receipt(policy.Plan{ID: planID}, policy.OutcomeUnknown)
+	current := r.snapshot()
 	if current != nil {
 		if revision, found := current.record.FindPlan(planID); found {
 			receipt.Outcome = policy.OutcomeApplied
@@ -261,7 +261,7 @@
 	case receipt.Current <= base:
 		receipt.Detail = "nothing took its place yet; confirm it again: it is applied once at most"
 	case current.record.MayHaveEvictedPlan(base):
-		receipt.Detail = forgottenDetail
+		receipt.Detail = planEvictedDetail
 	default:
 		receipt.Outcome = policy.OutcomeNotApplied
 		receipt.Detail = "another plan took its place; make a new plan from the same intent"
--- a/spread/core.go
+++ b/spread/core.go
@@ -58,30 +58,30 @@
 const (
 	storeBackoffBase    = 250 * time.Millisecond
 	storeBackoffMaximum = 8 * time.Second
-	// watchPause separates two watches, so that a store that answers at once
+	// watchDelay separates two watches, so that a store that answers at once
 	// is not asked in a tight loop.
-	watchPause = 200 * time.Millisecond
-	// freshReadSpacing is the time that each node adds to the period over
+	watchDelay = 200 * time.Millisecond
+	// bootstrapReadSpacing is the time that each node adds to the period over
 	// which nodes without a configuration spread their store reads.
-	freshReadSpacing = 20 * time.Millisecond
-	// spareReadSpacing is the same for nodes that do not watch: together they
+	bootstrapReadSpacing = 20 * time.Millisecond
+	// nonWatcherReadSpacing is the same for nodes that do not watch: together they
 	// read the store once in this time.
-	spareReadSpacing = 5 * time.Second
-	// spareReadMinimum is the least time between two spare reads of a node.
-	spareReadMinimum = 30 * time.Second
-	// freshCompareInterval replaces CompareInterval until a configuration is known.
-	freshCompareInterval = 250 * time.Millisecond
-	// retryFetchDelay follows a failed comparison.
-	retryFetchDelay = 200 * time.Millisecond
-	// heardFetchDelay follows word of a higher revision.
-	heardFetchDelay = 100 * time.Millisecond
-	// aheadPreference of its comparisons a node makes with members that are
+	nonWatcherReadSpacing = 5 * time.Second
+	// nonWatcherReadInterval is the least time between two spare reads of a node.
+	nonWatcherReadInterval = 30 * time.Second
+	// bootstrapCompareInterval replaces CompareInterval until a configuration is known.
+	bootstrapCompareInterval = 250 * time.Millisecond
+	// fetchRetryDelay follows a failed comparison.
+	fetchRetryDelay = 200 * time.Millisecond
+	// reportedFetchDelay follows word of a higher revision.
+	reportedFetchDelay = 100 * time.Millisecond
+	// aheadComparisons of its comparisons a node makes with members that are
 	// said to be ahead, out of comparisonCycle; the others are random, since
 	// such word may be out of date.
-	aheadPreference = 3
-	comparisonCycle = 4
-	// maximumPushAttempts bounds the pushes of one revision, as a multiple of the fan-out.
-	maximumPushAttempts = 3
+	aheadComparisons = 3
+	comparisonCycle  = 4
+	// pushAttemptFactor bounds the pushes of one revision, as a multiple of the fan-out.
+	pushAttemptFactor = 3
 )
 
 func (o CoreOptions) withDefaults() CoreOptions {
@@ -105,28 +105,28 @@
 
 	// members holds the other live nodes, sorted by ID.
 	members []Member
-	// highestHeard is the highest revision that membership told of.
-	highestHeard policy.Revision
-	watcher      bool
+	// highestReported is the highest revision that membership told of.
+	highestReported policy.Revision
+	isWatcher       bool
 
-	started      bool
-	storeDue     time.Duration
-	storeReading bool
-	storeBackoff time.Duration
-	compareDue   time.Duration
-	fetching     bool
-	pushTries    int
-	wakeAt       time.Duration
+	started           bool
+	nextStoreRead     time.Duration
+	storeReadInFlight bool
+	storeBackoff      time.Duration
+	nextComparison    time.Duration
+	fetchInFlight     bool
+	pushesLeft        int
+	timerAt           time.Duration
 }
 
 // NewCore makes a core that knows no configuration yet.
 func NewCore(options CoreOptions) *Core {
 	options = options.withDefaults()
 	return &Core{
-		options: options,
-		random:  rand.New(rand.NewPCG(options.Seed, hashID(options.Self))),
-		watcher: true,
-		wakeAt:  never,
+		options:   options,
+		random:    rand.New(rand.NewPCG(options.Seed, hashID(options.Self))),
+		isWatcher: true,
+		timerAt:   never,
 	}
 }
 
@@ -136,42 +136,42 @@
 func (c *Core) Revision() policy.Revision { return c.revision }
 
 // IsWatcher tells whether the node watches the store.
-func (c *Core) IsWatcher() bool { return c.watcher }
+func (c *Core) IsWatcher() bool { return c.isWatcher }
 
 // Step takes one event and returns what the owner must do, in order.
 func (c *Core) Step(now time.Duration, event Event) []Action {
-	c.start(now)
+	c.scheduleFirst(now)
 	var actions []Action
 	switch event := event.(type) {
 	case RecordOffered:
-		actions = c.offered(now, event)
+		actions = c.handleRecordOffered(now, event)
 	case MembersChanged:
-		c.membersChanged(now, event.Members)
+		c.handleMembersChanged(now, event.Members)
 	case StoreReadCompleted:
-		c.storeAnswered(now, event)
+		c.handleStoreReadCompleted(now, event)
 	case FetchCompleted:
-		c.fetchAnswered(now, event)
+		c.handleFetchCompleted(now, event)
 	case PushCompleted:
-		actions = c.pushAnswered(event)
+		actions = c.handlePushCompleted(event)
 	case TimerFired:
-		c.wakeAt = never
+		c.timerAt = never
 	}
-	actions = append(actions, c.dueActions(now)...)
-	return append(actions, c.wake()...)
+	actions = append(actions, c.startDueReads(now)...)
+	return append(actions, c.updateTimer()...)
 }
 
-func (c *Core) start(now time.Duration) {
+func (c *Core) scheduleFirst(now time.Duration) {
 	if c.started {
 		return
 	}
 	c.started = true
-	c.storeDue = now + c.jitter(storeBackoffBase)
-	c.compareDue = now + c.jitter(freshCompareInterval)
+	c.nextStoreRead = now + c.jitter(storeBackoffBase)
+	c.nextComparison = now + c.jitter(bootstrapCompareInterval)
 }
 
-// offered adopts a higher revision and pushes it on; anything else changes nothing.
-func (c *Core) offered(now time.Duration, event RecordOffered) []Action {
-	c.heard(event.From, event.Revision)
+// handleRecordOffered adopts a higher revision and pushes it on; anything else changes nothing.
+func (c *Core) handleRecordOffered(now time.Duration, event RecordOffered) []Action {
+	c.recordMemberRevision(event.From, event.Revision)
 	if event.Revision == c.revision && event.Digest != c.digest {
 		return []Action{ReportDivergence{Revision: event.Revision, From: event.From}}
 	}
@@ -181,17 +181,17 @@
 	fresh := c.revision == 0
 	c.revision = event.Revision
 	c.digest = event.Digest
-	c.pushTries = c.options.PushFanout * maximumPushAttempts
+	c.pushesLeft = c.options.PushFanout * pushAttemptFactor
 	if fresh {
-		c.compareDue = now + c.jitter(c.options.CompareInterval)
-		c.storeDue = now + c.storePause()
+		c.nextComparison = now + c.jitter(c.options.CompareInterval)
+		c.nextStoreRead = now + c.storeReadDelay()
 	}
 	actions := []Action{Adopt{Revision: event.Revision}}
-	return append(actions, c.pushes(c.options.PushFanout)...)
+	return append(actions, c.pickPushes(c.options.PushFanout)...)
 }
 
-// pushes picks random members that are behind, as far as is known.
-func (c *Core) pushes(count int) []Action {
+// pickPushes picks random members that are behind, as far as is known.
+func (c *Core) pickPushes(count int) []Action {
 	behind := make([]int, 0, len(c.members))
 	for index := range c.members {
 		if c.members[index].Revision < c.revision {
@@ -199,117 +199,117 @@
 		}
 	}
 	actions := []Action{}
-	for len(behind) > 0 && count > 0 && c.pushTries > 0 {
+	for len(behind) > 0 && count > 0 && c.pushesLeft > 0 {
 		pick := c.random.IntN(len(behind))
 		actions = append(actions, Push{Member: c.members[behind[pick]].ID, Revision: c.revision})
 		behind = slices.Delete(behind, pick, pick+1)
 		count--
-		c.pushTries--
+		c.pushesLeft--
 	}
 	return actions
 }
 
-// pushAnswered replaces a failed push by one to another member.
-func (c *Core) pushAnswered(event PushCompleted) []Action {
+// handlePushCompleted replaces a failed push by one to another member.
+func (c *Core) handlePushCompleted(event PushCompleted) []Action {
 	if !event.Failed {
-		c.heard(event.Member, event.Revision)
+		c.recordMemberRevision(event.Member, event.Revision)
 		return nil
 	}
 	if event.PushedRevision != c.revision {
 		return nil
 	}
-	return c.pushes(1)
+	return c.pickPushes(1)
 }
 
-func (c *Core) fetchAnswered(now time.Duration, event FetchCompleted) {
-	c.fetching = false
+func (c *Core) handleFetchCompleted(now time.Duration, event FetchCompleted) {
+	c.fetchInFlight = false
 	if event.Failed {
-		c.compareDue = now + c.jitter(max(retryFetchDelay, c.compareInterval()/4))
+		c.nextComparison = now + c.jitter(max(fetchRetryDelay, c.compareInterval()/4))
 		return
 	}
-	c.heard(event.Member, event.Revision)
-	c.compareDue = now + c.jitter(c.compareInterval())
+	c.recordMemberRevision(event.Member, event.Revision)
+	c.nextComparison = now + c.jitter(c.compareInterval())
 }
 
 func (c *Core) compareInterval() time.Duration {
 	if c.revision == 0 {
-		return freshCompareInterval
+		return bootstrapCompareInterval
 	}
 	return c.options.CompareInterval
 }
 
-func (c *Core) storeAnswered(now time.Duration, event StoreReadCompleted) {
-	c.storeReading = false
+func (c *Core) handleStoreReadCompleted(now time.Duration, event StoreReadCompleted) {
+	c.storeReadInFlight = false
 	if event.Failed {
 		c.storeBackoff = min(max(2*c.storeBackoff, storeBackoffBase), storeBackoffMaximum)
-		c.storeDue = now + max(c.jitter(c.storeBackoff), c.storePause())
+		c.nextStoreRead = now + max(c.jitter(c.storeBackoff), c.storeReadDelay())
 		return
 	}
 	c.storeBackoff = 0
-	c.storeDue = now + c.storePause()
+	c.nextStoreRead = now + c.storeReadDelay()
 }
 
-// storePause is the time until this node's next store read.
-func (c *Core) storePause() time.Duration {
+// storeReadDelay is the time until this node's next store read.
+func (c *Core) storeReadDelay() time.Duration {
 	nodes := time.Duration(len(c.members) + 1)
 	switch {
-	case c.watcher:
-		return c.jitter(watchPause)
+	case c.isWatcher:
+		return c.jitter(watchDelay)
 	case c.revision == 0:
-		return c.jitter(nodes * freshReadSpacing)
+		return c.jitter(nodes * bootstrapReadSpacing)
 	default:
-		return c.jitter(max(spareReadMinimum, nodes*spareReadSpacing))
+		return c.jitter(max(nonWatcherReadInterval, nodes*nonWatcherReadSpacing))
 	}
 }
 
-// dueActions starts the reads whose time has come.
-func (c *Core) dueActions(now time.Duration) []Action {
+// startDueReads starts the reads whose time has come.
+func (c *Core) startDueReads(now time.Duration) []Action {
 	var actions []Action
-	if !c.storeReading && now >= c.storeDue {
-		c.storeReading = true
+	if !c.storeReadInFlight && now >= c.nextStoreRead {
+		c.storeReadInFlight = true
 		wait := time.Duration(0)
-		if c.watcher {
+		if c.isWatcher {
 			wait = c.options.WatchTimeout
 		}
 		actions = append(actions, ReadStore{MaxWait: wait})
 	}
-	if !c.fetching && now >= c.compareDue {
+	if !c.fetchInFlight && now >= c.nextComparison {
 		if len(c.members) == 0 {
-			c.compareDue = now + c.jitter(c.compareInterval())
+			c.nextComparison = now + c.jitter(c.compareInterval())
 			return actions
 		}
-		c.fetching = true
-		actions = append(actions, Fetch{Member: c.comparePeer(), Above: c.revision})
+		c.fetchInFlight = true
+		actions = append(actions, Fetch{Member: c.pickComparePeer(), Above: c.revision})
 	}
 	return actions
 }
 
-// comparePeer prefers a member that is known to be ahead.
-func (c *Core) comparePeer() string {
+// pickComparePeer prefers a member that is known to be ahead.
+func (c *Core) pickComparePeer() string {
 	ahead := []string{}
 	for _, member := range c.members {
 		if member.Revision > c.revision {
 			ahead = append(ahead, member.ID)
 		}
 	}
-	if len(ahead) > 0 && c.random.IntN(comparisonCycle) < aheadPreference {
+	if len(ahead) > 0 && c.random.IntN(comparisonCycle) < aheadComparisons {
 		return ahead[c.random.IntN(len(ahead))]
 	}
 	return c.members[c.random.IntN(len(c.members))].ID
 }
 
-func (c *Core) wake() []Action {
+func (c *Core) updateTimer() []Action {
 	at := never
-	if !c.storeReading {
-		at = min(at, c.storeDue)
+	if !c.storeReadInFlight {
+		at = min(at, c.nextStoreRead)
 	}
-	if !c.fetching {
-		at = min(at, c.compareDue)
+	if !c.fetchInFlight {
+		at = min(at, c.nextComparison)
 	}
-	if at == c.wakeAt || at == never {
+	if at == c.timerAt || at == never {
 		return nil
 	}
-	c.wakeAt = at
+	c.timerAt = at
 	return []Action{SetTimer{At: at}}
 }
 
--- a/spread/core_bench_test.go
+++ b/spread/core_bench_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// BenchmarkMembers measures what a node spends each second on a member set
+// BenchmarkUnchangedMembers measures what a node spends each second on a member set
 // that did not change.
-func BenchmarkMembers(b *testing.B) {
+func BenchmarkUnchangedMembers(b *testing.B) {
 	for _, count := range []int{100, 1400} {
 		b.Run(fmt.Sprintf("nodes=%d", count), func(b *testing.B) {
 			members := []Member{}
--- a/spread/delta_test.go
+++ b/spread/delta_test.go
@@ -12,10 +12,10 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// pushed adds up the pushes of all keepers.
-func (c *cluster) pushed() (deltas, records uint64) {
-	for _, keeper := range c.all() {
-		counters := keeper.Counters()
+// countPushes adds up the pushes of all replicators.
+func (c *cluster) countPushes() (deltas, records uint64) {
+	for _, replicator := range c.allReplicators() {
+		counters := replicator.Counters()
 		deltas += counters.DeltaPushes
 		records += counters.RecordPushes
 	}
@@ -23,29 +23,29 @@
 }
 
 func TestSmallChangesSpreadAsDeltas(t *testing.T) {
-	inBubble(t, func(t *testing.T, ctx context.Context, c *cluster) {
-		keepers := c.startMany(ctx, 8)
-		mustConfirm(t, keepers[0], mustPlan(t, keepers[0], initialIntent()))
-		time.Sleep(spreadTime)
-		deltasBefore, recordsBefore := c.pushed()
-		mustConfirm(t, keepers[0], mustPlan(t, keepers[0], deadlineIntent("ann", 80)))
-		time.Sleep(spreadTime)
-		c.wantRevision(2, keepers...)
-		deltas, records := c.pushed()
+	runInBubble(t, func(t *testing.T, ctx context.Context, c *cluster) {
+		replicators := c.startNodes(ctx, 8)
+		mustConfirm(t, replicators[0], mustPlan(t, replicators[0], initialIntent()))
+		time.Sleep(propagationTime)
+		deltasBefore, recordsBefore := c.countPushes()
+		mustConfirm(t, replicators[0], mustPlan(t, replicators[0], deadlineIntent("ann", 80)))
+		time.Sleep(propagationTime)
+		c.wantRevision(2, replicators...)
+		deltas, records := c.countPushes()
 		if deltas == deltasBefore || records != recordsBefore {
 			t.Fatalf("%d deltas and %d records were pushed", deltas-deltasBefore, records-recordsBefore)
 		}
 	})
 }
 
-func TestNodeThatMissedARevisionGetsTheWholeRecord(t *testing.T) {
-	inBubble(t, func(t *testing.T, ctx context.Context, c *cluster) {
-		source := c.start(ctx, c.store)
-		c.start(ctx, &gatedStore{Conn: c.store, cut: true})
+func TestNodeMissingARevisionGetsTheFullRecord(t *testing.T) {
+	runInBubble(t, func(t *testing.T, ctx context.Context, c *cluster) {
+		source := c.startNode(ctx, c.store)
+		c.startNode(ctx, &partitionedStore{Conn: c.store, partitioned: true})
 		c.isolate("node-1", true)
 		mustConfirm(t, source, mustPlan(t, source, initialIntent()))
 		mustConfirm(t, source, mustPlan(t, source, deadlineIntent("ann", 80)))
-		time.Sleep(spreadTime)
+		time.Sleep(propagationTime)
 		c.isolate("node-1", false)
 		before := source.Counters()
 		revision, err := source.pushState(ctx, "node-1", source.snapshot())
@@ -59,15 +59,15 @@
 	})
 }
 
-func TestDeltaOfAnotherHistoryIsNotTaken(t *testing.T) {
-	inBubble(t, func(t *testing.T, ctx context.Context, c *cluster) {
-		source := c.start(ctx, c.store)
+func TestDeltaOfAnotherHistoryIsNotApplied(t *testing.T) {
+	runInBubble(t, func(t *testing.T, ctx context.Context, c *cluster) {
+		source := c.startNode(ctx, c.store)
 		mustConfirm(t, source, mustPlan(t, source, initialIntent()))
 		mustConfirm(t, source, mustPlan(t, source, deadlineIntent("ann", 80)))
 		delta := source.snapshot().delta
 
 		other := newCluster(t)
-		stranger := other.start(ctx, other.store)
+		stranger := other.startNode(ctx, other.store)
 		mustConfirm(t, stranger, mustPlan(t, stranger, deadlineIntent("bob", 60)))
 		if err := stranger.Offer(2, delta); err != nil {
 			t.Fatal(err)
@@ -82,9 +82,9 @@
 	})
 }
 
-func TestRecordAboveIsADeltaForWhoIsOneBehind(t *testing.T) {
-	inBubble(t, func(t *testing.T, ctx context.Context, c *cluster) {
-		source := c.start(ctx, c.store)
+func TestRecordAboveReturnsDeltaWhenOneRevisionBehind(t *testing.T) {
+	runInBubble(t, func(t *testing.T, ctx context.Context, c *cluster) {
+		source := c.startNode(ctx, c.store)
 		mustConfirm(t, source, mustPlan(t, source, initialIntent()))
 		mustConfirm(t, source, mustPlan(t, source, deadlineIntent("ann", 80)))
 		mustConfirm(t, source, mustPlan(t, source, deadlineIntent("ann", 60)))
@@ -101,13 +101,13 @@
 }
 
 func TestComparisonByDelta(t *testing.T) {
-	inBubble(t, func(t *testing.T, ctx context.Context, c *cluster) {
-		source := c.start(ctx, c.store)
+	runInBubble(t, func(t *testing.T, ctx context.Context, c *cluster) {
+		source := c.startNode(ctx, c.store)
 		mustConfirm(t, source, mustPlan(t, source, initialIntent()))
 		base := source.snapshot()
 		mustConfirm(t, source, mustPlan(t, source, deadlineIntent("ann", 80)))
 		other := newCluster(t)
-		strangerStore := other.start(ctx, other.store)
+		strangerStore := other.startNode(ctx, other.store)
 		mustConfirm(t, strangerStore, mustPlan(t, strangerStore, deadlineIntent("bob", 60)))
 		for name, test := range map[string]struct {
 			base    []byte
@@ -132,12 +132,12 @@
 // one's is being taken into force, and needs the record as little: the answer tells what is in
 // force when that has ended. 3 of some 380 plays of TestSmallChangesSpreadAsDeltas pushed a
 // whole record, as the answer told the revision before.
-func TestADeltaThatIsBeingTakenInIsNotAnsweredByTheRevisionBefore(t *testing.T) {
+func TestConcurrentPushWaitsForDeltaBeingAdopted(t *testing.T) {
 	c := newCluster(t)
 	source := NewReplicator(ReplicatorOptions{Core: CoreOptions{Self: "source"}, Store: c.store, Logger: zerolog.Nop()})
 	mustConfirm(t, source, mustPlan(t, source, initialIntent()))
 	target := NewReplicator(ReplicatorOptions{Core: CoreOptions{Self: "node-0"}, Logger: zerolog.Nop()})
-	c.keepers = []*Replicator{target}
+	c.replicators = []*Replicator{target}
 	if err := target.Offer(1, source.snapshot().bytes); err != nil {
 		t.Fatal(err)
 	}
--- a/spread/example_test.go
+++ b/spread/example_test.go
@@ -12,16 +12,16 @@
 	"github.com/banksail/banksail/store"
 )
 
-// alone is the Peers of a node without any.
-type alone struct{}
+// noPeers is the Peers of a node without any.
+type noPeers struct{}
 
-func (alone) Members() []spread.Member { return nil }
+func (noPeers) Members() []spread.Member { return nil }
 
-func (alone) Fetch(context.Context, string, policy.Revision) (policy.Revision, []byte, error) {
+func (noPeers) Fetch(context.Context, string, policy.Revision) (policy.Revision, []byte, error) {
 	return 0, nil, nil
 }
 
-func (alone) Push(context.Context, string, policy.Revision, []byte) (policy.Revision, error) {
+func (noPeers) Push(context.Context, string, policy.Revision, []byte) (policy.Revision, error) {
 	return 0, nil
 }
 
@@ -30,17 +30,17 @@
 func ExampleReplicator() {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	keeper := spread.NewReplicator(spread.ReplicatorOptions{
+	replicator := spread.NewReplicator(spread.ReplicatorOptions{
 		Core:      spread.CoreOptions{Self: "node-1"},
 		Store:     store.NewMemory(store.MemoryOptions{}),
-		Peers:     alone{},
+		Peers:     noPeers{},
 		Logger:    zerolog.Nop(),
 		NewPlanID: func() string { return "plan-1" },
 	})
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = keeper.Run(ctx)
+		_ = replicator.Run(ctx)
 	}()
 	config := policy.Config{
 		Classes: []policy.Class{{Name: "urgent", Order: 0, Deadline: 100, MinimumCoverage: 0.9}},
@@ -54,13 +54,13 @@
 			}},
 		}},
 	}
-	plan, err := keeper.Plan(ctx, policy.Intent{Author: "ann", Changes: []policy.Change{{Replace: &config}}})
+	plan, err := replicator.Plan(ctx, policy.Intent{Author: "ann", Changes: []policy.Change{{Replace: &config}}})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	for range 2 {
-		receipt, err := keeper.Confirm(ctx, plan)
+		receipt, err := replicator.Confirm(ctx, plan)
 		fmt.Println(receipt.Outcome, "at revision", receipt.Revision, "repeated:", receipt.AlreadyApplied, err)
 	}
 	stop()
--- a/spread/metrics.go
+++ b/spread/metrics.go
@@ -2,18 +2,18 @@
 
 import "sync/atomic"
 
-// keeperMetrics counts what the keeper did.
-type keeperMetrics struct {
-	adopted, rejected, diverged   atomic.Uint64
-	storeReads, storeFailures     atomic.Uint64
-	deltaPushes, recordPushes     atomic.Uint64
-	deltaMisfits, pushFailures    atomic.Uint64
-	comparisons, compareFailures  atomic.Uint64
-	confirmations, unknownOutcome atomic.Uint64
-	restored                      atomic.Uint64
+// replicatorMetrics counts what the replicator did.
+type replicatorMetrics struct {
+	adopted, rejected, diverged    atomic.Uint64
+	storeReads, storeFailures      atomic.Uint64
+	deltaPushes, recordPushes      atomic.Uint64
+	deltaMismatches, pushFailures  atomic.Uint64
+	comparisons, compareFailures   atomic.Uint64
+	confirmations, unknownOutcomes atomic.Uint64
+	restoredRecords                atomic.Uint64
 }
 
-// Counters is a reading of what a keeper has done since it started.
+// Counters is a reading of what a replicator has done since it started.
 type Counters struct {
 	// Adopted counts revisions put in force; Rejected, records that could not
 	// be read; Diverged, records that differ from the one of the same revision.
@@ -33,21 +33,21 @@
 }
 
 // Counters reads the counters.
-func (k *Replicator) Counters() Counters {
+func (r *Replicator) Counters() Counters {
 	return Counters{
-		Adopted:         k.metrics.adopted.Load(),
-		Rejected:        k.metrics.rejected.Load(),
-		Diverged:        k.metrics.diverged.Load(),
-		StoreReads:      k.metrics.storeReads.Load(),
-		StoreFailures:   k.metrics.storeFailures.Load(),
-		DeltaPushes:     k.metrics.deltaPushes.Load(),
-		RecordPushes:    k.metrics.recordPushes.Load(),
-		PushFailures:    k.metrics.pushFailures.Load(),
-		DeltaMismatches: k.metrics.deltaMisfits.Load(),
-		Comparisons:     k.metrics.comparisons.Load(),
-		CompareFailures: k.metrics.compareFailures.Load(),
-		Confirmations:   k.metrics.confirmations.Load(),
-		UnknownOutcomes: k.metrics.unknownOutcome.Load(),
-		RestoredRecords: k.metrics.restored.Load(),
+		Adopted:         r.metrics.adopted.Load(),
+		Rejected:        r.metrics.rejected.Load(),
+		Diverged:        r.metrics.diverged.Load(),
+		StoreReads:      r.metrics.storeReads.Load(),
+		StoreFailures:   r.metrics.storeFailures.Load(),
+		DeltaPushes:     r.metrics.deltaPushes.Load(),
+		RecordPushes:    r.metrics.recordPushes.Load(),
+		PushFailures:    r.metrics.pushFailures.Load(),
+		DeltaMismatches: r.metrics.deltaMismatches.Load(),
+		Comparisons:     r.metrics.comparisons.Load(),
+		CompareFailures: r.metrics.compareFailures.Load(),
+		Confirmations:   r.metrics.confirmations.Load(),
+		UnknownOutcomes: r.metrics.unknownOutcomes.Load(),
+		RestoredRecords: r.metrics.restoredRecords.Load(),
 	}
 }
--- a/spread/property_test.go
+++ b/spread/property_test.go
@@ -19,13 +19,13 @@
 
 // interleaving plays one list of operations on a few nodes.
 type interleaving struct {
-	store   *store.Memory
-	keepers []*Replicator
-	// records holds every record ever seen, for late and crossed offers.
-	records []policy.Revision
-	bytes   map[policy.Revision][]byte
-	plans   []policy.Plan
-	highest []policy.Revision
+	store       *store.Memory
+	replicators []*Replicator
+	// revisions holds every record ever seen, for late and crossed offers.
+	revisions        []policy.Revision
+	recordBytes      map[policy.Revision][]byte
+	plans            []policy.Plan
+	highestRevisions []policy.Revision
 }
 
 const (
@@ -34,29 +34,29 @@
 )
 
 func newInterleaving() *interleaving {
-	play := &interleaving{
-		store:   store.NewMemory(store.MemoryOptions{}),
-		bytes:   map[policy.Revision][]byte{},
-		highest: make([]policy.Revision, operationNodes),
+	run := &interleaving{
+		store:            store.NewMemory(store.MemoryOptions{}),
+		recordBytes:      map[policy.Revision][]byte{},
+		highestRevisions: make([]policy.Revision, operationNodes),
 	}
 	for index := range operationNodes {
 		plans := 0
 		id := fmt.Sprintf("node-%d", index)
-		play.keepers = append(play.keepers, NewReplicator(ReplicatorOptions{
+		run.replicators = append(run.replicators, NewReplicator(ReplicatorOptions{
 			Core:      CoreOptions{Self: id, Seed: uint64(index)},
-			Store:     play.store,
+			Store:     run.store,
 			Logger:    zerolog.Nop(),
 			NewPlanID: func() string { plans++; return fmt.Sprintf("%s-%d", id, plans) },
 		}))
 	}
-	return play
+	return run
 }
 
-// operate plays one operation; errors are part of the game.
-func (p *interleaving) operate(operation int) {
+// apply plays one operation; errors are part of the game.
+func (p *interleaving) apply(operation int) {
 	ctx := context.Background()
 	kind := operation % operationKinds
-	keeper := p.keepers[operation/operationKinds%operationNodes]
+	replicator := p.replicators[operation/operationKinds%operationNodes]
 	pick := operation / operationKinds / operationNodes
 	switch kind {
 	case 0:
@@ -64,20 +64,20 @@
 		if pick%3 == 0 {
 			intent = initialIntent()
 		}
-		if plan, err := keeper.Plan(ctx, intent); err == nil {
+		if plan, err := replicator.Plan(ctx, intent); err == nil {
 			p.plans = append(p.plans, plan)
 		}
 	case 1, 2:
 		if len(p.plans) > 0 {
-			_, _ = keeper.Confirm(ctx, p.plans[pick%len(p.plans)])
+			_, _ = replicator.Confirm(ctx, p.plans[pick%len(p.plans)])
 		}
 	case 3:
-		if len(p.records) > 0 {
-			revision := p.records[pick%len(p.records)]
-			_ = keeper.Offer(revision, p.offered(revision, pick%2 == 0))
+		if len(p.revisions) > 0 {
+			revision := p.revisions[pick%len(p.revisions)]
+			_ = replicator.Offer(revision, p.encodedRecord(revision, pick%2 == 0))
 		}
 	case 4:
-		_ = keeper.refresh(ctx)
+		_ = replicator.refreshFromStore(ctx)
 	case 5:
 		p.store.SetFaults(store.MemoryFaults{StaleRevisions: pick % 3, LoseReplies: pick / 3 % 3})
 	case 6:
@@ -85,33 +85,33 @@
 	}
 }
 
-// offered is the delta to a record, or the record.
-func (p *interleaving) offered(revision policy.Revision, delta bool) []byte {
+// encodedRecord is the delta to a record, or the record.
+func (p *interleaving) encodedRecord(revision policy.Revision, delta bool) []byte {
 	if !delta {
-		return p.bytes[revision]
+		return p.recordBytes[revision]
 	}
-	known, err := newState(p.bytes[revision])
+	known, err := decodeState(p.recordBytes[revision])
 	if err != nil || known.delta == nil {
-		return p.bytes[revision]
+		return p.recordBytes[revision]
 	}
 	return known.delta
 }
 
-// check judges the state after an operation.
-func (p *interleaving) check() error {
-	for index, keeper := range p.keepers {
-		revision, data := keeper.Record()
-		if revision < p.highest[index] {
-			return fmt.Errorf("node %d went from revision %d back to %d", index, p.highest[index], revision)
+// checkRevisions judges the state after an operation.
+func (p *interleaving) checkRevisions() error {
+	for index, replicator := range p.replicators {
+		revision, data := replicator.Record()
+		if revision < p.highestRevisions[index] {
+			return fmt.Errorf("node %d went from revision %d back to %d", index, p.highestRevisions[index], revision)
 		}
-		p.highest[index] = revision
+		p.highestRevisions[index] = revision
 		if revision == 0 {
 			continue
 		}
-		known, found := p.bytes[revision]
+		known, found := p.recordBytes[revision]
 		if !found {
-			p.bytes[revision] = data
-			p.records = append(p.records, revision)
+			p.recordBytes[revision] = data
+			p.revisions = append(p.revisions, revision)
 			continue
 		}
 		if sha256.Sum256(known) != sha256.Sum256(data) {
@@ -124,8 +124,8 @@
 // checkPlans judges that no plan made two revisions.
 func (p *interleaving) checkPlans() error {
 	made := map[string]policy.Revision{}
-	for _, revision := range p.records {
-		record, err := policy.DecodeRecord(p.bytes[revision])
+	for _, revision := range p.revisions {
+		record, err := policy.DecodeRecord(p.recordBytes[revision])
 		if err != nil {
 			return err
 		}
@@ -139,22 +139,22 @@
 	return nil
 }
 
-func TestNoInterleavingBringsARevisionBack(t *testing.T) {
+func TestNoInterleavingRevertsARevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		parameters := gopter.DefaultTestParametersWithSeed(20261202)
 		parameters.MinSuccessfulTests = 60
 		properties := gopter.NewProperties(parameters)
 		properties.Property("revisions only grow and equal ones have equal bytes", prop.ForAll(
 			func(operations []int) (bool, error) {
-				play := newInterleaving()
+				run := newInterleaving()
 				for _, operation := range operations {
-					play.operate(operation)
+					run.apply(operation)
 					time.Sleep(time.Millisecond)
-					if err := play.check(); err != nil {
+					if err := run.checkRevisions(); err != nil {
 						return false, err
 					}
 				}
-				err := play.checkPlans()
+				err := run.checkPlans()
 				return err == nil, err
 			},
 			gen.SliceOfN(60, gen.IntRange(0, operationKinds*operationNodes*12-1)),
--- a/spread/replicator.go
+++ b/spread/replicator.go
@@ -43,7 +43,7 @@
 	Push(ctx context.Context, member string, revision policy.Revision, record []byte) (policy.Revision, error)
 }
 
-// ReplicatorOptions sets up a keeper; zero values of times mean the defaults.
+// ReplicatorOptions sets up a replicator; zero values of times mean the defaults.
 type ReplicatorOptions struct {
 	// Core sets identity, seed and pace.
 	Core CoreOptions
@@ -51,7 +51,7 @@
 	Store store.Conn
 	// Peers may be set later, before Run, by SetPeers.
 	Peers Peers
-	// Logger receives what the keeper does.
+	// Logger receives what the replicator does.
 	Logger zerolog.Logger
 	// Now is the wall clock, for the history only; time.Now by default.
 	Now func() time.Time
@@ -87,31 +87,31 @@
 // Replicator drives the Core of one node: it owns the record in force, the calls
 // to store and peers, and the operators' plans.
 type Replicator struct {
-	options ReplicatorOptions
-	epoch   time.Time
+	options   ReplicatorOptions
+	startedAt time.Time
 
 	// mutex guards core, current, pending and peers. Invariant: current is the
 	// record of core.Revision(), and its revision never decreases.
-	mutex   sync.Mutex
-	core    *Core
-	current *state
-	pending []Action
-	peers   Peers
+	mutex          sync.Mutex
+	core           *Core
+	current        *state
+	pendingActions []Action
+	peers          Peers
 
-	// signal tells Run that pending has grown.
-	signal chan struct{}
+	// actionsPending tells Run that pending has grown.
+	actionsPending chan struct{}
 
 	// notifyMutex serialises the subscribers' calls, so that each sees
 	// revisions in growing order. It is taken before mutex, never after it.
 	notifyMutex sync.Mutex
 	subscribers []func(policy.Revision, policy.Config)
-	// inForce is the revision that all subscribers have taken.
-	inForce atomic.Uint64
+	// notifiedRevision is the revision that all subscribers have taken.
+	notifiedRevision atomic.Uint64
 
-	metrics keeperMetrics
+	metrics replicatorMetrics
 }
 
-// NewReplicator makes a keeper that knows no configuration; Run starts it.
+// NewReplicator makes a replicator that knows no configuration; Run starts it.
 func NewReplicator(options ReplicatorOptions) *Replicator {
 	options.StoreTimeout = cmp.Or(options.StoreTimeout, DefaultStoreTimeout)
 	options.PeerTimeout = cmp.Or(options.PeerTimeout, DefaultPeerTimeout)
@@ -124,29 +124,29 @@
 		options.NewPlanID = uuid.NewString
 	}
 	return &Replicator{
-		options: options,
-		epoch:   time.Now(),
-		core:    NewCore(options.Core),
-		peers:   options.Peers,
-		signal:  make(chan struct{}, 1),
+		options:        options,
+		startedAt:      time.Now(),
+		core:           NewCore(options.Core),
+		peers:          options.Peers,
+		actionsPending: make(chan struct{}, 1),
 	}
 }
 
-// SetPeers gives the keeper its peers; it must be called before Run.
-func (k *Replicator) SetPeers(peers Peers) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.peers = peers
+// SetPeers gives the replicator its peers; it must be called before Run.
+func (r *Replicator) SetPeers(peers Peers) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.peers = peers
 }
 
 // Revision is the revision in force at this node; zero when none is.
-func (k *Replicator) Revision() policy.Revision {
-	return policy.Revision(k.inForce.Load())
+func (r *Replicator) Revision() policy.Revision {
+	return policy.Revision(r.notifiedRevision.Load())
 }
 
 // Record returns the record in force, byte for byte. The bytes must not be changed.
-func (k *Replicator) Record() (policy.Revision, []byte) {
-	current := k.snapshot()
+func (r *Replicator) Record() (policy.Revision, []byte) {
+	current := r.snapshot()
 	if current == nil {
 		return 0, nil
 	}
@@ -157,8 +157,8 @@
 // to the one in force here: a delta when it is one revision behind and there is
 // one, else the record, byte for byte. Nothing is returned when it is not behind.
 // The bytes must not be changed.
-func (k *Replicator) RecordAbove(above policy.Revision) (policy.Revision, []byte) {
-	current := k.snapshot()
+func (r *Replicator) RecordAbove(above policy.Revision) (policy.Revision, []byte) {
+	current := r.snapshot()
 	if current == nil || current.record.Revision <= above {
 		return 0, nil
 	}
@@ -171,8 +171,8 @@
 
 // Current returns the configuration in force; ok is false when none is known.
 // The configuration must not be changed.
-func (k *Replicator) Current() (revision policy.Revision, config policy.Config, ok bool) {
-	current := k.snapshot()
+func (r *Replicator) Current() (revision policy.Revision, config policy.Config, ok bool) {
+	current := r.snapshot()
 	if current == nil {
 		return 0, policy.Config{}, false
 	}
@@ -180,28 +180,28 @@
 }
 
 // History lists the latest changes, oldest first.
-func (k *Replicator) History() []policy.HistoryEntry {
-	current := k.snapshot()
+func (r *Replicator) History() []policy.HistoryEntry {
+	current := r.snapshot()
 	if current == nil {
 		return []policy.HistoryEntry{}
 	}
 	return current.record.History
 }
 
-func (k *Replicator) snapshot() *state {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.current
+func (r *Replicator) snapshot() *state {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return r.current
 }
 
 // Subscribe calls back with each configuration that comes into force, in
 // growing order of revisions, starting with the present one. The callback must
 // not call Subscribe, Offer or Confirm.
-func (k *Replicator) Subscribe(callback func(policy.Revision, policy.Config)) {
-	k.notifyMutex.Lock()
-	defer k.notifyMutex.Unlock()
-	k.subscribers = append(k.subscribers, callback)
-	if current := k.snapshot(); current != nil && uint64(current.record.Revision) == k.inForce.Load() {
+func (r *Replicator) Subscribe(callback func(policy.Revision, policy.Config)) {
+	r.notifyMutex.Lock()
+	defer r.notifyMutex.Unlock()
+	r.subscribers = append(r.subscribers, callback)
+	if current := r.snapshot(); current != nil && uint64(current.record.Revision) == r.notifiedRevision.Load() {
 		callback(current.record.Revision, current.record.Config)
 	}
 }
@@ -209,68 +209,68 @@
 // Offer takes a record, or a delta to one, from a peer. Lower and equal
 // revisions change nothing, nor does a delta that does not fit the record in
 // force: the peer sees by the revision in force that it must send the record.
-func (k *Replicator) Offer(revision policy.Revision, data []byte) error {
+func (r *Replicator) Offer(revision policy.Revision, data []byte) error {
 	// What another call is taking into force is in force when this one ends. Without that, the
 	// peer was told of the revision before, and sent the whole record (3 of 380 plays).
-	defer k.notify()
+	defer r.notifySubscribers()
 	if policy.IsDelta(data) {
-		return k.offerDelta(revision, data)
+		return r.offerDelta(revision, data)
 	}
-	return k.offer(revision, data, "")
+	return r.offerRecord(revision, data, "")
 }
 
-// offer checks a record and adopts it if its revision is higher.
-func (k *Replicator) offer(revision policy.Revision, data []byte, from string) error {
-	current := k.snapshot()
+// offerRecord checks a record and adopts it if its revision is higher.
+func (r *Replicator) offerRecord(revision policy.Revision, data []byte, from string) error {
+	current := r.snapshot()
 	if current != nil && revision < current.record.Revision {
 		return nil
 	}
 	if current != nil && revision == current.record.Revision && bytes.Equal(data, current.bytes) {
-		return k.adopt(current, from) // checked already; tells the core what the sender has
+		return r.adoptRecord(current, from) // checked already; tells the core what the sender has
 	}
-	next, err := newState(data)
+	next, err := decodeState(data)
 	if err != nil {
-		k.metrics.rejected.Add(1)
+		r.metrics.rejected.Add(1)
 		return fmt.Errorf("%w: %w", ErrRejected, err)
 	}
 	if next.record.Revision != revision {
-		k.metrics.rejected.Add(1)
+		r.metrics.rejected.Add(1)
 		return fmt.Errorf("%w: offered as revision %d, holds %d", ErrRejected, revision, next.record.Revision)
 	}
-	return k.adopt(next, from)
+	return r.adoptRecord(next, from)
 }
 
 // offerDelta applies a delta to the record in force, if it is the base.
-func (k *Replicator) offerDelta(revision policy.Revision, data []byte) error {
-	current := k.snapshot()
+func (r *Replicator) offerDelta(revision policy.Revision, data []byte) error {
+	current := r.snapshot()
 	if current == nil || revision != current.record.Revision+1 {
 		return nil
 	}
 	delta, err := policy.DecodeDelta(data)
 	if err != nil {
-		k.metrics.rejected.Add(1)
+		r.metrics.rejected.Add(1)
 		return fmt.Errorf("%w: %w", ErrRejected, err)
 	}
 	record, encoded, err := policy.ApplyDelta(current.record, delta)
 	if err != nil {
-		k.metrics.deltaMisfits.Add(1)
-		k.options.Logger.Warn().Err(err).Uint64("revision", uint64(revision)).Msg("delta refused")
+		r.metrics.deltaMismatches.Add(1)
+		r.options.Logger.Warn().Err(err).Uint64("revision", uint64(revision)).Msg("delta refused")
 		return nil
 	}
-	return k.adopt(&state{record: record, bytes: encoded, digest: delta.RecordDigest, delta: data}, "")
+	return r.adoptRecord(&state{record: record, bytes: encoded, digest: delta.RecordDigest, delta: data}, "")
 }
 
-// newState reads a record's bytes.
-func newState(data []byte) (*state, error) {
+// decodeState reads a record's bytes.
+func decodeState(data []byte) (*state, error) {
 	record, err := policy.DecodeRecord(data)
 	if err != nil {
 		return nil, err
 	}
-	return stateOf(record, data), nil
+	return buildState(record, data), nil
 }
 
-// stateOf is the state of a record that was checked already.
-func stateOf(record policy.Record, data []byte) *state {
+// buildState is the state of a record that was checked already.
+func buildState(record policy.Record, data []byte) *state {
 	digest := policy.RecordDigest(data)
 	delta, ok := policy.EncodeDelta(record, digest)
 	if !ok {
@@ -279,62 +279,62 @@
 	return &state{record: record, bytes: data, digest: digest, delta: delta}
 }
 
-// adopt lets the core decide on a checked record.
-func (k *Replicator) adopt(next *state, from string) error {
+// adoptRecord lets the core decide on a checked record.
+func (r *Replicator) adoptRecord(next *state, from string) error {
 	event := RecordOffered{Revision: next.record.Revision, Digest: next.digest, From: from}
-	err := k.offerToCore(event, next)
-	k.notify()
+	err := r.offerToCore(event, next)
+	r.notifySubscribers()
 	return err
 }
 
-func (k *Replicator) offerToCore(event RecordOffered, next *state) error {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+func (r *Replicator) offerToCore(event RecordOffered, next *state) error {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	var diverged error
-	for _, action := range k.core.Step(k.now(), event) {
+	for _, action := range r.core.Step(r.now(), event) {
 		switch action := action.(type) {
 		case Adopt:
-			k.current = next
-			k.metrics.adopted.Add(1)
-			k.options.Logger.Info().Uint64("revision", uint64(action.Revision)).Str("from", from(event)).Msg("configuration adopted")
+			r.current = next
+			r.metrics.adopted.Add(1)
+			r.options.Logger.Info().Uint64("revision", uint64(action.Revision)).Str("from", sourceLabel(event)).Msg("configuration adopted")
 		case ReportDivergence:
 			diverged = fmt.Errorf("%w: revision %d", ErrDiverged, action.Revision)
-			k.metrics.diverged.Add(1)
-			k.options.Logger.Error().Uint64("revision", uint64(action.Revision)).Str("from", from(event)).Msg("two records of one revision differ")
+			r.metrics.diverged.Add(1)
+			r.options.Logger.Error().Uint64("revision", uint64(action.Revision)).Str("from", sourceLabel(event)).Msg("two records of one revision differ")
 		default:
-			k.pending = append(k.pending, action)
+			r.pendingActions = append(r.pendingActions, action)
 		}
 	}
-	k.wakeRun()
+	r.signalRun()
 	return diverged
 }
 
-func from(event RecordOffered) string {
+func sourceLabel(event RecordOffered) string {
 	if event.From == "" {
 		return "store or push"
 	}
 	return event.From
 }
 
-// notify gives the record in force to the subscribers that have not seen it.
-func (k *Replicator) notify() {
-	k.notifyMutex.Lock()
-	defer k.notifyMutex.Unlock()
-	current := k.snapshot()
-	if current == nil || uint64(current.record.Revision) <= k.inForce.Load() {
+// notifySubscribers gives the record in force to the subscribers that have not seen it.
+func (r *Replicator) notifySubscribers() {
+	r.notifyMutex.Lock()
+	defer r.notifyMutex.Unlock()
+	current := r.snapshot()
+	if current == nil || uint64(current.record.Revision) <= r.notifiedRevision.Load() {
 		return
 	}
-	for _, callback := range k.subscribers {
+	for _, callback := range r.subscribers {
 		callback(current.record.Revision, current.record.Config)
 	}
-	k.inForce.Store(uint64(current.record.Revision))
+	r.notifiedRevision.Store(uint64(current.record.Revision))
 }
 
-func (k *Replicator) wakeRun() {
+func (r *Replicator) signalRun() {
 	select {
-	case k.signal <- struct{}{}:
+	case r.actionsPending <- struct{}{}:
 	default:
 	}
 }
 
-func (k *Replicator) now() time.Duration { return time.Since(k.epoch) }
+func (r *Replicator) now() time.Duration { return time.Since(r.startedAt) }
--- a/spread/replicator_bench_test.go
+++ b/spread/replicator_bench_test.go
@@ -35,9 +35,9 @@
 	return config
 }
 
-// BenchmarkOfferOfRecordInForce offers a keeper the record that is in force
+// BenchmarkOfferCurrentRecord offers a replicator the record that is in force
 // already, as most pushes of whole records do.
-func BenchmarkOfferOfRecordInForce(b *testing.B) {
+func BenchmarkOfferCurrentRecord(b *testing.B) {
 	record, err := policy.EncodeRecord(policy.Record{
 		Format: policy.RecordFormat, Revision: 1, Config: largeConfig(),
 		History: []policy.HistoryEntry{}, RecentPlans: []policy.AppliedPlan{},
@@ -45,13 +45,13 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	keeper := NewReplicator(ReplicatorOptions{Core: CoreOptions{Self: "a"}, Store: store.NewMemory(store.MemoryOptions{}), Logger: zerolog.Nop()})
-	if err := keeper.Offer(1, record); err != nil {
+	replicator := NewReplicator(ReplicatorOptions{Core: CoreOptions{Self: "a"}, Store: store.NewMemory(store.MemoryOptions{}), Logger: zerolog.Nop()})
+	if err := replicator.Offer(1, record); err != nil {
 		b.Fatal(err)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if err := keeper.Offer(1, record); err != nil {
+		if err := replicator.Offer(1, record); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/spread/restored_test.go
+++ b/spread/restored_test.go
@@ -11,25 +11,25 @@
 // The store comes back from a copy, at a revision below the one that the watchers read last, and
 // counts on from there: a watch after that one hears nothing, for as long as the store has not
 // counted past it. A watcher that no other node reaches still learns of what is confirmed then.
-func TestWatchersHearAStoreThatCameBackFromACopy(t *testing.T) {
-	inBubble(t, func(t *testing.T, ctx context.Context, c *cluster) {
-		keepers := c.startMany(ctx, 3)
-		mustConfirm(t, keepers[0], mustPlan(t, keepers[0], initialIntent()))
+func TestWatchersFollowStoreRestoredFromBackup(t *testing.T) {
+	runInBubble(t, func(t *testing.T, ctx context.Context, c *cluster) {
+		replicators := c.startNodes(ctx, 3)
+		mustConfirm(t, replicators[0], mustPlan(t, replicators[0], initialIntent()))
 		taken := c.store.Copy()
 		for number := range 8 {
 			if _, err := c.store.Put(ctx, "other", []byte("x"), uint64(number+1)*min(uint64(number), 1), ""); err != nil {
 				t.Fatal(err)
 			}
 		}
-		mustConfirm(t, keepers[0], mustPlan(t, keepers[0], deadlineIntent("ann", 80)))
-		time.Sleep(spreadTime)
-		c.wantRevision(2, keepers...)
+		mustConfirm(t, replicators[0], mustPlan(t, replicators[0], deadlineIntent("ann", 80)))
+		time.Sleep(propagationTime)
+		c.wantRevision(2, replicators...)
 		c.store.Restore(taken)
-		c.isolate(keepers[2].options.Core.Self, true)
+		c.isolate(replicators[2].options.Core.Self, true)
 		for number, deadline := range []policy.Milliseconds{70, 60} {
-			mustConfirm(t, keepers[1], mustPlan(t, keepers[1], deadlineIntent("bob", deadline)))
+			mustConfirm(t, replicators[1], mustPlan(t, replicators[1], deadlineIntent("bob", deadline)))
 			time.Sleep(2 * DefaultWatchTimeout)
-			c.wantRevision(policy.Revision(3+number), keepers...)
+			c.wantRevision(policy.Revision(3+number), replicators...)
 		}
 	})
 }
--- a/spread/spread_calls_test.go
+++ b/spread/simulation_calls_test.go
@@ -8,19 +8,19 @@
 )
 
 // delay draws a one-way delay, evenly between half and one and a half times the mean.
-func (r *run) delay(mean time.Duration) time.Duration {
+func (r *simulation) delay(mean time.Duration) time.Duration {
 	return mean/2 + time.Duration(r.random.Int64N(int64(mean)+1))
 }
 
-func (r *run) lost() bool {
+func (r *simulation) drawCallLoss() bool {
 	return r.options.PeerLoss > 0 && r.random.Float64() < r.options.PeerLoss
 }
 
 // push offers a node's revision to another one.
-func (r *run) push(from *node, action spread.Push) {
+func (r *simulation) push(from *node, action spread.Push) {
 	r.counts.Pushes++
 	to := r.byID[action.Member]
-	if to.dead || r.lost() {
+	if to.crashed || r.drawCallLoss() {
 		r.after(r.options.PeerTimeout, func() {
 			r.step(from, spread.PushCompleted{Member: to.id, PushedRevision: action.Revision, Failed: true})
 		})
@@ -28,7 +28,7 @@
 	}
 	r.after(r.delay(r.options.PeerDelay), func() {
 		if to.core.Revision() < action.Revision {
-			r.counts.PushesTaken++
+			r.counts.PushesAdopted++
 		}
 		r.step(to, spread.RecordOffered{Revision: action.Revision})
 		revision := to.core.Revision()
@@ -39,10 +39,10 @@
 }
 
 // fetch asks another node for a record above a revision.
-func (r *run) fetch(from *node, action spread.Fetch) {
+func (r *simulation) fetch(from *node, action spread.Fetch) {
 	r.counts.Comparisons++
 	to := r.byID[action.Member]
-	if to.dead || r.lost() {
+	if to.crashed || r.drawCallLoss() {
 		r.after(r.options.PeerTimeout, func() {
 			r.step(from, spread.FetchCompleted{Member: to.id, Failed: true})
 		})
@@ -55,7 +55,7 @@
 		}
 		r.after(r.delay(r.options.PeerDelay), func() {
 			if revision > from.core.Revision() {
-				r.counts.ComparisonsTaken++
+				r.counts.ComparisonsAdopted++
 				r.step(from, spread.RecordOffered{Revision: revision, From: to.id})
 			}
 			r.step(from, spread.FetchCompleted{Member: to.id, Revision: revision})
@@ -64,7 +64,7 @@
 }
 
 // readStore reads the store, or watches it.
-func (r *run) readStore(from *node, action spread.ReadStore) {
+func (r *simulation) readStore(from *node, action spread.ReadStore) {
 	r.counts.StoreReads++
 	if from.zone >= r.options.StoreZones {
 		r.after(r.options.StoreTimeout, func() { r.step(from, spread.StoreReadCompleted{Failed: true}) })
@@ -72,37 +72,37 @@
 	}
 	r.after(r.delay(r.options.StoreDelay), func() {
 		held := &watch{node: from, after: from.core.Revision()}
-		if r.stored > held.after || action.MaxWait == 0 {
-			r.answer(held)
+		if r.storeRevision > held.after || action.MaxWait == 0 {
+			r.answerWatch(held)
 			return
 		}
-		r.waiting = append(r.waiting, held)
-		r.after(action.MaxWait, func() { r.answer(held) })
+		r.heldWatches = append(r.heldWatches, held)
+		r.after(action.MaxWait, func() { r.answerWatch(held) })
 	})
 }
 
-// endWatches answers every watch that the store holds.
-func (r *run) endWatches() {
-	for _, held := range r.waiting {
-		r.answer(held)
+// answerWatches answers every watch that the store holds.
+func (r *simulation) answerWatches() {
+	for _, held := range r.heldWatches {
+		r.answerWatch(held)
 	}
-	r.waiting = nil
+	r.heldWatches = nil
 }
 
-func (r *run) answer(held *watch) {
-	if held.done {
+func (r *simulation) answerWatch(held *watch) {
+	if held.answered {
 		return
 	}
-	held.done = true
-	stored := r.stored
+	held.answered = true
+	stored := r.storeRevision
 	r.after(r.delay(r.options.StoreDelay), func() {
 		r.step(held.node, spread.RecordOffered{Revision: stored})
 		r.step(held.node, spread.StoreReadCompleted{})
 	})
 }
 
-// queued is one event; events of one time run in the order in which they were added.
-type queued struct {
+// queuedEvent is one event; events of one time run in the order in which they were added.
+type queuedEvent struct {
 	at       time.Duration
 	sequence int
 	do       func()
@@ -110,21 +110,21 @@
 
 // eventQueue is a heap of events.
 type eventQueue struct {
-	events []queued
+	events []queuedEvent
 	added  int
 }
 
 func (q *eventQueue) add(at time.Duration, do func()) {
 	q.added++
-	heap.Push(q, queued{at: at, sequence: q.added, do: do})
+	heap.Push(q, queuedEvent{at: at, sequence: q.added, do: do})
 }
 
-func (q *eventQueue) take() queued {
-	taken, _ := heap.Pop(q).(queued)
+func (q *eventQueue) popEarliest() queuedEvent {
+	taken, _ := heap.Pop(q).(queuedEvent)
 	return taken
 }
 
-func (q *eventQueue) next() time.Duration { return q.events[0].at }
+func (q *eventQueue) nextTime() time.Duration { return q.events[0].at }
 
 // Len implements heap.Interface.
 func (q *eventQueue) Len() int { return len(q.events) }
@@ -142,7 +142,7 @@
 
 // Push implements heap.Interface.
 func (q *eventQueue) Push(event any) {
-	if added, ok := event.(queued); ok {
+	if added, ok := event.(queuedEvent); ok {
 		q.events = append(q.events, added)
 	}
 }
@@ -151,7 +151,7 @@
 func (q *eventQueue) Pop() any {
 	last := len(q.events) - 1
 	popped := q.events[last]
-	q.events[last] = queued{}
+	q.events[last] = queuedEvent{}
 	q.events = q.events[:last]
 	return popped
 }
--- a/spread/spread_world_test.go
+++ b/spread/simulation_test.go
@@ -13,8 +13,8 @@
 	"github.com/banksail/banksail/spread"
 )
 
-// spreadOptions describes the nodes, the network and the store.
-type spreadOptions struct {
+// simulationOptions describes the nodes, the network and the store.
+type simulationOptions struct {
 	// Nodes is the number of nodes.
 	Nodes int
 	// Zones is the number of zones that the nodes are spread over evenly.
@@ -43,7 +43,7 @@
 	Core spread.CoreOptions
 }
 
-// Defaults of spreadOptions.
+// Defaults of simulationOptions.
 const (
 	DefaultPeerDelay  = 5 * time.Millisecond
 	DefaultStoreDelay = 5 * time.Millisecond
@@ -51,7 +51,7 @@
 	DefaultLimit      = 2 * time.Minute
 )
 
-func (o spreadOptions) withDefaults() spreadOptions {
+func (o simulationOptions) withDefaults() simulationOptions {
 	setDefault(&o.Nodes, 1)
 	setDefault(&o.Zones, 1)
 	setDefault(&o.PeerDelay, DefaultPeerDelay)
@@ -73,10 +73,10 @@
 
 // Counts holds messages of all nodes together. A call and its answer are one.
 type Counts struct {
-	// Pushes counts offers to peers; PushesTaken those that were news.
-	Pushes, PushesTaken int
-	// Comparisons counts questions to peers; ComparisonsTaken those answered by a record that was news.
-	Comparisons, ComparisonsTaken int
+	// Pushes counts offers to peers; PushesAdopted those that were news.
+	Pushes, PushesAdopted int
+	// Comparisons counts questions to peers; ComparisonsAdopted those answered by a record that was news.
+	Comparisons, ComparisonsAdopted int
 	// Records counts the whole records that were carried between peers; pushes,
 	// and answers to who is one revision behind, carry a delta instead.
 	Records int
@@ -86,18 +86,18 @@
 
 func (c Counts) minus(other Counts) Counts {
 	return Counts{
-		Pushes:           c.Pushes - other.Pushes,
-		PushesTaken:      c.PushesTaken - other.PushesTaken,
-		Comparisons:      c.Comparisons - other.Comparisons,
-		ComparisonsTaken: c.ComparisonsTaken - other.ComparisonsTaken,
-		Records:          c.Records - other.Records,
-		StoreReads:       c.StoreReads - other.StoreReads,
+		Pushes:             c.Pushes - other.Pushes,
+		PushesAdopted:      c.PushesAdopted - other.PushesAdopted,
+		Comparisons:        c.Comparisons - other.Comparisons,
+		ComparisonsAdopted: c.ComparisonsAdopted - other.ComparisonsAdopted,
+		Records:            c.Records - other.Records,
+		StoreReads:         c.StoreReads - other.StoreReads,
 	}
 }
 
-// spreadResult tells how one revision spread.
-type spreadResult struct {
-	spreadOptions spreadOptions
+// simulationResult tells how one revision spread.
+type simulationResult struct {
+	simulationOptions simulationOptions
 	// Reached counts the nodes with the revision in force at the end.
 	Reached int
 	// Half, Most and All are the times from the store's change until half, 99
@@ -105,29 +105,29 @@
 	Half, Most, All time.Duration
 	// Change counts the messages from the change until All.
 	Change Counts
-	// Quiet counts the messages of QuietTime without a change.
-	Quiet     Counts
-	QuietTime time.Duration
+	// Idle counts the messages of IdleTime without a change.
+	Idle     Counts
+	IdleTime time.Duration
 	// Watchers counts the nodes that watch the store.
 	Watchers int
 }
 
-// runSpread spreads one revision.
-func runSpread(options spreadOptions) spreadResult {
-	run := newRun(options.withDefaults())
+// simulate spreads one revision.
+func simulate(options simulationOptions) simulationResult {
+	run := newSimulation(options.withDefaults())
 	half := run.options.Settle / 2
-	run.until(half)
+	run.runUntil(half)
 	before := run.counts
-	run.until(run.options.Settle)
+	run.runUntil(run.options.Settle)
 	quiet := run.counts.minus(before)
 	changed := run.counts
-	run.change()
-	run.until(run.options.Settle + run.options.Limit)
+	run.commitRevision()
+	run.runUntil(run.options.Settle + run.options.Limit)
 	result := run.result
-	result.spreadOptions = run.options
+	result.simulationOptions = run.options
 	result.Reached = run.reached
-	result.Quiet = quiet
-	result.QuietTime = run.options.Settle - half
+	result.Idle = quiet
+	result.IdleTime = run.options.Settle - half
 	result.Change = run.counts.minus(changed)
 	for _, node := range run.nodes {
 		if node.core.IsWatcher() {
@@ -137,48 +137,48 @@
 	return result
 }
 
-// run is the state of one simulation.
-type run struct {
-	options spreadOptions
+// simulation is the state of one simulation.
+type simulation struct {
+	options simulationOptions
 	random  *rand.Rand
 	queue   eventQueue
 	now     time.Duration
 	nodes   []*node
 	byID    map[string]*node
-	// stored is the store's revision; waiting are the watches in progress.
-	stored  policy.Revision
-	waiting []*watch
+	// storeRevision is the store's revision; waiting are the watches in progress.
+	storeRevision policy.Revision
+	heldWatches   []*watch
 
 	counts    Counts
 	changedAt time.Duration
 	reached   int
-	result    spreadResult
+	result    simulationResult
 }
 
 // node is one hollow node.
 type node struct {
-	id     string
-	zone   int
-	core   *spread.Core
-	wakeAt time.Duration
-	dead   bool
+	id      string
+	zone    int
+	core    *spread.Core
+	timerAt time.Duration
+	crashed bool
 }
 
 // watch is a long poll that the store holds.
 type watch struct {
-	node  *node
-	after policy.Revision
-	done  bool
+	node     *node
+	after    policy.Revision
+	answered bool
 }
 
 const firstRevision policy.Revision = 1
 
-func newRun(options spreadOptions) *run {
-	r := &run{
-		options: options,
-		random:  rand.New(rand.NewPCG(options.Seed, uint64(options.Nodes))),
-		stored:  firstRevision,
-		byID:    make(map[string]*node, options.Nodes),
+func newSimulation(options simulationOptions) *simulation {
+	r := &simulation{
+		options:       options,
+		random:        rand.New(rand.NewPCG(options.Seed, uint64(options.Nodes))),
+		storeRevision: firstRevision,
+		byID:          make(map[string]*node, options.Nodes),
 	}
 	members := make([]spread.Member, 0, options.Nodes)
 	for index := range options.Nodes {
@@ -200,24 +200,24 @@
 	return r
 }
 
-// change accepts a new revision in the store, by a node picked at random.
-func (r *run) change() {
+// commitRevision accepts a new revision in the store, by a node picked at random.
+func (r *simulation) commitRevision() {
 	r.changedAt = r.now
-	r.stored++
-	r.endWatches()
+	r.storeRevision++
+	r.answerWatches()
 	confirmer := r.nodes[r.random.IntN(len(r.nodes))]
 	if r.options.ConfirmerLost {
-		confirmer.dead = true
+		confirmer.crashed = true
 		r.reached++
 		return
 	}
-	r.step(confirmer, spread.RecordOffered{Revision: r.stored})
+	r.step(confirmer, spread.RecordOffered{Revision: r.storeRevision})
 }
 
-// until runs the queue up to a time, or until every node has the change.
-func (r *run) until(end time.Duration) {
-	for r.queue.Len() > 0 && r.queue.next() <= end && r.reached < len(r.nodes) {
-		event := r.queue.take()
+// runUntil runs the queue up to a time, or until every node has the change.
+func (r *simulation) runUntil(end time.Duration) {
+	for r.queue.Len() > 0 && r.queue.nextTime() <= end && r.reached < len(r.nodes) {
+		event := r.queue.popEarliest()
 		r.now = event.at
 		event.do()
 	}
@@ -225,19 +225,19 @@
 }
 
 // after queues a function.
-func (r *run) after(delay time.Duration, do func()) {
+func (r *simulation) after(delay time.Duration, do func()) {
 	r.queue.add(r.now+delay, do)
 }
 
 // step gives a core an event and carries out its actions.
-func (r *run) step(stepped *node, event spread.Event) {
-	if stepped.dead {
+func (r *simulation) step(stepped *node, event spread.Event) {
+	if stepped.crashed {
 		return
 	}
 	for _, action := range stepped.core.Step(r.now, event) {
 		switch action := action.(type) {
 		case spread.Adopt:
-			r.adopted(action.Revision)
+			r.recordAdoption(action.Revision)
 		case spread.Push:
 			r.push(stepped, action)
 		case spread.Fetch:
@@ -245,21 +245,21 @@
 		case spread.ReadStore:
 			r.readStore(stepped, action)
 		case spread.SetTimer:
-			r.wake(stepped, action.At)
+			r.setTimer(stepped, action.At)
 		}
 	}
 }
 
-func (r *run) wake(woken *node, at time.Duration) {
-	woken.wakeAt = at
+func (r *simulation) setTimer(woken *node, at time.Duration) {
+	woken.timerAt = at
 	r.queue.add(max(at, r.now), func() {
-		if woken.wakeAt == at {
+		if woken.timerAt == at {
 			r.step(woken, spread.TimerFired{})
 		}
 	})
 }
 
-func (r *run) adopted(revision policy.Revision) {
+func (r *simulation) recordAdoption(revision policy.Revision) {
 	if revision == firstRevision {
 		return
 	}
--- a/spread/spread_test.go
+++ b/spread/spread_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// settle is long enough for every node to start comparing.
-const settle = 10 * time.Second
+// settleTime is long enough for every node to start comparing.
+const settleTime = 10 * time.Second
 
-// target is the time within which a revision must be in force everywhere.
-const target = 14 * time.Second
+// propagationTarget is the time within which a revision must be in force everywhere.
+const propagationTarget = 14 * time.Second
 
 func TestRevisionReachesEveryNodeWithinTheTarget(t *testing.T) {
-	cases := map[string]spreadOptions{
+	cases := map[string]simulationOptions{
 		"100 nodes":                              {Nodes: 100, Zones: 4},
 		"1400 nodes":                             {Nodes: 1400, Zones: 8},
 		"store reachable by one zone":            {Nodes: 400, Zones: 8, StoreZones: 1},
@@ -22,11 +22,11 @@
 	}
 	for name, options := range cases {
 		t.Run(name, func(t *testing.T) {
-			options.Settle = settle
+			options.Settle = settleTime
 			for seed := range uint64(2) {
 				options.Seed = seed
-				result := runSpread(options)
-				if result.Reached != options.Nodes || result.All > target {
+				result := simulate(options)
+				if result.Reached != options.Nodes || result.All > propagationTarget {
 					t.Fatalf("seed %d: %d of %d nodes after %v", seed, result.Reached, options.Nodes, result.All)
 				}
 			}
@@ -34,20 +34,20 @@
 	}
 }
 
-func TestEqualOptionsGiveEqualResults(t *testing.T) {
-	options := spreadOptions{Nodes: 50, Zones: 3, Seed: 7, PeerLoss: 0.2}
-	first, second := runSpread(options), runSpread(options)
+func TestSimulationIsDeterministic(t *testing.T) {
+	options := simulationOptions{Nodes: 50, Zones: 3, Seed: 7, PeerLoss: 0.2}
+	first, second := simulate(options), simulate(options)
 	if first != second {
 		t.Fatalf("got %+v, then %+v", first, second)
 	}
 }
 
-func TestFewNodesAskTheStore(t *testing.T) {
-	result := runSpread(spreadOptions{Nodes: 400, Zones: 8, Seed: 1})
+func TestFewNodesReadTheStore(t *testing.T) {
+	result := simulate(simulationOptions{Nodes: 400, Zones: 8, Seed: 1})
 	if result.Watchers != 8 {
 		t.Fatalf("%d watchers", result.Watchers)
 	}
-	perSecond := float64(result.Quiet.StoreReads) / result.QuietTime.Seconds()
+	perSecond := float64(result.Idle.StoreReads) / result.IdleTime.Seconds()
 	if perSecond > 2 {
 		t.Fatalf("%.2f store reads a second in quiet", perSecond)
 	}
--- a/spread/watchers.go
+++ b/spread/watchers.go
@@ -11,8 +11,8 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// watchKey is hashed with the members' IDs to choose the store's watchers.
-const watchKey = policy.StoreKey
+// watcherHashKey is hashed with the members' IDs to choose the store's watchers.
+const watcherHashKey = policy.StoreKey
 
 func hashID(id string) uint64 { return xxhash.Sum64String(id) }
 
@@ -30,10 +30,10 @@
 		byZone[member.Zone] = append(byZone[member.Zone], member.ID)
 	}
 	slices.Sort(zones)
-	zones = firstRanked(zones, maximum)
+	zones = highestRanked(zones, maximum)
 	chosen := []string{}
 	for _, zone := range zones {
-		chosen = append(chosen, firstRanked(byZone[zone], 1)...)
+		chosen = append(chosen, highestRanked(byZone[zone], 1)...)
 	}
 	others := []string{}
 	for _, member := range members {
@@ -41,16 +41,16 @@
 			others = append(others, member.ID)
 		}
 	}
-	return append(chosen, firstRanked(others, minimum-len(chosen))...)
+	return append(chosen, highestRanked(others, minimum-len(chosen))...)
 }
 
-// firstRanked returns the names that rank highest by rendezvous hashing.
-func firstRanked(names []string, count int) []string {
+// highestRanked returns the names that rank highest by rendezvous hashing.
+func highestRanked(names []string, count int) []string {
 	left := slices.Sorted(slices.Values(names))
 	ranked := []string{}
 	for count > 0 && len(left) > 0 {
 		// Rendezvous.Remove panics in the library's version, hence a new one each time.
-		first := rendezvous.New(left, hashID).Lookup(watchKey)
+		first := rendezvous.New(left, hashID).Lookup(watcherHashKey)
 		ranked = append(ranked, first)
 		index, _ := slices.BinarySearch(left, first)
 		left = slices.Delete(left, index, index+1)
@@ -59,9 +59,9 @@
 	return ranked
 }
 
-// membersChanged takes the new member set; the choice of watchers is made
+// handleMembersChanged takes the new member set; the choice of watchers is made
 // anew only when an ID or a zone changed.
-func (c *Core) membersChanged(now time.Duration, members []Member) {
+func (c *Core) handleMembersChanged(now time.Duration, members []Member) {
 	next := make([]Member, 0, len(members))
 	for _, member := range members {
 		if member.ID != c.options.Self {
@@ -71,47 +71,47 @@
 	slices.SortFunc(next, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
 	same := slices.EqualFunc(c.members, next, func(a, b Member) bool { return a.ID == b.ID && a.Zone == b.Zone })
 	if same {
-		c.mergeRevisions(now, next)
+		c.updateMemberRevisions(now, next)
 		return
 	}
 	c.members = next
-	c.chooseWatchers(now)
-	c.mergeRevisions(now, next)
+	c.updateWatcherRole(now)
+	c.updateMemberRevisions(now, next)
 }
 
-// mergeRevisions takes the revisions that membership heard.
-func (c *Core) mergeRevisions(now time.Duration, next []Member) {
+// updateMemberRevisions takes the revisions that membership heard.
+func (c *Core) updateMemberRevisions(now time.Duration, next []Member) {
 	for index := range next {
 		c.members[index].Revision = next[index].Revision
-		c.noteHighest(now, next[index].Revision)
+		c.observeReportedRevision(now, next[index].Revision)
 	}
 }
 
-// noteHighest brings the next comparison forward when a revision above all
+// observeReportedRevision brings the next comparison forward when a revision above all
 // others is heard of.
-func (c *Core) noteHighest(now time.Duration, revision policy.Revision) {
-	if revision <= max(c.revision, c.highestHeard) {
+func (c *Core) observeReportedRevision(now time.Duration, revision policy.Revision) {
+	if revision <= max(c.revision, c.highestReported) {
 		return
 	}
-	c.highestHeard = revision
-	c.compareDue = min(c.compareDue, now+c.jitter(heardFetchDelay))
+	c.highestReported = revision
+	c.nextComparison = min(c.nextComparison, now+c.jitter(reportedFetchDelay))
 }
 
-func (c *Core) chooseWatchers(now time.Duration) {
+func (c *Core) updateWatcherRole(now time.Duration) {
 	all := append(slices.Clone(c.members), Member{ID: c.options.Self, Zone: c.options.Zone})
 	watchers := SelectWatchers(all, c.options.MinimumWatchers, c.options.MaximumWatchers)
-	watcher := slices.Contains(watchers, c.options.Self)
-	if watcher == c.watcher {
+	isWatcher := slices.Contains(watchers, c.options.Self)
+	if isWatcher == c.isWatcher {
 		return
 	}
-	c.watcher = watcher
-	if !c.storeReading {
-		c.storeDue = now + c.storePause()
+	c.isWatcher = isWatcher
+	if !c.storeReadInFlight {
+		c.nextStoreRead = now + c.storeReadDelay()
 	}
 }
 
-// heard notes the revision that a member itself told.
-func (c *Core) heard(id string, revision policy.Revision) {
+// recordMemberRevision notes the revision that a member itself told.
+func (c *Core) recordMemberRevision(id string, revision policy.Revision) {
 	index, found := slices.BinarySearchFunc(c.members, id, func(member Member, id string) int {
 		return strings.Compare(member.ID, id)
 	})
