--- a/spread/cluster_test.go
+++ b/spread/cluster_test.go
@@ -16,18 +16,20 @@
 	"github.com/banksail/banksail/store"
 )
 
-// cluster joins replicators without a network; it runs in a synctest bubble.
+// cluster connects replicators without a network. It must run in a synctest
+// bubble.
 type cluster struct {
 	t           *testing.T
 	store       *store.Memory
 	replicators []*Replicator
 
 	mutex sync.Mutex
-	// isolated nodes reach no peer and are reached by none.
+	// isolated nodes cannot reach any peer, nor be reached by one.
 	isolated map[string]bool
 }
 
-// partitionedStore cuts one node off the store.
+// partitionedStore is one node's connection to the store, which can be
+// interrupted.
 type partitionedStore struct {
 	store.Conn
 	mutex       sync.Mutex
@@ -71,7 +73,7 @@
 	return g.Conn.Put(ctx, key, value, base, lease)
 }
 
-// nodePeers is one node's view of the cluster.
+// nodePeers gives one node access to the others.
 type nodePeers struct {
 	cluster *cluster
 	self    string
@@ -135,7 +137,7 @@
 	c.isolated[id] = isolated
 }
 
-// startNode runs a replicator until the test's context ends.
+// startNode runs a replicator until ctx is cancelled.
 func (c *cluster) startNode(ctx context.Context, conn store.Conn) *Replicator {
 	c.mutex.Lock()
 	number := len(c.replicators)
@@ -217,7 +219,8 @@
 	return receipt
 }
 
-// runInBubble runs a test on a virtual clock; its replicators stop at the end.
+// runInBubble runs a test with a virtual clock and stops its replicators at the
+// end.
 func runInBubble(t *testing.T, run func(t *testing.T, ctx context.Context, c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
--- a/spread/confirm.go
+++ b/spread/confirm.go
@@ -12,15 +12,16 @@
 	"github.com/banksail/banksail/store"
 )
 
-// Pace of a confirmation's retries.
+// Back-off between the attempts of a confirmation.
 const (
 	confirmBackoffBase    = 50 * time.Millisecond
 	confirmBackoffMaximum = time.Second
 )
 
-// Plan works out what an intent would change. It reads the store for the
-// newest revision; when the store can't be read, it plans on the revision in
-// force at this node, and the plan carries a warning.
+// Plan computes what an intent would change. It is based on the newest revision
+// in the store. If the store cannot be read, the plan is based on the revision
+// in force at this node and carries a warning, or fails if no revision is in
+// force.
 func (r *Replicator) Plan(ctx context.Context, intent policy.Intent) (policy.Plan, error) {
 	storeErr := r.refreshFromStore(ctx)
 	base := policy.Record{}
@@ -40,7 +41,8 @@
 	return policy.NewPlan(options)
 }
 
-// refreshFromStore reads the store's record and offers it.
+// refreshFromStore reads the record from the store and adopts it if its
+// revision is higher. It is not an error if the store has no record.
 func (r *Replicator) refreshFromStore(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, r.options.StoreTimeout)
 	defer cancel()
@@ -54,6 +56,7 @@
 	return r.offerStored(record)
 }
 
+// liveNodeCount returns the number of live nodes including this one.
 func (r *Replicator) liveNodeCount() int {
 	nodes := 1
 	peers := r.currentPeers()
@@ -68,13 +71,17 @@
 	return nodes
 }
 
-// Confirm puts a plan into effect by one compare-and-swap on its base.
+// Confirm puts a plan into effect by a compare-and-swap on its base revision.
 //
-// Confirming a plan again applies it once. When the store's reply is lost,
-// Confirm reads back and looks for the plan's ID; as long as the base still
-// stands, it sends the same swap again. The error is a *policy.ConflictError
-// when another plan came first, ErrOutcomeUnknown when the plan may be in
-// effect, and any other error means that nothing changed.
+// Confirm is idempotent: a plan that is confirmed repeatedly is applied once.
+// If the reply of the store is lost, Confirm reads the record and looks for the
+// plan's ID. As long as the base revision is unchanged, it sends the same swap
+// again.
+//
+// The error is a *policy.ConflictError if another plan was applied first, and
+// ErrOutcomeUnknown if the plan may be in effect. After any other error nothing
+// has changed. A conflict with PlanMayBeEvicted set leaves the outcome unknown
+// too.
 func (r *Replicator) Confirm(ctx context.Context, plan policy.Plan) (policy.Receipt, error) {
 	r.metrics.confirmations.Add(1)
 	if err := plan.Verify(); err != nil {
@@ -104,7 +111,8 @@
 	}
 }
 
-// planEvictedDetail explains an outcome that can't be known any more.
+// planEvictedDetail is the receipt's detail if the outcome can no longer be
+// determined.
 const planEvictedDetail = "the record no longer names plans that old"
 
 func (r *Replicator) receipt(plan policy.Plan, outcome policy.Outcome) policy.Receipt {
@@ -112,18 +120,19 @@
 	return policy.Receipt{PlanID: plan.ID, Outcome: outcome, Current: revision}
 }
 
-// confirmation is one call of Confirm.
+// confirmation is the state of one call of Confirm.
 type confirmation struct {
 	replicator  *Replicator
 	plan        policy.Plan
 	confirmedAt time.Time
-	// mayBeApplied says that a swap was sent whose outcome is not known.
+	// mayBeApplied is set once a swap may have reached the store although its
+	// outcome is unknown, or is in the store without being in force here.
 	mayBeApplied bool
-	// alreadyApplied says that the plan was found in the record.
+	// alreadyApplied is set if the record already contained the plan.
 	alreadyApplied bool
 }
 
-// run tries until the outcome is known or the time is over.
+// run repeats the attempt until the outcome is known or the context ends.
 func (c *confirmation) run(ctx context.Context) (policy.Revision, error) {
 	backoff := confirmBackoffBase
 	for {
@@ -142,7 +151,8 @@
 	return errors.Is(err, ErrStoreUnavailable) || errors.Is(err, ErrStoreBehind) || errors.Is(err, ErrOutcomeUnknown)
 }
 
-// attempt reads the record and swaps in the one that the plan makes.
+// attempt reads the record and swaps in its successor according to the plan,
+// unless the record already contains the plan.
 func (c *confirmation) attempt(ctx context.Context) (policy.Revision, error) {
 	current, base, err := c.replicator.readForSwap(ctx, c.plan)
 	if err != nil {
@@ -159,8 +169,10 @@
 	return c.swap(ctx, decision.Next, base)
 }
 
-// readForSwap reads the record and the store's own revision of it. It refuses
-// a record that is older than what is known to be in force.
+// readForSwap returns the record in the store and the store's own revision
+// number of it. If the record in force here already contains the plan, that
+// record is returned without a read. A record in the store that is older than
+// the one in force or than the plan's base revision gives ErrStoreBehind.
 func (r *Replicator) readForSwap(ctx context.Context, plan policy.Plan) (record policy.Record, base uint64, err error) {
 	if current := r.snapshot(); current != nil {
 		if _, found := current.record.FindPlan(plan.ID); found {
@@ -195,12 +207,13 @@
 }
 
 func storeBehindError(stored, known policy.Revision) error {
-	return fmt.Errorf("%w: %d, known is %d", ErrStoreBehind, stored, known)
+	return fmt.Errorf("%w: revision %d, expected at least %d", ErrStoreBehind, stored, known)
 }
 
-// restoreStore writes the record in force back to a store that lost it. The swap
-// fails when the store only answered an old revision. It always returns
-// ErrStoreBehind or ErrStoreUnavailable, after which the caller reads again.
+// restoreStore writes the record in force back to a store that has lost it. If
+// the store only returned a stale read, the swap fails and nothing is written.
+// It always returns ErrStoreBehind or ErrStoreUnavailable, so that the caller
+// reads again.
 func (r *Replicator) restoreStore(ctx context.Context, current *state, found policy.Revision, base uint64) error {
 	_, err := r.options.Store.Put(ctx, policy.StoreKey, current.bytes, base, "")
 	if err != nil && !errors.Is(err, store.ErrConflict) {
@@ -209,12 +222,12 @@
 	if err == nil {
 		r.metrics.restoredRecords.Add(1)
 		r.options.Logger.Warn().Uint64("found", uint64(found)).Uint64("restored", uint64(current.record.Revision)).
-			Msg("the store had lost revisions; the one in force was written back")
+			Msg("store lost revisions; wrote the record in force back")
 	}
 	return storeBehindError(found, current.record.Revision)
 }
 
-// swap writes the next record if the store still holds the base.
+// swap writes the next record if the store still holds the base, and adopts it.
 func (c *confirmation) swap(ctx context.Context, next policy.Record, base uint64) (policy.Revision, error) {
 	r := c.replicator
 	data, err := policy.EncodeRecord(next)
@@ -228,7 +241,7 @@
 	case err == nil:
 		err = r.adoptRecord(buildState(next, data), "")
 		if err != nil {
-			c.mayBeApplied = true // it is in the store, though not in force here
+			c.mayBeApplied = true // the record is in the store but not in force here
 		}
 		return next.Revision, err
 	case errors.Is(err, store.ErrInvalid):
@@ -241,9 +254,10 @@
 	}
 }
 
-// Outcome looks up whether a plan made for a base revision is in effect. It
-// says not applied only when another plan took its place: as long as the base
-// stands, a swap may be under way, or the store may answer an old revision.
+// Outcome reports whether a plan made for a base revision is in effect. It
+// reports not applied only if another plan has been applied to that base. As
+// long as the base is in force, a swap may still be in progress, or the store
+// may have returned a stale revision, so the outcome is unknown.
 func (r *Replicator) Outcome(ctx context.Context, planID string, base policy.Revision) (policy.Receipt, error) {
 	storeErr := r.refreshFromStore(ctx)
 	receipt := r.receipt(policy.Plan{ID: planID}, policy.OutcomeUnknown)
@@ -269,6 +283,8 @@
 	return receipt, nil
 }
 
+// jitter returns a uniformly distributed duration between 0.5 and 1.5 times
+// mean.
 func jitter(mean time.Duration) time.Duration {
 	return mean/2 + rand.N(mean)
 }
--- a/spread/core.go
+++ b/spread/core.go
@@ -1,11 +1,12 @@
-// Package spread spreads the accepted configuration over all nodes and
+// Package spread replicates the accepted configuration to all nodes and
 // confirms the operators' plans.
 //
-// Few nodes watch the platform's store, which is rate-limited. Nodes carry
-// revisions to each other: whoever learns a higher one pushes it to a few
-// random peers, and every node compares with a random peer from time to time.
-// A node takes only higher revisions, so no stale reader can bring an old one
-// back; the choice of watchers is only an optimisation.
+// Only a few nodes watch the platform's store, because the store limits the
+// rate of requests. All others receive revisions from their peers: a node that
+// adopts a higher revision pushes it to a few random peers, and every node
+// periodically compares its revision with that of a random peer (anti-entropy).
+// A node adopts only higher revisions, so a stale read of the store cannot
+// revert one, and correctness does not depend on which nodes watch the store.
 package spread
 
 import (
@@ -17,35 +18,38 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// Member is a live node, as membership knows it.
+// Member is a live node as reported by the membership protocol.
 type Member struct {
 	ID   string
 	Zone string
-	// Revision is the configuration in force at the member, as last heard.
+	// Revision is the last known revision in force at the member.
 	Revision policy.Revision
 }
 
-// CoreOptions sets a core's identity and pace; zero values mean the defaults.
+// CoreOptions configures a Core. Zero values select the defaults.
 type CoreOptions struct {
 	// Self is this node's ID.
 	Self string
 	// Zone is this node's zone.
 	Zone string
-	// Seed makes the core's random choices repeatable.
+	// Seed initializes the random choices; equal seeds and IDs give equal
+	// choices.
 	Seed uint64
-	// PushFanout is the number of peers that a new revision is pushed to.
+	// PushFanout is the number of peers to which a node pushes a new revision.
 	PushFanout int
 	// CompareInterval is the mean time between comparisons with a random peer.
 	CompareInterval time.Duration
-	// WatchTimeout is how long one watch of the store may last.
+	// WatchTimeout is the maximum duration of one watch of the store.
 	WatchTimeout time.Duration
-	// MinimumWatchers is the least number of nodes that watch the store.
+	// MinimumWatchers is the minimum number of nodes that watch the store, if
+	// there are as many nodes.
 	MinimumWatchers int
-	// MaximumWatchers bounds the nodes that watch the store, one a zone.
+	// MaximumWatchers limits the number of zones from which one node watches
+	// the store.
 	MaximumWatchers int
 }
 
-// Defaults of CoreOptions.
+// Defaults for CoreOptions.
 const (
 	DefaultPushFanout      = 3
 	DefaultCompareInterval = 2 * time.Second
@@ -54,33 +58,40 @@
 	DefaultMaximumWatchers = 8
 )
 
-// Pace of store reads and of retries.
+// Intervals and limits of store reads, comparisons and pushes.
 const (
 	storeBackoffBase    = 250 * time.Millisecond
 	storeBackoffMaximum = 8 * time.Second
-	// watchDelay separates two watches, so that a store that answers at once
-	// is not asked in a tight loop.
+	// watchDelay is the mean delay between two watches. It prevents a tight
+	// loop of requests if the store answers watches immediately.
 	watchDelay = 200 * time.Millisecond
-	// bootstrapReadSpacing is the time that each node adds to the period over
-	// which nodes without a configuration spread their store reads.
+	// bootstrapReadSpacing, multiplied by the number of nodes, is the mean
+	// delay between two store reads of a node that has no configuration yet and
+	// does not watch the store.
 	bootstrapReadSpacing = 20 * time.Millisecond
-	// nonWatcherReadSpacing is the same for nodes that do not watch: together they
-	// read the store once in this time.
+	// nonWatcherReadSpacing, multiplied by the number of nodes, is the mean
+	// delay between two store reads of a node that has a configuration and does
+	// not watch the store. Together such nodes read the store about once in
+	// this time.
 	nonWatcherReadSpacing = 5 * time.Second
-	// nonWatcherReadInterval is the least time between two spare reads of a node.
+	// nonWatcherReadInterval is the lower bound of that mean delay.
 	nonWatcherReadInterval = 30 * time.Second
-	// bootstrapCompareInterval replaces CompareInterval until a configuration is known.
+	// bootstrapCompareInterval replaces CompareInterval as long as the node has
+	// no configuration.
 	bootstrapCompareInterval = 250 * time.Millisecond
-	// fetchRetryDelay follows a failed comparison.
+	// fetchRetryDelay is the minimum mean delay before the next comparison
+	// after a failed one.
 	fetchRetryDelay = 200 * time.Millisecond
-	// reportedFetchDelay follows word of a higher revision.
+	// reportedFetchDelay is the mean delay before the next comparison after
+	// membership has reported a higher revision.
 	reportedFetchDelay = 100 * time.Millisecond
-	// aheadComparisons of its comparisons a node makes with members that are
-	// said to be ahead, out of comparisonCycle; the others are random, since
-	// such word may be out of date.
+	// Out of comparisonCycle comparisons, on average aheadComparisons go to a
+	// member that is reported to be ahead. The others go to a random member,
+	// because the reports may be out of date.
 	aheadComparisons = 3
 	comparisonCycle  = 4
-	// pushAttemptFactor bounds the pushes of one revision, as a multiple of the fan-out.
+	// pushAttemptFactor limits the push attempts for one revision, as a
+	// multiple of PushFanout.
 	pushAttemptFactor = 3
 )
 
@@ -93,9 +104,10 @@
 	return o
 }
 
-// Core is the pure state machine of one node. Its owner calls Step with what
-// happened, serialised by the owner's lock, and carries out the actions. It
-// has no goroutine, clock or I/O.
+// Core is the replication state machine of one node. It has no goroutines, no
+// clock and performs no I/O: its owner calls Step for each event and executes
+// the returned actions. It is not safe for concurrent use; the owner serializes
+// calls with a lock.
 type Core struct {
 	options CoreOptions
 	random  *rand.Rand
@@ -105,7 +117,7 @@
 
 	// members holds the other live nodes, sorted by ID.
 	members []Member
-	// highestReported is the highest revision that membership told of.
+	// highestReported is the highest revision reported by membership.
 	highestReported policy.Revision
 	isWatcher       bool
 
@@ -119,7 +131,7 @@
 	timerAt           time.Duration
 }
 
-// NewCore makes a core that knows no configuration yet.
+// NewCore returns a core that has no configuration yet.
 func NewCore(options CoreOptions) *Core {
 	options = options.withDefaults()
 	return &Core{
@@ -132,13 +144,14 @@
 
 const never = time.Duration(1<<63 - 1)
 
-// Revision is the highest revision that the core has adopted.
+// Revision returns the highest adopted revision, or zero if there is none.
 func (c *Core) Revision() policy.Revision { return c.revision }
 
-// IsWatcher tells whether the node watches the store.
+// IsWatcher reports whether this node watches the store.
 func (c *Core) IsWatcher() bool { return c.isWatcher }
 
-// Step takes one event and returns what the owner must do, in order.
+// Step processes one event and returns the actions that the owner must execute,
+// in order. The time now is measured from an arbitrary fixed origin.
 func (c *Core) Step(now time.Duration, event Event) []Action {
 	c.scheduleFirst(now)
 	var actions []Action
@@ -169,7 +182,9 @@
 	c.nextComparison = now + c.jitter(bootstrapCompareInterval)
 }
 
-// handleRecordOffered adopts a higher revision and pushes it on; anything else changes nothing.
+// handleRecordOffered adopts a higher revision and pushes it to peers. Lower
+// and equal revisions are ignored, except that a different record with the
+// revision in force is reported as a divergence.
 func (c *Core) handleRecordOffered(now time.Duration, event RecordOffered) []Action {
 	c.recordMemberRevision(event.From, event.Revision)
 	if event.Revision == c.revision && event.Digest != c.digest {
@@ -190,7 +205,8 @@
 	return append(actions, c.pickPushes(c.options.PushFanout)...)
 }
 
-// pickPushes picks random members that are behind, as far as is known.
+// pickPushes returns pushes to at most count random members whose last known
+// revision is lower than the one in force.
 func (c *Core) pickPushes(count int) []Action {
 	behind := make([]int, 0, len(c.members))
 	for index := range c.members {
@@ -209,7 +225,7 @@
 	return actions
 }
 
-// handlePushCompleted replaces a failed push by one to another member.
+// handlePushCompleted replaces a failed push by a push to another member.
 func (c *Core) handlePushCompleted(event PushCompleted) []Action {
 	if !event.Failed {
 		c.recordMemberRevision(event.Member, event.Revision)
@@ -249,7 +265,7 @@
 	c.nextStoreRead = now + c.storeReadDelay()
 }
 
-// storeReadDelay is the time until this node's next store read.
+// storeReadDelay returns the delay before this node's next store read.
 func (c *Core) storeReadDelay() time.Duration {
 	nodes := time.Duration(len(c.members) + 1)
 	switch {
@@ -262,7 +278,7 @@
 	}
 }
 
-// startDueReads starts the reads whose time has come.
+// startDueReads starts the store read and the comparison that are due.
 func (c *Core) startDueReads(now time.Duration) []Action {
 	var actions []Action
 	if !c.storeReadInFlight && now >= c.nextStoreRead {
@@ -284,7 +300,8 @@
 	return actions
 }
 
-// pickComparePeer prefers a member that is known to be ahead.
+// pickComparePeer selects the member for the next comparison, with a preference
+// for members that are reported to be ahead.
 func (c *Core) pickComparePeer() string {
 	ahead := []string{}
 	for _, member := range c.members {
@@ -298,6 +315,8 @@
 	return c.members[c.random.IntN(len(c.members))].ID
 }
 
+// updateTimer returns a SetTimer action if the time of the next due read has
+// changed.
 func (c *Core) updateTimer() []Action {
 	at := never
 	if !c.storeReadInFlight {
@@ -313,7 +332,8 @@
 	return []Action{SetTimer{At: at}}
 }
 
-// jitter draws evenly between half and one and a half times the duration.
+// jitter returns a uniformly distributed duration between 0.5 and 1.5 times
+// mean.
 func (c *Core) jitter(mean time.Duration) time.Duration {
 	if mean <= 0 {
 		return 0
--- a/spread/core_bench_test.go
+++ b/spread/core_bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkUnchangedMembers measures what a node spends each second on a member set
-// that did not change.
+// BenchmarkUnchangedMembers measures the cost of an unchanged member list,
+// which a node processes every second.
 func BenchmarkUnchangedMembers(b *testing.B) {
 	for _, count := range []int{100, 1400} {
 		b.Run(fmt.Sprintf("nodes=%d", count), func(b *testing.B) {
--- a/spread/delta_test.go
+++ b/spread/delta_test.go
@@ -12,7 +12,7 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// countPushes adds up the pushes of all replicators.
+// countPushes returns the number of pushes by all replicators.
 func (c *cluster) countPushes() (deltas, records uint64) {
 	for _, replicator := range c.allReplicators() {
 		counters := replicator.Counters()
@@ -33,7 +33,7 @@
 		c.wantRevision(2, replicators...)
 		deltas, records := c.countPushes()
 		if deltas == deltasBefore || records != recordsBefore {
-			t.Fatalf("%d deltas and %d records were pushed", deltas-deltasBefore, records-recordsBefore)
+			t.Fatalf("pushed %d deltas and %d full records, want some deltas and no full records", deltas-deltasBefore, records-recordsBefore)
 		}
 	})
 }
@@ -50,7 +50,7 @@
 		before := source.Counters()
 		revision, err := source.pushState(ctx, "node-1", source.snapshot())
 		if err != nil || revision != 2 {
-			t.Fatalf("revision %d in force after the push, %v", revision, err)
+			t.Fatalf("revision after the push is %d, error %v; want 2 and no error", revision, err)
 		}
 		counters := source.Counters()
 		if counters.DeltaPushes != before.DeltaPushes+1 || counters.RecordPushes != before.RecordPushes+1 {
@@ -76,7 +76,7 @@
 			t.Fatalf("revision %d, %+v", revision, stranger.Counters())
 		}
 		if err := stranger.Offer(2, append([]byte(`{"delta":`), "1}"...)); err == nil {
-			t.Fatal("a malformed delta was taken")
+			t.Fatal("a malformed delta was accepted")
 		}
 		c.wantRevision(policy.Revision(2), source)
 	})
@@ -128,10 +128,11 @@
 	})
 }
 
-// Two nodes push the same delta at the same moment. The second one's comes while the first
-// one's is being taken into force, and needs the record as little: the answer tells what is in
-// force when that has ended. 3 of some 380 plays of TestSmallChangesSpreadAsDeltas pushed a
-// whole record, as the answer told the revision before.
+// Two nodes push the same delta at the same time. The second push arrives while
+// the target is still notifying its subscribers of the first. If it were
+// answered with the previous revision, the second node would send the full
+// record needlessly, as happened in 3 of about 380 runs of
+// TestSmallChangesSpreadAsDeltas.
 func TestConcurrentPushWaitsForDeltaBeingAdopted(t *testing.T) {
 	c := newCluster(t)
 	source := NewReplicator(ReplicatorOptions{Core: CoreOptions{Self: "source"}, Store: c.store, Logger: zerolog.Nop()})
@@ -164,7 +165,7 @@
 	push(0)
 	<-begun
 	push(1)
-	for range 10_000 { // as long as the second one is not answered, let it run
+	for range 10_000 { // let the second push run until it is answered
 		if len(pushed) > 0 {
 			break
 		}
@@ -173,7 +174,7 @@
 	close(release)
 	for range pushers {
 		if revision := <-pushed; revision != 2 {
-			t.Errorf("revision %d in force after a push", revision)
+			t.Errorf("revision after the push is %d, want 2", revision)
 		}
 	}
 	for number, pusher := range pushers {
--- a/spread/diverged_test.go
+++ b/spread/diverged_test.go
@@ -9,7 +9,7 @@
 	"github.com/banksail/banksail/store"
 )
 
-// interceptedStore lets something happen between a swap and its reply.
+// interceptedStore calls afterPut between a successful swap and its reply.
 type interceptedStore struct {
 	store.Conn
 	afterPut func()
@@ -23,7 +23,9 @@
 	return record, err
 }
 
-// A store that lost revisions lets two records of one revision come about.
+// After a store has lost revisions, two different records of one revision can
+// exist. A swap that succeeds in the store but diverges from the record in
+// force must not be reported as not applied.
 func TestDivergingSwapReportsUnknownOutcome(t *testing.T) {
 	runInBubble(t, func(t *testing.T, ctx context.Context, c *cluster) {
 		conn := &interceptedStore{Conn: c.store}
--- a/spread/event.go
+++ b/spread/event.go
@@ -6,42 +6,46 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// Event is something that happened; Step takes one.
+// Event is an input of Core.Step.
 type Event interface{ event() }
 
-// RecordOffered reports a record whose bytes were checked, from the store, from a
-// peer, or from a confirmation on this node.
+// RecordOffered reports a validated record that was received from the store,
+// from a peer, or from a confirmation on this node.
 type RecordOffered struct {
 	Revision policy.Revision
-	// Digest identifies the record's bytes.
+	// Digest is the digest of the encoded record.
 	Digest string
-	// From is the member that sent it; empty for other sources.
+	// From is the ID of the member that sent the record, or empty if the record
+	// came from elsewhere or the sender is unknown.
 	From string
 }
 
-// MembersChanged gives the live nodes other than this one.
+// MembersChanged reports the live nodes. Core ignores an entry for its own
+// node.
 type MembersChanged struct{ Members []Member }
 
-// StoreReadCompleted reports the end of a ReadStore. What was read is reported by
-// RecordOffered before it.
+// StoreReadCompleted reports the end of a ReadStore action. A record that was
+// read has been reported by RecordOffered before it.
 type StoreReadCompleted struct{ Failed bool }
 
-// FetchCompleted reports the end of a Fetch. The record received, if any, is reported by RecordOffered before it.
+// FetchCompleted reports the end of a Fetch action. A record that was received
+// has been reported by RecordOffered before it.
 type FetchCompleted struct {
 	Member   string
 	Revision policy.Revision
 	Failed   bool
 }
 
-// PushCompleted reports the end of a Push, with the revision now in force at the member.
+// PushCompleted reports the end of a Push action.
 type PushCompleted struct {
 	Member         string
 	PushedRevision policy.Revision
-	Revision       policy.Revision
-	Failed         bool
+	// Revision is the revision in force at the member after the push.
+	Revision policy.Revision
+	Failed   bool
 }
 
-// TimerFired reports that the time named by a SetTimer action has come.
+// TimerFired reports that the time of the last SetTimer action has come.
 type TimerFired struct{}
 
 func (RecordOffered) event()      {}
@@ -51,35 +55,38 @@
 func (PushCompleted) event()      {}
 func (TimerFired) event()         {}
 
-// Action is something that the owner must do; Step returns them in order.
+// Action is an output of Core.Step that the owner must execute.
 type Action interface{ action() }
 
 // Adopt puts the offered record in force.
 type Adopt struct{ Revision policy.Revision }
 
-// Push sends the record in force to a member; the owner reports PushCompleted.
+// Push sends the record in force to a member. The owner reports PushCompleted.
 type Push struct {
 	Member   string
 	Revision policy.Revision
 }
 
-// Fetch asks a member for a record above a revision; the owner reports FetchCompleted.
+// Fetch requests a record with a revision greater than Above from a member. The
+// owner reports FetchCompleted.
 type Fetch struct {
 	Member string
 	Above  policy.Revision
 }
 
-// ReadStore reads the store's record, or watches it for at most MaxWait; the
-// owner reports StoreReadCompleted.
+// ReadStore reads the record from the store, or watches it for at most MaxWait
+// if that is not zero. The owner reports StoreReadCompleted.
 type ReadStore struct{ MaxWait time.Duration }
 
-// ReportDivergence reports that two records of one revision differ, which must never be.
+// ReportDivergence reports that the offered record differs from the record of
+// the same revision in force. This must never happen.
 type ReportDivergence struct {
 	Revision policy.Revision
 	From     string
 }
 
-// SetTimer asks for a TimerFired event at the given time. A later SetTimer replaces an earlier one.
+// SetTimer requests a TimerFired event at the given time. It replaces an
+// earlier SetTimer.
 type SetTimer struct{ At time.Duration }
 
 func (Adopt) action()            {}
--- a/spread/example_test.go
+++ b/spread/example_test.go
@@ -12,7 +12,7 @@
 	"github.com/banksail/banksail/store"
 )
 
-// noPeers is the Peers of a node without any.
+// noPeers implements Peers for a node that has no peers.
 type noPeers struct{}
 
 func (noPeers) Members() []spread.Member { return nil }
@@ -25,8 +25,8 @@
 	return 0, nil
 }
 
-// An operator's intent becomes a plan, and takes effect once it is confirmed. A
-// plan that is confirmed again changes nothing.
+// An operator's intent becomes a plan, which takes effect when it is confirmed.
+// Confirming it again changes nothing.
 func ExampleReplicator() {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
--- a/spread/metrics.go
+++ b/spread/metrics.go
@@ -2,7 +2,6 @@
 
 import "sync/atomic"
 
-// replicatorMetrics counts what the replicator did.
 type replicatorMetrics struct {
 	adopted, rejected, diverged    atomic.Uint64
 	storeReads, storeFailures      atomic.Uint64
@@ -13,26 +12,31 @@
 	restoredRecords                atomic.Uint64
 }
 
-// Counters is a reading of what a replicator has done since it started.
+// Counters holds the totals of a replicator since it was created.
 type Counters struct {
-	// Adopted counts revisions put in force; Rejected, records that could not
-	// be read; Diverged, records that differ from the one of the same revision.
+	// Adopted counts revisions put in force. Rejected counts records and deltas
+	// that could not be decoded or failed validation. Diverged counts records
+	// that differ from the record of the same revision in force.
 	Adopted, Rejected, Diverged uint64
-	// StoreReads counts reads and watches; StoreFailures, those that failed.
+	// StoreReads counts reads and watches of the store, and StoreFailures those
+	// that failed. Reads for plans and confirmations are not included.
 	StoreReads, StoreFailures uint64
-	// DeltaPushes and RecordPushes count offers to peers; PushFailures, those
-	// that failed; DeltaMismatches, deltas that did not lead to their record.
+	// DeltaPushes and RecordPushes count pushes of deltas and of full records
+	// to peers. PushFailures counts pushes that failed. DeltaMismatches counts
+	// received deltas that did not produce the record that they name.
 	DeltaPushes, RecordPushes, PushFailures, DeltaMismatches uint64
-	// Comparisons counts questions to peers; CompareFailures, those that failed.
+	// Comparisons counts fetches from peers, and CompareFailures those that
+	// failed.
 	Comparisons, CompareFailures uint64
-	// Confirmations counts plans to confirm; UnknownOutcomes, those whose
-	// outcome stayed unknown.
+	// Confirmations counts confirmation requests, and UnknownOutcomes those
+	// that ended with an unknown outcome.
 	Confirmations, UnknownOutcomes uint64
-	// RestoredRecords counts records written back to a store that had lost them.
+	// RestoredRecords counts records written back to a store that had lost
+	// them.
 	RestoredRecords uint64
 }
 
-// Counters reads the counters.
+// Counters returns the current totals.
 func (r *Replicator) Counters() Counters {
 	return Counters{
 		Adopted:         r.metrics.adopted.Load(),
--- a/spread/property_test.go
+++ b/spread/property_test.go
@@ -17,11 +17,12 @@
 	"github.com/banksail/banksail/store"
 )
 
-// interleaving plays one list of operations on a few nodes.
+// interleaving applies a sequence of operations to a few nodes.
 type interleaving struct {
 	store       *store.Memory
 	replicators []*Replicator
-	// revisions holds every record ever seen, for late and crossed offers.
+	// revisions lists every revision that has been in force on a node, for late
+	// and out-of-order offers.
 	revisions        []policy.Revision
 	recordBytes      map[policy.Revision][]byte
 	plans            []policy.Plan
@@ -52,7 +53,8 @@
 	return run
 }
 
-// apply plays one operation; errors are part of the game.
+// apply executes one operation. Errors are expected and ignored; checkRevisions
+// verifies the result.
 func (p *interleaving) apply(operation int) {
 	ctx := context.Background()
 	kind := operation % operationKinds
@@ -85,7 +87,8 @@
 	}
 }
 
-// encodedRecord is the delta to a record, or the record.
+// encodedRecord returns the encoded record, or the delta to it if delta is set
+// and there is one.
 func (p *interleaving) encodedRecord(revision policy.Revision, delta bool) []byte {
 	if !delta {
 		return p.recordBytes[revision]
@@ -97,7 +100,8 @@
 	return known.delta
 }
 
-// checkRevisions judges the state after an operation.
+// checkRevisions verifies that no node has gone back to a lower revision and
+// that equal revisions have equal bytes.
 func (p *interleaving) checkRevisions() error {
 	for index, replicator := range p.replicators {
 		revision, data := replicator.Record()
@@ -115,13 +119,13 @@
 			continue
 		}
 		if sha256.Sum256(known) != sha256.Sum256(data) {
-			return fmt.Errorf("two records of revision %d", revision)
+			return fmt.Errorf("two different records of revision %d", revision)
 		}
 	}
 	return nil
 }
 
-// checkPlans judges that no plan made two revisions.
+// checkPlans verifies that no plan has created two revisions.
 func (p *interleaving) checkPlans() error {
 	made := map[string]policy.Revision{}
 	for _, revision := range p.revisions {
@@ -131,7 +135,7 @@
 		}
 		for _, applied := range record.RecentPlans {
 			if other, found := made[applied.ID]; found && other != applied.Revision {
-				return fmt.Errorf("plan %s made revisions %d and %d", applied.ID, other, applied.Revision)
+				return fmt.Errorf("plan %s created revisions %d and %d", applied.ID, other, applied.Revision)
 			}
 			made[applied.ID] = applied.Revision
 		}
--- a/spread/replicator.go
+++ b/spread/replicator.go
@@ -17,57 +17,68 @@
 	"github.com/banksail/banksail/store"
 )
 
-// Errors of the package, wrapped with details.
+// Errors returned by this package, wrapped with details.
 var (
-	// ErrStoreUnavailable: the store can't be used now; nothing changed.
+	// ErrStoreUnavailable means that the store cannot be used at present.
+	// Nothing has changed.
 	ErrStoreUnavailable = errors.New("spread: store unavailable")
-	// ErrStoreBehind: the store answers a revision below the one in force; nothing changed.
+	// ErrStoreBehind means that the store returned a revision lower than the
+	// one in force. Nothing has changed.
 	ErrStoreBehind = errors.New("spread: store answers an old revision")
-	// ErrOutcomeUnknown: the plan was sent to the store and may be in effect.
+	// ErrOutcomeUnknown means that the plan was sent to the store and may be in
+	// effect.
 	ErrOutcomeUnknown = errors.New("spread: outcome unknown")
-	// ErrRejected: a record can't be read, breaks a rule, or can't be stored;
-	// nothing changed.
+	// ErrRejected means that a record cannot be decoded, is invalid, or cannot
+	// be stored. Nothing has changed.
 	ErrRejected = errors.New("spread: record rejected")
-	// ErrDiverged: an offered record differs from the one of the same revision in force.
+	// ErrDiverged means that an offered record differs from the record of the
+	// same revision in force.
 	ErrDiverged = errors.New("spread: two records of one revision differ")
 )
 
-// Peers carries records between nodes and knows the live ones.
+// Peers gives access to the other nodes.
 type Peers interface {
-	// Members lists the live nodes; this node may be among them.
+	// Members returns the live nodes. The list may include this node.
 	Members() []Member
-	// Fetch asks a member for its record when its revision is greater than
-	// above; record is empty when it isn't.
+	// Fetch requests a member's record, or a delta to it. record is empty
+	// unless the member's revision is greater than above.
 	Fetch(ctx context.Context, member string, above policy.Revision) (revision policy.Revision, record []byte, err error)
-	// Push offers a record to a member and returns the revision then in force there.
+	// Push offers a record or a delta to a member and returns the revision that
+	// is in force there afterwards.
 	Push(ctx context.Context, member string, revision policy.Revision, record []byte) (policy.Revision, error)
 }
 
-// ReplicatorOptions sets up a replicator; zero values of times mean the defaults.
+// ReplicatorOptions configures a Replicator. Zero durations select the
+// defaults.
 type ReplicatorOptions struct {
-	// Core sets identity, seed and pace.
+	// Core configures the replication state machine.
 	Core CoreOptions
-	// Store holds the record.
+	// Store is the connection to the store that holds the record.
 	Store store.Conn
-	// Peers may be set later, before Run, by SetPeers.
+	// Peers gives access to the other nodes. It may be set later by SetPeers,
+	// before Run.
 	Peers Peers
-	// Logger receives what the replicator does.
+	// Logger receives the log lines.
 	Logger zerolog.Logger
-	// Now is the wall clock, for the history only; time.Now by default.
+	// Now returns the wall-clock time recorded in the history. The default is
+	// time.Now.
 	Now func() time.Time
-	// NewPlanID makes plan IDs that are unique among all nodes; random UUIDs by default.
+	// NewPlanID returns a plan ID that is unique across all nodes. The default
+	// is a random UUID.
 	NewPlanID func() string
-	// StoreTimeout bounds one call to the store, besides the wait of a watch.
+	// StoreTimeout limits one call to the store. A watch may last longer by its
+	// own maximum duration.
 	StoreTimeout time.Duration
-	// PeerTimeout bounds one call to a peer.
+	// PeerTimeout limits one fetch or push, including the repetition with the
+	// full record if a delta does not apply.
 	PeerTimeout time.Duration
-	// ConfirmTimeout bounds a confirmation with all its retries.
+	// ConfirmTimeout limits one confirmation, including its retries.
 	ConfirmTimeout time.Duration
-	// MemberPollInterval is the time between two looks at the members.
+	// MemberPollInterval is the interval between two reads of the member list.
 	MemberPollInterval time.Duration
 }
 
-// Defaults of ReplicatorOptions.
+// Defaults for ReplicatorOptions.
 const (
 	DefaultStoreTimeout       = 3 * time.Second
 	DefaultPeerTimeout        = 1500 * time.Millisecond
@@ -75,43 +86,48 @@
 	DefaultMemberPollInterval = time.Second
 )
 
-// state is one adopted record; it is never changed once made.
+// state is an adopted record. It is immutable.
 type state struct {
 	record policy.Record
 	bytes  []byte
 	digest string
-	// delta leads from the revision before to this one; nil when there is none.
+	// delta is the encoded delta from the previous revision to this one, or nil
+	// if there is none.
 	delta []byte
 }
 
-// Replicator drives the Core of one node: it owns the record in force, the calls
-// to store and peers, and the operators' plans.
+// Replicator runs the Core of one node. It holds the record in force, calls the
+// store and the peers, and makes and confirms the operators' plans. Its methods
+// are safe for concurrent use.
 type Replicator struct {
 	options   ReplicatorOptions
 	startedAt time.Time
 
-	// mutex guards core, current, pending and peers. Invariant: current is the
-	// record of core.Revision(), and its revision never decreases.
+	// mutex guards core, current, pendingActions and peers. Invariant: current
+	// is the record of revision core.Revision(), which never decreases.
 	mutex          sync.Mutex
 	core           *Core
 	current        *state
 	pendingActions []Action
 	peers          Peers
 
-	// actionsPending tells Run that pending has grown.
+	// actionsPending wakes Run when pendingActions has grown.
 	actionsPending chan struct{}
 
-	// notifyMutex serialises the subscribers' calls, so that each sees
-	// revisions in growing order. It is taken before mutex, never after it.
+	// notifyMutex serializes the subscriber callbacks, so that each subscriber
+	// sees increasing revisions. It is locked before mutex, never while mutex
+	// is held.
 	notifyMutex sync.Mutex
 	subscribers []func(policy.Revision, policy.Config)
-	// notifiedRevision is the revision that all subscribers have taken.
+	// notifiedRevision is the latest revision that all subscribers have
+	// processed.
 	notifiedRevision atomic.Uint64
 
 	metrics replicatorMetrics
 }
 
-// NewReplicator makes a replicator that knows no configuration; Run starts it.
+// NewReplicator returns a replicator without a configuration. Replication
+// starts with Run.
 func NewReplicator(options ReplicatorOptions) *Replicator {
 	options.StoreTimeout = cmp.Or(options.StoreTimeout, DefaultStoreTimeout)
 	options.PeerTimeout = cmp.Or(options.PeerTimeout, DefaultPeerTimeout)
@@ -132,19 +148,21 @@
 	}
 }
 
-// SetPeers gives the replicator its peers; it must be called before Run.
+// SetPeers sets the access to the other nodes. It must be called before Run.
 func (r *Replicator) SetPeers(peers Peers) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.peers = peers
 }
 
-// Revision is the revision in force at this node; zero when none is.
+// Revision returns the revision that all subscribers have processed, or zero if
+// there is none.
 func (r *Replicator) Revision() policy.Revision {
 	return policy.Revision(r.notifiedRevision.Load())
 }
 
-// Record returns the record in force, byte for byte. The bytes must not be changed.
+// Record returns the revision and the encoded bytes of the record in force. The
+// caller must not modify the bytes.
 func (r *Replicator) Record() (policy.Revision, []byte) {
 	current := r.snapshot()
 	if current == nil {
@@ -153,10 +171,10 @@
 	return current.record.Revision, current.bytes
 }
 
-// RecordAbove returns what a node with the given revision in force needs to get
-// to the one in force here: a delta when it is one revision behind and there is
-// one, else the record, byte for byte. Nothing is returned when it is not behind.
-// The bytes must not be changed.
+// RecordAbove returns what a node at the given revision needs to reach the
+// revision in force here: the delta if that node is exactly one revision behind
+// and a delta exists, otherwise the full encoded record. It returns zero and
+// nil if that node is not behind. The caller must not modify the bytes.
 func (r *Replicator) RecordAbove(above policy.Revision) (policy.Revision, []byte) {
 	current := r.snapshot()
 	if current == nil || current.record.Revision <= above {
@@ -169,8 +187,8 @@
 	return revision, current.bytes
 }
 
-// Current returns the configuration in force; ok is false when none is known.
-// The configuration must not be changed.
+// Current returns the configuration in force; ok is false if there is none. The
+// caller must not modify the configuration.
 func (r *Replicator) Current() (revision policy.Revision, config policy.Config, ok bool) {
 	current := r.snapshot()
 	if current == nil {
@@ -179,7 +197,7 @@
 	return current.record.Revision, current.record.Config, true
 }
 
-// History lists the latest changes, oldest first.
+// History returns the most recent changes, oldest first.
 func (r *Replicator) History() []policy.HistoryEntry {
 	current := r.snapshot()
 	if current == nil {
@@ -194,9 +212,10 @@
 	return r.current
 }
 
-// Subscribe calls back with each configuration that comes into force, in
-// growing order of revisions, starting with the present one. The callback must
-// not call Subscribe, Offer or Confirm.
+// Subscribe registers a callback that receives each configuration that comes
+// into force, in increasing order of revisions. It is called at once with the
+// present configuration if there is one. Revisions adopted in quick succession
+// may be skipped. The callback must not call Subscribe, Offer or Confirm.
 func (r *Replicator) Subscribe(callback func(policy.Revision, policy.Config)) {
 	r.notifyMutex.Lock()
 	defer r.notifyMutex.Unlock()
@@ -206,12 +225,17 @@
 	}
 }
 
-// Offer takes a record, or a delta to one, from a peer. Lower and equal
-// revisions change nothing, nor does a delta that does not fit the record in
-// force: the peer sees by the revision in force that it must send the record.
+// Offer adopts a record, or a delta to one, received from a peer. Lower
+// revisions, an identical record, and a delta that does not apply to the record
+// in force are ignored without an error. In the last case the peer learns from
+// the revision in force that it must send the full record. Offer returns
+// ErrRejected for an invalid record and ErrDiverged for a different record of
+// the revision in force.
 func (r *Replicator) Offer(revision policy.Revision, data []byte) error {
-	// What another call is taking into force is in force when this one ends. Without that, the
-	// peer was told of the revision before, and sent the whole record (3 of 380 plays).
+	// Wait until a revision that a concurrent call has adopted is in force.
+	// Otherwise the pushing peer would see the previous revision and needlessly
+	// send the full record, as happened in 3 of about 380 runs of
+	// TestSmallChangesSpreadAsDeltas.
 	defer r.notifySubscribers()
 	if policy.IsDelta(data) {
 		return r.offerDelta(revision, data)
@@ -219,14 +243,14 @@
 	return r.offerRecord(revision, data, "")
 }
 
-// offerRecord checks a record and adopts it if its revision is higher.
+// offerRecord validates a record and adopts it if its revision is higher.
 func (r *Replicator) offerRecord(revision policy.Revision, data []byte, from string) error {
 	current := r.snapshot()
 	if current != nil && revision < current.record.Revision {
 		return nil
 	}
 	if current != nil && revision == current.record.Revision && bytes.Equal(data, current.bytes) {
-		return r.adoptRecord(current, from) // checked already; tells the core what the sender has
+		return r.adoptRecord(current, from) // already validated; informs the core of the sender's revision
 	}
 	next, err := decodeState(data)
 	if err != nil {
@@ -235,12 +259,12 @@
 	}
 	if next.record.Revision != revision {
 		r.metrics.rejected.Add(1)
-		return fmt.Errorf("%w: offered as revision %d, holds %d", ErrRejected, revision, next.record.Revision)
+		return fmt.Errorf("%w: offered as revision %d, but holds revision %d", ErrRejected, revision, next.record.Revision)
 	}
 	return r.adoptRecord(next, from)
 }
 
-// offerDelta applies a delta to the record in force, if it is the base.
+// offerDelta applies a delta if the record in force is its base.
 func (r *Replicator) offerDelta(revision policy.Revision, data []byte) error {
 	current := r.snapshot()
 	if current == nil || revision != current.record.Revision+1 {
@@ -254,13 +278,13 @@
 	record, encoded, err := policy.ApplyDelta(current.record, delta)
 	if err != nil {
 		r.metrics.deltaMismatches.Add(1)
-		r.options.Logger.Warn().Err(err).Uint64("revision", uint64(revision)).Msg("delta refused")
+		r.options.Logger.Warn().Err(err).Uint64("revision", uint64(revision)).Msg("delta does not apply to the record in force")
 		return nil
 	}
 	return r.adoptRecord(&state{record: record, bytes: encoded, digest: delta.RecordDigest, delta: data}, "")
 }
 
-// decodeState reads a record's bytes.
+// decodeState decodes and validates an encoded record.
 func decodeState(data []byte) (*state, error) {
 	record, err := policy.DecodeRecord(data)
 	if err != nil {
@@ -269,7 +293,8 @@
 	return buildState(record, data), nil
 }
 
-// buildState is the state of a record that was checked already.
+// buildState returns the state for a record that has already been validated and
+// its encoded bytes.
 func buildState(record policy.Record, data []byte) *state {
 	digest := policy.RecordDigest(data)
 	delta, ok := policy.EncodeDelta(record, digest)
@@ -279,7 +304,8 @@
 	return &state{record: record, bytes: data, digest: digest, delta: delta}
 }
 
-// adoptRecord lets the core decide on a checked record.
+// adoptRecord offers a validated record to the core, which adopts it if its
+// revision is higher, and notifies the subscribers.
 func (r *Replicator) adoptRecord(next *state, from string) error {
 	event := RecordOffered{Revision: next.record.Revision, Digest: next.digest, From: from}
 	err := r.offerToCore(event, next)
@@ -316,7 +342,8 @@
 	return event.From
 }
 
-// notifySubscribers gives the record in force to the subscribers that have not seen it.
+// notifySubscribers passes the record in force to the subscribers if they have
+// not yet received it. It waits for notifications in progress.
 func (r *Replicator) notifySubscribers() {
 	r.notifyMutex.Lock()
 	defer r.notifyMutex.Unlock()
--- a/spread/replicator_bench_test.go
+++ b/spread/replicator_bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/banksail/banksail/store"
 )
 
-// largeConfig has 350 groups of 15 servers.
+// largeConfig returns a configuration with 350 groups of 15 servers.
 func largeConfig() policy.Config {
 	const groups, replicas, keys = 350, 15, 10
 	config := testConfig()
@@ -35,8 +35,8 @@
 	return config
 }
 
-// BenchmarkOfferCurrentRecord offers a replicator the record that is in force
-// already, as most pushes of whole records do.
+// BenchmarkOfferCurrentRecord offers a replicator the record that is already in
+// force, as most pushes of full records do.
 func BenchmarkOfferCurrentRecord(b *testing.B) {
 	record, err := policy.EncodeRecord(policy.Record{
 		Format: policy.RecordFormat, Revision: 1, Config: largeConfig(),
--- a/spread/replicator_test.go
+++ b/spread/replicator_test.go
@@ -14,7 +14,7 @@
 	"github.com/banksail/banksail/store"
 )
 
-// propagationTime is longer than a revision takes to reach a few nodes.
+// propagationTime exceeds the time that a revision takes to reach a few nodes.
 const propagationTime = 10 * time.Second
 
 func TestConfirmedPlanIsInForceEverywhere(t *testing.T) {
@@ -79,11 +79,11 @@
 	})
 }
 
-// lossyStore loses a number of swaps on their way to the store.
+// lossyStore drops a number of swaps before they reach the store.
 type lossyStore struct {
 	store.Conn
 	putsToLose int
-	// unavailableAfterLoss cuts the store off after the loss.
+	// unavailableAfterLoss makes reads fail once a swap has been dropped.
 	unavailableAfterLoss bool
 	hasLostPut           bool
 }
@@ -125,12 +125,12 @@
 		}
 		asked, err := replicator.Outcome(ctx, plan.ID, plan.BaseRevision)
 		if err != nil || asked.Outcome != policy.OutcomeUnknown {
-			t.Fatalf("while the store is away: %+v, %v", asked, err)
+			t.Fatalf("while the store is unavailable: %+v, %v", asked, err)
 		}
 		conn.unavailableAfterLoss = false
 		asked, err = replicator.Outcome(ctx, plan.ID, plan.BaseRevision)
 		if err != nil || asked.Outcome != policy.OutcomeUnknown {
-			t.Fatalf("once the store is back, while the base stands: %+v, %v", asked, err)
+			t.Fatalf("with the store available and the base unchanged: %+v, %v", asked, err)
 		}
 		mustConfirm(t, replicator, plan)
 		asked, err = replicator.Outcome(ctx, plan.ID, plan.BaseRevision)
@@ -214,14 +214,14 @@
 		c.wantRevision(2, replicators...)
 		plan := mustPlan(t, replicators[1], deadlineIntent("bob", 60))
 		if plan.BaseRevision != 2 {
-			t.Fatalf("planned on revision %d", plan.BaseRevision)
+			t.Fatalf("planned on revision %d, want 2", plan.BaseRevision)
 		}
 		receipt, err := replicators[1].Confirm(ctx, plan)
 		if !errors.Is(err, ErrStoreBehind) || receipt.Outcome != policy.OutcomeNotApplied {
 			t.Fatalf("got %+v, %v", receipt, err)
 		}
 		if restored := replicators[1].Counters().RestoredRecords; restored != 0 {
-			t.Fatal("a stale read was taken for a loss")
+			t.Fatal("a stale read was treated as a lost record")
 		}
 		c.store.SetFaults(store.MemoryFaults{})
 		mustConfirm(t, replicators[1], plan)
@@ -272,7 +272,7 @@
 		c.store.SetFaults(store.MemoryFaults{Down: true})
 		fresh := c.startNode(ctx, c.store)
 		if _, _, ok := fresh.Current(); ok {
-			t.Fatal("a fresh node must know no configuration")
+			t.Fatal("a new node has a configuration before any fetch")
 		}
 		time.Sleep(propagationTime)
 		c.wantRevision(1, fresh)
@@ -325,11 +325,11 @@
 		defer mutex.Unlock()
 		for index := 1; index < len(seen); index++ {
 			if seen[index] <= seen[index-1] {
-				t.Fatalf("revisions went %v", seen)
+				t.Fatalf("subscriber received revisions %v", seen)
 			}
 		}
 		if len(seen) == 0 || seen[len(seen)-1] != 9 {
-			t.Fatalf("revisions went %v, want 9 last", seen)
+			t.Fatalf("subscriber received revisions %v, want 9 last", seen)
 		}
 	})
 }
@@ -348,16 +348,16 @@
 		t.Fatal(err)
 	}
 	if err := replicator.Offer(2, data); !errors.Is(err, ErrRejected) {
-		t.Fatalf("a record of another revision: %v", err)
+		t.Fatalf("record offered with the wrong revision: %v", err)
 	}
 	if err := replicator.Offer(1, data[:len(data)-1]); !errors.Is(err, ErrRejected) {
-		t.Fatalf("a cut record: %v", err)
+		t.Fatalf("truncated record: %v", err)
 	}
 	if err := replicator.Offer(1, data); err != nil {
 		t.Fatal(err)
 	}
 	if err := replicator.Offer(1, different); !errors.Is(err, ErrDiverged) {
-		t.Fatalf("other bytes of the same revision: %v", err)
+		t.Fatalf("different record of the same revision: %v", err)
 	}
 	if _, record := replicator.Record(); string(record) != string(data) {
 		t.Fatal("the record in force changed")
--- a/spread/restored_test.go
+++ b/spread/restored_test.go
@@ -8,9 +8,10 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// The store comes back from a copy, at a revision below the one that the watchers read last, and
-// counts on from there: a watch after that one hears nothing, for as long as the store has not
-// counted past it. A watcher that no other node reaches still learns of what is confirmed then.
+// A store restored from a backup continues from a revision number below the one
+// that the watchers read last. A watch after that number reports nothing until
+// the store has passed it. A watcher that no peer can reach must still receive
+// what is confirmed in that time.
 func TestWatchersFollowStoreRestoredFromBackup(t *testing.T) {
 	runInBubble(t, func(t *testing.T, ctx context.Context, c *cluster) {
 		replicators := c.startNodes(ctx, 3)
--- a/spread/run.go
+++ b/spread/run.go
@@ -12,8 +12,8 @@
 	"github.com/banksail/banksail/store"
 )
 
-// Run watches and spreads the configuration until the context ends; it then
-// waits for its calls to end and returns nil.
+// Run replicates the configuration until the context is cancelled. It then
+// waits for the calls in progress to end and returns nil.
 func (r *Replicator) Run(ctx context.Context) error {
 	var calls sync.WaitGroup
 	defer calls.Wait()
@@ -39,7 +39,7 @@
 	}
 }
 
-// stepCore gives the core an event that can't adopt anything.
+// stepCore passes the core an event that cannot lead to an adoption.
 func (r *Replicator) stepCore(event Event) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -69,8 +69,9 @@
 	return r.peers
 }
 
-// performAction starts an action; calls run in goroutines of their own, which the
-// core bounds: one store read, one comparison, and the fan-out of pushes.
+// performAction executes an action. Calls run in their own goroutines. The core
+// limits their number to one store read, one comparison and the fan-out of
+// pushes.
 func (r *Replicator) performAction(ctx context.Context, calls *sync.WaitGroup, reader *storeReader, wake *time.Timer, action Action) {
 	switch action := action.(type) {
 	case SetTimer:
@@ -92,7 +93,7 @@
 	switch {
 	case err != nil:
 	case len(record) == 0:
-		revision = action.Above // the member has nothing newer
+		revision = action.Above // the member has no newer revision
 	default:
 		err = r.offerFetched(ctx, action.Member, revision, record)
 	}
@@ -103,8 +104,6 @@
 	r.stepCore(FetchCompleted{Member: action.Member, Revision: revision, Failed: err != nil})
 }
 
-// push offers the record in force: by its delta first, which is small, then
-// whole if the member says that it is still behind.
 func (r *Replicator) push(ctx context.Context, action Push) {
 	ctx, cancel := context.WithTimeout(ctx, r.options.PeerTimeout)
 	defer cancel()
@@ -117,6 +116,9 @@
 	r.stepCore(PushCompleted{Member: action.Member, PushedRevision: action.Revision, Revision: revision, Failed: err != nil})
 }
 
+// pushState pushes the delta first, because it is small, and then the full
+// record if the member reports that it is still behind. It returns the revision
+// in force at the member.
 func (r *Replicator) pushState(ctx context.Context, member string, current *state) (policy.Revision, error) {
 	peers := r.currentPeers()
 	pushed := current.record.Revision
@@ -131,8 +133,8 @@
 	return peers.Push(ctx, member, pushed, current.bytes)
 }
 
-// offerFetched offers what a member answered to a comparison. When a delta does
-// not fit the record in force, it asks for the whole record.
+// offerFetched adopts what a member returned for a comparison. If it is a delta
+// that does not apply to the record in force, the full record is fetched.
 func (r *Replicator) offerFetched(ctx context.Context, member string, revision policy.Revision, data []byte) error {
 	if !policy.IsDelta(data) {
 		return r.offerRecord(revision, data, member)
@@ -150,10 +152,11 @@
 	return r.offerRecord(revision, record, member)
 }
 
-// storeReader reads the store for Run; one read runs at a time.
+// storeReader reads the store on behalf of Run, one read at a time.
 type storeReader struct {
 	replicator *Replicator
-	// lastRevision is the store's own revision of the record read last.
+	// lastRevision is the store's own revision number of the record read last.
+	// Zero selects a plain read in place of a watch.
 	lastRevision uint64
 }
 
@@ -170,9 +173,10 @@
 	r.stepCore(StoreReadCompleted{Failed: err != nil})
 }
 
-// readOnce offers what the store answers. A revision below the one in force
-// is ignored by the offer; the watch then goes on after that old revision, so
-// that it ends as soon as the store answers a newer one.
+// readOnce reads or watches the store and offers the record. A record with a
+// revision lower than the one in force is not adopted. The next watch
+// nevertheless starts after it, so that the watch ends as soon as the store
+// returns a newer record.
 func (s *storeReader) readOnce(ctx context.Context, wait time.Duration) error {
 	r := s.replicator
 	var record store.Record
@@ -184,8 +188,9 @@
 	}
 	switch {
 	case errors.Is(err, store.ErrUnchanged), errors.Is(err, store.ErrNotFound):
-		// A store that came back from a copy counts on from below after, and a watch hears
-		// nothing of what is written until it has passed it: it is read next.
+		// A store restored from a backup continues with revision numbers below
+		// lastRevision. A watch after lastRevision reports no writes until the
+		// store has passed that number, so the next call is a plain read.
 		s.lastRevision = 0
 		return nil
 	case err != nil:
@@ -198,7 +203,7 @@
 	return nil
 }
 
-// offerStored offers the value of the store's record.
+// offerStored adopts a record read from the store, if its revision is higher.
 func (r *Replicator) offerStored(record store.Record) error {
 	if current := r.snapshot(); current != nil && bytes.Equal(record.Value, current.bytes) {
 		return nil
--- a/spread/simulation_calls_test.go
+++ b/spread/simulation_calls_test.go
@@ -7,7 +7,8 @@
 	"github.com/banksail/banksail/spread"
 )
 
-// delay draws a one-way delay, evenly between half and one and a half times the mean.
+// delay returns a uniformly distributed one-way delay between 0.5 and 1.5 times
+// mean.
 func (r *simulation) delay(mean time.Duration) time.Duration {
 	return mean/2 + time.Duration(r.random.Int64N(int64(mean)+1))
 }
@@ -16,7 +17,7 @@
 	return r.options.PeerLoss > 0 && r.random.Float64() < r.options.PeerLoss
 }
 
-// push offers a node's revision to another one.
+// push offers a node's revision to another node.
 func (r *simulation) push(from *node, action spread.Push) {
 	r.counts.Pushes++
 	to := r.byID[action.Member]
@@ -38,7 +39,7 @@
 	})
 }
 
-// fetch asks another node for a record above a revision.
+// fetch requests a record above a revision from another node.
 func (r *simulation) fetch(from *node, action spread.Fetch) {
 	r.counts.Comparisons++
 	to := r.byID[action.Member]
@@ -63,7 +64,7 @@
 	})
 }
 
-// readStore reads the store, or watches it.
+// readStore reads or watches the store.
 func (r *simulation) readStore(from *node, action spread.ReadStore) {
 	r.counts.StoreReads++
 	if from.zone >= r.options.StoreZones {
@@ -101,14 +102,15 @@
 	})
 }
 
-// queuedEvent is one event; events of one time run in the order in which they were added.
+// queuedEvent is one event. Events with the same time run in the order in which
+// they were added.
 type queuedEvent struct {
 	at       time.Duration
 	sequence int
 	do       func()
 }
 
-// eventQueue is a heap of events.
+// eventQueue is a heap of events ordered by time.
 type eventQueue struct {
 	events []queuedEvent
 	added  int
--- a/spread/simulation_test.go
+++ b/spread/simulation_test.go
@@ -1,8 +1,9 @@
 package spread_test
 
-// This file runs the cores of many nodes on an event queue, to count the messages that
-// a new revision costs and the time until it is in force everywhere. It has no
-// goroutine and no clock of its own: equal options give equal results.
+// This file simulates the cores of many nodes on an event queue, to count the
+// messages that a new revision costs and to measure the time until it is in
+// force on every node. The simulation uses no goroutines and a virtual clock, so
+// equal options give equal results.
 
 import (
 	"fmt"
@@ -15,35 +16,37 @@
 
 // simulationOptions describes the nodes, the network and the store.
 type simulationOptions struct {
-	// Nodes is the number of nodes.
 	Nodes int
-	// Zones is the number of zones that the nodes are spread over evenly.
+	// Zones is the number of zones, over which the nodes are distributed
+	// evenly.
 	Zones int
-	// Seed makes the run repeatable.
+	// Seed initializes the random choices; equal options give equal results.
 	Seed uint64
 	// PeerDelay is the mean one-way delay between two nodes.
 	PeerDelay time.Duration
 	// StoreDelay is the mean one-way delay to the store.
 	StoreDelay time.Duration
-	// PeerLoss is the share of calls between nodes that fail.
+	// PeerLoss is the fraction of calls between nodes that fail.
 	PeerLoss float64
-	// PeerTimeout and StoreTimeout are how long a call that fails takes.
+	// PeerTimeout and StoreTimeout are the durations of failed calls.
 	PeerTimeout, StoreTimeout time.Duration
-	// StoreZones is the number of zones that reach the store; zero means all.
+	// StoreZones is the number of zones that can reach the store; zero means
+	// all.
 	StoreZones int
-	// ConfirmerLost makes the node that confirmed die before it tells anybody,
-	// so that the revision spreads from the store's watchers only.
+	// ConfirmerLost makes the confirming node crash before it pushes the
+	// revision, so that only the watchers of the store can spread it.
 	ConfirmerLost bool
-	// Settle is how long the nodes run before the change; the messages of a
-	// quiet time are counted in its second half.
+	// Settle is the time that the nodes run before the change. The messages
+	// without a change are counted in its second half.
 	Settle time.Duration
-	// Limit ends the run when the revision has not spread.
+	// Limit is the time after the change at which the simulation ends even if
+	// some nodes have not adopted the revision.
 	Limit time.Duration
-	// Core sets the pace of every node's core; Self, Zone and Seed are replaced.
+	// Core configures every node's core; Self, Zone and Seed are replaced.
 	Core spread.CoreOptions
 }
 
-// Defaults of simulationOptions.
+// Defaults for simulationOptions.
 const (
 	DefaultPeerDelay  = 5 * time.Millisecond
 	DefaultStoreDelay = 5 * time.Millisecond
@@ -71,14 +74,17 @@
 	}
 }
 
-// Counts holds messages of all nodes together. A call and its answer are one.
+// Counts holds the number of messages of all nodes. A call and its answer count
+// as one.
 type Counts struct {
-	// Pushes counts offers to peers; PushesAdopted those that were news.
+	// Pushes counts pushes to peers, and PushesAdopted those that delivered a
+	// new revision.
 	Pushes, PushesAdopted int
-	// Comparisons counts questions to peers; ComparisonsAdopted those answered by a record that was news.
+	// Comparisons counts fetches from peers, and ComparisonsAdopted those that
+	// returned a new revision.
 	Comparisons, ComparisonsAdopted int
-	// Records counts the whole records that were carried between peers; pushes,
-	// and answers to who is one revision behind, carry a delta instead.
+	// Records counts the full records returned by fetches. Pushes, and fetches
+	// by a node that is one revision behind, carry a delta instead.
 	Records int
 	// StoreReads counts reads and watches of the store.
 	StoreReads int
@@ -95,20 +101,21 @@
 	}
 }
 
-// simulationResult tells how one revision spread.
+// simulationResult describes how one revision spread.
 type simulationResult struct {
 	simulationOptions simulationOptions
-	// Reached counts the nodes with the revision in force at the end.
+	// Reached is the number of nodes with the revision in force at the end.
 	Reached int
-	// Half, Most and All are the times from the store's change until half, 99
-	// in 100, and all of the nodes had it in force; zero if never.
+	// Half, Most and All are the times from the change in the store until 50%,
+	// 99% and 100% of the nodes had the revision in force; zero if that did not
+	// happen.
 	Half, Most, All time.Duration
 	// Change counts the messages from the change until All.
 	Change Counts
-	// Idle counts the messages of IdleTime without a change.
+	// Idle counts the messages during IdleTime, in which there was no change.
 	Idle     Counts
 	IdleTime time.Duration
-	// Watchers counts the nodes that watch the store.
+	// Watchers is the number of nodes that watch the store.
 	Watchers int
 }
 
@@ -137,7 +144,7 @@
 	return result
 }
 
-// simulation is the state of one simulation.
+// simulation is the state of one run.
 type simulation struct {
 	options simulationOptions
 	random  *rand.Rand
@@ -145,7 +152,8 @@
 	now     time.Duration
 	nodes   []*node
 	byID    map[string]*node
-	// storeRevision is the store's revision; waiting are the watches in progress.
+	// storeRevision is the store's revision; heldWatches are the watches in
+	// progress.
 	storeRevision policy.Revision
 	heldWatches   []*watch
 
@@ -155,7 +163,7 @@
 	result    simulationResult
 }
 
-// node is one hollow node.
+// node is a simulated node, which consists of its core only.
 type node struct {
 	id      string
 	zone    int
@@ -200,7 +208,8 @@
 	return r
 }
 
-// commitRevision accepts a new revision in the store, by a node picked at random.
+// commitRevision writes a new revision to the store, confirmed by a random
+// node.
 func (r *simulation) commitRevision() {
 	r.changedAt = r.now
 	r.storeRevision++
@@ -214,7 +223,8 @@
 	r.step(confirmer, spread.RecordOffered{Revision: r.storeRevision})
 }
 
-// runUntil runs the queue up to a time, or until every node has the change.
+// runUntil processes events up to a time, or until every node has adopted the
+// change.
 func (r *simulation) runUntil(end time.Duration) {
 	for r.queue.Len() > 0 && r.queue.nextTime() <= end && r.reached < len(r.nodes) {
 		event := r.queue.popEarliest()
@@ -224,12 +234,12 @@
 	r.now = max(r.now, end)
 }
 
-// after queues a function.
+// after schedules a function to run after a delay.
 func (r *simulation) after(delay time.Duration, do func()) {
 	r.queue.add(r.now+delay, do)
 }
 
-// step gives a core an event and carries out its actions.
+// step passes an event to a node's core and executes the resulting actions.
 func (r *simulation) step(stepped *node, event spread.Event) {
 	if stepped.crashed {
 		return
--- a/spread/spread_test.go
+++ b/spread/spread_test.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// settleTime is long enough for every node to start comparing.
+// settleTime is long enough for every node to start its comparisons.
 const settleTime = 10 * time.Second
 
-// propagationTarget is the time within which a revision must be in force everywhere.
+// propagationTarget is the time within which a revision must be in force on
+// every node.
 const propagationTarget = 14 * time.Second
 
 func TestRevisionReachesEveryNodeWithinTheTarget(t *testing.T) {
@@ -27,7 +28,7 @@
 				options.Seed = seed
 				result := simulate(options)
 				if result.Reached != options.Nodes || result.All > propagationTarget {
-					t.Fatalf("seed %d: %d of %d nodes after %v", seed, result.Reached, options.Nodes, result.All)
+					t.Fatalf("seed %d: %d of %d nodes reached, last after %v", seed, result.Reached, options.Nodes, result.All)
 				}
 			}
 		})
@@ -45,10 +46,10 @@
 func TestFewNodesReadTheStore(t *testing.T) {
 	result := simulate(simulationOptions{Nodes: 400, Zones: 8, Seed: 1})
 	if result.Watchers != 8 {
-		t.Fatalf("%d watchers", result.Watchers)
+		t.Fatalf("%d watchers, want 8", result.Watchers)
 	}
 	perSecond := float64(result.Idle.StoreReads) / result.IdleTime.Seconds()
 	if perSecond > 2 {
-		t.Fatalf("%.2f store reads a second in quiet", perSecond)
+		t.Fatalf("%.2f store reads per second without a change, want at most 2", perSecond)
 	}
 }
--- a/spread/watchers.go
+++ b/spread/watchers.go
@@ -11,15 +11,17 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// watcherHashKey is hashed with the members' IDs to choose the store's watchers.
+// watcherHashKey is hashed with the member IDs to select the watchers of the
+// store.
 const watcherHashKey = policy.StoreKey
 
 func hashID(id string) uint64 { return xxhash.Sum64String(id) }
 
-// SelectWatchers chooses the nodes that watch the store: one in each zone, so that
-// a zone that alone can reach the store has one, at most maximum; when there
-// are fewer zones than minimum, others are added. The order of members does
-// not matter.
+// SelectWatchers returns the IDs of the members that watch the store. It
+// selects one member from each of at most maximum zones, so that a zone that is
+// the only one able to reach the store has a watcher. If this gives fewer than
+// minimum members, others are added. The result does not depend on the order of
+// members.
 func SelectWatchers(members []Member, minimum, maximum int) []string {
 	byZone := map[string][]string{}
 	zones := []string{}
@@ -44,12 +46,14 @@
 	return append(chosen, highestRanked(others, minimum-len(chosen))...)
 }
 
-// highestRanked returns the names that rank highest by rendezvous hashing.
+// highestRanked returns up to count names with the highest rank by rendezvous
+// hashing.
 func highestRanked(names []string, count int) []string {
 	left := slices.Sorted(slices.Values(names))
 	ranked := []string{}
 	for count > 0 && len(left) > 0 {
-		// Rendezvous.Remove panics in the library's version, hence a new one each time.
+		// Rendezvous.Remove panics in this version of the library, so a new
+		// instance is made for each look-up.
 		first := rendezvous.New(left, hashID).Lookup(watcherHashKey)
 		ranked = append(ranked, first)
 		index, _ := slices.BinarySearch(left, first)
@@ -59,8 +63,8 @@
 	return ranked
 }
 
-// handleMembersChanged takes the new member set; the choice of watchers is made
-// anew only when an ID or a zone changed.
+// handleMembersChanged replaces the member list. The watchers are selected
+// again only if an ID or a zone has changed.
 func (c *Core) handleMembersChanged(now time.Duration, members []Member) {
 	next := make([]Member, 0, len(members))
 	for _, member := range members {
@@ -79,7 +83,7 @@
 	c.updateMemberRevisions(now, next)
 }
 
-// updateMemberRevisions takes the revisions that membership heard.
+// updateMemberRevisions stores the revisions that membership reported.
 func (c *Core) updateMemberRevisions(now time.Duration, next []Member) {
 	for index := range next {
 		c.members[index].Revision = next[index].Revision
@@ -87,8 +91,8 @@
 	}
 }
 
-// observeReportedRevision brings the next comparison forward when a revision above all
-// others is heard of.
+// observeReportedRevision brings the next comparison forward if the reported
+// revision is higher than all revisions known before.
 func (c *Core) observeReportedRevision(now time.Duration, revision policy.Revision) {
 	if revision <= max(c.revision, c.highestReported) {
 		return
@@ -110,7 +114,7 @@
 	}
 }
 
-// recordMemberRevision notes the revision that a member itself told.
+// recordMemberRevision stores a revision that the member itself sent.
 func (c *Core) recordMemberRevision(id string, revision policy.Revision) {
 	index, found := slices.BinarySearchFunc(c.members, id, func(member Member, id string) int {
 		return strings.Compare(member.ID, id)
