--- a/front/node.go
+++ b/front/node.go
@@ -215,7 +215,7 @@
 		Logger:       options.Logger,
 		Registry:     registry,
 		ListenPacket: options.ListenPacket,
-		Heard:        f.quarantines.receiveFinding,
+		OnFinding:    f.quarantines.receiveFinding,
 		Changed:      f.wakeNodesLoop,
 	})
 	if err != nil {
--- a/front/quarantines.go
+++ b/front/quarantines.go
@@ -165,7 +165,7 @@
 // ensureRecorded writes a record that the node which found it has not written, or that the registry
 // has lost, if this node is an aggregator for the fingerprint.
 func (q *quarantineManager) ensureRecorded(fingerprint quarantine.Fingerprint) {
-	aggregators := gossip.KeepersOf(fingerprint, q.front.agent.Nodes())
+	aggregators := gossip.AggregatorsFor(fingerprint, q.front.agent.Nodes())
 	if slices.ContainsFunc(aggregators, q.front.isSelf) && !q.isRecorded(fingerprint) {
 		q.RecordQuarantine(fingerprint)
 	}
@@ -220,7 +220,7 @@
 				q.dropped.Inc()
 				continue
 			}
-			q.front.agent.Tell(queued.finding, queued.audience)
+			q.front.agent.PublishFinding(queued.finding, queued.audience)
 			if queued.audience == quarantine.AudienceAll {
 				q.scheduleRepeats(ctx, queued)
 			}
@@ -233,7 +233,7 @@
 	for _, delay := range repeatDelays {
 		time.AfterFunc(delay, func() {
 			if ctx.Err() == nil {
-				q.front.agent.Tell(queued.finding, queued.audience)
+				q.front.agent.PublishFinding(queued.finding, queued.audience)
 			}
 		})
 	}
--- a/gossip/findings.go
+++ b/gossip/findings.go
@@ -19,11 +19,11 @@
 	mostEnds     = 16
 )
 
-// Tell tells other nodes what this one found out. A datagram that is lost is not sent again.
-func (a *Agent) Tell(finding quarantine.Finding, audience quarantine.Audience) {
+// PublishFinding tells other nodes what this one found out. A datagram that is lost is not sent again.
+func (a *Agent) PublishFinding(finding quarantine.Finding, audience quarantine.Audience) {
 	nodes := a.Nodes()
 	if audience == quarantine.AudienceAggregators {
-		nodes = KeepersOf(finding.Content, nodes)
+		nodes = AggregatorsFor(finding.Content, nodes)
 	}
 	a.mutex.Lock()
 	conn := a.conn
@@ -39,9 +39,9 @@
 	a.send(conn, packets)
 }
 
-// KeepersOf are the nodes that bring the findings on a content together; all nodes that see
+// AggregatorsFor are the nodes that bring the findings on a content together; all nodes that see
 // the same members choose the same.
-func KeepersOf(content quarantine.Fingerprint, nodes []discovery.Node) []discovery.Node {
+func AggregatorsFor(content quarantine.Fingerprint, nodes []discovery.Node) []discovery.Node {
 	weights := make(map[string]uint64, len(nodes))
 	for _, node := range nodes {
 		weights[node.ID] = xxhash.Sum64String(node.ID + content.String())
@@ -64,8 +64,8 @@
 			a.counters.failed.WithLabelValues("finding").Inc()
 			continue
 		}
-		if a.options.Heard != nil {
-			a.options.Heard(finding)
+		if a.options.OnFinding != nil {
+			a.options.OnFinding(finding)
 		}
 	}
 }
--- a/gossip/findings_test.go
+++ b/gossip/findings_test.go
@@ -56,7 +56,7 @@
 	kept := make(map[string]int)
 	for number := range 600 {
 		content := quarantine.FingerprintOf("GET", "h.example", fmt.Sprint(number), nil)
-		chosen, again := KeepersOf(content, nodes), KeepersOf(content, reversed)
+		chosen, again := AggregatorsFor(content, nodes), AggregatorsFor(content, reversed)
 		if len(chosen) != keepers || fmt.Sprint(chosen) != fmt.Sprint(again) {
 			t.Fatalf("%v and %v", chosen, again)
 		}
@@ -69,7 +69,7 @@
 			t.Errorf("%s keeps %d contents of 600, 30 on average", node.ID, count)
 		}
 	}
-	if few := KeepersOf(quarantine.Fingerprint{}, nodes[:2]); len(few) != 2 {
+	if few := AggregatorsFor(quarantine.Fingerprint{}, nodes[:2]); len(few) != 2 {
 		t.Errorf("%d keepers of 2 nodes", len(few))
 	}
 }
--- a/gossip/options.go
+++ b/gossip/options.go
@@ -27,9 +27,9 @@
 	Registry prometheus.Registerer
 	// ListenPacket opens the socket; the default is the operating system's UDP.
 	ListenPacket func(network, address string) (net.PacketConn, error)
-	// Heard takes another node's finding on a request that ends servers, from one goroutine;
+	// OnFinding takes another node's finding on a request that ends servers, from one goroutine;
 	// it must not block. Nil is nobody.
-	Heard func(quarantine.Finding)
+	OnFinding func(quarantine.Finding)
 	// Changed is called when what is known of the nodes may have changed, from several
 	// goroutines; it must not block.
 	Changed func()
