--- a/node/ask.go
+++ b/node/ask.go
@@ -10,8 +10,8 @@
 	"github.com/banksail/banksail/dispatch"
 )
 
-// backends is what the node needs of the client towards back ends.
-type backends interface {
+// backendClient is what the node needs of the client towards back ends.
+type backendClient interface {
 	Query(ctx context.Context, address string, request *backend.Request) (*backend.Reply, error)
 	Health(ctx context.Context, address string) (*backend.Health, error)
 	Load(ctx context.Context, address string) (*backend.Load, error)
@@ -26,35 +26,35 @@
 	cancel context.CancelFunc
 }
 
-// backendAsker sends sub-requests through the client towards back ends.
-type backendAsker struct {
-	client backends
-	// heard is told of every well-formed reply of a server.
-	heard func(server string, reply *backend.Reply, age time.Duration)
-	// unreachable is told of every server to which no connection could be made.
-	unreachable func(server string)
+// backendSender sends sub-requests through the client towards back ends.
+type backendSender struct {
+	client backendClient
+	// onReply is told of every well-formed reply of a server.
+	onReply func(server string, reply *backend.Reply, age time.Duration)
+	// onUnreachable is told of every server to which no connection could be made.
+	onUnreachable func(server string)
 }
 
-// ask sends one sub-request and waits for its end.
-func (b *backendAsker) ask(ctx context.Context, outgoing *subRequest) dispatch.Event {
+// sendSubRequest sends one sub-request and waits for its end.
+func (b *backendSender) sendSubRequest(ctx context.Context, outgoing *subRequest) dispatch.Event {
 	attempt := outgoing.send.Attempt
 	sent := time.Now()
 	reply, err := b.client.Query(ctx, outgoing.send.Address, outgoing.request())
 	if err != nil {
 		if ctx.Err() == nil && errors.Is(err, backend.ErrNotDelivered) && !errors.Is(err, errNoOwner) {
-			b.unreachable(outgoing.send.Server)
+			b.onUnreachable(outgoing.send.Server)
 		}
 		if ctx.Err() == nil && errors.Is(err, errOwnersBusy) {
-			return dispatch.AttemptReplied{Attempt: attempt, Reply: shedByOwners(outgoing.send)}
+			return dispatch.AttemptReplied{Attempt: attempt, Reply: ownersBusyReply(outgoing.send)}
 		}
-		return dispatch.AttemptFailed{Attempt: attempt, Delivery: deliveryOf(err), Reason: failureReason(ctx, err)}
+		return dispatch.AttemptFailed{Attempt: attempt, Delivery: deliveryFromError(err), Reason: failureReason(ctx, err)}
 	}
-	b.heard(outgoing.send.Server, reply, time.Since(sent))
-	return dispatch.AttemptReplied{Attempt: attempt, Reply: replyOf(outgoing.send, reply)}
+	b.onReply(outgoing.send.Server, reply, time.Since(sent))
+	return dispatch.AttemptReplied{Attempt: attempt, Reply: convertReply(outgoing.send, reply)}
 }
 
-// shedByOwners is the reply to a sub-request that no owner has room for.
-func shedByOwners(sent dispatch.Send) dispatch.Reply {
+// ownersBusyReply is the reply to a sub-request that no owner has room for.
+func ownersBusyReply(sent dispatch.Send) dispatch.Reply {
 	return dispatch.Reply{
 		Status:     dispatch.ReplyShed,
 		Snapshot:   sent.Snapshot,
@@ -64,21 +64,21 @@
 }
 
 func (s *subRequest) request() *backend.Request {
-	asked := &s.query.request
+	original := &s.query.request
 	return &backend.Request{
 		AttemptID:             s.attemptPrefix + strconv.FormatUint(uint64(s.send.Attempt), 10),
-		RequestID:             asked.RequestID,
-		Service:               asked.Service,
-		Class:                 asked.Class,
+		RequestID:             original.RequestID,
+		Service:               original.Service,
+		Class:                 original.Class,
 		Snapshot:              uint64(s.send.Snapshot),
 		Range:                 s.send.Range,
 		RemainingMilliseconds: milliseconds(s.send.Remaining),
-		Repeatable:            asked.Repeatable,
-		Body:                  asked.Body,
+		Repeatable:            original.Repeatable,
+		Body:                  original.Body,
 	}
 }
 
-func deliveryOf(err error) dispatch.Delivery {
+func deliveryFromError(err error) dispatch.Delivery {
 	if errors.Is(err, backend.ErrNotDelivered) {
 		return dispatch.NotDelivered
 	}
@@ -101,11 +101,11 @@
 	}
 }
 
-// replyOf translates a well-formed reply that echoes the attempt ID. A reply
+// convertReply translates a well-formed reply that echoes the attempt ID. A reply
 // that says not executed may leave out the snapshot and the range.
-func replyOf(sent dispatch.Send, reply *backend.Reply) dispatch.Reply {
+func convertReply(sent dispatch.Send, reply *backend.Reply) dispatch.Reply {
 	translated := dispatch.Reply{
-		Status:     statusOf(reply.Status),
+		Status:     convertStatus(reply.Status),
 		Snapshot:   sent.Snapshot,
 		Range:      sent.Range,
 		Body:       reply.Body,
@@ -124,9 +124,9 @@
 	return translated
 }
 
-// statusOf translates a status. An invalid sub-request was not executed, as one
+// convertStatus translates a status. An invalid sub-request was not executed, as one
 // sent to a server that does not hold the range.
-func statusOf(status backend.Status) dispatch.ReplyStatus {
+func convertStatus(status backend.Status) dispatch.ReplyStatus {
 	switch status {
 	case backend.StatusDone:
 		return dispatch.ReplyDone
--- a/node/claim.go
+++ b/node/claim.go
@@ -12,34 +12,34 @@
 // claimRetryAfter is told to callers whose request ID could not be claimed.
 const claimRetryAfter = time.Second
 
-// runClaimed runs a not-repeatable request once its ID is claimed at other
+// runWithClaim runs a not-repeatable request once its ID is claimed at other
 // nodes, so that none of them runs it again when this node has died. ran is
 // false when this node certainly did not run it, so that it may be asked again.
-func (n *Node) runClaimed(ctx context.Context, carrier *shard, request caller.Request, key string) (result caller.Result, ran bool) {
-	asked := n.now()
+func (n *Node) runWithClaim(ctx context.Context, serviceShard *shard, request caller.Request, key string) (result caller.Result, ran bool) {
+	startedAt := n.now()
 	claimContext, cancel := context.WithTimeout(ctx, request.Deadline)
-	made := n.agent.ClaimRequest(claimContext, key)
+	claimed := n.agent.ClaimRequest(claimContext, key)
 	cancel()
-	request.Deadline -= n.now() - asked
+	request.Deadline -= n.now() - startedAt
 	switch {
-	case made.Decision == claim.Lost:
-		result = n.heldElsewhere(request, made.Holder)
+	case claimed.Decision == claim.Lost:
+		result = n.heldElsewhereResult(request, claimed.Holder)
 	case request.Deadline <= 0:
-		result = n.refused(request, dispatch.ReasonDeadline)
-	case made.Decision == claim.Unavailable:
-		result = n.refused(request, caller.ReasonNoQuorum)
+		result = n.reject(request, dispatch.ReasonDeadline)
+	case claimed.Decision == claim.Unavailable:
+		result = n.reject(request, caller.ReasonNoQuorum)
 	default:
-		result = n.run(ctx, carrier, request)
+		result = n.run(ctx, serviceShard, request)
 	}
-	ran = made.Decision == claim.Won && result.Outcome.Execution != dispatch.ExecutionNotRun
+	ran = claimed.Decision == claim.Won && result.Outcome.Execution != dispatch.ExecutionNotRun
 	if !ran {
-		n.running.Go(func() { n.agent.ReleaseRequest(n.background, made) })
+		n.running.Go(func() { n.agent.ReleaseRequest(n.background, claimed) })
 	}
 	return result, ran
 }
 
-// heldElsewhere is the answer to a request that another node may have run.
-func (n *Node) heldElsewhere(request caller.Request, holder claim.Holder) caller.Result {
+// heldElsewhereResult is the answer to a request that another node may have run.
+func (n *Node) heldElsewhereResult(request caller.Request, holder claim.Holder) caller.Result {
 	n.metrics.Duplicates.Inc()
 	n.log.Info().
 		Str("request_id", request.RequestID).
@@ -50,6 +50,6 @@
 		Reason:     caller.ReasonHeldElsewhere,
 		RetryAfter: claimRetryAfter,
 	}
-	n.record(request, finished{outcome: outcome})
+	n.recordOutcome(request, queryResult{outcome: outcome})
 	return caller.Result{Outcome: outcome, Duplicate: true}
 }
--- a/node/configuration.go
+++ b/node/configuration.go
@@ -10,9 +10,9 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// view is the configuration in force with the shards that carry it. It never
+// activeConfig is the configuration in force with the shards that carry it. It never
 // changes once it is stored.
-type view struct {
+type activeConfig struct {
 	revision policy.Revision
 	shards   map[string]*shard
 	classes  map[string]policy.Class
@@ -32,31 +32,31 @@
 func (n *Node) configure(revision policy.Revision, config policy.Config) {
 	n.configurationMutex.Lock()
 	defer n.configurationMutex.Unlock()
-	previous := n.view.Load()
+	previous := n.activeConfig.Load()
 	if previous != nil && revision <= previous.revision {
 		return
 	}
-	next := n.newView(previous, revision, config)
+	next := n.newActiveConfig(previous, revision, config)
 	for _, service := range config.Services {
 		shard := next.shards[service.Name]
 		shard.configure(dispatch.Configured{Revision: revision, Service: service, Classes: config.Classes})
-		n.tellStates(shard, service)
+		n.replayServerStates(shard, service)
 		if n.stopping.Load() {
 			shard.step(dispatch.Stopping{})
 		}
 	}
 	n.removeServices(previous, next, revision)
-	n.setConnections(next)
-	n.view.Store(next)
+	n.assignConnections(next)
+	n.activeConfig.Store(next)
 	n.metrics.Revision.Set(float64(revision))
 	n.poller.setServers(next.servers)
-	n.forgetServers(previous, next)
+	n.closeRemovedServers(previous, next)
 	n.log.Info().Uint64("revision", uint64(revision)).Int("services", len(config.Services)).Msg("configuration in force")
 }
 
-// newView reuses the shards of services that stay.
-func (n *Node) newView(previous *view, revision policy.Revision, config policy.Config) *view {
-	next := &view{
+// newActiveConfig reuses the shards of services that stay.
+func (n *Node) newActiveConfig(previous *activeConfig, revision policy.Revision, config policy.Config) *activeConfig {
+	next := &activeConfig{
 		revision: revision,
 		shards:   make(map[string]*shard, len(config.Services)),
 		classes:  make(map[string]policy.Class, len(config.Classes)),
@@ -66,44 +66,44 @@
 		next.classes[class.Name] = class
 	}
 	for _, service := range config.Services {
-		var carrier *shard
+		var serviceShard *shard
 		if previous != nil {
-			carrier = previous.shards[service.Name]
+			serviceShard = previous.shards[service.Name]
 		}
-		if carrier == nil {
-			carrier = n.openShard(service.Name)
+		if serviceShard == nil {
+			serviceShard = n.newServiceShard(service.Name)
 		}
-		next.shards[service.Name] = carrier
-		next.addServers(service, carrier)
+		next.shards[service.Name] = serviceShard
+		next.addServers(service, serviceShard)
 	}
 	return next
 }
 
-func (v *view) addServers(service policy.Service, carrier *shard) {
+func (c *activeConfig) addServers(service policy.Service, serviceShard *shard) {
 	for _, group := range service.Groups {
 		for _, server := range group.Servers {
-			entry := v.servers[server.ID]
+			entry := c.servers[server.ID]
 			entry.address = server.Address
 			entry.place = membership.ServerPlace{ID: server.ID, Zone: server.Zone, Limit: server.Connections}
-			if !slices.Contains(entry.shards, carrier) {
-				entry.shards = append(entry.shards, carrier)
+			if !slices.Contains(entry.shards, serviceShard) {
+				entry.shards = append(entry.shards, serviceShard)
 			}
-			v.servers[server.ID] = entry
+			c.servers[server.ID] = entry
 		}
 	}
 }
 
-// openShard makes the shard of a service that was not configured before. The
+// newServiceShard makes the shard of a service that was not configured before. The
 // shard's number is part of its attempt IDs, so that a service that comes back
 // never repeats one.
-func (n *Node) openShard(service string) *shard {
-	n.lastShard++
-	seed := n.options.Seed + n.lastShard
+func (n *Node) newServiceShard(service string) *shard {
+	n.lastShardNumber++
+	seed := n.options.Seed + n.lastShardNumber
 	return newShard(shardOptions{
 		service:       service,
-		attemptPrefix: fmt.Sprintf("%s-%x-%d-", n.options.Settings.Node.ID, n.options.Incarnation, n.lastShard),
-		machine:       n.newMachine(seed),
-		asker:         n.asker,
+		attemptPrefix: fmt.Sprintf("%s-%x-%d-", n.options.Settings.Node.ID, n.options.Incarnation, n.lastShardNumber),
+		dispatcher:    n.newDispatcher(seed),
+		sender:        n.sender,
 		now:           n.now,
 		counters:      newSendCounters(n.metrics, service),
 		background:    n.background,
@@ -114,24 +114,24 @@
 
 // removeServices tells the shards of services that are no longer configured,
 // and drops those among earlier ones that have ended their work.
-func (n *Node) removeServices(previous, next *view, revision policy.Revision) {
+func (n *Node) removeServices(previous, next *activeConfig, revision policy.Revision) {
 	if previous == nil {
 		return
 	}
-	n.retired = slices.DeleteFunc(n.retired, func(carrier *shard) bool { return carrier.closeIfIdle() })
+	n.retiredShards = slices.DeleteFunc(n.retiredShards, func(serviceShard *shard) bool { return serviceShard.closeIfIdle() })
 	for _, name := range slices.Sorted(maps.Keys(previous.shards)) {
 		if next.shards[name] == nil {
-			carrier := previous.shards[name]
-			carrier.step(dispatch.Configured{Revision: revision, Removed: true})
-			n.retired = append(n.retired, carrier)
+			serviceShard := previous.shards[name]
+			serviceShard.step(dispatch.Configured{Revision: revision, Removed: true})
+			n.retiredShards = append(n.retiredShards, serviceShard)
 		}
 	}
-	n.retired = slices.Clip(n.retired)
+	n.retiredShards = slices.Clip(n.retiredShards)
 }
 
-// forgetServers closes the idle connections to addresses that are no longer
+// closeRemovedServers closes the idle connections to addresses that are no longer
 // configured.
-func (n *Node) forgetServers(previous, next *view) {
+func (n *Node) closeRemovedServers(previous, next *activeConfig) {
 	if previous == nil {
 		return
 	}
@@ -146,12 +146,12 @@
 	}
 }
 
-// tellStates repeats to a shard what membership said of its servers.
-func (n *Node) tellStates(carrier *shard, service policy.Service) {
+// replayServerStates repeats to a shard what membership said of its servers.
+func (n *Node) replayServerStates(serviceShard *shard, service policy.Service) {
 	for _, group := range service.Groups {
 		for _, server := range group.Servers {
 			if state, known := n.serverStates[server.ID]; known {
-				carrier.step(dispatch.ServerChanged{Server: server.ID, State: state})
+				serviceShard.step(dispatch.ServerChanged{Server: server.ID, State: state})
 			}
 		}
 	}
@@ -161,8 +161,8 @@
 func (n *Node) allShards() []*shard {
 	n.configurationMutex.Lock()
 	defer n.configurationMutex.Unlock()
-	all := slices.Clone(n.retired)
-	if current := n.view.Load(); current != nil {
+	all := slices.Clone(n.retiredShards)
+	if current := n.activeConfig.Load(); current != nil {
 		for _, name := range slices.Sorted(maps.Keys(current.shards)) {
 			all = append(all, current.shards[name])
 		}
@@ -170,19 +170,19 @@
 	return all
 }
 
-// serverChanged passes a server's state in membership to the shards that ask it.
-func (n *Node) serverChanged(server string, state dispatch.ServerState) {
+// handleServerStateChange passes a server's state in membership to the shards that ask it.
+func (n *Node) handleServerStateChange(server string, state dispatch.ServerState) {
 	n.configurationMutex.Lock()
 	defer n.configurationMutex.Unlock()
 	n.serverStates[server] = state
 	if state == dispatch.ServerSuspect {
-		n.troubledServers.Store(server, struct{}{})
+		n.awaitingReplyReport.Store(server, struct{}{})
 	}
-	current := n.view.Load()
+	current := n.activeConfig.Load()
 	if current == nil {
 		return
 	}
-	for _, carrier := range append(n.retired, current.servers[server].shards...) {
-		carrier.step(dispatch.ServerChanged{Server: server, State: state})
+	for _, serviceShard := range append(n.retiredShards, current.servers[server].shards...) {
+		serviceShard.step(dispatch.ServerChanged{Server: server, State: state})
 	}
 }
--- a/node/connections.go
+++ b/node/connections.go
@@ -10,22 +10,22 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// membersInterval is the time between two looks at the live nodes, which share
+// memberPollInterval is the time between two looks at the live nodes, which share
 // the servers' connections.
-const membersInterval = 500 * time.Millisecond
+const memberPollInterval = 500 * time.Millisecond
 
-// firstListWait bounds the wait for the machine list at the start.
-const firstListWait = 2 * time.Second
+// machineListTimeout bounds the wait for the machine list at the start.
+const machineListTimeout = 2 * time.Second
 
 // watchMembers shares out the servers' connections anew whenever the live nodes
 // change, until ctx ends.
 func (n *Node) watchMembers(ctx context.Context) {
-	n.awaitList(ctx)
-	ticker := time.NewTicker(membersInterval)
+	n.waitForMachineList(ctx)
+	ticker := time.NewTicker(memberPollInterval)
 	defer ticker.Stop()
 	for {
-		n.shareConnections()
-		n.assignReaders()
+		n.updateLiveNodes()
+		n.assignHealthPolls()
 		select {
 		case <-ctx.Done():
 			return
@@ -34,22 +34,22 @@
 	}
 }
 
-// awaitList waits for the first reading of the machine list, but not for long: a
+// waitForMachineList waits for the first reading of the machine list, but not for long: a
 // node that knows no other would take a server's connections for itself.
-func (n *Node) awaitList(ctx context.Context) {
-	longest := time.NewTimer(firstListWait)
-	defer longest.Stop()
+func (n *Node) waitForMachineList(ctx context.Context) {
+	timeout := time.NewTimer(machineListTimeout)
+	defer timeout.Stop()
 	select {
 	case <-n.agent.ListAsked():
-	case <-longest.C:
+	case <-timeout.C:
 	case <-ctx.Done():
 	}
 }
 
-// shareConnections takes over the live nodes if they changed. A node that stops
+// updateLiveNodes takes over the live nodes if they changed. A node that stops
 // keeps what it has: it is no longer counted as live, but its running queries
 // need their connections to the end.
-func (n *Node) shareConnections() {
+func (n *Node) updateLiveNodes() {
 	if n.stopping.Load() {
 		return
 	}
@@ -60,14 +60,14 @@
 		return
 	}
 	n.liveNodes = live
-	n.setConnections(n.view.Load())
+	n.assignConnections(n.activeConfig.Load())
 }
 
-// setConnections works out this node's share of each server's connections, for
+// assignConnections works out this node's share of each server's connections, for
 // the client and for the shards. A server whose share fell to zero loses its
 // idle connections: other nodes hold them now. The caller holds
 // configurationMutex.
-func (n *Node) setConnections(current *view) {
+func (n *Node) assignConnections(current *activeConfig) {
 	if current == nil || len(n.liveNodes) == 0 {
 		return
 	}
@@ -82,7 +82,7 @@
 		}
 	}
 	previous := n.routes.Swap(&routes)
-	n.resizeConnections(previous, routes)
+	n.applyConnectionLimits(previous, routes)
 	n.log.Info().Int("nodes", len(n.liveNodes)).Int("owned", owned).Int("forwarded", len(routes)-owned).
 		Msg("connections shared out")
 	for _, name := range slices.Sorted(maps.Keys(current.shards)) {
@@ -90,9 +90,9 @@
 	}
 }
 
-// resizeConnections closes idle connections above the new shares, all those to
+// applyConnectionLimits closes idle connections above the new shares, all those to
 // servers that now go through owners.
-func (n *Node) resizeConnections(previous *map[string]route, routes map[string]route) {
+func (n *Node) applyConnectionLimits(previous *map[string]route, routes map[string]route) {
 	if previous == nil {
 		return
 	}
@@ -116,20 +116,20 @@
 	if routes == nil {
 		return route{}
 	}
-	way, known := (*routes)[address]
+	serverRoute, known := (*routes)[address]
 	if !known {
 		return route{connections: 1}
 	}
-	return way
+	return serverRoute
 }
 
-// connectionsTo bounds the connections to the server at an address.
-func (n *Node) connectionsTo(address string) int { return n.routeTo(address).connections }
+// connectionLimit bounds the connections to the server at an address.
+func (n *Node) connectionLimit(address string) int { return n.routeTo(address).connections }
 
-// ownServer finds where a server is configured and this node's share of its
+// ownedConnections finds where a server is configured and this node's share of its
 // connections; none when it is not configured.
-func (n *Node) ownServer(server string) (address string, connections int) {
-	current, routes := n.view.Load(), n.routes.Load()
+func (n *Node) ownedConnections(server string) (address string, connections int) {
+	current, routes := n.activeConfig.Load(), n.routes.Load()
 	if current == nil || routes == nil {
 		return "", 0
 	}
--- a/node/connections_internal_test.go
+++ b/node/connections_internal_test.go
@@ -66,7 +66,7 @@
 		n.configure(1, policy.Config{Services: []policy.Service{{Name: "catalog", KeySpace: space, Groups: []policy.Group{{
 			Name: "group", Range: space, Servers: []policy.Server{{ID: "server", Address: address, Connections: limit}},
 		}}}}})
-		shared := n.connectionsTo(address)
+		shared := n.connectionLimit(address)
 		if shared <= 1 || shared > limit/2 {
 			t.Errorf("%d of %d connections for one of two nodes", shared, limit)
 		}
@@ -76,7 +76,7 @@
 			stop()
 		}()
 		time.Sleep(5 * time.Second)
-		if kept := n.connectionsTo(address); kept != shared {
+		if kept := n.connectionLimit(address); kept != shared {
 			t.Errorf("%d connections while stopping, %d before", kept, shared)
 		}
 		<-stopped
--- a/node/drain.go
+++ b/node/drain.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// drainQuiet is the time without a new connection after which a draining
+	// drainQuietPeriod is the time without a new connection after which a draining
 	// listener closes.
-	drainQuiet = 2 * time.Millisecond
-	// drainMaximum bounds the draining when connections keep coming.
-	drainMaximum = 200 * time.Millisecond
+	drainQuietPeriod = 2 * time.Millisecond
+	// maxDrainTime bounds the draining when connections keep coming.
+	maxDrainTime = 200 * time.Millisecond
 )
 
 // deadlineListener is a listener whose Accept can be limited in time, as the
@@ -32,10 +32,10 @@
 type drainingListener struct {
 	net.Listener
 	draining atomic.Bool
-	// quiet says that no connection came since the deadline was set, and end is
+	// isQuiet says that no connection came since the deadline was set, and end is
 	// when draining ends at the latest; only Accept uses them.
-	quiet bool
-	end   time.Time
+	isQuiet       bool
+	drainDeadline time.Time
 }
 
 // drain makes Accept return what waits, and then net.ErrClosed. A listener
@@ -43,7 +43,7 @@
 func (l *drainingListener) drain() {
 	l.draining.Store(true)
 	limited, ok := l.Listener.(deadlineListener)
-	if !ok || limited.SetDeadline(time.Now().Add(drainQuiet)) != nil {
+	if !ok || limited.SetDeadline(time.Now().Add(drainQuietPeriod)) != nil {
 		_ = l.Close()
 	}
 }
@@ -54,52 +54,52 @@
 	for {
 		conn, err := l.Listener.Accept()
 		if err == nil {
-			l.quiet = false
+			l.isQuiet = false
 			return conn, nil
 		}
 		if !l.draining.Load() || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, err
 		}
-		if !l.waitOn() {
+		if !l.extendDrain() {
 			_ = l.Close()
 			return nil, net.ErrClosed
 		}
 	}
 }
 
-// waitOn starts another period unless one has passed without a connection.
-func (l *drainingListener) waitOn() bool {
+// extendDrain starts another period unless one has passed without a connection.
+func (l *drainingListener) extendDrain() bool {
 	now := time.Now()
-	if l.end.IsZero() {
-		l.end = now.Add(drainMaximum)
+	if l.drainDeadline.IsZero() {
+		l.drainDeadline = now.Add(maxDrainTime)
 	}
-	if l.quiet || now.After(l.end) {
+	if l.isQuiet || now.After(l.drainDeadline) {
 		return false
 	}
-	l.quiet = true
+	l.isQuiet = true
 	limited, ok := l.Listener.(deadlineListener)
-	return ok && limited.SetDeadline(now.Add(drainQuiet)) == nil
+	return ok && limited.SetDeadline(now.Add(drainQuietPeriod)) == nil
 }
 
-// openRequests counts the connections of a server that may carry a request:
+// requestTracker counts the connections of a server that may carry a request:
 // those on which none has come yet, and those with one in progress.
 //
 // http.Server.Shutdown alone is not enough for a planned stop: it drops without
 // a response each request that it reads after its call.
-type openRequests struct {
+type requestTracker struct {
 	mutex sync.Mutex
 	// mutex guards the fields below. Invariant: once waited for, none is closed
 	// as soon as connections is empty.
 	connections map[net.Conn]struct{}
-	none        chan struct{}
+	drained     chan struct{}
 }
 
-func newOpenRequests() *openRequests {
-	return &openRequests{connections: make(map[net.Conn]struct{})}
+func newRequestTracker() *requestTracker {
+	return &requestTracker{connections: make(map[net.Conn]struct{})}
 }
 
 // track follows a connection's state; it is the server's ConnState.
-func (o *openRequests) track(conn net.Conn, state http.ConnState) {
+func (o *requestTracker) track(conn net.Conn, state http.ConnState) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if state == http.StateNew || state == http.StateActive {
@@ -107,16 +107,16 @@
 		return
 	}
 	delete(o.connections, conn)
-	o.closeIfNone()
+	o.signalIfDrained()
 }
 
 // wait returns when no connection may carry a request, or when ctx ends. No
 // connection may be accepted any more; wait is called once.
-func (o *openRequests) wait(ctx context.Context) {
+func (o *requestTracker) wait(ctx context.Context) {
 	o.mutex.Lock()
 	none := make(chan struct{})
-	o.none = none
-	o.closeIfNone()
+	o.drained = none
+	o.signalIfDrained()
 	o.mutex.Unlock()
 	select {
 	case <-none:
@@ -124,9 +124,9 @@
 	}
 }
 
-func (o *openRequests) closeIfNone() {
-	if o.none != nil && len(o.connections) == 0 {
-		close(o.none)
-		o.none = nil
+func (o *requestTracker) signalIfDrained() {
+	if o.drained != nil && len(o.connections) == 0 {
+		close(o.drained)
+		o.drained = nil
 	}
 }
--- a/node/forward.go
+++ b/node/forward.go
@@ -9,26 +9,26 @@
 	"github.com/banksail/banksail/peer"
 )
 
-// forwardsPerConnection bounds the forwards that wait or run for each of this
+// maxForwardsPerConnection bounds the forwards that wait or run for each of this
 // node's connections to a server. More would wait here for longer than they
 // would elsewhere.
-const forwardsPerConnection = 4
+const maxForwardsPerConnection = 4
 
-// readingsKept is the number of health intervals after which a reading is too
+// healthCacheIntervals is the number of health intervals after which a reading is too
 // old to be told to others.
-const readingsKept = 2
+const healthCacheIntervals = 2
 
-// forwards asks servers for other nodes, over this node's own connections. It
+// forwardServer asks servers for other nodes, over this node's own connections. It
 // implements peer.ForwardTarget.
-type forwards struct {
-	direct backends
-	// own finds where a server is configured and this node's share of its
+type forwardServer struct {
+	direct backendClient
+	// lookUpServer finds where a server is configured and this node's share of its
 	// connections.
-	own func(server string) (address string, connections int)
+	lookUpServer func(server string) (address string, connections int)
 	// background ends when the node aborts.
-	background context.Context
-	counters   forwardCounters
-	readings   *healthReadings
+	background   context.Context
+	counters     forwardCounters
+	recentHealth *healthCache
 
 	mutex sync.Mutex
 	// mutex guards the fields below. Invariants: inFlight holds the positive
@@ -39,38 +39,38 @@
 	running  sync.WaitGroup
 }
 
-// openForwards makes what asks other nodes and what serves them.
-func (n *Node) openForwards() *healthReadings {
-	readings := newHealthReadings(readingsKept * n.options.Settings.Backend.HealthInterval)
+// setUpForwarding makes what asks other nodes and what serves them.
+func (n *Node) setUpForwarding() *healthCache {
+	recentHealth := newHealthCache(healthCacheIntervals * n.options.Settings.Backend.HealthInterval)
 	n.forwarder = peer.NewForwarder(n.options.Network.DialContext)
-	n.forwards = &forwards{
-		direct:     n.client,
-		own:        n.ownServer,
-		background: n.background,
-		counters:   newForwardCounters(n.metrics.ForwardsServed),
-		readings:   readings,
-		inFlight:   make(map[string]int),
+	n.forwardServer = &forwardServer{
+		direct:       n.client,
+		lookUpServer: n.ownedConnections,
+		background:   n.background,
+		counters:     newForwardCounters(n.metrics.ForwardsServed),
+		recentHealth: recentHealth,
+		inFlight:     make(map[string]int),
 	}
-	return readings
+	return recentHealth
 }
 
 // ForwardQuery sends a sub-request to a server over this node's own connections;
 // when there are none, it refuses. It never asks another node.
-func (f *forwards) ForwardQuery(ctx context.Context, server string, request *backend.Request) peer.ForwardResult {
+func (f *forwardServer) ForwardQuery(ctx context.Context, server string, request *backend.Request) peer.ForwardResult {
 	result := f.send(ctx, server, request)
 	f.counters[result.Outcome].Inc()
 	return result
 }
 
-func (f *forwards) send(ctx context.Context, server string, request *backend.Request) peer.ForwardResult {
-	address, connections := f.own(server)
+func (f *forwardServer) send(ctx context.Context, server string, request *backend.Request) peer.ForwardResult {
+	address, connections := f.lookUpServer(server)
 	if connections == 0 {
 		return peer.ForwardResult{Outcome: peer.ForwardNotOwner}
 	}
-	if refusal, refused := f.begin(server, connections); refused {
-		return peer.ForwardResult{Outcome: refusal}
+	if rejection, rejected := f.admit(server, connections); rejected {
+		return peer.ForwardResult{Outcome: rejection}
 	}
-	defer f.finish(server)
+	defer f.release(server)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(f.background, cancel)()
@@ -79,11 +79,11 @@
 		// The time went by in waiting for a connection; the server is not to blame.
 		return peer.ForwardResult{Outcome: peer.ForwardBusy, Err: err}
 	}
-	return forwardResult(reply, err)
+	return toForwardResult(reply, err)
 }
 
-// forwardResult tells how far a sub-request got.
-func forwardResult(reply *backend.Reply, err error) peer.ForwardResult {
+// toForwardResult tells how far a sub-request got.
+func toForwardResult(reply *backend.Reply, err error) peer.ForwardResult {
 	switch {
 	case err == nil:
 		return peer.ForwardResult{Outcome: peer.ForwardReplied, Reply: reply}
@@ -96,14 +96,14 @@
 	}
 }
 
-// begin takes a place for a forward, or tells why there is none.
-func (f *forwards) begin(server string, connections int) (refusal peer.ForwardOutcome, refused bool) {
+// admit takes a place for a forward, or tells why there is none.
+func (f *forwardServer) admit(server string, connections int) (rejection peer.ForwardOutcome, rejected bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.closed {
 		return peer.ForwardLeaving, true
 	}
-	if f.inFlight[server] >= connections*forwardsPerConnection {
+	if f.inFlight[server] >= connections*maxForwardsPerConnection {
 		return peer.ForwardBusy, true
 	}
 	f.inFlight[server]++
@@ -111,7 +111,7 @@
 	return 0, false
 }
 
-func (f *forwards) finish(server string) {
+func (f *forwardServer) release(server string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.inFlight[server]--
@@ -122,19 +122,19 @@
 }
 
 // close refuses new forwards from now on.
-func (f *forwards) close() {
+func (f *forwardServer) close() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.closed = true
 }
 
 // wait returns when the forwards that were taken have ended; close comes first.
-func (f *forwards) wait() { f.running.Wait() }
+func (f *forwardServer) wait() { f.running.Wait() }
 
 // ServerHealth returns this node's own last reading of a server's health.
-func (f *forwards) ServerHealth(server string) (*backend.Health, bool) {
-	if _, connections := f.own(server); connections == 0 {
+func (f *forwardServer) ServerHealth(server string) (*backend.Health, bool) {
+	if _, connections := f.lookUpServer(server); connections == 0 {
 		return nil, false
 	}
-	return f.readings.get(server)
+	return f.recentHealth.get(server)
 }
--- a/node/forward_bench_internal_test.go
+++ b/node/forward_bench_internal_test.go
@@ -62,7 +62,7 @@
 	client := backend.NewClient(backend.ClientOptions{})
 	defer client.CloseIdleConnections()
 	served := testForwards(client, backend.DefaultConnectionLimit, b.Context())
-	served.own = func(string) (string, int) { return address, backend.DefaultConnectionLimit }
+	served.lookUpServer = func(string) (string, int) { return address, backend.DefaultConnectionLimit }
 	agent := peer.NewAgent(peer.AgentOptions{Self: membership.Member{ID: "owner"}, Forwards: served, Seed: 1})
 	var asked, sent int64
 	owner := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -74,16 +74,16 @@
 	direct := testRouter(b, nil)
 	direct.direct = client
 	direct.route = func(string) route { return route{connections: backend.DefaultConnectionLimit} }
-	for _, way := range []struct {
+	for _, serverRoute := range []struct {
 		name   string
 		router *router
 	}{{"direct", direct}, {"forwarded", forwarding}} {
-		b.Run(way.name, func(b *testing.B) {
+		b.Run(serverRoute.name, func(b *testing.B) {
 			asked, sent = 0, 0
 			b.ReportAllocs()
 			before := processorTime(b)
 			for b.Loop() {
-				if _, err := way.router.Query(b.Context(), address, forwardedRequest()); err != nil {
+				if _, err := serverRoute.router.Query(b.Context(), address, forwardedRequest()); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/node/forward_internal_test.go
+++ b/node/forward_internal_test.go
@@ -46,7 +46,7 @@
 
 // noBackends fails the test when a server is asked directly.
 type noBackends struct {
-	backends
+	backendClient
 	t testing.TB
 }
 
@@ -116,19 +116,19 @@
 	forwarder := peer.NewForwarder((&net.Dialer{}).DialContext)
 	t.Cleanup(forwarder.CloseIdleConnections)
 	return &router{
-		direct:    noBackends{t: t},
-		route:     func(string) route { return route{place: membership.ServerPlace{ID: "server-1"}} },
-		owners:    func(membership.ServerPlace) []membership.Member { return owners },
-		forwarder: forwarder,
-		counters:  newForwardCounters(telemetry.NewMetrics().Forwards),
-		readings:  newHealthReadings(0),
-		log:       zerolog.Nop(),
+		direct:       noBackends{t: t},
+		route:        func(string) route { return route{place: membership.ServerPlace{ID: "server-1"}} },
+		owners:       func(membership.ServerPlace) []membership.Member { return owners },
+		forwarder:    forwarder,
+		counters:     newForwardCounters(telemetry.NewMetrics().Forwards),
+		recentHealth: newHealthCache(0),
+		log:          zerolog.Nop(),
 	}
 }
 
 // waitingBackends holds every query until its context ends.
 type waitingBackends struct {
-	backends
+	backendClient
 	began chan struct{}
 }
 
@@ -138,14 +138,14 @@
 	return nil, backend.ErrOutcomeUnknown
 }
 
-func testForwards(direct backends, connections int, background context.Context) *forwards {
-	return &forwards{
-		direct:     direct,
-		own:        func(string) (string, int) { return "10.0.0.9:9000", connections },
-		background: background,
-		counters:   newForwardCounters(telemetry.NewMetrics().ForwardsServed),
-		readings:   newHealthReadings(0),
-		inFlight:   make(map[string]int),
+func testForwards(direct backendClient, connections int, background context.Context) *forwardServer {
+	return &forwardServer{
+		direct:       direct,
+		lookUpServer: func(string) (string, int) { return "10.0.0.9:9000", connections },
+		background:   background,
+		counters:     newForwardCounters(telemetry.NewMetrics().ForwardsServed),
+		recentHealth: newHealthCache(0),
+		inFlight:     make(map[string]int),
 	}
 }
 
@@ -162,7 +162,7 @@
 	served := testForwards(direct, connections, t.Context())
 	ctx, cancel := context.WithCancel(t.Context())
 	results := make(chan peer.ForwardOutcome)
-	for range connections * forwardsPerConnection {
+	for range connections * maxForwardsPerConnection {
 		go func() { results <- served.ForwardQuery(ctx, "server-1", forwardedRequest()).Outcome }()
 		<-direct.began
 	}
@@ -184,7 +184,7 @@
 	default:
 	}
 	cancel()
-	for range connections * forwardsPerConnection {
+	for range connections * maxForwardsPerConnection {
 		if got := <-results; got != peer.ForwardUnknown {
 			t.Errorf("cancelled: %v", got)
 		}
@@ -193,7 +193,7 @@
 }
 
 // queuedBackends have no connection free before the context ends.
-type queuedBackends struct{ backends }
+type queuedBackends struct{ backendClient }
 
 func (queuedBackends) Query(ctx context.Context, _ string, _ *backend.Request) (*backend.Reply, error) {
 	<-ctx.Done()
@@ -214,19 +214,19 @@
 	ways := []route{{connections: 1}, {}}
 	router.direct = answeringBackends{}
 	router.route = func(string) route {
-		way := ways[0]
+		serverRoute := ways[0]
 		ways = ways[1:]
-		return way
+		return serverRoute
 	}
 	forgotten := ""
-	router.forget = func(address string) { forgotten = address }
+	router.closeConnections = func(address string) { forgotten = address }
 	if _, err := router.Query(t.Context(), "10.0.0.9:9000", forwardedRequest()); err != nil || forgotten != "10.0.0.9:9000" {
 		t.Errorf("forgot %q, %v", forgotten, err)
 	}
 }
 
 // answeringBackends answer at once.
-type answeringBackends struct{ backends }
+type answeringBackends struct{ backendClient }
 
 func (answeringBackends) Query(context.Context, string, *backend.Request) (*backend.Reply, error) {
 	return &backend.Reply{}, nil
--- a/node/health.go
+++ b/node/health.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// firstRetryPause is the pause after the first failed reading of a server;
+	// initialPollBackoff is the pause after the first failed reading of a server;
 	// it doubles with each further one, up to the health interval.
-	firstRetryPause = 100 * time.Millisecond
-	// maximumRetryShift bounds the doubling of that pause.
-	maximumRetryShift = 16
-	// loadReadingPause is the least time between two load readings of a server;
+	initialPollBackoff = 100 * time.Millisecond
+	// maxBackoffDoublings bounds the doubling of that pause.
+	maxBackoffDoublings = 16
+	// minLoadPollInterval is the least time between two load readings of a server;
 	// load rides on replies besides.
-	loadReadingPause = 30 * time.Second
-	// jitterShare is the share by which pauses vary around their mean.
-	jitterShare = 0.25
-	// readingTick is the time between two moments at which readings fall due, so
+	minLoadPollInterval = 30 * time.Second
+	// jitterFraction is the share by which pauses vary around their mean.
+	jitterFraction = 0.25
+	// pollTick is the time between two moments at which readings fall due, so
 	// that a node with many servers wakes up for several readings at once.
-	readingTick = 250 * time.Millisecond
+	pollTick = 250 * time.Millisecond
 )
 
-// reading is what a server said of itself; load may be nil.
-type reading struct {
+// pollResult is what a server said of itself; load may be nil.
+type pollResult struct {
 	server string
 	health *backend.Health
 	load   *backend.Load
@@ -37,7 +37,7 @@
 
 // pollerOptions are what the poller needs of its node.
 type pollerOptions struct {
-	client      backends
+	client      backendClient
 	interval    time.Duration
 	timeout     time.Duration
 	concurrency int
@@ -45,10 +45,10 @@
 	// node's duty are read beyond it. Zero means no bound.
 	budgetRate float64
 	seed       uint64
-	// report takes each successful reading.
-	report func(reading)
-	// unreachable is told of every server to which no connection could be made.
-	unreachable func(server string)
+	// onResult takes each successful reading.
+	onResult func(pollResult)
+	// onUnreachable is told of every server to which no connection could be made.
+	onUnreachable func(server string)
 }
 
 // poller reads the servers' health: it is how a drain that shows only there is
@@ -60,9 +60,9 @@
 type poller struct {
 	options pollerOptions
 	budget  membership.ReadingBudget
-	changed chan struct{}
-	// heardTargets finds the target of a server's ID without the lock.
-	heardTargets sync.Map
+	wakeup  chan struct{}
+	// targetIndex finds the target of a server's ID without the lock.
+	targetIndex sync.Map
 
 	mutex sync.Mutex
 	// mutex guards the fields below. Invariant: each target that has no reading
@@ -70,14 +70,14 @@
 	// targets holds all that are configured.
 	targets map[string]*pollTarget
 	// urgent holds the duties, first readings and doubts, which wait for no budget.
-	urgent *priority.Queue[*pollTarget]
-	others *priority.Queue[*pollTarget]
-	// duties are the servers that this node reads for all nodes.
-	duties map[string]bool
-	// nodes is the number of live nodes.
-	nodes int
-	// pace spreads the readings of others.
-	pace   readingPace
+	urgent   *priority.Queue[*pollTarget]
+	budgeted *priority.Queue[*pollTarget]
+	// assigned are the servers that this node reads for all nodes.
+	assigned map[string]bool
+	// liveNodes is the number of live nodes.
+	liveNodes int
+	// pacer spreads the readings of others.
+	pacer  pollPacer
 	random *rand.Rand
 	// phase keeps the ticks of different nodes apart; it never changes.
 	phase time.Duration
@@ -88,131 +88,131 @@
 	return &poller{
 		options: options,
 		budget: membership.ReadingBudget{
-			Rate: options.budgetRate, Interval: options.interval, LoadInterval: loadReadingPause,
+			Rate: options.budgetRate, Interval: options.interval, LoadInterval: minLoadPollInterval,
 		},
-		changed: make(chan struct{}, 1),
-		targets: make(map[string]*pollTarget),
-		urgent:  newPollSchedule(),
-		others:  newPollSchedule(),
-		nodes:   1,
-		random:  random,
-		phase:   time.Duration(random.Int64N(int64(readingTick))),
+		wakeup:    make(chan struct{}, 1),
+		targets:   make(map[string]*pollTarget),
+		urgent:    newPollQueue(),
+		budgeted:  newPollQueue(),
+		liveNodes: 1,
+		random:    random,
+		phase:     time.Duration(random.Int64N(int64(pollTick))),
 	}
 }
 
-func (p *poller) wakeUp() {
+func (p *poller) wake() {
 	select {
-	case p.changed <- struct{}{}:
+	case p.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 // run reads servers as they fall due, until ctx ends and all readings are over.
 func (p *poller) run(ctx context.Context) {
-	var readings sync.WaitGroup
-	defer readings.Wait()
-	places := make(chan struct{}, p.options.concurrency)
+	var polls sync.WaitGroup
+	defer polls.Wait()
+	slots := make(chan struct{}, p.options.concurrency)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		target, wait := p.takeDue()
+		target, wait := p.dequeueDue()
 		if target == nil {
 			timer.Reset(wait)
 			select {
 			case <-ctx.Done():
 				return
 			case <-timer.C:
-			case <-p.changed:
+			case <-p.wakeup:
 			}
 			continue
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		}
-		readings.Go(func() {
-			defer func() { <-places }()
-			p.read(ctx, target)
+		polls.Go(func() {
+			defer func() { <-slots }()
+			p.poll(ctx, target)
 		})
 	}
 }
 
-// read asks one server and schedules its next reading.
-func (p *poller) read(ctx context.Context, target *pollTarget) {
+// poll asks one server and schedules its next reading.
+func (p *poller) poll(ctx context.Context, target *pollTarget) {
 	ctx, cancel := context.WithTimeout(ctx, p.options.timeout)
 	defer cancel()
-	address, withLoad := p.plan(target)
+	address, withLoad := p.pollParameters(target)
 	health, err := p.options.client.Health(ctx, address)
 	switch {
 	case errors.Is(err, backend.ErrNotDelivered):
-		p.options.unreachable(target.server)
+		p.options.onUnreachable(target.server)
 	case err == nil:
-		result := reading{server: target.server, health: health}
+		result := pollResult{server: target.server, health: health}
 		if withLoad {
 			result.load, _ = p.options.client.Load(ctx, address)
 		}
-		p.options.report(result)
+		p.options.onResult(result)
 	}
 	p.reschedule(target, err == nil, withLoad)
 }
 
-// plan tells how to read a target.
-func (p *poller) plan(target *pollTarget) (address string, withLoad bool) {
+// pollParameters tells how to read a target.
+func (p *poller) pollParameters(target *pollTarget) (address string, withLoad bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	wanted := target.duty || target.neverRead()
-	return target.address, wanted && time.Since(target.lastLoad) >= loadReadingPause
+	wanted := target.isAssigned || target.needsFirstPoll()
+	return target.address, wanted && time.Since(target.lastLoad) >= minLoadPollInterval
 }
 
 func (p *poller) reschedule(target *pollTarget, succeeded, withLoad bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := time.Now()
-	first := target.neverRead()
+	firstPoll := target.needsFirstPoll()
 	if succeeded {
 		target.failures = 0
-		target.read = true
+		target.polled = true
 		if withLoad {
 			target.lastLoad = now
 		}
 	} else {
 		target.failures++
 	}
-	target.due = p.nextDue(target, now, first)
+	target.due = p.nextDueTime(target, now, firstPoll)
 	if p.targets[target.server] != target {
 		return
 	}
 	p.enqueue(target)
-	p.wakeUp()
+	p.wake()
 }
 
-// nextDue is when a target that was just read falls due again.
-func (p *poller) nextDue(target *pollTarget, now time.Time, first bool) time.Time {
-	usual := p.options.interval
+// nextDueTime is when a target that was just read falls due again.
+func (p *poller) nextDueTime(target *pollTarget, now time.Time, firstPoll bool) time.Time {
+	interval := p.options.interval
 	if !target.urgent() {
-		usual = p.pace.pause
+		interval = p.pacer.targetInterval
 	}
 	switch {
-	case target.doubted:
-		return now.Add(p.doubtDelay())
+	case target.recheckRequested:
+		return now.Add(p.recheckDelay())
 	case target.failures > 0:
-		pause := firstRetryPause << min(target.failures-1, maximumRetryShift)
-		return now.Add(p.jitter(min(usual, pause)))
-	case target.duty:
-		return p.nextTick(now.Add(p.jitter(usual)))
-	case first:
-		return now.Add(time.Duration(p.random.Float64() * float64(usual)))
+		pause := initialPollBackoff << min(target.failures-1, maxBackoffDoublings)
+		return now.Add(p.jitter(min(interval, pause)))
+	case target.isAssigned:
+		return p.nextTick(now.Add(p.jitter(interval)))
+	case firstPoll:
+		return now.Add(time.Duration(p.random.Float64() * float64(interval)))
 	default:
-		return now.Add(p.jitter(usual))
+		return now.Add(p.jitter(interval))
 	}
 }
 
 // nextTick is the first tick after a time.
 func (p *poller) nextTick(after time.Time) time.Time {
-	return after.Add(-p.phase).Truncate(readingTick).Add(readingTick + p.phase)
+	return after.Add(-p.phase).Truncate(pollTick).Add(pollTick + p.phase)
 }
 
 func (p *poller) jitter(mean time.Duration) time.Duration {
-	return time.Duration(float64(mean) * (1 + jitterShare*(2*p.random.Float64()-1)))
+	return time.Duration(float64(mean) * (1 + jitterFraction*(2*p.random.Float64()-1)))
 }
--- a/node/health_endpoints.go
+++ b/node/health_endpoints.go
@@ -30,7 +30,7 @@
 
 // ready says whether the node takes queries, and why not.
 func (n *Node) ready() (bool, string) {
-	current := n.view.Load()
+	current := n.activeConfig.Load()
 	switch {
 	case n.stopping.Load():
 		return false, "stopping"
--- a/node/health_internal_test.go
+++ b/node/health_internal_test.go
@@ -14,7 +14,7 @@
 
 // timedHealth notes when each server's health is read; it answers at once.
 type timedHealth struct {
-	backends
+	backendClient
 	mutex    sync.Mutex
 	readings map[string][]time.Time
 	moments  map[time.Time]bool
@@ -38,12 +38,12 @@
 			servers  = 100
 			interval = 1500 * time.Millisecond
 			span     = 30 * time.Second
-			longest  = interval + interval/4 + readingTick
+			longest  = interval + interval/4 + pollTick
 		)
 		client := &timedHealth{readings: map[string][]time.Time{}, moments: map[time.Time]bool{}}
 		poller := newPoller(pollerOptions{
 			client: client, interval: interval, timeout: time.Second, concurrency: servers, seed: 1,
-			report: func(reading) {}, unreachable: func(string) {},
+			onResult: func(pollResult) {}, onUnreachable: func(string) {},
 		})
 		configured := map[string]configuredServer{}
 		for number := range servers {
@@ -61,17 +61,17 @@
 				}
 			}
 		}
-		if most := int(span/readingTick) + servers; len(client.moments) > most {
+		if most := int(span/pollTick) + servers; len(client.moments) > most {
 			t.Errorf("%d moments of readings, want at most %d", len(client.moments), most)
 		}
 	})
 }
 
 // budgeted is a poller with a budget, of servers of which the first are its duty.
-func budgeted(client backends, servers, duties int, budget float64) *poller {
+func budgeted(client backendClient, servers, duties int, budget float64) *poller {
 	poller := newPoller(pollerOptions{
 		client: client, interval: 1500 * time.Millisecond, timeout: time.Second, concurrency: servers, seed: 1,
-		budgetRate: budget, report: func(reading) {}, unreachable: func(string) {},
+		budgetRate: budget, onResult: func(pollResult) {}, onUnreachable: func(string) {},
 	})
 	configured, places := map[string]configuredServer{}, map[string]int{}
 	for number := range servers {
@@ -82,7 +82,7 @@
 		}
 	}
 	poller.setServers(configured)
-	poller.setDuties(places, 24)
+	poller.setAssigned(places, 24)
 	return poller
 }
 
@@ -104,16 +104,16 @@
 		"the others reply": {
 			func(p *poller) {
 				for number := duties; number < servers; number++ {
-					p.heardReply(fmt.Sprint(number))
+					p.recordReply(fmt.Sprint(number))
 				}
 			}, false,
 		},
-		"a doubt each second": {func(p *poller) { p.doubt("40") }, true},
+		"a doubt each second": {func(p *poller) { p.requestRecheck("40") }, true},
 		"replies of servers that then can't be reached": {
 			func(p *poller) {
 				for number := duties; number < servers; number++ {
-					p.heardReply(fmt.Sprint(number))
-					p.forgetReply(fmt.Sprint(number))
+					p.recordReply(fmt.Sprint(number))
+					p.clearReply(fmt.Sprint(number))
 				}
 			}, true,
 		},
@@ -180,14 +180,14 @@
 			time.Sleep(time.Minute)
 			asked = time.Now()
 			for number := range 10 {
-				poller.doubt(fmt.Sprint(number))
+				poller.requestRecheck(fmt.Sprint(number))
 			}
 		}()
 		poller.run(ctx)
 		for number := range 10 {
 			soon := false
 			for _, at := range client.readings[fmt.Sprint(number)] {
-				soon = soon || !at.Before(asked) && at.Sub(asked) <= 24*doubtPause+readingTick
+				soon = soon || !at.Before(asked) && at.Sub(asked) <= 24*recheckSpreadPerNode+pollTick
 			}
 			if !soon {
 				t.Errorf("server %d was not read soon", number)
--- a/node/health_pace.go
+++ b/node/health_pace.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// readingPace spreads the readings of the servers that are not this node's duty.
-type readingPace struct {
-	// gap is the mean time between two readings, pause that between two of one
+// pollPacer spreads the readings of the servers that are not this node's duty.
+type pollPacer struct {
+	// interval is the mean time between two readings, pause that between two of one
 	// server.
-	gap   time.Duration
-	pause time.Duration
-	// free is when the next reading may be.
-	free time.Time
+	interval       time.Duration
+	targetInterval time.Duration
+	// nextAllowed is when the next reading may be.
+	nextAllowed time.Time
 }
 
 // allows says whether a reading may be now.
-func (r *readingPace) allows(now time.Time) bool { return !r.free.After(now) }
+func (r *pollPacer) allows(now time.Time) bool { return !r.nextAllowed.After(now) }
 
-// next is when a reading that is due may be.
-func (r *readingPace) next(due time.Time) time.Time {
-	if due.After(r.free) {
+// earliest is when a reading that is due may be.
+func (r *pollPacer) earliest(due time.Time) time.Time {
+	if due.After(r.nextAllowed) {
 		return due
 	}
-	return r.free
+	return r.nextAllowed
 }
 
-// spend takes a reading's time. What a tick left unused may be made up for.
-func (r *readingPace) spend(now time.Time) {
-	if earliest := now.Add(-readingTick); r.free.Before(earliest) {
-		r.free = earliest
+// consume takes a reading's time. What a tick left unused may be made up for.
+func (r *pollPacer) consume(now time.Time) {
+	if earliest := now.Add(-pollTick); r.nextAllowed.Before(earliest) {
+		r.nextAllowed = earliest
 	}
-	r.free = r.free.Add(r.gap)
+	r.nextAllowed = r.nextAllowed.Add(r.interval)
 }
--- a/node/listeners.go
+++ b/node/listeners.go
@@ -14,10 +14,10 @@
 const (
 	// headerTimeout bounds the reading of a request's header.
 	headerTimeout = 5 * time.Second
-	// maximumHeaderBytes bounds a request's header.
-	maximumHeaderBytes = 64 << 10
-	// operatorReadTimeout bounds the reading of an operator's or a peer's request.
-	operatorReadTimeout = 30 * time.Second
+	// maxHeaderBytes bounds a request's header.
+	maxHeaderBytes = 64 << 10
+	// controlReadTimeout bounds the reading of an operator's or a peer's request.
+	controlReadTimeout = 30 * time.Second
 )
 
 // Addresses are where the listeners really listen.
@@ -31,50 +31,50 @@
 	socket *drainingListener
 	server *http.Server
 	// requests tells which connections may carry a request.
-	requests *openRequests
-	// ended is closed once no further connection is accepted.
-	ended chan struct{}
+	requests *requestTracker
+	// acceptStopped is closed once no further connection is accepted.
+	acceptStopped chan struct{}
 }
 
-// open opens the three listeners, or none.
-func (n *Node) open() ([]*listener, error) {
+// openListeners opens the three listeners, or none.
+func (n *Node) openListeners() ([]*listener, error) {
 	listen := n.options.Settings.Listen
 	callers := n.options.Settings.Caller
-	wanted := []struct {
+	specs := []struct {
 		name, address string
 		server        *http.Server
 	}{
 		{"caller", listen.Caller, newServer(n.callerHandler(), callers.ReadTimeout, callers.IdleTimeout, n.log)},
-		{"operator", listen.Operator, newServer(n.operatorHandler(), operatorReadTimeout, callers.IdleTimeout, n.log)},
-		{"peer", listen.Peer, newServer(n.peerHandler(), operatorReadTimeout, callers.IdleTimeout, n.log)},
+		{"operator", listen.Operator, newServer(n.operatorHandler(), controlReadTimeout, callers.IdleTimeout, n.log)},
+		{"peer", listen.Peer, newServer(n.peerHandler(), controlReadTimeout, callers.IdleTimeout, n.log)},
 	}
 	var opened []*listener
-	for _, one := range wanted {
-		socket, err := n.options.Network.Listen(one.address)
+	for _, spec := range specs {
+		socket, err := n.options.Network.Listen(spec.address)
 		if err != nil {
 			closeSockets(opened)
-			return nil, fmt.Errorf("%w: %s listener: %w", ErrListen, one.name, err)
+			return nil, fmt.Errorf("%w: %s listener: %w", ErrListen, spec.name, err)
 		}
-		opened = append(opened, newListener(one.name, socket, one.server))
+		opened = append(opened, newListener(spec.name, socket, spec.server))
 	}
 	return opened, nil
 }
 
 func newListener(name string, socket net.Listener, server *http.Server) *listener {
-	requests := newOpenRequests()
+	requests := newRequestTracker()
 	server.ConnState = requests.track
 	return &listener{
-		name:     name,
-		socket:   &drainingListener{Listener: socket},
-		server:   server,
-		requests: requests,
-		ended:    make(chan struct{}),
+		name:          name,
+		socket:        &drainingListener{Listener: socket},
+		server:        server,
+		requests:      requests,
+		acceptStopped: make(chan struct{}),
 	}
 }
 
 func closeSockets(opened []*listener) {
-	for _, one := range opened {
-		_ = one.socket.Close()
+	for _, server := range opened {
+		_ = server.socket.Close()
 	}
 }
 
@@ -84,14 +84,14 @@
 		ReadHeaderTimeout: headerTimeout,
 		ReadTimeout:       read,
 		IdleTimeout:       idle,
-		MaxHeaderBytes:    maximumHeaderBytes,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          newServerLog(log),
 	}
 }
 
 // serve serves until the server is shut down.
 func (l *listener) serve() error {
-	defer close(l.ended)
+	defer close(l.acceptStopped)
 	err := l.server.Serve(l.socket)
 	if errors.Is(err, http.ErrServerClosed) || l.socket.draining.Load() {
 		return nil
@@ -105,7 +105,7 @@
 func (l *listener) shutdown(ctx context.Context) {
 	l.socket.drain()
 	select {
-	case <-l.ended:
+	case <-l.acceptStopped:
 	case <-ctx.Done():
 	}
 	l.server.SetKeepAlivesEnabled(false)
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -5,9 +5,9 @@
 	"github.com/banksail/banksail/spread"
 )
 
-// watchControl adds the metrics of configuration and membership.
-func (n *Node) watchControl() {
-	n.metrics.Watch("members_live", "Nodes that membership knows as live, this one included.", n.countLive)
+// registerControlMetrics adds the metrics of configuration and membership.
+func (n *Node) registerControlMetrics() {
+	n.metrics.Watch("members_live", "Nodes that membership knows as live, this one included.", n.countLiveNodes)
 	totals := []struct {
 		name, help string
 		read       func(spread.Counters) uint64
@@ -24,11 +24,11 @@
 		{"confirmations_unknown_total", "Confirmations whose outcome stayed unknown.", func(c spread.Counters) uint64 { return c.UnknownOutcomes }},
 	}
 	for _, total := range totals {
-		n.metrics.WatchTotal(total.name, total.help, func() uint64 { return total.read(n.keeper.Counters()) })
+		n.metrics.WatchTotal(total.name, total.help, func() uint64 { return total.read(n.replicator.Counters()) })
 	}
 }
 
-func (n *Node) countLive() float64 {
+func (n *Node) countLiveNodes() float64 {
 	live := 0
 	for _, member := range n.agent.Members() {
 		if member.State == membership.Live {
--- a/node/node.go
+++ b/node/node.go
@@ -22,26 +22,26 @@
 	"github.com/banksail/banksail/telemetry"
 )
 
-// peerConnectionsPerHost bounds the connections to one other node.
-const peerConnectionsPerHost = 4
+// maxConnectionsPerPeer bounds the connections to one other node.
+const maxConnectionsPerPeer = 4
 
 // peerIdleTimeout closes connections to other nodes that are not used.
 const peerIdleTimeout = 30 * time.Second
 
 // Node is one banksail node. New makes it, Run runs it once.
 type Node struct {
-	options      Options
-	epoch        time.Time
-	log          zerolog.Logger
-	metrics      *telemetry.Metrics
-	explanations *telemetry.Explanations
-	client       *backend.Client
-	asker        asker
-	agent        *peer.Agent
-	peerClient   *http.Client
-	keeper       *spread.Replicator
-	poller       *poller
-	once         *once
+	options             Options
+	startedAt           time.Time
+	log                 zerolog.Logger
+	metrics             *telemetry.Metrics
+	explanations        *telemetry.Explanations
+	client              *backend.Client
+	sender              sender
+	agent               *peer.Agent
+	peerClient          *http.Client
+	replicator          *spread.Replicator
+	poller              *poller
+	requestDeduplicator *requestDeduplicator
 
 	// background ends when the node aborts; it bounds all sub-requests.
 	background context.Context
@@ -49,21 +49,21 @@
 	// running counts the sub-requests that are not yet reported back.
 	running sync.WaitGroup
 	// workers carry them.
-	workers *workers
-	held    atomic.Int64
-	// troubledServers holds the IDs of servers whose next reply is news to
+	workers     *workers
+	heldQueries atomic.Int64
+	// awaitingReplyReport holds the IDs of servers whose next reply is news to
 	// membership.
-	troubledServers sync.Map
-	stopping        atomic.Bool
-	// view is the configuration in force; nil until there is one.
-	view atomic.Pointer[view]
+	awaitingReplyReport sync.Map
+	stopping            atomic.Bool
+	// activeConfig is the configuration in force; nil until there is one.
+	activeConfig atomic.Pointer[activeConfig]
 
 	// routes maps a server's address to the way there; nil until the shares of
 	// connections are known.
 	routes atomic.Pointer[map[string]route]
 	// forwarder asks other nodes, forwards serves them.
-	forwarder *peer.Forwarder
-	forwards  *forwards
+	forwarder     *peer.Forwarder
+	forwardServer *forwardServer
 
 	// listening is closed once addresses is set.
 	listening chan struct{}
@@ -73,14 +73,14 @@
 	// configurationMutex serialises changes of view and guards the fields
 	// below; it is taken before any shard's lock. Invariant: view and retired
 	// together hold every shard that may have work.
-	retired      []*shard
-	lastShard    uint64
-	serverStates map[string]dispatch.ServerState
-	liveNodes    []string
-	// readingNodes and readRoutes are what the servers that this node reads for
+	retiredShards   []*shard
+	lastShardNumber uint64
+	serverStates    map[string]dispatch.ServerState
+	liveNodes       []string
+	// assignedNodes and assignedRoutes are what the servers that this node reads for
 	// all nodes were worked out from.
-	readingNodes []string
-	readRoutes   *map[string]route
+	assignedNodes  []string
+	assignedRoutes *map[string]route
 }
 
 // New makes a node; it opens nothing before Run.
@@ -93,38 +93,38 @@
 	}
 	background, abort := context.WithCancel(context.Background())
 	n := &Node{
-		options:      options,
-		epoch:        time.Now(),
-		log:          options.Logger,
-		metrics:      telemetry.NewMetrics(),
-		explanations: telemetry.NewExplanations(explanationsOptions(options.Settings.Explanation)),
-		once:         newOnce(options.Settings.AtMostOnce),
-		background:   background,
-		abort:        abort,
-		listening:    make(chan struct{}),
-		workers:      newWorkers(),
-		serverStates: make(map[string]dispatch.ServerState),
+		options:             options,
+		startedAt:           time.Now(),
+		log:                 options.Logger,
+		metrics:             telemetry.NewMetrics(),
+		explanations:        telemetry.NewExplanations(explanationsOptions(options.Settings.Explanation)),
+		requestDeduplicator: newRequestDeduplicator(options.Settings.AtMostOnce),
+		background:          background,
+		abort:               abort,
+		listening:           make(chan struct{}),
+		workers:             newWorkers(),
+		serverStates:        make(map[string]dispatch.ServerState),
 	}
 	n.client = backend.NewClient(backend.ClientOptions{
 		Dial:                      options.Network.DialContext,
-		ConnectionLimit:           n.connectionsTo,
+		ConnectionLimit:           n.connectionLimit,
 		SpareConnectionsPerServer: spareConnections(options.Settings.Backend.SpareConnections),
 	})
-	readings := n.openForwards()
-	asked := n.newRouter(readings)
-	n.asker = &backendAsker{client: asked, heard: n.heardReply, unreachable: n.serverUnreachable}
+	recentHealth := n.setUpForwarding()
+	routedClient := n.newRouter(recentHealth)
+	n.sender = &backendSender{client: routedClient, onReply: n.handleReply, onUnreachable: n.handleUnreachable}
 	n.poller = newPoller(pollerOptions{
-		client:      asked,
-		interval:    options.Settings.Backend.HealthInterval,
-		timeout:     options.Settings.Backend.HealthTimeout,
-		concurrency: options.Settings.Backend.HealthConcurrency,
-		budgetRate:  options.Settings.Backend.HealthReadings,
-		seed:        options.Seed,
-		report:      n.heardHealth,
-		unreachable: n.serverUnreachable,
+		client:        routedClient,
+		interval:      options.Settings.Backend.HealthInterval,
+		timeout:       options.Settings.Backend.HealthTimeout,
+		concurrency:   options.Settings.Backend.HealthConcurrency,
+		budgetRate:    options.Settings.Backend.HealthReadings,
+		seed:          options.Seed,
+		onResult:      n.handleHealth,
+		onUnreachable: n.handleUnreachable,
 	})
 	n.connectPeers()
-	n.watchControl()
+	n.registerControlMetrics()
 	if options.ProcessMetrics {
 		n.metrics.WatchProcess()
 	}
@@ -135,14 +135,14 @@
 // each other.
 func (n *Node) connectPeers() {
 	identity := n.options.Settings.Node
-	n.keeper = spread.NewReplicator(spread.ReplicatorOptions{
+	n.replicator = spread.NewReplicator(spread.ReplicatorOptions{
 		Core:   spread.CoreOptions{Self: identity.ID, Zone: identity.Zone, Seed: n.options.Seed},
 		Store:  n.options.Store,
 		Logger: n.log,
 	})
 	n.peerClient = &http.Client{Transport: &http.Transport{
 		DialContext:         n.options.Network.DialContext,
-		MaxConnsPerHost:     peerConnectionsPerHost,
+		MaxConnsPerHost:     maxConnectionsPerPeer,
 		MaxIdleConnsPerHost: 1,
 		IdleConnTimeout:     peerIdleTimeout,
 		MaxIdleConns:        0,
@@ -150,20 +150,20 @@
 	n.agent = peer.NewAgent(peer.AgentOptions{
 		Self: membership.Member{
 			ID:          identity.ID,
-			Address:     n.advertised(),
+			Address:     n.advertisedAddress(),
 			Zone:        identity.Zone,
 			Incarnation: n.options.Incarnation,
 		},
 		HTTPClient:     n.peerClient,
 		MachineList:    n.options.MachineList,
-		Configurations: n.keeper,
-		Forwards:       n.forwards,
+		Configurations: n.replicator,
+		Forwards:       n.forwardServer,
 		// A forward carries the body of a caller's request.
 		ForwardBodyBytes: n.options.Settings.Caller.BodyBytes,
 		Logger:           n.log,
 		Seed:             n.options.Seed,
 	})
-	n.keeper.SetPeers(spreadPeers{agent: n.agent})
+	n.replicator.SetPeers(spreadPeers{agent: n.agent})
 }
 
 func explanationsOptions(configured settings.Explanation) telemetry.ExplanationsOptions {
@@ -178,7 +178,7 @@
 	return configured
 }
 
-func (n *Node) advertised() string {
+func (n *Node) advertisedAddress() string {
 	if advertise := n.options.Settings.Node.Advertise; advertise != "" {
 		return advertise
 	}
@@ -186,10 +186,10 @@
 }
 
 // now is the time since the node's epoch.
-func (n *Node) now() time.Duration { return time.Since(n.epoch) }
+func (n *Node) now() time.Duration { return time.Since(n.startedAt) }
 
-// newMachine makes the decision core of one service.
-func (n *Node) newMachine(seed uint64) Dispatcher {
+// newDispatcher makes the decision core of one service.
+func (n *Node) newDispatcher(seed uint64) Dispatcher {
 	return dispatch.New(dispatch.Options{Seed: seed, Zone: n.options.Settings.Node.Zone})
 }
 
@@ -201,7 +201,7 @@
 func (n *Node) operatorHandler() http.Handler {
 	service := operator.NewService(operator.Options{
 		Self:           n.options.Settings.Node.ID,
-		Configurations: n.keeper,
+		Configurations: n.replicator,
 		Nodes:          operatorNodes{agent: n.agent},
 		Explanations:   operatorExplanations{node: n},
 		Logger:         n.log,
--- a/node/once.go
+++ b/node/once.go
@@ -16,60 +16,60 @@
 	"github.com/banksail/banksail/settings"
 )
 
-// onceParts is the number of parts into which the guard is divided by request ID.
-const onceParts = 16
+// dedupPartitions is the number of parts into which the guard is divided by request ID.
+const dedupPartitions = 16
 
-// once lets each not-repeatable request run at most once on this node within
+// requestDeduplicator lets each not-repeatable request run at most once on this node within
 // the window. The window lives in memory; claims at other nodes (claim.go)
 // cover this node's end. docs/design/at-most-once.md tells how far.
-type once struct {
-	parts [onceParts]oncePart
+type requestDeduplicator struct {
+	partitions [dedupPartitions]dedupPartition
 }
 
-// oncePart holds the request IDs whose hash falls to it.
-type oncePart struct {
+// dedupPartition holds the request IDs whose hash falls to it.
+type dedupPartition struct {
 	mutex sync.Mutex
 	// mutex guards the fields below. Invariant: running holds exactly the
 	// requests that the guard has in progress.
-	guard   *retry.Deduplicator
-	running map[string]*onceRun
+	deduplicator *retry.Deduplicator
+	running      map[string]*ongoingRun
 	// outcomes bounds what the guard's recorded outcomes take.
 	outcomes recordedOutcomes
 }
 
-// onceRun is a not-repeatable request in progress.
-type onceRun struct {
-	// ended is closed once result is set.
-	ended  chan struct{}
+// ongoingRun is a not-repeatable request in progress.
+type ongoingRun struct {
+	// done is closed once result is set.
+	done   chan struct{}
 	result caller.Result
 }
 
-func newOnce(window settings.AtMostOnce) *once {
-	guard := &once{}
-	perPart := (window.Requests + onceParts - 1) / onceParts
-	for index := range guard.parts {
-		guard.parts[index].guard = retry.NewDeduplicator(retry.DeduplicatorOptions{Window: window.Window, MaxEntries: perPart})
-		guard.parts[index].running = make(map[string]*onceRun)
-		guard.parts[index].outcomes = recordedOutcomes{
-			limit:  int(window.ResultBytes / onceParts),
+func newRequestDeduplicator(window settings.AtMostOnce) *requestDeduplicator {
+	deduplicator := &requestDeduplicator{}
+	perPart := (window.Requests + dedupPartitions - 1) / dedupPartitions
+	for index := range deduplicator.partitions {
+		deduplicator.partitions[index].deduplicator = retry.NewDeduplicator(retry.DeduplicatorOptions{Window: window.Window, MaxEntries: perPart})
+		deduplicator.partitions[index].running = make(map[string]*ongoingRun)
+		deduplicator.partitions[index].outcomes = recordedOutcomes{
+			limit:  int(window.ResultBytes / dedupPartitions),
 			window: window.Window,
 		}
 	}
-	return guard
+	return deduplicator
 }
 
-func (o *once) part(key string) *oncePart {
-	return &o.parts[xxhash.Sum64String(key)%onceParts]
+func (o *requestDeduplicator) partition(key string) *dedupPartition {
+	return &o.partitions[xxhash.Sum64String(key)%dedupPartitions]
 }
 
-// onceKey is the scope of a request ID: the service that it names.
-func onceKey(request caller.Request) string {
+// requestKey is the scope of a request ID: the service that it names.
+func requestKey(request caller.Request) string {
 	return request.Service + "\x00" + request.RequestID
 }
 
-// onceDigest covers all that decides what the request does. The deadline is
+// requestDigest covers all that decides what the request does. The deadline is
 // left out, so that a caller may ask again with the time it has left.
-func onceDigest(request caller.Request) retry.Digest {
+func requestDigest(request caller.Request) retry.Digest {
 	hash := sha256.New()
 	for _, text := range []string{request.Service, request.Class} {
 		_ = binary.Write(hash, binary.BigEndian, uint64(len(text)))
@@ -80,34 +80,34 @@
 	return retry.Digest(hash.Sum(nil))
 }
 
-// runOnce runs a not-repeatable request unless its ID ran within the window.
-func (n *Node) runOnce(ctx context.Context, carrier *shard, request caller.Request) (caller.Result, error) {
-	key := onceKey(request)
-	part := n.once.part(key)
+// runAtMostOnce runs a not-repeatable request unless its ID ran within the window.
+func (n *Node) runAtMostOnce(ctx context.Context, serviceShard *shard, request caller.Request) (caller.Result, error) {
+	key := requestKey(request)
+	part := n.requestDeduplicator.partition(key)
 	part.mutex.Lock()
-	verdict, recorded := part.guard.Begin(n.now(), key, onceDigest(request))
+	verdict, recorded := part.deduplicator.Begin(n.now(), key, requestDigest(request))
 	switch verdict {
 	case retry.Accepted:
-		run := &onceRun{ended: make(chan struct{})}
+		run := &ongoingRun{done: make(chan struct{})}
 		part.running[key] = run
 		part.mutex.Unlock()
 		var ran bool
-		run.result, ran = n.runClaimed(ctx, carrier, request, key)
-		n.endOnce(part, key, run, ran)
+		run.result, ran = n.runWithClaim(ctx, serviceShard, request, key)
+		n.completeRun(part, key, run, ran)
 		return run.result, nil
 	case retry.InProgress:
 		run := part.running[key]
 		part.mutex.Unlock()
-		return n.joinOnce(ctx, run, request), nil
+		return n.joinRun(ctx, run, request), nil
 	case retry.Completed:
-		result := recorded.(*recordedOutcome).again()
+		result := recorded.(*recordedOutcome).duplicateResult()
 		part.mutex.Unlock()
 		n.metrics.Duplicates.Inc()
 		return result, nil
 	case retry.Full:
-		retryAfter := part.guard.RetryAfter(n.now())
+		retryAfter := part.deduplicator.RetryAfter(n.now())
 		part.mutex.Unlock()
-		result := n.refused(request, dispatch.ReasonOverload)
+		result := n.reject(request, dispatch.ReasonOverload)
 		result.Outcome.RetryAfter = retryAfter
 		return result, nil
 	default:
@@ -116,54 +116,54 @@
 	}
 }
 
-// endOnce records the outcome. A request that did not run here is forgotten, so
+// completeRun records the outcome. A request that did not run here is forgotten, so
 // that its caller may try again.
-func (n *Node) endOnce(part *oncePart, key string, run *onceRun, ran bool) {
+func (n *Node) completeRun(part *dedupPartition, key string, run *ongoingRun, ran bool) {
 	part.mutex.Lock()
 	defer part.mutex.Unlock()
 	delete(part.running, key)
 	if ran {
 		now := n.now()
-		part.guard.Complete(now, key, part.outcomes.add(now, run.result))
+		part.deduplicator.Complete(now, key, part.outcomes.add(now, run.result))
 	} else {
-		part.guard.Abandon(key)
+		part.deduplicator.Abandon(key)
 	}
-	close(run.ended)
+	close(run.done)
 }
 
-// knows says that the request with this key is in progress here or ran within
+// contains says that the request with this key is in progress here or ran within
 // the window.
-func (o *once) knows(now time.Duration, key string) bool {
-	part := o.part(key)
+func (o *requestDeduplicator) contains(now time.Duration, key string) bool {
+	part := o.partition(key)
 	part.mutex.Lock()
 	defer part.mutex.Unlock()
-	return part.guard.Contains(now, key)
+	return part.deduplicator.Contains(now, key)
 }
 
-// joinOnce waits for the outcome of the same request in progress, at most until
+// joinRun waits for the outcome of the same request in progress, at most until
 // the deadline of its own caller.
-func (n *Node) joinOnce(ctx context.Context, run *onceRun, request caller.Request) caller.Result {
+func (n *Node) joinRun(ctx context.Context, run *ongoingRun, request caller.Request) caller.Result {
 	n.metrics.Duplicates.Inc()
 	deadline := time.NewTimer(request.Deadline)
 	defer deadline.Stop()
 	select {
-	case <-run.ended:
+	case <-run.done:
 		result := run.result
 		result.Duplicate = true
 		return result
 	case <-deadline.C:
-		return unknownRepetition(dispatch.ReasonDeadline)
+		return unknownDuplicateResult(dispatch.ReasonDeadline)
 	case <-ctx.Done():
-		return unknownRepetition(dispatch.ReasonCallerGone)
+		return unknownDuplicateResult(dispatch.ReasonCallerGone)
 	}
 }
 
-// unknownRepetition is the answer to the repetition of a request whose outcome
+// unknownDuplicateResult is the answer to the repetition of a request whose outcome
 // is not told.
-func unknownRepetition(reason dispatch.Reason) caller.Result {
+func unknownDuplicateResult(reason dispatch.Reason) caller.Result {
 	return caller.Result{Duplicate: true, Outcome: dispatch.Outcome{
 		Execution:  dispatch.ExecutionUnknown,
 		Reason:     reason,
-		RetryAfter: refusalRetryAfter,
+		RetryAfter: rejectionRetryAfter,
 	}}
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -73,32 +73,32 @@
 	return document, err == nil
 }
 
-// heardReply tells membership what a reply to a sub-request says of its server.
+// handleReply tells membership what a reply to a sub-request says of its server.
 // Replies of servers that are known as live say nothing new.
 // age is the time since the sub-request was sent.
-func (n *Node) heardReply(server string, reply *backend.Reply, age time.Duration) {
+func (n *Node) handleReply(server string, reply *backend.Reply, age time.Duration) {
 	report := membership.ServerReport{Source: membership.FromReply, Condition: membership.ServerAnswered, Age: age}
 	if reply.Draining || reply.Status == backend.StatusDraining {
 		report.Condition = membership.ServerDraining
 		n.agent.ReportServer(server, report)
 		return
 	}
-	if tellsAll(reply) {
-		n.poller.heardReply(server)
+	if replacesHealthPoll(reply) {
+		n.poller.recordReply(server)
 	}
-	if n.troubled(server) {
+	if n.takeReplyReport(server) {
 		n.agent.ReportServer(server, report)
 	}
 }
 
-// heardHealth takes a reading of a server's health.
-func (n *Node) heardHealth(result reading) {
+// handleHealth takes a reading of a server's health.
+func (n *Node) handleHealth(result pollResult) {
 	condition := membership.ServerAnswered
 	if result.health.State == backend.HealthDraining {
 		condition = membership.ServerDraining
 	}
-	n.report(result.server, membership.FromHealth, condition, result.health.Incarnation)
-	current := n.view.Load()
+	n.reportServer(result.server, membership.FromHealth, condition, result.health.Incarnation)
+	current := n.activeConfig.Load()
 	if current == nil {
 		return
 	}
@@ -106,25 +106,25 @@
 	if result.load != nil {
 		observed.Load = dispatch.Load{InFlight: result.load.InFlight, Queued: result.load.Queued}
 	}
-	for _, carrier := range current.servers[result.server].shards {
-		carrier.step(observed)
+	for _, serviceShard := range current.servers[result.server].shards {
+		serviceShard.step(observed)
 	}
 }
 
-// serverUnreachable takes a failure to connect to a server.
-func (n *Node) serverUnreachable(server string) {
-	n.troubledServers.Store(server, struct{}{})
-	n.poller.forgetReply(server)
-	n.report(server, membership.FromConnect, membership.ServerUnreachable, "")
+// handleUnreachable takes a failure to connect to a server.
+func (n *Node) handleUnreachable(server string) {
+	n.awaitingReplyReport.Store(server, struct{}{})
+	n.poller.clearReply(server)
+	n.reportServer(server, membership.FromConnect, membership.ServerUnreachable, "")
 }
 
-// troubled says whether a reply of the server is news: it could not be reached
+// takeReplyReport says whether a reply of the server is news: it could not be reached
 // lately, or membership does not know it as live.
-func (n *Node) troubled(server string) bool {
-	_, troubled := n.troubledServers.LoadAndDelete(server)
+func (n *Node) takeReplyReport(server string) bool {
+	_, troubled := n.awaitingReplyReport.LoadAndDelete(server)
 	return troubled
 }
 
-func (n *Node) report(server string, source membership.ServerSource, condition membership.ServerCondition, incarnation string) {
+func (n *Node) reportServer(server string, source membership.ServerSource, condition membership.ServerCondition, incarnation string) {
 	n.agent.ReportServer(server, membership.ServerReport{Source: source, Condition: condition, Incarnation: incarnation})
 }
--- a/node/query.go
+++ b/node/query.go
@@ -13,70 +13,70 @@
 	"github.com/banksail/banksail/telemetry"
 )
 
-// refusalRetryAfter is told to callers that the node refuses by itself.
-const refusalRetryAfter = time.Second
+// rejectionRetryAfter is told to callers that the node refuses by itself.
+const rejectionRetryAfter = time.Second
 
 // Query carries a request to its one final answer; it implements caller.Node.
 func (n *Node) Query(ctx context.Context, request caller.Request) (caller.Result, error) {
-	if n.held.Add(1) > int64(n.options.Settings.Caller.Queries) {
-		n.held.Add(-1)
-		return n.refusedOverBound(request), nil
+	if n.heldQueries.Add(1) > int64(n.options.Settings.Caller.Queries) {
+		n.heldQueries.Add(-1)
+		return n.rejectOverload(request), nil
 	}
 	n.metrics.Held.Inc()
 	defer func() {
-		n.held.Add(-1)
+		n.heldQueries.Add(-1)
 		n.metrics.Held.Dec()
 	}()
-	current := n.view.Load()
+	current := n.activeConfig.Load()
 	if current == nil {
-		return n.refused(request, dispatch.ReasonNoConfiguration), nil
+		return n.reject(request, dispatch.ReasonNoConfiguration), nil
 	}
 	shard, err := current.admit(&request)
 	switch {
-	case err != nil && n.isRepetition(request):
-		return unknownRepetition(dispatch.ReasonOutcomeUnknown), nil
+	case err != nil && n.isDuplicate(request):
+		return unknownDuplicateResult(dispatch.ReasonOutcomeUnknown), nil
 	case err != nil:
 		return caller.Result{}, err
 	case request.Repeatable:
 		return n.run(ctx, shard, request), nil
 	default:
-		return n.runOnce(ctx, shard, request)
+		return n.runAtMostOnce(ctx, shard, request)
 	}
 }
 
 // admit checks the request against the configuration and finds its shard.
-func (v *view) admit(request *caller.Request) (*shard, error) {
-	carrier, known := v.shards[request.Service]
+func (c *activeConfig) admit(request *caller.Request) (*shard, error) {
+	serviceShard, known := c.shards[request.Service]
 	if !known {
 		return nil, caller.UnknownServiceError()
 	}
-	class, known := v.classes[request.Class]
+	class, known := c.classes[request.Class]
 	if !known {
 		return nil, caller.UnknownClassError()
 	}
-	return carrier, takeDeadline(request, class)
+	return serviceShard, applyDeadline(request, class)
 }
 
-// isRepetition says that the request ran here before, or runs: it must not be
+// isDuplicate says that the request ran here before, or runs: it must not be
 // told that it did not, whatever else it is refused for.
-func (n *Node) isRepetition(request caller.Request) bool {
-	if request.Repeatable || !n.once.knows(n.now(), onceKey(request)) {
+func (n *Node) isDuplicate(request caller.Request) bool {
+	if request.Repeatable || !n.requestDeduplicator.contains(n.now(), requestKey(request)) {
 		return false
 	}
 	n.metrics.Duplicates.Inc()
 	return true
 }
 
-// refusedOverBound refuses a request for which the node has no room.
-func (n *Node) refusedOverBound(request caller.Request) caller.Result {
-	if n.isRepetition(request) {
-		return unknownRepetition(dispatch.ReasonOverload)
+// rejectOverload refuses a request for which the node has no room.
+func (n *Node) rejectOverload(request caller.Request) caller.Result {
+	if n.isDuplicate(request) {
+		return unknownDuplicateResult(dispatch.ReasonOverload)
 	}
-	return n.refused(request, dispatch.ReasonOverload)
+	return n.reject(request, dispatch.ReasonOverload)
 }
 
-// takeDeadline gives the request the class's deadline when it names none.
-func takeDeadline(request *caller.Request, class policy.Class) error {
+// applyDeadline gives the request the class's deadline when it names none.
+func applyDeadline(request *caller.Request, class policy.Class) error {
 	longest := class.Deadline.Duration()
 	if request.Deadline == 0 {
 		request.Deadline = longest
@@ -90,32 +90,32 @@
 
 // run hands the request to its shard and waits for the final answer.
 func (n *Node) run(ctx context.Context, shard *shard, request caller.Request) caller.Result {
-	query := shard.arrive(request)
-	var end finished
+	query := shard.submit(request)
+	var result queryResult
 	select {
-	case end = <-query.done:
+	case result = <-query.done:
 	case <-ctx.Done():
-		shard.abandon(query)
-		end = <-query.done
+		shard.cancelQuery(query)
+		result = <-query.done
 	}
-	n.record(request, end)
-	return caller.Result{Outcome: end.outcome, KeySpace: query.keySpace}
+	n.recordOutcome(request, result)
+	return caller.Result{Outcome: result.outcome, KeySpace: query.keySpace}
 }
 
-// refused is the answer to a request that reached no shard.
-func (n *Node) refused(request caller.Request, reason dispatch.Reason) caller.Result {
+// reject is the answer to a request that reached no shard.
+func (n *Node) reject(request caller.Request, reason dispatch.Reason) caller.Result {
 	outcome := dispatch.Outcome{
 		Execution:  dispatch.ExecutionNotRun,
 		Reason:     reason,
-		RetryAfter: refusalRetryAfter,
+		RetryAfter: rejectionRetryAfter,
 	}
-	n.record(request, finished{outcome: outcome})
+	n.recordOutcome(request, queryResult{outcome: outcome})
 	return caller.Result{Outcome: outcome}
 }
 
-// record tells the log, the metrics and the explanations of a final answer.
-func (n *Node) record(request caller.Request, end finished) {
-	outcome := end.outcome
+// recordOutcome tells the log, the metrics and the explanations of a final answer.
+func (n *Node) recordOutcome(request caller.Request, result queryResult) {
+	outcome := result.outcome
 	execution := caller.ExecutionName(outcome.Execution)
 	n.explanations.Add(telemetry.Explanation{
 		RequestID: request.RequestID,
@@ -128,7 +128,7 @@
 		Coverage:  outcome.Coverage,
 		Steps:     outcome.Explanation,
 	})
-	n.countOutcome(request, end, execution)
+	n.countOutcome(request, result, execution)
 	n.log.WithLevel(logLevel(request, outcome)).
 		Str(telemetry.FieldRequestID, request.RequestID).
 		Str(telemetry.FieldService, request.Service).
@@ -136,7 +136,7 @@
 		Str("execution", execution).
 		Str("reason", string(outcome.Reason)).
 		Float64("coverage", outcome.Coverage).
-		Dur("took", end.took).
+		Dur("took", result.duration).
 		Msg("query ended")
 }
 
@@ -151,8 +151,8 @@
 
 // countOutcome counts a query. Names that no configuration has, which callers
 // may make up without end, become no labels.
-func (n *Node) countOutcome(request caller.Request, end finished, execution string) {
-	current := n.view.Load()
+func (n *Node) countOutcome(request caller.Request, result queryResult, execution string) {
+	current := n.activeConfig.Load()
 	if current == nil {
 		return
 	}
@@ -161,11 +161,11 @@
 	if !knownService || !knownClass {
 		return
 	}
-	reason := string(end.outcome.Reason)
+	reason := string(result.outcome.Reason)
 	n.metrics.Queries.WithLabelValues(request.Service, request.Class, execution, reason).Inc()
-	n.metrics.Latency.WithLabelValues(request.Service, request.Class).Observe(end.took.Seconds())
-	if end.outcome.Execution == dispatch.ExecutionDone {
-		n.metrics.Coverage.WithLabelValues(request.Service, request.Class).Observe(end.outcome.Coverage)
+	n.metrics.Latency.WithLabelValues(request.Service, request.Class).Observe(result.duration.Seconds())
+	if result.outcome.Execution == dispatch.ExecutionDone {
+		n.metrics.Coverage.WithLabelValues(request.Service, request.Class).Observe(result.outcome.Coverage)
 	}
 }
 
--- a/node/recorded.go
+++ b/node/recorded.go
@@ -10,11 +10,11 @@
 
 // recordedOutcome is the outcome of a not-repeatable request that ran.
 type recordedOutcome struct {
-	result caller.Result
-	bytes  int
-	until  time.Duration
-	// forgotten says that the parts are gone, to stay within the bound.
-	forgotten bool
+	result    caller.Result
+	bytes     int
+	expiresAt time.Duration
+	// evicted says that the parts are gone, to stay within the bound.
+	evicted bool
 }
 
 // recordedOutcomes bounds the memory that recorded outcomes take: the oldest
@@ -23,45 +23,45 @@
 	limit  int
 	window time.Duration
 	bytes  int
-	// kept lists the outcomes that hold their parts, the oldest first.
-	kept []*recordedOutcome
+	// withParts lists the outcomes that hold their parts, the oldest first.
+	withParts []*recordedOutcome
 }
 
 // add records an outcome.
 func (r *recordedOutcomes) add(now time.Duration, result caller.Result) *recordedOutcome {
-	added := &recordedOutcome{result: result, bytes: bytesOf(result.Outcome), until: now + r.window}
-	r.kept = append(r.kept, added)
+	added := &recordedOutcome{result: result, bytes: approximateBytes(result.Outcome), expiresAt: now + r.window}
+	r.withParts = append(r.withParts, added)
 	r.bytes += added.bytes
-	for len(r.kept) > 0 && (r.bytes > r.limit || r.kept[0].until <= now) {
-		r.forgetOldest()
+	for len(r.withParts) > 0 && (r.bytes > r.limit || r.withParts[0].expiresAt <= now) {
+		r.evictOldest()
 	}
 	return added
 }
 
-func (r *recordedOutcomes) forgetOldest() {
-	oldest := r.kept[0]
-	r.kept[0] = nil
-	r.kept = r.kept[1:]
+func (r *recordedOutcomes) evictOldest() {
+	oldest := r.withParts[0]
+	r.withParts[0] = nil
+	r.withParts = r.withParts[1:]
 	r.bytes -= oldest.bytes
 	oldest.result.Outcome.Parts = nil
 	oldest.result.Outcome.Explanation = nil
-	oldest.forgotten = true
+	oldest.evicted = true
 }
 
-// again is the answer to a repetition of the request.
-func (r *recordedOutcome) again() caller.Result {
+// duplicateResult is the answer to a repetition of the request.
+func (r *recordedOutcome) duplicateResult() caller.Result {
 	result := r.result
 	result.Duplicate = true
-	if r.forgotten && result.Outcome.Execution == dispatch.ExecutionDone {
+	if r.evicted && result.Outcome.Execution == dispatch.ExecutionDone {
 		result.Outcome.Execution = dispatch.ExecutionUnknown
 		result.Outcome.Reason = caller.ReasonResultForgotten
-		result.Outcome.RetryAfter = refusalRetryAfter
+		result.Outcome.RetryAfter = rejectionRetryAfter
 	}
 	return result
 }
 
-// bytesOf is about what an outcome's parts take.
-func bytesOf(outcome dispatch.Outcome) int {
+// approximateBytes is about what an outcome's parts take.
+func approximateBytes(outcome dispatch.Outcome) int {
 	const perPart, perStep = 128, 96
 	total := perStep * len(outcome.Explanation)
 	for _, part := range outcome.Parts {
--- a/node/recorded_internal_test.go
+++ b/node/recorded_internal_test.go
@@ -23,14 +23,14 @@
 			t.Fatalf("%d bytes after %d outcomes", outcomes.bytes, index+1)
 		}
 	}
-	if newest := added[count-1]; newest.forgotten || len(newest.again().Outcome.Parts) != 1 {
+	if newest := added[count-1]; newest.evicted || len(newest.duplicateResult().Outcome.Parts) != 1 {
 		t.Errorf("the newest is forgotten: %+v", newest)
 	}
-	if oldest := added[0]; !oldest.forgotten || oldest.again().Outcome.Execution != dispatch.ExecutionUnknown {
+	if oldest := added[0]; !oldest.evicted || oldest.duplicateResult().Outcome.Execution != dispatch.ExecutionUnknown {
 		t.Errorf("the oldest is kept: %+v", oldest)
 	}
 	outcomes.add(time.Hour, caller.Result{})
-	if len(outcomes.kept) != 1 {
-		t.Errorf("%d outcomes are kept after the window", len(outcomes.kept))
+	if len(outcomes.withParts) != 1 {
+		t.Errorf("%d outcomes are kept after the window", len(outcomes.withParts))
 	}
 }
--- a/node/route.go
+++ b/node/route.go
@@ -22,12 +22,12 @@
 	errNoOwner = errors.New("node: no owner took the sub-request")
 	// errOwnersBusy: the owners forward as much as they may.
 	errOwnersBusy = errors.New("node: owners are busy")
-	// errNoReading: no owner knows the server's health of late.
-	errNoReading = errors.New("node: no owner has read the server's health lately")
+	// errNoRecentHealth: no owner knows the server's health of late.
+	errNoRecentHealth = errors.New("node: no owner has read the server's health lately")
 )
 
-// maximumOwnersAsked bounds the owners that are asked for one sub-request.
-const maximumOwnersAsked = 3
+// maxOwnersTried bounds the owners that are asked for one sub-request.
+const maxOwnersTried = 3
 
 // ownersRetryAfter is the pause before busy owners are asked again.
 const ownersRetryAfter = 20 * time.Millisecond
@@ -44,30 +44,30 @@
 // router asks servers directly where this node owns connections, and through an
 // owner otherwise. It implements backends.
 type router struct {
-	direct backends
-	// forget closes the idle connections to a server.
-	forget func(address string)
+	direct backendClient
+	// closeConnections closes the idle connections to a server.
+	closeConnections func(address string)
 	// route finds the way to the server at an address.
 	route func(address string) route
 	// owners lists the nodes through which to reach a server, the first choice first.
-	owners    func(server membership.ServerPlace) []membership.Member
-	forwarder *peer.Forwarder
-	counters  forwardCounters
-	readings  *healthReadings
-	log       zerolog.Logger
+	owners       func(server membership.ServerPlace) []membership.Member
+	forwarder    *peer.Forwarder
+	counters     forwardCounters
+	recentHealth *healthCache
+	log          zerolog.Logger
 }
 
 // newRouter makes the router of this node.
-func (n *Node) newRouter(readings *healthReadings) *router {
+func (n *Node) newRouter(recentHealth *healthCache) *router {
 	return &router{
-		direct:    n.client,
-		forget:    n.client.CloseServerConnections,
-		route:     n.routeTo,
-		owners:    func(server membership.ServerPlace) []membership.Member { return n.agent.ForwardOwners(server) },
-		forwarder: n.forwarder,
-		counters:  newForwardCounters(n.metrics.Forwards),
-		readings:  readings,
-		log:       n.log,
+		direct:           n.client,
+		closeConnections: n.client.CloseServerConnections,
+		route:            n.routeTo,
+		owners:           func(server membership.ServerPlace) []membership.Member { return n.agent.ForwardOwners(server) },
+		forwarder:        n.forwarder,
+		counters:         newForwardCounters(n.metrics.Forwards),
+		recentHealth:     recentHealth,
+		log:              n.log,
 	}
 }
 
@@ -84,20 +84,20 @@
 
 // Query sends one sub-request, directly or through one owner.
 func (r *router) Query(ctx context.Context, address string, request *backend.Request) (*backend.Reply, error) {
-	way := r.route(address)
-	if way.connections == 0 {
-		return r.forward(ctx, way.place, request)
+	serverRoute := r.route(address)
+	if serverRoute.connections == 0 {
+		return r.forward(ctx, serverRoute.place, request)
 	}
 	reply, err := r.direct.Query(ctx, address, request)
-	r.forgetIfLost(address)
+	r.closeIfShareLost(address)
 	return reply, err
 }
 
-// forgetIfLost closes the idle connections to a server whose last share went
+// closeIfShareLost closes the idle connections to a server whose last share went
 // while it was asked.
-func (r *router) forgetIfLost(address string) {
+func (r *router) closeIfShareLost(address string) {
 	if r.route(address).connections == 0 {
-		r.forget(address)
+		r.closeConnections(address)
 	}
 }
 
@@ -105,7 +105,7 @@
 func (r *router) forward(ctx context.Context, server membership.ServerPlace, request *backend.Request) (*backend.Reply, error) {
 	failure := fmt.Errorf("%w: %w", backend.ErrNotDelivered, errNoOwner)
 	owners := r.owners(server)
-	for _, owner := range owners[:min(len(owners), maximumOwnersAsked)] {
+	for _, owner := range owners[:min(len(owners), maxOwnersTried)] {
 		result := r.forwarder.Forward(ctx, owner.Address, server.ID, request)
 		r.counters[result.Outcome].Inc()
 		if result.Outcome == peer.ForwardReplied {
@@ -145,69 +145,69 @@
 // Health reads a server's health; a server that others own is not asked, but
 // an owner for its last reading. Such a failure says nothing of the server.
 func (r *router) Health(ctx context.Context, address string) (*backend.Health, error) {
-	way := r.route(address)
-	if way.connections == 0 {
-		return r.forwardHealth(ctx, way)
+	serverRoute := r.route(address)
+	if serverRoute.connections == 0 {
+		return r.forwardHealth(ctx, serverRoute)
 	}
 	health, err := r.direct.Health(ctx, address)
-	r.forgetIfLost(address)
+	r.closeIfShareLost(address)
 	if err == nil {
-		r.readings.put(way.place.ID, health)
+		r.recentHealth.put(serverRoute.place.ID, health)
 	}
 	return health, err
 }
 
-func (r *router) forwardHealth(ctx context.Context, way route) (*backend.Health, error) {
-	owners := readersAmong(way, r.owners(way.place))
-	for _, owner := range owners[:min(len(owners), maximumOwnersAsked)] {
-		health, known, err := r.forwarder.ServerHealth(ctx, owner.Address, way.place.ID)
+func (r *router) forwardHealth(ctx context.Context, serverRoute route) (*backend.Health, error) {
+	owners := pollingOwners(serverRoute, r.owners(serverRoute.place))
+	for _, owner := range owners[:min(len(owners), maxOwnersTried)] {
+		health, known, err := r.forwarder.ServerHealth(ctx, owner.Address, serverRoute.place.ID)
 		if err == nil && known {
 			return health, nil
 		}
 	}
-	return nil, errNoReading
+	return nil, errNoRecentHealth
 }
 
 // Load reads a server's load; that of a server that others own rides on replies.
 func (r *router) Load(ctx context.Context, address string) (*backend.Load, error) {
 	if r.route(address).connections == 0 {
-		return nil, errNoReading
+		return nil, errNoRecentHealth
 	}
 	return r.direct.Load(ctx, address)
 }
 
-// healthReadings keeps the last reading of each server that this node reads itself.
-type healthReadings struct {
-	// longest is the age from which a reading is not told to others.
-	longest time.Duration
+// healthCache keeps the last reading of each server that this node reads itself.
+type healthCache struct {
+	// maxAge is the age from which a reading is not told to others.
+	maxAge time.Duration
 
 	mutex sync.Mutex
 	// mutex guards last, which holds at most one reading for each server.
-	last map[string]keptHealth
+	entries map[string]cachedHealth
 }
 
-type keptHealth struct {
-	health *backend.Health
-	at     time.Time
+type cachedHealth struct {
+	health   *backend.Health
+	polledAt time.Time
 }
 
-func newHealthReadings(longest time.Duration) *healthReadings {
-	return &healthReadings{longest: longest, last: make(map[string]keptHealth)}
+func newHealthCache(maxAge time.Duration) *healthCache {
+	return &healthCache{maxAge: maxAge, entries: make(map[string]cachedHealth)}
 }
 
-func (h *healthReadings) put(server string, health *backend.Health) {
+func (h *healthCache) put(server string, health *backend.Health) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.last[server] = keptHealth{health: health, at: time.Now()}
+	h.entries[server] = cachedHealth{health: health, polledAt: time.Now()}
 }
 
-func (h *healthReadings) get(server string) (*backend.Health, bool) {
+func (h *healthCache) get(server string) (*backend.Health, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	kept, known := h.last[server]
-	if known && time.Since(kept.at) > h.longest {
-		delete(h.last, server)
+	cached, known := h.entries[server]
+	if known && time.Since(cached.polledAt) > h.maxAge {
+		delete(h.entries, server)
 		return nil, false
 	}
-	return kept.health, known
+	return cached.health, known
 }
--- a/node/run.go
+++ b/node/run.go
@@ -26,20 +26,20 @@
 // started has ended when it returns.
 func (n *Node) Run(ctx context.Context) error {
 	defer n.abort()
-	opened, err := n.open()
+	listeners, err := n.openListeners()
 	if err != nil {
 		return err
 	}
-	n.announceListening(opened)
+	n.publishAddresses(listeners)
 	control, stopControl := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopControl()
 	var duties sync.WaitGroup
-	n.startDuties(control, &duties)
-	failures := make(chan error, len(opened))
+	n.startBackgroundTasks(control, &duties)
+	failures := make(chan error, len(listeners))
 	var serving sync.WaitGroup
-	for _, one := range opened {
+	for _, server := range listeners {
 		serving.Go(func() {
-			if err := one.serve(); err != nil {
+			if err := server.serve(); err != nil {
 				failures <- err
 			}
 		})
@@ -51,34 +51,34 @@
 	case failure = <-failures:
 		n.log.Error().Err(failure).Msg("a listener failed; stopping")
 	}
-	n.stop(opened)
+	n.stop(listeners)
 	stopControl()
 	duties.Wait()
-	n.stopListeners(opened[1:], controlStopTimeout)
+	n.stopListeners(listeners[1:], controlStopTimeout)
 	serving.Wait()
 	n.workers.close()
 	n.closeConnections()
-	return n.verdict(failure)
+	return n.exitError(failure)
 }
 
 // Abort ends the node at once: queries in flight are cut. Run returns ErrAborted.
 func (n *Node) Abort() {
-	n.logCut() // before they are cut: 0.9% of plays found none left to name
+	n.logAborted() // before they are cut: 0.9% of plays found none left to name
 	n.abort()
 }
 
-func (n *Node) verdict(failure error) error {
+func (n *Node) exitError(failure error) error {
 	if n.background.Err() != nil {
 		return ErrAborted
 	}
 	return failure
 }
 
-func (n *Node) announceListening(opened []*listener) {
+func (n *Node) publishAddresses(listeners []*listener) {
 	n.addresses = Addresses{
-		Caller:   opened[0].socket.Addr().String(),
-		Operator: opened[1].socket.Addr().String(),
-		Peer:     opened[2].socket.Addr().String(),
+		Caller:   listeners[0].socket.Addr().String(),
+		Operator: listeners[1].socket.Addr().String(),
+		Peer:     listeners[2].socket.Addr().String(),
 	}
 	n.log.Info().
 		Str("caller", n.addresses.Caller).
@@ -88,40 +88,40 @@
 	close(n.listening)
 }
 
-// startDuties starts all that runs beside the queries.
-func (n *Node) startDuties(ctx context.Context, duties *sync.WaitGroup) {
-	n.keeper.Subscribe(n.configure)
-	n.agent.SubscribeServers(n.serverChanged)
-	n.agent.SubscribeDoubts(n.poller.doubt)
-	duties.Go(func() { n.logEnd("configuration", n.keeper.Run(ctx)) })
-	duties.Go(func() { n.logEnd("peers", n.agent.Run(ctx)) })
+// startBackgroundTasks starts all that runs beside the queries.
+func (n *Node) startBackgroundTasks(ctx context.Context, duties *sync.WaitGroup) {
+	n.replicator.Subscribe(n.configure)
+	n.agent.SubscribeServers(n.handleServerStateChange)
+	n.agent.SubscribeDoubts(n.poller.requestRecheck)
+	duties.Go(func() { n.logTaskError("configuration", n.replicator.Run(ctx)) })
+	duties.Go(func() { n.logTaskError("peers", n.agent.Run(ctx)) })
 	duties.Go(func() { n.poller.run(ctx) })
 	duties.Go(func() { n.watchMembers(ctx) })
 }
 
-func (n *Node) logEnd(duty string, err error) {
+func (n *Node) logTaskError(duty string, err error) {
 	if err != nil {
 		n.log.Error().Err(err).Str("duty", duty).Msg("duty ended with an error")
 	}
 }
 
 // stop carries out the planned stop of the query path; an abort cuts it short.
-func (n *Node) stop(opened []*listener) {
+func (n *Node) stop(listeners []*listener) {
 	n.stopping.Store(true)
-	n.forwards.close()
+	n.forwardServer.close()
 	n.log.Info().Msg("stopping: new and queued queries are refused")
-	for _, carrier := range n.allShards() {
-		carrier.step(dispatch.Stopping{})
+	for _, serviceShard := range n.allShards() {
+		serviceShard.step(dispatch.Stopping{})
 	}
 	n.announceLeaving()
-	n.waitGrace()
-	opened[0].shutdown(n.background)
+	n.waitGracePeriod()
+	listeners[0].shutdown(n.background)
 	n.running.Wait()
-	for _, carrier := range n.allShards() {
-		carrier.close()
+	for _, serviceShard := range n.allShards() {
+		serviceShard.close()
 	}
 	n.running.Wait()
-	n.forwards.wait()
+	n.forwardServer.wait()
 }
 
 // announceLeaving tells other nodes that this one takes no new work.
@@ -131,8 +131,8 @@
 	n.agent.Leave(ctx)
 }
 
-// waitGrace keeps the listeners open so that callers see the node's state.
-func (n *Node) waitGrace() {
+// waitGracePeriod keeps the listeners open so that callers see the node's state.
+func (n *Node) waitGracePeriod() {
 	grace := time.NewTimer(n.options.Settings.Stop.Grace)
 	defer grace.Stop()
 	select {
@@ -141,21 +141,21 @@
 	}
 }
 
-// logCut names the requests that an abort cuts.
-func (n *Node) logCut() {
+// logAborted names the requests that an abort cuts.
+func (n *Node) logAborted() {
 	var cut []string
-	for _, carrier := range n.allShards() {
-		cut = append(cut, carrier.pending()...)
+	for _, serviceShard := range n.allShards() {
+		cut = append(cut, serviceShard.pendingRequestIDs()...)
 	}
 	slices.Sort(cut)
 	n.log.Warn().Int("requests", len(cut)).Strs("request_ids", cut).Msg("aborted: requests in flight are cut")
 }
 
-func (n *Node) stopListeners(opened []*listener, timeout time.Duration) {
+func (n *Node) stopListeners(listeners []*listener, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(n.background, timeout)
 	defer cancel()
-	for _, one := range opened {
-		one.shutdown(ctx)
+	for _, server := range listeners {
+		server.shutdown(ctx)
 	}
 }
 
--- a/node/shard.go
+++ b/node/shard.go
@@ -16,10 +16,10 @@
 	Step(now time.Duration, event dispatch.Event) []dispatch.Action
 }
 
-// asker sends one sub-request and reports how it ended, as a AttemptReplied or AttemptFailed
+// sender sends one sub-request and reports how it ended, as a AttemptReplied or AttemptFailed
 // event.
-type asker interface {
-	ask(ctx context.Context, outgoing *subRequest) dispatch.Event
+type sender interface {
+	sendSubRequest(ctx context.Context, outgoing *subRequest) dispatch.Event
 }
 
 // shardOptions are what a shard needs of its node.
@@ -28,8 +28,8 @@
 	// attemptPrefix starts the attempt IDs on the wire; no other shard of any
 	// node, in any incarnation, has the same one.
 	attemptPrefix string
-	machine       Dispatcher
-	asker         asker
+	dispatcher    Dispatcher
+	sender        sender
 	// now is the time since the node's epoch.
 	now func() time.Duration
 	// counters count the shard's sub-requests.
@@ -55,7 +55,7 @@
 	queries   map[dispatch.QueryID]*pendingQuery
 	attempts  map[dispatch.AttemptID]*subRequest
 	lastQuery dispatch.QueryID
-	wake      *time.Timer
+	timer     *time.Timer
 	// keySpace is that of the service as it is configured now.
 	keySpace coverage.Range
 	closed   bool
@@ -63,9 +63,9 @@
 
 // pendingQuery is a query without a final answer.
 type pendingQuery struct {
-	id      dispatch.QueryID
-	request caller.Request
-	arrived time.Duration
+	id        dispatch.QueryID
+	request   caller.Request
+	arrivedAt time.Duration
 	// keySpace is the service's when the first sub-request left.
 	keySpace coverage.Range
 	// sent says that a sub-request has left for a server.
@@ -76,13 +76,13 @@
 	release context.CancelFunc
 	running int
 	// done receives the one final answer; it has room for it.
-	done chan finished
+	done chan queryResult
 }
 
-// finished is a query's final answer with the time that it took.
-type finished struct {
-	outcome dispatch.Outcome
-	took    time.Duration
+// queryResult is a query's final answer with the time that it took.
+type queryResult struct {
+	outcome  dispatch.Outcome
+	duration time.Duration
 }
 
 func newShard(options shardOptions) *shard {
@@ -102,30 +102,30 @@
 
 func (s *shard) stepLocked(event dispatch.Event) {
 	now := s.options.now()
-	for _, action := range s.options.machine.Step(now, event) {
+	for _, action := range s.options.dispatcher.Step(now, event) {
 		switch action := action.(type) {
 		case dispatch.Send:
 			s.send(action)
 		case dispatch.Cancel:
-			s.cancel(action.Attempt)
+			s.cancelAttempt(action.Attempt)
 		case dispatch.Finish:
 			s.finish(now, action)
 		case dispatch.SetTimer:
-			s.setWake(action.At - now)
+			s.setTimer(action.At - now)
 		}
 	}
 }
 
-// arrive hands a request to the machine; its answer comes on the result's channel.
-func (s *shard) arrive(request caller.Request) *pendingQuery {
+// submit hands a request to the machine; its answer comes on the result's channel.
+func (s *shard) submit(request caller.Request) *pendingQuery {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.lastQuery++
 	query := &pendingQuery{
-		id:      s.lastQuery,
-		request: request,
-		arrived: s.options.now(),
-		done:    make(chan finished, 1),
+		id:        s.lastQuery,
+		request:   request,
+		arrivedAt: s.options.now(),
+		done:      make(chan queryResult, 1),
 	}
 	s.queries[query.id] = query
 	s.stepLocked(dispatch.QueryArrived{Query: dispatch.Query{
@@ -147,10 +147,10 @@
 	s.stepLocked(event)
 }
 
-// abandon tells the machine that nobody waits for a query any more. A
+// cancelQuery tells the machine that nobody waits for a query any more. A
 // not-repeatable query that was sent goes on: stopping it would not undo it,
 // and its outcome is worth recording.
-func (s *shard) abandon(query *pendingQuery) {
+func (s *shard) cancelQuery(query *pendingQuery) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.queries[query.id] == nil || query.sent && !query.request.Repeatable {
@@ -179,13 +179,13 @@
 	}
 	s.attempts[action.Attempt] = outgoing
 	s.options.running.Add(1)
-	s.options.workers.start(job{carrier: s, context: ctx, outgoing: outgoing})
+	s.options.workers.start(job{serviceShard: s, context: ctx, outgoing: outgoing})
 }
 
-// carry waits for the end of one sub-request and reports it.
-func (s *shard) carry(ctx context.Context, outgoing *subRequest) {
+// runAttempt waits for the end of one sub-request and reports it.
+func (s *shard) runAttempt(ctx context.Context, outgoing *subRequest) {
 	defer s.options.running.Done()
-	event := s.options.asker.ask(ctx, outgoing)
+	event := s.options.sender.sendSubRequest(ctx, outgoing)
 	if _, failed := event.(dispatch.AttemptFailed); failed {
 		s.options.counters.failures.Inc()
 	}
@@ -195,17 +195,17 @@
 	outgoing.cancel()
 	s.stepLocked(event)
 	outgoing.query.running--
-	s.releaseIfOver(outgoing.query)
+	s.releaseIfDone(outgoing.query)
 }
 
-func (s *shard) cancel(attempt dispatch.AttemptID) {
+func (s *shard) cancelAttempt(attempt dispatch.AttemptID) {
 	if sent := s.attempts[attempt]; sent != nil {
 		sent.cancel()
 	}
 }
 
-// releaseIfOver ends the context of a query that has its answer and no attempts.
-func (s *shard) releaseIfOver(query *pendingQuery) {
+// releaseIfDone ends the context of a query that has its answer and no attempts.
+func (s *shard) releaseIfDone(query *pendingQuery) {
 	if query.release != nil && query.running == 0 && s.queries[query.id] != query {
 		query.release()
 	}
@@ -214,24 +214,24 @@
 func (s *shard) finish(now time.Duration, action dispatch.Finish) {
 	query := s.queries[action.Query]
 	delete(s.queries, action.Query)
-	query.done <- finished{outcome: action.Outcome, took: now - query.arrived}
-	s.releaseIfOver(query)
+	query.done <- queryResult{outcome: action.Outcome, duration: now - query.arrivedAt}
+	s.releaseIfDone(query)
 }
 
-func (s *shard) setWake(after time.Duration) {
+func (s *shard) setTimer(after time.Duration) {
 	if s.closed {
 		return
 	}
 	after = max(after, 0)
-	if s.wake == nil {
-		s.wake = time.AfterFunc(after, s.woken)
+	if s.timer == nil {
+		s.timer = time.AfterFunc(after, s.timerFired)
 		return
 	}
-	s.wake.Reset(after)
+	s.timer.Reset(after)
 }
 
-// pending lists the request IDs of the queries without a final answer.
-func (s *shard) pending() []string {
+// pendingRequestIDs lists the request IDs of the queries without a final answer.
+func (s *shard) pendingRequestIDs() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	requestIDs := make([]string, 0, len(s.queries))
@@ -241,8 +241,8 @@
 	return requestIDs
 }
 
-// woken passes the machine's own timer on.
-func (s *shard) woken() {
+// timerFired passes the machine's own timer on.
+func (s *shard) timerFired() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.closed {
@@ -270,7 +270,7 @@
 
 func (s *shard) closeLocked() {
 	s.closed = true
-	if s.wake != nil {
-		s.wake.Stop()
+	if s.timer != nil {
+		s.timer.Stop()
 	}
 }
--- a/node/shard_bench_internal_test.go
+++ b/node/shard_bench_internal_test.go
@@ -15,10 +15,10 @@
 	"github.com/banksail/banksail/telemetry"
 )
 
-// instantAsker replies at once, without a network.
-type instantAsker struct{ body json.RawMessage }
+// instantSender replies at once, without a network.
+type instantSender struct{ body json.RawMessage }
 
-func (i instantAsker) ask(_ context.Context, outgoing *subRequest) dispatch.Event {
+func (i instantSender) sendSubRequest(_ context.Context, outgoing *subRequest) dispatch.Event {
 	return dispatch.AttemptReplied{Attempt: outgoing.send.Attempt, Reply: dispatch.Reply{
 		Status: dispatch.ReplyDone, Snapshot: outgoing.send.Snapshot, Range: outgoing.send.Range, Body: i.body,
 	}}
@@ -35,9 +35,9 @@
 	const size = 100
 	var running sync.WaitGroup
 	epoch := time.Now()
-	carrier := newShard(shardOptions{
-		service: "catalog", attemptPrefix: "node-1-0-1-", machine: dispatch.New(dispatch.Options{Seed: 1}),
-		asker: instantAsker{body: json.RawMessage(`{}`)}, now: func() time.Duration { return time.Since(epoch) },
+	serviceShard := newShard(shardOptions{
+		service: "catalog", attemptPrefix: "node-1-0-1-", dispatcher: dispatch.New(dispatch.Options{Seed: 1}),
+		sender: instantSender{body: json.RawMessage(`{}`)}, now: func() time.Duration { return time.Since(epoch) },
 		counters: newSendCounters(telemetry.NewMetrics(), "catalog"), background: b.Context(), running: &running, workers: newWorkers(),
 	})
 	service := policy.Service{Name: "catalog", KeySpace: coverage.Range{End: uint64(groups * size)}}
@@ -49,20 +49,20 @@
 		})
 	}
 	class := policy.Class{Name: "normal", Deadline: 10_000, LongestWait: 1000}
-	carrier.configure(dispatch.Configured{Revision: 1, Service: service, Classes: []policy.Class{class}})
+	serviceShard.configure(dispatch.Configured{Revision: 1, Service: service, Classes: []policy.Class{class}})
 	for index := range groups {
-		carrier.step(dispatch.ServerReported{Server: strconv.Itoa(index), Snapshots: []dispatch.SnapshotID{1}})
+		serviceShard.step(dispatch.ServerReported{Server: strconv.Itoa(index), Snapshots: []dispatch.SnapshotID{1}})
 	}
 	request := caller.Request{Service: "catalog", RequestID: "r", Class: "normal", Deadline: 10 * time.Second, MinimumCoverage: 1, Repeatable: true}
 	b.ReportAllocs()
 	for b.Loop() {
-		query := carrier.arrive(request)
+		query := serviceShard.submit(request)
 		if end := <-query.done; !end.outcome.Complete {
 			b.Fatalf("outcome %+v", end.outcome)
 		}
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*groups), "ns/send")
 	running.Wait()
-	carrier.close()
-	carrier.options.workers.close()
+	serviceShard.close()
+	serviceShard.options.workers.close()
 }
--- a/node/workers.go
+++ b/node/workers.go
@@ -6,15 +6,15 @@
 	"sync/atomic"
 )
 
-// maximumIdleWorkers bounds the goroutines that wait for a sub-request. Each
+// maxIdleWorkers bounds the goroutines that wait for a sub-request. Each
 // keeps a stack of some kilobytes.
-const maximumIdleWorkers = 512
+const maxIdleWorkers = 512
 
 // job is a sub-request with what carries it.
 type job struct {
-	carrier  *shard
-	context  context.Context
-	outgoing *subRequest
+	serviceShard *shard
+	context      context.Context
+	outgoing     *subRequest
 }
 
 // workers runs each job at once, on a goroutine that waits for one or else on a
@@ -37,22 +37,22 @@
 	select {
 	case w.jobs <- next:
 	default:
-		w.running.Go(func() { w.work(next) })
+		w.running.Go(func() { w.runJobs(next) })
 	}
 }
 
-func (w *workers) work(next job) {
+func (w *workers) runJobs(next job) {
 	for more := true; more; {
-		next.carrier.carry(next.context, next.outgoing)
-		next, more = w.await()
+		next.serviceShard.runAttempt(next.context, next.outgoing)
+		next, more = w.waitForJob()
 	}
 }
 
-// await waits for a job; there is none when enough workers wait already, and
+// waitForJob waits for a job; there is none when enough workers wait already, and
 // once the workers are closed.
-func (w *workers) await() (next job, more bool) {
+func (w *workers) waitForJob() (next job, more bool) {
 	defer w.idle.Add(-1)
-	if w.idle.Add(1) > maximumIdleWorkers {
+	if w.idle.Add(1) > maxIdleWorkers {
 		return job{}, false
 	}
 	select {
--- a/node/workers_internal_test.go
+++ b/node/workers_internal_test.go
@@ -11,15 +11,15 @@
 	"github.com/banksail/banksail/telemetry"
 )
 
-// gatedAsker counts the sub-requests that run and holds them until the gate opens.
-type gatedAsker struct {
+// gatedSender counts the sub-requests that run and holds them until the gate opens.
+type gatedSender struct {
 	gate chan struct{}
 
 	mutex   sync.Mutex
 	running int
 }
 
-func (g *gatedAsker) ask(_ context.Context, outgoing *subRequest) dispatch.Event {
+func (g *gatedSender) sendSubRequest(_ context.Context, outgoing *subRequest) dispatch.Event {
 	g.mutex.Lock()
 	g.running++
 	g.mutex.Unlock()
@@ -27,20 +27,20 @@
 	return dispatch.AttemptFailed{Attempt: outgoing.send.Attempt, Delivery: dispatch.NotDelivered}
 }
 
-// silentMachine decides nothing.
-type silentMachine struct{}
+// noopDispatcher decides nothing.
+type noopDispatcher struct{}
 
-func (silentMachine) Step(_ time.Duration, _ dispatch.Event) []dispatch.Action { return nil }
+func (noopDispatcher) Step(_ time.Duration, _ dispatch.Event) []dispatch.Action { return nil }
 
 func TestWorkersRunEveryJobAtOnceAndKeepSomeGoroutines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const jobs = maximumIdleWorkers + 10
+		const jobs = maxIdleWorkers + 10
 		pool := newWorkers()
 		var reported sync.WaitGroup
 		for range 3 {
-			held := &gatedAsker{gate: make(chan struct{})}
-			carrier := newShard(shardOptions{
-				machine: silentMachine{}, asker: held, now: func() time.Duration { return 0 },
+			held := &gatedSender{gate: make(chan struct{})}
+			serviceShard := newShard(shardOptions{
+				dispatcher: noopDispatcher{}, sender: held, now: func() time.Duration { return 0 },
 				counters: newSendCounters(telemetry.NewMetrics(), "catalog"), running: &reported, workers: pool,
 			})
 			query := &pendingQuery{}
@@ -50,7 +50,7 @@
 				outgoing := &subRequest{
 					send: dispatch.Send{Attempt: dispatch.AttemptID(number)}, query: query, cancel: func() {},
 				}
-				pool.start(job{carrier: carrier, context: t.Context(), outgoing: outgoing})
+				pool.start(job{serviceShard: serviceShard, context: t.Context(), outgoing: outgoing})
 			}
 			synctest.Wait()
 			if held.running != jobs {
@@ -59,8 +59,8 @@
 			close(held.gate)
 			reported.Wait()
 			synctest.Wait()
-			if idle := pool.idle.Load(); idle != maximumIdleWorkers {
-				t.Errorf("%d goroutines wait for a job, want %d", idle, maximumIdleWorkers)
+			if idle := pool.idle.Load(); idle != maxIdleWorkers {
+				t.Errorf("%d goroutines wait for a job, want %d", idle, maxIdleWorkers)
 			}
 		}
 		pool.close()
