--- a/node/ask.go
+++ b/node/ask.go
@@ -10,14 +10,16 @@
 	"github.com/banksail/banksail/dispatch"
 )
 
-// backendClient is what the node needs of the client towards back ends.
+// backendClient sends sub-requests to servers and polls their health and load.
+// *backend.Client and *router implement it.
 type backendClient interface {
 	Query(ctx context.Context, address string, request *backend.Request) (*backend.Reply, error)
 	Health(ctx context.Context, address string) (*backend.Health, error)
 	Load(ctx context.Context, address string) (*backend.Load, error)
 }
 
-// subRequest is one sub-request that was sent and not yet reported back.
+// subRequest is a sub-request in flight: sent, with its result not yet passed
+// to the dispatcher.
 type subRequest struct {
 	send          dispatch.Send
 	query         *pendingQuery
@@ -26,16 +28,19 @@
 	cancel context.CancelFunc
 }
 
-// backendSender sends sub-requests through the client towards back ends.
+// backendSender sends sub-requests with a backendClient.
 type backendSender struct {
 	client backendClient
-	// onReply is told of every well-formed reply of a server.
+	// onReply is called with every well-formed reply; age is the time since the
+	// sub-request was sent.
 	onReply func(server string, reply *backend.Reply, age time.Duration)
-	// onUnreachable is told of every server to which no connection could be made.
+	// onUnreachable is called with the ID of each server to which no connection
+	// could be opened.
 	onUnreachable func(server string)
 }
 
-// sendSubRequest sends one sub-request and waits for its end.
+// sendSubRequest sends one sub-request and returns its result. If every owner
+// is at its forward limit, the result is a synthetic "shed" reply.
 func (b *backendSender) sendSubRequest(ctx context.Context, outgoing *subRequest) dispatch.Event {
 	attempt := outgoing.send.Attempt
 	sent := time.Now()
@@ -53,7 +58,8 @@
 	return dispatch.AttemptReplied{Attempt: attempt, Reply: convertReply(outgoing.send, reply)}
 }
 
-// ownersBusyReply is the reply to a sub-request that no owner has room for.
+// ownersBusyReply returns the reply used for a sub-request that every owner
+// rejected because it was at its forward limit.
 func ownersBusyReply(sent dispatch.Send) dispatch.Reply {
 	return dispatch.Reply{
 		Status:     dispatch.ReplyShed,
@@ -85,7 +91,8 @@
 	return dispatch.DeliveryUnknown
 }
 
-// failureReason is a short text without addresses or bodies.
+// failureReason returns a short description that contains no addresses or
+// bodies.
 func failureReason(ctx context.Context, err error) string {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
@@ -101,8 +108,9 @@
 	}
 }
 
-// convertReply translates a well-formed reply that echoes the attempt ID. A reply
-// that says not executed may leave out the snapshot and the range.
+// convertReply converts a well-formed reply whose attempt ID matches. A reply
+// that reports "not executed" may omit the snapshot and the range; those of the
+// sub-request are used then.
 func convertReply(sent dispatch.Send, reply *backend.Reply) dispatch.Reply {
 	translated := dispatch.Reply{
 		Status:     convertStatus(reply.Status),
@@ -124,8 +132,9 @@
 	return translated
 }
 
-// convertStatus translates a status. An invalid sub-request was not executed, as one
-// sent to a server that does not hold the range.
+// convertStatus converts a reply status. An invalid sub-request was not
+// executed, so it is treated like one sent to a server that does not own the
+// range.
 func convertStatus(status backend.Status) dispatch.ReplyStatus {
 	switch status {
 	case backend.StatusDone:
--- a/node/claim.go
+++ b/node/claim.go
@@ -9,12 +9,14 @@
 	"github.com/banksail/banksail/dispatch"
 )
 
-// claimRetryAfter is told to callers whose request ID could not be claimed.
+// claimRetryAfter is the Retry-After value for requests whose ID is claimed by
+// another node.
 const claimRetryAfter = time.Second
 
-// runWithClaim runs a not-repeatable request once its ID is claimed at other
-// nodes, so that none of them runs it again when this node has died. ran is
-// false when this node certainly did not run it, so that it may be asked again.
+// runWithClaim claims the ID of a non-repeatable request at other nodes and
+// then runs it, so that no other node runs it again if this node crashes. ran
+// is false if the request certainly did not run on this node; the claim is then
+// released and the caller may retry.
 func (n *Node) runWithClaim(ctx context.Context, serviceShard *shard, request caller.Request, key string) (result caller.Result, ran bool) {
 	startedAt := n.now()
 	claimContext, cancel := context.WithTimeout(ctx, request.Deadline)
@@ -38,13 +40,14 @@
 	return result, ran
 }
 
-// heldElsewhereResult is the answer to a request that another node may have run.
+// heldElsewhereResult returns the result for a request that another node has
+// claimed and may have run.
 func (n *Node) heldElsewhereResult(request caller.Request, holder claim.Holder) caller.Result {
 	n.metrics.Duplicates.Inc()
 	n.log.Info().
 		Str("request_id", request.RequestID).
 		Str("holder", holder.Node).
-		Msg("request is held by another node")
+		Msg("request ID is claimed by another node")
 	outcome := dispatch.Outcome{
 		Execution:  dispatch.ExecutionUnknown,
 		Reason:     caller.ReasonHeldElsewhere,
--- a/node/configuration.go
+++ b/node/configuration.go
@@ -10,25 +10,27 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// activeConfig is the configuration in force with the shards that carry it. It never
-// changes once it is stored.
+// activeConfig is the configuration in force together with the shards that
+// serve it. It is immutable once stored.
 type activeConfig struct {
 	revision policy.Revision
 	shards   map[string]*shard
 	classes  map[string]policy.Class
-	// servers maps a server's ID to where it is configured.
+	// servers maps a server's ID to its configured address, place and shards.
 	servers map[string]configuredServer
 }
 
-// configuredServer is one server with the shards that may ask it.
+// configuredServer is a server and the shards that may send sub-requests to it.
 type configuredServer struct {
 	address string
-	// place tells whose connections are shared out.
+	// place identifies the server and the connection limit that the nodes
+	// divide among themselves.
 	place  membership.ServerPlace
 	shards []*shard
 }
 
-// configure puts a configuration in force unless a later one already is.
+// configure applies a configuration unless the same or a later revision is
+// already in force.
 func (n *Node) configure(revision policy.Revision, config policy.Config) {
 	n.configurationMutex.Lock()
 	defer n.configurationMutex.Unlock()
@@ -54,7 +56,8 @@
 	n.log.Info().Uint64("revision", uint64(revision)).Int("services", len(config.Services)).Msg("configuration in force")
 }
 
-// newActiveConfig reuses the shards of services that stay.
+// newActiveConfig builds the state for a configuration. Services that were
+// already configured keep their shards.
 func (n *Node) newActiveConfig(previous *activeConfig, revision policy.Revision, config policy.Config) *activeConfig {
 	next := &activeConfig{
 		revision: revision,
@@ -93,9 +96,9 @@
 	}
 }
 
-// newServiceShard makes the shard of a service that was not configured before. The
-// shard's number is part of its attempt IDs, so that a service that comes back
-// never repeats one.
+// newServiceShard creates the shard of a service that was not configured
+// before. The shard's number is part of its attempt IDs, so a service that is
+// removed and added again never reuses an ID.
 func (n *Node) newServiceShard(service string) *shard {
 	n.lastShardNumber++
 	seed := n.options.Seed + n.lastShardNumber
@@ -112,8 +115,8 @@
 	})
 }
 
-// removeServices tells the shards of services that are no longer configured,
-// and drops those among earlier ones that have ended their work.
+// removeServices retires the shards of services that are no longer configured,
+// and closes and drops retired shards that have become idle.
 func (n *Node) removeServices(previous, next *activeConfig, revision policy.Revision) {
 	if previous == nil {
 		return
@@ -129,8 +132,8 @@
 	n.retiredShards = slices.Clip(n.retiredShards)
 }
 
-// closeRemovedServers closes the idle connections to addresses that are no longer
-// configured.
+// closeRemovedServers closes the idle connections to addresses that are no
+// longer configured.
 func (n *Node) closeRemovedServers(previous, next *activeConfig) {
 	if previous == nil {
 		return
@@ -146,7 +149,8 @@
 	}
 }
 
-// replayServerStates repeats to a shard what membership said of its servers.
+// replayServerStates passes the last known membership state of each of the
+// service's servers to its shard.
 func (n *Node) replayServerStates(serviceShard *shard, service policy.Service) {
 	for _, group := range service.Groups {
 		for _, server := range group.Servers {
@@ -157,7 +161,7 @@
 	}
 }
 
-// allShards lists the shards that may still have work.
+// allShards returns all shards that may have work, including retired ones.
 func (n *Node) allShards() []*shard {
 	n.configurationMutex.Lock()
 	defer n.configurationMutex.Unlock()
@@ -170,7 +174,8 @@
 	return all
 }
 
-// handleServerStateChange passes a server's state in membership to the shards that ask it.
+// handleServerStateChange records a server's new membership state and passes it
+// to the shards that use the server. The agent calls it.
 func (n *Node) handleServerStateChange(server string, state dispatch.ServerState) {
 	n.configurationMutex.Lock()
 	defer n.configurationMutex.Unlock()
--- a/node/connections.go
+++ b/node/connections.go
@@ -10,15 +10,16 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// memberPollInterval is the time between two looks at the live nodes, which share
-// the servers' connections.
+// memberPollInterval is the interval at which the set of live nodes, which
+// divide the servers' connections among themselves, is checked for changes.
 const memberPollInterval = 500 * time.Millisecond
 
-// machineListTimeout bounds the wait for the machine list at the start.
+// machineListTimeout bounds the wait for the first read of the machine list at
+// start-up.
 const machineListTimeout = 2 * time.Second
 
-// watchMembers shares out the servers' connections anew whenever the live nodes
-// change, until ctx ends.
+// watchMembers recomputes this node's connection limits and assigned health
+// polls whenever the set of live nodes changes, until ctx ends.
 func (n *Node) watchMembers(ctx context.Context) {
 	n.waitForMachineList(ctx)
 	ticker := time.NewTicker(memberPollInterval)
@@ -34,8 +35,9 @@
 	}
 }
 
-// waitForMachineList waits for the first reading of the machine list, but not for long: a
-// node that knows no other would take a server's connections for itself.
+// waitForMachineList waits for the first read of the machine list, for at most
+// machineListTimeout. A node that knows no other node would claim all of a
+// server's connections.
 func (n *Node) waitForMachineList(ctx context.Context) {
 	timeout := time.NewTimer(machineListTimeout)
 	defer timeout.Stop()
@@ -46,9 +48,9 @@
 	}
 }
 
-// updateLiveNodes takes over the live nodes if they changed. A node that stops
-// keeps what it has: it is no longer counted as live, but its running queries
-// need their connections to the end.
+// updateLiveNodes recomputes the connection limits if the set of live nodes
+// changed. A stopping node keeps its connections: the others no longer count it
+// as live, but its running queries need them until they finish.
 func (n *Node) updateLiveNodes() {
 	if n.stopping.Load() {
 		return
@@ -63,10 +65,10 @@
 	n.assignConnections(n.activeConfig.Load())
 }
 
-// assignConnections works out this node's share of each server's connections, for
-// the client and for the shards. A server whose share fell to zero loses its
-// idle connections: other nodes hold them now. The caller holds
-// configurationMutex.
+// assignConnections computes this node's share of each server's connections and
+// applies it to the client and the shards. If the share of a server dropped to
+// zero, its idle connections are closed, because other nodes own them now. The
+// caller holds configurationMutex.
 func (n *Node) assignConnections(current *activeConfig) {
 	if current == nil || len(n.liveNodes) == 0 {
 		return
@@ -90,8 +92,8 @@
 	}
 }
 
-// applyConnectionLimits closes idle connections above the new shares, all those to
-// servers that now go through owners.
+// applyConnectionLimits closes idle connections that exceed the new shares. For
+// servers that are now reached through owners it closes all of them.
 func (n *Node) applyConnectionLimits(previous *map[string]route, routes map[string]route) {
 	if previous == nil {
 		return
@@ -108,9 +110,9 @@
 	}
 }
 
-// routeTo finds the way to the server at an address. One that is not in the
-// configuration any more gets a connection; until the shares are known there is
-// none, and no owner either.
+// routeTo returns the route to the server at an address. An address that is no
+// longer configured gets one connection. Until the shares are known, the route
+// has neither connections nor owners.
 func (n *Node) routeTo(address string) route {
 	routes := n.routes.Load()
 	if routes == nil {
@@ -123,11 +125,12 @@
 	return serverRoute
 }
 
-// connectionLimit bounds the connections to the server at an address.
+// connectionLimit returns the maximum number of connections to the server at an
+// address.
 func (n *Node) connectionLimit(address string) int { return n.routeTo(address).connections }
 
-// ownedConnections finds where a server is configured and this node's share of its
-// connections; none when it is not configured.
+// ownedConnections returns a server's configured address and this node's share
+// of its connections, or "" and 0 if the server is not configured.
 func (n *Node) ownedConnections(server string) (address string, connections int) {
 	current, routes := n.activeConfig.Load(), n.routes.Load()
 	if current == nil || routes == nil {
--- a/node/counters.go
+++ b/node/counters.go
@@ -7,14 +7,15 @@
 	"github.com/banksail/banksail/telemetry"
 )
 
-// Names of the kinds of sub-requests in metrics.
+// Label values for the kinds of sub-requests.
 const (
 	kindFirst = "first"
 	kindHedge = "hedge"
 	kindRetry = "retry"
 )
 
-// sendCounters count one service's sub-requests; they are looked up once.
+// sendCounters holds the sub-request counters of one service. They are looked
+// up once, so that counting does not resolve labels.
 type sendCounters struct {
 	first, hedge, retry, failures prometheus.Counter
 }
--- a/node/drain.go
+++ b/node/drain.go
@@ -12,34 +12,35 @@
 )
 
 const (
-	// drainQuietPeriod is the time without a new connection after which a draining
-	// listener closes.
+	// drainQuietPeriod is the time without a new connection after which a
+	// draining listener closes.
 	drainQuietPeriod = 2 * time.Millisecond
-	// maxDrainTime bounds the draining when connections keep coming.
+	// maxDrainTime bounds the drain if connections keep arriving.
 	maxDrainTime = 200 * time.Millisecond
 )
 
-// deadlineListener is a listener whose Accept can be limited in time, as the
-// operating system's can.
+// deadlineListener is a listener whose Accept can time out, such as
+// *net.TCPListener.
 type deadlineListener interface {
 	net.Listener
 	SetDeadline(at time.Time) error
 }
 
-// drainingListener hands out the connections that the operating system has
-// already taken for it before it closes. Closing at once would reset them, and
-// with them requests that their callers have already written.
+// drainingListener returns the connections that the kernel has already accepted
+// before it closes. Closing at once would reset those connections, and with
+// them requests that callers have already written.
 type drainingListener struct {
 	net.Listener
 	draining atomic.Bool
-	// isQuiet says that no connection came since the deadline was set, and end is
-	// when draining ends at the latest; only Accept uses them.
+	// isQuiet reports that no connection was accepted since the deadline was
+	// last set; drainDeadline is when the drain ends at the latest. Only Accept
+	// uses them.
 	isQuiet       bool
 	drainDeadline time.Time
 }
 
-// drain makes Accept return what waits, and then net.ErrClosed. A listener
-// without deadlines closes at once.
+// drain makes Accept return the pending connections and then net.ErrClosed. A
+// listener that does not support deadlines is closed at once.
 func (l *drainingListener) drain() {
 	l.draining.Store(true)
 	limited, ok := l.Listener.(deadlineListener)
@@ -48,8 +49,9 @@
 	}
 }
 
-// Accept waits for the next connection. A deadline that has passed hides what
-// waits, so a draining listener closes only after a whole quiet period.
+// Accept waits for the next connection. An expired deadline hides pending
+// connections, so a draining listener closes only after a complete quiet
+// period.
 func (l *drainingListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -67,7 +69,8 @@
 	}
 }
 
-// extendDrain starts another period unless one has passed without a connection.
+// extendDrain starts another quiet period and returns true, unless the last
+// period passed without a connection or maxDrainTime is exceeded.
 func (l *drainingListener) extendDrain() bool {
 	now := time.Now()
 	if l.drainDeadline.IsZero() {
@@ -81,15 +84,17 @@
 	return ok && limited.SetDeadline(now.Add(drainQuietPeriod)) == nil
 }
 
-// requestTracker counts the connections of a server that may carry a request:
-// those on which none has come yet, and those with one in progress.
+// requestTracker tracks the server connections that may carry a request: new
+// connections on which no request has arrived yet, and those with a request in
+// progress.
 //
-// http.Server.Shutdown alone is not enough for a planned stop: it drops without
-// a response each request that it reads after its call.
+// http.Server.Shutdown alone does not suffice for a planned stop: it closes,
+// without a response, the connection of each request that it reads after the
+// call.
 type requestTracker struct {
 	mutex sync.Mutex
-	// mutex guards the fields below. Invariant: once waited for, none is closed
-	// as soon as connections is empty.
+	// mutex guards the fields below. Invariant: after wait was called, drained
+	// is closed as soon as connections is empty.
 	connections map[net.Conn]struct{}
 	drained     chan struct{}
 }
@@ -98,7 +103,7 @@
 	return &requestTracker{connections: make(map[net.Conn]struct{})}
 }
 
-// track follows a connection's state; it is the server's ConnState.
+// track updates the state of a connection; it is the server's ConnState hook.
 func (o *requestTracker) track(conn net.Conn, state http.ConnState) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -110,8 +115,8 @@
 	o.signalIfDrained()
 }
 
-// wait returns when no connection may carry a request, or when ctx ends. No
-// connection may be accepted any more; wait is called once.
+// wait returns when no connection may carry a request, or when ctx ends. It is
+// called once, after the server stopped accepting connections.
 func (o *requestTracker) wait(ctx context.Context) {
 	o.mutex.Lock()
 	none := make(chan struct{})
--- a/node/forward.go
+++ b/node/forward.go
@@ -9,37 +9,40 @@
 	"github.com/banksail/banksail/peer"
 )
 
-// maxForwardsPerConnection bounds the forwards that wait or run for each of this
-// node's connections to a server. More would wait here for longer than they
-// would elsewhere.
+// maxForwardsPerConnection bounds the forwards that run or wait per connection
+// that this node owns to a server. Any more would wait here for longer than at
+// another owner.
 const maxForwardsPerConnection = 4
 
-// healthCacheIntervals is the number of health intervals after which a reading is too
-// old to be told to others.
+// healthCacheIntervals is the number of health intervals for which a poll
+// result may be passed on to other nodes.
 const healthCacheIntervals = 2
 
-// forwardServer asks servers for other nodes, over this node's own connections. It
-// implements peer.ForwardTarget.
+// forwardServer sends sub-requests to servers on behalf of other nodes, over
+// this node's own connections. It implements peer.ForwardTarget.
 type forwardServer struct {
 	direct backendClient
-	// lookUpServer finds where a server is configured and this node's share of its
+	// lookUpServer returns a server's address and this node's share of its
 	// connections.
 	lookUpServer func(server string) (address string, connections int)
-	// background ends when the node aborts.
+	// background is cancelled when the node aborts.
 	background   context.Context
 	counters     forwardCounters
 	recentHealth *healthCache
 
 	mutex sync.Mutex
-	// mutex guards the fields below. Invariants: inFlight holds the positive
-	// numbers of forwards for each server; running grows only under mutex and
-	// while closed is not set, so that waiting for it after that is safe.
+	// mutex guards the fields below. Invariants: inFlight holds the number of
+	// forwards per server and only positive numbers; running grows only under
+	// mutex and while closed is not set, so it can safely be waited for after
+	// that.
 	inFlight map[string]int
 	closed   bool
 	running  sync.WaitGroup
 }
 
-// setUpForwarding makes what asks other nodes and what serves them.
+// setUpForwarding creates the client that forwards to other nodes and the
+// target of their forwards. It returns the cache of health poll results that
+// the router shares.
 func (n *Node) setUpForwarding() *healthCache {
 	recentHealth := newHealthCache(healthCacheIntervals * n.options.Settings.Backend.HealthInterval)
 	n.forwarder = peer.NewForwarder(n.options.Network.DialContext)
@@ -54,8 +57,8 @@
 	return recentHealth
 }
 
-// ForwardQuery sends a sub-request to a server over this node's own connections;
-// when there are none, it refuses. It never asks another node.
+// ForwardQuery sends a sub-request to a server over this node's own connections
+// and rejects it if there are none. It never forwards to a further node.
 func (f *forwardServer) ForwardQuery(ctx context.Context, server string, request *backend.Request) peer.ForwardResult {
 	result := f.send(ctx, server, request)
 	f.counters[result.Outcome].Inc()
@@ -76,13 +79,14 @@
 	defer context.AfterFunc(f.background, cancel)()
 	reply, err := f.direct.Query(ctx, address, request)
 	if ctx.Err() != nil && errors.Is(err, backend.ErrNotDelivered) {
-		// The time went by in waiting for a connection; the server is not to blame.
+		// The time was spent waiting for a connection, so this is not a failure
+		// of the server.
 		return peer.ForwardResult{Outcome: peer.ForwardBusy, Err: err}
 	}
 	return toForwardResult(reply, err)
 }
 
-// toForwardResult tells how far a sub-request got.
+// toForwardResult classifies the result of a sub-request by how far it got.
 func toForwardResult(reply *backend.Reply, err error) peer.ForwardResult {
 	switch {
 	case err == nil:
@@ -96,7 +100,8 @@
 	}
 }
 
-// admit takes a place for a forward, or tells why there is none.
+// admit reserves capacity for a forward or returns the reason for rejecting it.
+// Each admitted forward must be released.
 func (f *forwardServer) admit(server string, connections int) (rejection peer.ForwardOutcome, rejected bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -121,17 +126,18 @@
 	f.running.Done()
 }
 
-// close refuses new forwards from now on.
+// close rejects all further forwards.
 func (f *forwardServer) close() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.closed = true
 }
 
-// wait returns when the forwards that were taken have ended; close comes first.
+// wait returns when all admitted forwards have ended. Call close first.
 func (f *forwardServer) wait() { f.running.Wait() }
 
-// ServerHealth returns this node's own last reading of a server's health.
+// ServerHealth returns this node's own last health poll result of a server,
+// unless it has expired or this node owns no connection to the server.
 func (f *forwardServer) ServerHealth(server string) (*backend.Health, bool) {
 	if _, connections := f.lookUpServer(server); connections == 0 {
 		return nil, false
--- a/node/health.go
+++ b/node/health.go
@@ -13,73 +13,81 @@
 )
 
 const (
-	// initialPollBackoff is the pause after the first failed reading of a server;
-	// it doubles with each further one, up to the health interval.
+	// initialPollBackoff is the delay after the first failed poll of a server.
+	// It doubles with each further failure, up to the health interval.
 	initialPollBackoff = 100 * time.Millisecond
-	// maxBackoffDoublings bounds the doubling of that pause.
+	// maxBackoffDoublings keeps the shift that doubles the delay from
+	// overflowing.
 	maxBackoffDoublings = 16
-	// minLoadPollInterval is the least time between two load readings of a server;
-	// load rides on replies besides.
+	// minLoadPollInterval is the minimum time between two load polls of a
+	// server; replies also report its load.
 	minLoadPollInterval = 30 * time.Second
-	// jitterFraction is the share by which pauses vary around their mean.
+	// jitterFraction is the maximum relative deviation of a delay from its
+	// mean.
 	jitterFraction = 0.25
-	// pollTick is the time between two moments at which readings fall due, so
-	// that a node with many servers wakes up for several readings at once.
+	// pollTick is the interval to which poll times are aligned, so that a node
+	// with many servers wakes up once for several polls.
 	pollTick = 250 * time.Millisecond
 )
 
-// pollResult is what a server said of itself; load may be nil.
+// pollResult is a server's health and, if it was polled as well, its load; load
+// may be nil.
 type pollResult struct {
 	server string
 	health *backend.Health
 	load   *backend.Load
 }
 
-// pollerOptions are what the poller needs of its node.
+// pollerOptions configures a poller.
 type pollerOptions struct {
 	client      backendClient
 	interval    time.Duration
 	timeout     time.Duration
 	concurrency int
-	// budgetRate is the number of readings a second; the servers that are this
-	// node's duty are read beyond it. Zero means no bound.
+	// budgetRate is the maximum number of polls per second. The servers
+	// assigned to this node are polled even if they exceed it. Zero means
+	// unlimited.
 	budgetRate float64
 	seed       uint64
-	// onResult takes each successful reading.
+	// onResult is called with each successful poll.
 	onResult func(pollResult)
-	// onUnreachable is told of every server to which no connection could be made.
+	// onUnreachable is called with the ID of each server to which no connection
+	// could be opened.
 	onUnreachable func(server string)
 }
 
-// poller reads the servers' health: it is how a drain that shows only there is
-// seen, and how a node learns the snapshots before any reply.
+// poller polls the servers' health. Polling detects drains that only the health
+// endpoint reports, and discovers snapshots before the first reply.
 //
-// It reads the servers that are its duty every interval; they are all servers
-// when the budget suffices. What the duties leave of the budget is spread evenly
-// over the others, of which those that replied within the interval need none.
+// The servers assigned to this node are polled every interval; if the budget
+// suffices, all servers are assigned. The budget that the assigned servers
+// leave is spread evenly over the remaining ones. A remaining server that
+// replied to a sub-request within the interval is not polled.
 type poller struct {
 	options pollerOptions
 	budget  membership.ReadingBudget
 	wakeup  chan struct{}
-	// targetIndex finds the target of a server's ID without the lock.
+	// targetIndex finds a target by server ID without taking the mutex.
 	targetIndex sync.Map
 
 	mutex sync.Mutex
-	// mutex guards the fields below. Invariant: each target that has no reading
-	// in progress is in exactly one of urgent and others, ordered by due time;
-	// targets holds all that are configured.
+	// mutex guards the fields below. Invariant: each target that is not being
+	// polled is in exactly one of urgent and budgeted, both ordered by due
+	// time; targets holds all configured servers.
 	targets map[string]*pollTarget
-	// urgent holds the duties, first readings and doubts, which wait for no budget.
+	// urgent holds the assigned servers, first polls and rechecks, which are
+	// not subject to the budget.
 	urgent   *priority.Queue[*pollTarget]
 	budgeted *priority.Queue[*pollTarget]
-	// assigned are the servers that this node reads for all nodes.
-	assigned map[string]bool
-	// liveNodes is the number of live nodes.
+	// assigned holds the IDs of the servers that this node polls on behalf of
+	// all nodes.
+	assigned  map[string]bool
 	liveNodes int
-	// pacer spreads the readings of others.
+	// pacer spaces the polls of budgeted targets.
 	pacer  pollPacer
 	random *rand.Rand
-	// phase keeps the ticks of different nodes apart; it never changes.
+	// phase offsets this node's ticks from those of other nodes; it never
+	// changes.
 	phase time.Duration
 }
 
@@ -107,7 +115,8 @@
 	}
 }
 
-// run reads servers as they fall due, until ctx ends and all readings are over.
+// run polls servers as they become due, until ctx ends. It returns when all
+// polls have finished.
 func (p *poller) run(ctx context.Context) {
 	var polls sync.WaitGroup
 	defer polls.Wait()
@@ -138,7 +147,7 @@
 	}
 }
 
-// poll asks one server and schedules its next reading.
+// poll polls one server and schedules its next poll.
 func (p *poller) poll(ctx context.Context, target *pollTarget) {
 	ctx, cancel := context.WithTimeout(ctx, p.options.timeout)
 	defer cancel()
@@ -157,7 +166,8 @@
 	p.reschedule(target, err == nil, withLoad)
 }
 
-// pollParameters tells how to read a target.
+// pollParameters returns the target's address and whether to poll its load as
+// well.
 func (p *poller) pollParameters(target *pollTarget) (address string, withLoad bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -187,7 +197,7 @@
 	p.wake()
 }
 
-// nextDueTime is when a target that was just read falls due again.
+// nextDueTime returns when a target that was just polled is due again.
 func (p *poller) nextDueTime(target *pollTarget, now time.Time, firstPoll bool) time.Time {
 	interval := p.options.interval
 	if !target.urgent() {
@@ -208,7 +218,7 @@
 	}
 }
 
-// nextTick is the first tick after a time.
+// nextTick returns the first tick after a time.
 func (p *poller) nextTick(after time.Time) time.Time {
 	return after.Add(-p.phase).Truncate(pollTick).Add(pollTick + p.phase)
 }
--- a/node/health_endpoints.go
+++ b/node/health_endpoints.go
@@ -5,14 +5,14 @@
 	"net/http"
 )
 
-// Paths of the endpoints beside the operators' API.
+// Paths served on the operator listener besides the operator API.
 const (
 	healthPath  = "/healthz"
 	readyPath   = "/readyz"
 	metricsPath = "/metrics"
 )
 
-// addHealthEndpoints serves health, readiness and metrics.
+// addHealthEndpoints registers the health, readiness and metrics endpoints.
 func (n *Node) addHealthEndpoints(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+healthPath, func(writer http.ResponseWriter, _ *http.Request) {
 		answerText(writer, http.StatusOK, "ok")
@@ -28,7 +28,8 @@
 	mux.Handle("GET "+metricsPath, n.metrics.Handler())
 }
 
-// ready says whether the node takes queries, and why not.
+// ready reports whether the node accepts queries, with a description of its
+// state.
 func (n *Node) ready() (bool, string) {
 	current := n.activeConfig.Load()
 	switch {
--- a/node/health_pace.go
+++ b/node/health_pace.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// pollPacer spreads the readings of the servers that are not this node's duty.
+// pollPacer spaces the polls of servers that are not assigned to this node.
 type pollPacer struct {
-	// interval is the mean time between two readings, pause that between two of one
-	// server.
+	// interval is the mean time between two polls, targetInterval the mean time
+	// between two polls of the same server.
 	interval       time.Duration
 	targetInterval time.Duration
-	// nextAllowed is when the next reading may be.
+	// nextAllowed is the earliest time of the next poll.
 	nextAllowed time.Time
 }
 
-// allows says whether a reading may be now.
+// allows reports whether a poll may start now.
 func (r *pollPacer) allows(now time.Time) bool { return !r.nextAllowed.After(now) }
 
-// earliest is when a reading that is due may be.
+// earliest returns when a poll that is due at the given time may start.
 func (r *pollPacer) earliest(due time.Time) time.Time {
 	if due.After(r.nextAllowed) {
 		return due
@@ -23,7 +23,8 @@
 	return r.nextAllowed
 }
 
-// consume takes a reading's time. What a tick left unused may be made up for.
+// consume accounts for one poll. At most one pollTick of unused time is carried
+// over.
 func (r *pollPacer) consume(now time.Time) {
 	if earliest := now.Add(-pollTick); r.nextAllowed.Before(earliest) {
 		r.nextAllowed = earliest
--- a/node/health_schedule.go
+++ b/node/health_schedule.go
@@ -10,49 +10,52 @@
 )
 
 const (
-	// minFirstPollSpread is the least time over which the first readings of
-	// servers that are new in the configuration are spread.
+	// minFirstPollSpread is the minimum time over which the first polls of
+	// newly configured servers are spread.
 	minFirstPollSpread = 100 * time.Millisecond
-	// firstPollSpreadPerServer is the time that each new server adds to that spread.
+	// firstPollSpreadPerServer is the spread per newly configured server, if the
+	// total exceeds minFirstPollSpread.
 	firstPollSpreadPerServer = time.Millisecond
-	// maxFirstPollFailures is the number of failures after which a server that
-	// was never read waits for its turn in the budget.
+	// maxFirstPollFailures is the number of consecutive failures after which a
+	// server that was never polled successfully becomes subject to the budget.
 	maxFirstPollFailures = 8
-	// recheckSpreadPerNode times the number of live nodes is the time over which they
-	// spread their readings of a server in doubt.
+	// recheckSpreadPerNode, multiplied by the number of live nodes, is the time
+	// over which the nodes spread their rechecks of a server.
 	recheckSpreadPerNode = 20 * time.Millisecond
 )
 
-// pollTarget is one server that is read.
+// pollTarget is a server to poll.
 type pollTarget struct {
 	server  string
 	address string
 	due     time.Time
-	// failures counts failed readings in a row.
+	// failures is the number of consecutive failed polls.
 	failures int
 	lastLoad time.Time
-	// isAssigned says that this node reads the server every interval.
+	// isAssigned reports that this node polls the server every interval.
 	isAssigned bool
-	// polled says that a reading succeeded.
+	// polled reports that at least one poll succeeded.
 	polled bool
-	// recheckRequested says that another node told news of the server.
+	// recheckRequested reports that another node reported a change of the
+	// server's state.
 	recheckRequested bool
-	// lastReply is the Unix time, in nanoseconds, of the last reply that told all
-	// that a reading tells; zero when none did.
+	// lastReply is the Unix time, in nanoseconds, of the last reply that
+	// carried the same information as a poll, or zero.
 	lastReply atomic.Int64
-	// queue is the schedule that holds the target, and index its place there; the
-	// queue is nil during a reading.
+	// queue is the queue that holds the target and index its position there;
+	// queue is nil while the target is being polled.
 	queue *priority.Queue[*pollTarget]
 	index int
 }
 
-// needsFirstPoll says that the node needs a first reading of the server.
+// needsFirstPoll reports whether the server still needs its first successful
+// poll.
 func (t *pollTarget) needsFirstPoll() bool { return !t.polled && t.failures < maxFirstPollFailures }
 
-// urgent says that the target waits for no budget.
+// urgent reports whether the target is exempt from the budget.
 func (t *pollTarget) urgent() bool { return t.isAssigned || t.recheckRequested || t.needsFirstPoll() }
 
-// setServers makes the given servers the ones to read.
+// setServers replaces the set of servers to poll.
 func (p *poller) setServers(servers map[string]configuredServer) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -85,8 +88,9 @@
 	p.enqueue(target)
 }
 
-// setAssigned takes over this node's place among the readers of each server that it
-// reads for all nodes, and the number of live nodes.
+// setAssigned updates the servers assigned to this node and the number of live
+// nodes. ranks maps a server's ID to this node's rank among the nodes that poll
+// it.
 func (p *poller) setAssigned(ranks map[string]int, liveNodes int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -99,7 +103,8 @@
 	p.wake()
 }
 
-// reassign parts the targets into duties and others. The lock is held.
+// reassign splits the targets into assigned and budgeted ones. The caller holds
+// the mutex.
 func (p *poller) reassign() {
 	coversAll := p.budget.Covers(len(p.targets))
 	now := time.Now()
@@ -117,8 +122,8 @@
 	p.pacer.interval, p.pacer.targetInterval = p.budget.Others(assigned, len(p.targets)-assigned)
 }
 
-// setTargetAssigned changes whether a target is a duty. A new one is read soon. The lock
-// is held.
+// setTargetAssigned changes whether a target is assigned. A newly assigned
+// target is polled within about half an interval. The caller holds the mutex.
 func (p *poller) setTargetAssigned(target *pollTarget, isAssigned bool, now time.Time) {
 	queued := target.queue != nil
 	p.dequeue(target)
@@ -131,21 +136,24 @@
 	}
 }
 
-// recordReply notes that a server replied with all that a reading tells.
+// recordReply records that a server sent a reply that carries the same
+// information as a poll.
 func (p *poller) recordReply(server string) {
 	if target, known := p.targetIndex.Load(server); known {
 		target.(*pollTarget).lastReply.Store(time.Now().UnixNano())
 	}
 }
 
-// clearReply makes earlier replies of a server count for nothing.
+// clearReply discards the recorded reply of a server, so that it is polled
+// again.
 func (p *poller) clearReply(server string) {
 	if target, known := p.targetIndex.Load(server); known {
 		target.(*pollTarget).lastReply.Store(0)
 	}
 }
 
-// requestRecheck makes the node read a server soon, as another one told news of it.
+// requestRecheck schedules an early poll of a server after another node
+// reported a change of its state.
 func (p *poller) requestRecheck(server string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -165,12 +173,14 @@
 	}
 }
 
-// recheckDelay spreads the nodes' readings of one server.
+// recheckDelay returns a random delay that spreads the rechecks of a server
+// over the live nodes.
 func (p *poller) recheckDelay() time.Duration {
 	return time.Duration(p.random.Float64() * float64(p.liveNodes) * float64(recheckSpreadPerNode))
 }
 
-// dequeueDue removes the first target that is due, or tells how long to wait.
+// dequeueDue removes and returns the next target to poll. If there is none, it
+// returns nil and the time to wait.
 func (p *poller) dequeueDue() (*pollTarget, time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -192,7 +202,8 @@
 	return nil, wait
 }
 
-// startPoll removes a target for a reading.
+// startPoll removes a target from its queue for a poll and charges the budget
+// if the poll is subject to it.
 func (p *poller) startPoll(target *pollTarget, now time.Time) *pollTarget {
 	p.dequeue(target)
 	if !target.isAssigned && !target.needsFirstPoll() {
@@ -202,8 +213,8 @@
 	return target
 }
 
-// deferRecentlyReplied gives the others that are due and replied within the interval
-// their next turn without a reading.
+// deferRecentlyReplied reschedules, without a poll, the budgeted targets that
+// are due but replied within the interval.
 func (p *poller) deferRecentlyReplied(now time.Time) {
 	for p.budgeted.Len() > 0 && !p.budgeted.First().due.After(now) {
 		target := p.budgeted.First()
@@ -217,7 +228,7 @@
 	}
 }
 
-// enqueue puts a target where it waits for its next reading.
+// enqueue adds a target to the queue for its kind.
 func (p *poller) enqueue(target *pollTarget) {
 	target.queue = p.budgeted
 	if target.urgent() {
@@ -226,7 +237,8 @@
 	target.queue.Push(target)
 }
 
-// dequeue takes a target from where it waits, if it does.
+// dequeue removes a target from its queue; it is a no-op if the target is in
+// none.
 func (p *poller) dequeue(target *pollTarget) {
 	if target.queue != nil {
 		target.queue.Remove(target.index)
@@ -234,7 +246,8 @@
 	}
 }
 
-// newPollQueue returns a queue of targets by due time, and by ID at equal times.
+// newPollQueue returns a queue of targets ordered by due time, then by server
+// ID.
 func newPollQueue() *priority.Queue[*pollTarget] {
 	before := func(target, other *pollTarget) bool {
 		if target.due.Equal(other.due) {
--- a/node/listeners.go
+++ b/node/listeners.go
@@ -12,31 +12,34 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a request's header.
+	// headerTimeout bounds the time to read a request's header.
 	headerTimeout = 5 * time.Second
-	// maxHeaderBytes bounds a request's header.
+	// maxHeaderBytes bounds the size of a request's header.
 	maxHeaderBytes = 64 << 10
-	// controlReadTimeout bounds the reading of an operator's or a peer's request.
+	// controlReadTimeout bounds the time to read a request of an operator or a
+	// peer.
 	controlReadTimeout = 30 * time.Second
 )
 
-// Addresses are where the listeners really listen.
+// Addresses are the actual listen addresses, with the ports that the kernel
+// chose where the settings leave them open.
 type Addresses struct {
 	Caller, Operator, Peer string
 }
 
-// listener is one open listener with its server.
+// listener is an open listening socket with the HTTP server that uses it.
 type listener struct {
 	name   string
 	socket *drainingListener
 	server *http.Server
-	// requests tells which connections may carry a request.
+	// requests tracks the connections that may carry a request.
 	requests *requestTracker
-	// acceptStopped is closed once no further connection is accepted.
+	// acceptStopped is closed once the server accepts no more connections.
 	acceptStopped chan struct{}
 }
 
-// openListeners opens the three listeners, or none.
+// openListeners opens the caller, operator and peer listeners. If one fails, it
+// closes the others and returns an error that wraps ErrListen.
 func (n *Node) openListeners() ([]*listener, error) {
 	listen := n.options.Settings.Listen
 	callers := n.options.Settings.Caller
@@ -53,7 +56,7 @@
 		socket, err := n.options.Network.Listen(spec.address)
 		if err != nil {
 			closeSockets(opened)
-			return nil, fmt.Errorf("%w: %s listener: %w", ErrListen, spec.name, err)
+			return nil, fmt.Errorf("%w: %s: %w", ErrListen, spec.name, err)
 		}
 		opened = append(opened, newListener(spec.name, socket, spec.server))
 	}
@@ -89,19 +92,19 @@
 	}
 }
 
-// serve serves until the server is shut down.
+// serve serves requests until the listener is shut down.
 func (l *listener) serve() error {
 	defer close(l.acceptStopped)
 	err := l.server.Serve(l.socket)
 	if errors.Is(err, http.ErrServerClosed) || l.socket.draining.Load() {
 		return nil
 	}
-	return fmt.Errorf("%w: %s listener: %w", ErrServe, l.name, err)
+	return fmt.Errorf("%w: %s: %w", ErrServe, l.name, err)
 }
 
-// shutdown ends the listener and its idle connections. The others close after
-// the response to their request, also to one that is still to come; when ctx
-// ends first they are cut.
+// shutdown stops accepting connections and closes idle ones. Each remaining
+// connection is closed after the response to its request, also if that request
+// has yet to arrive; if ctx ends first, they are closed at once.
 func (l *listener) shutdown(ctx context.Context) {
 	l.socket.drain()
 	select {
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/banksail/banksail/spread"
 )
 
-// registerControlMetrics adds the metrics of configuration and membership.
+// registerControlMetrics registers the metrics of configuration and membership.
 func (n *Node) registerControlMetrics() {
 	n.metrics.Watch("members_live", "Nodes that membership knows as live, this one included.", n.countLiveNodes)
 	totals := []struct {
--- a/node/network.go
+++ b/node/network.go
@@ -1,5 +1,5 @@
-// Package node runs one banksail node: it owns sockets, clocks and locks, and
-// drives the pure state machines of the other packages.
+// Package node runs one banksail node. It owns the sockets, clocks and locks,
+// and drives the deterministic state machines of the other packages.
 package node
 
 import (
@@ -7,11 +7,11 @@
 	"net"
 )
 
-// Network opens the node's sockets. The daemon uses the operating system's;
-// simulations use one in memory.
+// Network opens the node's sockets. The daemon uses SystemNetwork; simulations
+// use an in-memory network.
 type Network interface {
-	// Listen accepts connections on an IP number and port.
+	// Listen listens on an IP address and port.
 	Listen(address string) (net.Listener, error)
-	// DialContext connects to an IP number and port.
+	// DialContext connects to an IP address and port.
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -25,10 +25,11 @@
 // maxConnectionsPerPeer bounds the connections to one other node.
 const maxConnectionsPerPeer = 4
 
-// peerIdleTimeout closes connections to other nodes that are not used.
+// peerIdleTimeout is the time after which an idle connection to another node is
+// closed.
 const peerIdleTimeout = 30 * time.Second
 
-// Node is one banksail node. New makes it, Run runs it once.
+// Node is one banksail node. It is created by New and can be run once.
 type Node struct {
 	options             Options
 	startedAt           time.Time
@@ -43,25 +44,27 @@
 	poller              *poller
 	requestDeduplicator *requestDeduplicator
 
-	// background ends when the node aborts; it bounds all sub-requests.
+	// background is cancelled when the node aborts; it bounds all sub-requests.
 	background context.Context
 	abort      context.CancelFunc
-	// running counts the sub-requests that are not yet reported back.
+	// running counts the sub-requests whose result was not yet passed to their
+	// shard.
 	running sync.WaitGroup
-	// workers carry them.
+	// workers run the sub-requests.
 	workers     *workers
 	heldQueries atomic.Int64
-	// awaitingReplyReport holds the IDs of servers whose next reply is news to
-	// membership.
+	// awaitingReplyReport holds the IDs of servers whose next reply must be
+	// reported to membership.
 	awaitingReplyReport sync.Map
 	stopping            atomic.Bool
-	// activeConfig is the configuration in force; nil until there is one.
+	// activeConfig is the configuration in force, or nil before the first one.
 	activeConfig atomic.Pointer[activeConfig]
 
-	// routes maps a server's address to the way there; nil until the shares of
-	// connections are known.
+	// routes maps a server's address to its route; nil until the connection
+	// shares are known.
 	routes atomic.Pointer[map[string]route]
-	// forwarder asks other nodes, forwards serves them.
+	// forwarder sends sub-requests through other nodes; forwardServer handles
+	// those that other nodes send through this one.
 	forwarder     *peer.Forwarder
 	forwardServer *forwardServer
 
@@ -70,20 +73,21 @@
 	addresses Addresses
 
 	configurationMutex sync.Mutex
-	// configurationMutex serialises changes of view and guards the fields
-	// below; it is taken before any shard's lock. Invariant: view and retired
-	// together hold every shard that may have work.
+	// configurationMutex serialises changes of activeConfig and guards the
+	// fields below; it is acquired before any shard's mutex. Invariant:
+	// activeConfig and retiredShards together hold every shard that may have
+	// work.
 	retiredShards   []*shard
 	lastShardNumber uint64
 	serverStates    map[string]dispatch.ServerState
 	liveNodes       []string
-	// assignedNodes and assignedRoutes are what the servers that this node reads for
-	// all nodes were worked out from.
+	// assignedNodes and assignedRoutes are the live nodes and routes from which
+	// the current health poll assignments were computed.
 	assignedNodes  []string
 	assignedRoutes *map[string]route
 }
 
-// New makes a node; it opens nothing before Run.
+// New creates a node. It opens no sockets; Run does.
 func New(options Options) (*Node, error) {
 	if options.Seed == 0 {
 		options.Seed = rand.Uint64()
@@ -131,8 +135,8 @@
 	return n, nil
 }
 
-// connectPeers makes the configuration replicator and the agent, which need
-// each other.
+// connectPeers creates the configuration replicator and the agent, which refer
+// to each other.
 func (n *Node) connectPeers() {
 	identity := n.options.Settings.Node
 	n.replicator = spread.NewReplicator(spread.ReplicatorOptions{
@@ -170,7 +174,8 @@
 	return telemetry.ExplanationsOptions{Requests: configured.Requests, Bytes: int(configured.Bytes)}
 }
 
-// spareConnections tells the client that zero means none.
+// spareConnections converts the setting to the client's option, in which zero
+// selects the default and a negative value means none.
 func spareConnections(configured int) int {
 	if configured == 0 {
 		return -1
@@ -185,10 +190,10 @@
 	return n.options.Settings.Listen.Peer
 }
 
-// now is the time since the node's epoch.
+// now returns the time since the node was created.
 func (n *Node) now() time.Duration { return time.Since(n.startedAt) }
 
-// newDispatcher makes the decision core of one service.
+// newDispatcher creates the decision core of one service.
 func (n *Node) newDispatcher(seed uint64) Dispatcher {
 	return dispatch.New(dispatch.Options{Seed: seed, Zone: n.options.Settings.Node.Zone})
 }
@@ -197,7 +202,7 @@
 	return caller.NewHandler(caller.Options{Node: n, BodyBytes: n.options.Settings.Caller.BodyBytes})
 }
 
-// operatorHandler serves operators, metrics and the health endpoints.
+// operatorHandler serves the operator API, metrics and the health endpoints.
 func (n *Node) operatorHandler() http.Handler {
 	service := operator.NewService(operator.Options{
 		Self:           n.options.Settings.Node.ID,
@@ -216,8 +221,9 @@
 
 func (n *Node) peerHandler() http.Handler { return n.agent.Handler() }
 
-// Listening is closed once the node's listeners are open.
+// Listening returns a channel that is closed once all listeners are open.
 func (n *Node) Listening() <-chan struct{} { return n.listening }
 
-// Addresses are where the node listens; they are known once Listening is closed.
+// Addresses returns the addresses that the node listens on. They are known once
+// the Listening channel is closed.
 func (n *Node) Addresses() Addresses { return n.addresses }
--- a/node/once.go
+++ b/node/once.go
@@ -16,28 +16,31 @@
 	"github.com/banksail/banksail/settings"
 )
 
-// dedupPartitions is the number of parts into which the guard is divided by request ID.
+// dedupPartitions is the number of partitions, by hash of the request key, that
+// reduce lock contention.
 const dedupPartitions = 16
 
-// requestDeduplicator lets each not-repeatable request run at most once on this node within
-// the window. The window lives in memory; claims at other nodes (claim.go)
-// cover this node's end. docs/design/at-most-once.md tells how far.
+// requestDeduplicator runs each non-repeatable request at most once on this
+// node within the window. The window is kept in memory; claims at other nodes
+// (claim.go) cover a crash of this node. See docs/design/at-most-once.md for
+// the exact guarantees.
 type requestDeduplicator struct {
 	partitions [dedupPartitions]dedupPartition
 }
 
-// dedupPartition holds the request IDs whose hash falls to it.
+// dedupPartition holds the requests whose key hashes to it.
 type dedupPartition struct {
 	mutex sync.Mutex
 	// mutex guards the fields below. Invariant: running holds exactly the
-	// requests that the guard has in progress.
+	// requests that the deduplicator has in progress.
 	deduplicator *retry.Deduplicator
 	running      map[string]*ongoingRun
-	// outcomes bounds what the guard's recorded outcomes take.
+	// outcomes bounds the memory used by the outcomes that the deduplicator
+	// records.
 	outcomes recordedOutcomes
 }
 
-// ongoingRun is a not-repeatable request in progress.
+// ongoingRun is a non-repeatable request in progress.
 type ongoingRun struct {
 	// done is closed once result is set.
 	done   chan struct{}
@@ -62,13 +65,14 @@
 	return &o.partitions[xxhash.Sum64String(key)%dedupPartitions]
 }
 
-// requestKey is the scope of a request ID: the service that it names.
+// requestKey returns the deduplication key: a request ID is unique within its
+// service.
 func requestKey(request caller.Request) string {
 	return request.Service + "\x00" + request.RequestID
 }
 
-// requestDigest covers all that decides what the request does. The deadline is
-// left out, so that a caller may ask again with the time it has left.
+// requestDigest hashes everything that determines the effect of the request.
+// The deadline is excluded, so that a caller can retry with its remaining time.
 func requestDigest(request caller.Request) retry.Digest {
 	hash := sha256.New()
 	for _, text := range []string{request.Service, request.Class} {
@@ -80,7 +84,9 @@
 	return retry.Digest(hash.Sum(nil))
 }
 
-// runAtMostOnce runs a not-repeatable request unless its ID ran within the window.
+// runAtMostOnce runs a non-repeatable request unless its ID was run within the
+// window. A duplicate gets the recorded outcome or waits for the run in
+// progress; reusing an ID for a different request is an error.
 func (n *Node) runAtMostOnce(ctx context.Context, serviceShard *shard, request caller.Request) (caller.Result, error) {
 	key := requestKey(request)
 	part := n.requestDeduplicator.partition(key)
@@ -116,8 +122,8 @@
 	}
 }
 
-// completeRun records the outcome. A request that did not run here is forgotten, so
-// that its caller may try again.
+// completeRun records the outcome of a run. A request that did not run on this
+// node is removed, so that its caller may retry.
 func (n *Node) completeRun(part *dedupPartition, key string, run *ongoingRun, ran bool) {
 	part.mutex.Lock()
 	defer part.mutex.Unlock()
@@ -131,8 +137,8 @@
 	close(run.done)
 }
 
-// contains says that the request with this key is in progress here or ran within
-// the window.
+// contains reports whether the request with this key is in progress on this
+// node or ran within the window.
 func (o *requestDeduplicator) contains(now time.Duration, key string) bool {
 	part := o.partition(key)
 	part.mutex.Lock()
@@ -140,8 +146,8 @@
 	return part.deduplicator.Contains(now, key)
 }
 
-// joinRun waits for the outcome of the same request in progress, at most until
-// the deadline of its own caller.
+// joinRun waits for the outcome of the same request already in progress, at
+// most until the deadline of the duplicate.
 func (n *Node) joinRun(ctx context.Context, run *ongoingRun, request caller.Request) caller.Result {
 	n.metrics.Duplicates.Inc()
 	deadline := time.NewTimer(request.Deadline)
@@ -158,8 +164,8 @@
 	}
 }
 
-// unknownDuplicateResult is the answer to the repetition of a request whose outcome
-// is not told.
+// unknownDuplicateResult returns the result for a duplicate of a request whose
+// outcome cannot be returned.
 func unknownDuplicateResult(reason dispatch.Reason) caller.Result {
 	return caller.Result{Duplicate: true, Outcome: dispatch.Outcome{
 		Execution:  dispatch.ExecutionUnknown,
--- a/node/options.go
+++ b/node/options.go
@@ -13,48 +13,50 @@
 	"github.com/banksail/banksail/store"
 )
 
-// Errors of this package, wrapped.
+// Errors returned by Run, wrapped.
 var (
-	// ErrListen: a listener could not be opened.
-	ErrListen = errors.New("node: can't listen")
-	// ErrAborted: the node ended at once and cut what was in flight.
+	// ErrListen reports that a listener could not be opened.
+	ErrListen = errors.New("node: failed to open listener")
+	// ErrAborted reports that the node was aborted and interrupted its
+	// in-flight requests.
 	ErrAborted = errors.New("node: aborted")
-	// ErrServe: a listener failed while the node ran.
-	ErrServe = errors.New("node: serving failed")
+	// ErrServe reports that a listener failed while the node was running.
+	ErrServe = errors.New("node: listener failed")
 )
 
-// Options is all that a node needs from outside. A simulation passes an
-// in-memory network, store and machine list; the code that runs is the same.
+// Options holds the external dependencies of a node. A simulation passes an
+// in-memory network, store and machine list and runs the same code.
 type Options struct {
-	// Settings are the process settings, already checked.
+	// Settings are the process settings, already validated.
 	Settings settings.Settings
-	// Network opens all sockets but those of Store and MachineList.
+	// Network opens all sockets except those of Store and MachineList.
 	Network Network
-	// Store is the platform's key-value service.
+	// Store is the platform's key-value store.
 	Store store.Conn
 	// MachineList is the platform's list of machines.
 	MachineList machinelist.Conn
-	// Logger is told what happens; it never sees a body.
+	// Logger receives the node's log events; bodies are never logged.
 	Logger zerolog.Logger
-	// ProcessMetrics adds the process's own metrics; only one node of a process
-	// may have them.
+	// ProcessMetrics registers the metrics of the process. At most one node per
+	// process may set it.
 	ProcessMetrics bool
-	// Seed makes random choices repeatable; zero picks one.
+	// Seed makes random choices reproducible; zero selects a random seed.
 	Seed uint64
-	// Incarnation is greater than that of every earlier run under the same node
-	// ID; zero takes the wall clock's nanoseconds.
+	// Incarnation must exceed that of every earlier run with the same node ID.
+	// Zero selects the current Unix time in milliseconds.
 	Incarnation uint64
 }
 
 // SystemNetwork opens the operating system's TCP sockets.
 type SystemNetwork struct{ dialer net.Dialer }
 
-// NewSystemNetwork bounds the time to open a connection.
+// NewSystemNetwork returns a network whose connection attempts time out after
+// dialTimeout.
 func NewSystemNetwork(dialTimeout time.Duration) *SystemNetwork {
 	return &SystemNetwork{dialer: net.Dialer{Timeout: dialTimeout}}
 }
 
-// Listen accepts TCP connections.
+// Listen listens for TCP connections on an address.
 func (*SystemNetwork) Listen(address string) (net.Listener, error) {
 	return net.Listen("tcp", address)
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -14,10 +14,10 @@
 	"github.com/banksail/banksail/spread"
 )
 
-// spreadPeers shows the agent's members to the configuration replicator.
+// spreadPeers gives the configuration replicator access to the agent's members.
 type spreadPeers struct{ agent *peer.Agent }
 
-// Members lists the nodes that take part in spreading configurations.
+// Members returns the nodes among which configurations are replicated.
 func (r spreadPeers) Members() []spread.Member {
 	var members []spread.Member
 	for _, member := range r.agent.Members() {
@@ -29,21 +29,21 @@
 	return members
 }
 
-// Fetch asks a member for its record.
+// Fetch requests a member's configuration record.
 func (r spreadPeers) Fetch(ctx context.Context, member string, above policy.Revision) (policy.Revision, []byte, error) {
 	return r.agent.Fetch(ctx, member, above)
 }
 
-// Push offers a record to a member.
+// Push sends a configuration record to a member.
 func (r spreadPeers) Push(ctx context.Context, member string, revision policy.Revision, record []byte) (policy.Revision, error) {
 	return r.agent.Push(ctx, member, revision, record)
 }
 
-// operatorNodes shows the agent's members to the operators' API.
+// operatorNodes gives the operator API access to the agent's members.
 type operatorNodes struct{ agent *peer.Agent }
 
-// Nodes lists all nodes that membership knows, having asked those that seem
-// behind the revision.
+// Nodes returns all nodes known to membership. It first queries the nodes that
+// appear to be behind the given revision.
 func (o operatorNodes) Nodes(ctx context.Context, revision policy.Revision) []operator.Node {
 	o.agent.RefreshRevisions(ctx, revision)
 	members := o.agent.Members()
@@ -60,10 +60,10 @@
 	return nodes
 }
 
-// operatorExplanations shows the explanations to the operators' API.
+// operatorExplanations gives the operator API access to the explanations.
 type operatorExplanations struct{ node *Node }
 
-// Explanation finds the explanation of a finished request.
+// Explanation returns the explanation of a finished request.
 func (o operatorExplanations) Explanation(requestID string) (json.RawMessage, bool) {
 	explanation, found := o.node.Explain(requestID)
 	if !found {
@@ -73,9 +73,9 @@
 	return document, err == nil
 }
 
-// handleReply tells membership what a reply to a sub-request says of its server.
-// Replies of servers that are known as live say nothing new.
-// age is the time since the sub-request was sent.
+// handleReply reports to membership what the reply to a sub-request shows about
+// its server. Replies of servers that are known to be live are not reported, as
+// they add nothing. age is the time since the sub-request was sent.
 func (n *Node) handleReply(server string, reply *backend.Reply, age time.Duration) {
 	report := membership.ServerReport{Source: membership.FromReply, Condition: membership.ServerAnswered, Age: age}
 	if reply.Draining || reply.Status == backend.StatusDraining {
@@ -91,7 +91,8 @@
 	}
 }
 
-// handleHealth takes a reading of a server's health.
+// handleHealth passes a health poll result to membership and to the shards that
+// use the server.
 func (n *Node) handleHealth(result pollResult) {
 	condition := membership.ServerAnswered
 	if result.health.State == backend.HealthDraining {
@@ -111,15 +112,16 @@
 	}
 }
 
-// handleUnreachable takes a failure to connect to a server.
+// handleUnreachable handles a failure to connect to a server.
 func (n *Node) handleUnreachable(server string) {
 	n.awaitingReplyReport.Store(server, struct{}{})
 	n.poller.clearReply(server)
 	n.reportServer(server, membership.FromConnect, membership.ServerUnreachable, "")
 }
 
-// takeReplyReport says whether a reply of the server is news: it could not be reached
-// lately, or membership does not know it as live.
+// takeReplyReport reports whether a reply of the server must be reported to
+// membership, because the server was recently unreachable or is suspect there,
+// and clears the mark.
 func (n *Node) takeReplyReport(server string) bool {
 	_, troubled := n.awaitingReplyReport.LoadAndDelete(server)
 	return troubled
--- a/node/query.go
+++ b/node/query.go
@@ -13,10 +13,12 @@
 	"github.com/banksail/banksail/telemetry"
 )
 
-// rejectionRetryAfter is told to callers that the node refuses by itself.
+// rejectionRetryAfter is the Retry-After value for requests that the node
+// itself rejects.
 const rejectionRetryAfter = time.Second
 
-// Query carries a request to its one final answer; it implements caller.Node.
+// Query runs a request and returns its one final result; it implements
+// caller.Node.
 func (n *Node) Query(ctx context.Context, request caller.Request) (caller.Result, error) {
 	if n.heldQueries.Add(1) > int64(n.options.Settings.Caller.Queries) {
 		n.heldQueries.Add(-1)
@@ -44,7 +46,8 @@
 	}
 }
 
-// admit checks the request against the configuration and finds its shard.
+// admit validates the request against the configuration and returns the shard
+// of its service.
 func (c *activeConfig) admit(request *caller.Request) (*shard, error) {
 	serviceShard, known := c.shards[request.Service]
 	if !known {
@@ -57,8 +60,9 @@
 	return serviceShard, applyDeadline(request, class)
 }
 
-// isDuplicate says that the request ran here before, or runs: it must not be
-// told that it did not, whatever else it is refused for.
+// isDuplicate reports whether the request is running or has run on this node.
+// Such a request must not be answered with "not run", whatever the reason for
+// rejecting it now.
 func (n *Node) isDuplicate(request caller.Request) bool {
 	if request.Repeatable || !n.requestDeduplicator.contains(n.now(), requestKey(request)) {
 		return false
@@ -67,7 +71,8 @@
 	return true
 }
 
-// rejectOverload refuses a request for which the node has no room.
+// rejectOverload rejects a request that exceeds the limit of concurrent
+// queries.
 func (n *Node) rejectOverload(request caller.Request) caller.Result {
 	if n.isDuplicate(request) {
 		return unknownDuplicateResult(dispatch.ReasonOverload)
@@ -75,7 +80,8 @@
 	return n.reject(request, dispatch.ReasonOverload)
 }
 
-// applyDeadline gives the request the class's deadline when it names none.
+// applyDeadline sets a missing deadline to that of the class and returns an
+// error for one that is longer.
 func applyDeadline(request *caller.Request, class policy.Class) error {
 	longest := class.Deadline.Duration()
 	if request.Deadline == 0 {
@@ -88,7 +94,7 @@
 	return nil
 }
 
-// run hands the request to its shard and waits for the final answer.
+// run submits the request to its shard and waits for the final outcome.
 func (n *Node) run(ctx context.Context, shard *shard, request caller.Request) caller.Result {
 	query := shard.submit(request)
 	var result queryResult
@@ -102,7 +108,7 @@
 	return caller.Result{Outcome: result.outcome, KeySpace: query.keySpace}
 }
 
-// reject is the answer to a request that reached no shard.
+// reject returns the result for a request that was not passed to a shard.
 func (n *Node) reject(request caller.Request, reason dispatch.Reason) caller.Result {
 	outcome := dispatch.Outcome{
 		Execution:  dispatch.ExecutionNotRun,
@@ -113,7 +119,8 @@
 	return caller.Result{Outcome: outcome}
 }
 
-// recordOutcome tells the log, the metrics and the explanations of a final answer.
+// recordOutcome adds a final outcome to the log, the metrics and the
+// explanations.
 func (n *Node) recordOutcome(request caller.Request, result queryResult) {
 	outcome := result.outcome
 	execution := caller.ExecutionName(outcome.Execution)
@@ -137,11 +144,11 @@
 		Str("reason", string(outcome.Reason)).
 		Float64("coverage", outcome.Coverage).
 		Dur("took", result.duration).
-		Msg("query ended")
+		Msg("query finished")
 }
 
-// logLevel raises what an operator may have to settle by hand: whether a
-// not-repeatable request ran.
+// logLevel returns warn if it is uncertain whether a non-repeatable request
+// ran, because an operator may have to resolve that manually.
 func logLevel(request caller.Request, outcome dispatch.Outcome) zerolog.Level {
 	if !request.Repeatable && outcome.Execution != dispatch.ExecutionDone && outcome.Execution != dispatch.ExecutionNotRun {
 		return zerolog.WarnLevel
@@ -149,8 +156,9 @@
 	return zerolog.DebugLevel
 }
 
-// countOutcome counts a query. Names that no configuration has, which callers
-// may make up without end, become no labels.
+// countOutcome counts a query. Service and class names that are not configured
+// are skipped: callers can invent any number of them, and each would add a
+// label value.
 func (n *Node) countOutcome(request caller.Request, result queryResult, execution string) {
 	current := n.activeConfig.Load()
 	if current == nil {
@@ -169,10 +177,11 @@
 	}
 }
 
-// Explain finds the explanation of a finished request; it implements caller.Node.
+// Explain returns the explanation of a finished request; it implements
+// caller.Node.
 func (n *Node) Explain(requestID string) (telemetry.Explanation, bool) {
 	return n.explanations.Find(requestID)
 }
 
-// Stopping says that the node is about to stop; it implements caller.Node.
+// Stopping reports whether the node is stopping; it implements caller.Node.
 func (n *Node) Stopping() bool { return n.stopping.Load() }
--- a/node/readers.go
+++ b/node/readers.go
@@ -7,8 +7,8 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// assignHealthPolls works out which servers this node reads for all nodes, if the
-// live nodes or the servers' owners changed.
+// assignHealthPolls recomputes which servers this node polls on behalf of all
+// nodes, if the live nodes or the owners of the servers changed.
 func (n *Node) assignHealthPolls() {
 	live := n.agent.LiveNodes()
 	n.configurationMutex.Lock()
@@ -33,13 +33,14 @@
 	n.poller.setAssigned(ranks, len(live))
 }
 
-// replacesHealthPoll says whether a reply tells all that a reading of health and load does.
+// replacesHealthPoll reports whether a reply carries the same information as a
+// poll of health and load.
 func replacesHealthPoll(reply *backend.Reply) bool {
 	return reply.Status == backend.StatusDone && !reply.Draining && reply.Load != nil && len(reply.Snapshots) > 0
 }
 
-// pollingOwners keeps those owners that read the server every interval; all when
-// none does.
+// pollingOwners returns those owners that poll the server every interval, or
+// all owners if none does.
 func pollingOwners(serverRoute route, owners []membership.Member) []membership.Member {
 	live := func(id string) bool {
 		return slices.ContainsFunc(owners, func(owner membership.Member) bool { return owner.ID == id })
--- a/node/recorded.go
+++ b/node/recorded.go
@@ -8,26 +8,27 @@
 	"github.com/banksail/banksail/dispatch"
 )
 
-// recordedOutcome is the outcome of a not-repeatable request that ran.
+// recordedOutcome is the outcome of a non-repeatable request that ran.
 type recordedOutcome struct {
 	result    caller.Result
 	bytes     int
 	expiresAt time.Duration
-	// evicted says that the parts are gone, to stay within the bound.
+	// evicted reports that the parts were dropped to stay within the memory
+	// limit or because the window ended.
 	evicted bool
 }
 
-// recordedOutcomes bounds the memory that recorded outcomes take: the oldest
-// lose their parts first. It has no lock of its own.
+// recordedOutcomes bounds the memory used by recorded outcomes: the oldest lose
+// their parts first. The caller provides the locking.
 type recordedOutcomes struct {
 	limit  int
 	window time.Duration
 	bytes  int
-	// withParts lists the outcomes that hold their parts, the oldest first.
+	// withParts lists the outcomes that still have their parts, oldest first.
 	withParts []*recordedOutcome
 }
 
-// add records an outcome.
+// add records an outcome and evicts the parts of old ones as needed.
 func (r *recordedOutcomes) add(now time.Duration, result caller.Result) *recordedOutcome {
 	added := &recordedOutcome{result: result, bytes: approximateBytes(result.Outcome), expiresAt: now + r.window}
 	r.withParts = append(r.withParts, added)
@@ -48,7 +49,9 @@
 	oldest.evicted = true
 }
 
-// duplicateResult is the answer to a repetition of the request.
+// duplicateResult returns the result for a duplicate of the request. If the
+// parts of a completed request were evicted, its execution is reported as
+// unknown.
 func (r *recordedOutcome) duplicateResult() caller.Result {
 	result := r.result
 	result.Duplicate = true
@@ -60,7 +63,8 @@
 	return result
 }
 
-// approximateBytes is about what an outcome's parts take.
+// approximateBytes estimates the memory used by an outcome's parts and
+// explanation.
 func approximateBytes(outcome dispatch.Outcome) int {
 	const perPart, perStep = 128, 96
 	total := perStep * len(outcome.Explanation)
--- a/node/route.go
+++ b/node/route.go
@@ -16,40 +16,45 @@
 	"github.com/banksail/banksail/telemetry"
 )
 
-// Errors of sub-requests that were to go through another node.
+// Errors of sub-requests and health polls that go through an owner.
 var (
-	// errNoOwner: no owner took the sub-request, which says nothing of the server.
-	errNoOwner = errors.New("node: no owner took the sub-request")
-	// errOwnersBusy: the owners forward as much as they may.
-	errOwnersBusy = errors.New("node: owners are busy")
-	// errNoRecentHealth: no owner knows the server's health of late.
-	errNoRecentHealth = errors.New("node: no owner has read the server's health lately")
+	// errNoOwner reports that no owner accepted the sub-request, which is no
+	// evidence of a failure of the server.
+	errNoOwner = errors.New("node: no owner accepted the sub-request")
+	// errOwnersBusy reports that the owners have reached their forward limits.
+	errOwnersBusy = errors.New("node: owners have reached their forward limits")
+	// errNoRecentHealth reports that no owner has a recent health poll result
+	// for the server.
+	errNoRecentHealth = errors.New("node: no owner has a recent health poll result for the server")
 )
 
-// maxOwnersTried bounds the owners that are asked for one sub-request.
+// maxOwnersTried bounds the owners to which one sub-request is sent in turn.
 const maxOwnersTried = 3
 
-// ownersRetryAfter is the pause before busy owners are asked again.
+// ownersRetryAfter is the delay before a sub-request is sent again to owners
+// that have reached their forward limits.
 const ownersRetryAfter = 20 * time.Millisecond
 
-// route is the way to one server.
+// route describes how to reach one server.
 type route struct {
 	place membership.ServerPlace
 	// owners are the nodes that hold connections to the server.
 	owners []membership.Owner
-	// connections is this node's share; at zero the way goes through an owner.
+	// connections is this node's share of the server's connections; if it is
+	// zero, requests are forwarded through an owner.
 	connections int
 }
 
-// router asks servers directly where this node owns connections, and through an
-// owner otherwise. It implements backends.
+// router sends requests to a server directly if this node owns connections to
+// it, and through an owner otherwise. It implements backendClient.
 type router struct {
 	direct backendClient
 	// closeConnections closes the idle connections to a server.
 	closeConnections func(address string)
-	// route finds the way to the server at an address.
+	// route returns the route to the server at an address.
 	route func(address string) route
-	// owners lists the nodes through which to reach a server, the first choice first.
+	// owners returns the nodes through which a server can be reached, in order
+	// of preference.
 	owners       func(server membership.ServerPlace) []membership.Member
 	forwarder    *peer.Forwarder
 	counters     forwardCounters
@@ -57,7 +62,7 @@
 	log          zerolog.Logger
 }
 
-// newRouter makes the router of this node.
+// newRouter creates this node's router.
 func (n *Node) newRouter(recentHealth *healthCache) *router {
 	return &router{
 		direct:           n.client,
@@ -71,7 +76,8 @@
 	}
 }
 
-// forwardCounters count forwards by outcome; they are looked up once.
+// forwardCounters holds the counters of forwards by outcome. They are looked up
+// once, so that counting does not resolve labels.
 type forwardCounters map[peer.ForwardOutcome]prometheus.Counter
 
 func newForwardCounters(vector *prometheus.CounterVec) forwardCounters {
@@ -82,7 +88,7 @@
 	return counters
 }
 
-// Query sends one sub-request, directly or through one owner.
+// Query sends one sub-request, either directly or through an owner.
 func (r *router) Query(ctx context.Context, address string, request *backend.Request) (*backend.Reply, error) {
 	serverRoute := r.route(address)
 	if serverRoute.connections == 0 {
@@ -93,15 +99,16 @@
 	return reply, err
 }
 
-// closeIfShareLost closes the idle connections to a server whose last share went
-// while it was asked.
+// closeIfShareLost closes the idle connections to a server if this node lost
+// its last connection share during the request.
 func (r *router) closeIfShareLost(address string) {
 	if r.route(address).connections == 0 {
 		r.closeConnections(address)
 	}
 }
 
-// forward asks the owners in turn until one may have delivered the sub-request.
+// forward tries the owners in turn until one may have delivered the
+// sub-request.
 func (r *router) forward(ctx context.Context, server membership.ServerPlace, request *backend.Request) (*backend.Reply, error) {
 	failure := fmt.Errorf("%w: %w", backend.ErrNotDelivered, errNoOwner)
 	owners := r.owners(server)
@@ -126,7 +133,8 @@
 	return nil, failure
 }
 
-// forwardError turns an outcome without a reply into the client's errors.
+// forwardError converts an outcome without a reply to an error of the backend
+// client.
 func forwardError(result peer.ForwardResult) error {
 	switch result.Outcome {
 	case peer.ForwardMalformed:
@@ -142,8 +150,9 @@
 	}
 }
 
-// Health reads a server's health; a server that others own is not asked, but
-// an owner for its last reading. Such a failure says nothing of the server.
+// Health returns a server's health. For a server without a connection share it
+// asks an owner for its last poll result instead of the server; a failure to
+// get one is no evidence of a failure of the server.
 func (r *router) Health(ctx context.Context, address string) (*backend.Health, error) {
 	serverRoute := r.route(address)
 	if serverRoute.connections == 0 {
@@ -168,7 +177,8 @@
 	return nil, errNoRecentHealth
 }
 
-// Load reads a server's load; that of a server that others own rides on replies.
+// Load polls a server's load. For a server without a connection share it fails,
+// as replies report the load.
 func (r *router) Load(ctx context.Context, address string) (*backend.Load, error) {
 	if r.route(address).connections == 0 {
 		return nil, errNoRecentHealth
@@ -176,13 +186,14 @@
 	return r.direct.Load(ctx, address)
 }
 
-// healthCache keeps the last reading of each server that this node reads itself.
+// healthCache holds the last health poll result of each server that this node
+// polls directly.
 type healthCache struct {
-	// maxAge is the age from which a reading is not told to others.
+	// maxAge is the age above which an entry is no longer returned.
 	maxAge time.Duration
 
 	mutex sync.Mutex
-	// mutex guards last, which holds at most one reading for each server.
+	// mutex guards entries, which holds at most one entry per server.
 	entries map[string]cachedHealth
 }
 
--- a/node/run.go
+++ b/node/run.go
@@ -16,14 +16,15 @@
 const (
 	// leaveTimeout bounds the announcement that the node is leaving.
 	leaveTimeout = time.Second
-	// controlStopTimeout bounds the end of the operators' and peers' listeners.
+	// controlStopTimeout bounds the shutdown of the operator and peer
+	// listeners.
 	controlStopTimeout = 2 * time.Second
 )
 
-// Run serves until ctx ends, then stops as planned: it refuses new and queued
-// queries as not run, finishes the running ones, and returns nil. After Abort
-// it cuts what is in flight and returns ErrAborted. Every goroutine that it
-// started has ended when it returns.
+// Run serves until ctx ends and then performs a planned stop: it rejects new
+// and queued queries as not run, finishes the running ones and returns nil.
+// After Abort it interrupts in-flight requests and returns ErrAborted. All
+// goroutines that it started have ended when it returns.
 func (n *Node) Run(ctx context.Context) error {
 	defer n.abort()
 	listeners, err := n.openListeners()
@@ -49,7 +50,7 @@
 	case <-ctx.Done():
 	case <-n.background.Done():
 	case failure = <-failures:
-		n.log.Error().Err(failure).Msg("a listener failed; stopping")
+		n.log.Error().Err(failure).Msg("listener failed; stopping node")
 	}
 	n.stop(listeners)
 	stopControl()
@@ -61,9 +62,11 @@
 	return n.exitError(failure)
 }
 
-// Abort ends the node at once: queries in flight are cut. Run returns ErrAborted.
+// Abort ends the node immediately and interrupts in-flight queries. Run then
+// returns ErrAborted.
 func (n *Node) Abort() {
-	n.logAborted() // before they are cut: 0.9% of plays found none left to name
+	// Logged before the abort: in 0.9% of runs no request was left to name afterwards.
+	n.logAborted()
 	n.abort()
 }
 
@@ -88,7 +91,8 @@
 	close(n.listening)
 }
 
-// startBackgroundTasks starts all that runs beside the queries.
+// startBackgroundTasks starts the replicator, the agent, the poller and the
+// membership watch.
 func (n *Node) startBackgroundTasks(ctx context.Context, duties *sync.WaitGroup) {
 	n.replicator.Subscribe(n.configure)
 	n.agent.SubscribeServers(n.handleServerStateChange)
@@ -101,15 +105,15 @@
 
 func (n *Node) logTaskError(duty string, err error) {
 	if err != nil {
-		n.log.Error().Err(err).Str("duty", duty).Msg("duty ended with an error")
+		n.log.Error().Err(err).Str("duty", duty).Msg("background task failed")
 	}
 }
 
-// stop carries out the planned stop of the query path; an abort cuts it short.
+// stop performs the planned stop of the query path; an abort interrupts it.
 func (n *Node) stop(listeners []*listener) {
 	n.stopping.Store(true)
 	n.forwardServer.close()
-	n.log.Info().Msg("stopping: new and queued queries are refused")
+	n.log.Info().Msg("stopping: rejecting new and queued queries")
 	for _, serviceShard := range n.allShards() {
 		serviceShard.step(dispatch.Stopping{})
 	}
@@ -124,14 +128,15 @@
 	n.forwardServer.wait()
 }
 
-// announceLeaving tells other nodes that this one takes no new work.
+// announceLeaving informs the other nodes that this one accepts no new work.
 func (n *Node) announceLeaving() {
 	ctx, cancel := context.WithTimeout(n.background, leaveTimeout)
 	defer cancel()
 	n.agent.Leave(ctx)
 }
 
-// waitGracePeriod keeps the listeners open so that callers see the node's state.
+// waitGracePeriod keeps the listeners open, so that callers can observe that
+// the node is stopping.
 func (n *Node) waitGracePeriod() {
 	grace := time.NewTimer(n.options.Settings.Stop.Grace)
 	defer grace.Stop()
@@ -141,14 +146,14 @@
 	}
 }
 
-// logAborted names the requests that an abort cuts.
+// logAborted logs the IDs of the requests that an abort interrupts.
 func (n *Node) logAborted() {
 	var cut []string
 	for _, serviceShard := range n.allShards() {
 		cut = append(cut, serviceShard.pendingRequestIDs()...)
 	}
 	slices.Sort(cut)
-	n.log.Warn().Int("requests", len(cut)).Strs("request_ids", cut).Msg("aborted: requests in flight are cut")
+	n.log.Warn().Int("requests", len(cut)).Strs("request_ids", cut).Msg("aborted: in-flight requests interrupted")
 }
 
 func (n *Node) stopListeners(listeners []*listener, timeout time.Duration) {
@@ -165,7 +170,7 @@
 	n.forwarder.CloseIdleConnections()
 }
 
-// newServerLog passes net/http's complaints to the log at debug level.
+// newServerLog forwards the messages of net/http to the log at debug level.
 func newServerLog(logger zerolog.Logger) *log.Logger {
 	return log.New(serverLog{logger: logger}, "", 0)
 }
@@ -174,7 +179,7 @@
 
 var _ io.Writer = serverLog{}
 
-// Write logs one complaint.
+// Write logs one message.
 func (s serverLog) Write(line []byte) (int, error) {
 	s.logger.Debug().Msg(string(line))
 	return len(line), nil
--- a/node/shard.go
+++ b/node/shard.go
@@ -10,76 +10,81 @@
 	"github.com/banksail/banksail/dispatch"
 )
 
-// Dispatcher decides how the queries of one service are run; *dispatch.Dispatcher
-// implements it.
+// Dispatcher decides how the queries of one service are run;
+// *dispatch.Dispatcher implements it.
 type Dispatcher interface {
 	Step(now time.Duration, event dispatch.Event) []dispatch.Action
 }
 
-// sender sends one sub-request and reports how it ended, as a AttemptReplied or AttemptFailed
-// event.
+// sender sends one sub-request and returns its result as an AttemptReplied or
+// AttemptFailed event.
 type sender interface {
 	sendSubRequest(ctx context.Context, outgoing *subRequest) dispatch.Event
 }
 
-// shardOptions are what a shard needs of its node.
+// shardOptions configures a shard.
 type shardOptions struct {
 	service string
-	// attemptPrefix starts the attempt IDs on the wire; no other shard of any
-	// node, in any incarnation, has the same one.
+	// attemptPrefix is the prefix of the attempt IDs on the wire. It is unique
+	// across shards, nodes and incarnations.
 	attemptPrefix string
 	dispatcher    Dispatcher
 	sender        sender
-	// now is the time since the node's epoch.
+	// now returns the time since the node was created.
 	now func() time.Duration
 	// counters count the shard's sub-requests.
 	counters sendCounters
-	// background ends when the node aborts; it bounds every sub-request.
+	// background is cancelled when the node aborts; it bounds every
+	// sub-request.
 	background context.Context
-	// running counts the sub-requests that are not yet reported back.
+	// running counts the sub-requests whose result was not yet passed to the
+	// shard.
 	running *sync.WaitGroup
-	// workers carry the sub-requests.
+	// workers run the sub-requests.
 	workers *workers
 }
 
-// shard drives the machine of one service: it serialises its events, carries
-// out its actions, and keeps what the machine does not: callers and cancellations.
+// shard drives the dispatcher of one service. It serialises the events,
+// executes the resulting actions, and keeps the state that the dispatcher does
+// not: waiting callers and cancellations.
 type shard struct {
 	options shardOptions
 
 	mutex sync.Mutex
 	// mutex serialises Step and guards the fields below. Invariants: queries
-	// holds exactly the queries that arrived and have no Finish yet; attempts
-	// holds exactly the attempts that were sent and not yet reported back; the
-	// timer does not run once closed is set.
+	// holds exactly the queries that were submitted and have no Finish action
+	// yet; attempts holds exactly the attempts that were sent and whose result
+	// was not yet passed to the dispatcher; the timer does not run once closed
+	// is set.
 	queries   map[dispatch.QueryID]*pendingQuery
 	attempts  map[dispatch.AttemptID]*subRequest
 	lastQuery dispatch.QueryID
 	timer     *time.Timer
-	// keySpace is that of the service as it is configured now.
+	// keySpace is the key space in the service's current configuration.
 	keySpace coverage.Range
 	closed   bool
 }
 
-// pendingQuery is a query without a final answer.
+// pendingQuery is a query without a final outcome.
 type pendingQuery struct {
 	id        dispatch.QueryID
 	request   caller.Request
 	arrivedAt time.Duration
-	// keySpace is the service's when the first sub-request left.
+	// keySpace is the service's key space when the first sub-request was sent.
 	keySpace coverage.Range
-	// sent says that a sub-request has left for a server.
+	// sent reports that a sub-request was sent to a server.
 	sent bool
-	// context bounds all attempts by the query's deadline; release ends it once
-	// the query has its answer and running counts no attempt.
+	// context bounds all attempts by the query's deadline. release cancels it
+	// once the query has its outcome and running, the number of attempts in
+	// flight, is zero.
 	context context.Context
 	release context.CancelFunc
 	running int
-	// done receives the one final answer; it has room for it.
+	// done receives the final outcome; its buffer holds one.
 	done chan queryResult
 }
 
-// queryResult is a query's final answer with the time that it took.
+// queryResult is a query's final outcome and the time the query took.
 type queryResult struct {
 	outcome  dispatch.Outcome
 	duration time.Duration
@@ -93,7 +98,7 @@
 	}
 }
 
-// step passes an event to the machine and carries out its actions.
+// step passes an event to the dispatcher and executes the resulting actions.
 func (s *shard) step(event dispatch.Event) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -116,7 +121,8 @@
 	}
 }
 
-// submit hands a request to the machine; its answer comes on the result's channel.
+// submit passes a request to the dispatcher. The outcome is sent to the done
+// channel of the returned query.
 func (s *shard) submit(request caller.Request) *pendingQuery {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -139,7 +145,7 @@
 	return query
 }
 
-// configure puts a configuration of the service in force.
+// configure applies a new configuration of the service.
 func (s *shard) configure(event dispatch.Configured) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -147,9 +153,9 @@
 	s.stepLocked(event)
 }
 
-// cancelQuery tells the machine that nobody waits for a query any more. A
-// not-repeatable query that was sent goes on: stopping it would not undo it,
-// and its outcome is worth recording.
+// cancelQuery informs the dispatcher that the caller disconnected. A
+// non-repeatable query that was already sent continues: cancelling it would not
+// undo it, and its outcome should be recorded.
 func (s *shard) cancelQuery(query *pendingQuery) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -182,7 +188,7 @@
 	s.options.workers.start(job{serviceShard: s, context: ctx, outgoing: outgoing})
 }
 
-// runAttempt waits for the end of one sub-request and reports it.
+// runAttempt sends one sub-request and passes its result to the dispatcher.
 func (s *shard) runAttempt(ctx context.Context, outgoing *subRequest) {
 	defer s.options.running.Done()
 	event := s.options.sender.sendSubRequest(ctx, outgoing)
@@ -204,7 +210,8 @@
 	}
 }
 
-// releaseIfDone ends the context of a query that has its answer and no attempts.
+// releaseIfDone cancels the context of a query that has its outcome and no
+// attempts in flight.
 func (s *shard) releaseIfDone(query *pendingQuery) {
 	if query.release != nil && query.running == 0 && s.queries[query.id] != query {
 		query.release()
@@ -230,7 +237,8 @@
 	s.timer.Reset(after)
 }
 
-// pendingRequestIDs lists the request IDs of the queries without a final answer.
+// pendingRequestIDs returns the request IDs of the queries without a final
+// outcome.
 func (s *shard) pendingRequestIDs() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -241,7 +249,7 @@
 	return requestIDs
 }
 
-// timerFired passes the machine's own timer on.
+// timerFired passes the expiry of the dispatcher's timer to it.
 func (s *shard) timerFired() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -250,7 +258,8 @@
 	}
 }
 
-// closeIfIdle closes the shard when no query and no attempt is left.
+// closeIfIdle closes the shard if it has no queries and no attempts, and
+// reports whether it did.
 func (s *shard) closeIfIdle() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -261,7 +270,7 @@
 	return idle
 }
 
-// close stops the timer; the machine gets no TimerFired afterwards.
+// close stops the timer; the dispatcher gets no further TimerFired event.
 func (s *shard) close() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/node/workers.go
+++ b/node/workers.go
@@ -6,22 +6,22 @@
 	"sync/atomic"
 )
 
-// maxIdleWorkers bounds the goroutines that wait for a sub-request. Each
-// keeps a stack of some kilobytes.
+// maxIdleWorkers bounds the idle goroutines. Each keeps a stack of several
+// kilobytes.
 const maxIdleWorkers = 512
 
-// job is a sub-request with what carries it.
+// job is a sub-request to run, with its shard and context.
 type job struct {
 	serviceShard *shard
 	context      context.Context
 	outgoing     *subRequest
 }
 
-// workers runs each job at once, on a goroutine that waits for one or else on a
-// new one: no job waits for another. Reused goroutines need not grow their
-// stacks again for each exchange.
+// workers runs each job immediately, on an idle goroutine or else on a new one,
+// so that no job waits for another. A reused goroutine does not have to grow
+// its stack again for each exchange.
 type workers struct {
-	// jobs has no buffer: it takes a job only while a worker waits.
+	// jobs is unbuffered: a send succeeds only while a worker is idle.
 	jobs    chan job
 	idle    atomic.Int64
 	closed  chan struct{}
@@ -32,7 +32,7 @@
 	return &workers{jobs: make(chan job), closed: make(chan struct{})}
 }
 
-// start runs a job; it does not wait.
+// start runs a job without blocking.
 func (w *workers) start(next job) {
 	select {
 	case w.jobs <- next:
@@ -48,8 +48,8 @@
 	}
 }
 
-// waitForJob waits for a job; there is none when enough workers wait already, and
-// once the workers are closed.
+// waitForJob waits for the next job. more is false if enough workers are idle
+// already or the workers were closed.
 func (w *workers) waitForJob() (next job, more bool) {
 	defer w.idle.Add(-1)
 	if w.idle.Add(1) > maxIdleWorkers {
@@ -63,8 +63,8 @@
 	}
 }
 
-// close ends the workers that wait and returns when all have ended; no job may
-// start afterwards.
+// close ends the idle workers and returns when all workers have ended. No job
+// may be started afterwards.
 func (w *workers) close() {
 	close(w.closed)
 	w.running.Wait()
