--- a/policy/config.go
+++ b/policy/config.go
@@ -104,8 +104,8 @@
 	return Service{}, false
 }
 
-// named is an item of a list that its name identifies there.
-type named interface{ name() string }
+// namedItem is an item of a list that its name identifies there.
+type namedItem interface{ name() string }
 
 func (c Class) name() string   { return c.Name }
 func (s Service) name() string { return s.Name }
--- a/policy/delta.go
+++ b/policy/delta.go
@@ -89,11 +89,11 @@
 	if err != nil {
 		return Record{}, nil, fmt.Errorf("%w: %w", ErrDeltaMismatch, err)
 	}
-	next = base.next(config, accepted{
+	next = base.next(config, acceptedChange{
 		planID:      delta.PlanID,
 		intent:      delta.Intent,
 		differences: Compare(base.Config, config),
-		at:          delta.ConfirmedAt,
+		acceptedAt:  delta.ConfirmedAt,
 	})
 	data, err = EncodeRecord(next)
 	if err != nil {
--- a/policy/delta_test.go
+++ b/policy/delta_test.go
@@ -9,8 +9,8 @@
 	"github.com/banksail/banksail/coverage"
 )
 
-// changed returns a record, the one after it, and the delta between them.
-func changed(t *testing.T) (base, next Record, data, delta []byte) {
+// newDeltaFixture returns a record, the one after it, and the delta between them.
+func newDeltaFixture(t *testing.T) (base, next Record, data, delta []byte) {
 	t.Helper()
 	base = firstRecord(t)
 	next = mustDecide(t, base, mustPlan(t, "p", base, classIntent("ann", func(class *Class) { class.Deadline = 80 })))
@@ -25,8 +25,8 @@
 	return base, next, data, delta
 }
 
-func TestDeltaGivesTheRecordByteForByte(t *testing.T) {
-	base, _, want, encodedDelta := changed(t)
+func TestDeltaReproducesTheRecordByteForByte(t *testing.T) {
+	base, _, want, encodedDelta := newDeltaFixture(t)
 	if !IsDelta(encodedDelta) || IsDelta(want) {
 		t.Fatal("a delta and a record can't be told apart")
 	}
@@ -49,8 +49,8 @@
 	}
 }
 
-func TestDeltaThatDoesNotFitIsRefused(t *testing.T) {
-	base, next, _, encodedDelta := changed(t)
+func TestMismatchedDeltaIsRejected(t *testing.T) {
+	base, next, _, encodedDelta := newDeltaFixture(t)
 	delta, err := DecodeDelta(encodedDelta)
 	if err != nil {
 		t.Fatal(err)
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestLargeIntentMakesNoDelta(t *testing.T) {
+func TestLargeIntentHasNoDelta(t *testing.T) {
 	base := firstRecord(t)
 	const groups = 1000
 	large := Service{Name: "large", KeySpace: coverage.Range{Start: 0, End: groups}}
@@ -85,7 +85,7 @@
 		large.Groups = append(large.Groups, Group{
 			Name:    fmt.Sprintf("g%d", index),
 			Range:   coverage.Range{Start: index, End: index + 1},
-			Servers: []Server{server("s")},
+			Servers: []Server{testServer("s")},
 		})
 	}
 	config := testConfig()
--- a/policy/difference.go
+++ b/policy/difference.go
@@ -21,19 +21,19 @@
 func (d Difference) String() string {
 	switch {
 	case d.Before == nil:
-		return fmt.Sprintf("+ %s = %s", d.Field, compact(d.After))
+		return fmt.Sprintf("+ %s = %s", d.Field, compactJSON(d.After))
 	case d.After == nil:
-		return fmt.Sprintf("- %s (was %s)", d.Field, compact(d.Before))
+		return fmt.Sprintf("- %s (was %s)", d.Field, compactJSON(d.Before))
 	default:
-		return fmt.Sprintf("~ %s: %s -> %s", d.Field, compact(d.Before), compact(d.After))
+		return fmt.Sprintf("~ %s: %s -> %s", d.Field, compactJSON(d.Before), compactJSON(d.After))
 	}
 }
 
 // Abbreviate formats the difference on one line of at most this many bytes.
 func (d Difference) Abbreviate(limit int) string { return truncate(d.String(), limit) }
 
-// compact drops the white space between the tokens of a JSON value.
-func compact(value json.RawMessage) string {
+// compactJSON drops the white space between the tokens of a JSON value.
+func compactJSON(value json.RawMessage) string {
 	var buffer bytes.Buffer
 	if err := json.Compact(&buffer, value); err != nil {
 		return string(value)
@@ -45,49 +45,49 @@
 // depends on their content only.
 func Compare(before, after Config) []Difference {
 	comparison := &comparison{differences: []Difference{}}
-	compareNamed(comparison, "classes", before.Classes, after.Classes, comparison.classes)
-	compareNamed(comparison, "services", before.Services, after.Services, comparison.services)
+	compareLists(comparison, "classes", before.Classes, after.Classes, comparison.compareClass)
+	compareLists(comparison, "services", before.Services, after.Services, comparison.compareService)
 	return comparison.differences
 }
 
 type comparison struct{ differences []Difference }
 
-func (c *comparison) value(field string, before, after any) {
+func (c *comparison) compareValue(field string, before, after any) {
 	if before == after {
 		return
 	}
 	c.differences = append(c.differences, Difference{Field: field, Before: rawJSON(before), After: rawJSON(after)})
 }
 
-func (c *comparison) classes(path string, before, after Class) {
-	c.value(path+".order", before.Order, after.Order)
-	c.value(path+".longest_wait_ms", before.LongestWait, after.LongestWait)
-	c.value(path+".deadline_ms", before.Deadline, after.Deadline)
-	c.value(path+".minimum_coverage", before.MinimumCoverage, after.MinimumCoverage)
-	c.value(path+".hedge_share", before.HedgeShare, after.HedgeShare)
-	c.value(path+".headroom", before.Headroom, after.Headroom)
+func (c *comparison) compareClass(path string, before, after Class) {
+	c.compareValue(path+".order", before.Order, after.Order)
+	c.compareValue(path+".longest_wait_ms", before.LongestWait, after.LongestWait)
+	c.compareValue(path+".deadline_ms", before.Deadline, after.Deadline)
+	c.compareValue(path+".minimum_coverage", before.MinimumCoverage, after.MinimumCoverage)
+	c.compareValue(path+".hedge_share", before.HedgeShare, after.HedgeShare)
+	c.compareValue(path+".headroom", before.Headroom, after.Headroom)
 }
 
-func (c *comparison) services(path string, before, after Service) {
-	c.value(path+".key_space", before.KeySpace, after.KeySpace)
-	compareNamed(c, path+".groups", before.Groups, after.Groups, c.groups)
+func (c *comparison) compareService(path string, before, after Service) {
+	c.compareValue(path+".key_space", before.KeySpace, after.KeySpace)
+	compareLists(c, path+".groups", before.Groups, after.Groups, c.compareGroup)
 }
 
-func (c *comparison) groups(path string, before, after Group) {
-	c.value(path+".range", before.Range, after.Range)
-	compareNamed(c, path+".servers", before.Servers, after.Servers, c.servers)
+func (c *comparison) compareGroup(path string, before, after Group) {
+	c.compareValue(path+".range", before.Range, after.Range)
+	compareLists(c, path+".servers", before.Servers, after.Servers, c.compareServer)
 }
 
-func (c *comparison) servers(path string, before, after Server) {
-	c.value(path+".address", before.Address, after.Address)
-	c.value(path+".zone", before.Zone, after.Zone)
-	c.value(path+".slots", before.Slots, after.Slots)
-	c.value(path+".connections", before.Connections, after.Connections)
+func (c *comparison) compareServer(path string, before, after Server) {
+	c.compareValue(path+".address", before.Address, after.Address)
+	c.compareValue(path+".zone", before.Zone, after.Zone)
+	c.compareValue(path+".slots", before.Slots, after.Slots)
+	c.compareValue(path+".connections", before.Connections, after.Connections)
 }
 
-// compareNamed pairs the items of two lists by name: removed ones first, then
+// compareLists pairs the items of two lists by name: removed ones first, then
 // the others in the order of the list after.
-func compareNamed[T named](c *comparison, path string, before, after []T, compare func(path string, before, after T)) {
+func compareLists[T namedItem](c *comparison, path string, before, after []T, compare func(path string, before, after T)) {
 	known := make(map[string]T, len(before))
 	for _, item := range before {
 		known[item.name()] = item
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-func encoded(value any) []byte {
+func encodeJSON(value any) []byte {
 	data, _ := json.Marshal(value)
 	return data
 }
 
 func FuzzDecodeRecord(f *testing.F) {
-	f.Add(encoded(Record{Format: RecordFormat, Revision: 1, Config: testConfig(), History: []HistoryEntry{}, RecentPlans: []AppliedPlan{}}))
+	f.Add(encodeJSON(Record{Format: RecordFormat, Revision: 1, Config: testConfig(), History: []HistoryEntry{}, RecentPlans: []AppliedPlan{}}))
 	f.Add([]byte(`{"format":1,"revision":1,"config":{"classes":[],"services":[]},"history":[],"recent_plans":[]}`))
 	f.Add([]byte(`{"format":9}`))
 	f.Add([]byte(`{"history":[[[[[[[[[[[[[[[[[[1]]]]]]]]]]]]]]]]]]}`))
@@ -33,8 +33,8 @@
 func FuzzDecodeIntent(f *testing.F) {
 	class := testConfig().Classes[0]
 	service := testConfig().Services[0]
-	f.Add(encoded(Intent{Author: "ann", Changes: []Change{{SetClass: &class}, {RemoveClass: "billing"}, {SetService: &service}}}))
-	f.Add(encoded(replaceIntent(testConfig())))
+	f.Add(encodeJSON(Intent{Author: "ann", Changes: []Change{{SetClass: &class}, {RemoveClass: "billing"}, {SetService: &service}}}))
+	f.Add(encodeJSON(replaceIntent(testConfig())))
 	f.Add([]byte(`{"author":"ann","changes":[{"replace":{"classes":[],"services":[]}}]}`))
 	f.Add([]byte(`{"changes":null}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -57,7 +57,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(encoded(plan))
+	f.Add(encodeJSON(plan))
 	f.Add([]byte(`{"format":1,"id":"p","base_revision":0,"intent":{"changes":[]},"differences":[],"warnings":[],"digest":""}`))
 	f.Add([]byte(`{"differences":[{"field":"a","before":{"deep":[[[[[[[[[[[[[[[[1]]]]]]]]]]]]]]]]}}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/policy/intent.go
+++ b/policy/intent.go
@@ -124,7 +124,7 @@
 }
 
 // upsert replaces the item of the same name, or appends it.
-func upsert[T named](items []T, item T) []T {
+func upsert[T namedItem](items []T, item T) []T {
 	for index := range items {
 		if items[index].name() == item.name() {
 			items[index] = item
@@ -134,7 +134,7 @@
 	return append(items, item)
 }
 
-func remove[T named](items []T, wanted string) ([]T, bool) {
+func remove[T namedItem](items []T, wanted string) ([]T, bool) {
 	for index := range items {
 		if items[index].name() == wanted {
 			return slices.Delete(items, index, index+1), true
--- a/policy/plan.go
+++ b/policy/plan.go
@@ -55,7 +55,7 @@
 		return Plan{}, err
 	}
 	warnings := append([]Warning{}, options.Warnings...)
-	warnings = append(warnings, warn(options.Base.Config, next, options.Nodes)...)
+	warnings = append(warnings, collectWarnings(options.Base.Config, next, options.Nodes)...)
 	plan := Plan{
 		Format:       PlanFormat,
 		ID:           options.ID,
@@ -145,7 +145,7 @@
 		return Decision{Applied: true, Revision: revision}, nil
 	}
 	if current.Revision != plan.BaseRevision {
-		between, truncated := current.since(plan.BaseRevision)
+		between, truncated := current.historySince(plan.BaseRevision)
 		return Decision{}, &ConflictError{
 			Base:             plan.BaseRevision,
 			Current:          current.Revision,
@@ -161,7 +161,7 @@
 	if !equalDifferences(plan.Differences, Compare(current.Config, config)) {
 		return Decision{}, fmt.Errorf("%w: its differences are not those that its intent makes", ErrPlanAltered)
 	}
-	next := current.next(config, accepted{planID: plan.ID, intent: plan.Intent, differences: plan.Differences, at: confirmedAt})
+	next := current.next(config, acceptedChange{planID: plan.ID, intent: plan.Intent, differences: plan.Differences, acceptedAt: confirmedAt})
 	return Decision{Revision: next.Revision, Next: next}, nil
 }
 
@@ -171,24 +171,24 @@
 	return errFirst == nil && errSecond == nil && bytes.Equal(first, second)
 }
 
-// accepted is a change that makes a new revision.
-type accepted struct {
+// acceptedChange is a change that makes a new revision.
+type acceptedChange struct {
 	planID      string
 	intent      Intent
 	differences []Difference
-	at          time.Time
+	acceptedAt  time.Time
 }
 
 // next builds the record that follows r. It depends on its arguments only, so
 // that every node builds the same bytes.
-func (r Record) next(config Config, change accepted) Record {
+func (r Record) next(config Config, change acceptedChange) Record {
 	revision := r.Revision + 1
 	entry := HistoryEntry{
 		Revision:    revision,
 		PlanID:      change.planID,
 		Author:      change.intent.Author,
 		Note:        change.intent.Note,
-		ConfirmedAt: change.at.UTC(),
+		ConfirmedAt: change.acceptedAt.UTC(),
 		Summary:     summarize(change.differences),
 		Differences: len(change.differences),
 	}
@@ -200,12 +200,12 @@
 		Config:      config,
 		History:     append(history, entry),
 		RecentPlans: append(plans, AppliedPlan{ID: change.planID, Revision: revision}),
-		LastIntent:  smallIntent(change.intent),
+		LastIntent:  intentForDelta(change.intent),
 	}
 }
 
-// smallIntent returns the intent if a record may keep it.
-func smallIntent(intent Intent) *Intent {
+// intentForDelta returns the intent if a record may keep it.
+func intentForDelta(intent Intent) *Intent {
 	encoded, err := json.Marshal(intent)
 	if err != nil || len(encoded) > MaximumDeltaIntentBytes {
 		return nil
@@ -215,8 +215,8 @@
 
 func summarize(differences []Difference) []string {
 	summary := []string{}
-	for _, difference := range differences[:min(len(differences), maximumSummary)] {
-		summary = append(summary, difference.Abbreviate(maximumSummaryLine))
+	for _, difference := range differences[:min(len(differences), maximumSummaryLines)] {
+		summary = append(summary, difference.Abbreviate(maximumSummaryLineBytes))
 	}
 	return summary
 }
--- a/policy/plan_test.go
+++ b/policy/plan_test.go
@@ -11,7 +11,7 @@
 
 var confirmedAt = time.Date(2026, 12, 2, 7, 0, 0, 0, time.UTC)
 
-func server(id string) Server {
+func testServer(id string) Server {
 	return Server{ID: id, Address: "10.0.0.1:8080", Zone: "north", Slots: 5, Connections: 70}
 }
 
@@ -25,8 +25,8 @@
 			Name:     "search",
 			KeySpace: coverage.Range{Start: 0, End: 100},
 			Groups: []Group{
-				{Name: "a", Range: coverage.Range{Start: 0, End: 50}, Servers: []Server{server("a1"), server("a2")}},
-				{Name: "b", Range: coverage.Range{Start: 50, End: 100}, Servers: []Server{server("b1"), server("b2")}},
+				{Name: "a", Range: coverage.Range{Start: 0, End: 50}, Servers: []Server{testServer("a1"), testServer("a2")}},
+				{Name: "b", Range: coverage.Range{Start: 50, End: 100}, Servers: []Server{testServer("b1"), testServer("b2")}},
 			},
 		}},
 	}
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestPlanSurvivesEncoding(t *testing.T) {
+func TestPlanRoundTrip(t *testing.T) {
 	plan := mustPlan(t, "p", firstRecord(t), classIntent("ann", func(class *Class) { class.Deadline = 80 }))
 	data, err := EncodePlan(plan)
 	if err != nil {
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestAlteredPlanIsRefused(t *testing.T) {
+func TestAlteredPlanIsRejected(t *testing.T) {
 	base := firstRecord(t)
 	original := mustPlan(t, "p", base, classIntent("ann", func(class *Class) { class.Deadline = 80 }))
 	t.Run("content without digest", func(t *testing.T) {
@@ -116,7 +116,7 @@
 	})
 }
 
-func TestSecondOperatorGetsWhatChangedInBetween(t *testing.T) {
+func TestConflictListsInterveningChanges(t *testing.T) {
 	base := firstRecord(t)
 	ann := mustPlan(t, "ann's", base, classIntent("ann", func(class *Class) { class.Deadline = 80 }))
 	bob := mustPlan(t, "bob's", base, classIntent("bob", func(class *Class) { class.Deadline = 60 }))
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestSamePlanTwiceAppliesOnce(t *testing.T) {
+func TestSamePlanIsAppliedOnce(t *testing.T) {
 	base := firstRecord(t)
 	plan := mustPlan(t, "p", base, classIntent("ann", func(class *Class) { class.Deadline = 80 }))
 	next := mustDecide(t, base, plan)
--- a/policy/record.go
+++ b/policy/record.go
@@ -19,10 +19,10 @@
 	MaximumHistory = 64
 	// MaximumRecentPlans bounds the plan IDs that the record keeps.
 	MaximumRecentPlans = 256
-	// maximumSummary bounds the lines of a history entry's summary.
-	maximumSummary = 16
-	// maximumSummaryLine bounds the bytes of such a line.
-	maximumSummaryLine = 160
+	// maximumSummaryLines bounds the lines of a history entry's summary.
+	maximumSummaryLines = 16
+	// maximumSummaryLineBytes bounds the bytes of such a line.
+	maximumSummaryLineBytes = 160
 )
 
 // Record is what the store holds and nodes carry to each other, byte for byte.
@@ -103,9 +103,9 @@
 	return 0, false
 }
 
-// since lists the changes after a revision; truncated says that some are no
+// historySince lists the changes after a revision; truncated says that some are no
 // longer known.
-func (r Record) since(base Revision) (entries []HistoryEntry, truncated bool) {
+func (r Record) historySince(base Revision) (entries []HistoryEntry, truncated bool) {
 	entries = []HistoryEntry{}
 	for _, entry := range r.History {
 		if entry.Revision > base {
--- a/policy/scale_bench_test.go
+++ b/policy/scale_bench_test.go
@@ -15,7 +15,7 @@
 	for index := range groups {
 		group := Group{Name: fmt.Sprintf("g%04d", index), Range: coverage.Range{Start: index << 20, End: (index + 1) << 20}}
 		for replica := range replicas {
-			added := server(fmt.Sprintf("search-g%04d-r%02d", index, replica))
+			added := testServer(fmt.Sprintf("search-g%04d-r%02d", index, replica))
 			added.Address = fmt.Sprintf("10.%d.%d.%d:8080", replica, index/256, index%256)
 			group.Servers = append(group.Servers, added)
 		}
--- a/policy/validate.go
+++ b/policy/validate.go
@@ -45,11 +45,11 @@
 		return
 	}
 	for _, fieldError := range invalid {
-		faults.add(prefix+validation.Path(fieldError), "%s", ruleText(fieldError))
+		faults.add(prefix+validation.Path(fieldError), "%s", describeRule(fieldError))
 	}
 }
 
-func ruleText(fieldError validator.FieldError) string {
+func describeRule(fieldError validator.FieldError) string {
 	parameter := fieldError.Param()
 	switch fieldError.Tag() {
 	case "required":
--- a/policy/validate_test.go
+++ b/policy/validate_test.go
@@ -7,7 +7,7 @@
 	"github.com/banksail/banksail/coverage"
 )
 
-func TestValidateNamesTheFaultyField(t *testing.T) {
+func TestValidateReportsTheInvalidField(t *testing.T) {
 	cases := map[string]struct {
 		change func(*Config)
 		field  string
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestValidConfigurationPasses(t *testing.T) {
+func TestValidConfigurationIsAccepted(t *testing.T) {
 	if err := Validate(testConfig()); err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestApplyNamesTheFaultyChange(t *testing.T) {
+func TestApplyReportsTheInvalidChange(t *testing.T) {
 	class := testConfig().Classes[0]
 	faulty := class
 	faulty.Deadline = -1
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestGroupSplitKeepsEveryKey(t *testing.T) {
+func TestGroupSplitMustCoverEveryKey(t *testing.T) {
 	service := testConfig().Services[0].clone()
 	service.Groups = append([]Group{
 		{Name: "a-low", Range: coverage.Range{Start: 0, End: 20}, Servers: service.Groups[0].Servers},
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestApplyLeavesItsBaseAlone(t *testing.T) {
+func TestApplyDoesNotModifyBase(t *testing.T) {
 	base := testConfig()
 	class := base.Classes[0]
 	class.Deadline = 70
@@ -169,7 +169,7 @@
 		t.Run(name, func(t *testing.T) {
 			after := testConfig().clone()
 			test.change(&after)
-			for _, warning := range warn(testConfig(), after, test.nodes) {
+			for _, warning := range collectWarnings(testConfig(), after, test.nodes) {
 				if warning.Field == test.field {
 					return
 				}
@@ -177,7 +177,7 @@
 			t.Fatalf("no warning of %s", test.field)
 		})
 	}
-	if warnings := warn(testConfig(), testConfig(), 2); len(warnings) != 0 {
+	if warnings := collectWarnings(testConfig(), testConfig(), 2); len(warnings) != 0 {
 		t.Fatalf("got %v", warnings)
 	}
 }
--- a/policy/warning.go
+++ b/policy/warning.go
@@ -12,9 +12,9 @@
 
 // Bounds of what passes without a warning.
 const (
-	cautiousHeadroomSum = 0.5
-	cautiousHedgeShare  = 0.1
-	maximumWarnings     = 100
+	headroomSumWarningThreshold = 0.5
+	hedgeShareWarningThreshold  = 0.1
+	maximumWarnings             = 100
 )
 
 // warningList gathers warnings, up to maximumWarnings.
@@ -26,19 +26,19 @@
 	}
 }
 
-// warn looks at the change from one valid configuration to another; nodes is
+// collectWarnings looks at the change from one valid configuration to another; nodes is
 // the number of live nodes that share each server's connections.
-func warn(before, after Config, nodes int) []Warning {
+func collectWarnings(before, after Config, nodes int) []Warning {
 	list := &warningList{warnings: []Warning{}}
-	warnOfRemovals(list, before, after)
-	warnOfClasses(list, after.Classes)
+	addRemovalWarnings(list, before, after)
+	addClassWarnings(list, after.Classes)
 	for _, service := range after.Services {
-		warnOfService(list, service, nodes)
+		addServiceWarnings(list, service, nodes)
 	}
 	return list.warnings
 }
 
-func warnOfRemovals(list *warningList, before, after Config) {
+func addRemovalWarnings(list *warningList, before, after Config) {
 	for _, class := range before.Classes {
 		if _, found := after.Class(class.Name); !found {
 			list.add(fmt.Sprintf("classes[%s]", class.Name), "is removed: requests that name it will be refused")
@@ -51,19 +51,19 @@
 	}
 }
 
-func warnOfClasses(list *warningList, classes []Class) {
-	if sum := headroomSum(classes); sum > cautiousHeadroomSum {
+func addClassWarnings(list *warningList, classes []Class) {
+	if sum := headroomSum(classes); sum > headroomSumWarningThreshold {
 		list.add("classes", "headroom adds up to %.2f: the class served last keeps %.2f of each server", sum, 1-sum)
 	}
 	for _, class := range classes {
-		if class.HedgeShare > cautiousHedgeShare {
+		if class.HedgeShare > hedgeShareWarningThreshold {
 			list.add(fmt.Sprintf("classes[%s].hedge_share", class.Name),
 				"up to %.0f%% extra load by this class", class.HedgeShare*100)
 		}
 	}
 }
 
-func warnOfService(list *warningList, service Service, nodes int) {
+func addServiceWarnings(list *warningList, service Service, nodes int) {
 	for _, group := range service.Groups {
 		path := fmt.Sprintf("services[%s].groups[%s]", service.Name, group.Name)
 		if len(group.Servers) == 1 && len(service.Groups) > 1 {
--- a/spread/simulation_calls_test.go
+++ b/spread/simulation_calls_test.go
@@ -9,96 +9,96 @@
 
 // delay returns a uniformly distributed one-way delay between 0.5 and 1.5 times
 // mean.
-func (r *simulation) delay(mean time.Duration) time.Duration {
-	return mean/2 + time.Duration(r.random.Int64N(int64(mean)+1))
+func (s *simulation) delay(mean time.Duration) time.Duration {
+	return mean/2 + time.Duration(s.random.Int64N(int64(mean)+1))
 }
 
-func (r *simulation) drawCallLoss() bool {
-	return r.options.PeerLoss > 0 && r.random.Float64() < r.options.PeerLoss
+func (s *simulation) drawCallLoss() bool {
+	return s.options.PeerLoss > 0 && s.random.Float64() < s.options.PeerLoss
 }
 
 // push offers a node's revision to another node.
-func (r *simulation) push(from *node, action spread.Push) {
-	r.counts.Pushes++
-	to := r.byID[action.Member]
-	if to.crashed || r.drawCallLoss() {
-		r.after(r.options.PeerTimeout, func() {
-			r.step(from, spread.PushCompleted{Member: to.id, PushedRevision: action.Revision, Failed: true})
+func (s *simulation) push(from *node, action spread.Push) {
+	s.counts.Pushes++
+	to := s.byID[action.Member]
+	if to.crashed || s.drawCallLoss() {
+		s.after(s.options.PeerTimeout, func() {
+			s.step(from, spread.PushCompleted{Member: to.id, PushedRevision: action.Revision, Failed: true})
 		})
 		return
 	}
-	r.after(r.delay(r.options.PeerDelay), func() {
+	s.after(s.delay(s.options.PeerDelay), func() {
 		if to.core.Revision() < action.Revision {
-			r.counts.PushesAdopted++
+			s.counts.PushesAdopted++
 		}
-		r.step(to, spread.RecordOffered{Revision: action.Revision})
+		s.step(to, spread.RecordOffered{Revision: action.Revision})
 		revision := to.core.Revision()
-		r.after(r.delay(r.options.PeerDelay), func() {
-			r.step(from, spread.PushCompleted{Member: to.id, PushedRevision: action.Revision, Revision: revision})
+		s.after(s.delay(s.options.PeerDelay), func() {
+			s.step(from, spread.PushCompleted{Member: to.id, PushedRevision: action.Revision, Revision: revision})
 		})
 	})
 }
 
 // fetch requests a record above a revision from another node.
-func (r *simulation) fetch(from *node, action spread.Fetch) {
-	r.counts.Comparisons++
-	to := r.byID[action.Member]
-	if to.crashed || r.drawCallLoss() {
-		r.after(r.options.PeerTimeout, func() {
-			r.step(from, spread.FetchCompleted{Member: to.id, Failed: true})
+func (s *simulation) fetch(from *node, action spread.Fetch) {
+	s.counts.Comparisons++
+	to := s.byID[action.Member]
+	if to.crashed || s.drawCallLoss() {
+		s.after(s.options.PeerTimeout, func() {
+			s.step(from, spread.FetchCompleted{Member: to.id, Failed: true})
 		})
 		return
 	}
-	r.after(r.delay(r.options.PeerDelay), func() {
+	s.after(s.delay(s.options.PeerDelay), func() {
 		revision := max(to.core.Revision(), action.Above)
 		if action.Above == 0 || revision > action.Above+1 {
-			r.counts.Records++
+			s.counts.Records++
 		}
-		r.after(r.delay(r.options.PeerDelay), func() {
+		s.after(s.delay(s.options.PeerDelay), func() {
 			if revision > from.core.Revision() {
-				r.counts.ComparisonsAdopted++
-				r.step(from, spread.RecordOffered{Revision: revision, From: to.id})
+				s.counts.ComparisonsAdopted++
+				s.step(from, spread.RecordOffered{Revision: revision, From: to.id})
 			}
-			r.step(from, spread.FetchCompleted{Member: to.id, Revision: revision})
+			s.step(from, spread.FetchCompleted{Member: to.id, Revision: revision})
 		})
 	})
 }
 
 // readStore reads or watches the store.
-func (r *simulation) readStore(from *node, action spread.ReadStore) {
-	r.counts.StoreReads++
-	if from.zone >= r.options.StoreZones {
-		r.after(r.options.StoreTimeout, func() { r.step(from, spread.StoreReadCompleted{Failed: true}) })
+func (s *simulation) readStore(from *node, action spread.ReadStore) {
+	s.counts.StoreReads++
+	if from.zone >= s.options.StoreZones {
+		s.after(s.options.StoreTimeout, func() { s.step(from, spread.StoreReadCompleted{Failed: true}) })
 		return
 	}
-	r.after(r.delay(r.options.StoreDelay), func() {
+	s.after(s.delay(s.options.StoreDelay), func() {
 		held := &watch{node: from, after: from.core.Revision()}
-		if r.storeRevision > held.after || action.MaxWait == 0 {
-			r.answerWatch(held)
+		if s.storeRevision > held.after || action.MaxWait == 0 {
+			s.answerWatch(held)
 			return
 		}
-		r.heldWatches = append(r.heldWatches, held)
-		r.after(action.MaxWait, func() { r.answerWatch(held) })
+		s.heldWatches = append(s.heldWatches, held)
+		s.after(action.MaxWait, func() { s.answerWatch(held) })
 	})
 }
 
 // answerWatches answers every watch that the store holds.
-func (r *simulation) answerWatches() {
-	for _, held := range r.heldWatches {
-		r.answerWatch(held)
+func (s *simulation) answerWatches() {
+	for _, held := range s.heldWatches {
+		s.answerWatch(held)
 	}
-	r.heldWatches = nil
+	s.heldWatches = nil
 }
 
-func (r *simulation) answerWatch(held *watch) {
+func (s *simulation) answerWatch(held *watch) {
 	if held.answered {
 		return
 	}
 	held.answered = true
-	stored := r.storeRevision
-	r.after(r.delay(r.options.StoreDelay), func() {
-		r.step(held.node, spread.RecordOffered{Revision: stored})
-		r.step(held.node, spread.StoreReadCompleted{})
+	stored := s.storeRevision
+	s.after(s.delay(s.options.StoreDelay), func() {
+		s.step(held.node, spread.RecordOffered{Revision: stored})
+		s.step(held.node, spread.StoreReadCompleted{})
 	})
 }
 
--- a/spread/simulation_test.go
+++ b/spread/simulation_test.go
@@ -182,7 +182,7 @@
 const firstRevision policy.Revision = 1
 
 func newSimulation(options simulationOptions) *simulation {
-	r := &simulation{
+	s := &simulation{
 		options:       options,
 		random:        rand.New(rand.NewPCG(options.Seed, uint64(options.Nodes))),
 		storeRevision: firstRevision,
@@ -198,90 +198,90 @@
 		core.Seed = options.Seed
 		added.core = spread.NewCore(core)
 		members = append(members, spread.Member{ID: core.Self, Zone: core.Zone, Revision: firstRevision})
-		r.nodes = append(r.nodes, added)
-		r.byID[added.id] = added
+		s.nodes = append(s.nodes, added)
+		s.byID[added.id] = added
 	}
-	for _, started := range r.nodes {
-		r.step(started, spread.MembersChanged{Members: members})
-		r.step(started, spread.RecordOffered{Revision: firstRevision})
+	for _, started := range s.nodes {
+		s.step(started, spread.MembersChanged{Members: members})
+		s.step(started, spread.RecordOffered{Revision: firstRevision})
 	}
-	return r
+	return s
 }
 
 // commitRevision writes a new revision to the store, confirmed by a random
 // node.
-func (r *simulation) commitRevision() {
-	r.changedAt = r.now
-	r.storeRevision++
-	r.answerWatches()
-	confirmer := r.nodes[r.random.IntN(len(r.nodes))]
-	if r.options.ConfirmerLost {
+func (s *simulation) commitRevision() {
+	s.changedAt = s.now
+	s.storeRevision++
+	s.answerWatches()
+	confirmer := s.nodes[s.random.IntN(len(s.nodes))]
+	if s.options.ConfirmerLost {
 		confirmer.crashed = true
-		r.reached++
+		s.reached++
 		return
 	}
-	r.step(confirmer, spread.RecordOffered{Revision: r.storeRevision})
+	s.step(confirmer, spread.RecordOffered{Revision: s.storeRevision})
 }
 
 // runUntil processes events up to a time, or until every node has adopted the
 // change.
-func (r *simulation) runUntil(end time.Duration) {
-	for r.queue.Len() > 0 && r.queue.nextTime() <= end && r.reached < len(r.nodes) {
-		event := r.queue.popEarliest()
-		r.now = event.at
+func (s *simulation) runUntil(end time.Duration) {
+	for s.queue.Len() > 0 && s.queue.nextTime() <= end && s.reached < len(s.nodes) {
+		event := s.queue.popEarliest()
+		s.now = event.at
 		event.do()
 	}
-	r.now = max(r.now, end)
+	s.now = max(s.now, end)
 }
 
 // after schedules a function to run after a delay.
-func (r *simulation) after(delay time.Duration, do func()) {
-	r.queue.add(r.now+delay, do)
+func (s *simulation) after(delay time.Duration, do func()) {
+	s.queue.add(s.now+delay, do)
 }
 
 // step passes an event to a node's core and executes the resulting actions.
-func (r *simulation) step(stepped *node, event spread.Event) {
+func (s *simulation) step(stepped *node, event spread.Event) {
 	if stepped.crashed {
 		return
 	}
-	for _, action := range stepped.core.Step(r.now, event) {
+	for _, action := range stepped.core.Step(s.now, event) {
 		switch action := action.(type) {
 		case spread.Adopt:
-			r.recordAdoption(action.Revision)
+			s.recordAdoption(action.Revision)
 		case spread.Push:
-			r.push(stepped, action)
+			s.push(stepped, action)
 		case spread.Fetch:
-			r.fetch(stepped, action)
+			s.fetch(stepped, action)
 		case spread.ReadStore:
-			r.readStore(stepped, action)
+			s.readStore(stepped, action)
 		case spread.SetTimer:
-			r.setTimer(stepped, action.At)
+			s.setTimer(stepped, action.At)
 		}
 	}
 }
 
-func (r *simulation) setTimer(woken *node, at time.Duration) {
+func (s *simulation) setTimer(woken *node, at time.Duration) {
 	woken.timerAt = at
-	r.queue.add(max(at, r.now), func() {
+	s.queue.add(max(at, s.now), func() {
 		if woken.timerAt == at {
-			r.step(woken, spread.TimerFired{})
+			s.step(woken, spread.TimerFired{})
 		}
 	})
 }
 
-func (r *simulation) recordAdoption(revision policy.Revision) {
+func (s *simulation) recordAdoption(revision policy.Revision) {
 	if revision == firstRevision {
 		return
 	}
-	r.reached++
-	since := r.now - r.changedAt
-	if r.reached == (len(r.nodes)+1)/2 {
-		r.result.Half = since
+	s.reached++
+	since := s.now - s.changedAt
+	if s.reached == (len(s.nodes)+1)/2 {
+		s.result.Half = since
 	}
-	if r.reached == (len(r.nodes)*99+99)/100 {
-		r.result.Most = since
+	if s.reached == (len(s.nodes)*99+99)/100 {
+		s.result.Most = since
 	}
-	if r.reached == len(r.nodes) {
-		r.result.All = since
+	if s.reached == len(s.nodes) {
+		s.result.All = since
 	}
 }
