--- a/policy/codec.go
+++ b/policy/codec.go
@@ -7,11 +7,12 @@
 	"github.com/banksail/banksail/internal/strictjson"
 )
 
-// maximumDepth bounds how deep documents nest.
+// maximumDepth limits the nesting depth of JSON documents.
 const maximumDepth = 16
 
-// decodeStrict reads one JSON document of bounded size and depth; its errors
-// name the faulty fields.
+// decodeStrict decodes one JSON document of limited size and depth. It returns
+// a *ValidationError that names the invalid fields, ErrTooLarge, or
+// ErrMalformed.
 func decodeStrict(data []byte, maximumBytes int, target any) error {
 	err := strictjson.Unmarshal(data, strictjson.Limits{Bytes: int64(maximumBytes), Depth: maximumDepth}, target)
 	var fields *strictjson.FieldsError
--- a/policy/delta.go
+++ b/policy/delta.go
@@ -9,30 +9,30 @@
 	"time"
 )
 
-// Bounds of deltas.
+// Format version and size limits of deltas.
 const (
-	// DeltaFormat is the format that this version writes.
+	// DeltaFormat is the version of the delta format.
 	DeltaFormat = 1
-	// MaximumDeltaBytes bounds an encoded delta.
+	// MaximumDeltaBytes limits the size of an encoded delta.
 	MaximumDeltaBytes = 128 << 10
-	// MaximumDeltaIntentBytes bounds the intent that a record keeps for its
-	// delta; nodes carry a record with a larger one whole.
+	// MaximumDeltaIntentBytes limits the size of the intent that a record keeps
+	// for its delta. Records with a larger intent are transferred in full.
 	MaximumDeltaIntentBytes = 64 << 10
 )
 
-// deltaPrefix tells an encoded delta from an encoded record.
+// deltaPrefix distinguishes an encoded delta from an encoded record.
 var deltaPrefix = []byte(`{"delta":`)
 
-// Delta carries one accepted change between nodes, in place of the whole
-// record. Applied to the record of the revision before, it gives the record
-// byte for byte, or is refused.
+// Delta is one accepted change, which nodes transfer in place of the full
+// record. Applied to the record of the previous revision, it reproduces the new
+// record byte for byte, or is rejected.
 type Delta struct {
 	Format      int       `json:"format"`
 	Revision    Revision  `json:"revision"`
 	PlanID      string    `json:"plan_id"`
 	Intent      Intent    `json:"intent"`
 	ConfirmedAt time.Time `json:"confirmed_at"`
-	// RecordDigest is the digest of the record that the delta leads to.
+	// RecordDigest is the digest of the resulting record.
 	RecordDigest string `json:"record_digest"`
 }
 
@@ -40,14 +40,15 @@
 	Delta Delta `json:"delta"`
 }
 
-// RecordDigest identifies a record's bytes: their SHA-256 in hexadecimal.
+// RecordDigest returns the hexadecimal SHA-256 of an encoded record.
 func RecordDigest(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
 }
 
-// EncodeDelta makes the delta that leads to a record with this digest; ok is
-// false when the record does not keep the intent that made it.
+// EncodeDelta returns the encoded delta that produces a record with the given
+// digest. ok is false if the record has not kept its intent or the delta would
+// be too large.
 func EncodeDelta(record Record, digest string) (data []byte, ok bool) {
 	if record.LastIntent == nil || len(record.History) == 0 {
 		return nil, false
@@ -64,23 +65,24 @@
 	return data, err == nil && len(data) <= MaximumDeltaBytes
 }
 
-// IsDelta tells an encoded delta from an encoded record.
+// IsDelta reports whether data is an encoded delta rather than an encoded
+// record.
 func IsDelta(data []byte) bool { return bytes.HasPrefix(data, deltaPrefix) }
 
-// DecodeDelta reads a delta; ApplyDelta checks its content.
+// DecodeDelta decodes a delta. Its content is validated by ApplyDelta.
 func DecodeDelta(data []byte) (Delta, error) {
 	var envelope deltaEnvelope
 	if err := decodeStrict(data, MaximumDeltaBytes, &envelope); err != nil {
 		return Delta{}, fmt.Errorf("delta: %w", err)
 	}
 	if envelope.Delta.Format != DeltaFormat {
-		return Delta{}, fmt.Errorf("%w: delta format %d, known is %d", ErrUnsupportedFormat, envelope.Delta.Format, DeltaFormat)
+		return Delta{}, fmt.Errorf("%w: delta format %d, supported is %d", ErrUnsupportedFormat, envelope.Delta.Format, DeltaFormat)
 	}
 	return envelope.Delta, nil
 }
 
-// ApplyDelta returns the record that follows base, and its bytes. It returns
-// ErrDeltaMismatch when base is not the record that the delta was made for.
+// ApplyDelta returns the record that follows base, and its encoding. It returns
+// ErrDeltaMismatch if the delta was not made for base.
 func ApplyDelta(base Record, delta Delta) (next Record, data []byte, err error) {
 	if base.Revision+1 != delta.Revision {
 		return Record{}, nil, fmt.Errorf("%w: it makes revision %d, the base is %d", ErrDeltaMismatch, delta.Revision, base.Revision)
@@ -100,7 +102,7 @@
 		return Record{}, nil, err
 	}
 	if digest := RecordDigest(data); digest != delta.RecordDigest {
-		return Record{}, nil, fmt.Errorf("%w: it leads to %s, and names %s", ErrDeltaMismatch, digest, delta.RecordDigest)
+		return Record{}, nil, fmt.Errorf("%w: the result has digest %s, want %s", ErrDeltaMismatch, digest, delta.RecordDigest)
 	}
 	return next, data, nil
 }
--- a/policy/delta_test.go
+++ b/policy/delta_test.go
@@ -9,7 +9,8 @@
 	"github.com/banksail/banksail/coverage"
 )
 
-// newDeltaFixture returns a record, the one after it, and the delta between them.
+// newDeltaFixture returns a record, its successor with its encoding, and the
+// delta between them.
 func newDeltaFixture(t *testing.T) (base, next Record, data, delta []byte) {
 	t.Helper()
 	base = firstRecord(t)
@@ -20,7 +21,7 @@
 	}
 	delta, ok := EncodeDelta(next, RecordDigest(data))
 	if !ok {
-		t.Fatal("no delta")
+		t.Fatal("EncodeDelta returned no delta")
 	}
 	return base, next, data, delta
 }
@@ -28,13 +29,13 @@
 func TestDeltaReproducesTheRecordByteForByte(t *testing.T) {
 	base, _, want, encodedDelta := newDeltaFixture(t)
 	if !IsDelta(encodedDelta) || IsDelta(want) {
-		t.Fatal("a delta and a record can't be told apart")
+		t.Fatal("IsDelta does not distinguish a delta from a record")
 	}
 	delta, err := DecodeDelta(encodedDelta)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The base went over the wire before, as it does between nodes.
+	// Encode and decode the base, as happens when nodes transfer it.
 	wire, err := EncodeRecord(base)
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +72,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			if _, _, err := ApplyDelta(test.base, test.delta); !errors.Is(err, ErrDeltaMismatch) {
-				t.Fatalf("got %v", err)
+				t.Fatalf("got %v, want ErrDeltaMismatch", err)
 			}
 		})
 	}
@@ -92,10 +93,10 @@
 	config.Services = append(config.Services, large)
 	next := mustDecide(t, base, mustPlan(t, "large", base, replaceIntent(config)))
 	if next.LastIntent != nil {
-		t.Fatal("a large intent is kept")
+		t.Fatal("the record has kept a large intent")
 	}
 	if _, ok := EncodeDelta(next, ""); ok {
-		t.Fatal("a delta of a large intent")
+		t.Fatal("EncodeDelta returned a delta for a large intent")
 	}
 }
 
@@ -114,7 +115,7 @@
 			return
 		}
 		if RecordDigest(record) != delta.RecordDigest {
-			t.Fatal("a record with another digest was taken")
+			t.Fatal("a delta was applied although the digest of its result differs")
 		}
 	})
 }
--- a/policy/difference.go
+++ b/policy/difference.go
@@ -8,12 +8,12 @@
 
 // Difference is one field that differs between two configurations.
 type Difference struct {
-	// Field is the path of the field; items of lists are named, as in
+	// Field is the path of the field. List items are identified by name, as in
 	// classes[urgent].order or services[search].groups[a].servers[s1].slots.
 	Field string `json:"field"`
-	// Before is the JSON value before; empty when the field is added.
+	// Before is the previous JSON value; empty if the field was added.
 	Before json.RawMessage `json:"before,omitempty"`
-	// After is the JSON value after; empty when the field is removed.
+	// After is the new JSON value; empty if the field was removed.
 	After json.RawMessage `json:"after,omitempty"`
 }
 
@@ -29,10 +29,10 @@
 	}
 }
 
-// Abbreviate formats the difference on one line of at most this many bytes.
+// Abbreviate formats the difference on one line of at most limit bytes.
 func (d Difference) Abbreviate(limit int) string { return truncate(d.String(), limit) }
 
-// compactJSON drops the white space between the tokens of a JSON value.
+// compactJSON removes insignificant white space from a JSON value.
 func compactJSON(value json.RawMessage) string {
 	var buffer bytes.Buffer
 	if err := json.Compact(&buffer, value); err != nil {
@@ -41,8 +41,8 @@
 	return buffer.String()
 }
 
-// Compare lists the differences between two configurations, in an order that
-// depends on their content only.
+// Compare returns the differences between two configurations, in an order that
+// depends only on their content.
 func Compare(before, after Config) []Difference {
 	comparison := &comparison{differences: []Difference{}}
 	compareLists(comparison, "classes", before.Classes, after.Classes, comparison.compareClass)
@@ -85,8 +85,8 @@
 	c.compareValue(path+".connections", before.Connections, after.Connections)
 }
 
-// compareLists pairs the items of two lists by name: removed ones first, then
-// the others in the order of the list after.
+// compareLists matches the items of two lists by name. Removed items come
+// first, then the others in the order of the new list.
 func compareLists[T namedItem](c *comparison, path string, before, after []T, compare func(path string, before, after T)) {
 	known := make(map[string]T, len(before))
 	for _, item := range before {
@@ -113,8 +113,8 @@
 	}
 }
 
-// rawJSON encodes a value of the package's own types, which can't fail once
-// the configuration is valid.
+// rawJSON encodes a value of this package's types. Encoding cannot fail for a
+// valid configuration.
 func rawJSON(value any) json.RawMessage {
 	encoded, err := json.Marshal(value)
 	if err != nil {
--- a/policy/errors.go
+++ b/policy/errors.go
@@ -6,37 +6,41 @@
 	"strings"
 )
 
-// Errors of the package, wrapped with details.
+// Errors returned by this package, wrapped with details.
 var (
-	// ErrInvalid: an intent, a plan or a configuration breaks a rule; see ValidationError.
+	// ErrInvalid means that an intent, a plan or a configuration violates a
+	// rule; see ValidationError.
 	ErrInvalid = errors.New("policy: invalid")
-	// ErrMalformed: bytes are not of the expected form.
+	// ErrMalformed means that a document cannot be parsed or encoded.
 	ErrMalformed = errors.New("policy: malformed")
-	// ErrTooLarge: bytes exceed the named bound.
+	// ErrTooLarge means that a document exceeds its size limit.
 	ErrTooLarge = errors.New("policy: too large")
-	// ErrUnsupportedFormat: a document was written in a format that this version does not know.
+	// ErrUnsupportedFormat means that a document has a format version that this
+	// release does not support.
 	ErrUnsupportedFormat = errors.New("policy: unsupported format")
-	// ErrPlanAltered: a plan's content does not match its digest, or its
-	// differences are not those that its intent makes.
+	// ErrPlanAltered means that a plan's content does not match its digest, or
+	// that its differences do not match its intent.
 	ErrPlanAltered = errors.New("policy: plan was altered")
-	// ErrConflict: the configuration changed after the plan was made; see ConflictError.
+	// ErrConflict means that the configuration changed after the plan was made;
+	// see ConflictError.
 	ErrConflict = errors.New("policy: configuration changed since the plan was made")
-	// ErrDeltaMismatch: a delta does not lead from the base to the record that it names.
-	ErrDeltaMismatch = errors.New("policy: delta does not fit")
+	// ErrDeltaMismatch means that a delta does not turn the base into the
+	// record that it names.
+	ErrDeltaMismatch = errors.New("policy: delta does not apply to the base record")
 )
 
-// Fault is one broken rule.
+// Fault is one violation of a rule.
 type Fault struct {
-	// Field is the path of the value, such as classes[0].order.
+	// Field is the path of the invalid value, such as classes[0].order.
 	Field string `json:"field"`
-	// Problem says what is wrong with it.
+	// Problem describes the violation.
 	Problem string `json:"problem"`
 }
 
-// ValidationError lists the faults that were found; it wraps ErrInvalid.
+// ValidationError lists the violations found. It wraps ErrInvalid.
 type ValidationError struct{ Faults []Fault }
 
-// Error lists every fault on one line.
+// Error returns all violations on one line.
 func (e *ValidationError) Error() string {
 	texts := make([]string, 0, len(e.Faults))
 	for _, fault := range e.Faults {
@@ -45,25 +49,26 @@
 	return ErrInvalid.Error() + ": " + strings.Join(texts, "; ")
 }
 
-// Unwrap makes errors.Is(err, ErrInvalid) true.
+// Unwrap returns ErrInvalid.
 func (e *ValidationError) Unwrap() error { return ErrInvalid }
 
-// ConflictError tells what changed after a plan was made; it wraps ErrConflict.
+// ConflictError describes what changed after a plan was made. It wraps
+// ErrConflict.
 type ConflictError struct {
-	// Base is the revision that the plan was made for.
+	// Base is the revision for which the plan was made.
 	Base Revision
 	// Current is the revision found.
 	Current Revision
 	// Between lists the changes after Base, oldest first.
 	Between []HistoryEntry
-	// Truncated says that the history no longer reaches back to Base.
+	// Truncated is set if the history no longer covers all changes after Base.
 	Truncated bool
-	// PlanMayBeEvicted says that the plan may have been applied so long ago that the
-	// record no longer names it.
+	// PlanMayBeEvicted is set if the plan may have been applied so long ago
+	// that its ID has been evicted from the record.
 	PlanMayBeEvicted bool
 }
 
-// Error names both revisions and the changes between them.
+// Error returns both revisions and the changes between them.
 func (e *ConflictError) Error() string {
 	texts := make([]string, 0, len(e.Between))
 	for _, entry := range e.Between {
@@ -73,10 +78,10 @@
 		ErrConflict, e.Base, e.Current, strings.Join(texts, ", "))
 }
 
-// Unwrap makes errors.Is(err, ErrConflict) true.
+// Unwrap returns ErrConflict.
 func (e *ConflictError) Unwrap() error { return ErrConflict }
 
-// faultList gathers faults, up to maximumFaults.
+// faultList collects faults, up to maximumFaults.
 type faultList struct{ faults []Fault }
 
 const maximumFaults = 100
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -9,7 +9,8 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// exampleConfig has one class and a service of one group.
+// exampleConfig returns a configuration with one class and a service of one
+// group.
 func exampleConfig() policy.Config {
 	return policy.Config{
 		Classes: []policy.Class{{Name: "urgent", Order: 0, Deadline: 100, MinimumCoverage: 0.9}},
@@ -25,7 +26,8 @@
 	}
 }
 
-// A plan shows what an intent would change; deciding on it makes the next record.
+// A plan shows what an intent would change. Deciding on the plan produces the
+// next record.
 func ExampleNewPlan() {
 	config := exampleConfig()
 	base := policy.Record{Revision: 7, Config: config}
@@ -51,7 +53,7 @@
 	// revision 8 <nil>
 }
 
-// A configuration at fault is refused with the names of its fields.
+// An invalid configuration is rejected with the paths of its invalid fields.
 func ExampleValidate() {
 	config := exampleConfig()
 	config.Classes[0].MinimumCoverage = 2
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -25,7 +25,7 @@
 			t.Fatal(err)
 		}
 		if _, err := DecodeRecord(again); err != nil {
-			t.Fatalf("a record that was read can't be read again: %v", err)
+			t.Fatalf("a decoded record cannot be decoded again after encoding: %v", err)
 		}
 	})
 }
@@ -47,7 +47,7 @@
 			return
 		}
 		if err := Validate(next); err != nil {
-			t.Fatalf("an intent made a faulty configuration: %v", err)
+			t.Fatalf("an intent produced an invalid configuration: %v", err)
 		}
 	})
 }
@@ -70,7 +70,7 @@
 			return
 		}
 		if decision.Next.Revision != 1 {
-			t.Fatalf("a plan made revision %d", decision.Next.Revision)
+			t.Fatalf("a plan created revision %d, want 1", decision.Next.Revision)
 		}
 	})
 }
--- a/policy/intent.go
+++ b/policy/intent.go
@@ -7,44 +7,43 @@
 	"strings"
 )
 
-// Intent is what an operator asks for: changes that take effect together.
+// Intent is an operator's request for changes that take effect together.
 type Intent struct {
-	// Author names the operator, for the history.
+	// Author is the operator's name, for the history.
 	Author string `json:"author,omitempty" validate:"required,max=128"`
-	// Note says why, for the history.
+	// Note is the reason for the change, for the history.
 	Note string `json:"note,omitempty" validate:"max=512"`
-	// Changes are applied in order.
+	// Changes lists the changes, which are applied in order.
 	Changes []Change `json:"changes" validate:"min=1,max=256"`
 }
 
-// Change is one wanted change; exactly one of its fields is set.
+// Change is one requested change. Exactly one field must be set.
 type Change struct {
-	// SetClass adds a class, or replaces the one of the same name.
+	// SetClass adds a class or replaces the class of the same name.
 	SetClass *Class `json:"set_class,omitempty"`
 	// RemoveClass removes the class of this name.
 	RemoveClass string `json:"remove_class,omitempty"`
-	// SetService adds a service, or replaces the one of the same name. Groups
-	// are split, merged and moved by giving the new list of groups.
+	// SetService adds a service or replaces the service of the same name. To
+	// split, merge or move groups, give the new list of groups.
 	SetService *Service `json:"set_service,omitempty"`
 	// SetGroup replaces one group of a service: its servers and its range. The
-	// change stays small however many groups the service has, and so does what
-	// nodes carry to each other.
+	// size of the change does not depend on the number of groups, so the deltas
+	// that nodes transfer stay small as well.
 	SetGroup *GroupChange `json:"set_group,omitempty"`
 	// RemoveService removes the service of this name.
 	RemoveService string `json:"remove_service,omitempty"`
-	// Replace replaces the whole configuration.
+	// Replace replaces the complete configuration.
 	Replace *Config `json:"replace,omitempty"`
 }
 
-// GroupChange names a service and gives the group that replaces the one of the
-// same name there.
+// GroupChange replaces the group of the same name in the named service.
 type GroupChange struct {
 	Service string `json:"service" validate:"required,max=64"`
 	Group   Group  `json:"group"`
 }
 
-// Apply makes the intent's changes to a configuration. It returns the new one
-// in canonical order, or a *ValidationError; base is left as it is.
+// Apply returns the configuration that results from applying an intent to base,
+// in canonical order, or a *ValidationError. It does not modify base.
 func Apply(base Config, intent Intent) (Config, error) {
 	faults := &faultList{}
 	checkTags(faults, "", intent)
@@ -96,7 +95,8 @@
 	return config
 }
 
-// setGroup replaces a group of a configuration whose lists are not shared.
+// setGroup replaces a group in place. The lists of config must not be shared
+// with another configuration.
 func setGroup(faults *faultList, path string, config Config, change GroupChange) {
 	service := slices.IndexFunc(config.Services, func(known Service) bool { return known.Name == change.Service })
 	if service < 0 {
@@ -123,7 +123,7 @@
 	return count
 }
 
-// upsert replaces the item of the same name, or appends it.
+// upsert replaces the item of the same name, or appends it if there is none.
 func upsert[T namedItem](items []T, item T) []T {
 	for index := range items {
 		if items[index].name() == item.name() {
@@ -143,8 +143,9 @@
 	return items, false
 }
 
-// canonicalize sorts the configuration, so that equal content has equal bytes:
-// classes by order, services by name, groups by range, servers by ID.
+// canonicalize sorts the lists, so that equal configurations have equal
+// encodings: classes by order, services by name, groups by range, servers by
+// ID.
 func (c *Config) canonicalize() {
 	if c.Classes == nil {
 		c.Classes = []Class{}
--- a/policy/plan.go
+++ b/policy/plan.go
@@ -9,46 +9,49 @@
 	"time"
 )
 
-// Bounds of plan documents and intents.
+// Format version and size limits of plans and intents.
 const (
-	// PlanFormat is the format that this version writes.
+	// PlanFormat is the version of the plan format.
 	PlanFormat = 1
-	// MaximumPlanBytes bounds an encoded plan.
+	// MaximumPlanBytes limits the size of an encoded plan.
 	MaximumPlanBytes = 8 << 20
-	// MaximumIntentBytes bounds an encoded intent.
+	// MaximumIntentBytes limits the size of an encoded intent.
 	MaximumIntentBytes = 4 << 20
 )
 
-// Plan is a self-contained document: what an intent would change at a base
-// revision. No node remembers it; nothing takes effect until it is confirmed.
+// Plan is a self-contained document that describes what an intent would change
+// at a base revision. Nodes do not store plans, and a plan has no effect until
+// it is confirmed.
 type Plan struct {
 	Format int    `json:"format"`
 	ID     string `json:"id" validate:"required,max=64"`
-	// BaseRevision is the revision that the plan was made for.
+	// BaseRevision is the revision for which the plan was made.
 	BaseRevision Revision `json:"base_revision"`
 	Intent       Intent   `json:"intent"`
-	// Differences is what confirming changes, field by field.
+	// Differences lists the changes, field by field.
 	Differences []Difference `json:"differences"`
 	Warnings    []Warning    `json:"warnings"`
-	// Digest is the SHA-256 of the document without this field, in hexadecimal.
+	// Digest is the hexadecimal SHA-256 of the JSON encoding with this field
+	// empty.
 	Digest string `json:"digest"`
 }
 
-// PlanOptions is what a plan is made from.
+// PlanOptions holds the inputs of NewPlan.
 type PlanOptions struct {
-	// ID is unique among all plans.
+	// ID is the plan's unique ID.
 	ID string
 	// Base is the record in force.
 	Base Record
-	// Intent is what the operator asks for.
+	// Intent is the operator's request.
 	Intent Intent
-	// Nodes is the number of live nodes, for warnings.
+	// Nodes is the number of live nodes, which is used for warnings.
 	Nodes int
-	// Warnings are put before those of the plan's content.
+	// Warnings are placed before the warnings about the new configuration.
 	Warnings []Warning
 }
 
-// NewPlan works out what an intent would change.
+// NewPlan computes what an intent would change. It returns a *ValidationError
+// if the intent or the resulting configuration is invalid.
 func NewPlan(options PlanOptions) (Plan, error) {
 	next, err := Apply(options.Base.Config, options.Intent)
 	if err != nil {
@@ -78,10 +81,11 @@
 	return hex.EncodeToString(sum[:]), nil
 }
 
-// Verify checks a plan's form and that its content matches its digest.
+// Verify checks a plan's format and fields, and that its content matches its
+// digest.
 func (p Plan) Verify() error {
 	if p.Format != PlanFormat {
-		return fmt.Errorf("%w: plan format %d, known is %d", ErrUnsupportedFormat, p.Format, PlanFormat)
+		return fmt.Errorf("%w: plan format %d, supported is %d", ErrUnsupportedFormat, p.Format, PlanFormat)
 	}
 	faults := &faultList{}
 	checkTags(faults, "", p)
@@ -93,12 +97,12 @@
 		return err
 	}
 	if digest != p.Digest {
-		return fmt.Errorf("%w: its digest is %s, its content's is %s", ErrPlanAltered, p.Digest, digest)
+		return fmt.Errorf("%w: the digest is %s, but the content has digest %s", ErrPlanAltered, p.Digest, digest)
 	}
 	return nil
 }
 
-// EncodePlan writes a plan document.
+// EncodePlan encodes a plan as indented JSON.
 func EncodePlan(plan Plan) ([]byte, error) {
 	encoded, err := json.MarshalIndent(plan, "", "  ")
 	if err != nil {
@@ -107,7 +111,7 @@
 	return append(encoded, '\n'), nil
 }
 
-// DecodePlan reads and verifies a plan document.
+// DecodePlan decodes and verifies a plan.
 func DecodePlan(data []byte) (Plan, error) {
 	var plan Plan
 	if err := decodeStrict(data, MaximumPlanBytes, &plan); err != nil {
@@ -119,7 +123,7 @@
 	return plan, nil
 }
 
-// DecodeIntent reads an intent; Apply checks its content.
+// DecodeIntent decodes an intent. Its content is validated by Apply.
 func DecodeIntent(data []byte) (Intent, error) {
 	var intent Intent
 	if err := decodeStrict(data, MaximumIntentBytes, &intent); err != nil {
@@ -128,18 +132,19 @@
 	return intent, nil
 }
 
-// Decision is what confirming a plan against a record comes to.
+// Decision is the result of confirming a plan against a record.
 type Decision struct {
-	// Applied says that the record holds the plan already; Next is not set.
+	// Applied is set if the plan has already been applied; Next is then empty.
 	Applied bool
-	// Revision is the one that the plan made or will make.
+	// Revision is the revision that the plan created or will create.
 	Revision Revision
-	// Next is the record to swap in.
+	// Next is the record to write to the store.
 	Next Record
 }
 
-// Decide works out the confirmation of a verified plan against the record in
-// force. It returns a *ConflictError when another plan came in between.
+// Decide computes the result of confirming a verified plan against the record
+// in force. It returns a *ConflictError if another plan was applied in the
+// meantime.
 func Decide(current Record, plan Plan, confirmedAt time.Time) (Decision, error) {
 	if revision, found := current.FindPlan(plan.ID); found {
 		return Decision{Applied: true, Revision: revision}, nil
@@ -159,7 +164,7 @@
 		return Decision{}, err
 	}
 	if !equalDifferences(plan.Differences, Compare(current.Config, config)) {
-		return Decision{}, fmt.Errorf("%w: its differences are not those that its intent makes", ErrPlanAltered)
+		return Decision{}, fmt.Errorf("%w: the differences do not match the intent", ErrPlanAltered)
 	}
 	next := current.next(config, acceptedChange{planID: plan.ID, intent: plan.Intent, differences: plan.Differences, acceptedAt: confirmedAt})
 	return Decision{Revision: next.Revision, Next: next}, nil
@@ -171,7 +176,7 @@
 	return errFirst == nil && errSecond == nil && bytes.Equal(first, second)
 }
 
-// acceptedChange is a change that makes a new revision.
+// acceptedChange is a change that creates a new revision.
 type acceptedChange struct {
 	planID      string
 	intent      Intent
@@ -179,8 +184,8 @@
 	acceptedAt  time.Time
 }
 
-// next builds the record that follows r. It depends on its arguments only, so
-// that every node builds the same bytes.
+// next returns the record that follows r. It depends only on its arguments, so
+// that every node produces identical bytes.
 func (r Record) next(config Config, change acceptedChange) Record {
 	revision := r.Revision + 1
 	entry := HistoryEntry{
@@ -204,7 +209,8 @@
 	}
 }
 
-// intentForDelta returns the intent if a record may keep it.
+// intentForDelta returns the intent if it is small enough for the record to
+// keep, otherwise nil.
 func intentForDelta(intent Intent) *Intent {
 	encoded, err := json.Marshal(intent)
 	if err != nil || len(encoded) > MaximumDeltaIntentBytes {
@@ -221,7 +227,8 @@
 	return summary
 }
 
-// truncate shortens a text to a number of bytes without cutting a character.
+// truncate shortens text to at most limit bytes without splitting a UTF-8
+// character.
 func truncate(text string, limit int) string {
 	if len(text) <= limit {
 		return text
--- a/policy/plan_test.go
+++ b/policy/plan_test.go
@@ -103,7 +103,7 @@
 		altered := original
 		altered.BaseRevision++
 		if err := altered.Verify(); !errors.Is(err, ErrPlanAltered) {
-			t.Fatalf("got %v", err)
+			t.Fatalf("got %v, want ErrPlanAltered", err)
 		}
 	})
 	t.Run("differences that the intent does not make", func(t *testing.T) {
@@ -111,7 +111,7 @@
 		altered.Differences = nil
 		altered.Digest, _ = altered.digest()
 		if _, err := Decide(base, altered, confirmedAt); !errors.Is(err, ErrPlanAltered) {
-			t.Fatalf("got %v", err)
+			t.Fatalf("got %v, want ErrPlanAltered", err)
 		}
 	})
 }
@@ -124,7 +124,7 @@
 	_, err := Decide(next, bob, confirmedAt)
 	var conflict *ConflictError
 	if !errors.As(err, &conflict) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got %v, want a ConflictError", err)
 	}
 	if conflict.Base != 1 || conflict.Current != 2 || len(conflict.Between) != 1 || conflict.Between[0].Author != "ann" {
 		t.Fatalf("got %+v", conflict)
--- a/policy/scale_bench_test.go
+++ b/policy/scale_bench_test.go
@@ -7,7 +7,8 @@
 	"github.com/banksail/banksail/coverage"
 )
 
-// largeConfig has the given number of servers, two a group, in one service.
+// largeConfig returns a configuration of one service with the given number of
+// servers, two per group.
 func largeConfig(servers int) Config {
 	const replicas = 2
 	groups := uint64(servers / replicas)
--- a/policy/validate.go
+++ b/policy/validate.go
@@ -15,14 +15,15 @@
 	"github.com/banksail/banksail/internal/validation"
 )
 
-// MaximumHeadroomSum bounds the headroom kept from the class served last.
+// MaximumHeadroomSum limits the total headroom that is reserved against the
+// class served last.
 const MaximumHeadroomSum = 0.9
 
-// fieldValidator caches the struct tags; it is safe for concurrent use.
+// fieldValidator caches the parsed struct tags. It is safe for concurrent use.
 var fieldValidator = sync.OnceValue(func() *validator.Validate { return validation.New("json") })
 
-// Validate checks a whole configuration. It returns a *ValidationError that
-// names the path of each fault.
+// Validate checks a complete configuration. It returns a *ValidationError that
+// gives the path of each invalid value.
 func Validate(config Config) error {
 	faults := &faultList{}
 	checkTags(faults, "", config)
@@ -30,14 +31,16 @@
 	return faults.err()
 }
 
-// checkRules checks what holds between fields, which tags can't say.
+// checkRules checks the rules that span several fields and cannot be expressed
+// as struct tags.
 func checkRules(faults *faultList, config Config) {
 	checkClasses(faults, config.Classes)
 	checkServices(faults, config.Services)
 	checkServerIdentities(faults, config.Services)
 }
 
-// checkTags turns the validator's errors into faults below the prefix.
+// checkTags checks the struct tags of value and adds the violations to faults,
+// with prefix before each path.
 func checkTags(faults *faultList, prefix string, value any) {
 	var invalid validator.ValidationErrors
 	err := fieldValidator().Struct(value)
@@ -73,8 +76,8 @@
 	}
 }
 
-// checkClasses verifies that the headroom of all classes but the last leaves
-// work for the last one.
+// checkClasses verifies that the total headroom leaves capacity for the class
+// served last, and that no queue wait exceeds the deadline.
 func checkClasses(faults *faultList, classes []Class) {
 	if sum := headroomSum(classes); sum > MaximumHeadroomSum {
 		faults.add("classes", "headroom of all classes but the last adds up to %.2f; at most %.2f may be kept",
@@ -88,7 +91,8 @@
 	}
 }
 
-// headroomSum adds up the headroom of all classes but the one served last.
+// headroomSum returns the total headroom of all classes except the one served
+// last.
 func headroomSum(classes []Class) float64 {
 	if len(classes) == 0 {
 		return 0
@@ -116,18 +120,18 @@
 
 func checkAddress(faults *faultList, path, address string) {
 	if address == "" {
-		return // the tags report it
+		return // reported by checkTags
 	}
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		faults.add(path, "must be an IP number and port, such as 10.0.0.7:8080")
 	}
 }
 
-// checkPartition verifies that the groups' ranges hold each key of the key
+// checkPartition verifies that the groups' ranges cover each key of the key
 // space exactly once.
 func checkPartition(faults *faultList, path string, service Service) {
 	if service.KeySpace.Validate() != nil {
-		return // the tags report it
+		return // reported by checkTags
 	}
 	type indexed struct {
 		index int
@@ -136,7 +140,7 @@
 	ordered := make([]indexed, 0, len(service.Groups))
 	for index, group := range service.Groups {
 		if group.Range.Validate() != nil {
-			return // the tags report it
+			return // reported by checkTags
 		}
 		ordered = append(ordered, indexed{index: index, keys: group.Range})
 	}
@@ -161,8 +165,8 @@
 	}
 }
 
-// checkServerIdentities verifies that a server that stands in several places
-// is described the same way in each.
+// checkServerIdentities verifies that a server listed more than once has the
+// same attributes everywhere.
 func checkServerIdentities(faults *faultList, services []Service) {
 	first := map[string]Server{}
 	for serviceIndex, service := range services {
--- a/policy/validate_test.go
+++ b/policy/validate_test.go
@@ -46,14 +46,14 @@
 			test.change(&config)
 			var invalid *ValidationError
 			if err := Validate(config); !errors.As(err, &invalid) {
-				t.Fatalf("got %v", err)
+				t.Fatalf("got %v, want a ValidationError", err)
 			}
 			for _, fault := range invalid.Faults {
 				if fault.Field == test.field {
 					return
 				}
 			}
-			t.Fatalf("got %v, want a fault of %s", invalid.Faults, test.field)
+			t.Fatalf("got %v, want a fault in %s", invalid.Faults, test.field)
 		})
 	}
 }
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	if err := Validate(Config{}); err != nil {
-		t.Fatalf("empty: %v", err)
+		t.Fatalf("empty configuration: %v", err)
 	}
 }
 
@@ -94,7 +94,7 @@
 			var invalid *ValidationError
 			_, err := Apply(testConfig(), test.intent)
 			if !errors.As(err, &invalid) || invalid.Faults[0].Field != test.field {
-				t.Fatalf("got %v, want a fault of %s", err, test.field)
+				t.Fatalf("got %v, want a fault in %s", err, test.field)
 			}
 		})
 	}
@@ -115,7 +115,7 @@
 	}
 	service.Groups = service.Groups[1:]
 	if _, err := Apply(testConfig(), Intent{Author: "ann", Changes: []Change{{SetService: &service}}}); !errors.Is(err, ErrInvalid) {
-		t.Fatalf("a split that drops keys: %v", err)
+		t.Fatalf("split that drops keys: got %v, want ErrInvalid", err)
 	}
 }
 
@@ -128,14 +128,14 @@
 		t.Fatal(err)
 	}
 	if differences := Compare(base, next); len(differences) != 1 {
-		t.Fatalf("one server's slots changed, got %v", differences)
+		t.Fatalf("got differences %v, want only the slots of one server", differences)
 	}
 	if differences := Compare(testConfig(), base); len(differences) != 0 {
 		t.Fatalf("base changed: %v", differences)
 	}
 	group.Range.End++
 	if _, err := Apply(base, Intent{Author: "ann", Changes: []Change{{SetGroup: &GroupChange{Service: base.Services[0].Name, Group: group}}}}); !errors.Is(err, ErrInvalid) {
-		t.Fatalf("a range that overlaps the next group: %v", err)
+		t.Fatalf("range that overlaps the next group: got %v, want ErrInvalid", err)
 	}
 }
 
@@ -174,10 +174,10 @@
 					return
 				}
 			}
-			t.Fatalf("no warning of %s", test.field)
+			t.Fatalf("no warning about %s", test.field)
 		})
 	}
 	if warnings := collectWarnings(testConfig(), testConfig(), 2); len(warnings) != 0 {
-		t.Fatalf("got %v", warnings)
+		t.Fatalf("got warnings %v, want none", warnings)
 	}
 }
--- a/policy/warning.go
+++ b/policy/warning.go
@@ -2,22 +2,23 @@
 
 import "fmt"
 
-// Warning tells of a configuration that is valid, yet likely to disappoint.
+// Warning describes a part of a valid configuration that is likely to cause
+// problems.
 type Warning struct {
-	// Field is the path of what the warning is about.
+	// Field is the path of the value concerned.
 	Field string `json:"field"`
-	// Message says what to expect.
+	// Message describes the expected problem.
 	Message string `json:"message"`
 }
 
-// Bounds of what passes without a warning.
+// Thresholds above which a warning is given, and the maximum number of warnings.
 const (
 	headroomSumWarningThreshold = 0.5
 	hedgeShareWarningThreshold  = 0.1
 	maximumWarnings             = 100
 )
 
-// warningList gathers warnings, up to maximumWarnings.
+// warningList collects warnings, up to maximumWarnings.
 type warningList struct{ warnings []Warning }
 
 func (l *warningList) add(field, format string, arguments ...any) {
@@ -26,8 +27,9 @@
 	}
 }
 
-// collectWarnings looks at the change from one valid configuration to another; nodes is
-// the number of live nodes that share each server's connections.
+// collectWarnings returns the warnings about the change from one valid
+// configuration to another. nodes is the number of live nodes, which share each
+// server's connections.
 func collectWarnings(before, after Config, nodes int) []Warning {
 	list := &warningList{warnings: []Warning{}}
 	addRemovalWarnings(list, before, after)
