--- a/spread/core.go
+++ b/spread/core.go
@@ -193,11 +193,11 @@
 	if event.Revision <= c.revision {
 		return nil
 	}
-	fresh := c.revision == 0
+	isFirst := c.revision == 0
 	c.revision = event.Revision
 	c.digest = event.Digest
 	c.pushesLeft = c.options.PushFanout * pushAttemptFactor
-	if fresh {
+	if isFirst {
 		c.nextComparison = now + c.jitter(c.options.CompareInterval)
 		c.nextStoreRead = now + c.storeReadDelay()
 	}
--- a/spread/delta_test.go
+++ b/spread/delta_test.go
@@ -142,10 +142,10 @@
 	if err := target.Offer(1, source.snapshot().bytes); err != nil {
 		t.Fatal(err)
 	}
-	begun, release := make(chan struct{}), make(chan struct{})
+	notifying, release := make(chan struct{}), make(chan struct{})
 	target.Subscribe(func(revision policy.Revision, _ policy.Config) {
 		if revision == 2 {
-			close(begun)
+			close(notifying)
 			<-release
 		}
 	})
@@ -163,7 +163,7 @@
 		}()
 	}
 	push(0)
-	<-begun
+	<-notifying
 	push(1)
 	for range 10_000 { // let the second push run until it is answered
 		if len(pushed) > 0 {
--- a/spread/replicator_test.go
+++ b/spread/replicator_test.go
@@ -254,13 +254,13 @@
 	runInBubble(t, func(t *testing.T, ctx context.Context, c *cluster) {
 		replicators := c.startNodes(ctx, 3)
 		conn := &partitionedStore{Conn: c.store, partitioned: true}
-		apart := c.startNode(ctx, conn)
+		disconnected := c.startNode(ctx, conn)
 		mustConfirm(t, replicators[0], mustPlan(t, replicators[0], initialIntent()))
 		time.Sleep(propagationTime)
-		c.wantRevision(1, apart)
+		c.wantRevision(1, disconnected)
 		mustConfirm(t, replicators[1], mustPlan(t, replicators[1], deadlineIntent("ann", 80)))
 		time.Sleep(propagationTime)
-		c.wantRevision(2, apart)
+		c.wantRevision(2, disconnected)
 	})
 }
 
@@ -270,12 +270,12 @@
 		mustConfirm(t, replicators[0], mustPlan(t, replicators[0], initialIntent()))
 		time.Sleep(propagationTime)
 		c.store.SetFaults(store.MemoryFaults{Down: true})
-		fresh := c.startNode(ctx, c.store)
-		if _, _, ok := fresh.Current(); ok {
+		newNode := c.startNode(ctx, c.store)
+		if _, _, ok := newNode.Current(); ok {
 			t.Fatal("a new node has a configuration before any fetch")
 		}
 		time.Sleep(propagationTime)
-		c.wantRevision(1, fresh)
+		c.wantRevision(1, newNode)
 	})
 }
 
@@ -285,14 +285,14 @@
 		mustConfirm(t, replicators[0], mustPlan(t, replicators[0], initialIntent()))
 		time.Sleep(propagationTime)
 		conn := &partitionedStore{Conn: c.store}
-		frozen := c.startNode(ctx, conn)
+		paused := c.startNode(ctx, conn)
 		time.Sleep(propagationTime)
-		_, old := frozen.Record()
+		_, old := paused.Record()
 		conn.setPartitioned(true)
 		c.isolate("node-3", true)
 		mustConfirm(t, replicators[0], mustPlan(t, replicators[0], deadlineIntent("ann", 80)))
 		time.Sleep(propagationTime)
-		c.wantRevision(1, frozen)
+		c.wantRevision(1, paused)
 		for _, replicator := range replicators[:3] {
 			if err := replicator.Offer(1, old); err != nil {
 				t.Fatal(err)
--- a/spread/restored_test.go
+++ b/spread/restored_test.go
@@ -16,7 +16,7 @@
 	runInBubble(t, func(t *testing.T, ctx context.Context, c *cluster) {
 		replicators := c.startNodes(ctx, 3)
 		mustConfirm(t, replicators[0], mustPlan(t, replicators[0], initialIntent()))
-		taken := c.store.Copy()
+		backup := c.store.Copy()
 		for number := range 8 {
 			if _, err := c.store.Put(ctx, "other", []byte("x"), uint64(number+1)*min(uint64(number), 1), ""); err != nil {
 				t.Fatal(err)
@@ -25,7 +25,7 @@
 		mustConfirm(t, replicators[0], mustPlan(t, replicators[0], deadlineIntent("ann", 80)))
 		time.Sleep(propagationTime)
 		c.wantRevision(2, replicators...)
-		c.store.Restore(taken)
+		c.store.Restore(backup)
 		c.isolate(replicators[2].options.Core.Self, true)
 		for number, deadline := range []policy.Milliseconds{70, 60} {
 			mustConfirm(t, replicators[1], mustPlan(t, replicators[1], deadlineIntent("bob", deadline)))
--- a/spread/simulation_calls_test.go
+++ b/spread/simulation_calls_test.go
@@ -122,8 +122,8 @@
 }
 
 func (q *eventQueue) popEarliest() queuedEvent {
-	taken, _ := heap.Pop(q).(queuedEvent)
-	return taken
+	earliest, _ := heap.Pop(q).(queuedEvent)
+	return earliest
 }
 
 func (q *eventQueue) nextTime() time.Duration { return q.events[0].at }
