--- a/dispatch/membership.go
+++ b/dispatch/membership.go
@@ -70,10 +70,10 @@
 
 func (d *Dispatcher) applyReport(s *server, snapshots []SnapshotID, load Load) {
 	if len(snapshots) > 0 {
-		if !s.holder.Observed() {
+		if !s.holder.HasReported() {
 			d.markResumable(s.groups) // queries may be waiting for its first report
 		}
-		s.holder.Observe(snapshots)
+		s.holder.RecordReport(snapshots)
 	}
 	if load != (Load{}) {
 		s.load = float64(max(load.InFlight+load.Queued-s.limiter.InFlight(), 0))
--- a/dispatch/query.go
+++ b/dispatch/query.go
@@ -206,7 +206,7 @@
 	d.applyReport(s, reply.Snapshots, reply.Load)
 	switch reply.Status {
 	case ReplyUnknownSnapshot:
-		s.holder.Lacks(a.Snapshot)
+		s.holder.RecordMissing(a.Snapshot)
 	case ReplyDraining:
 		s.draining = true
 		s.holder.SetAvailable(false)
--- a/dispatch/replica.go
+++ b/dispatch/replica.go
@@ -54,7 +54,7 @@
 	var unreported *server
 	for _, replica := range g.servers {
 		if replica.isLeaving() || !replica.mayHoldSnapshot(d.now, id) {
-			if !replica.isLeaving() && !replica.holder.Observed() {
+			if !replica.isLeaving() && !replica.holder.HasReported() {
 				unreported = replica
 			}
 			continue
--- a/snapshot/catalog.go
+++ b/snapshot/catalog.go
@@ -8,9 +8,9 @@
 // ID identifies an index snapshot. A higher one is newer; zero is none.
 type ID uint64
 
-// MaximumHeld bounds the snapshots that are remembered for one server; of more,
+// MaxSnapshotsPerServer bounds the snapshots that are remembered for one server; of more,
 // the newest are kept.
-const MaximumHeld = 16
+const MaxSnapshotsPerServer = 16
 
 // Group is a shard of the service.
 type Group struct {
@@ -32,7 +32,7 @@
 // Catalog knows the snapshots of one service's servers.
 type Catalog struct {
 	keys    []uint64
-	holders map[string]*Holder
+	holders map[string]*Server
 	// entries are sorted by ID, the newest first, and have at least one holder.
 	entries []*entry
 }
@@ -48,15 +48,15 @@
 
 // NewCatalog returns a Catalog without groups.
 func NewCatalog() *Catalog {
-	return &Catalog{holders: make(map[string]*Holder)}
+	return &Catalog{holders: make(map[string]*Server)}
 }
 
 // Configure sets the groups. What is known of servers that remain is kept.
 func (c *Catalog) Configure(groups []Group) {
 	c.keys = c.keys[:0]
 	c.entries = nil
-	remaining := make(map[string]*Holder, len(c.holders))
-	var order []*Holder
+	remaining := make(map[string]*Server, len(c.holders))
+	var order []*Server
 	for number, group := range groups {
 		c.keys = append(c.keys, group.Keys)
 		for _, name := range group.Servers {
@@ -81,18 +81,18 @@
 }
 
 // holder returns the known holder without its groups, or a new one.
-func (c *Catalog) holder(name string) *Holder {
+func (c *Catalog) holder(name string) *Server {
 	holder := c.holders[name]
 	if holder == nil {
-		holder = &Holder{catalog: c, available: true}
+		holder = &Server{catalog: c, available: true}
 	}
 	holder.groups = holder.groups[:0]
 	return holder
 }
 
-// Holder returns what is known of a server; nil when it is in no group. The
+// Server returns what is known of a server; nil when it is in no group. The
 // result has no effect on choices once the server is in no group.
-func (c *Catalog) Holder(server string) *Holder {
+func (c *Catalog) Server(server string) *Server {
 	return c.holders[server]
 }
 
--- a/snapshot/catalog_test.go
+++ b/snapshot/catalog_test.go
@@ -65,10 +65,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := twoGroups()
 			for server, held := range test.held {
-				c.Holder(server).Observe(held)
+				c.Server(server).RecordReport(held)
 			}
 			for _, server := range test.unavailable {
-				c.Holder(server).SetAvailable(false)
+				c.Server(server).SetAvailable(false)
 			}
 			got, ok := c.Choose(test.except...)
 			if ok == test.none || got != test.want {
@@ -80,26 +80,26 @@
 
 func TestLackedSnapshotIsKnownAgainOnceTheServerSaysSo(t *testing.T) {
 	c := twoGroups()
-	c.Holder("a1").Observe([]snapshot.ID{7})
-	c.Holder("a1").Lacks(7)
-	if c.Holder("a1").Holds(7) {
+	c.Server("a1").RecordReport([]snapshot.ID{7})
+	c.Server("a1").RecordMissing(7)
+	if c.Server("a1").Holds(7) {
 		t.Fatal("holds a snapshot that it lacks")
 	}
-	c.Holder("a1").Observe([]snapshot.ID{7})
-	if !c.Holder("a1").Holds(7) {
+	c.Server("a1").RecordReport([]snapshot.ID{7})
+	if !c.Server("a1").Holds(7) {
 		t.Fatal("the same account as before was passed over")
 	}
 }
 
 func TestConfigureKeepsKnowledgeOfServersThatRemain(t *testing.T) {
 	c := twoGroups()
-	c.Holder("a1").Observe([]snapshot.ID{7})
+	c.Server("a1").RecordReport([]snapshot.ID{7})
 	c.Configure([]snapshot.Group{{Keys: 5, Servers: []string{"a1", "c1"}}})
 	choice, ok := c.Choose()
 	if !ok || choice != (snapshot.Choice{ID: 7, Keys: 5, Complete: true}) {
 		t.Fatalf("got %+v, %t", choice, ok)
 	}
-	if c.Holder("b1") != nil {
+	if c.Server("b1") != nil {
 		t.Fatal("a server in no group is still known")
 	}
 }
@@ -124,15 +124,15 @@
 		away := make([]bool, groups*replicas)
 		for _, change := range changes {
 			server := int(change>>8) % len(held)
-			holder := c.Holder(name(server))
+			holder := c.Server(name(server))
 			switch change & 3 {
 			case 0, 1:
 				held[server] = []snapshot.ID{snapshot.ID(change>>2&3) + 1, snapshot.ID(change>>4&3) + 1}
-				holder.Observe(held[server])
+				holder.RecordReport(held[server])
 			case 2:
 				lacked := snapshot.ID(change>>2&3) + 1
 				held[server] = slices.DeleteFunc(slices.Clone(held[server]), func(id snapshot.ID) bool { return id == lacked })
-				holder.Lacks(lacked)
+				holder.RecordMissing(lacked)
 			default:
 				away[server] = !away[server]
 				holder.SetAvailable(!away[server])
--- a/snapshot/holder.go
+++ b/snapshot/holder.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Holder is what is known of one server.
-type Holder struct {
+// Server is what is known of one server.
+type Server struct {
 	catalog   *Catalog
 	groups    []int
 	available bool
@@ -17,8 +17,8 @@
 	held []ID
 }
 
-// Observe takes the server's own account of the snapshots that it holds.
-func (h *Holder) Observe(snapshots []ID) {
+// RecordReport takes the server's own account of the snapshots that it holds.
+func (h *Server) RecordReport(snapshots []ID) {
 	h.observed = true
 	if slices.Equal(snapshots, h.told) {
 		return
@@ -29,12 +29,12 @@
 	slices.SortFunc(h.held, func(a, b ID) int { return cmp.Compare(b, a) })
 	h.held = slices.Compact(h.held)
 	h.held = slices.DeleteFunc(h.held, func(id ID) bool { return id == 0 })
-	h.held = h.held[:min(len(h.held), MaximumHeld)]
+	h.held = h.held[:min(len(h.held), MaxSnapshotsPerServer)]
 	h.countAll(1)
 }
 
-// Lacks notes that the server said it does not hold the snapshot.
-func (h *Holder) Lacks(id ID) {
+// RecordMissing notes that the server said it does not hold the snapshot.
+func (h *Server) RecordMissing(id ID) {
 	i := slices.Index(h.held, id)
 	if i < 0 {
 		return
@@ -47,7 +47,7 @@
 
 // SetAvailable says whether the server may be asked. What it holds is kept
 // while it may not, but counts for no choice.
-func (h *Holder) SetAvailable(available bool) {
+func (h *Server) SetAvailable(available bool) {
 	if available == h.available {
 		return
 	}
@@ -57,17 +57,17 @@
 }
 
 // Holds reports whether the server is known to hold the snapshot.
-func (h *Holder) Holds(id ID) bool {
+func (h *Server) Holds(id ID) bool {
 	return slices.Contains(h.held, id)
 }
 
-// Observed reports whether the server ever gave an account.
-func (h *Holder) Observed() bool {
+// HasReported reports whether the server ever gave an account.
+func (h *Server) HasReported() bool {
 	return h.observed
 }
 
 // countAll adds or takes away the holder's part in the counts.
-func (h *Holder) countAll(change int32) {
+func (h *Server) countAll(change int32) {
 	if !h.available {
 		return
 	}
@@ -77,7 +77,7 @@
 	}
 }
 
-func (h *Holder) count(e *entry, change int32) {
+func (h *Server) count(e *entry, change int32) {
 	for _, group := range h.groups {
 		before := e.holders[group]
 		e.holders[group] += change
