--- a/snapshot/catalog.go
+++ b/snapshot/catalog.go
@@ -32,81 +32,81 @@
 // Catalog knows the snapshots of one service's servers.
 type Catalog struct {
 	keys    []uint64
-	holders map[string]*Server
-	// entries are sorted by ID, the newest first, and have at least one holder.
-	entries []*entry
+	servers map[string]*Server
+	// counts are sorted by ID, the newest first, and have at least one holder.
+	counts []*snapshotCounts
 }
 
 // entry counts the available holders of one snapshot.
-type entry struct {
-	id      ID
-	holders []int32 // by group
-	total   int
-	keys    uint64
-	served  int
+type snapshotCounts struct {
+	id             ID
+	holdersByGroup []int32
+	totalHolders   int
+	keys           uint64
+	servedGroups   int
 }
 
 // NewCatalog returns a Catalog without groups.
 func NewCatalog() *Catalog {
-	return &Catalog{holders: make(map[string]*Server)}
+	return &Catalog{servers: make(map[string]*Server)}
 }
 
 // Configure sets the groups. What is known of servers that remain is kept.
 func (c *Catalog) Configure(groups []Group) {
 	c.keys = c.keys[:0]
-	c.entries = nil
-	remaining := make(map[string]*Server, len(c.holders))
-	var order []*Server
+	c.counts = nil
+	remaining := make(map[string]*Server, len(c.servers))
+	var ordered []*Server
 	for number, group := range groups {
 		c.keys = append(c.keys, group.Keys)
 		for _, name := range group.Servers {
-			holder, seen := remaining[name]
+			server, seen := remaining[name]
 			if !seen {
-				holder = c.holder(name)
-				remaining[name] = holder
-				order = append(order, holder)
+				server = c.serverFor(name)
+				remaining[name] = server
+				ordered = append(ordered, server)
 			}
-			holder.groups = append(holder.groups, number)
+			server.groups = append(server.groups, number)
 		}
 	}
-	for name, holder := range c.holders {
+	for name, server := range c.servers {
 		if remaining[name] == nil {
-			holder.groups = nil
+			server.groups = nil
 		}
 	}
-	c.holders = remaining
-	for _, holder := range order {
-		holder.countAll(1)
+	c.servers = remaining
+	for _, server := range ordered {
+		server.updateCounts(1)
 	}
 }
 
 // holder returns the known holder without its groups, or a new one.
-func (c *Catalog) holder(name string) *Server {
-	holder := c.holders[name]
-	if holder == nil {
-		holder = &Server{catalog: c, available: true}
+func (c *Catalog) serverFor(name string) *Server {
+	server := c.servers[name]
+	if server == nil {
+		server = &Server{catalog: c, available: true}
 	}
-	holder.groups = holder.groups[:0]
-	return holder
+	server.groups = server.groups[:0]
+	return server
 }
 
 // Server returns what is known of a server; nil when it is in no group. The
 // result has no effect on choices once the server is in no group.
-func (c *Catalog) Server(server string) *Server {
-	return c.holders[server]
+func (c *Catalog) Server(name string) *Server {
+	return c.servers[name]
 }
 
 // Choose returns the snapshot that can serve the most keys, the newest of those
 // that can serve as many; so it is the newest that every group can serve, when
 // there is one. Snapshots in except are passed over. ok is false when no
 // available server is known to hold any.
-func (c *Catalog) Choose(except ...ID) (choice Choice, ok bool) {
-	for _, e := range c.entries {
-		if slices.Contains(except, e.id) || e.served == 0 {
+func (c *Catalog) Choose(exclude ...ID) (choice Choice, ok bool) {
+	for _, counts := range c.counts {
+		if slices.Contains(exclude, counts.id) || counts.servedGroups == 0 {
 			continue
 		}
-		if !ok || e.keys > choice.Keys {
-			choice = Choice{ID: e.id, Keys: e.keys, Complete: e.served == len(c.keys)}
+		if !ok || counts.keys > choice.Keys {
+			choice = Choice{ID: counts.id, Keys: counts.keys, Complete: counts.servedGroups == len(c.keys)}
 			ok = true
 		}
 		if choice.Complete {
@@ -116,24 +116,24 @@
 	return choice, ok
 }
 
-// entry returns the counts of a snapshot, made when they are new.
-func (c *Catalog) entry(id ID) *entry {
-	i, found := slices.BinarySearchFunc(c.entries, id, newestFirst)
+// countsFor returns the counts of a snapshot, made when they are new.
+func (c *Catalog) countsFor(id ID) *snapshotCounts {
+	i, found := slices.BinarySearchFunc(c.counts, id, newestFirst)
 	if !found {
-		e := &entry{id: id, holders: make([]int32, len(c.keys))}
-		c.entries = slices.Insert(c.entries, i, e)
+		counts := &snapshotCounts{id: id, holdersByGroup: make([]int32, len(c.keys))}
+		c.counts = slices.Insert(c.counts, i, counts)
 	}
-	return c.entries[i]
+	return c.counts[i]
 }
 
-// drop removes the counts of a snapshot that has no holder.
-func (c *Catalog) drop(id ID) {
-	i, found := slices.BinarySearchFunc(c.entries, id, newestFirst)
-	if found && c.entries[i].total == 0 {
-		c.entries = slices.Delete(c.entries, i, i+1)
+// removeIfUnheld removes the counts of a snapshot that has no holder.
+func (c *Catalog) removeIfUnheld(id ID) {
+	i, found := slices.BinarySearchFunc(c.counts, id, newestFirst)
+	if found && c.counts[i].totalHolders == 0 {
+		c.counts = slices.Delete(c.counts, i, i+1)
 	}
 }
 
-func newestFirst(e *entry, id ID) int {
-	return cmp.Compare(id, e.id)
+func newestFirst(counts *snapshotCounts, id ID) int {
+	return cmp.Compare(id, counts.id)
 }
--- a/snapshot/catalog_test.go
+++ b/snapshot/catalog_test.go
@@ -27,7 +27,7 @@
 		name        string
 		held        map[string]ids
 		unavailable []string
-		except      ids
+		exclude     ids
 		want        snapshot.Choice
 		none        bool
 	}{
@@ -54,10 +54,10 @@
 			want: snapshot.Choice{ID: 7, Keys: 30},
 		},
 		{
-			name:   "excepted one",
-			held:   map[string]ids{"a1": {7, 8}, "b1": {7, 8}},
-			except: ids{8},
-			want:   snapshot.Choice{ID: 7, Keys: 40, Complete: true},
+			name:    "excepted one",
+			held:    map[string]ids{"a1": {7, 8}, "b1": {7, 8}},
+			exclude: ids{8},
+			want:    snapshot.Choice{ID: 7, Keys: 40, Complete: true},
 		},
 		{name: "zero is no snapshot", held: map[string]ids{"a1": {0}, "b1": {0}}, none: true},
 	}
@@ -70,7 +70,7 @@
 			for _, server := range test.unavailable {
 				c.Server(server).SetAvailable(false)
 			}
-			got, ok := c.Choose(test.except...)
+			got, ok := c.Choose(test.exclude...)
 			if ok == test.none || got != test.want {
 				t.Fatalf("got %+v, %t; want %+v", got, ok, test.want)
 			}
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestLackedSnapshotIsKnownAgainOnceTheServerSaysSo(t *testing.T) {
+func TestMissingSnapshotIsHeldAgainAfterReport(t *testing.T) {
 	c := twoGroups()
 	c.Server("a1").RecordReport([]snapshot.ID{7})
 	c.Server("a1").RecordMissing(7)
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestConfigureKeepsKnowledgeOfServersThatRemain(t *testing.T) {
+func TestConfigureKeepsReportsOfRemainingServers(t *testing.T) {
 	c := twoGroups()
 	c.Server("a1").RecordReport([]snapshot.ID{7})
 	c.Configure([]snapshot.Group{{Keys: 5, Servers: []string{"a1", "c1"}}})
@@ -105,7 +105,7 @@
 }
 
 // The counts kept as knowledge changes agree with counting afresh.
-func TestChoiceEqualsCountingAfresh(t *testing.T) {
+func TestIncrementalCountsMatchRecount(t *testing.T) {
 	const groups, replicas = 4, 3
 	name := func(i int) string { return fmt.Sprint(i) }
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
@@ -121,7 +121,7 @@
 		}
 		c.Configure(configured)
 		held := make([][]snapshot.ID, groups*replicas)
-		away := make([]bool, groups*replicas)
+		unavailable := make([]bool, groups*replicas)
 		for _, change := range changes {
 			server := int(change>>8) % len(held)
 			holder := c.Server(name(server))
@@ -130,12 +130,12 @@
 				held[server] = []snapshot.ID{snapshot.ID(change>>2&3) + 1, snapshot.ID(change>>4&3) + 1}
 				holder.RecordReport(held[server])
 			case 2:
-				lacked := snapshot.ID(change>>2&3) + 1
-				held[server] = slices.DeleteFunc(slices.Clone(held[server]), func(id snapshot.ID) bool { return id == lacked })
-				holder.RecordMissing(lacked)
+				missing := snapshot.ID(change>>2&3) + 1
+				held[server] = slices.DeleteFunc(slices.Clone(held[server]), func(id snapshot.ID) bool { return id == missing })
+				holder.RecordMissing(missing)
 			default:
-				away[server] = !away[server]
-				holder.SetAvailable(!away[server])
+				unavailable[server] = !unavailable[server]
+				holder.SetAvailable(!unavailable[server])
 			}
 		}
 		var want snapshot.Choice
@@ -143,7 +143,7 @@
 			var keys uint64
 			for g := range groups {
 				for r := range replicas {
-					if s := g*replicas + r; !away[s] && slices.Contains(held[s], id) {
+					if s := g*replicas + r; !unavailable[s] && slices.Contains(held[s], id) {
 						keys += uint64(g + 1)
 						break
 					}
