--- a/dispatch/configure.go
+++ b/dispatch/configure.go
@@ -168,7 +168,7 @@
 func (d *Dispatcher) attachServers() {
 	for _, g := range d.groups {
 		for _, s := range g.servers {
-			s.holder = d.catalog.Server(s.ID)
+			s.holder = d.catalog.ServerSnapshots(s.ID)
 			s.holder.SetAvailable(!s.isLeaving())
 			d.updateServerShare(s)
 		}
--- a/dispatch/server.go
+++ b/dispatch/server.go
@@ -17,7 +17,7 @@
 	draining bool // set by a draining reply until membership reports the server as live
 	// reportDeadline is when the server may be used even if it has not reported its snapshots.
 	reportDeadline time.Duration
-	holder         *snapshot.Server
+	holder         *snapshot.ServerSnapshots
 	limiter        *limit.Limiter
 
 	// latency is the moving average of observed latencies in nanoseconds, last updated at
--- a/snapshot/catalog.go
+++ b/snapshot/catalog.go
@@ -32,7 +32,7 @@
 // Catalog knows the snapshots of one service's servers.
 type Catalog struct {
 	keys    []uint64
-	servers map[string]*Server
+	servers map[string]*ServerSnapshots
 	// counts are sorted by ID, the newest first, and have at least one holder.
 	counts []*snapshotCounts
 }
@@ -48,15 +48,15 @@
 
 // NewCatalog returns a Catalog without groups.
 func NewCatalog() *Catalog {
-	return &Catalog{servers: make(map[string]*Server)}
+	return &Catalog{servers: make(map[string]*ServerSnapshots)}
 }
 
 // Configure sets the groups. What is known of servers that remain is kept.
 func (c *Catalog) Configure(groups []Group) {
 	c.keys = c.keys[:0]
 	c.counts = nil
-	remaining := make(map[string]*Server, len(c.servers))
-	var ordered []*Server
+	remaining := make(map[string]*ServerSnapshots, len(c.servers))
+	var ordered []*ServerSnapshots
 	for number, group := range groups {
 		c.keys = append(c.keys, group.Keys)
 		for _, name := range group.Servers {
@@ -81,18 +81,18 @@
 }
 
 // holder returns the known holder without its groups, or a new one.
-func (c *Catalog) serverFor(name string) *Server {
+func (c *Catalog) serverFor(name string) *ServerSnapshots {
 	server := c.servers[name]
 	if server == nil {
-		server = &Server{catalog: c, available: true}
+		server = &ServerSnapshots{catalog: c, available: true}
 	}
 	server.groups = server.groups[:0]
 	return server
 }
 
-// Server returns what is known of a server; nil when it is in no group. The
+// ServerSnapshots returns what is known of a server; nil when it is in no group. The
 // result has no effect on choices once the server is in no group.
-func (c *Catalog) Server(name string) *Server {
+func (c *Catalog) ServerSnapshots(name string) *ServerSnapshots {
 	return c.servers[name]
 }
 
--- a/snapshot/catalog_test.go
+++ b/snapshot/catalog_test.go
@@ -65,10 +65,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := twoGroups()
 			for server, held := range test.held {
-				c.Server(server).RecordReport(held)
+				c.ServerSnapshots(server).RecordReport(held)
 			}
 			for _, server := range test.unavailable {
-				c.Server(server).SetAvailable(false)
+				c.ServerSnapshots(server).SetAvailable(false)
 			}
 			got, ok := c.Choose(test.exclude...)
 			if ok == test.none || got != test.want {
@@ -80,26 +80,26 @@
 
 func TestMissingSnapshotIsHeldAgainAfterReport(t *testing.T) {
 	c := twoGroups()
-	c.Server("a1").RecordReport([]snapshot.ID{7})
-	c.Server("a1").RecordMissing(7)
-	if c.Server("a1").Holds(7) {
+	c.ServerSnapshots("a1").RecordReport([]snapshot.ID{7})
+	c.ServerSnapshots("a1").RecordMissing(7)
+	if c.ServerSnapshots("a1").Holds(7) {
 		t.Fatal("holds a snapshot that it lacks")
 	}
-	c.Server("a1").RecordReport([]snapshot.ID{7})
-	if !c.Server("a1").Holds(7) {
+	c.ServerSnapshots("a1").RecordReport([]snapshot.ID{7})
+	if !c.ServerSnapshots("a1").Holds(7) {
 		t.Fatal("the same account as before was passed over")
 	}
 }
 
 func TestConfigureKeepsReportsOfRemainingServers(t *testing.T) {
 	c := twoGroups()
-	c.Server("a1").RecordReport([]snapshot.ID{7})
+	c.ServerSnapshots("a1").RecordReport([]snapshot.ID{7})
 	c.Configure([]snapshot.Group{{Keys: 5, Servers: []string{"a1", "c1"}}})
 	choice, ok := c.Choose()
 	if !ok || choice != (snapshot.Choice{ID: 7, Keys: 5, Complete: true}) {
 		t.Fatalf("got %+v, %t", choice, ok)
 	}
-	if c.Server("b1") != nil {
+	if c.ServerSnapshots("b1") != nil {
 		t.Fatal("a server in no group is still known")
 	}
 }
@@ -124,7 +124,7 @@
 		unavailable := make([]bool, groups*replicas)
 		for _, change := range changes {
 			server := int(change>>8) % len(held)
-			holder := c.Server(name(server))
+			holder := c.ServerSnapshots(name(server))
 			switch change & 3 {
 			case 0, 1:
 				held[server] = []snapshot.ID{snapshot.ID(change>>2&3) + 1, snapshot.ID(change>>4&3) + 1}
--- a/snapshot/doc.go
+++ b/snapshot/doc.go
@@ -4,7 +4,7 @@
 //
 // Knowledge is a hint. A server may have dropped a snapshot since, so whoever
 // asks a server must still check that the reply names the pinned snapshot; a
-// reply that says the snapshot is unknown goes to Server.RecordMissing.
+// reply that says the snapshot is unknown goes to ServerSnapshots.RecordMissing.
 //
 // A choice costs time in proportion to the number of distinct snapshots, not to
 // the number of servers: counts per group are kept as knowledge changes.
--- a/snapshot/example_test.go
+++ b/snapshot/example_test.go
@@ -12,12 +12,12 @@
 		{Keys: 100, Servers: []string{"north-1", "north-2"}},
 		{Keys: 100, Servers: []string{"south-1"}},
 	})
-	catalog.Server("north-1").RecordReport([]snapshot.ID{41, 42})
-	catalog.Server("south-1").RecordReport([]snapshot.ID{41})
+	catalog.ServerSnapshots("north-1").RecordReport([]snapshot.ID{41, 42})
+	catalog.ServerSnapshots("south-1").RecordReport([]snapshot.ID{41})
 	choice, _ := catalog.Choose()
 	fmt.Println("while 42 spreads:", choice.ID, choice.Complete)
 
-	catalog.Server("south-1").RecordReport([]snapshot.ID{41, 42})
+	catalog.ServerSnapshots("south-1").RecordReport([]snapshot.ID{41, 42})
 	choice, _ = catalog.Choose()
 	fmt.Println("afterwards:", choice.ID, choice.Complete)
 	// Output:
--- a/snapshot/server.go
+++ b/snapshot/server.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Server is what is known of one server.
-type Server struct {
+// ServerSnapshots is what is known of one server.
+type ServerSnapshots struct {
 	catalog     *Catalog
 	groups      []int
 	available   bool
@@ -18,7 +18,7 @@
 }
 
 // RecordReport takes the server's own account of the snapshots that it holds.
-func (s *Server) RecordReport(snapshots []ID) {
+func (s *ServerSnapshots) RecordReport(snapshots []ID) {
 	s.hasReported = true
 	if slices.Equal(snapshots, s.lastReport) {
 		return
@@ -34,7 +34,7 @@
 }
 
 // RecordMissing notes that the server said it does not hold the snapshot.
-func (s *Server) RecordMissing(id ID) {
+func (s *ServerSnapshots) RecordMissing(id ID) {
 	i := slices.Index(s.held, id)
 	if i < 0 {
 		return
@@ -47,7 +47,7 @@
 
 // SetAvailable says whether the server may be asked. What it holds is kept
 // while it may not, but counts for no choice.
-func (s *Server) SetAvailable(available bool) {
+func (s *ServerSnapshots) SetAvailable(available bool) {
 	if available == s.available {
 		return
 	}
@@ -57,17 +57,17 @@
 }
 
 // Holds reports whether the server is known to hold the snapshot.
-func (s *Server) Holds(id ID) bool {
+func (s *ServerSnapshots) Holds(id ID) bool {
 	return slices.Contains(s.held, id)
 }
 
 // HasReported reports whether the server ever gave an account.
-func (s *Server) HasReported() bool {
+func (s *ServerSnapshots) HasReported() bool {
 	return s.hasReported
 }
 
 // updateCounts adds or takes away the holder's part in the counts.
-func (s *Server) updateCounts(change int32) {
+func (s *ServerSnapshots) updateCounts(change int32) {
 	if !s.available {
 		return
 	}
@@ -77,7 +77,7 @@
 	}
 }
 
-func (s *Server) updateCount(counts *snapshotCounts, change int32) {
+func (s *ServerSnapshots) updateCount(counts *snapshotCounts, change int32) {
 	for _, group := range s.groups {
 		before := counts.holdersByGroup[group]
 		counts.holdersByGroup[group] += change
