--- a/spread/metrics.go
+++ b/spread/metrics.go
@@ -29,7 +29,7 @@
 	// failed.
 	Comparisons, CompareFailures uint64
 	// Confirmations counts confirmation requests, and UnknownOutcomes those
-	// that ended with an unknown outcome.
+	// that failed although their swap may have been applied.
 	Confirmations, UnknownOutcomes uint64
 	// RestoredRecords counts records written back to a store that had lost
 	// them.
