--- a/snapshot/catalog.go
+++ b/snapshot/catalog.go
@@ -5,39 +5,47 @@
 	"slices"
 )
 
-// ID identifies an index snapshot. A higher one is newer; zero is none.
+// ID identifies an index snapshot. A higher ID is newer; zero means no
+// snapshot.
 type ID uint64
 
-// MaxSnapshotsPerServer bounds the snapshots that are remembered for one server; of more,
-// the newest are kept.
+// MaxSnapshotsPerServer is the maximum number of snapshots that are tracked per
+// server. If a server reports more, the newest are kept.
 const MaxSnapshotsPerServer = 16
 
 // Group is a shard of the service.
 type Group struct {
-	// Keys is the number of keys that the group holds.
+	// Keys is the number of keys in the group.
 	Keys uint64
-	// Servers names the replicas. A server may be in several groups.
+	// Servers lists the names of the replicas. A server may be in several
+	// groups.
 	Servers []string
 }
 
-// Choice is a snapshot with what can be served of it.
+// Choice is a chosen snapshot and how much of the service it can serve.
 type Choice struct {
 	ID ID
-	// Keys is the number of keys in groups that have a server for the snapshot.
+	// Keys is the number of keys in the groups that have an available server
+	// with the snapshot.
 	Keys uint64
-	// Complete is true when every group has one.
+	// Complete reports whether every group has an available server with the
+	// snapshot.
 	Complete bool
 }
 
-// Catalog knows the snapshots of one service's servers.
+// Catalog tracks the snapshots of the servers of one service.
 type Catalog struct {
+	// keys is the number of keys in each group.
 	keys    []uint64
 	servers map[string]*ServerSnapshots
-	// counts are sorted by ID, the newest first, and have at least one holder.
+	// counts is sorted by ID, newest first. Every element has at least one
+	// available holder.
 	counts []*snapshotCounts
 }
 
-// entry counts the available holders of one snapshot.
+// snapshotCounts counts the available holders of one snapshot. keys is the
+// number of keys in the served groups, which have at least one holder.
+// totalHolders counts a server once for each of its groups.
 type snapshotCounts struct {
 	id             ID
 	holdersByGroup []int32
@@ -51,7 +59,8 @@
 	return &Catalog{servers: make(map[string]*ServerSnapshots)}
 }
 
-// Configure sets the groups. What is known of servers that remain is kept.
+// Configure replaces the groups. What is known about servers that remain in a
+// group is kept.
 func (c *Catalog) Configure(groups []Group) {
 	c.keys = c.keys[:0]
 	c.counts = nil
@@ -80,7 +89,7 @@
 	}
 }
 
-// holder returns the known holder without its groups, or a new one.
+// serverFor returns the tracked server with its groups cleared, or a new one.
 func (c *Catalog) serverFor(name string) *ServerSnapshots {
 	server := c.servers[name]
 	if server == nil {
@@ -90,16 +99,18 @@
 	return server
 }
 
-// ServerSnapshots returns what is known of a server; nil when it is in no group. The
-// result has no effect on choices once the server is in no group.
+// ServerSnapshots returns what is known about a server, or nil if it is in no
+// group. After the server has left all groups, the result no longer affects
+// choices.
 func (c *Catalog) ServerSnapshots(name string) *ServerSnapshots {
 	return c.servers[name]
 }
 
-// Choose returns the snapshot that can serve the most keys, the newest of those
-// that can serve as many; so it is the newest that every group can serve, when
-// there is one. Snapshots in except are passed over. ok is false when no
-// available server is known to hold any.
+// Choose returns the snapshot that can serve the most keys, and the newest of
+// those that can serve equally many. If any snapshot can be served by every
+// group, the result is therefore the newest such snapshot. Snapshots in exclude
+// are skipped. ok is false if no available server is known to hold any other
+// snapshot.
 func (c *Catalog) Choose(exclude ...ID) (choice Choice, ok bool) {
 	for _, counts := range c.counts {
 		if slices.Contains(exclude, counts.id) || counts.servedGroups == 0 {
@@ -116,7 +127,7 @@
 	return choice, ok
 }
 
-// countsFor returns the counts of a snapshot, made when they are new.
+// countsFor returns the counts of a snapshot and creates them if necessary.
 func (c *Catalog) countsFor(id ID) *snapshotCounts {
 	i, found := slices.BinarySearchFunc(c.counts, id, newestFirst)
 	if !found {
@@ -126,7 +137,8 @@
 	return c.counts[i]
 }
 
-// removeIfUnheld removes the counts of a snapshot that has no holder.
+// removeIfUnheld removes the counts of a snapshot that no available server
+// holds.
 func (c *Catalog) removeIfUnheld(id ID) {
 	i, found := slices.BinarySearchFunc(c.counts, id, newestFirst)
 	if found && c.counts[i].totalHolders == 0 {
@@ -134,6 +146,7 @@
 	}
 }
 
+// newestFirst compares counts with an ID, in the order of Catalog.counts.
 func newestFirst(counts *snapshotCounts, id ID) int {
 	return cmp.Compare(id, counts.id)
 }
--- a/snapshot/catalog_test.go
+++ b/snapshot/catalog_test.go
@@ -83,11 +83,11 @@
 	c.ServerSnapshots("a1").RecordReport([]snapshot.ID{7})
 	c.ServerSnapshots("a1").RecordMissing(7)
 	if c.ServerSnapshots("a1").Holds(7) {
-		t.Fatal("holds a snapshot that it lacks")
+		t.Fatal("the server still holds a snapshot recorded as missing")
 	}
 	c.ServerSnapshots("a1").RecordReport([]snapshot.ID{7})
 	if !c.ServerSnapshots("a1").Holds(7) {
-		t.Fatal("the same account as before was passed over")
+		t.Fatal("a repeated report was ignored after RecordMissing")
 	}
 }
 
@@ -100,11 +100,13 @@
 		t.Fatalf("got %+v, %t", choice, ok)
 	}
 	if c.ServerSnapshots("b1") != nil {
-		t.Fatal("a server in no group is still known")
+		t.Fatal("a server in no group is still tracked")
 	}
 }
 
-// The counts kept as knowledge changes agree with counting afresh.
+// TestIncrementalCountsMatchRecount compares choices from the incrementally
+// updated counts with a full recount, after random reports, missing snapshots
+// and changes of availability.
 func TestIncrementalCountsMatchRecount(t *testing.T) {
 	const groups, replicas = 4, 3
 	name := func(i int) string { return fmt.Sprint(i) }
--- a/snapshot/doc.go
+++ b/snapshot/doc.go
@@ -1,14 +1,15 @@
-// Package snapshot keeps track of which index snapshots the servers of a
-// service are known to hold, and chooses the one that a query pins: the newest
-// one that every group can serve, as far as is known.
+// Package snapshot tracks which index snapshots the servers of a service are
+// known to hold, and chooses the one that a query is pinned to: the newest that
+// every group can serve, as far as is known.
 //
-// Knowledge is a hint. A server may have dropped a snapshot since, so whoever
-// asks a server must still check that the reply names the pinned snapshot; a
-// reply that says the snapshot is unknown goes to ServerSnapshots.RecordMissing.
+// What is known is only a hint, because a server may have dropped a snapshot in
+// the meantime. The sender of a sub-request must therefore check that the reply
+// names the pinned snapshot, and pass a reply that says the snapshot is unknown
+// to ServerSnapshots.RecordMissing.
 //
-// A choice costs time in proportion to the number of distinct snapshots, not to
-// the number of servers: counts per group are kept as knowledge changes.
+// The cost of a choice is proportional to the number of distinct snapshots, not
+// to the number of servers, because counts per group are updated incrementally.
 //
-// The package has no I/O, clock or goroutine. Its types are not safe for
+// The package has no I/O, clock or goroutines. Its types are not safe for
 // concurrent use.
 package snapshot
--- a/snapshot/server.go
+++ b/snapshot/server.go
@@ -5,19 +5,21 @@
 	"slices"
 )
 
-// ServerSnapshots is what is known of one server.
+// ServerSnapshots is what is known about the snapshots of one server.
 type ServerSnapshots struct {
 	catalog     *Catalog
 	groups      []int
 	available   bool
 	hasReported bool
-	// lastReport is the last account as it came, to see quickly that nothing changed.
+	// lastReport is the last report, unchanged, to detect quickly that a report
+	// is the same as the one before.
 	lastReport []ID
-	// held is sorted, the newest first, without zero and duplicates.
+	// held is sorted, newest first, without zeros and duplicates.
 	held []ID
 }
 
-// RecordReport takes the server's own account of the snapshots that it holds.
+// RecordReport records the snapshots that the server reports to hold. It
+// replaces the previous report.
 func (s *ServerSnapshots) RecordReport(snapshots []ID) {
 	s.hasReported = true
 	if slices.Equal(snapshots, s.lastReport) {
@@ -33,7 +35,8 @@
 	s.updateCounts(1)
 }
 
-// RecordMissing notes that the server said it does not hold the snapshot.
+// RecordMissing records that the server replied that it does not hold the
+// snapshot.
 func (s *ServerSnapshots) RecordMissing(id ID) {
 	i := slices.Index(s.held, id)
 	if i < 0 {
@@ -45,8 +48,8 @@
 	s.updateCounts(1)
 }
 
-// SetAvailable says whether the server may be asked. What it holds is kept
-// while it may not, but counts for no choice.
+// SetAvailable sets whether requests may be sent to the server. While it is
+// unavailable, its snapshots are remembered but do not count in choices.
 func (s *ServerSnapshots) SetAvailable(available bool) {
 	if available == s.available {
 		return
@@ -61,12 +64,13 @@
 	return slices.Contains(s.held, id)
 }
 
-// HasReported reports whether the server ever gave an account.
+// HasReported reports whether the server has ever sent a report.
 func (s *ServerSnapshots) HasReported() bool {
 	return s.hasReported
 }
 
-// updateCounts adds or takes away the holder's part in the counts.
+// updateCounts adds the server's snapshots to the counts (change 1) or
+// subtracts them (change -1). It does nothing while the server is unavailable.
 func (s *ServerSnapshots) updateCounts(change int32) {
 	if !s.available {
 		return
@@ -77,6 +81,8 @@
 	}
 }
 
+// updateCount changes the counts of one snapshot, once for each group of the
+// server.
 func (s *ServerSnapshots) updateCount(counts *snapshotCounts, change int32) {
 	for _, group := range s.groups {
 		before := counts.holdersByGroup[group]
