--- a/front/rollouts.go
+++ b/front/rollouts.go
@@ -378,7 +378,7 @@
 	}
 	r.loggedPhases[service] = state.Record.Phase
 	r.logger.Info().Str("service", service).Str("target", state.Record.Target).Str("phase", string(state.Record.Phase)).
-		Str("reason", state.Record.Reason).Uint64("order", state.Record.Order).Msg("roll-out phase changed")
+		Str("reason", state.Record.Reason).Uint64("order", state.Record.Order).Msg("roll-out")
 }
 
 // writeDecision writes a decision to the registry. If the outcome of the write is unknown, it shows
