--- a/gossip/agent.go
+++ b/gossip/agent.go
@@ -29,14 +29,14 @@
 	mutex sync.Mutex
 	// mutex guards the fields below. Invariant: core sees times that never decrease,
 	// as the clock is read under the lock.
-	self    discovery.Node
-	core    *exchanger
-	version uint64
-	// listed are the nodes as of a version of the table.
-	listed        []discovery.Node
-	listedVersion uint64
-	// isolated is what was told of last.
-	isolated bool
+	self            discovery.Node
+	core            *exchanger
+	reportedVersion uint64
+	// cachedNodes are the nodes as of a version of the table.
+	cachedNodes        []discovery.Node
+	cachedNodesVersion uint64
+	// reportedIsolated is what was told of last.
+	reportedIsolated bool
 	// contacts are those that were named last.
 	contacts []discovery.Node
 	// conn is nil until Run.
@@ -52,7 +52,7 @@
 	if options.Changed == nil {
 		options.Changed = func() {}
 	}
-	self, err := memberOf(options.Self, uint64(max(1, time.Now().UnixMilli())))
+	self, err := memberFromNode(options.Self, uint64(max(1, time.Now().UnixMilli())))
 	if err != nil {
 		return nil, err
 	}
@@ -76,18 +76,18 @@
 func (a *Agent) Nodes() []discovery.Node {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if a.listedVersion == a.core.nodes.Version() {
-		return a.listed
+	if a.cachedNodesVersion == a.core.nodes.Version() {
+		return a.cachedNodes
 	}
 	members := a.core.nodes.Members()
 	nodes := make([]discovery.Node, 0, len(members))
 	for _, member := range members {
-		if node, ok := nodeOf(member); ok {
+		if node, ok := nodeFromMember(member); ok {
 			node.Region = a.options.Regions[node.Zone]
 			nodes = append(nodes, node)
 		}
 	}
-	a.listed, a.listedVersion = nodes, a.core.nodes.Version()
+	a.cachedNodes, a.cachedNodesVersion = nodes, a.core.nodes.Version()
 	return nodes
 }
 
@@ -108,12 +108,12 @@
 // SetContacts names nodes that may be there beside the seeds, as the registry does.
 func (a *Agent) SetContacts(contacts []discovery.Node) {
 	a.mutex.Lock()
-	known := a.contacts != nil && slices.Equal(a.contacts, contacts)
+	unchanged := a.contacts != nil && slices.Equal(a.contacts, contacts)
 	a.mutex.Unlock()
-	if known {
+	if unchanged {
 		return
 	}
-	a.change(func() []packet {
+	a.applyChange(func() []packet {
 		a.contacts = append(make([]discovery.Node, 0, len(contacts)), contacts...)
 		var listed []membership.ListedNode
 		for _, address := range a.options.Seeds {
@@ -140,9 +140,9 @@
 }
 
 func (a *Agent) setDetails(set func(self *discovery.Node)) {
-	a.change(func() []packet {
+	a.applyChange(func() []packet {
 		set(&a.self)
-		details, err := detailsOf(a.self)
+		details, err := encodeDetails(a.self)
 		if err != nil {
 			a.options.Logger.Error().Err(err).Msg("own entry stays as it is")
 			return nil
@@ -154,14 +154,14 @@
 
 // Leave tells the others that the node takes no more callers.
 func (a *Agent) Leave() {
-	a.change(func() []packet { return a.core.requests(a.now(), a.core.nodes.Leave()) })
+	a.applyChange(func() []packet { return a.core.startRequests(a.now(), a.core.nodes.Leave()) })
 }
 
-// change runs a change of the table, sends what follows from it and tells of it.
-func (a *Agent) change(apply func() []packet) {
+// applyChange runs a change of the table, sends what follows from it and tells of it.
+func (a *Agent) applyChange(apply func() []packet) {
 	a.mutex.Lock()
 	packets := apply()
-	changed := a.news()
+	changed := a.collectChanges()
 	conn := a.conn
 	a.mutex.Unlock()
 	a.send(conn, packets)
@@ -174,20 +174,20 @@
 	}
 }
 
-// news reports whether what is known of the nodes has changed since the last call.
+// collectChanges reports whether what is known of the nodes has changed since the last call.
 // The lock is held.
-func (a *Agent) news() bool {
+func (a *Agent) collectChanges() bool {
 	for _, member := range a.core.nodes.TakeChanges() {
 		a.counters.changes.WithLabelValues(member.State.String()).Inc()
 		a.options.Logger.Debug().Str("member", member.ID).Stringer("state", member.State).
 			Uint64("incarnation", member.Incarnation).Msg("member changed")
 	}
 	isolated := a.core.nodes.Isolated(a.now())
-	if isolated != a.isolated {
+	if isolated != a.reportedIsolated {
 		a.options.Logger.Warn().Bool("isolated", isolated).Msg("no other node answers")
 	}
-	changed := a.version != a.core.nodes.Version() || isolated != a.isolated
-	a.version, a.isolated = a.core.nodes.Version(), isolated
+	changed := a.reportedVersion != a.core.nodes.Version() || isolated != a.reportedIsolated
+	a.reportedVersion, a.reportedIsolated = a.core.nodes.Version(), isolated
 	return changed
 }
 
@@ -204,7 +204,7 @@
 	var loops sync.WaitGroup
 	loops.Go(func() { a.receiveLoop(conn) })
 	a.tickLoop(ctx, conn)
-	a.change(func() []packet { return a.core.requests(a.now(), a.core.nodes.Depart()) })
+	a.applyChange(func() []packet { return a.core.startRequests(a.now(), a.core.nodes.Depart()) })
 	_ = conn.Close()
 	loops.Wait()
 	return nil
@@ -223,8 +223,8 @@
 		}
 		a.mutex.Lock()
 		packets := a.core.tick(a.now())
-		changed := a.news()
-		next := a.core.next() - a.now()
+		changed := a.collectChanges()
+		next := a.core.nextTick() - a.now()
 		a.mutex.Unlock()
 		a.send(conn, packets)
 		if changed {
@@ -234,13 +234,13 @@
 	}
 }
 
-// mostDatagram is the longest datagram that is taken, in bytes: a bucket of entries
-// may be longer than comparisonBytes.
-const mostDatagram = 16 << 10
+// maxDatagramBytes is the longest datagram that is taken, in bytes: a bucket of entries
+// may be longer than syncBytes.
+const maxDatagramBytes = 16 << 10
 
 // receiveLoop takes datagrams until the socket is closed.
 func (a *Agent) receiveLoop(conn net.PacketConn) {
-	buffer := make([]byte, mostDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		length, from, err := conn.ReadFrom(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -248,17 +248,17 @@
 		}
 		if err != nil {
 			// An error of one datagram, as that a port was not reached: the next one counts.
-			a.counters.failed.WithLabelValues("receive").Inc()
+			a.counters.failures.WithLabelValues("receive").Inc()
 			continue
 		}
 		a.counters.received.Add(float64(length))
 		var datagram Datagram
 		if err := proto.Unmarshal(buffer[:length], &datagram); err != nil {
-			a.counters.failed.WithLabelValues("decode").Inc()
+			a.counters.failures.WithLabelValues("decode").Inc()
 			continue
 		}
 		if findings := datagram.GetFindings(); findings != nil {
-			a.hear(findings)
+			a.receiveFindings(findings)
 			continue
 		}
 		a.receive(conn, from.String(), &datagram)
@@ -268,10 +268,10 @@
 // receive takes one datagram in.
 func (a *Agent) receive(conn net.PacketConn, from string, datagram *Datagram) {
 	a.mutex.Lock()
-	before := a.core.next()
+	before := a.core.nextTick()
 	packets := a.core.receive(a.now(), from, datagram)
-	changed := a.news()
-	sooner := a.core.next() < before
+	changed := a.collectChanges()
+	sooner := a.core.nextTick() < before
 	a.mutex.Unlock()
 	a.send(conn, packets)
 	if sooner {
@@ -290,19 +290,19 @@
 	if conn == nil {
 		return
 	}
-	for _, one := range packets {
-		encoded, err := proto.Marshal(one.datagram)
+	for _, outgoing := range packets {
+		encoded, err := proto.Marshal(outgoing.datagram)
 		if err != nil {
-			a.counters.failed.WithLabelValues("encode").Inc()
+			a.counters.failures.WithLabelValues("encode").Inc()
 			continue
 		}
-		to, err := netip.ParseAddrPort(one.to)
+		to, err := netip.ParseAddrPort(outgoing.to)
 		if err != nil {
-			a.counters.failed.WithLabelValues("address").Inc()
+			a.counters.failures.WithLabelValues("address").Inc()
 			continue
 		}
 		if _, err := conn.WriteTo(encoded, net.UDPAddrFromAddrPort(to)); err != nil {
-			a.counters.failed.WithLabelValues("send").Inc()
+			a.counters.failures.WithLabelValues("send").Inc()
 			continue
 		}
 		a.counters.sent.Add(float64(len(encoded)))
--- a/gossip/detector_test.go
+++ b/gossip/detector_test.go
@@ -13,27 +13,27 @@
 const (
 	// fleetSize is that of the largest deployment that is played.
 	fleetSize = 195
-	// settleTime is how long the nodes have to agree after trouble.
-	settleTime = 25 * time.Second
-	// passedOverBy is the time within which a dead node is passed over by nearly all.
-	passedOverBy = 2 * time.Second
+	// convergenceTimeout is how long the nodes have to agree after trouble.
+	convergenceTimeout = 25 * time.Second
+	// detectionTime is the time within which a dead node is passed over by nearly all.
+	detectionTime = 2 * time.Second
 )
 
-// share is the part of the pairs of observers and subjects that are seen so.
-func (f *fleet) share(observers, subjects []*fleetNode, so func(membership.State) bool) float64 {
-	pairs, seen := 0, 0
+// pairShare is the part of the pairs of observers and subjects that are seen so.
+func (f *fleet) pairShare(observers, subjects []*fleetNode, matches func(membership.State) bool) float64 {
+	pairs, matching := 0, 0
 	for _, observer := range observers {
 		for _, subject := range subjects {
 			if observer == subject {
 				continue
 			}
 			pairs++
-			if so(f.sees(observer, subject)) {
-				seen++
+			if matches(f.stateSeen(observer, subject)) {
+				matching++
 			}
 		}
 	}
-	return float64(seen) / float64(max(pairs, 1))
+	return float64(matching) / float64(max(pairs, 1))
 }
 
 // dead lists the nodes that don't run.
@@ -41,35 +41,37 @@
 	return slices.DeleteFunc(slices.Clone(f.nodes), func(n *fleetNode) bool { return n.alive })
 }
 
-// wantAgreement gives the nodes time and wants all to see those that run as live, and
+// assertConvergence gives the nodes time and wants all to see those that run as live, and
 // nobody else as there.
-func (f *fleet) wantAgreement(when string) {
+func (f *fleet) assertConvergence(when string) {
 	f.t.Helper()
-	agreed := func() bool { return f.all(f.alive(), f.alive(), isLive) && f.all(f.alive(), f.dead(), isLost) }
-	if took, ok := f.until(settleTime, agreed); !ok {
+	agreed := func() bool {
+		return f.allPairs(f.alive(), f.alive(), isLive) && f.allPairs(f.alive(), f.dead(), isSuspectOrGone)
+	}
+	if took, ok := f.runUntil(convergenceTimeout, agreed); !ok {
 		f.t.Errorf("%s: the nodes don't agree %s later: %.4f of the live pairs, %.4f of the dead ones", when, took,
-			f.share(f.alive(), f.alive(), isLive), f.share(f.alive(), f.dead(), isLost))
+			f.pairShare(f.alive(), f.alive(), isLive), f.pairShare(f.alive(), f.dead(), isSuspectOrGone))
 	}
 }
 
 // Hundreds of nodes that start at the same moment soon know each other.
-func TestNodesKnowEachOtherSoon(t *testing.T) {
+func TestJoinTimeAndTraffic(t *testing.T) {
 	const (
-		soon      = 1500 * time.Millisecond
-		mostBytes = 100_000 // a node, until all know all
+		joinTime = 1500 * time.Millisecond
+		maxBytes = 100_000 // a node, until all know all
 	)
 	for seed := range uint64(2) {
 		f := newFleet(t, fleetSize, seed)
-		f.run(soon)
-		if share := f.share(f.nodes, f.nodes, isLive); share < 0.95 {
-			t.Errorf("seed %d: after %s %.3f of the pairs know each other", seed, soon, share)
+		f.run(joinTime)
+		if share := f.pairShare(f.nodes, f.nodes, isLive); share < 0.95 {
+			t.Errorf("seed %d: after %s %.3f of the pairs know each other", seed, joinTime, share)
 		}
-		f.join(settleTime)
+		f.waitForJoin(convergenceTimeout)
 		total := 0
 		for _, n := range f.nodes {
 			total += n.bytes
 		}
-		if mean := total / fleetSize; mean > mostBytes {
+		if mean := total / fleetSize; mean > maxBytes {
 			t.Errorf("seed %d: joining took %d bytes a node", seed, mean)
 		}
 	}
@@ -77,65 +79,65 @@
 
 // A node that dies is passed over about a second later, also when many die at the same
 // moment.
-func TestDeadNodesArePassedOverSoon(t *testing.T) {
-	const late = 2 * time.Second // more, until nearly all know of any number
+func TestCrashedNodesAreDetected(t *testing.T) {
+	const extraTime = 2 * time.Second // more, until nearly all know of any number
 	// With over half of the nodes dead, so are half of those that are asked for help.
-	for deaths, most := range map[int]float64{1: 0.98, 3: 0.98, 49: 0.96, 107: 0.85} {
+	for deaths, minShare := range map[int]float64{1: 0.98, 3: 0.98, 49: 0.96, 107: 0.85} {
 		t.Run(fmt.Sprint(deaths), func(t *testing.T) {
 			f := newFleet(t, fleetSize, uint64(deaths))
-			f.join(settleTime)
+			f.waitForJoin(convergenceTimeout)
 			f.run(2 * time.Second)
 			for _, place := range f.random.Perm(fleetSize)[:deaths] {
 				f.kill(f.nodes[place])
 			}
-			f.run(passedOverBy)
-			if share := f.share(f.alive(), f.dead(), isLost); share < most {
-				t.Errorf("%s after the deaths %.3f of the pairs know", passedOverBy, share)
+			f.run(detectionTime)
+			if share := f.pairShare(f.alive(), f.dead(), isSuspectOrGone); share < minShare {
+				t.Errorf("%s after the deaths %.3f of the pairs know", detectionTime, share)
 			}
-			f.run(late)
-			if share := f.share(f.alive(), f.dead(), isLost); share < 0.98 {
-				t.Errorf("%s after the deaths %.3f of the pairs know", passedOverBy+late, share)
+			f.run(extraTime)
+			if share := f.pairShare(f.alive(), f.dead(), isSuspectOrGone); share < 0.98 {
+				t.Errorf("%s after the deaths %.3f of the pairs know", detectionTime+extraTime, share)
 			}
-			if share := f.share(f.alive(), f.alive(), isLost); share > 0 {
+			if share := f.pairShare(f.alive(), f.alive(), isSuspectOrGone); share > 0 {
 				t.Errorf("%.4f of the pairs of live nodes pass each other over", share)
 			}
-			f.wantAgreement("after the deaths")
+			f.assertConvergence("after the deaths")
 		})
 	}
 }
 
 // A node that leaves as planned is passed over at once.
-func TestLeavingIsKnownAtOnce(t *testing.T) {
-	const atOnce = 400 * time.Millisecond
+func TestLeavingSpreadsQuickly(t *testing.T) {
+	const spreadTime = 400 * time.Millisecond
 	f := newFleet(t, fleetSize, 1)
-	f.join(settleTime)
+	f.waitForJoin(convergenceTimeout)
 	leaving := f.nodes[70]
-	f.send(leaving, leaving.core.requests(f.now, leaving.core.nodes.Leave()))
-	f.planTick(leaving)
-	f.run(atOnce)
-	know := f.share(f.nodes, []*fleetNode{leaving}, func(state membership.State) bool { return state == membership.Leaving })
-	if know < 0.98 {
-		t.Errorf("%s after a node began to leave %.3f of the others know", atOnce, know)
+	f.send(leaving, leaving.core.startRequests(f.now, leaving.core.nodes.Leave()))
+	f.scheduleTick(leaving)
+	f.run(spreadTime)
+	share := f.pairShare(f.nodes, []*fleetNode{leaving}, func(state membership.State) bool { return state == membership.Leaving })
+	if share < 0.98 {
+		t.Errorf("%s after a node began to leave %.3f of the others know", spreadTime, share)
 	}
 }
 
 // At rest a node's datagrams, both ways, stay far below the 9 KB a second that control
 // may take at the planned size, and don't grow with the number of nodes.
-func TestTrafficAtRest(t *testing.T) {
+func TestIdleTraffic(t *testing.T) {
 	const (
-		span       = 10 * time.Second
-		mostPerSec = 1400
+		span              = 10 * time.Second
+		maxBytesPerSecond = 1400
 	)
 	for _, size := range []int{9, 64, fleetSize} {
 		f := newFleet(t, size, 1)
-		f.join(settleTime)
+		f.waitForJoin(convergenceTimeout)
 		f.run(10 * time.Second)
 		for _, n := range f.nodes {
 			n.bytes = 0
 		}
 		f.run(span)
 		for _, n := range f.nodes {
-			if rate := n.bytes / int(span/time.Second); rate > mostPerSec*3/2 {
+			if rate := n.bytes / int(span/time.Second); rate > maxBytesPerSecond*3/2 {
 				t.Errorf("%d nodes: %s takes %d bytes a second", size, n.node.ID, rate)
 			}
 		}
@@ -143,28 +145,28 @@
 }
 
 // A network that loses datagrams makes nobody gone.
-func TestLossesBuryNobody(t *testing.T) {
+func TestPacketLossRemovesNoNode(t *testing.T) {
 	f := newFleet(t, 64, 3)
-	f.join(settleTime)
+	f.waitForJoin(convergenceTimeout)
 	f.loss = 0.05
 	for range 600 {
 		f.run(100 * time.Millisecond)
 		for _, observer := range f.nodes {
 			for _, subject := range f.nodes {
-				if observer != subject && f.sees(observer, subject) == membership.Gone {
+				if observer != subject && f.stateSeen(observer, subject) == membership.Gone {
 					t.Fatalf("%s takes %s for gone", observer.node.ID, subject.node.ID)
 				}
 			}
 		}
 	}
 	f.loss = 0
-	f.wantAgreement("after the losses")
+	f.assertConvergence("after the losses")
 }
 
 // A node that is cut off from all others, in both directions or in one, comes back
 // without making any of them refute anything.
-func TestIsolatedNodeAccusesNobody(t *testing.T) {
-	ways := map[string]func(alone *fleetNode) func(from, to *fleetNode) bool{
+func TestIsolatedNodeCausesNoSuspicions(t *testing.T) {
+	cuts := map[string]func(alone *fleetNode) func(from, to *fleetNode) bool{
 		"both ways": func(alone *fleetNode) func(from, to *fleetNode) bool {
 			return func(from, to *fleetNode) bool { return from == alone || to == alone }
 		},
@@ -175,10 +177,10 @@
 			return func(_, to *fleetNode) bool { return to == alone }
 		},
 	}
-	for name, cut := range ways {
+	for name, cut := range cuts {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 64, 5)
-			f.join(settleTime)
+			f.waitForJoin(convergenceTimeout)
 			f.run(5 * time.Second)
 			alone := f.nodes[20]
 			others := slices.DeleteFunc(slices.Clone(f.nodes), func(n *fleetNode) bool { return n == alone })
@@ -189,16 +191,16 @@
 				return sum
 			}
 			before := incarnations()
-			f.cut = cut(alone)
+			f.isCut = cut(alone)
 			f.run(12 * time.Second)
 			if !alone.core.nodes.Isolated(f.now) {
 				t.Error("the node does not know that it is cut off")
 			}
-			if !f.all(others, others, isLive) {
+			if !f.allPairs(others, others, isLive) {
 				t.Error("the others doubt each other")
 			}
-			f.cut = func(_, _ *fleetNode) bool { return false }
-			f.wantAgreement("after the cut")
+			f.isCut = func(_, _ *fleetNode) bool { return false }
+			f.assertConvergence("after the cut")
 			if alone.core.nodes.Isolated(f.now) {
 				t.Error("the node takes itself for cut off after the cut")
 			}
@@ -210,62 +212,62 @@
 }
 
 // Zones that are cut off from each other go on by themselves and come together again.
-func TestPartedZonesComeTogether(t *testing.T) {
+func TestPartitionedZonesRejoin(t *testing.T) {
 	f := newFleet(t, 60, 7)
-	f.join(settleTime)
-	f.cut = func(from, to *fleetNode) bool { return (from.node.Zone == "zone-2") != (to.node.Zone == "zone-2") }
+	f.waitForJoin(convergenceTimeout)
+	f.isCut = func(from, to *fleetNode) bool { return (from.node.Zone == "zone-2") != (to.node.Zone == "zone-2") }
 	f.run(30 * time.Second)
 	for _, n := range f.nodes {
 		if n.core.nodes.Isolated(f.now) {
 			t.Errorf("%s takes itself for cut off from all", n.node.ID)
 		}
 	}
-	f.cut = func(_, _ *fleetNode) bool { return false }
-	f.wantAgreement("after the cut")
+	f.isCut = func(_, _ *fleetNode) bool { return false }
+	f.assertConvergence("after the cut")
 }
 
 // Whatever becomes of the nodes - joins, restarts at one address, freezes, cuts in one
 // direction, losses, machines that go for good - those that are there agree soon
 // after it has ended, and no node that was well all the time was gone for anybody in
 // touch with it.
-func TestDrawnHistories(t *testing.T) {
+func TestRandomHistories(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 21))
 			size := 8 + random.IntN(40)
 			f := newFleet(t, size, seed)
-			f.join(settleTime)
-			h := history{fleet: f, random: random, harmed: make(map[*fleetNode]bool)}
+			f.waitForJoin(convergenceTimeout)
+			h := randomHistory{fleet: f, random: random, disturbed: make(map[*fleetNode]bool)}
 			for range 25 {
 				h.step()
 				f.run(time.Duration(random.IntN(1500)) * time.Millisecond)
-				h.wantWellNodesKept()
+				h.assertUndisturbedNodesKept()
 			}
 			f.loss = 0
-			f.cut = func(_, _ *fleetNode) bool { return false }
+			f.isCut = func(_, _ *fleetNode) bool { return false }
 			f.run(6 * time.Second) // the last freezes end
-			f.wantAgreement("at the end")
+			f.assertConvergence("at the end")
 		})
 	}
 }
 
-// history draws what becomes of a fleet's nodes.
-type history struct {
+// randomHistory draws what becomes of a fleet's nodes.
+type randomHistory struct {
 	fleet  *fleet
 	random *rand.Rand
-	// harmed nodes were killed, frozen, cut or new at some time.
-	harmed map[*fleetNode]bool
-	cutOff map[*fleetNode]bool
+	// disturbed nodes were killed, frozen, cut or new at some time.
+	disturbed map[*fleetNode]bool
+	cutOff    map[*fleetNode]bool
 }
 
 // step harms a node or two. Two of three nodes stay well.
-func (h *history) step() {
+func (h *randomHistory) step() {
 	f := h.fleet
 	n := f.nodes[h.random.IntN(len(f.nodes))]
-	if len(h.harmed) >= len(f.nodes)/3 && !h.harmed[n] {
+	if len(h.disturbed) >= len(f.nodes)/3 && !h.disturbed[n] {
 		return
 	}
-	h.harmed[n] = true
+	h.disturbed[n] = true
 	switch h.random.IntN(6) {
 	case 0:
 		f.kill(n)
@@ -278,21 +280,21 @@
 		f.loss = 0.02 * float64(h.random.IntN(3))
 	case 4:
 		added := f.add(len(f.nodes))
-		h.harmed[added] = true
+		h.disturbed[added] = true
 		f.start(added)
 	case 5:
 		h.cutOff = map[*fleetNode]bool{n: true}
 		inward := h.random.IntN(2) == 0
-		f.cut = func(from, to *fleetNode) bool { return h.cutOff[to] && inward || h.cutOff[from] && !inward }
+		f.isCut = func(from, to *fleetNode) bool { return h.cutOff[to] && inward || h.cutOff[from] && !inward }
 	}
 }
 
-// wantWellNodesKept wants nodes that were never harmed to keep each other.
-func (h *history) wantWellNodesKept() {
+// assertUndisturbedNodesKept wants nodes that were never harmed to keep each other.
+func (h *randomHistory) assertUndisturbedNodesKept() {
 	h.fleet.t.Helper()
 	for _, observer := range h.fleet.nodes {
 		for _, subject := range h.fleet.nodes {
-			if observer != subject && !h.harmed[observer] && !h.harmed[subject] && h.fleet.sees(observer, subject) == membership.Gone {
+			if observer != subject && !h.disturbed[observer] && !h.disturbed[subject] && h.fleet.stateSeen(observer, subject) == membership.Gone {
 				h.fleet.t.Fatalf("%s takes %s for gone, and both are well", observer.node.ID, subject.node.ID)
 			}
 		}
--- a/gossip/exchange_bench_test.go
+++ b/gossip/exchange_bench_test.go
@@ -20,12 +20,12 @@
 	for _, known := range benchMembers(b, 1400) {
 		target.nodes.Receive(0, known, nil)
 	}
-	asker := newBenchExchanger(b, 2)
-	request := asker.newDatagram(1, updates)
+	requester := newBenchExchanger(b, 2)
+	request := requester.newDatagram(1, updates)
 	request.Body = &Datagram_Probe{Probe: &Probe{}}
-	near, far := listenBench(b), listenBench(b)
-	go serveBench(far, target)
-	buffer := make([]byte, mostDatagram)
+	clientConn, serverConn := listenBench(b), listenBench(b)
+	go serveBench(serverConn, target)
+	buffer := make([]byte, maxDatagramBytes)
 	bytes := 0
 	b.ReportAllocs()
 	for b.Loop() {
@@ -33,10 +33,10 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if _, err := near.WriteTo(encoded, far.LocalAddr()); err != nil {
+		if _, err := clientConn.WriteTo(encoded, serverConn.LocalAddr()); err != nil {
 			b.Fatal(err)
 		}
-		length, _, err := near.ReadFrom(buffer)
+		length, _, err := clientConn.ReadFrom(buffer)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -44,7 +44,7 @@
 		if err := proto.Unmarshal(buffer[:length], &reply); err != nil {
 			b.Fatal(err)
 		}
-		asker.receive(0, "10.0.0.1:1", &reply)
+		requester.receive(0, "10.0.0.1:1", &reply)
 		bytes += len(encoded) + length
 	}
 	b.ReportMetric(float64(bytes)/float64(b.N), "B/exchange")
@@ -52,7 +52,7 @@
 
 // serveBench answers datagrams until the socket is closed.
 func serveBench(conn net.PacketConn, core *exchanger) {
-	buffer := make([]byte, mostDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		length, from, err := conn.ReadFrom(buffer)
 		if err != nil {
@@ -62,8 +62,8 @@
 		if proto.Unmarshal(buffer[:length], &datagram) != nil {
 			continue
 		}
-		for _, one := range core.receive(0, from.String(), &datagram) {
-			encoded, err := proto.Marshal(one.datagram)
+		for _, outgoing := range core.receive(0, from.String(), &datagram) {
+			encoded, err := proto.Marshal(outgoing.datagram)
 			if err != nil {
 				return
 			}
@@ -87,7 +87,7 @@
 
 func benchMember(b *testing.B, number int) membership.Member {
 	host := fmt.Sprintf("10.1.%d.%d", number/250, number%250)
-	member, err := memberOf(discovery.Node{
+	member, err := memberFromNode(discovery.Node{
 		ID: fmt.Sprintf("node-%04d", number), Zone: "zone-1",
 		Gossip: host + ":7380", Address: host + ":8104", Peer: host + ":8106", Capacity: 0.192,
 	}, 1)
--- a/gossip/exchanger.go
+++ b/gossip/exchanger.go
@@ -15,26 +15,26 @@
 	datagram *Datagram
 }
 
-// mostRelayed bounds the probes that a node carries out for others at a time.
-const mostRelayed = 256
+// maxRelayedProbes bounds the probes that a node carries out for others at a time.
+const maxRelayedProbes = 256
 
 // exchanger turns the requests of a membership table into datagrams, and datagrams
 // into results. Times are durations since an epoch of the owner's choice.
 type exchanger struct {
 	nodes *membership.Nodes
-	// base tells the numbers of this process's datagrams from those of earlier ones.
-	base uint64
-	// waiting holds the own requests without a reply, and relayed the probes for others.
-	waiting map[uint64]waitingRequest
+	// numberBase tells the numbers of this process's datagrams from those of earlier ones.
+	numberBase uint64
+	// pending holds the own requests without a reply, and relayed the probes for others.
+	pending map[uint64]pendingRequest
 	relayed map[uint64]relayedProbe
-	// lastRelayed counts relayed probes; they are numbered downwards from base.
-	lastRelayed uint64
+	// relayedCount counts relayed probes; they are numbered downwards from base.
+	relayedCount uint64
 	// malformed counts the datagrams that were out of bounds.
 	malformed uint64
 }
 
-// waitingRequest is one without a reply.
-type waitingRequest struct {
+// pendingRequest is one without a reply.
+type pendingRequest struct {
 	id       membership.RequestID
 	kind     membership.RequestKind
 	deadline time.Duration
@@ -42,29 +42,29 @@
 
 // relayedProbe is a probe on behalf of another node.
 type relayedProbe struct {
-	asker    string
-	number   uint64
-	target   string
-	deadline time.Duration
+	requester string
+	number    uint64
+	target    string
+	deadline  time.Duration
 }
 
-func newExchanger(nodes *membership.Nodes, base uint64) *exchanger {
+func newExchanger(nodes *membership.Nodes, numberBase uint64) *exchanger {
 	return &exchanger{
-		nodes:   nodes,
-		base:    base,
-		waiting: make(map[uint64]waitingRequest),
-		relayed: make(map[uint64]relayedProbe),
+		nodes:      nodes,
+		numberBase: numberBase,
+		pending:    make(map[uint64]pendingRequest),
+		relayed:    make(map[uint64]relayedProbe),
 	}
 }
 
-// next tells when tick must be called at the latest.
-func (e *exchanger) next() time.Duration {
+// nextTick tells when tick must be called at the latest.
+func (e *exchanger) nextTick() time.Duration {
 	next := e.nodes.Next()
-	for _, one := range e.waiting {
-		next = min(next, one.deadline)
+	for _, request := range e.pending {
+		next = min(next, request.deadline)
 	}
-	for _, one := range e.relayed {
-		next = min(next, one.deadline)
+	for _, probe := range e.relayed {
+		next = min(next, probe.deadline)
 	}
 	return next
 }
@@ -73,43 +73,43 @@
 func (e *exchanger) tick(now time.Duration) []packet {
 	var packets []packet
 	for _, number := range slices.Sorted(maps.Keys(e.relayed)) {
-		if one := e.relayed[number]; one.deadline <= now {
+		if probe := e.relayed[number]; probe.deadline <= now {
 			delete(e.relayed, number)
-			packets = append(packets, e.indirectReply(one, nil))
+			packets = append(packets, e.indirectReply(probe, nil))
 		}
 	}
-	for _, number := range slices.Sorted(maps.Keys(e.waiting)) {
-		if one := e.waiting[number]; one.deadline <= now {
-			delete(e.waiting, number)
-			packets = append(packets, e.complete(now, one, membership.Result{Failed: true})...)
+	for _, number := range slices.Sorted(maps.Keys(e.pending)) {
+		if request := e.pending[number]; request.deadline <= now {
+			delete(e.pending, number)
+			packets = append(packets, e.complete(now, request, membership.Result{Failed: true})...)
 		}
 	}
-	return append(packets, e.requests(now, e.nodes.Tick(now))...)
+	return append(packets, e.startRequests(now, e.nodes.Tick(now))...)
 }
 
 // complete hands a result in and returns what follows from it.
-func (e *exchanger) complete(now time.Duration, one waitingRequest, result membership.Result) []packet {
-	result.ID = one.id
-	return e.requests(now, e.nodes.Complete(now, result))
+func (e *exchanger) complete(now time.Duration, request pendingRequest, result membership.Result) []packet {
+	result.ID = request.id
+	return e.startRequests(now, e.nodes.Complete(now, result))
 }
 
-// requests turns requests into datagrams. News are not answered, so they end at once.
-func (e *exchanger) requests(now time.Duration, requests []membership.Request) []packet {
+// startRequests turns requests into datagrams. News are not answered, so they end at once.
+func (e *exchanger) startRequests(now time.Duration, requests []membership.Request) []packet {
 	var packets []packet
 	for _, request := range requests {
-		number := e.base + uint64(request.ID)
-		one := waitingRequest{id: request.ID, kind: request.Kind, deadline: now + request.Timeout}
-		packets = append(packets, packet{to: request.To.Address, datagram: e.datagramOf(number, request)})
+		number := e.numberBase + uint64(request.ID)
+		pending := pendingRequest{id: request.ID, kind: request.Kind, deadline: now + request.Timeout}
+		packets = append(packets, packet{to: request.To.Address, datagram: e.requestDatagram(number, request)})
 		if request.Kind == membership.Announcement {
-			packets = append(packets, e.complete(now, one, membership.Result{Failed: true})...)
+			packets = append(packets, e.complete(now, pending, membership.Result{Failed: true})...)
 			continue
 		}
-		e.waiting[number] = one
+		e.pending[number] = pending
 	}
 	return packets
 }
 
-func (e *exchanger) datagramOf(number uint64, request membership.Request) *Datagram {
+func (e *exchanger) requestDatagram(number uint64, request membership.Request) *Datagram {
 	datagram := e.newDatagram(number, request.Updates)
 	switch request.Kind {
 	case membership.IndirectProbe:
@@ -145,19 +145,19 @@
 		answer.Body = &Datagram_ProbeReply{ProbeReply: &ProbeReply{}}
 		return []packet{{to: from, datagram: answer}}
 	case *Datagram_ProbeReply:
-		return e.probeReply(now, datagram.GetNumber(), sender, updates)
+		return e.handleProbeReply(now, datagram.GetNumber(), sender, updates)
 	case *Datagram_IndirectProbe:
-		return e.relay(now, from, datagram.GetNumber(), body.IndirectProbe)
+		return e.relayProbe(now, from, datagram.GetNumber(), body.IndirectProbe)
 	case *Datagram_IndirectReply:
-		return e.reply(now, datagram.GetNumber(), membership.IndirectProbe, indirectResult(body.IndirectReply))
+		return e.handleReply(now, datagram.GetNumber(), membership.IndirectProbe, indirectResult(body.IndirectReply))
 	case *Datagram_Comparison:
-		return e.compare(now, from, sender, datagram.GetNumber(), body.Comparison)
+		return e.answerSync(now, from, sender, datagram.GetNumber(), body.Comparison)
 	case *Datagram_ComparisonReply:
-		return e.reply(now, datagram.GetNumber(), membership.Sync, membership.Result{
+		return e.handleReply(now, datagram.GetNumber(), membership.Sync, membership.Result{
 			Responder:  sender,
 			Updates:    wire.ToMembers(body.ComparisonReply.GetMembers(), membership.MaximumSyncMembers),
 			More:       body.ComparisonReply.GetMore(),
-			NextBucket: bucketOf(body.ComparisonReply.GetNextBucket()),
+			NextBucket: clampBucket(body.ComparisonReply.GetNextBucket()),
 		})
 	case *Datagram_News:
 		e.nodes.Receive(now, sender, updates)
@@ -168,67 +168,67 @@
 	}
 }
 
-// bucketOf bounds a bucket that another node names.
-func bucketOf(told uint32) int { return int(min(told, membership.DigestBuckets)) }
+// clampBucket bounds a bucket that another node names.
+func clampBucket(bucket uint32) int { return int(min(bucket, membership.DigestBuckets)) }
 
-// probeReply ends an own probe, or one that was relayed.
-func (e *exchanger) probeReply(now time.Duration, number uint64, sender membership.Member, updates []membership.Member) []packet {
-	one, relayed := e.relayed[number]
+// handleProbeReply ends an own probe, or one that was relayed.
+func (e *exchanger) handleProbeReply(now time.Duration, number uint64, sender membership.Member, updates []membership.Member) []packet {
+	probe, relayed := e.relayed[number]
 	if !relayed {
-		return e.reply(now, number, membership.DirectProbe, membership.Result{Responder: sender, Updates: updates})
+		return e.handleReply(now, number, membership.DirectProbe, membership.Result{Responder: sender, Updates: updates})
 	}
-	if sender.ID != one.target {
+	if sender.ID != probe.target {
 		return nil // another node has taken over the address
 	}
 	delete(e.relayed, number)
 	e.nodes.Receive(now, sender, updates)
-	return []packet{e.indirectReply(one, &sender)}
+	return []packet{e.indirectReply(probe, &sender)}
 }
 
-// reply ends an own request of a kind; a late or foreign reply changes nothing but
+// handleReply ends an own request of a kind; a late or foreign reply changes nothing but
 // what is known of its sender.
-func (e *exchanger) reply(now time.Duration, number uint64, kind membership.RequestKind, result membership.Result) []packet {
-	one, ok := e.waiting[number]
-	if !ok || !answers(kind, one.kind) {
+func (e *exchanger) handleReply(now time.Duration, number uint64, kind membership.RequestKind, result membership.Result) []packet {
+	request, ok := e.pending[number]
+	if !ok || !replyMatches(kind, request.kind) {
 		if result.Responder.Valid() && kind == membership.DirectProbe {
 			e.nodes.Receive(now, result.Responder, result.Updates)
 		}
 		return nil
 	}
-	delete(e.waiting, number)
-	return e.complete(now, one, result)
+	delete(e.pending, number)
+	return e.complete(now, request, result)
 }
 
-// answers reports whether a reply of a kind answers a request of a kind.
-func answers(reply, request membership.RequestKind) bool {
+// replyMatches reports whether a reply of a kind answers a request of a kind.
+func replyMatches(reply, request membership.RequestKind) bool {
 	return reply == request || reply == membership.DirectProbe && request == membership.ReconnectProbe
 }
 
-// relay probes a node on behalf of another one.
-func (e *exchanger) relay(now time.Duration, from string, number uint64, asked *IndirectProbe) []packet {
-	target, ok := wire.ToMember(asked.GetTarget())
-	if !ok || len(e.relayed) >= mostRelayed {
+// relayProbe probes a node on behalf of another one.
+func (e *exchanger) relayProbe(now time.Duration, from string, number uint64, request *IndirectProbe) []packet {
+	target, ok := wire.ToMember(request.GetTarget())
+	if !ok || len(e.relayed) >= maxRelayedProbes {
 		e.malformed++
 		return nil
 	}
-	e.lastRelayed++
-	own := e.base - e.lastRelayed
-	e.relayed[own] = relayedProbe{asker: from, number: number, target: target.ID, deadline: now + relayTimeout}
-	probe := e.newDatagram(own, []membership.Member{target})
+	e.relayedCount++
+	relayNumber := e.numberBase - e.relayedCount
+	e.relayed[relayNumber] = relayedProbe{requester: from, number: number, target: target.ID, deadline: now + relayTimeout}
+	probe := e.newDatagram(relayNumber, []membership.Member{target})
 	probe.Body = &Datagram_Probe{Probe: &Probe{}}
 	return []packet{{to: target.Address, datagram: probe}}
 }
 
 // indirectReply tells the asker what became of a relayed probe; a nil target did not
 // answer.
-func (e *exchanger) indirectReply(one relayedProbe, target *membership.Member) packet {
+func (e *exchanger) indirectReply(probe relayedProbe, target *membership.Member) packet {
 	reply := &IndirectReply{Reached: target != nil}
 	if target != nil {
 		reply.Target = wire.FromMember(*target)
 	}
-	datagram := e.newDatagram(one.number, nil)
+	datagram := e.newDatagram(probe.number, nil)
 	datagram.Body = &Datagram_IndirectReply{IndirectReply: reply}
-	return packet{to: one.asker, datagram: datagram}
+	return packet{to: probe.requester, datagram: datagram}
 }
 
 func indirectResult(reply *IndirectReply) membership.Result {
@@ -236,12 +236,12 @@
 	return membership.Result{Reached: reply.GetReached() && ok, Responder: target}
 }
 
-// compare answers with the entries that differ.
-func (e *exchanger) compare(now time.Duration, from string, sender membership.Member, number uint64, asked *Comparison) []packet {
-	found := e.nodes.ReceiveSync(now, sender, asked.GetDigests(), bucketOf(asked.GetFirstBucket()))
+// answerSync answers with the entries that differ.
+func (e *exchanger) answerSync(now time.Duration, from string, sender membership.Member, number uint64, request *Comparison) []packet {
+	reply := e.nodes.ReceiveSync(now, sender, request.GetDigests(), clampBucket(request.GetFirstBucket()))
 	datagram := e.newDatagram(number, nil)
 	datagram.Body = &Datagram_ComparisonReply{ComparisonReply: &ComparisonReply{
-		Members: wire.FromMembers(found.Members), More: found.More, NextBucket: uint32(found.NextBucket),
+		Members: wire.FromMembers(reply.Members), More: reply.More, NextBucket: uint32(reply.NextBucket),
 	}}
 	return []packet{{to: from, datagram: datagram}}
 }
--- a/gossip/findings.go
+++ b/gossip/findings.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// keepers is the number of nodes that bring the findings on a content together: two may
+	// aggregatorCount is the number of nodes that bring the findings on a content together: two may
 	// be lost at the same moment.
-	keepers = 3
-	// mostFindings and mostEnds bound what is taken of one datagram.
-	mostFindings = 32
-	mostEnds     = 16
+	aggregatorCount = 3
+	// maxFindings and maxCrashes bound what is taken of one datagram.
+	maxFindings = 32
+	maxCrashes  = 16
 )
 
 // PublishFinding tells other nodes what this one found out. A datagram that is lost is not sent again.
@@ -49,19 +49,19 @@
 	ranked := slices.SortedFunc(slices.Values(nodes), func(x, y discovery.Node) int {
 		return cmp.Or(cmp.Compare(weights[y.ID], weights[x.ID]), cmp.Compare(x.ID, y.ID))
 	})
-	return ranked[:min(len(ranked), keepers)]
+	return ranked[:min(len(ranked), aggregatorCount)]
 }
 
-// hear takes another node's findings.
-func (a *Agent) hear(told *Findings) {
-	if len(told.GetFindings()) > mostFindings {
-		a.counters.failed.WithLabelValues("findings").Inc()
+// receiveFindings takes another node's findings.
+func (a *Agent) receiveFindings(message *Findings) {
+	if len(message.GetFindings()) > maxFindings {
+		a.counters.failures.WithLabelValues("findings").Inc()
 		return
 	}
-	for _, one := range told.GetFindings() {
-		finding, ok := decodeFinding(one)
+	for _, encoded := range message.GetFindings() {
+		finding, ok := decodeFinding(encoded)
 		if !ok {
-			a.counters.failed.WithLabelValues("finding").Inc()
+			a.counters.failures.WithLabelValues("finding").Inc()
 			continue
 		}
 		if a.options.OnFinding != nil {
@@ -74,31 +74,31 @@
 	encoded := &Finding{
 		Content: finding.Content[:], Answered: finding.Answered, Quarantined: finding.Quarantined, Wide: finding.Wide,
 	}
-	for _, end := range finding.Crashes {
-		if end.Alone {
-			encoded.Alone = append(encoded.Alone, uint64(end.ServerIncarnation))
+	for _, crash := range finding.Crashes {
+		if crash.Alone {
+			encoded.Alone = append(encoded.Alone, uint64(crash.ServerIncarnation))
 			continue
 		}
-		encoded.Together = append(encoded.Together, uint64(end.ServerIncarnation))
+		encoded.Together = append(encoded.Together, uint64(crash.ServerIncarnation))
 	}
 	return encoded
 }
 
 // decodeFinding reads a finding; ok is false for one that is out of its bounds.
-func decodeFinding(told *Finding) (finding quarantine.Finding, ok bool) {
-	content := told.GetContent()
-	if len(content) != len(finding.Content) || len(told.GetAlone())+len(told.GetTogether()) > mostEnds {
+func decodeFinding(message *Finding) (finding quarantine.Finding, ok bool) {
+	content := message.GetContent()
+	if len(content) != len(finding.Content) || len(message.GetAlone())+len(message.GetTogether()) > maxCrashes {
 		return finding, false
 	}
 	finding = quarantine.Finding{
-		Content: quarantine.Fingerprint(content), Answered: told.GetAnswered(),
-		Quarantined: told.GetQuarantined(), Wide: told.GetWide(),
+		Content: quarantine.Fingerprint(content), Answered: message.GetAnswered(),
+		Quarantined: message.GetQuarantined(), Wide: message.GetWide(),
 	}
-	for _, life := range told.GetAlone() {
-		finding.Crashes = append(finding.Crashes, quarantine.Crash{ServerIncarnation: quarantine.Incarnation(life), Alone: true})
+	for _, incarnation := range message.GetAlone() {
+		finding.Crashes = append(finding.Crashes, quarantine.Crash{ServerIncarnation: quarantine.Incarnation(incarnation), Alone: true})
 	}
-	for _, life := range told.GetTogether() {
-		finding.Crashes = append(finding.Crashes, quarantine.Crash{ServerIncarnation: quarantine.Incarnation(life)})
+	for _, incarnation := range message.GetTogether() {
+		finding.Crashes = append(finding.Crashes, quarantine.Crash{ServerIncarnation: quarantine.Incarnation(incarnation)})
 	}
 	return finding, true
 }
--- a/gossip/findings_test.go
+++ b/gossip/findings_test.go
@@ -10,7 +10,7 @@
 	"github.com/banksail/banksail/quarantine"
 )
 
-func TestFindingsAreReadAsWritten(t *testing.T) {
+func TestFindingRoundTrip(t *testing.T) {
 	content := quarantine.FingerprintOf("GET", "h.example", "/", nil)
 	for _, finding := range []quarantine.Finding{
 		{Content: content, Answered: true, Wide: true},
@@ -20,52 +20,52 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var told Finding
-		if err := proto.Unmarshal(encoded, &told); err != nil {
+		var decoded Finding
+		if err := proto.Unmarshal(encoded, &decoded); err != nil {
 			t.Fatal(err)
 		}
-		read, ok := decodeFinding(&told)
-		if !ok || fmt.Sprint(read) != fmt.Sprint(finding) {
-			t.Errorf("read %+v, %v; want %+v", read, ok, finding)
+		got, ok := decodeFinding(&decoded)
+		if !ok || fmt.Sprint(got) != fmt.Sprint(finding) {
+			t.Errorf("read %+v, %v; want %+v", got, ok, finding)
 		}
 	}
 }
 
-func TestFindingsOutOfBoundsAreNotTaken(t *testing.T) {
+func TestFindingOutOfBoundsIsRejected(t *testing.T) {
 	content := quarantine.FingerprintOf("GET", "h.example", "/", nil)
-	for what, told := range map[string]*Finding{
+	for name, message := range map[string]*Finding{
 		"nothing":       {},
 		"short content": {Content: content[1:]},
 		"long content":  {Content: append(content[:], 0)},
-		"many ends":     {Content: content[:], Together: make([]uint64, mostEnds), Alone: make([]uint64, 1)},
+		"many ends":     {Content: content[:], Together: make([]uint64, maxCrashes), Alone: make([]uint64, 1)},
 	} {
-		if _, ok := decodeFinding(told); ok {
-			t.Errorf("%s was taken", what)
+		if _, ok := decodeFinding(message); ok {
+			t.Errorf("%s was taken", name)
 		}
 	}
 }
 
 // All nodes that see the same members choose the same keepers, and contents are spread over
 // the nodes.
-func TestKeepers(t *testing.T) {
+func TestAggregatorsFor(t *testing.T) {
 	var nodes, reversed []discovery.Node
 	for number := range 60 {
 		nodes = append(nodes, discovery.Node{ID: fmt.Sprintf("node-%d", number)})
 		reversed = append([]discovery.Node{nodes[number]}, reversed...)
 	}
-	kept := make(map[string]int)
+	assigned := make(map[string]int)
 	for number := range 600 {
 		content := quarantine.FingerprintOf("GET", "h.example", fmt.Sprint(number), nil)
 		chosen, again := AggregatorsFor(content, nodes), AggregatorsFor(content, reversed)
-		if len(chosen) != keepers || fmt.Sprint(chosen) != fmt.Sprint(again) {
+		if len(chosen) != aggregatorCount || fmt.Sprint(chosen) != fmt.Sprint(again) {
 			t.Fatalf("%v and %v", chosen, again)
 		}
 		for _, node := range chosen {
-			kept[node.ID]++
+			assigned[node.ID]++
 		}
 	}
 	for _, node := range nodes {
-		if count := kept[node.ID]; count < 10 || count > 60 {
+		if count := assigned[node.ID]; count < 10 || count > 60 {
 			t.Errorf("%s keeps %d contents of 600, 30 on average", node.ID, count)
 		}
 	}
--- a/gossip/fleet_test.go
+++ b/gossip/fleet_test.go
@@ -26,8 +26,8 @@
 	// loss is the share of datagrams that are lost, delay the longest way.
 	loss  float64
 	delay time.Duration
-	// cut tells whether datagrams from one node to another are lost.
-	cut   func(from, to *fleetNode) bool
+	// isCut tells whether datagrams from one node to another are lost.
+	isCut func(from, to *fleetNode) bool
 	seeds []string
 	// datagrams counts those that were sent.
 	datagrams int
@@ -53,8 +53,8 @@
 	core        *exchanger
 	alive       bool
 	frozenUntil time.Duration
-	// life grows with each start, so that events of an earlier one do nothing.
-	life uint64
+	// incarnation grows with each start, so that events of an earlier one do nothing.
+	incarnation uint64
 	// bytes counts what it sent and received, with 28 for the headers of IP and UDP.
 	bytes int
 }
@@ -65,7 +65,7 @@
 	f := &fleet{
 		t: t, events: priority.NewQueue(earlier, nil), random: rand.New(rand.NewPCG(seed, 9)),
 		byAddr: make(map[string]*fleetNode), delay: 3 * time.Millisecond,
-		cut: func(_, _ *fleetNode) bool { return false },
+		isCut: func(_, _ *fleetNode) bool { return false },
 	}
 	for index := range count {
 		f.add(index)
@@ -91,8 +91,8 @@
 
 // start begins a life of a node, which knows the seeds only.
 func (f *fleet) start(n *fleetNode) {
-	n.life++
-	self, err := memberOf(n.node, n.life)
+	n.incarnation++
+	self, err := memberFromNode(n.node, n.incarnation)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -106,25 +106,25 @@
 	}
 	n.core.nodes.ObserveList(listed)
 	n.alive, n.frozenUntil = true, 0
-	f.step(n, n.life, f.nodeTick)
+	f.runStep(n, n.incarnation, f.nodeTick)
 }
 
 func (f *fleet) kill(n *fleetNode) {
 	n.alive = false
-	n.life++
+	n.incarnation++
 }
 
-func (f *fleet) after(delay time.Duration, run func()) {
+func (f *fleet) schedule(delay time.Duration, run func()) {
 	f.order++
 	f.events.Push(event{at: f.now + delay, order: f.order, run: run})
 }
 
-// step runs a step of a node's life as soon as it isn't frozen.
-func (f *fleet) step(n *fleetNode, life uint64, run func(*fleetNode)) {
+// runStep runs a step of a node's life as soon as it isn't frozen.
+func (f *fleet) runStep(n *fleetNode, incarnation uint64, run func(*fleetNode)) {
 	switch {
-	case n.life != life || !n.alive:
+	case n.incarnation != incarnation || !n.alive:
 	case f.now < n.frozenUntil:
-		f.after(n.frozenUntil-f.now, func() { f.step(n, life, run) })
+		f.schedule(n.frozenUntil-f.now, func() { f.runStep(n, incarnation, run) })
 	default:
 		run(n)
 	}
@@ -133,34 +133,34 @@
 // nodeTick ticks a node and plans its next tick; ticks that have nothing to do are harmless.
 func (f *fleet) nodeTick(n *fleetNode) {
 	f.send(n, n.core.tick(f.now))
-	f.planTick(n)
+	f.scheduleTick(n)
 }
 
-func (f *fleet) planTick(n *fleetNode) {
-	life := n.life
-	due := n.core.next()
-	f.after(max(due-f.now, 100*time.Microsecond), func() {
-		if n.life == life && n.core.next() <= f.now {
-			f.step(n, life, f.nodeTick)
+func (f *fleet) scheduleTick(n *fleetNode) {
+	incarnation := n.incarnation
+	due := n.core.nextTick()
+	f.schedule(max(due-f.now, 100*time.Microsecond), func() {
+		if n.incarnation == incarnation && n.core.nextTick() <= f.now {
+			f.runStep(n, incarnation, f.nodeTick)
 		}
 	})
 }
 
 func (f *fleet) send(from *fleetNode, packets []packet) {
-	for _, one := range packets {
-		encoded, err := proto.Marshal(one.datagram)
+	for _, outgoing := range packets {
+		encoded, err := proto.Marshal(outgoing.datagram)
 		if err != nil {
 			f.t.Fatal(err)
 		}
 		f.datagrams++
 		from.bytes += len(encoded) + datagramHeader
-		to := f.byAddr[one.to]
-		if to == nil || !to.alive || f.cut(from, to) || f.random.Float64() < f.loss {
+		to := f.byAddr[outgoing.to]
+		if to == nil || !to.alive || f.isCut(from, to) || f.random.Float64() < f.loss {
 			continue
 		}
-		life := to.life
-		f.after(time.Millisecond+time.Duration(f.random.Int64N(int64(f.delay))), func() {
-			f.step(to, life, func(to *fleetNode) { f.deliver(from, to, encoded) })
+		incarnation := to.incarnation
+		f.schedule(time.Millisecond+time.Duration(f.random.Int64N(int64(f.delay))), func() {
+			f.runStep(to, incarnation, func(to *fleetNode) { f.deliver(from, to, encoded) })
 		})
 	}
 }
@@ -172,7 +172,7 @@
 		f.t.Fatal(err)
 	}
 	f.send(to, to.core.receive(f.now, from.node.Gossip, &datagram))
-	f.planTick(to)
+	f.scheduleTick(to)
 }
 
 // run advances by a time.
@@ -186,31 +186,31 @@
 	f.now = end
 }
 
-// until advances in steps until the condition holds and returns the time that took;
+// runUntil advances in steps until the condition holds and returns the time that took;
 // ok is false when limit passed first.
-func (f *fleet) until(limit time.Duration, condition func() bool) (took time.Duration, ok bool) {
-	const look = 20 * time.Millisecond
-	for began := f.now; ; f.run(look) {
+func (f *fleet) runUntil(limit time.Duration, condition func() bool) (took time.Duration, ok bool) {
+	const pollInterval = 20 * time.Millisecond
+	for start := f.now; ; f.run(pollInterval) {
 		if condition() {
-			return f.now - began, true
+			return f.now - start, true
 		}
-		if f.now-began >= limit {
-			return f.now - began, false
+		if f.now-start >= limit {
+			return f.now - start, false
 		}
 	}
 }
 
-// sees is an observer's state of a node; zero when it does not know it.
-func (f *fleet) sees(observer, subject *fleetNode) membership.State {
+// stateSeen is an observer's state of a node; zero when it does not know it.
+func (f *fleet) stateSeen(observer, subject *fleetNode) membership.State {
 	member, _ := observer.core.nodes.Lookup(subject.node.ID)
 	return member.State
 }
 
-// all reports whether each of the observers sees each of the subjects so.
-func (f *fleet) all(observers, subjects []*fleetNode, so func(membership.State) bool) bool {
+// allPairs reports whether each of the observers sees each of the subjects so.
+func (f *fleet) allPairs(observers, subjects []*fleetNode, matches func(membership.State) bool) bool {
 	for _, observer := range observers {
 		for _, subject := range subjects {
-			if observer != subject && !so(f.sees(observer, subject)) {
+			if observer != subject && !matches(f.stateSeen(observer, subject)) {
 				return false
 			}
 		}
@@ -220,8 +220,8 @@
 
 func isLive(state membership.State) bool { return state == membership.Live }
 
-// isLost is how a node is seen that must be passed over.
-func isLost(state membership.State) bool {
+// isSuspectOrGone is how a node is seen that must be passed over.
+func isSuspectOrGone(state membership.State) bool {
 	return state == membership.Suspect || state == membership.Gone || state == 0
 }
 
@@ -236,10 +236,10 @@
 	return alive
 }
 
-// join runs until all nodes know each other.
-func (f *fleet) join(limit time.Duration) time.Duration {
+// waitForJoin runs until all nodes know each other.
+func (f *fleet) waitForJoin(limit time.Duration) time.Duration {
 	f.t.Helper()
-	took, ok := f.until(limit, func() bool { return f.all(f.alive(), f.alive(), isLive) })
+	took, ok := f.runUntil(limit, func() bool { return f.allPairs(f.alive(), f.alive(), isLive) })
 	if !ok {
 		f.t.Fatalf("the nodes do not all know each other after %s", took)
 	}
--- a/gossip/alone_test.go
+++ b/gossip/isolation_test.go
@@ -13,12 +13,12 @@
 // were told of one that had gone six seconds before. Its log says at one moment, with no other
 // node running: "member changed", member=front-5 state=live, and "no other node answers",
 // isolated=false; the datagram before both is its own probe's reply.
-func TestOwnAnswersAreNoOtherNodes(t *testing.T) {
+func TestOwnRepliesDoNotEndIsolation(t *testing.T) {
 	const (
-		found  = 4 * time.Second
-		during = 30 * time.Second
+		detectionDelay = 4 * time.Second
+		observation    = 30 * time.Second
 	)
-	ways := map[string]func(f *fleet, last *fleetNode){
+	cases := map[string]func(f *fleet, last *fleetNode){
 		"listed by its process": func(_ *fleet, last *fleetNode) {
 			last.core.nodes.ObserveList([]membership.ListedNode{{ID: last.node.ID + ".1", Address: last.node.Gossip, Zone: last.node.Zone}})
 		},
@@ -27,23 +27,23 @@
 			last.core.nodes.Receive(f.now, earlier, nil)
 		},
 	}
-	for name, know := range ways {
+	for name, setUp := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 8, 3)
-			f.join(settleTime)
+			f.waitForJoin(convergenceTimeout)
 			last := f.nodes[0]
-			know(f, last)
+			setUp(f, last)
 			for _, other := range f.nodes[1:] {
 				f.kill(other)
 			}
-			f.run(found)
-			for began := f.now; f.now < began+during; f.run(20 * time.Millisecond) {
+			f.run(detectionDelay)
+			for began := f.now; f.now < began+observation; f.run(20 * time.Millisecond) {
 				if !last.core.nodes.Isolated(f.now) {
-					t.Fatalf("%s after all others have gone the node takes itself for one that others answer", f.now-began+found)
+					t.Fatalf("%s after all others have gone the node takes itself for one that others answer", f.now-began+detectionDelay)
 				}
 				for _, other := range f.nodes[1:] {
-					if !isLost(f.sees(last, other)) {
-						t.Fatalf("%s after its end %s is seen as %s", f.now-began+found, other.node.ID, f.sees(last, other))
+					if !isSuspectOrGone(f.stateSeen(last, other)) {
+						t.Fatalf("%s after its end %s is seen as %s", f.now-began+detectionDelay, other.node.ID, f.stateSeen(last, other))
 					}
 				}
 			}
--- a/gossip/metrics.go
+++ b/gossip/metrics.go
@@ -5,7 +5,7 @@
 // counters count what an agent did since its start.
 type counters struct {
 	changes  *prometheus.CounterVec
-	failed   *prometheus.CounterVec
+	failures *prometheus.CounterVec
 	sent     prometheus.Counter
 	received prometheus.Counter
 }
@@ -15,7 +15,7 @@
 		changes: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "banksail_gossip_changes_total", Help: "Changes of what is known of other nodes, by their new state.",
 		}, []string{"state"}),
-		failed: prometheus.NewCounterVec(prometheus.CounterOpts{
+		failures: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "banksail_gossip_failures_total", Help: "Datagrams that could not be sent, received or read, by the step.",
 		}, []string{"step"}),
 		sent: prometheus.NewCounter(prometheus.CounterOpts{
@@ -28,7 +28,7 @@
 	if registry == nil {
 		return c
 	}
-	registry.MustRegister(c.changes, c.failed, c.sent, c.received)
+	registry.MustRegister(c.changes, c.failures, c.sent, c.received)
 	registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "banksail_gossip_malformed_total", Help: "Datagrams that were out of their bounds.",
 	}, func() float64 {
--- a/gossip/node.go
+++ b/gossip/node.go
@@ -12,12 +12,12 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// memberOf is a node's own entry.
-func memberOf(node discovery.Node, incarnation uint64) (membership.Member, error) {
+// memberFromNode is a node's own entry.
+func memberFromNode(node discovery.Node, incarnation uint64) (membership.Member, error) {
 	member := membership.Member{
 		ID: node.ID, Address: node.Gossip, Zone: node.Zone, Incarnation: incarnation, State: membership.Live,
 	}
-	details, err := detailsOf(node)
+	details, err := encodeDetails(node)
 	if err != nil {
 		return membership.Member{}, err
 	}
@@ -28,8 +28,8 @@
 	return member, nil
 }
 
-// detailsOf encodes what a node tells of itself beyond its entry.
-func detailsOf(node discovery.Node) (string, error) {
+// encodeDetails encodes what a node tells of itself beyond its entry.
+func encodeDetails(node discovery.Node) (string, error) {
 	encoded, err := proto.Marshal(&NodeDetails{
 		Callers:  portOf(node.Address),
 		Peer:     portOf(node.Peer),
@@ -46,9 +46,9 @@
 // millicores make a core.
 const millicores = 1000
 
-// nodeOf is the node that a member's entry tells of, but for its region, which follows
+// nodeFromMember is the node that a member's entry tells of, but for its region, which follows
 // from its zone; ok is false when its details can't be read.
-func nodeOf(member membership.Member) (node discovery.Node, ok bool) {
+func nodeFromMember(member membership.Member) (node discovery.Node, ok bool) {
 	var details NodeDetails
 	if err := proto.Unmarshal([]byte(member.Details), &details); err != nil {
 		return discovery.Node{}, false
@@ -60,8 +60,8 @@
 	return discovery.Node{
 		ID:       member.ID,
 		Gossip:   member.Address,
-		Address:  addressOf(host, details.GetCallers()),
-		Peer:     addressOf(host, details.GetPeer()),
+		Address:  joinHostPort(host, details.GetCallers()),
+		Peer:     joinHostPort(host, details.GetPeer()),
 		Zone:     member.Zone,
 		Capacity: float64(details.GetCapacity()) / millicores,
 		Busy:     details.GetBusy(),
@@ -84,7 +84,7 @@
 	return uint32(port)
 }
 
-func addressOf(host string, port uint32) string {
+func joinHostPort(host string, port uint32) string {
 	if port == 0 {
 		return ""
 	}
--- a/gossip/options.go
+++ b/gossip/options.go
@@ -37,7 +37,7 @@
 
 // The detector's times. A dead node is to be passed over about a second after its
 // death: it is probed by some other node each probeInterval on average, and is suspect
-// after probeTimeout and relayTimeout more; news of it take some newsDelay.
+// after probeTimeout and relayTimeout more; news of it take some announcementDelay.
 const (
 	probeInterval = 300 * time.Millisecond
 	// probeTimeout is over three times the longest round trip between regions on the
@@ -49,10 +49,10 @@
 	// suspicionTime is how long a suspect may refute: six probes of the node that found
 	// it, and the pauses of a processor that is shared.
 	suspicionTime = 6 * probeInterval
-	// newsDelay gathers the losses of many nodes into few datagrams, and newsFanout
+	// announcementDelay gathers the losses of many nodes into few datagrams, and announcementFanout
 	// reaches 98 of 100 nodes; the probes reach the rest.
-	newsDelay  = 40 * time.Millisecond
-	newsFanout = 4
+	announcementDelay  = 40 * time.Millisecond
+	announcementFanout = 4
 	// transmissionFactor makes each node pass an update on six times at 100 to 998 nodes,
 	// which reaches 997 of 1,000; comparisons reach the rest. With twelve times, the
 	// detector's bytes on a day with many restarts were half as many again.
@@ -63,11 +63,11 @@
 	reconnectInterval = time.Second
 	// tombstoneTime is how long a gone node is probed and counts as known.
 	tombstoneTime = 10 * time.Minute
-	// comparisonInterval is the time between two comparisons of tables.
-	comparisonInterval = 20 * time.Second
-	// comparisonBytes bounds the entries of a datagram, which then fits into one
+	// syncInterval is the time between two comparisons of tables.
+	syncInterval = 20 * time.Second
+	// syncBytes bounds the entries of a datagram, which then fits into one
 	// packet of a usual link.
-	comparisonBytes = 1100
+	syncBytes = 1100
 )
 
 // membershipOptions are those of the table.
@@ -81,12 +81,12 @@
 
 		TransmissionFactor: transmissionFactor,
 		ReconnectInterval:  reconnectInterval,
-		SyncInterval:       comparisonInterval,
+		SyncInterval:       syncInterval,
 		TombstoneTime:      tombstoneTime,
-		NewsFanout:         newsFanout,
-		NewsDelay:          newsDelay,
+		NewsFanout:         announcementFanout,
+		NewsDelay:          announcementDelay,
 		IsolationTime:      isolationTime,
 		ProbeGone:          true,
-		SyncBytes:          comparisonBytes,
+		SyncBytes:          syncBytes,
 	}
 }
