--- a/gossip/agent.go
+++ b/gossip/agent.go
@@ -17,34 +17,34 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// Agent keeps a node's view of the other nodes. Run must be called once; all methods
-// may be called from several goroutines.
+// Agent maintains a node's view of the other nodes. Run must be called exactly once.
+// All methods are safe for concurrent use.
 type Agent struct {
 	options  Options
 	epoch    clock.Epoch
 	counters *counters
-	// wake makes the loop look at the table at once; it holds one token.
+	// wake makes tickLoop run immediately. Its buffer holds one signal.
 	wake chan struct{}
 
 	mutex sync.Mutex
-	// mutex guards the fields below. Invariant: core sees times that never decrease,
-	// as the clock is read under the lock.
+	// mutex guards the fields below. The clock is read while it is held, so that the
+	// times passed to core never decrease.
 	self            discovery.Node
 	core            *exchanger
 	reportedVersion uint64
-	// cachedNodes are the nodes as of a version of the table.
+	// cachedNodes is the result of Nodes at table version cachedNodesVersion.
 	cachedNodes        []discovery.Node
 	cachedNodesVersion uint64
-	// reportedIsolated is what was told of last.
+	// reportedIsolated is the isolation state at the last call of collectChanges.
 	reportedIsolated bool
-	// contacts are those that were named last.
+	// contacts is the last list passed to SetContacts.
 	contacts []discovery.Node
-	// conn is nil until Run.
+	// conn is nil until Run opens it.
 	conn net.PacketConn
 }
 
-// NewAgent returns an agent that knows no other node. Its error says what of the
-// node's own entry is out of its bounds.
+// NewAgent returns an agent that knows no other node. It fails if the node's own entry
+// is invalid.
 func NewAgent(options Options) (*Agent, error) {
 	if options.ListenPacket == nil {
 		options.ListenPacket = net.ListenPacket
@@ -68,11 +68,11 @@
 	return a, nil
 }
 
-// now is the time since the agent's epoch.
+// now returns the time since the agent's epoch.
 func (a *Agent) now() time.Duration { return a.epoch.Elapsed() }
 
-// Nodes lists the node itself and all others that are not gone, by ID. The list must
-// not be changed.
+// Nodes returns this node and all other nodes that are not gone, sorted by ID. Callers
+// must not modify the returned slice.
 func (a *Agent) Nodes() []discovery.Node {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -91,21 +91,22 @@
 	return nodes
 }
 
-// Isolated reports whether the node takes itself for cut off from the others.
+// Isolated reports whether the node considers itself cut off from all other nodes.
 func (a *Agent) Isolated() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.core.nodes.Isolated(a.now())
 }
 
-// Joined reports whether a whole comparison with another node has brought no new node.
+// Joined reports whether a full table sync with another node has found no new node.
 func (a *Agent) Joined() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.core.nodes.Joined()
 }
 
-// SetContacts names nodes that may be there beside the seeds, as the registry does.
+// SetContacts sets the nodes to contact in addition to the seeds, such as those in the
+// registry. They may be stale.
 func (a *Agent) SetContacts(contacts []discovery.Node) {
 	a.mutex.Lock()
 	unchanged := a.contacts != nil && slices.Equal(a.contacts, contacts)
@@ -131,10 +132,10 @@
 	})
 }
 
-// SetBusy tells the others whether they should help the node.
+// SetBusy publishes whether other nodes should take over work from this one.
 func (a *Agent) SetBusy(busy bool) { a.setDetails(func(self *discovery.Node) { self.Busy = busy }) }
 
-// SetUnable tells the others whether the node can't reach enough servers to serve callers.
+// SetUnable publishes whether the node cannot reach enough servers to serve callers.
 func (a *Agent) SetUnable(unable bool) {
 	a.setDetails(func(self *discovery.Node) { self.Unable = unable })
 }
@@ -144,7 +145,7 @@
 		set(&a.self)
 		details, err := encodeDetails(a.self)
 		if err != nil {
-			a.options.Logger.Error().Err(err).Msg("own entry stays as it is")
+			a.options.Logger.Error().Err(err).Msg("failed to encode own node details, keeping the previous ones")
 			return nil
 		}
 		a.core.nodes.SetDetails(details)
@@ -152,12 +153,13 @@
 	})
 }
 
-// Leave tells the others that the node takes no more callers.
+// Leave announces that the node accepts no more callers.
 func (a *Agent) Leave() {
 	a.applyChange(func() []packet { return a.core.startRequests(a.now(), a.core.nodes.Leave()) })
 }
 
-// applyChange runs a change of the table, sends what follows from it and tells of it.
+// applyChange runs apply with the lock held, sends the packets it returns, wakes
+// tickLoop and calls Options.Changed if the view of the nodes has changed.
 func (a *Agent) applyChange(apply func() []packet) {
 	a.mutex.Lock()
 	packets := apply()
@@ -174,8 +176,8 @@
 	}
 }
 
-// collectChanges reports whether what is known of the nodes has changed since the last call.
-// The lock is held.
+// collectChanges logs and counts the table's changes and reports whether the view of the
+// nodes has changed since the last call. The caller holds the lock.
 func (a *Agent) collectChanges() bool {
 	for _, member := range a.core.nodes.TakeChanges() {
 		a.counters.changes.WithLabelValues(member.State.String()).Inc()
@@ -191,8 +193,8 @@
 	return changed
 }
 
-// Run watches the other nodes until ctx ends; then it tells some of them that the
-// node is gone.
+// Run probes the other nodes until ctx is done, then announces to some of them that
+// this node is gone. It fails if the socket cannot be opened.
 func (a *Agent) Run(ctx context.Context) error {
 	conn, err := a.options.ListenPacket("udp", a.options.Self.Gossip)
 	if err != nil {
@@ -210,7 +212,7 @@
 	return nil
 }
 
-// tickLoop drives the table's timers.
+// tickLoop runs the timers of the state machine until ctx is done.
 func (a *Agent) tickLoop(ctx context.Context, conn net.PacketConn) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -234,11 +236,11 @@
 	}
 }
 
-// maxDatagramBytes is the longest datagram that is taken, in bytes: a bucket of entries
-// may be longer than syncBytes.
+// maxDatagramBytes is the largest datagram that is accepted. It exceeds syncBytes
+// because a single bucket of entries may.
 const maxDatagramBytes = 16 << 10
 
-// receiveLoop takes datagrams until the socket is closed.
+// receiveLoop reads datagrams until the socket is closed.
 func (a *Agent) receiveLoop(conn net.PacketConn) {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
@@ -247,7 +249,8 @@
 			return
 		}
 		if err != nil {
-			// An error of one datagram, as that a port was not reached: the next one counts.
+			// The error concerns a single datagram, such as an unreachable port, so
+			// keep reading.
 			a.counters.failures.WithLabelValues("receive").Inc()
 			continue
 		}
@@ -265,7 +268,7 @@
 	}
 }
 
-// receive takes one datagram in.
+// receive processes one datagram and wakes tickLoop if the next tick moved forward.
 func (a *Agent) receive(conn net.PacketConn, from string, datagram *Datagram) {
 	a.mutex.Lock()
 	before := a.core.nextTick()
@@ -285,7 +288,8 @@
 	}
 }
 
-// send sends datagrams; one that is lost is like one that is never answered.
+// send writes datagrams to the socket. Failures are counted but not reported, as a
+// lost datagram is handled like one without a reply.
 func (a *Agent) send(conn net.PacketConn, packets []packet) {
 	if conn == nil {
 		return
--- a/gossip/detector_test.go
+++ b/gossip/detector_test.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// fleetSize is that of the largest deployment that is played.
+	// fleetSize is the number of nodes in the largest simulated deployment.
 	fleetSize = 195
-	// convergenceTimeout is how long the nodes have to agree after trouble.
+	// convergenceTimeout is how long the nodes may take to converge after a fault.
 	convergenceTimeout = 25 * time.Second
-	// detectionTime is the time within which a dead node is passed over by nearly all.
+	// detectionTime is the time within which nearly all nodes avoid a crashed node.
 	detectionTime = 2 * time.Second
 )
 
-// pairShare is the part of the pairs of observers and subjects that are seen so.
+// pairShare returns the share of (observer, subject) pairs whose state matches.
 func (f *fleet) pairShare(observers, subjects []*fleetNode, matches func(membership.State) bool) float64 {
 	pairs, matching := 0, 0
 	for _, observer := range observers {
@@ -36,35 +36,36 @@
 	return float64(matching) / float64(max(pairs, 1))
 }
 
-// dead lists the nodes that don't run.
+// dead returns the nodes that are not running.
 func (f *fleet) dead() []*fleetNode {
 	return slices.DeleteFunc(slices.Clone(f.nodes), func(n *fleetNode) bool { return n.alive })
 }
 
-// assertConvergence gives the nodes time and wants all to see those that run as live, and
-// nobody else as there.
+// assertConvergence checks that, within convergenceTimeout, all running nodes see each
+// other as live and all others as unavailable.
 func (f *fleet) assertConvergence(when string) {
 	f.t.Helper()
 	agreed := func() bool {
 		return f.allPairs(f.alive(), f.alive(), isLive) && f.allPairs(f.alive(), f.dead(), isSuspectOrGone)
 	}
 	if took, ok := f.runUntil(convergenceTimeout, agreed); !ok {
-		f.t.Errorf("%s: the nodes don't agree %s later: %.4f of the live pairs, %.4f of the dead ones", when, took,
+		f.t.Errorf("%s: no convergence after %s: %.4f of the running pairs are seen as live, %.4f of the dead ones as unavailable", when, took,
 			f.pairShare(f.alive(), f.alive(), isLive), f.pairShare(f.alive(), f.dead(), isSuspectOrGone))
 	}
 }
 
-// Hundreds of nodes that start at the same moment soon know each other.
+// Hundreds of nodes that start at the same time discover each other quickly, with bounded
+// traffic.
 func TestJoinTimeAndTraffic(t *testing.T) {
 	const (
 		joinTime = 1500 * time.Millisecond
-		maxBytes = 100_000 // a node, until all know all
+		maxBytes = 100_000 // per node, until all nodes know each other
 	)
 	for seed := range uint64(2) {
 		f := newFleet(t, fleetSize, seed)
 		f.run(joinTime)
 		if share := f.pairShare(f.nodes, f.nodes, isLive); share < 0.95 {
-			t.Errorf("seed %d: after %s %.3f of the pairs know each other", seed, joinTime, share)
+			t.Errorf("seed %d: after %s, %.3f of the pairs know each other", seed, joinTime, share)
 		}
 		f.waitForJoin(convergenceTimeout)
 		total := 0
@@ -72,16 +73,15 @@
 			total += n.bytes
 		}
 		if mean := total / fleetSize; mean > maxBytes {
-			t.Errorf("seed %d: joining took %d bytes a node", seed, mean)
+			t.Errorf("seed %d: joining took %d bytes per node", seed, mean)
 		}
 	}
 }
 
-// A node that dies is passed over about a second later, also when many die at the same
-// moment.
+// Crashed nodes are avoided about a second later, even if many crash at the same time.
 func TestCrashedNodesAreDetected(t *testing.T) {
-	const extraTime = 2 * time.Second // more, until nearly all know of any number
-	// With over half of the nodes dead, so are half of those that are asked for help.
+	const extraTime = 2 * time.Second // additional time until nearly all nodes know, however many crashed
+	// If over half of the nodes are dead, so are half of those asked for indirect probes.
 	for deaths, minShare := range map[int]float64{1: 0.98, 3: 0.98, 49: 0.96, 107: 0.85} {
 		t.Run(fmt.Sprint(deaths), func(t *testing.T) {
 			f := newFleet(t, fleetSize, uint64(deaths))
@@ -92,21 +92,21 @@
 			}
 			f.run(detectionTime)
 			if share := f.pairShare(f.alive(), f.dead(), isSuspectOrGone); share < minShare {
-				t.Errorf("%s after the deaths %.3f of the pairs know", detectionTime, share)
+				t.Errorf("%s after the crashes, %.3f of the pairs have detected them", detectionTime, share)
 			}
 			f.run(extraTime)
 			if share := f.pairShare(f.alive(), f.dead(), isSuspectOrGone); share < 0.98 {
-				t.Errorf("%s after the deaths %.3f of the pairs know", detectionTime+extraTime, share)
+				t.Errorf("%s after the crashes, %.3f of the pairs have detected them", detectionTime+extraTime, share)
 			}
 			if share := f.pairShare(f.alive(), f.alive(), isSuspectOrGone); share > 0 {
-				t.Errorf("%.4f of the pairs of live nodes pass each other over", share)
+				t.Errorf("%.4f of the pairs of running nodes avoid each other", share)
 			}
 			f.assertConvergence("after the deaths")
 		})
 	}
 }
 
-// A node that leaves as planned is passed over at once.
+// A planned departure is known to nearly all nodes at once.
 func TestLeavingSpreadsQuickly(t *testing.T) {
 	const spreadTime = 400 * time.Millisecond
 	f := newFleet(t, fleetSize, 1)
@@ -117,12 +117,12 @@
 	f.run(spreadTime)
 	share := f.pairShare(f.nodes, []*fleetNode{leaving}, func(state membership.State) bool { return state == membership.Leaving })
 	if share < 0.98 {
-		t.Errorf("%s after a node began to leave %.3f of the others know", spreadTime, share)
+		t.Errorf("%s after a node began to leave, %.3f of the other nodes know", spreadTime, share)
 	}
 }
 
-// At rest a node's datagrams, both ways, stay far below the 9 KB a second that control
-// may take at the planned size, and don't grow with the number of nodes.
+// The idle traffic of a node, sent and received, stays far below the 9 KB/s budget for
+// control traffic at the planned size, and does not grow with the number of nodes.
 func TestIdleTraffic(t *testing.T) {
 	const (
 		span              = 10 * time.Second
@@ -138,13 +138,13 @@
 		f.run(span)
 		for _, n := range f.nodes {
 			if rate := n.bytes / int(span/time.Second); rate > maxBytesPerSecond*3/2 {
-				t.Errorf("%d nodes: %s takes %d bytes a second", size, n.node.ID, rate)
+				t.Errorf("%d nodes: %s uses %d bytes per second", size, n.node.ID, rate)
 			}
 		}
 	}
 }
 
-// A network that loses datagrams makes nobody gone.
+// Packet loss never makes a running node gone.
 func TestPacketLossRemovesNoNode(t *testing.T) {
 	f := newFleet(t, 64, 3)
 	f.waitForJoin(convergenceTimeout)
@@ -154,7 +154,7 @@
 		for _, observer := range f.nodes {
 			for _, subject := range f.nodes {
 				if observer != subject && f.stateSeen(observer, subject) == membership.Gone {
-					t.Fatalf("%s takes %s for gone", observer.node.ID, subject.node.ID)
+					t.Fatalf("%s sees %s as gone", observer.node.ID, subject.node.ID)
 				}
 			}
 		}
@@ -163,8 +163,8 @@
 	f.assertConvergence("after the losses")
 }
 
-// A node that is cut off from all others, in both directions or in one, comes back
-// without making any of them refute anything.
+// A node that is cut off from all others, in one direction or both, rejoins without causing
+// more than a few of them to refute a suspicion.
 func TestIsolatedNodeCausesNoSuspicions(t *testing.T) {
 	cuts := map[string]func(alone *fleetNode) func(from, to *fleetNode) bool{
 		"both ways": func(alone *fleetNode) func(from, to *fleetNode) bool {
@@ -194,24 +194,24 @@
 			f.isCut = cut(alone)
 			f.run(12 * time.Second)
 			if !alone.core.nodes.Isolated(f.now) {
-				t.Error("the node does not know that it is cut off")
+				t.Error("the node does not report isolation while it is cut off")
 			}
 			if !f.allPairs(others, others, isLive) {
-				t.Error("the others doubt each other")
+				t.Error("the other nodes do not all see each other as live")
 			}
 			f.isCut = func(_, _ *fleetNode) bool { return false }
 			f.assertConvergence("after the cut")
 			if alone.core.nodes.Isolated(f.now) {
-				t.Error("the node takes itself for cut off after the cut")
+				t.Error("the node still reports isolation after the cut")
 			}
 			if refuted := incarnations() - before; refuted > 3 {
-				t.Errorf("the others refuted %d accusations", refuted)
+				t.Errorf("the other nodes refuted %d suspicions", refuted)
 			}
 		})
 	}
 }
 
-// Zones that are cut off from each other go on by themselves and come together again.
+// Partitioned zones keep running separately and converge once the partition heals.
 func TestPartitionedZonesRejoin(t *testing.T) {
 	f := newFleet(t, 60, 7)
 	f.waitForJoin(convergenceTimeout)
@@ -219,17 +219,16 @@
 	f.run(30 * time.Second)
 	for _, n := range f.nodes {
 		if n.core.nodes.Isolated(f.now) {
-			t.Errorf("%s takes itself for cut off from all", n.node.ID)
+			t.Errorf("%s reports isolation although part of the nodes answer", n.node.ID)
 		}
 	}
 	f.isCut = func(_, _ *fleetNode) bool { return false }
 	f.assertConvergence("after the cut")
 }
 
-// Whatever becomes of the nodes - joins, restarts at one address, freezes, cuts in one
-// direction, losses, machines that go for good - those that are there agree soon
-// after it has ended, and no node that was well all the time was gone for anybody in
-// touch with it.
+// After any random sequence of joins, restarts at the same address, freezes, one-way cuts,
+// packet loss and permanent crashes, the running nodes converge. No undisturbed node ever
+// sees another undisturbed node as gone.
 func TestRandomHistories(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -245,22 +244,22 @@
 			}
 			f.loss = 0
 			f.isCut = func(_, _ *fleetNode) bool { return false }
-			f.run(6 * time.Second) // the last freezes end
+			f.run(6 * time.Second) // until the last freezes have ended
 			f.assertConvergence("at the end")
 		})
 	}
 }
 
-// randomHistory draws what becomes of a fleet's nodes.
+// randomHistory applies random faults to the nodes of a fleet.
 type randomHistory struct {
 	fleet  *fleet
 	random *rand.Rand
-	// disturbed nodes were killed, frozen, cut or new at some time.
+	// disturbed holds the nodes that were killed, frozen, cut off or added at any time.
 	disturbed map[*fleetNode]bool
 	cutOff    map[*fleetNode]bool
 }
 
-// step harms a node or two. Two of three nodes stay well.
+// step applies a random fault. At least two thirds of the initial nodes stay undisturbed.
 func (h *randomHistory) step() {
 	f := h.fleet
 	n := f.nodes[h.random.IntN(len(f.nodes))]
@@ -289,13 +288,13 @@
 	}
 }
 
-// assertUndisturbedNodesKept wants nodes that were never harmed to keep each other.
+// assertUndisturbedNodesKept checks that no undisturbed node sees another one as gone.
 func (h *randomHistory) assertUndisturbedNodesKept() {
 	h.fleet.t.Helper()
 	for _, observer := range h.fleet.nodes {
 		for _, subject := range h.fleet.nodes {
 			if observer != subject && !h.disturbed[observer] && !h.disturbed[subject] && h.fleet.stateSeen(observer, subject) == membership.Gone {
-				h.fleet.t.Fatalf("%s takes %s for gone, and both are well", observer.node.ID, subject.node.ID)
+				h.fleet.t.Fatalf("%s sees %s as gone although both are undisturbed", observer.node.ID, subject.node.ID)
 			}
 		}
 	}
--- a/gossip/doc.go
+++ b/gossip/doc.go
@@ -1,13 +1,15 @@
-// Package gossip lets nodes watch each other over datagrams, without the registry:
-// it drives the failure detector of package membership.
+// Package gossip detects failed nodes over UDP, without the registry. It drives the
+// failure detector of package membership.
 //
-// A node learns of others from contacts (the settings' seeds, and what the registry
-// holds), compares tables with them, and from then on probes one of them after the
-// other. What it finds and hears rides on the probes; a suspicion, its refutation and
-// a leaving are told to some others at once.
+// A node discovers others through contacts (the seeds in its settings and the nodes in
+// the registry) and synchronizes its member table with them. From then on it probes the
+// other nodes in turn. Updates are piggybacked on the probes; suspicions, refutations
+// and planned departures are also announced to a few nodes at once.
 //
-// exchanger is the state machine, without I/O or clock; Agent is its owner.
+// exchanger is the state machine, without I/O or a clock. Agent owns it and provides
+// both.
 //
-// Datagrams and not HTTP, as the nodes' other calls: a probe goes to another node each
-// time, so each would open a connection (docs/design/node-failure.md has the figures).
+// The transport is UDP rather than HTTP, which nodes use for their other calls: each
+// probe goes to a different node and would need a new connection
+// (docs/design/node-failure.md has the figures).
 package gossip
--- a/gossip/exchange_bench_test.go
+++ b/gossip/exchange_bench_test.go
@@ -11,9 +11,9 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// BenchmarkExchange measures one probe and its reply over loopback, both sides
-// together, with a full message each way and a table of 1,400 members. It is the
-// counterpart of package peer's benchmark of the same name, which goes over twirp.
+// BenchmarkExchange measures a probe and its reply over loopback, both ends included, with
+// the maximum number of updates each way and a table of 1,400 members. The benchmark of the
+// same name in package peer measures the same exchange over Twirp.
 func BenchmarkExchange(b *testing.B) {
 	target := newBenchExchanger(b, 1)
 	updates := benchMembers(b, membership.MaximumUpdates)
@@ -50,7 +50,7 @@
 	b.ReportMetric(float64(bytes)/float64(b.N), "B/exchange")
 }
 
-// serveBench answers datagrams until the socket is closed.
+// serveBench replies to datagrams until the socket is closed.
 func serveBench(conn net.PacketConn, core *exchanger) {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
--- a/gossip/exchanger.go
+++ b/gossip/exchanger.go
@@ -9,38 +9,41 @@
 	"github.com/banksail/banksail/membership/wire"
 )
 
-// packet is a datagram on its way to an address.
+// packet is an outgoing datagram with its destination address.
 type packet struct {
 	to       string
 	datagram *Datagram
 }
 
-// maxRelayedProbes bounds the probes that a node carries out for others at a time.
+// maxRelayedProbes limits the concurrent probes on behalf of other nodes.
 const maxRelayedProbes = 256
 
-// exchanger turns the requests of a membership table into datagrams, and datagrams
-// into results. Times are durations since an epoch of the owner's choice.
+// exchanger converts the requests of a membership.Nodes into datagrams, and received
+// datagrams into results. Times are durations since an epoch that the owner chooses.
 type exchanger struct {
 	nodes *membership.Nodes
-	// numberBase tells the numbers of this process's datagrams from those of earlier ones.
+	// numberBase keeps this process's datagram numbers apart from those of earlier
+	// processes on the same address.
 	numberBase uint64
-	// pending holds the own requests without a reply, and relayed the probes for others.
+	// pending holds this node's unanswered requests, relayed the unanswered probes on
+	// behalf of other nodes. Both are keyed by datagram number.
 	pending map[uint64]pendingRequest
 	relayed map[uint64]relayedProbe
-	// relayedCount counts relayed probes; they are numbered downwards from base.
+	// relayedCount counts relayed probes, whose numbers descend from numberBase.
 	relayedCount uint64
-	// malformed counts the datagrams that were out of bounds.
+	// malformed counts received datagrams that were rejected.
 	malformed uint64
 }
 
-// pendingRequest is one without a reply.
+// pendingRequest is a request that awaits its reply.
 type pendingRequest struct {
 	id       membership.RequestID
 	kind     membership.RequestKind
 	deadline time.Duration
 }
 
-// relayedProbe is a probe on behalf of another node.
+// relayedProbe is a probe on behalf of another node, requester, whose datagram had the
+// given number.
 type relayedProbe struct {
 	requester string
 	number    uint64
@@ -57,7 +60,7 @@
 	}
 }
 
-// nextTick tells when tick must be called at the latest.
+// nextTick returns the time by which tick must be called.
 func (e *exchanger) nextTick() time.Duration {
 	next := e.nodes.Next()
 	for _, request := range e.pending {
@@ -69,7 +72,7 @@
 	return next
 }
 
-// tick advances to now and returns what is to be sent.
+// tick expires requests, runs the table's timers and returns the packets to send.
 func (e *exchanger) tick(now time.Duration) []packet {
 	var packets []packet
 	for _, number := range slices.Sorted(maps.Keys(e.relayed)) {
@@ -87,13 +90,15 @@
 	return append(packets, e.startRequests(now, e.nodes.Tick(now))...)
 }
 
-// complete hands a result in and returns what follows from it.
+// complete passes the result of a request to the table and returns the packets to send
+// as a consequence.
 func (e *exchanger) complete(now time.Duration, request pendingRequest, result membership.Result) []packet {
 	result.ID = request.id
 	return e.startRequests(now, e.nodes.Complete(now, result))
 }
 
-// startRequests turns requests into datagrams. News are not answered, so they end at once.
+// startRequests converts requests into datagrams and records them as pending.
+// Announcements have no reply and are completed immediately.
 func (e *exchanger) startRequests(now time.Duration, requests []membership.Request) []packet {
 	var packets []packet
 	for _, request := range requests {
@@ -130,7 +135,7 @@
 	return &Datagram{Number: number, Sender: wire.FromMember(e.nodes.Self()), Updates: wire.FromMembers(updates)}
 }
 
-// receive takes a datagram in and returns what is to be sent.
+// receive processes a datagram and returns the packets to send.
 func (e *exchanger) receive(now time.Duration, from string, datagram *Datagram) []packet {
 	sender, ok := wire.ToMember(datagram.GetSender())
 	if !ok {
@@ -168,25 +173,25 @@
 	}
 }
 
-// clampBucket bounds a bucket that another node names.
+// clampBucket limits a bucket index received from another node.
 func clampBucket(bucket uint32) int { return int(min(bucket, membership.DigestBuckets)) }
 
-// handleProbeReply ends an own probe, or one that was relayed.
+// handleProbeReply completes a probe of this node or a relayed one.
 func (e *exchanger) handleProbeReply(now time.Duration, number uint64, sender membership.Member, updates []membership.Member) []packet {
 	probe, relayed := e.relayed[number]
 	if !relayed {
 		return e.handleReply(now, number, membership.DirectProbe, membership.Result{Responder: sender, Updates: updates})
 	}
 	if sender.ID != probe.target {
-		return nil // another node has taken over the address
+		return nil // another node now uses the address
 	}
 	delete(e.relayed, number)
 	e.nodes.Receive(now, sender, updates)
 	return []packet{e.indirectReply(probe, &sender)}
 }
 
-// handleReply ends an own request of a kind; a late or foreign reply changes nothing but
-// what is known of its sender.
+// handleReply completes the pending request that a reply of the given kind answers. A
+// probe reply without a matching request, such as a late one, only updates the table.
 func (e *exchanger) handleReply(now time.Duration, number uint64, kind membership.RequestKind, result membership.Result) []packet {
 	request, ok := e.pending[number]
 	if !ok || !replyMatches(kind, request.kind) {
@@ -199,12 +204,12 @@
 	return e.complete(now, request, result)
 }
 
-// replyMatches reports whether a reply of a kind answers a request of a kind.
+// replyMatches reports whether a reply of one kind can answer a request of the other.
 func replyMatches(reply, request membership.RequestKind) bool {
 	return reply == request || reply == membership.DirectProbe && request == membership.ReconnectProbe
 }
 
-// relayProbe probes a node on behalf of another one.
+// relayProbe probes a node on behalf of another node.
 func (e *exchanger) relayProbe(now time.Duration, from string, number uint64, request *IndirectProbe) []packet {
 	target, ok := wire.ToMember(request.GetTarget())
 	if !ok || len(e.relayed) >= maxRelayedProbes {
@@ -219,8 +224,8 @@
 	return []packet{{to: target.Address, datagram: probe}}
 }
 
-// indirectReply tells the asker what became of a relayed probe; a nil target did not
-// answer.
+// indirectReply builds the reply to the requester of a relayed probe. target is nil if
+// the probe was not answered.
 func (e *exchanger) indirectReply(probe relayedProbe, target *membership.Member) packet {
 	reply := &IndirectReply{Reached: target != nil}
 	if target != nil {
@@ -236,7 +241,7 @@
 	return membership.Result{Reached: reply.GetReached() && ok, Responder: target}
 }
 
-// answerSync answers with the entries that differ.
+// answerSync replies to a Comparison with the entries that differ.
 func (e *exchanger) answerSync(now time.Duration, from string, sender membership.Member, number uint64, request *Comparison) []packet {
 	reply := e.nodes.ReceiveSync(now, sender, request.GetDigests(), clampBucket(request.GetFirstBucket()))
 	datagram := e.newDatagram(number, nil)
--- a/gossip/findings.go
+++ b/gossip/findings.go
@@ -11,15 +11,17 @@
 )
 
 const (
-	// aggregatorCount is the number of nodes that bring the findings on a content together: two may
-	// be lost at the same moment.
+	// aggregatorCount is the number of nodes that merge the findings on a fingerprint.
+	// Two of them may fail at the same time.
 	aggregatorCount = 3
-	// maxFindings and maxCrashes bound what is taken of one datagram.
+	// maxFindings limits the findings in a received datagram, maxCrashes the crashes in
+	// a finding.
 	maxFindings = 32
 	maxCrashes  = 16
 )
 
-// PublishFinding tells other nodes what this one found out. A datagram that is lost is not sent again.
+// PublishFinding sends a finding to the other nodes, or only to the fingerprint's
+// aggregators if the audience is AudienceAggregators. Lost datagrams are not resent.
 func (a *Agent) PublishFinding(finding quarantine.Finding, audience quarantine.Audience) {
 	nodes := a.Nodes()
 	if audience == quarantine.AudienceAggregators {
@@ -39,8 +41,8 @@
 	a.send(conn, packets)
 }
 
-// AggregatorsFor are the nodes that bring the findings on a content together; all nodes that see
-// the same members choose the same.
+// AggregatorsFor returns the nodes that merge the findings on a fingerprint, in
+// rendezvous order. Nodes with the same view of the members choose the same ones.
 func AggregatorsFor(content quarantine.Fingerprint, nodes []discovery.Node) []discovery.Node {
 	weights := make(map[string]uint64, len(nodes))
 	for _, node := range nodes {
@@ -52,7 +54,8 @@
 	return ranked[:min(len(ranked), aggregatorCount)]
 }
 
-// receiveFindings takes another node's findings.
+// receiveFindings passes the findings of another node to Options.OnFinding and drops
+// invalid ones.
 func (a *Agent) receiveFindings(message *Findings) {
 	if len(message.GetFindings()) > maxFindings {
 		a.counters.failures.WithLabelValues("findings").Inc()
@@ -84,7 +87,8 @@
 	return encoded
 }
 
-// decodeFinding reads a finding; ok is false for one that is out of its bounds.
+// decodeFinding converts a message to a finding. ok is false if the fingerprint's length
+// is wrong or there are more than maxCrashes crashes.
 func decodeFinding(message *Finding) (finding quarantine.Finding, ok bool) {
 	content := message.GetContent()
 	if len(content) != len(finding.Content) || len(message.GetAlone())+len(message.GetTogether()) > maxCrashes {
--- a/gossip/findings_test.go
+++ b/gossip/findings_test.go
@@ -40,13 +40,13 @@
 		"many ends":     {Content: content[:], Together: make([]uint64, maxCrashes), Alone: make([]uint64, 1)},
 	} {
 		if _, ok := decodeFinding(message); ok {
-			t.Errorf("%s was taken", name)
+			t.Errorf("%s was accepted", name)
 		}
 	}
 }
 
-// All nodes that see the same members choose the same keepers, and contents are spread over
-// the nodes.
+// Nodes with the same view of the members must choose the same aggregators, whatever the order
+// of the members, and fingerprints must be spread evenly over the nodes.
 func TestAggregatorsFor(t *testing.T) {
 	var nodes, reversed []discovery.Node
 	for number := range 60 {
@@ -58,7 +58,7 @@
 		content := quarantine.FingerprintOf("GET", "h.example", fmt.Sprint(number), nil)
 		chosen, again := AggregatorsFor(content, nodes), AggregatorsFor(content, reversed)
 		if len(chosen) != aggregatorCount || fmt.Sprint(chosen) != fmt.Sprint(again) {
-			t.Fatalf("%v and %v", chosen, again)
+			t.Fatalf("aggregators %v, in reverse order of the nodes %v", chosen, again)
 		}
 		for _, node := range chosen {
 			assigned[node.ID]++
@@ -66,10 +66,10 @@
 	}
 	for _, node := range nodes {
 		if count := assigned[node.ID]; count < 10 || count > 60 {
-			t.Errorf("%s keeps %d contents of 600, 30 on average", node.ID, count)
+			t.Errorf("%s aggregates %d of 600 fingerprints, the average is 30", node.ID, count)
 		}
 	}
 	if few := AggregatorsFor(quarantine.Fingerprint{}, nodes[:2]); len(few) != 2 {
-		t.Errorf("%d keepers of 2 nodes", len(few))
+		t.Errorf("%d aggregators of 2 nodes", len(few))
 	}
 }
--- a/gossip/fleet_test.go
+++ b/gossip/fleet_test.go
@@ -13,8 +13,8 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// fleet runs exchangers on an event queue in virtual time, and carries their datagrams
-// encoded, with delays, losses, cuts, freezes and deaths.
+// fleet simulates many nodes in virtual time. It delivers encoded datagrams between their
+// exchangers and injects delays, packet loss, partitions, freezes and crashes.
 type fleet struct {
 	t      *testing.T
 	now    time.Duration
@@ -23,13 +23,13 @@
 	random *rand.Rand
 	nodes  []*fleetNode
 	byAddr map[string]*fleetNode
-	// loss is the share of datagrams that are lost, delay the longest way.
+	// loss is the probability that a datagram is lost, delay the maximum one-way delay.
 	loss  float64
 	delay time.Duration
-	// isCut tells whether datagrams from one node to another are lost.
+	// isCut reports whether all datagrams from one node to another are lost.
 	isCut func(from, to *fleetNode) bool
 	seeds []string
-	// datagrams counts those that were sent.
+	// datagrams is the number of datagrams sent.
 	datagrams int
 }
 
@@ -39,6 +39,7 @@
 	run   func()
 }
 
+// earlier orders events by time, and by insertion at equal times.
 func earlier(a, b event) bool {
 	if a.at != b.at {
 		return a.at < b.at
@@ -46,19 +47,21 @@
 	return a.order < b.order
 }
 
-// fleetNode is one machine.
+// fleetNode is a simulated node.
 type fleetNode struct {
 	index       int
 	node        discovery.Node
 	core        *exchanger
 	alive       bool
 	frozenUntil time.Duration
-	// incarnation grows with each start, so that events of an earlier one do nothing.
+	// incarnation increases with each start and kill, so that pending events of earlier
+	// incarnations are ignored.
 	incarnation uint64
-	// bytes counts what it sent and received, with 28 for the headers of IP and UDP.
+	// bytes is the traffic sent and received, including datagramHeader per datagram.
 	bytes int
 }
 
+// datagramHeader is the size of the IP and UDP headers in bytes.
 const datagramHeader = 28
 
 func newFleet(t *testing.T, count int, seed uint64) *fleet {
@@ -77,7 +80,7 @@
 	return f
 }
 
-// add makes a machine that does not run yet.
+// add creates a node that is not running yet.
 func (f *fleet) add(index int) *fleetNode {
 	host := fmt.Sprintf("10.%d.%d.%d", 1+index%6, index/250, index%250)
 	n := &fleetNode{index: index, node: discovery.Node{
@@ -89,7 +92,7 @@
 	return n
 }
 
-// start begins a life of a node, which knows the seeds only.
+// start starts a node as a new incarnation that knows only the seeds.
 func (f *fleet) start(n *fleetNode) {
 	n.incarnation++
 	self, err := memberFromNode(n.node, n.incarnation)
@@ -119,7 +122,7 @@
 	f.events.Push(event{at: f.now + delay, order: f.order, run: run})
 }
 
-// runStep runs a step of a node's life as soon as it isn't frozen.
+// runStep calls run as soon as the node is not frozen, unless it was killed or restarted.
 func (f *fleet) runStep(n *fleetNode, incarnation uint64, run func(*fleetNode)) {
 	switch {
 	case n.incarnation != incarnation || !n.alive:
@@ -130,7 +133,7 @@
 	}
 }
 
-// nodeTick ticks a node and plans its next tick; ticks that have nothing to do are harmless.
+// nodeTick ticks a node and schedules its next tick. Redundant ticks are harmless.
 func (f *fleet) nodeTick(n *fleetNode) {
 	f.send(n, n.core.tick(f.now))
 	f.scheduleTick(n)
@@ -175,7 +178,7 @@
 	f.scheduleTick(to)
 }
 
-// run advances by a time.
+// run advances virtual time by span.
 func (f *fleet) run(span time.Duration) {
 	end := f.now + span
 	for f.events.Len() > 0 && f.events.First().at <= end {
@@ -186,8 +189,8 @@
 	f.now = end
 }
 
-// runUntil advances in steps until the condition holds and returns the time that took;
-// ok is false when limit passed first.
+// runUntil advances virtual time until the condition holds and returns the time it took.
+// ok is false if limit elapsed first.
 func (f *fleet) runUntil(limit time.Duration, condition func() bool) (took time.Duration, ok bool) {
 	const pollInterval = 20 * time.Millisecond
 	for start := f.now; ; f.run(pollInterval) {
@@ -200,13 +203,13 @@
 	}
 }
 
-// stateSeen is an observer's state of a node; zero when it does not know it.
+// stateSeen returns the observer's state for the subject, or 0 if it does not know it.
 func (f *fleet) stateSeen(observer, subject *fleetNode) membership.State {
 	member, _ := observer.core.nodes.Lookup(subject.node.ID)
 	return member.State
 }
 
-// allPairs reports whether each of the observers sees each of the subjects so.
+// allPairs reports whether the state of every subject, as seen by every observer, matches.
 func (f *fleet) allPairs(observers, subjects []*fleetNode, matches func(membership.State) bool) bool {
 	for _, observer := range observers {
 		for _, subject := range subjects {
@@ -220,12 +223,12 @@
 
 func isLive(state membership.State) bool { return state == membership.Live }
 
-// isSuspectOrGone is how a node is seen that must be passed over.
+// isSuspectOrGone reports whether a node in this state, or an unknown one, is avoided.
 func isSuspectOrGone(state membership.State) bool {
 	return state == membership.Suspect || state == membership.Gone || state == 0
 }
 
-// alive lists the nodes that run.
+// alive returns the running nodes.
 func (f *fleet) alive() []*fleetNode {
 	var alive []*fleetNode
 	for _, n := range f.nodes {
@@ -236,7 +239,8 @@
 	return alive
 }
 
-// waitForJoin runs until all nodes know each other.
+// waitForJoin advances virtual time until all running nodes see each other as live, and
+// fails the test if that takes longer than limit.
 func (f *fleet) waitForJoin(limit time.Duration) time.Duration {
 	f.t.Helper()
 	took, ok := f.runUntil(limit, func() bool { return f.allPairs(f.alive(), f.alive(), isLive) })
--- a/gossip/isolation_test.go
+++ b/gossip/isolation_test.go
@@ -7,12 +7,11 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// A registry lists a node by the name of its process, which the node does not take for its own,
-// so the node that was left of eight asked its own address and took the answer for another
-// node's. It was no longer cut off then, what it had found of the others was void, and callers
-// were told of one that had gone six seconds before. Its log says at one moment, with no other
-// node running: "member changed", member=front-5 state=live, and "no other node answers",
-// isolated=false; the datagram before both is its own probe's reply.
+// A node must not treat a reply from its own address as a reply of another node. The registry
+// may list a node under its process name, which the node does not recognize as its own ID. The
+// last of eight nodes then probed its own address, took the reply for another node's, left
+// isolation, discarded the failures it had detected, and directed callers to a node that had
+// been gone for six seconds.
 func TestOwnRepliesDoNotEndIsolation(t *testing.T) {
 	const (
 		detectionDelay = 4 * time.Second
@@ -39,11 +38,11 @@
 			f.run(detectionDelay)
 			for began := f.now; f.now < began+observation; f.run(20 * time.Millisecond) {
 				if !last.core.nodes.Isolated(f.now) {
-					t.Fatalf("%s after all others have gone the node takes itself for one that others answer", f.now-began+detectionDelay)
+					t.Fatalf("%s after all other nodes were killed, the last node is not isolated", f.now-began+detectionDelay)
 				}
 				for _, other := range f.nodes[1:] {
 					if !isSuspectOrGone(f.stateSeen(last, other)) {
-						t.Fatalf("%s after its end %s is seen as %s", f.now-began+detectionDelay, other.node.ID, f.stateSeen(last, other))
+						t.Fatalf("%s after it was killed, %s is seen as %s", f.now-began+detectionDelay, other.node.ID, f.stateSeen(last, other))
 					}
 				}
 			}
--- a/gossip/metrics.go
+++ b/gossip/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// counters count what an agent did since its start.
+// counters holds the agent's metrics.
 type counters struct {
 	changes  *prometheus.CounterVec
 	failures *prometheus.CounterVec
--- a/gossip/node.go
+++ b/gossip/node.go
@@ -12,7 +12,8 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// memberFromNode is a node's own entry.
+// memberFromNode returns the live member entry of a node. It fails if the entry is
+// invalid.
 func memberFromNode(node discovery.Node, incarnation uint64) (membership.Member, error) {
 	member := membership.Member{
 		ID: node.ID, Address: node.Gossip, Zone: node.Zone, Incarnation: incarnation, State: membership.Live,
@@ -23,12 +24,12 @@
 	}
 	member.Details = details
 	if !member.Valid() {
-		return membership.Member{}, fmt.Errorf("gossip: the entry of node %q is out of its bounds", node.ID)
+		return membership.Member{}, fmt.Errorf("gossip: invalid entry of node %q: a field is missing or exceeds its limit", node.ID)
 	}
 	return member, nil
 }
 
-// encodeDetails encodes what a node tells of itself beyond its entry.
+// encodeDetails encodes the properties of a node that Member has no field for.
 func encodeDetails(node discovery.Node) (string, error) {
 	encoded, err := proto.Marshal(&NodeDetails{
 		Callers:  portOf(node.Address),
@@ -43,11 +44,11 @@
 	return string(encoded), nil
 }
 
-// millicores make a core.
+// millicores is the number of millicores in a core.
 const millicores = 1000
 
-// nodeFromMember is the node that a member's entry tells of, but for its region, which follows
-// from its zone; ok is false when its details can't be read.
+// nodeFromMember converts a member entry to a node. It does not set the region, which
+// follows from the zone. ok is false if the details or the address cannot be parsed.
 func nodeFromMember(member membership.Member) (node discovery.Node, ok bool) {
 	var details NodeDetails
 	if err := proto.Unmarshal([]byte(member.Details), &details); err != nil {
@@ -71,7 +72,7 @@
 	}, true
 }
 
-// portOf is an address's port; 0 when there is none.
+// portOf returns the port of an address, or 0 if there is none.
 func portOf(address string) uint32 {
 	_, text, err := net.SplitHostPort(address)
 	if err != nil {
@@ -84,6 +85,7 @@
 	return uint32(port)
 }
 
+// joinHostPort returns the address of a port on host, or "" if the port is 0.
 func joinHostPort(host string, port uint32) string {
 	if port == 0 {
 		return ""
--- a/gossip/options.go
+++ b/gossip/options.go
@@ -12,65 +12,67 @@
 	"github.com/banksail/banksail/quarantine"
 )
 
-// Options sets up an Agent. Zero fields get defaults.
+// Options configures an Agent. Zero fields get defaults.
 type Options struct {
-	// Self is the node, with the address of its datagrams; its ID must outlast restarts.
+	// Self is this node, including its gossip address. Its ID must be stable across
+	// restarts.
 	Self discovery.Node
-	// Regions names the region of each zone.
+	// Regions maps each zone to its region.
 	Regions map[string]string
-	// Seeds are the addresses for datagrams of other nodes; they may be stale or down.
+	// Seeds are gossip addresses of other nodes, which may be stale or down.
 	Seeds []string
-	// Seed makes choices repeatable.
+	// Seed makes random choices reproducible.
 	Seed   uint64
 	Logger zerolog.Logger
-	// Registry takes the agent's metrics; nil is none.
+	// Registry is where metrics are registered; nil disables registration.
 	Registry prometheus.Registerer
-	// ListenPacket opens the socket; the default is the operating system's UDP.
+	// ListenPacket opens the socket. The default is net.ListenPacket.
 	ListenPacket func(network, address string) (net.PacketConn, error)
-	// OnFinding takes another node's finding on a request that ends servers, from one goroutine;
-	// it must not block. Nil is nobody.
+	// OnFinding is called with findings of other nodes on requests that crash servers.
+	// It is called from a single goroutine and must not block. It may be nil.
 	OnFinding func(quarantine.Finding)
-	// Changed is called when what is known of the nodes may have changed, from several
-	// goroutines; it must not block.
+	// Changed is called when the view of the nodes may have changed. It may be called
+	// from several goroutines at once and must not block.
 	Changed func()
 }
 
-// The detector's times. A dead node is to be passed over about a second after its
-// death: it is probed by some other node each probeInterval on average, and is suspect
-// after probeTimeout and relayTimeout more; news of it take some announcementDelay.
+// Timing of the failure detector. A crashed node should be avoided by the others about a
+// second after the crash: it is probed by some node every probeInterval on average,
+// becomes suspect probeTimeout plus relayTimeout later, and the suspicion takes a few
+// times announcementDelay to spread.
 const (
 	probeInterval = 300 * time.Millisecond
-	// probeTimeout is over three times the longest round trip between regions on the
-	// users' sites (24 to 40 ms), with room for a small processor that is at work. A
-	// suspicion that is wrong costs little: the next probe refutes it.
+	// probeTimeout is over three times the longest round trip between regions at the
+	// users' sites (24 to 40 ms), which leaves room for a small, busy processor. A false
+	// suspicion costs little, as the next probe refutes it.
 	probeTimeout = 150 * time.Millisecond
-	// relayTimeout is how long a node that probes for another one waits.
+	// relayTimeout is how long a node waits for the reply to a probe that it relays.
 	relayTimeout = 150 * time.Millisecond
-	// suspicionTime is how long a suspect may refute: six probes of the node that found
-	// it, and the pauses of a processor that is shared.
+	// suspicionTime is how long a suspect has to refute. Six probe intervals of the node
+	// that suspects it also cover the pauses of a shared processor.
 	suspicionTime = 6 * probeInterval
-	// announcementDelay gathers the losses of many nodes into few datagrams, and announcementFanout
-	// reaches 98 of 100 nodes; the probes reach the rest.
+	// announcementDelay batches the failures of many nodes into few datagrams.
+	// announcementFanout reaches 98 of 100 nodes; piggybacked updates reach the rest.
 	announcementDelay  = 40 * time.Millisecond
 	announcementFanout = 4
-	// transmissionFactor makes each node pass an update on six times at 100 to 998 nodes,
-	// which reaches 997 of 1,000; comparisons reach the rest. With twelve times, the
-	// detector's bytes on a day with many restarts were half as many again.
+	// transmissionFactor makes each node forward an update six times at 100 to 998
+	// nodes, which reaches 997 of 1,000; table syncs reach the rest. Twelve times would
+	// increase the detector's traffic by half on a day with many restarts.
 	transmissionFactor = 2
-	// isolationTime is five failed probes in a row.
+	// isolationTime is the time of five consecutive failed probes.
 	isolationTime = 5 * probeInterval
-	// reconnectInterval is the time between two probes of a node that is gone.
+	// reconnectInterval is the time between two probes of gone nodes.
 	reconnectInterval = time.Second
-	// tombstoneTime is how long a gone node is probed and counts as known.
+	// tombstoneTime is how long a gone node is kept in the table and probed.
 	tombstoneTime = 10 * time.Minute
-	// syncInterval is the time between two comparisons of tables.
+	// syncInterval is the time between two table syncs.
 	syncInterval = 20 * time.Second
-	// syncBytes bounds the entries of a datagram, which then fits into one
-	// packet of a usual link.
+	// syncBytes limits the entries in a datagram so that it fits into one packet on a
+	// common link.
 	syncBytes = 1100
 )
 
-// membershipOptions are those of the table.
+// membershipOptions returns the options of the member table.
 func membershipOptions(self membership.Member, seed uint64) membership.NodesOptions {
 	return membership.NodesOptions{
 		Self:          self,
