--- a/gossip/detector_test.go
+++ b/gossip/detector_test.go
@@ -46,11 +46,11 @@
 func (f *fleet) assertConvergence(when string) {
 	f.t.Helper()
 	agreed := func() bool {
-		return f.allPairs(f.alive(), f.alive(), isLive) && f.allPairs(f.alive(), f.dead(), isSuspectOrGone)
+		return f.allPairs(f.alive(), f.alive(), isLive) && f.allPairs(f.alive(), f.dead(), isUnavailable)
 	}
 	if took, ok := f.runUntil(convergenceTimeout, agreed); !ok {
 		f.t.Errorf("%s: no convergence after %s: %.4f of the running pairs are seen as live, %.4f of the dead ones as unavailable", when, took,
-			f.pairShare(f.alive(), f.alive(), isLive), f.pairShare(f.alive(), f.dead(), isSuspectOrGone))
+			f.pairShare(f.alive(), f.alive(), isLive), f.pairShare(f.alive(), f.dead(), isUnavailable))
 	}
 }
 
@@ -91,14 +91,14 @@
 				f.kill(f.nodes[place])
 			}
 			f.run(detectionTime)
-			if share := f.pairShare(f.alive(), f.dead(), isSuspectOrGone); share < minShare {
+			if share := f.pairShare(f.alive(), f.dead(), isUnavailable); share < minShare {
 				t.Errorf("%s after the crashes, %.3f of the pairs have detected them", detectionTime, share)
 			}
 			f.run(extraTime)
-			if share := f.pairShare(f.alive(), f.dead(), isSuspectOrGone); share < 0.98 {
+			if share := f.pairShare(f.alive(), f.dead(), isUnavailable); share < 0.98 {
 				t.Errorf("%s after the crashes, %.3f of the pairs have detected them", detectionTime+extraTime, share)
 			}
-			if share := f.pairShare(f.alive(), f.alive(), isSuspectOrGone); share > 0 {
+			if share := f.pairShare(f.alive(), f.alive(), isUnavailable); share > 0 {
 				t.Errorf("%.4f of the pairs of running nodes avoid each other", share)
 			}
 			f.assertConvergence("after the deaths")
--- a/gossip/fleet_test.go
+++ b/gossip/fleet_test.go
@@ -223,8 +223,8 @@
 
 func isLive(state membership.State) bool { return state == membership.Live }
 
-// isSuspectOrGone reports whether a node in this state, or an unknown one, is avoided.
-func isSuspectOrGone(state membership.State) bool {
+// isUnavailable reports whether a node in this state, or an unknown one, is avoided.
+func isUnavailable(state membership.State) bool {
 	return state == membership.Suspect || state == membership.Gone || state == 0
 }
 
--- a/gossip/isolation_test.go
+++ b/gossip/isolation_test.go
@@ -41,7 +41,7 @@
 					t.Fatalf("%s after all other nodes were killed, the last node is not isolated", f.now-began+detectionDelay)
 				}
 				for _, other := range f.nodes[1:] {
-					if !isSuspectOrGone(f.stateSeen(last, other)) {
+					if !isUnavailable(f.stateSeen(last, other)) {
 						t.Fatalf("%s after it was killed, %s is seen as %s", f.now-began+detectionDelay, other.node.ID, f.stateSeen(last, other))
 					}
 				}
