--- a/backend/client.go
+++ b/backend/client.go
@@ -177,18 +177,18 @@
 // pool returns the server's pool and creates it if necessary.
 func (c *Client) pool(address string, connectionLimit int) *pool {
 	c.mutex.RLock()
-	open := c.pools[address]
+	serverPool := c.pools[address]
 	c.mutex.RUnlock()
-	if open != nil {
-		return open
+	if serverPool != nil {
+		return serverPool
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if open = c.pools[address]; open == nil {
-		open = c.newPool(connectionLimit)
-		c.pools[address] = open
+	if serverPool = c.pools[address]; serverPool == nil {
+		serverPool = c.newPool(connectionLimit)
+		c.pools[address] = serverPool
 	}
-	return open
+	return serverPool
 }
 
 // acquire waits for a connection to the server. The caller must release it.
