--- a/backend/connection.go
+++ b/backend/connection.go
@@ -21,6 +21,8 @@
 	cancelDials context.CancelFunc
 }
 
+// newConnection returns a connection that is dialed by its first request, from
+// spareConns if possible.
 func (c *Client) newConnection(spareConns *spares) *connection {
 	dialContext, cancelDials := context.WithCancel(context.Background())
 	conn := &connection{spares: spareConns, dialContext: dialContext, cancelDials: cancelDials}
--- a/backend/spares.go
+++ b/backend/spares.go
@@ -72,6 +72,7 @@
 	}
 }
 
+// popNewest removes and returns the newest spare, or nil if there is none.
 func (s *spares) popNewest() *spare {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/snapshot/server.go
+++ b/snapshot/server.go
@@ -11,8 +11,8 @@
 	groups      []int
 	available   bool
 	hasReported bool
-	// lastReport is the last report, unchanged, to detect quickly that a report
-	// is the same as the one before.
+	// lastReport is the last report as received, or empty after RecordMissing.
+	// It is used to detect quickly that a report has not changed.
 	lastReport []ID
 	// held is sorted, newest first, without zeros and duplicates.
 	held []ID
--- a/store/http.go
+++ b/store/http.go
@@ -190,7 +190,7 @@
 }
 
 // readOnlyError maps the error of a call that changes nothing: a lost reply
-// means only that the service is unavailable.
+// means only that the service is unavailable. ErrMalformed is kept.
 func readOnlyError(err error) error {
 	if errors.Is(err, ErrMalformed) {
 		return fmt.Errorf("%w: %s", ErrMalformed, err.Error())
