--- a/node/crowd_test.go
+++ b/node/cluster_test.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	// crowdNodes outnumber crowdLimit, the connections that each server takes.
-	crowdNodes  = 12
-	crowdLimit  = 6
-	crowdGroups = 2
+	// clusterNodes outnumber serverConnectionLimit, the connections that each server takes.
+	clusterNodes          = 12
+	serverConnectionLimit = 6
+	clusterGroups         = 2
 )
 
 // countingListener records the greatest number of connections open at once.
@@ -49,15 +49,15 @@
 	return &countedConn{Conn: conn, listener: l}, nil
 }
 
-// reset forgets connections that are over, such as those of a time in which the
+// resetPeak forgets connections that are over, such as those of a time in which the
 // nodes did not know each other.
-func (l *countingListener) reset() {
+func (l *countingListener) resetPeak() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.peak = l.open
 }
 
-func (l *countingListener) greatest() int {
+func (l *countingListener) peakConnections() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.peak
@@ -78,53 +78,53 @@
 	return c.Conn.Close()
 }
 
-// crowd is more nodes than the servers have connections for.
-type crowd struct {
-	*world
-	nodes     []*crowdNode
+// cluster is more nodes than the servers have connections for.
+type cluster struct {
+	*testEnv
+	nodes     []*clusterNode
 	listeners []*countingListener
-	// size is the number of nodes.
-	size int
-	webs []*http.Server
+	// nodeCount is the number of nodes.
+	nodeCount   int
+	httpServers []*http.Server
 }
 
-// crowdNode is one of them.
-type crowdNode struct {
+// clusterNode is one of them.
+type clusterNode struct {
 	id, ip string
 	node   *node.Node
 	stop   context.CancelFunc
 	ended  chan error
 }
 
-// inCrowd runs a test against a crowd whose nodes have the configuration and
+// withCluster runs a test against a crowd whose nodes have the configuration and
 // know each other.
-func inCrowd(t *testing.T, run func(t *testing.T, c *crowd)) {
+func withCluster(t *testing.T, run func(t *testing.T, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		c := &crowd{world: &world{t: t, network: network.New(network.Options{Seed: 1}), log: &lockedBuffer{}}, size: crowdNodes}
+		c := &cluster{testEnv: &testEnv{t: t, network: network.New(network.Options{Seed: 1}), log: &syncBuffer{}}, nodeCount: clusterNodes}
 		c.memory = store.NewMemory(store.MemoryOptions{})
-		c.startLimited()
-		config := c.configuration(crowdGroups)
+		c.startLimitedServers()
+		config := c.configuration(clusterGroups)
 		for index := range config.Services[0].Groups {
-			config.Services[0].Groups[index].Servers[0].Connections = crowdLimit
+			config.Services[0].Groups[index].Servers[0].Connections = serverConnectionLimit
 		}
 		c.putConfiguration(1, config)
 		c.startNodes()
 		c.client = c.newClient()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		for _, listener := range c.listeners {
-			listener.reset()
+			listener.resetPeak()
 		}
 		run(t, c)
-		c.endCrowd()
+		c.shutDownCluster()
 	})
 }
 
-// startLimited starts servers that refuse connections over the limit.
-func (c *crowd) startLimited() {
-	for index := range crowdGroups {
+// startLimitedServers starts servers that refuse connections over the limit.
+func (c *cluster) startLimitedServers() {
+	for index := range clusterGroups {
 		server, err := emulator.NewServer(emulator.ServerOptions{
-			ID: serverID(index), Snapshots: []uint64{1}, Slots: 4, Seed: uint64(index + 1), Connections: crowdLimit,
+			ID: serverID(index), Snapshots: []uint64{1}, Slots: 4, Seed: uint64(index + 1), Connections: serverConnectionLimit,
 			ServiceTime: emulator.Distribution{Kind: emulator.Fixed, Mean: serviceTime},
 		})
 		c.check(err)
@@ -139,59 +139,59 @@
 	}
 }
 
-func (c *crowd) startNodes() {
+func (c *cluster) startNodes() {
 	var machines []machinelist.Machine
-	for index := range c.size {
-		one := &crowdNode{id: fmt.Sprintf("node-%02d", index), ip: fmt.Sprintf("10.0.2.%d", index+1)}
-		c.nodes = append(c.nodes, one)
+	for index := range c.nodeCount {
+		n := &clusterNode{id: fmt.Sprintf("node-%02d", index), ip: fmt.Sprintf("10.0.2.%d", index+1)}
+		c.nodes = append(c.nodes, n)
 		machines = append(machines, machinelist.Machine{
-			ID: one.id, Address: one.ip + ":7103", Zone: zoneOf(index),
+			ID: n.id, Address: n.ip + ":7103", Zone: zoneOf(index),
 			Role: machinelist.RoleNode, State: machinelist.StateLive, Incarnation: "1",
 		})
 	}
 	c.machines = machinelist.NewStatic(machines...)
-	for index, one := range c.nodes {
-		c.startCrowdNode(index, one)
+	for index, n := range c.nodes {
+		c.startClusterNode(index, n)
 	}
 }
 
 func zoneOf(index int) string { return []string{"zone-a", "zone-b"}[index%2] }
 
-func (c *crowd) startCrowdNode(index int, one *crowdNode) {
-	process, err := c.network.Start(one.ip)
+func (c *cluster) startClusterNode(index int, n *clusterNode) {
+	process, err := c.network.Start(n.ip)
 	c.check(err)
-	chosen := settings.Default()
-	chosen.Node = settings.Node{ID: one.id, Zone: zoneOf(index)}
-	chosen.Listen = settings.Listen{Caller: one.ip + ":7101", Operator: one.ip + ":7102", Peer: one.ip + ":7103"}
-	one.node, err = node.New(node.Options{
-		Settings: chosen, Network: process, Store: c.memory, MachineList: c.machines,
+	nodeSettings := settings.Default()
+	nodeSettings.Node = settings.Node{ID: n.id, Zone: zoneOf(index)}
+	nodeSettings.Listen = settings.Listen{Caller: n.ip + ":7101", Operator: n.ip + ":7102", Peer: n.ip + ":7103"}
+	n.node, err = node.New(node.Options{
+		Settings: nodeSettings, Network: process, Store: c.memory, MachineList: c.machines,
 		Logger: zerolog.New(c.log).Level(zerolog.InfoLevel), Seed: uint64(index + 1),
 	})
 	c.check(err)
 	ctx, stop := context.WithCancel(context.Background())
-	one.stop = stop
-	one.ended = make(chan error, 1)
-	go func() { one.ended <- one.node.Run(ctx) }()
-	<-one.node.Listening()
+	n.stop = stop
+	n.ended = make(chan error, 1)
+	go func() { n.ended <- n.node.Run(ctx) }()
+	<-n.node.Listening()
 }
 
-// endNode stops a node as planned, unless it has ended.
-func (c *crowd) endNode(one *crowdNode) {
-	one.stop()
-	if err := <-one.ended; err != nil && !errors.Is(err, node.ErrAborted) {
-		c.t.Errorf("%s ended with %v", one.id, err)
+// stopNode stops a node as planned, unless it has ended.
+func (c *cluster) stopNode(n *clusterNode) {
+	n.stop()
+	if err := <-n.ended; err != nil && !errors.Is(err, node.ErrAborted) {
+		c.t.Errorf("%s ended with %v", n.id, err)
 	}
-	one.ended <- nil
+	n.ended <- nil
 }
 
-func (c *crowd) endCrowd() {
+func (c *cluster) shutDownCluster() {
 	var ending sync.WaitGroup
-	for _, one := range c.nodes {
-		ending.Go(func() { c.endNode(one) })
+	for _, n := range c.nodes {
+		ending.Go(func() { c.stopNode(n) })
 	}
 	ending.Wait()
 	c.client.CloseIdleConnections()
-	for _, web := range c.webs {
+	for _, web := range c.httpServers {
 		_ = web.Close()
 	}
 	for _, server := range c.servers {
@@ -200,20 +200,20 @@
 	c.network.Close()
 }
 
-// ask posts a request to one of the nodes.
-func (c *crowd) ask(one *crowdNode, requestID string, repeatable bool) response {
-	return c.askWithin(c.t.Context(), one, requestID, repeatable, 5*time.Second)
+// queryNode posts a request to one of the nodes.
+func (c *cluster) queryNode(n *clusterNode, requestID string, repeatable bool) response {
+	return c.queryNodeWithDeadline(c.t.Context(), n, requestID, repeatable, 5*time.Second)
 }
 
-func (c *crowd) askWithin(ctx context.Context, one *crowdNode, requestID string, repeatable bool, deadline time.Duration) response {
+func (c *cluster) queryNodeWithDeadline(ctx context.Context, n *clusterNode, requestID string, repeatable bool, deadline time.Duration) response {
 	document := fmt.Sprintf(`{"request_id":%q,"class":"normal","deadline_ms":%d,"repeatable":%t,"body":"orders"}`,
 		requestID, deadline.Milliseconds(), repeatable)
-	return c.postTo(ctx, one.ip+":7101", document)
+	return c.postTo(ctx, n.ip+":7101", document)
 }
 
-// metric reads one line of a node's metrics; empty when there is none.
-func (c *crowd) metric(one *crowdNode, prefix string) string {
-	reply, err := c.client.Get("http://" + one.ip + ":7102/metrics")
+// metricLine reads one line of a node's metrics; empty when there is none.
+func (c *cluster) metricLine(n *clusterNode, prefix string) string {
+	reply, err := c.client.Get("http://" + n.ip + ":7102/metrics")
 	c.check(err)
 	defer func() { _ = reply.Body.Close() }()
 	data, err := io.ReadAll(reply.Body)
@@ -227,22 +227,22 @@
 }
 
 func TestMoreNodesThanConnections(t *testing.T) {
-	inCrowd(t, func(t *testing.T, c *crowd) {
+	withCluster(t, func(t *testing.T, c *cluster) {
 		var asking sync.WaitGroup
 		for round := range 5 {
-			for _, one := range c.nodes {
+			for _, n := range c.nodes {
 				asking.Go(func() {
-					got := c.ask(one, fmt.Sprintf("%s-%d", one.id, round), true)
+					got := c.queryNode(n, fmt.Sprintf("%s-%d", n.id, round), true)
 					if got.status != http.StatusOK || got.answer.Coverage != 1 {
-						t.Errorf("%s: status %d, coverage %g, %v %v", one.id, got.status, got.answer.Coverage, got.problem, got.err)
+						t.Errorf("%s: status %d, coverage %g, %v %v", n.id, got.status, got.answer.Coverage, got.problem, got.err)
 					}
 				})
 			}
 			asking.Wait()
 		}
 		forwarding := 0
-		for _, one := range c.nodes {
-			if c.metric(one, `banksail_forwards_total{outcome="replied"}`) != `banksail_forwards_total{outcome="replied"} 0` {
+		for _, n := range c.nodes {
+			if c.metricLine(n, `banksail_forwards_total{outcome="replied"}`) != `banksail_forwards_total{outcome="replied"} 0` {
 				forwarding++
 			}
 		}
@@ -250,8 +250,8 @@
 			t.Error("no node forwarded")
 		}
 		for index, listener := range c.listeners {
-			if peak := listener.greatest(); peak > crowdLimit {
-				t.Errorf("server %d had %d connections, its limit is %d", index, peak, crowdLimit)
+			if peak := listener.peakConnections(); peak > serverConnectionLimit {
+				t.Errorf("server %d had %d connections, its limit is %d", index, peak, serverConnectionLimit)
 			}
 		}
 	})
--- a/node/connections_internal_test.go
+++ b/node/connections_internal_test.go
@@ -16,27 +16,27 @@
 	"github.com/banksail/banksail/store"
 )
 
-// listed is a node as the machine list names it.
-func listed(id, ip string) machinelist.Machine {
+// nodeMachine is a node as the machine list names it.
+func nodeMachine(id, ip string) machinelist.Machine {
 	return machinelist.Machine{
 		ID: id, Address: ip + ":7103", Zone: "zone-a",
 		Role: machinelist.RoleNode, State: machinelist.StateLive, Incarnation: "1",
 	}
 }
 
-// runNode starts a node on a host of its own.
-func runNode(t *testing.T, wires *network.Network, machines machinelist.Conn, id, ip string) (n *Node, stop func()) {
+// startTestNode starts a node on a host of its own.
+func startTestNode(t *testing.T, simNetwork *network.Network, machines machinelist.Conn, id, ip string) (n *Node, stop func()) {
 	t.Helper()
-	process, err := wires.Start(ip)
+	process, err := simNetwork.Start(ip)
 	if err != nil {
 		t.Fatal(err)
 	}
-	chosen := settings.Default()
-	chosen.Node = settings.Node{ID: id, Zone: "zone-a"}
-	chosen.Listen = settings.Listen{Caller: ip + ":7101", Operator: ip + ":7102", Peer: ip + ":7103"}
-	chosen.Stop.Grace = 10 * time.Second
+	nodeSettings := settings.Default()
+	nodeSettings.Node = settings.Node{ID: id, Zone: "zone-a"}
+	nodeSettings.Listen = settings.Listen{Caller: ip + ":7101", Operator: ip + ":7102", Peer: ip + ":7103"}
+	nodeSettings.Stop.Grace = 10 * time.Second
 	n, err = New(Options{
-		Settings: chosen, Network: process, Store: store.NewMemory(store.MemoryOptions{}),
+		Settings: nodeSettings, Network: process, Store: store.NewMemory(store.MemoryOptions{}),
 		MachineList: machines, Logger: zerolog.Nop(), Seed: 1,
 	})
 	if err != nil {
@@ -53,14 +53,14 @@
 	}
 }
 
-func TestStoppingNodeKeepsItsConnections(t *testing.T) {
+func TestStoppingNodeKeepsConnectionShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const address, limit = "10.0.0.9:9000", 70
-		wires := network.New(network.Options{Seed: 1})
-		defer wires.Close()
-		machines := machinelist.NewStatic(listed("node-1", "10.0.0.1"), listed("node-2", "10.0.0.2"))
-		n, stop := runNode(t, wires, machines, "node-1", "10.0.0.1")
-		_, stopOther := runNode(t, wires, machines, "node-2", "10.0.0.2")
+		simNetwork := network.New(network.Options{Seed: 1})
+		defer simNetwork.Close()
+		machines := machinelist.NewStatic(nodeMachine("node-1", "10.0.0.1"), nodeMachine("node-2", "10.0.0.2"))
+		n, stop := startTestNode(t, simNetwork, machines, "node-1", "10.0.0.1")
+		_, stopOther := startTestNode(t, simNetwork, machines, "node-2", "10.0.0.2")
 		time.Sleep(5 * time.Second)
 		space := coverage.Range{End: 1}
 		n.configure(1, policy.Config{Services: []policy.Service{{Name: "catalog", KeySpace: space, Groups: []policy.Group{{
--- a/node/drain_internal_test.go
+++ b/node/drain_internal_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestDrainingListenerHandsOutWhatWaits(t *testing.T) {
+func TestDrainingListenerReturnsPendingConnections(t *testing.T) {
 	const waiting = 50
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -28,38 +28,38 @@
 	fleetServers = 70
 	// fleetGroups have two servers each.
 	fleetGroups = fleetServers / 2
-	// fleetSettle is long enough for all to know each other and to have read
+	// fleetSettleTime is long enough for all to know each other and to have read
 	// every server.
-	fleetSettle = 10 * time.Second
-	// leavingGrace is the bound on new work for a leaving server.
-	leavingGrace = 3 * time.Second
+	fleetSettleTime = 10 * time.Second
+	// drainGrace is the bound on new work for a leaving server.
+	drainGrace = 3 * time.Second
 )
 
 // fleet is a crowd of today's size whose servers count their readings.
 type fleet struct {
-	*crowd
-	readings *readingCounter
+	*cluster
+	polls *pollCounter
 }
 
-// readingCounter counts the readings of health and load by the reader's IP number.
-type readingCounter struct {
+// pollCounter counts the readings of health and load by the reader's IP number.
+type pollCounter struct {
 	mutex  sync.Mutex
 	byNode map[string]int
-	// deceived reads that a server is ready whatever it says.
-	deceived string
-	// readers holds who reads each server's health, and how often.
-	readers map[string]map[string]int
+	// alwaysReadyFor reads that a server is ready whatever it says.
+	alwaysReadyFor string
+	// byServer holds who reads each server's health, and how often.
+	byServer map[string]map[string]int
 }
 
-func (c *readingCounter) reset() {
+func (c *pollCounter) reset() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.byNode = make(map[string]int)
-	c.readers = make(map[string]map[string]int)
+	c.byServer = make(map[string]map[string]int)
 }
 
 // busiest is the reader with the most readings, and their number.
-func (c *readingCounter) busiest() (string, int) {
+func (c *pollCounter) busiest() (string, int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	name, most := "", 0
@@ -72,7 +72,7 @@
 }
 
 // total is the number of all readings.
-func (c *readingCounter) total() int {
+func (c *pollCounter) total() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	total := 0
@@ -82,12 +82,12 @@
 	return total
 }
 
-// mostFrequent lists the IP numbers that read a server at least least times.
-func (c *readingCounter) mostFrequent(server string, least int) []string {
+// frequentPollers lists the IP numbers that read a server at least least times.
+func (c *pollCounter) frequentPollers(server string, least int) []string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var ips []string
-	for ip, count := range c.readers[server] {
+	for ip, count := range c.byServer[server] {
 		if count >= least {
 			ips = append(ips, ip)
 		}
@@ -95,19 +95,19 @@
 	return ips
 }
 
-func (c *readingCounter) count(server string, next http.Handler) http.Handler {
+func (c *pollCounter) countPolls(server string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == backend.HealthPath || request.URL.Path == backend.LoadPath {
 			ip, _, _ := net.SplitHostPort(request.RemoteAddr)
 			c.mutex.Lock()
 			c.byNode[ip]++
 			if request.URL.Path == backend.HealthPath {
-				if c.readers[server] == nil {
-					c.readers[server] = make(map[string]int)
+				if c.byServer[server] == nil {
+					c.byServer[server] = make(map[string]int)
 				}
-				c.readers[server][ip]++
+				c.byServer[server][ip]++
 			}
-			deceived := ip == c.deceived && request.URL.Path == backend.HealthPath
+			deceived := ip == c.alwaysReadyFor && request.URL.Path == backend.HealthPath
 			c.mutex.Unlock()
 			if deceived {
 				_ = json.NewEncoder(writer).Encode(backend.Health{State: backend.HealthReady, Incarnation: "first", Snapshots: []uint64{1}})
@@ -118,15 +118,15 @@
 	})
 }
 
-// inFleet runs a test against a fleet that is settled.
-func inFleet(t *testing.T, run func(t *testing.T, f *fleet)) {
+// withFleet runs a test against a fleet that is settled.
+func withFleet(t *testing.T, run func(t *testing.T, f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{
-			crowd:    &crowd{world: &world{t: t, network: network.New(network.Options{Seed: 1}), log: &lockedBuffer{}}, size: fleetNodes},
-			readings: &readingCounter{},
+			cluster: &cluster{testEnv: &testEnv{t: t, network: network.New(network.Options{Seed: 1}), log: &syncBuffer{}}, nodeCount: fleetNodes},
+			polls:   &pollCounter{},
 		}
-		f.readings.reset()
+		f.polls.reset()
 		f.memory = store.NewMemory(store.MemoryOptions{})
 		for index := range fleetServers {
 			f.startFleetServer(index, "first")
@@ -134,10 +134,10 @@
 		f.putConfiguration(1, fleetConfiguration())
 		f.startNodes()
 		f.client = f.newClient()
-		time.Sleep(fleetSettle)
-		f.readings.reset()
+		time.Sleep(fleetSettleTime)
+		f.polls.reset()
 		run(t, f)
-		f.endCrowd()
+		f.shutDownCluster()
 	})
 }
 
@@ -151,54 +151,54 @@
 	f.check(err)
 	listener, err := process.Listen(serverAddress(index))
 	f.check(err)
-	web := &http.Server{Handler: f.readings.count(serverID(index), server)}
+	web := &http.Server{Handler: f.polls.countPolls(serverID(index), server)}
 	go func() { _ = web.Serve(listener) }()
 	if index < len(f.servers) {
-		f.webs[index], f.servers[index] = web, server
+		f.httpServers[index], f.servers[index] = web, server
 		return
 	}
-	f.webs = append(f.webs, web)
+	f.httpServers = append(f.httpServers, web)
 	f.servers = append(f.servers, server)
 }
 
 func fleetConfiguration() policy.Config {
-	asked := policy.Service{Name: service, KeySpace: coverage.Range{Start: 0, End: fleetGroups * keysEach}}
+	configured := policy.Service{Name: service, KeySpace: coverage.Range{Start: 0, End: fleetGroups * keysPerGroup}}
 	for index := range fleetGroups {
 		group := policy.Group{
 			Name:  fmt.Sprintf("group-%d", index),
-			Range: coverage.Range{Start: uint64(index * keysEach), End: uint64((index + 1) * keysEach)},
+			Range: coverage.Range{Start: uint64(index * keysPerGroup), End: uint64((index + 1) * keysPerGroup)},
 		}
 		for _, number := range []int{2 * index, 2*index + 1} {
 			group.Servers = append(group.Servers, policy.Server{
 				ID: serverID(number), Address: serverAddress(number), Zone: zoneOf(number), Slots: 8, Connections: 110,
 			})
 		}
-		asked.Groups = append(asked.Groups, group)
+		configured.Groups = append(configured.Groups, group)
 	}
 	return policy.Config{
 		Classes:  []policy.Class{{Name: "normal", Order: 1, LongestWait: 1000, Deadline: 20_000, MinimumCoverage: 1}},
-		Services: []policy.Service{asked},
+		Services: []policy.Service{configured},
 	}
 }
 
-// drainQuietly makes only a server's health endpoint say that it leaves.
-func (f *fleet) drainQuietly(index int) {
+// drainInHealthOnly makes only a server's health endpoint say that it leaves.
+func (f *fleet) drainInHealthOnly(index int) {
 	faults := f.servers[index].Faults()
 	faults.HealthState = backend.HealthDraining
 	f.servers[index].SetFaults(faults)
 }
 
-// wantNoNewWork asks every node in the list and checks that a server got nothing.
-func (f *fleet) wantNoNewWork(index int, nodes []*crowdNode) {
+// expectNoNewRequests asks every node in the list and checks that a server got nothing.
+func (f *fleet) expectNoNewRequests(index int, nodes []*clusterNode) {
 	f.t.Helper()
 	before := len(f.servers[index].Executions())
 	for round := range 2 {
 		var asking sync.WaitGroup
-		for _, one := range nodes {
+		for _, n := range nodes {
 			asking.Go(func() {
-				got := f.ask(one, fmt.Sprintf("%s-%d-%d", one.id, index, round), true)
+				got := f.queryNode(n, fmt.Sprintf("%s-%d-%d", n.id, index, round), true)
 				if got.status != http.StatusOK || got.answer.Coverage != 1 {
-					f.t.Errorf("%s: status %d, coverage %g, %v", one.id, got.status, got.answer.Coverage, got.err)
+					f.t.Errorf("%s: status %d, coverage %g, %v", n.id, got.status, got.answer.Coverage, got.err)
 				}
 			})
 		}
@@ -209,72 +209,72 @@
 	}
 }
 
-func TestReadingsStayWithinTheBudget(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestHealthPollsStayWithinBudget(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
 		const span = 30 * time.Second
 		budget := settings.Default().Backend.HealthReadings
 		time.Sleep(span)
-		ip, most := f.readings.busiest()
+		ip, most := f.polls.busiest()
 		t.Logf("%.1f readings a second a node, %.1f at the busiest",
-			float64(f.readings.total())/span.Seconds()/fleetNodes, float64(most)/span.Seconds())
+			float64(f.polls.total())/span.Seconds()/fleetNodes, float64(most)/span.Seconds())
 		if rate := float64(most) / span.Seconds(); rate > budget {
 			t.Errorf("%s makes %.1f readings a second, the budget is %g", ip, rate, budget)
 		}
 	})
 }
 
-func TestDrainThatOnlyTheHealthEndpointTells(t *testing.T) {
+func TestDrainReportedOnlyByHealthEndpoint(t *testing.T) {
 	const leaving = 7
 	// Each fault hits readers of the server; it returns those that can't answer.
-	tests := map[string]func(f *fleet, readers []*crowdNode) []*crowdNode{
-		"all nodes are well": func(*fleet, []*crowdNode) []*crowdNode { return nil },
-		"a reader has vanished": func(f *fleet, readers []*crowdNode) []*crowdNode {
-			f.vanish(readers[0])
+	tests := map[string]func(f *fleet, readers []*clusterNode) []*clusterNode{
+		"all nodes are well": func(*fleet, []*clusterNode) []*clusterNode { return nil },
+		"a reader has vanished": func(f *fleet, readers []*clusterNode) []*clusterNode {
+			f.killHost(readers[0])
 			return readers[:1]
 		},
-		"two readers have vanished": func(f *fleet, readers []*crowdNode) []*crowdNode {
-			f.vanish(readers[0])
-			f.vanish(readers[1])
+		"two readers have vanished": func(f *fleet, readers []*clusterNode) []*clusterNode {
+			f.killHost(readers[0])
+			f.killHost(readers[1])
 			return readers[:2]
 		},
-		"a reader is frozen": func(f *fleet, readers []*crowdNode) []*crowdNode {
+		"a reader is frozen": func(f *fleet, readers []*clusterNode) []*clusterNode {
 			f.network.Freeze(readers[0].ip)
 			return readers[:1]
 		},
-		"a reader is cut off from the server": func(f *fleet, readers []*crowdNode) []*crowdNode {
+		"a reader is cut off from the server": func(f *fleet, readers []*clusterNode) []*clusterNode {
 			f.network.Cut(strings.Split(serverAddress(leaving), ":")[0], readers[0].ip)
 			return nil
 		},
-		"a reader hears that the server is well": func(f *fleet, readers []*crowdNode) []*crowdNode {
-			f.readings.deceive(readers[0].ip)
+		"a reader hears that the server is well": func(f *fleet, readers []*clusterNode) []*clusterNode {
+			f.polls.reportReadyTo(readers[0].ip)
 			return nil
 		},
 	}
 	for name, fault := range tests {
 		t.Run(name, func(t *testing.T) {
-			inFleet(t, func(t *testing.T, f *fleet) {
-				readers := f.readersOf(leaving)
-				out := fault(f, readers)
-				f.drainQuietly(leaving)
-				time.Sleep(leavingGrace)
-				f.wantNoNewWork(leaving, f.without(out))
-				for _, one := range out {
-					f.network.Thaw(one.ip)
+			withFleet(t, func(t *testing.T, f *fleet) {
+				readers := f.pollersOf(leaving)
+				unavailable := fault(f, readers)
+				f.drainInHealthOnly(leaving)
+				time.Sleep(drainGrace)
+				f.expectNoNewRequests(leaving, f.without(unavailable))
+				for _, n := range unavailable {
+					f.network.Thaw(n.ip)
 				}
 			})
 		})
 	}
 }
 
-// readersOf waits for and lists the nodes that read a server every interval.
-func (f *fleet) readersOf(index int) []*crowdNode {
-	f.readings.reset()
-	time.Sleep(fleetSettle)
-	ips := f.readings.mostFrequent(serverID(index), int(fleetSettle/(2500*time.Millisecond)))
-	var readers []*crowdNode
-	for _, one := range f.nodes {
-		if slices.Contains(ips, one.ip) {
-			readers = append(readers, one)
+// pollersOf waits for and lists the nodes that read a server every interval.
+func (f *fleet) pollersOf(index int) []*clusterNode {
+	f.polls.reset()
+	time.Sleep(fleetSettleTime)
+	ips := f.polls.frequentPollers(serverID(index), int(fleetSettleTime/(2500*time.Millisecond)))
+	var readers []*clusterNode
+	for _, n := range f.nodes {
+		if slices.Contains(ips, n.ip) {
+			readers = append(readers, n)
 		}
 	}
 	if len(readers) < membership.ReadersPerServer {
@@ -283,69 +283,69 @@
 	return readers
 }
 
-func (f *fleet) without(out []*crowdNode) []*crowdNode {
-	return slices.DeleteFunc(slices.Clone(f.nodes), func(one *crowdNode) bool { return slices.Contains(out, one) })
+func (f *fleet) without(unavailable []*clusterNode) []*clusterNode {
+	return slices.DeleteFunc(slices.Clone(f.nodes), func(n *clusterNode) bool { return slices.Contains(unavailable, n) })
 }
 
-// deceive makes a node read that every server is ready.
-func (c *readingCounter) deceive(ip string) {
+// reportReadyTo makes a node read that every server is ready.
+func (c *pollCounter) reportReadyTo(ip string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.deceived = ip
+	c.alwaysReadyFor = ip
 }
 
-func TestServerThatComesBackTakesOverFromOneThatLeaves(t *testing.T) {
+func TestRestartedServerReplacesDrainingServer(t *testing.T) {
 	// The two servers of one group.
 	const first, second = 6, 7
-	inFleet(t, func(t *testing.T, f *fleet) {
-		f.drainQuietly(second)
-		time.Sleep(leavingGrace)
-		f.wantNoNewWork(second, f.nodes)
-		f.restart(second)
-		f.drainQuietly(first)
-		time.Sleep(leavingGrace)
-		f.wantNoNewWork(first, f.nodes)
+	withFleet(t, func(t *testing.T, f *fleet) {
+		f.drainInHealthOnly(second)
+		time.Sleep(drainGrace)
+		f.expectNoNewRequests(second, f.nodes)
+		f.restartServer(second)
+		f.drainInHealthOnly(first)
+		time.Sleep(drainGrace)
+		f.expectNoNewRequests(first, f.nodes)
 	})
 }
 
-// restart replaces a server by a new incarnation.
-func (f *fleet) restart(index int) {
-	_ = f.webs[index].Close()
+// restartServer replaces a server by a new incarnation.
+func (f *fleet) restartServer(index int) {
+	_ = f.httpServers[index].Close()
 	_ = f.servers[index].Close()
 	f.network.Kill(strings.Split(serverAddress(index), ":")[0], network.KillReset)
 	f.startFleetServer(index, "second")
 }
 
-func TestFreshNodeAnswersSoonAndReadsEachServerOnce(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
-		fresh := f.nodes[5]
-		f.endNode(fresh)
-		f.network.Kill(fresh.ip, network.KillReset)
-		f.readings.reset()
-		f.startCrowdNode(5, fresh)
+func TestRestartedNodeAnswersSoonAndPollsEachServerOnce(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
+		restarted := f.nodes[5]
+		f.stopNode(restarted)
+		f.network.Kill(restarted.ip, network.KillReset)
+		f.polls.reset()
+		f.startClusterNode(5, restarted)
 		const span = 3 * time.Second
 		time.Sleep(span)
-		got := f.ask(fresh, "fresh", true)
+		got := f.queryNode(restarted, "fresh", true)
 		if got.status != http.StatusOK || got.answer.Coverage != 1 {
 			t.Errorf("status %d, coverage %g, %v", got.status, got.answer.Coverage, got.problem)
 		}
 		// Each server is read once, its load with it, and what the budget allows.
 		most := 2*fleetServers + int(span.Seconds()*settings.Default().Backend.HealthReadings)
-		if readings := f.readings.of(fresh.ip); readings < fleetServers || readings > most {
+		if readings := f.polls.pollsBy(restarted.ip); readings < fleetServers || readings > most {
 			t.Errorf("the fresh node made %d readings, want %d to %d", readings, fleetServers, most)
 		}
 	})
 }
 
-// of is the number of a node's readings.
-func (c *readingCounter) of(ip string) int {
+// pollsBy is the number of a node's readings.
+func (c *pollCounter) pollsBy(ip string) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.byNode[ip]
 }
 
-// vanish ends a node's machine.
-func (f *fleet) vanish(one *crowdNode) {
-	f.network.Kill(one.ip, network.KillVanish)
-	one.node.Abort()
+// killHost ends a node's machine.
+func (f *fleet) killHost(n *clusterNode) {
+	f.network.Kill(n.ip, network.KillVanish)
+	n.node.Abort()
 }
--- a/node/forward_bench_internal_test.go
+++ b/node/forward_bench_internal_test.go
@@ -31,19 +31,19 @@
 // benchmarkReplyBytes is the size of the replies' results.
 const benchmarkReplyBytes = 1 << 10
 
-// countedBytes counts the bytes of bodies that an owner answers with.
-type countedBytes struct {
+// byteCountingWriter counts the bytes of bodies that an owner answers with.
+type byteCountingWriter struct {
 	http.ResponseWriter
 	sent *int64
 }
 
-func (c countedBytes) Write(data []byte) (int, error) {
+func (c byteCountingWriter) Write(data []byte) (int, error) {
 	*c.sent += int64(len(data))
 	return c.ResponseWriter.Write(data)
 }
 
-// processorTime is what the process has used so far, on all cores.
-func processorTime(b *testing.B) time.Duration {
+// processCPUTime is what the process has used so far, on all cores.
+func processCPUTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -61,17 +61,17 @@
 	address := server.Listener.Addr().String()
 	client := backend.NewClient(backend.ClientOptions{})
 	defer client.CloseIdleConnections()
-	served := testForwards(client, backend.DefaultConnectionLimit, b.Context())
+	served := newTestForwardServer(client, backend.DefaultConnectionLimit, b.Context())
 	served.lookUpServer = func(string) (string, int) { return address, backend.DefaultConnectionLimit }
 	agent := peer.NewAgent(peer.AgentOptions{Self: membership.Member{ID: "owner"}, Forwards: served, Seed: 1})
 	var asked, sent int64
 	owner := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		asked += request.ContentLength
-		agent.Handler().ServeHTTP(countedBytes{ResponseWriter: writer, sent: &sent}, request)
+		agent.Handler().ServeHTTP(byteCountingWriter{ResponseWriter: writer, sent: &sent}, request)
 	}))
 	defer owner.Close()
-	forwarding := testRouter(b, []membership.Member{{ID: "owner", Address: owner.Listener.Addr().String()}})
-	direct := testRouter(b, nil)
+	forwarding := newTestRouter(b, []membership.Member{{ID: "owner", Address: owner.Listener.Addr().String()}})
+	direct := newTestRouter(b, nil)
 	direct.direct = client
 	direct.route = func(string) route { return route{connections: backend.DefaultConnectionLimit} }
 	for _, serverRoute := range []struct {
@@ -81,13 +81,13 @@
 		b.Run(serverRoute.name, func(b *testing.B) {
 			asked, sent = 0, 0
 			b.ReportAllocs()
-			before := processorTime(b)
+			before := processCPUTime(b)
 			for b.Loop() {
 				if _, err := serverRoute.router.Query(b.Context(), address, forwardedRequest()); err != nil {
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(processorTime(b)-before)/float64(b.N), "cpu-ns/op")
+			b.ReportMetric(float64(processCPUTime(b)-before)/float64(b.N), "cpu-ns/op")
 			b.ReportMetric(float64(asked)/float64(b.N), "peer-request-B/op")
 			b.ReportMetric(float64(sent)/float64(b.N), "peer-reply-B/op")
 		})
--- a/node/forward_internal_test.go
+++ b/node/forward_internal_test.go
@@ -21,11 +21,11 @@
 // scriptedOwner ends every forward with one outcome and counts them.
 type scriptedOwner struct {
 	outcome peer.ForwardOutcome
-	asked   atomic.Int32
+	calls   atomic.Int32
 }
 
 func (s *scriptedOwner) ForwardQuery(_ context.Context, _ string, request *backend.Request) peer.ForwardResult {
-	s.asked.Add(1)
+	s.calls.Add(1)
 	if s.outcome != peer.ForwardReplied {
 		return peer.ForwardResult{Outcome: s.outcome}
 	}
@@ -44,24 +44,24 @@
 	}
 }
 
-// noBackends fails the test when a server is asked directly.
-type noBackends struct {
+// noDirectClient fails the test when a server is asked directly.
+type noDirectClient struct {
 	backendClient
 	t testing.TB
 }
 
-func (n noBackends) Query(context.Context, string, *backend.Request) (*backend.Reply, error) {
+func (n noDirectClient) Query(context.Context, string, *backend.Request) (*backend.Reply, error) {
 	n.t.Error("a server was asked directly")
 	return nil, backend.ErrNotDelivered
 }
 
-func TestNextOwnerIsAskedOnlyAfterCertainNonDelivery(t *testing.T) {
+func TestNextOwnerIsTriedOnlyAfterNonDelivery(t *testing.T) {
 	type outcomes []peer.ForwardOutcome
 	tests := []struct {
 		name   string
 		owners outcomes
 		want   error
-		asked  []int32
+		calls  []int32
 	}{
 		{"crossed views", outcomes{peer.ForwardNotOwner, peer.ForwardReplied}, nil, []int32{1, 1}},
 		{"leaving and busy", outcomes{peer.ForwardLeaving, peer.ForwardBusy, peer.ForwardReplied}, nil, []int32{1, 1, 1}},
@@ -76,24 +76,24 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			owners, scripted := startScripted(t, test.owners)
-			router := testRouter(t, owners)
+			owners, scripted := startScriptedOwners(t, test.owners)
+			router := newTestRouter(t, owners)
 			reply, err := router.Query(t.Context(), "10.0.0.9:9000", forwardedRequest())
 			if !errors.Is(err, test.want) || (err == nil) != (reply != nil) {
 				t.Errorf("got %+v, %v, want %v", reply, err, test.want)
 			}
 			for index, owner := range scripted {
-				if got := owner.asked.Load(); got != test.asked[index] {
-					t.Errorf("owner %d was asked %d times, want %d", index, got, test.asked[index])
+				if got := owner.calls.Load(); got != test.calls[index] {
+					t.Errorf("owner %d was asked %d times, want %d", index, got, test.calls[index])
 				}
 			}
 		})
 	}
 }
 
-// startScripted serves an owner for each outcome; one that is not sent to is
+// startScriptedOwners serves an owner for each outcome; one that is not sent to is
 // not reachable.
-func startScripted(t *testing.T, outcomes []peer.ForwardOutcome) ([]membership.Member, []*scriptedOwner) {
+func startScriptedOwners(t *testing.T, outcomes []peer.ForwardOutcome) ([]membership.Member, []*scriptedOwner) {
 	t.Helper()
 	var members []membership.Member
 	var scripted []*scriptedOwner
@@ -111,12 +111,12 @@
 	return members, scripted
 }
 
-func testRouter(t testing.TB, owners []membership.Member) *router {
+func newTestRouter(t testing.TB, owners []membership.Member) *router {
 	t.Helper()
 	forwarder := peer.NewForwarder((&net.Dialer{}).DialContext)
 	t.Cleanup(forwarder.CloseIdleConnections)
 	return &router{
-		direct:       noBackends{t: t},
+		direct:       noDirectClient{t: t},
 		route:        func(string) route { return route{place: membership.ServerPlace{ID: "server-1"}} },
 		owners:       func(membership.ServerPlace) []membership.Member { return owners },
 		forwarder:    forwarder,
@@ -126,19 +126,19 @@
 	}
 }
 
-// waitingBackends holds every query until its context ends.
-type waitingBackends struct {
+// blockingClient holds every query until its context ends.
+type blockingClient struct {
 	backendClient
-	began chan struct{}
+	started chan struct{}
 }
 
-func (w waitingBackends) Query(ctx context.Context, _ string, _ *backend.Request) (*backend.Reply, error) {
-	w.began <- struct{}{}
+func (w blockingClient) Query(ctx context.Context, _ string, _ *backend.Request) (*backend.Reply, error) {
+	w.started <- struct{}{}
 	<-ctx.Done()
 	return nil, backend.ErrOutcomeUnknown
 }
 
-func testForwards(direct backendClient, connections int, background context.Context) *forwardServer {
+func newTestForwardServer(direct backendClient, connections int, background context.Context) *forwardServer {
 	return &forwardServer{
 		direct:       direct,
 		lookUpServer: func(string) (string, int) { return "10.0.0.9:9000", connections },
@@ -149,22 +149,22 @@
 	}
 }
 
-func TestANodeWithoutConnectionsNeverForwardsAgain(t *testing.T) {
-	served := testForwards(noBackends{t: t}, 0, t.Context())
+func TestNodeWithoutConnectionsRejectsForwards(t *testing.T) {
+	served := newTestForwardServer(noDirectClient{t: t}, 0, t.Context())
 	if got := served.ForwardQuery(t.Context(), "server-1", forwardedRequest()); got.Outcome != peer.ForwardNotOwner {
 		t.Errorf("outcome %v", got.Outcome)
 	}
 }
 
-func TestOwnerBoundsWhatWaitsForAServerAndFinishesItWhenItStops(t *testing.T) {
+func TestOwnerLimitsForwardsAndFinishesThemOnStop(t *testing.T) {
 	const connections = 2
-	direct := waitingBackends{began: make(chan struct{})}
-	served := testForwards(direct, connections, t.Context())
+	direct := blockingClient{started: make(chan struct{})}
+	served := newTestForwardServer(direct, connections, t.Context())
 	ctx, cancel := context.WithCancel(t.Context())
 	results := make(chan peer.ForwardOutcome)
 	for range connections * maxForwardsPerConnection {
 		go func() { results <- served.ForwardQuery(ctx, "server-1", forwardedRequest()).Outcome }()
-		<-direct.began
+		<-direct.started
 	}
 	if got := served.ForwardQuery(ctx, "server-1", forwardedRequest()); got.Outcome != peer.ForwardBusy {
 		t.Errorf("over the bound: %v", got.Outcome)
@@ -192,16 +192,16 @@
 	<-waited
 }
 
-// queuedBackends have no connection free before the context ends.
-type queuedBackends struct{ backendClient }
+// queuedClient have no connection free before the context ends.
+type queuedClient struct{ backendClient }
 
-func (queuedBackends) Query(ctx context.Context, _ string, _ *backend.Request) (*backend.Reply, error) {
+func (queuedClient) Query(ctx context.Context, _ string, _ *backend.Request) (*backend.Reply, error) {
 	<-ctx.Done()
 	return nil, backend.ErrNotDelivered
 }
 
-func TestAServerIsNotBlamedForTheOwnersQueue(t *testing.T) {
-	served := testForwards(queuedBackends{}, 1, t.Context())
+func TestOwnerQueueTimeoutIsNotServerFailure(t *testing.T) {
+	served := newTestForwardServer(queuedClient{}, 1, t.Context())
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if got := served.ForwardQuery(ctx, "server-1", forwardedRequest()); got.Outcome != peer.ForwardBusy {
@@ -209,10 +209,10 @@
 	}
 }
 
-func TestAShareLostWhileAskingLeavesNoConnection(t *testing.T) {
-	router := testRouter(t, nil)
+func TestShareLostDuringQueryClosesConnections(t *testing.T) {
+	router := newTestRouter(t, nil)
 	ways := []route{{connections: 1}, {}}
-	router.direct = answeringBackends{}
+	router.direct = instantClient{}
 	router.route = func(string) route {
 		serverRoute := ways[0]
 		ways = ways[1:]
@@ -225,20 +225,20 @@
 	}
 }
 
-// answeringBackends answer at once.
-type answeringBackends struct{ backendClient }
+// instantClient answer at once.
+type instantClient struct{ backendClient }
 
-func (answeringBackends) Query(context.Context, string, *backend.Request) (*backend.Reply, error) {
+func (instantClient) Query(context.Context, string, *backend.Request) (*backend.Reply, error) {
 	return &backend.Reply{}, nil
 }
 
-func TestAbortEndsForwards(t *testing.T) {
-	direct := waitingBackends{began: make(chan struct{}, 1)}
+func TestAbortCancelsForwards(t *testing.T) {
+	direct := blockingClient{started: make(chan struct{}, 1)}
 	background, abort := context.WithCancel(t.Context())
-	served := testForwards(direct, 1, background)
+	served := newTestForwardServer(direct, 1, background)
 	result := make(chan peer.ForwardOutcome)
 	go func() { result <- served.ForwardQuery(t.Context(), "server-1", forwardedRequest()).Outcome }()
-	<-direct.began
+	<-direct.started
 	abort()
 	if got := <-result; got != peer.ForwardUnknown {
 		t.Errorf("outcome %v", got)
--- a/node/forward_test.go
+++ b/node/forward_test.go
@@ -12,32 +12,32 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// place is a server whose connections the crowd shares.
-func place(server int) membership.ServerPlace {
-	return membership.ServerPlace{ID: serverID(server), Zone: "zone-a", Limit: crowdLimit}
+// serverPlace is a server whose connections the crowd shares.
+func serverPlace(server int) membership.ServerPlace {
+	return membership.ServerPlace{ID: serverID(server), Zone: "zone-a", Limit: serverConnectionLimit}
 }
 
 // members is the table that all nodes of the crowd have.
-func (c *crowd) members() []membership.Member {
+func (c *cluster) members() []membership.Member {
 	var members []membership.Member
-	for index, one := range c.nodes {
-		members = append(members, membership.Member{ID: one.id, Zone: zoneOf(index), State: membership.Live})
+	for index, n := range c.nodes {
+		members = append(members, membership.Member{ID: n.id, Zone: zoneOf(index), State: membership.Live})
 	}
 	return members
 }
 
-// pair returns a node that owns no connection to a server, and its first owner.
-func (c *crowd) pair(server int) (requester, owner *crowdNode) {
+// requesterAndOwner returns a node that owns no connection to a server, and its first owner.
+func (c *cluster) requesterAndOwner(server int) (requester, owner *clusterNode) {
 	c.t.Helper()
 	members := c.members()
-	for index, one := range c.nodes {
-		if membership.OwnerShare(one.id, place(server), members).Maximum > 0 {
+	for index, n := range c.nodes {
+		if membership.OwnerShare(n.id, serverPlace(server), members).Maximum > 0 {
 			continue
 		}
-		first := membership.ForwardOwners(members[index], place(server), members)[0]
+		first := membership.ForwardOwners(members[index], serverPlace(server), members)[0]
 		for _, other := range c.nodes {
 			if other.id == first.ID {
-				return one, other
+				return n, other
 			}
 		}
 	}
@@ -45,24 +45,24 @@
 	return nil, nil
 }
 
-// kill ends a node without notice.
-func (c *crowd) kill(one *crowdNode) {
-	c.network.Kill(one.ip, network.KillReset)
-	one.node.Abort()
-	<-one.ended
-	one.ended <- nil
+// killNode ends a node without notice.
+func (c *cluster) killNode(n *clusterNode) {
+	c.network.Kill(n.ip, network.KillReset)
+	n.node.Abort()
+	<-n.ended
+	n.ended <- nil
 }
 
-// begin asks in the background and returns once servers run the request.
-func (c *crowd) begin(ctx context.Context, one *crowdNode, requestID string, repeatable bool) <-chan response {
+// startNodeQuery asks in the background and returns once servers run the request.
+func (c *cluster) startNodeQuery(ctx context.Context, n *clusterNode, requestID string, repeatable bool) <-chan response {
 	result := make(chan response, 1)
-	go func() { result <- c.askWithin(ctx, one, requestID, repeatable, 10*time.Second) }()
-	time.Sleep(delivery)
+	go func() { result <- c.queryNodeWithDeadline(ctx, n, requestID, repeatable, 10*time.Second) }()
+	time.Sleep(deliveryTime)
 	return result
 }
 
-// mostExecutions is the greatest number of times that one server ran a request.
-func (c *crowd) mostExecutions(requestID string) int {
+// maxExecutions is the greatest number of times that one server ran a request.
+func (c *cluster) maxExecutions(requestID string) int {
 	most := 0
 	for _, server := range c.servers {
 		count := 0
@@ -76,98 +76,98 @@
 	return most
 }
 
-// wantUnknown wants an answer that leaves open whether the request ran: as a
+// expectUnknown wants an answer that leaves open whether the request ran: as a
 // whole, or at one of the servers.
-func wantUnknown(t *testing.T, got response) {
+func expectUnknown(t *testing.T, got response) {
 	t.Helper()
 	if got.status == http.StatusOK || got.problem.Execution != "unknown" && got.problem.Execution != "partial" {
 		t.Errorf("got %d %+v, want an execution that is unknown", got.status, got.problem)
 	}
 }
 
-func (c *crowd) straggleAll(duration time.Duration) {
+func (c *cluster) delayAllServers(duration time.Duration) {
 	for index := range c.servers {
-		c.straggle(index, duration)
+		c.delayServer(index, duration)
 	}
 }
 
-// wantAll wants a complete answer from every node but some.
-func (c *crowd) wantAll(name string, but ...*crowdNode) {
+// expectComplete wants a complete answer from every node but some.
+func (c *cluster) expectComplete(name string, but ...*clusterNode) {
 	c.t.Helper()
-	for _, one := range c.nodes {
-		if slices.Contains(but, one) {
+	for _, n := range c.nodes {
+		if slices.Contains(but, n) {
 			continue
 		}
-		if got := c.ask(one, name+one.id, true); got.status != http.StatusOK {
-			c.t.Errorf("%s: %s: %d %+v %v", name, one.id, got.status, got.problem, got.err)
+		if got := c.queryNode(n, name+n.id, true); got.status != http.StatusOK {
+			c.t.Errorf("%s: %s: %d %+v %v", name, n.id, got.status, got.problem, got.err)
 		}
 	}
 }
 
-func TestOwnerDiesWithANotRepeatableForward(t *testing.T) {
-	inCrowd(t, func(t *testing.T, c *crowd) {
-		requester, owner := c.pair(0)
-		c.straggleAll(time.Second)
-		asked := c.begin(t.Context(), requester, "once", false)
-		if c.mostExecutions("once") != 1 {
+func TestOwnerCrashesDuringNonRepeatableForward(t *testing.T) {
+	withCluster(t, func(t *testing.T, c *cluster) {
+		requester, owner := c.requesterAndOwner(0)
+		c.delayAllServers(time.Second)
+		result := c.startNodeQuery(t.Context(), requester, "once", false)
+		if c.maxExecutions("once") != 1 {
 			t.Fatal("the request does not run yet")
 		}
-		c.kill(owner)
-		got := <-asked
-		wantUnknown(t, got)
+		c.killNode(owner)
+		got := <-result
+		expectUnknown(t, got)
 		time.Sleep(10 * time.Second)
-		if most := c.mostExecutions("once"); most != 1 {
+		if most := c.maxExecutions("once"); most != 1 {
 			t.Errorf("a server ran it %d times", most)
 		}
-		c.straggleAll(serviceTime * time.Millisecond)
-		c.wantAll("later-", owner)
+		c.delayAllServers(serviceTime * time.Millisecond)
+		c.expectComplete("later-", owner)
 	})
 }
 
-func TestOwnerDiesWithARepeatableForward(t *testing.T) {
-	inCrowd(t, func(t *testing.T, c *crowd) {
-		requester, owner := c.pair(0)
-		c.straggleAll(time.Second)
-		asked := c.begin(t.Context(), requester, "again", true)
-		c.kill(owner)
-		if got := <-asked; got.status != http.StatusOK {
+func TestOwnerCrashesDuringRepeatableForward(t *testing.T) {
+	withCluster(t, func(t *testing.T, c *cluster) {
+		requester, owner := c.requesterAndOwner(0)
+		c.delayAllServers(time.Second)
+		result := c.startNodeQuery(t.Context(), requester, "again", true)
+		c.killNode(owner)
+		if got := <-result; got.status != http.StatusOK {
 			t.Errorf("got %d %+v", got.status, got.problem)
 		}
 	})
 }
 
-func TestOwnerFreezesWithForwards(t *testing.T) {
-	inCrowd(t, func(t *testing.T, c *crowd) {
-		requester, owner := c.pair(0)
-		c.straggleAll(300 * time.Millisecond)
-		once := c.begin(t.Context(), requester, "once", false)
+func TestOwnerFreezesDuringForwards(t *testing.T) {
+	withCluster(t, func(t *testing.T, c *cluster) {
+		requester, owner := c.requesterAndOwner(0)
+		c.delayAllServers(300 * time.Millisecond)
+		once := c.startNodeQuery(t.Context(), requester, "once", false)
 		c.network.Freeze(owner.ip)
-		wantUnknown(t, <-once)
+		expectUnknown(t, <-once)
 		time.Sleep(10 * time.Second)
-		c.wantAll("frozen-", owner)
+		c.expectComplete("frozen-", owner)
 		c.network.Thaw(owner.ip)
 		time.Sleep(10 * time.Second)
-		c.wantAll("thawed-")
-		if most := c.mostExecutions("once"); most > 1 {
+		c.expectComplete("thawed-")
+		if most := c.maxExecutions("once"); most > 1 {
 			t.Errorf("a server ran it %d times", most)
 		}
 	})
 }
 
-func TestOwnerLeavesWithForwards(t *testing.T) {
-	inCrowd(t, func(t *testing.T, c *crowd) {
-		requester, owner := c.pair(0)
-		c.straggleAll(4 * time.Second)
-		once := c.begin(t.Context(), requester, "once", false)
-		c.straggleAll(serviceTime * time.Millisecond)
+func TestOwnerLeavesDuringForwards(t *testing.T) {
+	withCluster(t, func(t *testing.T, c *cluster) {
+		requester, owner := c.requesterAndOwner(0)
+		c.delayAllServers(4 * time.Second)
+		once := c.startNodeQuery(t.Context(), requester, "once", false)
+		c.delayAllServers(serviceTime * time.Millisecond)
 		stopped := make(chan struct{})
 		go func() {
-			c.endNode(owner)
+			c.stopNode(owner)
 			close(stopped)
 		}()
 		for round := 0; ; round++ {
 			// The requester has its one place at each server taken.
-			c.wantAll(fmt.Sprintf("leaving-%d-", round), owner, requester)
+			c.expectComplete(fmt.Sprintf("leaving-%d-", round), owner, requester)
 			select {
 			case <-stopped:
 			case <-time.After(50 * time.Millisecond):
@@ -178,25 +178,25 @@
 		if got := <-once; got.status != http.StatusOK {
 			t.Errorf("the forward that ran: %d %+v", got.status, got.problem)
 		}
-		c.wantAll("gone-", owner)
+		c.expectComplete("gone-", owner)
 	})
 }
 
-func TestServerDrainsBehindAnOwner(t *testing.T) {
-	inCrowd(t, func(t *testing.T, c *crowd) {
-		requester, _ := c.pair(0)
-		c.straggleAll(time.Second)
-		once := c.begin(t.Context(), requester, "once", false)
+func TestServerDrainsDuringForward(t *testing.T) {
+	withCluster(t, func(t *testing.T, c *cluster) {
+		requester, _ := c.requesterAndOwner(0)
+		c.delayAllServers(time.Second)
+		once := c.startNodeQuery(t.Context(), requester, "once", false)
 		faults := c.servers[0].Faults()
 		faults.Draining = true
 		c.servers[0].SetFaults(faults)
 		if got := <-once; got.status != http.StatusOK {
 			t.Errorf("the forward that ran: %d %+v", got.status, got.problem)
 		}
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		before := len(c.servers[0].Executions())
 		for round := range 5 {
-			if got := c.ask(requester, fmt.Sprintf("after-%d", round), false); got.problem.Execution == "unknown" {
+			if got := c.queryNode(requester, fmt.Sprintf("after-%d", round), false); got.problem.Execution == "unknown" {
 				t.Errorf("after the drain: %d %+v", got.status, got.problem)
 			}
 		}
@@ -206,17 +206,17 @@
 	})
 }
 
-func TestCancelledForwardIsCancelledAtTheServer(t *testing.T) {
-	inCrowd(t, func(t *testing.T, c *crowd) {
-		requester, _ := c.pair(0)
-		c.straggleAll(8 * time.Second)
+func TestCancelledForwardIsCancelledAtServer(t *testing.T) {
+	withCluster(t, func(t *testing.T, c *cluster) {
+		requester, _ := c.requesterAndOwner(0)
+		c.delayAllServers(8 * time.Second)
 		ctx, cancel := context.WithCancel(t.Context())
-		asked := c.begin(ctx, requester, "given-up", true)
-		if c.mostExecutions("given-up") == 0 {
+		result := c.startNodeQuery(ctx, requester, "given-up", true)
+		if c.maxExecutions("given-up") == 0 {
 			t.Fatal("the request does not run yet")
 		}
 		cancel()
-		<-asked
+		<-result
 		time.Sleep(time.Second)
 		for _, server := range c.servers {
 			for _, execution := range server.Executions() {
--- a/node/health_internal_test.go
+++ b/node/health_internal_test.go
@@ -12,27 +12,27 @@
 	"github.com/banksail/banksail/backend"
 )
 
-// timedHealth notes when each server's health is read; it answers at once.
-type timedHealth struct {
+// recordingHealthClient notes when each server's health is read; it answers at once.
+type recordingHealthClient struct {
 	backendClient
-	mutex    sync.Mutex
-	readings map[string][]time.Time
-	moments  map[time.Time]bool
+	mutex     sync.Mutex
+	polls     map[string][]time.Time
+	pollTimes map[time.Time]bool
 }
 
-func (h *timedHealth) Health(_ context.Context, address string) (*backend.Health, error) {
+func (h *recordingHealthClient) Health(_ context.Context, address string) (*backend.Health, error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.readings[address] = append(h.readings[address], time.Now())
-	h.moments[time.Now()] = true
+	h.polls[address] = append(h.polls[address], time.Now())
+	h.pollTimes[time.Now()] = true
 	return &backend.Health{State: backend.HealthReady}, nil
 }
 
-func (h *timedHealth) Load(context.Context, string) (*backend.Load, error) {
+func (h *recordingHealthClient) Load(context.Context, string) (*backend.Load, error) {
 	return &backend.Load{}, nil
 }
 
-func TestHealthIsReadOftenEnoughInFewWakeUps(t *testing.T) {
+func TestHealthPollsAreFrequentWithFewWakeups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
 			servers  = 100
@@ -40,7 +40,7 @@
 			span     = 30 * time.Second
 			longest  = interval + interval/4 + pollTick
 		)
-		client := &timedHealth{readings: map[string][]time.Time{}, moments: map[time.Time]bool{}}
+		client := &recordingHealthClient{polls: map[string][]time.Time{}, pollTimes: map[time.Time]bool{}}
 		poller := newPoller(pollerOptions{
 			client: client, interval: interval, timeout: time.Second, concurrency: servers, seed: 1,
 			onResult: func(pollResult) {}, onUnreachable: func(string) {},
@@ -54,21 +54,21 @@
 		ctx, cancel := context.WithTimeout(t.Context(), span)
 		defer cancel()
 		poller.run(ctx)
-		for address, times := range client.readings {
+		for address, times := range client.polls {
 			for index := 1; index < len(times); index++ {
 				if pause := times[index].Sub(times[index-1]); pause > longest {
 					t.Errorf("server %s was not read for %v", address, pause)
 				}
 			}
 		}
-		if most := int(span/pollTick) + servers; len(client.moments) > most {
-			t.Errorf("%d moments of readings, want at most %d", len(client.moments), most)
+		if most := int(span/pollTick) + servers; len(client.pollTimes) > most {
+			t.Errorf("%d moments of readings, want at most %d", len(client.pollTimes), most)
 		}
 	})
 }
 
-// budgeted is a poller with a budget, of servers of which the first are its duty.
-func budgeted(client backendClient, servers, duties int, budget float64) *poller {
+// newBudgetedPoller is a poller with a budget, of servers of which the first are its duty.
+func newBudgetedPoller(client backendClient, servers, duties int, budget float64) *poller {
 	poller := newPoller(pollerOptions{
 		client: client, interval: 1500 * time.Millisecond, timeout: time.Second, concurrency: servers, seed: 1,
 		budgetRate: budget, onResult: func(pollResult) {}, onUnreachable: func(string) {},
@@ -86,7 +86,7 @@
 	return poller
 }
 
-func TestReadingsWithinABudget(t *testing.T) {
+func TestPollsStayWithinBudget(t *testing.T) {
 	const (
 		servers = 70
 		duties  = 9
@@ -121,8 +121,8 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				client := &timedHealth{readings: map[string][]time.Time{}, moments: map[time.Time]bool{}}
-				poller := budgeted(client, servers, duties, budget)
+				client := &recordingHealthClient{polls: map[string][]time.Time{}, pollTimes: map[time.Time]bool{}}
+				poller := newBudgetedPoller(client, servers, duties, budget)
 				ctx, cancel := context.WithTimeout(t.Context(), warmUp+span)
 				defer cancel()
 				begin := time.Now().Add(warmUp)
@@ -134,7 +134,7 @@
 				}()
 				poller.run(ctx)
 				time.Sleep(time.Second)
-				total, others := client.since(begin, duties)
+				total, others := client.countSince(begin, duties)
 				if rate := float64(total) / span.Seconds(); rate > budget {
 					t.Errorf("%.1f readings a second, the budget is %g", rate, budget)
 				}
@@ -142,7 +142,7 @@
 					t.Errorf("%d readings of servers that are no duty", others)
 				}
 				for number := range duties {
-					if read := len(client.readings[fmt.Sprint(number)]); read < int((span+warmUp)/(2*time.Second)) {
+					if read := len(client.polls[fmt.Sprint(number)]); read < int((span+warmUp)/(2*time.Second)) {
 						t.Errorf("server %d, a duty, was read %d times", number, read)
 					}
 				}
@@ -151,10 +151,10 @@
 	}
 }
 
-// since counts the readings from a time on, and those among them of servers that
+// countSince counts the readings from a time on, and those among them of servers that
 // are no duty.
-func (h *timedHealth) since(begin time.Time, duties int) (total, others int) {
-	for address, times := range h.readings {
+func (h *recordingHealthClient) countSince(begin time.Time, duties int) (total, others int) {
+	for address, times := range h.polls {
 		number, _ := strconv.Atoi(address)
 		for _, at := range times {
 			if at.Before(begin) {
@@ -169,10 +169,10 @@
 	return total, others
 }
 
-func TestServerInDoubtIsReadSoon(t *testing.T) {
+func TestRecheckedServerIsPolledSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client := &timedHealth{readings: map[string][]time.Time{}, moments: map[time.Time]bool{}}
-		poller := budgeted(client, 2000, 0, 2)
+		client := &recordingHealthClient{polls: map[string][]time.Time{}, pollTimes: map[time.Time]bool{}}
+		poller := newBudgetedPoller(client, 2000, 0, 2)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Minute)
 		defer cancel()
 		var asked time.Time
@@ -186,7 +186,7 @@
 		poller.run(ctx)
 		for number := range 10 {
 			soon := false
-			for _, at := range client.readings[fmt.Sprint(number)] {
+			for _, at := range client.polls[fmt.Sprint(number)] {
 				soon = soon || !at.Before(asked) && at.Sub(asked) <= 24*recheckSpreadPerNode+pollTick
 			}
 			if !soon {
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -15,32 +15,32 @@
 	"github.com/banksail/banksail/settings"
 )
 
-func TestQueryThroughWholeNode(t *testing.T) {
-	inWorld(t, 8, nil, func(t *testing.T, w *world) {
-		got := w.query(t.Context(), "r-1", true, "orders")
+func TestQueryEndToEnd(t *testing.T) {
+	withTestEnv(t, 8, nil, func(t *testing.T, env *testEnv) {
+		got := env.query(t.Context(), "r-1", true, "orders")
 		if got.status != http.StatusOK || !got.answer.Complete || got.answer.Coverage != 1 || got.answer.Snapshot != 1 {
 			t.Fatalf("got %+v", got)
 		}
-		if len(got.answer.Parts) != 8 || len(got.answer.Missing) != 0 || w.executions("r-1") != 8 {
-			t.Errorf("%d parts, missing %v, %d executions", len(got.answer.Parts), got.answer.Missing, w.executions("r-1"))
+		if len(got.answer.Parts) != 8 || len(got.answer.Missing) != 0 || env.executions("r-1") != 8 {
+			t.Errorf("%d parts, missing %v, %d executions", len(got.answer.Parts), got.answer.Missing, env.executions("r-1"))
 		}
-		if explanation, found := w.node.Explain("r-1"); !found || len(explanation.Steps) == 0 {
+		if explanation, found := env.node.Explain("r-1"); !found || len(explanation.Steps) == 0 {
 			t.Errorf("explanation %+v", explanation)
 		}
-		_, metrics := w.get("/metrics")
+		_, metrics := env.getOperator("/metrics")
 		if !strings.Contains(metrics, `banksail_queries_total{class="normal",execution="done",reason="complete",service="catalog"} 1`) {
 			t.Errorf("metrics:\n%s", metrics)
 		}
 	})
 }
 
-func TestUnknownNamesAreRefusedAndNothingIsSent(t *testing.T) {
-	inWorld(t, 1, nil, func(t *testing.T, w *world) {
-		w.putConfiguration(2, w.configuration(1))
+func TestUnknownNamesAreRejected(t *testing.T) {
+	withTestEnv(t, 1, nil, func(t *testing.T, env *testEnv) {
+		env.putConfiguration(2, env.configuration(1))
 		post := func(path, class, deadline string) (int, string) {
 			document := `{"request_id":"r-1","class":"` + class + `","deadline_ms":` + deadline + `,"repeatable":true,"body":1}`
-			reply, err := w.client.Post("http://"+callerAt+path, "application/json", strings.NewReader(document))
-			w.check(err)
+			reply, err := env.client.Post("http://"+callerAddress+path, "application/json", strings.NewReader(document))
+			env.check(err)
 			defer func() { _ = reply.Body.Close() }()
 			text := make([]byte, 4096)
 			count, _ := reply.Body.Read(text)
@@ -61,53 +61,53 @@
 				t.Errorf("%+v: HTTP %d %s", test, status, text)
 			}
 		}
-		if count := w.executions("r-1"); count != 0 {
+		if count := env.executions("r-1"); count != 0 {
 			t.Errorf("%d executions", count)
 		}
 	})
 }
 
-func TestPlannedStopFinishesWhatRuns(t *testing.T) {
-	inWorld(t, 2, nil, func(t *testing.T, w *world) {
-		w.straggle(1, 10*time.Second)
-		running := w.start(t.Context(), "running", true)
-		w.stop()
-		time.Sleep(delivery)
-		if status, text := w.get("/readyz"); status != http.StatusServiceUnavailable || text != "stopping\n" {
+func TestPlannedStopFinishesRunningQueries(t *testing.T) {
+	withTestEnv(t, 2, nil, func(t *testing.T, env *testEnv) {
+		env.delayServer(1, 10*time.Second)
+		running := env.startQuery(t.Context(), "running", true)
+		env.stop()
+		time.Sleep(deliveryTime)
+		if status, text := env.getOperator("/readyz"); status != http.StatusServiceUnavailable || text != "stopping\n" {
 			t.Errorf("readyz: %d %q", status, text)
 		}
-		if status, _ := w.get("/healthz"); status != http.StatusOK {
+		if status, _ := env.getOperator("/healthz"); status != http.StatusOK {
 			t.Errorf("healthz: %d", status)
 		}
-		refused := w.query(t.Context(), "late", true, "orders")
+		refused := env.query(t.Context(), "late", true, "orders")
 		if refused.problem.Execution != "not_run" || refused.problem.Reason != "stopping" || !refused.closes {
 			t.Errorf("during the stop: %+v", refused)
 		}
-		if w.executions("late") != 0 {
+		if env.executions("late") != 0 {
 			t.Error("the refused request ran")
 		}
 		if got := <-running; got.status != http.StatusOK || !got.answer.Complete || !got.closes {
 			t.Errorf("the running request got %+v", got)
 		}
-		if err := <-w.ended; err != nil {
+		if err := <-env.ended; err != nil {
 			t.Errorf("the stop ended with %v", err)
 		}
-		w.ended <- nil
+		env.ended <- nil
 	})
 }
 
-func TestRequestOnConnectionOpenedBeforeTheStopIsAnswered(t *testing.T) {
-	inWorld(t, 1, nil, func(t *testing.T, w *world) {
-		transport := w.client.Transport.(*http.Transport)
-		conn, err := transport.DialContext(t.Context(), "tcp", callerAt)
-		w.check(err)
-		time.Sleep(delivery)
-		w.stop()
-		time.Sleep(settings.Default().Stop.Grace + delivery)
-		request, err := http.NewRequest(http.MethodPost, "http://"+callerAt+"/v1/services/catalog/queries",
+func TestStopAnswersRequestOnOpenConnection(t *testing.T) {
+	withTestEnv(t, 1, nil, func(t *testing.T, env *testEnv) {
+		transport := env.client.Transport.(*http.Transport)
+		conn, err := transport.DialContext(t.Context(), "tcp", callerAddress)
+		env.check(err)
+		time.Sleep(deliveryTime)
+		env.stop()
+		time.Sleep(settings.Default().Stop.Grace + deliveryTime)
+		request, err := http.NewRequest(http.MethodPost, "http://"+callerAddress+"/v1/services/catalog/queries",
 			strings.NewReader(`{"request_id":"r-1","class":"normal","repeatable":true,"body":1}`))
-		w.check(err)
-		w.check(request.Write(conn))
+		env.check(err)
+		env.check(request.Write(conn))
 		reply, err := http.ReadResponse(bufio.NewReader(conn), request)
 		if err != nil {
 			t.Fatalf("no response: %v", err)
@@ -119,14 +119,14 @@
 	})
 }
 
-func TestPlannedStopRefusesWhatIsQueued(t *testing.T) {
-	inWorld(t, 1, nil, func(t *testing.T, w *world) {
-		w.straggle(0, 5*time.Second)
+func TestPlannedStopRejectsQueuedQueries(t *testing.T) {
+	withTestEnv(t, 1, nil, func(t *testing.T, env *testEnv) {
+		env.delayServer(0, 5*time.Second)
 		var held []<-chan response
 		for range 12 {
-			held = append(held, w.start(t.Context(), "held", true))
+			held = append(held, env.startQuery(t.Context(), "held", true))
 		}
-		w.stop()
+		env.stop()
 		finished, refused := 0, 0
 		for _, result := range held {
 			got := <-result
@@ -139,65 +139,65 @@
 				t.Errorf("got %+v", got)
 			}
 		}
-		if ran := w.executions("held"); ran < finished {
+		if ran := env.executions("held"); ran < finished {
 			t.Errorf("%d finished, but %d ran", finished, ran)
 		}
 		t.Logf("%d finished, %d refused", finished, refused)
 	})
 }
 
-func TestAbortEndsAtOnceAndNamesWhatItCuts(t *testing.T) {
-	inWorld(t, 1, nil, func(t *testing.T, w *world) {
-		w.straggle(0, 10*time.Second)
-		cut := w.start(t.Context(), "cut-me", true)
-		w.stop()
+func TestAbortEndsAtOnceAndLogsInterruptedRequests(t *testing.T) {
+	withTestEnv(t, 1, nil, func(t *testing.T, env *testEnv) {
+		env.delayServer(0, 10*time.Second)
+		pending := env.startQuery(t.Context(), "cut-me", true)
+		env.stop()
 		time.Sleep(2 * time.Second)
 		before := time.Now()
-		w.node.Abort()
-		err := <-w.ended
-		w.ended <- nil
+		env.node.Abort()
+		err := <-env.ended
+		env.ended <- nil
 		if !errors.Is(err, node.ErrAborted) || time.Since(before) > 2*time.Second {
 			t.Errorf("ended with %v after %v", err, time.Since(before))
 		}
-		if got := <-cut; got.err == nil && got.problem.Execution == "not_run" {
+		if got := <-pending; got.err == nil && got.problem.Execution == "not_run" {
 			t.Errorf("the cut request got %+v", got)
 		}
-		if !strings.Contains(w.log.String(), `"request_ids":["cut-me"]`) {
-			t.Errorf("log:\n%s", w.log)
+		if !strings.Contains(env.log.String(), `"request_ids":["cut-me"]`) {
+			t.Errorf("log:\n%s", env.log)
 		}
 	})
 }
 
-func TestQueryMayLastLongerThanItsReading(t *testing.T) {
-	shorten := func(chosen *settings.Settings) { chosen.Caller.ReadTimeout = 2 * time.Second }
-	inWorld(t, 1, shorten, func(t *testing.T, w *world) {
-		w.straggle(0, 15*time.Second)
-		if got := w.query(t.Context(), "r-1", true, "orders"); got.status != http.StatusOK || !got.answer.Complete {
+func TestQueryMayOutlastReadTimeout(t *testing.T) {
+	shorten := func(nodeSettings *settings.Settings) { nodeSettings.Caller.ReadTimeout = 2 * time.Second }
+	withTestEnv(t, 1, shorten, func(t *testing.T, env *testEnv) {
+		env.delayServer(0, 15*time.Second)
+		if got := env.query(t.Context(), "r-1", true, "orders"); got.status != http.StatusOK || !got.answer.Complete {
 			t.Errorf("got %+v", got)
 		}
 	})
 }
 
-func TestCallerGone(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	tests := map[string]struct{ repeatable, completes bool }{
 		"repeatable request is cancelled":        {repeatable: true, completes: false},
 		"not repeatable request goes to its end": {repeatable: false, completes: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, 1, nil, func(t *testing.T, w *world) {
-				w.straggle(0, 2*time.Second)
+			withTestEnv(t, 1, nil, func(t *testing.T, env *testEnv) {
+				env.delayServer(0, 2*time.Second)
 				ctx, leave := context.WithCancel(t.Context())
-				gone := w.start(ctx, "r-1", test.repeatable)
+				pending := env.startQuery(ctx, "r-1", test.repeatable)
 				time.Sleep(time.Second)
 				leave()
-				<-gone
+				<-pending
 				time.Sleep(3 * time.Second)
-				executions := w.servers[0].Executions()
+				executions := env.servers[0].Executions()
 				if len(executions) != 1 || executions[0].Completed != test.completes {
 					t.Errorf("executions %+v", executions)
 				}
-				again := w.query(t.Context(), "r-1", test.repeatable, "orders")
+				again := env.query(t.Context(), "r-1", test.repeatable, "orders")
 				if again.status != http.StatusOK || !again.answer.Complete {
 					t.Errorf("asked again: %+v", again)
 				}
@@ -206,84 +206,84 @@
 	}
 }
 
-func TestDrainSeenOnlyInHealth(t *testing.T) {
-	inWorld(t, 1, nil, func(t *testing.T, w *world) {
-		faults := w.servers[0].Faults()
+func TestDrainIsDetectedFromHealth(t *testing.T) {
+	withTestEnv(t, 1, nil, func(t *testing.T, env *testEnv) {
+		faults := env.servers[0].Faults()
 		faults.HealthState = "draining"
-		w.servers[0].SetFaults(faults)
+		env.servers[0].SetFaults(faults)
 		time.Sleep(3 * time.Second)
-		got := w.query(t.Context(), "r-1", true, "orders")
-		if got.problem.Execution != "not_run" || w.executions("r-1") != 0 {
-			t.Errorf("3 s after the drain: %+v, %d executions", got, w.executions("r-1"))
+		got := env.query(t.Context(), "r-1", true, "orders")
+		if got.problem.Execution != "not_run" || env.executions("r-1") != 0 {
+			t.Errorf("3 s after the drain: %+v, %d executions", got, env.executions("r-1"))
 		}
 	})
 }
 
-func TestDrainIsSeenBesideManyServersThatHang(t *testing.T) {
+func TestDrainIsDetectedDespiteHungServers(t *testing.T) {
 	const servers, draining = 100, 99
-	inWorld(t, servers, nil, func(t *testing.T, w *world) {
+	withTestEnv(t, servers, nil, func(t *testing.T, env *testEnv) {
 		for index := range draining {
-			w.servers[index].SetFaults(emulator.ServerFaults{Freeze: true})
+			env.servers[index].SetFaults(emulator.ServerFaults{Freeze: true})
 		}
 		time.Sleep(10 * time.Second)
-		w.servers[draining].SetFaults(emulator.ServerFaults{HealthState: "draining"})
+		env.servers[draining].SetFaults(emulator.ServerFaults{HealthState: "draining"})
 		time.Sleep(3 * time.Second)
 		ctx, leave := context.WithTimeout(t.Context(), time.Second)
 		defer leave()
-		w.query(ctx, "r-1", true, "orders")
-		if executions := w.servers[draining].Executions(); len(executions) != 0 {
+		env.query(ctx, "r-1", true, "orders")
+		if executions := env.servers[draining].Executions(); len(executions) != 0 {
 			t.Errorf("3 s after the drain: %+v", executions)
 		}
 		for index := range draining {
-			w.servers[index].SetFaults(emulator.ServerFaults{})
+			env.servers[index].SetFaults(emulator.ServerFaults{})
 		}
 	})
 }
 
 func TestConfigurationChangesWhileRunning(t *testing.T) {
-	inWorld(t, 2, nil, func(t *testing.T, w *world) {
-		w.straggle(0, 8*time.Second)
-		running := w.start(t.Context(), "running", true)
-		without := w.configuration(2)
+	withTestEnv(t, 2, nil, func(t *testing.T, env *testEnv) {
+		env.delayServer(0, 8*time.Second)
+		running := env.startQuery(t.Context(), "running", true)
+		without := env.configuration(2)
 		without.Services = []policy.Service{}
-		w.putConfiguration(2, without)
+		env.putConfiguration(2, without)
 		time.Sleep(2 * time.Second)
-		if got := w.query(t.Context(), "late", true, "orders"); got.status != http.StatusNotFound {
+		if got := env.query(t.Context(), "late", true, "orders"); got.status != http.StatusNotFound {
 			t.Errorf("a removed service answered %+v", got)
 		}
 		if got := <-running; got.status != http.StatusOK || !got.answer.Complete {
 			t.Errorf("in flight while its service was removed: %+v", got)
 		}
-		w.straggle(0, serviceTime*time.Millisecond)
-		w.putConfiguration(3, w.configuration(2))
-		time.Sleep(settle)
-		if got := w.query(t.Context(), "back", true, "orders"); got.status != http.StatusOK {
+		env.delayServer(0, serviceTime*time.Millisecond)
+		env.putConfiguration(3, env.configuration(2))
+		time.Sleep(settleTime)
+		if got := env.query(t.Context(), "back", true, "orders"); got.status != http.StatusOK {
 			t.Errorf("a service that came back: %+v", got)
 		}
-		if _, text := w.get("/readyz"); text != "ready at revision 3\n" {
+		if _, text := env.getOperator("/readyz"); text != "ready at revision 3\n" {
 			t.Errorf("readyz: %q", text)
 		}
 	})
 }
 
-func TestNodeWithoutConfigurationRefuses(t *testing.T) {
-	inWorld(t, 0, nil, func(t *testing.T, w *world) {
-		if status, text := w.get("/readyz"); status != http.StatusServiceUnavailable || text != "no configuration\n" {
+func TestNodeWithoutConfigurationRejectsQueries(t *testing.T) {
+	withTestEnv(t, 0, nil, func(t *testing.T, env *testEnv) {
+		if status, text := env.getOperator("/readyz"); status != http.StatusServiceUnavailable || text != "no configuration\n" {
 			t.Errorf("readyz: %d %q", status, text)
 		}
-		got := w.query(t.Context(), "r-1", true, "orders")
+		got := env.query(t.Context(), "r-1", true, "orders")
 		if got.status != http.StatusServiceUnavailable || got.problem.Reason != "no_configuration" || got.problem.Execution != "not_run" {
 			t.Errorf("got %+v", got)
 		}
 	})
 }
 
-func TestQueriesOverTheBoundAreRefused(t *testing.T) {
-	bound := func(chosen *settings.Settings) { chosen.Caller.Queries = 1 }
-	inWorld(t, 1, bound, func(t *testing.T, w *world) {
-		w.straggle(0, time.Second)
-		first := w.start(t.Context(), "first", true)
-		if got := w.query(t.Context(), "second", true, "orders"); got.problem.Reason != "overload" || got.problem.Execution != "not_run" {
+func TestQueriesOverLimitAreRejected(t *testing.T) {
+	bound := func(nodeSettings *settings.Settings) { nodeSettings.Caller.Queries = 1 }
+	withTestEnv(t, 1, bound, func(t *testing.T, env *testEnv) {
+		env.delayServer(0, time.Second)
+		first := env.startQuery(t.Context(), "first", true)
+		if got := env.query(t.Context(), "second", true, "orders"); got.problem.Reason != "overload" || got.problem.Execution != "not_run" {
 			t.Errorf("over the bound: %+v", got)
 		}
 		if got := <-first; got.status != http.StatusOK {
--- a/node/once_test.go
+++ b/node/once_test.go
@@ -13,50 +13,50 @@
 	"github.com/banksail/banksail/settings"
 )
 
-func TestNotRepeatableRequestRunsOnce(t *testing.T) {
-	inWorld(t, 2, nil, func(t *testing.T, w *world) {
-		first := w.query(t.Context(), "return-1", false, "orders")
-		second := w.query(t.Context(), "return-1", false, "orders")
+func TestNonRepeatableRequestRunsOnce(t *testing.T) {
+	withTestEnv(t, 2, nil, func(t *testing.T, env *testEnv) {
+		first := env.query(t.Context(), "return-1", false, "orders")
+		second := env.query(t.Context(), "return-1", false, "orders")
 		if !slices.Equal(sortedBodies(first.answer), sortedBodies(second.answer)) || second.answer.Snapshot != 1 {
 			t.Errorf("first %+v, second %+v", first, second)
 		}
 		if len(second.answer.Warnings) != 1 {
 			t.Errorf("warnings %q", second.answer.Warnings)
 		}
-		other := w.query(t.Context(), "return-1", false, "other orders")
+		other := env.query(t.Context(), "return-1", false, "other orders")
 		if other.status != http.StatusConflict || other.problem.Field != "request_id" {
 			t.Errorf("other content got %+v", other)
 		}
-		if count := w.executions("return-1"); count != 2 {
+		if count := env.executions("return-1"); count != 2 {
 			t.Errorf("%d executions on 2 servers", count)
 		}
 	})
 }
 
-func TestRepetitionsInProgressJoin(t *testing.T) {
-	inWorld(t, 1, nil, func(t *testing.T, w *world) {
-		w.straggle(0, time.Second)
+func TestDuplicatesJoinRunInProgress(t *testing.T) {
+	withTestEnv(t, 1, nil, func(t *testing.T, env *testEnv) {
+		env.delayServer(0, time.Second)
 		results := []<-chan response{
-			w.start(t.Context(), "return-1", false),
-			w.start(t.Context(), "return-1", false),
-			w.start(t.Context(), "return-1", false),
+			env.startQuery(t.Context(), "return-1", false),
+			env.startQuery(t.Context(), "return-1", false),
+			env.startQuery(t.Context(), "return-1", false),
 		}
 		for _, result := range results {
 			if got := <-result; got.status != http.StatusOK || !got.answer.Complete {
 				t.Errorf("got %+v", got)
 			}
 		}
-		if count := w.executions("return-1"); count != 1 {
+		if count := env.executions("return-1"); count != 1 {
 			t.Errorf("%d executions", count)
 		}
 	})
 }
 
-func TestRepetitionIsAnsweredByItsOwnDeadline(t *testing.T) {
-	inWorld(t, 1, nil, func(t *testing.T, w *world) {
-		w.straggle(0, time.Second)
-		first := w.start(t.Context(), "return-1", false)
-		got, took := w.queryOnce(t.Context(), "return-1", 200*time.Millisecond)
+func TestDuplicateIsAnsweredByItsOwnDeadline(t *testing.T) {
+	withTestEnv(t, 1, nil, func(t *testing.T, env *testEnv) {
+		env.delayServer(0, time.Second)
+		first := env.startQuery(t.Context(), "return-1", false)
+		got, took := env.queryNonRepeatable(t.Context(), "return-1", 200*time.Millisecond)
 		if got.problem.Execution != "unknown" || took > 250*time.Millisecond {
 			t.Errorf("after %v got %+v", took, got)
 		}
@@ -66,24 +66,24 @@
 	})
 }
 
-func TestRepetitionOverTheBoundIsNotToldNotRun(t *testing.T) {
-	bound := func(chosen *settings.Settings) { chosen.Caller.Queries = 1 }
-	inWorld(t, 1, bound, func(t *testing.T, w *world) {
-		w.straggle(0, time.Second)
-		first := w.start(t.Context(), "return-1", false)
-		if got := w.query(t.Context(), "return-1", false, "orders"); got.problem.Execution != "unknown" {
+func TestDuplicateOverLimitIsNotReportedAsNotRun(t *testing.T) {
+	bound := func(nodeSettings *settings.Settings) { nodeSettings.Caller.Queries = 1 }
+	withTestEnv(t, 1, bound, func(t *testing.T, env *testEnv) {
+		env.delayServer(0, time.Second)
+		first := env.startQuery(t.Context(), "return-1", false)
+		if got := env.query(t.Context(), "return-1", false, "orders"); got.problem.Execution != "unknown" {
 			t.Errorf("while it runs: %+v", got)
 		}
 		<-first
-		holder := w.start(t.Context(), "other", true)
-		if got := w.query(t.Context(), "return-1", false, "orders"); got.problem.Execution != "unknown" {
+		holder := env.startQuery(t.Context(), "other", true)
+		if got := env.query(t.Context(), "return-1", false, "orders"); got.problem.Execution != "unknown" {
 			t.Errorf("after it ran: %+v", got)
 		}
 		<-holder
 	})
 }
 
-func TestRepetitionAfterAChangeIsNotToldNotRun(t *testing.T) {
+func TestDuplicateAfterConfigurationChangeIsNotReportedAsNotRun(t *testing.T) {
 	changes := map[string]func(*policy.Config){
 		"service removed":  func(config *policy.Config) { config.Services = []policy.Service{} },
 		"class renamed":    func(config *policy.Config) { config.Classes[0].Name = "other" },
@@ -91,15 +91,15 @@
 	}
 	for name, change := range changes {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, 1, nil, func(t *testing.T, w *world) {
-				if got, _ := w.queryOnce(t.Context(), "return-1", time.Second); got.status != http.StatusOK {
+			withTestEnv(t, 1, nil, func(t *testing.T, env *testEnv) {
+				if got, _ := env.queryNonRepeatable(t.Context(), "return-1", time.Second); got.status != http.StatusOK {
 					t.Errorf("first: %+v", got)
 				}
-				config := w.configuration(1)
+				config := env.configuration(1)
 				change(&config)
-				w.putConfiguration(2, config)
-				time.Sleep(settle)
-				if got, _ := w.queryOnce(t.Context(), "return-1", time.Second); got.status != http.StatusOK && got.problem.Execution != "unknown" {
+				env.putConfiguration(2, config)
+				time.Sleep(settleTime)
+				if got, _ := env.queryNonRepeatable(t.Context(), "return-1", time.Second); got.status != http.StatusOK && got.problem.Execution != "unknown" {
 					t.Errorf("again: %+v", got)
 				}
 			})
@@ -107,85 +107,85 @@
 	}
 }
 
-func TestClaimEndsByTheDeadline(t *testing.T) {
-	inWorld(t, 1, nil, func(t *testing.T, w *world) {
-		w.machines.Upsert(machinelist.Machine{
+func TestClaimEndsByDeadline(t *testing.T) {
+	withTestEnv(t, 1, nil, func(t *testing.T, env *testEnv) {
+		env.machines.Upsert(machinelist.Machine{
 			ID: "node-2", Address: "10.0.0.9:7103", Zone: "zone-a",
 			Role: machinelist.RoleNode, State: machinelist.StateLive, Incarnation: "1",
 		})
-		w.network.Cut(nodeIP, "10.0.0.9")
-		time.Sleep(settle)
-		got, took := w.queryOnce(t.Context(), "return-1", 50*time.Millisecond)
+		env.network.Cut(nodeIP, "10.0.0.9")
+		time.Sleep(settleTime)
+		got, took := env.queryNonRepeatable(t.Context(), "return-1", 50*time.Millisecond)
 		if got.problem.Execution != "not_run" || took > 100*time.Millisecond {
 			t.Errorf("after %v got %+v", took, got)
 		}
 	})
 }
 
-func TestWindowOfRequestIDsEnds(t *testing.T) {
-	shorten := func(chosen *settings.Settings) { chosen.AtMostOnce.Window = 30 * time.Second }
-	inWorld(t, 1, shorten, func(t *testing.T, w *world) {
-		w.query(t.Context(), "return-1", false, "orders")
+func TestDeduplicationWindowExpires(t *testing.T) {
+	shorten := func(nodeSettings *settings.Settings) { nodeSettings.AtMostOnce.Window = 30 * time.Second }
+	withTestEnv(t, 1, shorten, func(t *testing.T, env *testEnv) {
+		env.query(t.Context(), "return-1", false, "orders")
 		time.Sleep(29 * time.Second)
-		w.query(t.Context(), "return-1", false, "orders")
-		if count := w.executions("return-1"); count != 1 {
+		env.query(t.Context(), "return-1", false, "orders")
+		if count := env.executions("return-1"); count != 1 {
 			t.Errorf("%d executions within the window", count)
 		}
 		time.Sleep(2 * time.Second)
-		w.query(t.Context(), "return-1", false, "orders")
-		if count := w.executions("return-1"); count != 2 {
+		env.query(t.Context(), "return-1", false, "orders")
+		if count := env.executions("return-1"); count != 2 {
 			t.Errorf("%d executions after the window", count)
 		}
 	})
 }
 
-func TestUnknownFateOfNotRepeatableRequestIsLogged(t *testing.T) {
-	inWorld(t, 1, nil, func(t *testing.T, w *world) {
-		w.servers[0].SetFaults(emulator.ServerFaults{CloseAfterShare: 1})
-		got := w.query(t.Context(), "return-1", false, "secret orders")
+func TestUnknownOutcomeOfNonRepeatableRequestIsLogged(t *testing.T) {
+	withTestEnv(t, 1, nil, func(t *testing.T, env *testEnv) {
+		env.servers[0].SetFaults(emulator.ServerFaults{CloseAfterShare: 1})
+		got := env.query(t.Context(), "return-1", false, "secret orders")
 		if got.problem.Execution != "unknown" {
 			t.Errorf("got %+v", got)
 		}
-		if log := w.log.String(); !strings.Contains(log, `"level":"warn","request_id":"return-1"`) || strings.Contains(log, "secret") {
+		if log := env.log.String(); !strings.Contains(log, `"level":"warn","request_id":"return-1"`) || strings.Contains(log, "secret") {
 			t.Errorf("log:\n%s", log)
 		}
-		w.servers[0].SetFaults(emulator.ServerFaults{})
-		if again := w.query(t.Context(), "return-1", false, "secret orders"); again.problem.Execution != "unknown" || w.executions("return-1") != 1 {
-			t.Errorf("asked again: %+v, %d executions", again, w.executions("return-1"))
+		env.servers[0].SetFaults(emulator.ServerFaults{})
+		if again := env.query(t.Context(), "return-1", false, "secret orders"); again.problem.Execution != "unknown" || env.executions("return-1") != 1 {
+			t.Errorf("asked again: %+v, %d executions", again, env.executions("return-1"))
 		}
 	})
 }
 
-func TestForgottenResultIsNotRunAgain(t *testing.T) {
-	keepNone := func(chosen *settings.Settings) { chosen.AtMostOnce.ResultBytes = 0 }
-	inWorld(t, 1, keepNone, func(t *testing.T, w *world) {
-		w.query(t.Context(), "return-1", false, "orders")
-		got := w.query(t.Context(), "return-1", false, "orders")
+func TestRequestWithEvictedResultIsNotRunAgain(t *testing.T) {
+	keepNone := func(nodeSettings *settings.Settings) { nodeSettings.AtMostOnce.ResultBytes = 0 }
+	withTestEnv(t, 1, keepNone, func(t *testing.T, env *testEnv) {
+		env.query(t.Context(), "return-1", false, "orders")
+		got := env.query(t.Context(), "return-1", false, "orders")
 		if got.status != http.StatusConflict || got.problem.Reason != "result_forgotten" || got.problem.Execution != "unknown" {
 			t.Errorf("asked again: %+v", got)
 		}
-		if count := w.executions("return-1"); count != 1 {
+		if count := env.executions("return-1"); count != 1 {
 			t.Errorf("%d executions", count)
 		}
 	})
 }
 
-func TestRequestThatRanNowhereMayComeAgain(t *testing.T) {
-	inWorld(t, 1, nil, func(t *testing.T, w *world) {
-		faults := w.servers[0].Faults()
+func TestRequestThatDidNotRunMayBeRetried(t *testing.T) {
+	withTestEnv(t, 1, nil, func(t *testing.T, env *testEnv) {
+		faults := env.servers[0].Faults()
 		faults.ShedShare = 1
-		w.servers[0].SetFaults(faults)
-		first := w.query(t.Context(), "return-1", false, "orders")
+		env.servers[0].SetFaults(faults)
+		first := env.query(t.Context(), "return-1", false, "orders")
 		if first.problem.Execution != "not_run" {
 			t.Errorf("shed by the only server: %+v", first)
 		}
 		faults.ShedShare = 0
-		w.servers[0].SetFaults(faults)
+		env.servers[0].SetFaults(faults)
 		time.Sleep(time.Second)
-		if second := w.query(t.Context(), "return-1", false, "orders"); second.status != http.StatusOK {
+		if second := env.query(t.Context(), "return-1", false, "orders"); second.status != http.StatusOK {
 			t.Errorf("second try: %+v", second)
 		}
-		if count := w.executions("return-1"); count != 1 {
+		if count := env.executions("return-1"); count != 1 {
 			t.Errorf("%d executions", count)
 		}
 	})
--- a/node/overhead_bench_test.go
+++ b/node/overhead_bench_test.go
@@ -41,8 +41,8 @@
 	next       int
 }
 
-// leanServer answers every sub-request after the service time.
-func leanServer(writer http.ResponseWriter, request *http.Request) {
+// serveSubRequest answers every sub-request after the service time.
+func serveSubRequest(writer http.ResponseWriter, request *http.Request) {
 	if request.URL.Path == backend.HealthPath {
 		_, _ = io.WriteString(writer, `{"state":"ready","incarnation":"1","snapshots":[1]}`)
 		return
@@ -66,11 +66,11 @@
 	b.Helper()
 	fan := &fanOut{bare: backend.NewClient(backend.ClientOptions{}), callers: &http.Client{}}
 	for index := range groups {
-		server := httptest.NewServer(http.HandlerFunc(leanServer))
+		server := httptest.NewServer(http.HandlerFunc(serveSubRequest))
 		b.Cleanup(server.Close)
 		fan.groups = append(fan.groups, policy.Group{
 			Name:  fmt.Sprintf("group-%d", index),
-			Range: coverage.Range{Start: uint64(index * keysEach), End: uint64((index + 1) * keysEach)},
+			Range: coverage.Range{Start: uint64(index * keysPerGroup), End: uint64((index + 1) * keysPerGroup)},
 			Servers: []policy.Server{{
 				ID: serverID(index), Address: server.Listener.Addr().String(), Slots: 100, Connections: 100,
 			}},
@@ -94,7 +94,7 @@
 			Classes: []policy.Class{{Name: "normal", Deadline: 10_000, LongestWait: 1000}},
 			Services: []policy.Service{{
 				Name: service, Groups: f.groups,
-				KeySpace: coverage.Range{Start: 0, End: uint64(len(f.groups) * keysEach)},
+				KeySpace: coverage.Range{Start: 0, End: uint64(len(f.groups) * keysPerGroup)},
 			}},
 		},
 	})
@@ -104,12 +104,12 @@
 	if _, err := memory.Put(b.Context(), policy.StoreKey, record, 0, ""); err != nil {
 		b.Fatal(err)
 	}
-	chosen := settings.Default()
-	chosen.Node = settings.Node{ID: "node-1", Zone: "zone-a"}
-	chosen.Listen = settings.Listen{Caller: "127.0.0.1:0", Operator: "127.0.0.1:0", Peer: "127.0.0.1:0"}
-	chosen.Stop.Grace = 0
+	nodeSettings := settings.Default()
+	nodeSettings.Node = settings.Node{ID: "node-1", Zone: "zone-a"}
+	nodeSettings.Listen = settings.Listen{Caller: "127.0.0.1:0", Operator: "127.0.0.1:0", Peer: "127.0.0.1:0"}
+	nodeSettings.Stop.Grace = 0
 	daemon, err := node.New(node.Options{
-		Settings: chosen, Network: node.NewSystemNetwork(time.Second), Store: memory,
+		Settings: nodeSettings, Network: node.NewSystemNetwork(time.Second), Store: memory,
 		MachineList: machinelist.NewStatic(), Logger: zerolog.Nop(),
 	})
 	if err != nil {
@@ -140,9 +140,9 @@
 	return f.post(f.url)
 }
 
-// throughNothing is the exchange between caller and node alone: the same request
+// exchangeOnly is the exchange between caller and node alone: the same request
 // and answer, which a server gives at once.
-func (f *fanOut) throughNothing() error { return f.post(f.bareURL) }
+func (f *fanOut) exchangeOnly() error { return f.post(f.bareURL) }
 
 func (f *fanOut) post(url string) error {
 	f.next++
@@ -186,14 +186,14 @@
 	return nil
 }
 
-// spent is what one way of asking cost.
-type spent struct {
+// cost is what one way of asking cost.
+type cost struct {
 	durations []time.Duration
 	allocs    uint64
 	bytes     uint64
 }
 
-func (s *spent) measure(b *testing.B, ask func() error) {
+func (s *cost) measure(b *testing.B, ask func() error) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	start := time.Now()
@@ -207,7 +207,7 @@
 	s.bytes += after.TotalAlloc - before.TotalAlloc
 }
 
-func (s *spent) median() time.Duration {
+func (s *cost) median() time.Duration {
 	slices.Sort(s.durations)
 	return s.durations[len(s.durations)/2]
 }
@@ -222,15 +222,15 @@
 		b.Run(strconv.Itoa(groups)+"-groups", func(b *testing.B) {
 			fan := newFanOut(b, groups)
 			for range 20 {
-				new(spent).measure(b, fan.throughBareClient)
-				new(spent).measure(b, fan.throughNode)
-				new(spent).measure(b, fan.throughNothing)
+				new(cost).measure(b, fan.throughBareClient)
+				new(cost).measure(b, fan.throughNode)
+				new(cost).measure(b, fan.exchangeOnly)
 			}
-			var bare, through, exchange spent
+			var bare, through, exchange cost
 			for b.Loop() {
 				bare.measure(b, fan.throughBareClient)
 				through.measure(b, fan.throughNode)
-				exchange.measure(b, fan.throughNothing)
+				exchange.measure(b, fan.exchangeOnly)
 			}
 			report(b, groups, &bare, &through)
 			b.ReportMetric(float64(exchange.median().Microseconds()), "exchange-p50-us")
@@ -238,7 +238,7 @@
 	}
 }
 
-func report(b *testing.B, groups int, bare, through *spent) {
+func report(b *testing.B, groups int, bare, through *cost) {
 	plain, node := bare.median(), through.median()
 	perSend := float64(len(bare.durations) * groups)
 	b.ReportMetric(0, "ns/op")
--- a/node/recorded_internal_test.go
+++ b/node/recorded_internal_test.go
@@ -9,7 +9,7 @@
 	"github.com/banksail/banksail/dispatch"
 )
 
-func TestRecordedOutcomesStayWithinTheirBound(t *testing.T) {
+func TestRecordedOutcomesStayWithinMemoryLimit(t *testing.T) {
 	const body, limit, count = 1000, 10_000, 100
 	outcomes := recordedOutcomes{limit: limit, window: time.Minute}
 	var added []*recordedOutcome
--- a/node/workers_internal_test.go
+++ b/node/workers_internal_test.go
@@ -32,7 +32,7 @@
 
 func (noopDispatcher) Step(_ time.Duration, _ dispatch.Event) []dispatch.Action { return nil }
 
-func TestWorkersRunEveryJobAtOnceAndKeepSomeGoroutines(t *testing.T) {
+func TestWorkersRunJobsImmediatelyAndReuseGoroutines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const jobs = maxIdleWorkers + 10
 		pool := newWorkers()
