--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -24,13 +24,14 @@
 )
 
 const (
-	// clusterNodes outnumber serverConnectionLimit, the connections that each server takes.
+	// clusterNodes exceeds serverConnectionLimit, the number of connections
+	// that each server accepts, so some nodes own no connection to a server.
 	clusterNodes          = 12
 	serverConnectionLimit = 6
 	clusterGroups         = 2
 )
 
-// countingListener records the greatest number of connections open at once.
+// countingListener records the peak number of concurrently open connections.
 type countingListener struct {
 	net.Listener
 	mutex      sync.Mutex
@@ -49,8 +50,8 @@
 	return &countedConn{Conn: conn, listener: l}, nil
 }
 
-// resetPeak forgets connections that are over, such as those of a time in which the
-// nodes did not know each other.
+// resetPeak discards the peak of the start-up phase, in which the nodes do not
+// know each other yet.
 func (l *countingListener) resetPeak() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -78,17 +79,16 @@
 	return c.Conn.Close()
 }
 
-// cluster is more nodes than the servers have connections for.
+// cluster runs more nodes than the servers have connections for.
 type cluster struct {
 	*testEnv
-	nodes     []*clusterNode
-	listeners []*countingListener
-	// nodeCount is the number of nodes.
+	nodes       []*clusterNode
+	listeners   []*countingListener
 	nodeCount   int
 	httpServers []*http.Server
 }
 
-// clusterNode is one of them.
+// clusterNode is one node of a cluster. ended receives the result of Run.
 type clusterNode struct {
 	id, ip string
 	node   *node.Node
@@ -96,8 +96,8 @@
 	ended  chan error
 }
 
-// withCluster runs a test against a crowd whose nodes have the configuration and
-// know each other.
+// withCluster runs a test against a cluster whose nodes have applied the
+// configuration and know each other.
 func withCluster(t *testing.T, run func(t *testing.T, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -120,7 +120,8 @@
 	})
 }
 
-// startLimitedServers starts servers that refuse connections over the limit.
+// startLimitedServers starts servers that reject connections above
+// serverConnectionLimit.
 func (c *cluster) startLimitedServers() {
 	for index := range clusterGroups {
 		server, err := emulator.NewServer(emulator.ServerOptions{
@@ -175,11 +176,12 @@
 	<-n.node.Listening()
 }
 
-// stopNode stops a node as planned, unless it has ended.
+// stopNode performs a planned stop of a node; it is a no-op if the node has
+// ended.
 func (c *cluster) stopNode(n *clusterNode) {
 	n.stop()
 	if err := <-n.ended; err != nil && !errors.Is(err, node.ErrAborted) {
-		c.t.Errorf("%s ended with %v", n.id, err)
+		c.t.Errorf("%s: Run returned %v", n.id, err)
 	}
 	n.ended <- nil
 }
@@ -200,7 +202,7 @@
 	c.network.Close()
 }
 
-// queryNode posts a request to one of the nodes.
+// queryNode sends a request to one node and waits for the response.
 func (c *cluster) queryNode(n *clusterNode, requestID string, repeatable bool) response {
 	return c.queryNodeWithDeadline(c.t.Context(), n, requestID, repeatable, 5*time.Second)
 }
@@ -211,7 +213,8 @@
 	return c.postTo(ctx, n.ip+":7101", document)
 }
 
-// metricLine reads one line of a node's metrics; empty when there is none.
+// metricLine returns the first line of a node's metrics that has the prefix, or
+// "" if there is none.
 func (c *cluster) metricLine(n *clusterNode, prefix string) string {
 	reply, err := c.client.Get("http://" + n.ip + ":7102/metrics")
 	c.check(err)
@@ -247,11 +250,11 @@
 			}
 		}
 		if forwarding == 0 {
-			t.Error("no node forwarded")
+			t.Error("no node forwarded a sub-request")
 		}
 		for index, listener := range c.listeners {
 			if peak := listener.peakConnections(); peak > serverConnectionLimit {
-				t.Errorf("server %d had %d connections, its limit is %d", index, peak, serverConnectionLimit)
+				t.Errorf("server %d had %d open connections, limit is %d", index, peak, serverConnectionLimit)
 			}
 		}
 	})
--- a/node/connections_internal_test.go
+++ b/node/connections_internal_test.go
@@ -16,7 +16,7 @@
 	"github.com/banksail/banksail/store"
 )
 
-// nodeMachine is a node as the machine list names it.
+// nodeMachine returns a node's entry in the machine list.
 func nodeMachine(id, ip string) machinelist.Machine {
 	return machinelist.Machine{
 		ID: id, Address: ip + ":7103", Zone: "zone-a",
@@ -24,7 +24,8 @@
 	}
 }
 
-// startTestNode starts a node on a host of its own.
+// startTestNode starts a node on its own host; stop performs a planned stop and
+// waits for its end.
 func startTestNode(t *testing.T, simNetwork *network.Network, machines machinelist.Conn, id, ip string) (n *Node, stop func()) {
 	t.Helper()
 	process, err := simNetwork.Start(ip)
@@ -68,7 +69,7 @@
 		}}}}})
 		shared := n.connectionLimit(address)
 		if shared <= 1 || shared > limit/2 {
-			t.Errorf("%d of %d connections for one of two nodes", shared, limit)
+			t.Errorf("one of two nodes has %d of %d connections, want 2 to half of them", shared, limit)
 		}
 		stopped := make(chan struct{})
 		go func() {
@@ -77,7 +78,7 @@
 		}()
 		time.Sleep(5 * time.Second)
 		if kept := n.connectionLimit(address); kept != shared {
-			t.Errorf("%d connections while stopping, %d before", kept, shared)
+			t.Errorf("share is %d connections while stopping, want %d as before", kept, shared)
 		}
 		<-stopped
 		stopOther()
--- a/node/drain_internal_test.go
+++ b/node/drain_internal_test.go
@@ -24,12 +24,12 @@
 	for index := range waiting {
 		conn, err := listener.Accept()
 		if err != nil {
-			t.Fatalf("connection %d: %v", index, err)
+			t.Fatalf("accepting pending connection %d: %v", index, err)
 		}
 		_ = conn.Close()
 	}
 	if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("after the last one: %v", err)
+		t.Errorf("Accept after the last pending connection: %v, want net.ErrClosed", err)
 	}
 	if _, err := net.Dial("tcp", socket.Addr().String()); err == nil {
 		t.Error("the listener is still open")
--- a/node/env_test.go
+++ b/node/env_test.go
@@ -35,30 +35,32 @@
 	operatorAddress = nodeIP + ":7102"
 	service         = "catalog"
 	keysPerGroup    = 100
-	// serviceTime is how long a sub-request runs, unless a test straggles it.
+	// serviceTime is the execution time of a sub-request in milliseconds,
+	// unless a test delays the server.
 	serviceTime = 5
 	// deliveryTime is long enough for a request to reach the servers.
 	deliveryTime = 100 * time.Millisecond
-	// settleTime is long enough for a node to read its configuration and servers.
+	// settleTime is long enough for a node to load its configuration and poll
+	// its servers.
 	settleTime = 3 * time.Second
 )
 
-// testEnv is one whole node with its peers in a synctest bubble.
+// testEnv runs one node with its servers, store and machine list in a synctest
+// bubble.
 type testEnv struct {
-	t       *testing.T
-	network *network.Network
-	memory  *store.Memory
-	servers []*emulator.Server
-	node    *node.Node
-	stop    context.CancelFunc
-	ended   chan error
-	client  *http.Client
-	log     *syncBuffer
-	// machines is the machine list.
+	t        *testing.T
+	network  *network.Network
+	memory   *store.Memory
+	servers  []*emulator.Server
+	node     *node.Node
+	stop     context.CancelFunc
+	ended    chan error
+	client   *http.Client
+	log      *syncBuffer
 	machines *machinelist.Static
 }
 
-// syncBuffer is a log that may be read while it grows.
+// syncBuffer is a log buffer that can be read while it is being written.
 type syncBuffer struct {
 	mutex  sync.Mutex
 	buffer bytes.Buffer
@@ -76,8 +78,9 @@
 	return l.buffer.String()
 }
 
-// withTestEnv runs a test against a node that serves groups with one server each
-// and has its configuration in force; without groups there is none.
+// withTestEnv runs a test against a node that serves the given number of
+// groups, with one server each, and has applied its configuration. With zero
+// groups the node has no configuration.
 func withTestEnv(t *testing.T, groups int, change func(*settings.Settings), run func(t *testing.T, env *testEnv)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -173,11 +176,12 @@
 	return &http.Client{Transport: &http.Transport{DialContext: process.DialContext}}
 }
 
-// shutDown stops whatever still runs; the bubble fails the test if a goroutine stays.
+// shutDown stops the node, the servers and the network. The synctest bubble
+// fails the test if a goroutine remains.
 func (env *testEnv) shutDown() {
 	env.stop()
 	if err := <-env.ended; err != nil && !errors.Is(err, node.ErrAborted) {
-		env.t.Errorf("the node ended with %v", err)
+		env.t.Errorf("Run returned %v", err)
 	}
 	env.ended <- nil
 	env.client.CloseIdleConnections()
@@ -194,7 +198,7 @@
 	}
 }
 
-// response is a caller's view of a final answer.
+// response is a final response as a caller receives it.
 type response struct {
 	status  int
 	closes  bool
@@ -203,13 +207,13 @@
 	err     error
 }
 
-// query posts a request and waits for the answer.
+// query sends a request and waits for the response.
 func (env *testEnv) query(ctx context.Context, requestID string, repeatable bool, body string) response {
 	return env.post(ctx, fmt.Sprintf(`{"request_id":%q,"class":"normal","repeatable":%t,"body":%q}`, requestID, repeatable, body))
 }
 
-// queryNonRepeatable posts a request that is not repeatable, with a deadline, and tells
-// how long the answer took.
+// queryNonRepeatable sends a non-repeatable request with a deadline and returns
+// the response and the time until it arrived.
 func (env *testEnv) queryNonRepeatable(ctx context.Context, requestID string, deadline time.Duration) (response, time.Duration) {
 	sent := time.Now()
 	got := env.post(ctx, fmt.Sprintf(`{"request_id":%q,"class":"normal","deadline_ms":%d,"repeatable":false,"body":"orders"}`,
@@ -221,7 +225,7 @@
 	return env.postTo(ctx, callerAddress, document)
 }
 
-// postTo posts a request's document to the node at an address.
+// postTo posts a request document to the node at an address.
 func (env *testEnv) postTo(ctx context.Context, address, document string) response {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost,
 		"http://"+address+"/v1/services/"+service+"/queries", strings.NewReader(document))
@@ -241,7 +245,7 @@
 	return got
 }
 
-// startQuery posts a request in the background.
+// startQuery sends a request in the background and returns after deliveryTime.
 func (env *testEnv) startQuery(ctx context.Context, requestID string, repeatable bool) <-chan response {
 	result := make(chan response, 1)
 	go func() { result <- env.query(ctx, requestID, repeatable, "orders") }()
@@ -249,14 +253,14 @@
 	return result
 }
 
-// delayServer makes every sub-request at a server last the given time.
+// delayServer makes each sub-request at a server take the given time.
 func (env *testEnv) delayServer(index int, duration time.Duration) {
 	faults := env.servers[index].Faults()
 	faults.StraggleFactor = float64(duration/time.Millisecond) / serviceTime
 	env.servers[index].SetFaults(faults)
 }
 
-// executions counts how often the servers began to run parts of a request.
+// executions returns how often servers started to execute parts of a request.
 func (env *testEnv) executions(requestID string) int {
 	count := 0
 	for _, server := range env.servers {
@@ -269,7 +273,7 @@
 	return count
 }
 
-// getOperator reads a path of the operators' listener.
+// getOperator reads a path from the operator listener.
 func (env *testEnv) getOperator(path string) (int, string) {
 	reply, err := env.client.Get("http://" + operatorAddress + path)
 	env.check(err)
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -22,32 +22,37 @@
 	"github.com/banksail/banksail/store"
 )
 
-// The sizes of today's Blue Mahoe.
+// Sizes of the Blue Mahoe deployment.
 const (
 	fleetNodes   = 24
 	fleetServers = 70
-	// fleetGroups have two servers each.
+	// fleetGroups is the number of groups, with two servers each.
 	fleetGroups = fleetServers / 2
-	// fleetSettleTime is long enough for all to know each other and to have read
-	// every server.
+	// fleetSettleTime is long enough for all nodes to know each other and to
+	// have polled every server.
 	fleetSettleTime = 10 * time.Second
-	// drainGrace is the bound on new work for a leaving server.
+	// drainGrace is the time after which a draining server must get no new
+	// requests.
 	drainGrace = 3 * time.Second
 )
 
-// fleet is a crowd of today's size whose servers count their readings.
+// fleet is a cluster of the size of the Blue Mahoe deployment, whose servers
+// count the polls that they receive.
 type fleet struct {
 	*cluster
 	polls *pollCounter
 }
 
-// pollCounter counts the readings of health and load by the reader's IP number.
+// pollCounter counts health and load polls by the IP address of the polling
+// node.
 type pollCounter struct {
 	mutex  sync.Mutex
 	byNode map[string]int
-	// alwaysReadyFor reads that a server is ready whatever it says.
+	// alwaysReadyFor is the IP address of a node to which every server reports
+	// that it is ready, whatever its state.
 	alwaysReadyFor string
-	// byServer holds who reads each server's health, and how often.
+	// byServer counts the health polls of each server by the IP address of the
+	// polling node.
 	byServer map[string]map[string]int
 }
 
@@ -58,7 +63,7 @@
 	c.byServer = make(map[string]map[string]int)
 }
 
-// busiest is the reader with the most readings, and their number.
+// busiest returns the node with the most polls and their number.
 func (c *pollCounter) busiest() (string, int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -71,7 +76,7 @@
 	return name, most
 }
 
-// total is the number of all readings.
+// total returns the number of polls by all nodes.
 func (c *pollCounter) total() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -82,7 +87,8 @@
 	return total
 }
 
-// frequentPollers lists the IP numbers that read a server at least least times.
+// frequentPollers returns the IP addresses that polled a server's health at
+// least the given number of times.
 func (c *pollCounter) frequentPollers(server string, least int) []string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -118,7 +124,7 @@
 	})
 }
 
-// withFleet runs a test against a fleet that is settled.
+// withFleet runs a test against a fleet that has settled.
 func withFleet(t *testing.T, run func(t *testing.T, f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -181,14 +187,16 @@
 	}
 }
 
-// drainInHealthOnly makes only a server's health endpoint say that it leaves.
+// drainInHealthOnly makes a server report that it is draining at its health
+// endpoint only.
 func (f *fleet) drainInHealthOnly(index int) {
 	faults := f.servers[index].Faults()
 	faults.HealthState = backend.HealthDraining
 	f.servers[index].SetFaults(faults)
 }
 
-// expectNoNewRequests asks every node in the list and checks that a server got nothing.
+// expectNoNewRequests sends queries to every given node and checks that a
+// server receives none of their sub-requests.
 func (f *fleet) expectNoNewRequests(index int, nodes []*clusterNode) {
 	f.t.Helper()
 	before := len(f.servers[index].Executions())
@@ -205,7 +213,7 @@
 		asking.Wait()
 	}
 	if after := len(f.servers[index].Executions()); after > before {
-		f.t.Errorf("%d sub-requests reached the leaving server", after-before)
+		f.t.Errorf("%d sub-requests reached the draining server", after-before)
 	}
 }
 
@@ -215,17 +223,18 @@
 		budget := settings.Default().Backend.HealthReadings
 		time.Sleep(span)
 		ip, most := f.polls.busiest()
-		t.Logf("%.1f readings a second a node, %.1f at the busiest",
+		t.Logf("%.1f polls per second per node on average, %.1f by the busiest node",
 			float64(f.polls.total())/span.Seconds()/fleetNodes, float64(most)/span.Seconds())
 		if rate := float64(most) / span.Seconds(); rate > budget {
-			t.Errorf("%s makes %.1f readings a second, the budget is %g", ip, rate, budget)
+			t.Errorf("%s makes %.1f polls per second, budget is %g", ip, rate, budget)
 		}
 	})
 }
 
 func TestDrainReportedOnlyByHealthEndpoint(t *testing.T) {
 	const leaving = 7
-	// Each fault hits readers of the server; it returns those that can't answer.
+	// Each fault affects nodes that poll the server; it returns the nodes that
+	// cannot answer.
 	tests := map[string]func(f *fleet, readers []*clusterNode) []*clusterNode{
 		"all nodes are well": func(*fleet, []*clusterNode) []*clusterNode { return nil },
 		"a reader has vanished": func(f *fleet, readers []*clusterNode) []*clusterNode {
@@ -266,7 +275,8 @@
 	}
 }
 
-// pollersOf waits for and lists the nodes that read a server every interval.
+// pollersOf returns the nodes that poll a server every interval, observed over
+// fleetSettleTime.
 func (f *fleet) pollersOf(index int) []*clusterNode {
 	f.polls.reset()
 	time.Sleep(fleetSettleTime)
@@ -278,7 +288,7 @@
 		}
 	}
 	if len(readers) < membership.ReadersPerServer {
-		f.t.Fatalf("%d nodes read the server every interval", len(readers))
+		f.t.Fatalf("only %d nodes poll the server every interval", len(readers))
 	}
 	return readers
 }
@@ -287,7 +297,7 @@
 	return slices.DeleteFunc(slices.Clone(f.nodes), func(n *clusterNode) bool { return slices.Contains(unavailable, n) })
 }
 
-// reportReadyTo makes a node read that every server is ready.
+// reportReadyTo makes every server report to one node that it is ready.
 func (c *pollCounter) reportReadyTo(ip string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -329,22 +339,23 @@
 		if got.status != http.StatusOK || got.answer.Coverage != 1 {
 			t.Errorf("status %d, coverage %g, %v", got.status, got.answer.Coverage, got.problem)
 		}
-		// Each server is read once, its load with it, and what the budget allows.
+		// One health and one load poll per server, plus the polls that the
+		// budget allows.
 		most := 2*fleetServers + int(span.Seconds()*settings.Default().Backend.HealthReadings)
 		if readings := f.polls.pollsBy(restarted.ip); readings < fleetServers || readings > most {
-			t.Errorf("the fresh node made %d readings, want %d to %d", readings, fleetServers, most)
+			t.Errorf("restarted node made %d polls, want %d to %d", readings, fleetServers, most)
 		}
 	})
 }
 
-// pollsBy is the number of a node's readings.
+// pollsBy returns the number of polls by a node.
 func (c *pollCounter) pollsBy(ip string) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.byNode[ip]
 }
 
-// killHost ends a node's machine.
+// killHost makes a node's host disappear without resetting its connections.
 func (f *fleet) killHost(n *clusterNode) {
 	f.network.Kill(n.ip, network.KillVanish)
 	n.node.Abort()
--- a/node/forward_bench_internal_test.go
+++ b/node/forward_bench_internal_test.go
@@ -16,7 +16,7 @@
 	"github.com/banksail/banksail/peer"
 )
 
-// benchmarkServer answers every sub-request at once.
+// benchmarkServer answers every sub-request immediately.
 func benchmarkServer(writer http.ResponseWriter, request *http.Request) {
 	data, _ := io.ReadAll(request.Body)
 	var asked backend.Request
@@ -28,10 +28,10 @@
 		asked.AttemptID, asked.Snapshot, asked.Range.Start, asked.Range.End, strings.Repeat("x", benchmarkReplyBytes))
 }
 
-// benchmarkReplyBytes is the size of the replies' results.
+// benchmarkReplyBytes is the size of the result in each reply.
 const benchmarkReplyBytes = 1 << 10
 
-// byteCountingWriter counts the bytes of bodies that an owner answers with.
+// byteCountingWriter counts the body bytes of an owner's responses.
 type byteCountingWriter struct {
 	http.ResponseWriter
 	sent *int64
@@ -42,7 +42,7 @@
 	return c.ResponseWriter.Write(data)
 }
 
-// processCPUTime is what the process has used so far, on all cores.
+// processCPUTime returns the CPU time that the process has used on all cores.
 func processCPUTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
@@ -52,9 +52,9 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkForward asks one server on loopback directly and through an owner.
-// Requester, owner and server share the process, so time and allocations are
-// those of all three.
+// BenchmarkForward compares sub-requests sent directly to a server on loopback
+// with sub-requests forwarded through an owner. Requester, owner and server
+// share the process, so the time and allocations include all three.
 func BenchmarkForward(b *testing.B) {
 	server := httptest.NewServer(http.HandlerFunc(benchmarkServer))
 	defer server.Close()
--- a/node/forward_internal_test.go
+++ b/node/forward_internal_test.go
@@ -18,7 +18,8 @@
 	"github.com/banksail/banksail/telemetry"
 )
 
-// scriptedOwner ends every forward with one outcome and counts them.
+// scriptedOwner ends every forward with the same outcome and counts the
+// forwards.
 type scriptedOwner struct {
 	outcome peer.ForwardOutcome
 	calls   atomic.Int32
@@ -44,14 +45,14 @@
 	}
 }
 
-// noDirectClient fails the test when a server is asked directly.
+// noDirectClient fails the test if a server is queried directly.
 type noDirectClient struct {
 	backendClient
 	t testing.TB
 }
 
 func (n noDirectClient) Query(context.Context, string, *backend.Request) (*backend.Reply, error) {
-	n.t.Error("a server was asked directly")
+	n.t.Error("a server was queried directly")
 	return nil, backend.ErrNotDelivered
 }
 
@@ -84,15 +85,15 @@
 			}
 			for index, owner := range scripted {
 				if got := owner.calls.Load(); got != test.calls[index] {
-					t.Errorf("owner %d was asked %d times, want %d", index, got, test.calls[index])
+					t.Errorf("owner %d got %d forwards, want %d", index, got, test.calls[index])
 				}
 			}
 		})
 	}
 }
 
-// startScriptedOwners serves an owner for each outcome; one that is not sent to is
-// not reachable.
+// startScriptedOwners starts one owner per outcome; an owner with the outcome
+// ForwardNotSent is unreachable.
 func startScriptedOwners(t *testing.T, outcomes []peer.ForwardOutcome) ([]membership.Member, []*scriptedOwner) {
 	t.Helper()
 	var members []membership.Member
@@ -126,7 +127,7 @@
 	}
 }
 
-// blockingClient holds every query until its context ends.
+// blockingClient blocks every query until its context ends.
 type blockingClient struct {
 	backendClient
 	started chan struct{}
@@ -167,11 +168,11 @@
 		<-direct.started
 	}
 	if got := served.ForwardQuery(ctx, "server-1", forwardedRequest()); got.Outcome != peer.ForwardBusy {
-		t.Errorf("over the bound: %v", got.Outcome)
+		t.Errorf("above the forward limit: outcome %v, want busy", got.Outcome)
 	}
 	served.close()
 	if got := served.ForwardQuery(ctx, "server-2", forwardedRequest()); got.Outcome != peer.ForwardLeaving {
-		t.Errorf("while stopping: %v", got.Outcome)
+		t.Errorf("while stopping: outcome %v, want leaving", got.Outcome)
 	}
 	waited := make(chan struct{})
 	go func() {
@@ -180,19 +181,19 @@
 	}()
 	select {
 	case <-waited:
-		t.Error("the stop did not wait for forwards")
+		t.Error("wait returned before the forwards ended")
 	default:
 	}
 	cancel()
 	for range connections * maxForwardsPerConnection {
 		if got := <-results; got != peer.ForwardUnknown {
-			t.Errorf("cancelled: %v", got)
+			t.Errorf("cancelled forward: outcome %v, want unknown", got)
 		}
 	}
 	<-waited
 }
 
-// queuedClient have no connection free before the context ends.
+// queuedClient has no free connection before the context ends.
 type queuedClient struct{ backendClient }
 
 func (queuedClient) Query(ctx context.Context, _ string, _ *backend.Request) (*backend.Reply, error) {
@@ -221,11 +222,11 @@
 	forgotten := ""
 	router.closeConnections = func(address string) { forgotten = address }
 	if _, err := router.Query(t.Context(), "10.0.0.9:9000", forwardedRequest()); err != nil || forgotten != "10.0.0.9:9000" {
-		t.Errorf("forgot %q, %v", forgotten, err)
+		t.Errorf("closed connections to %q, error %v", forgotten, err)
 	}
 }
 
-// instantClient answer at once.
+// instantClient replies immediately.
 type instantClient struct{ backendClient }
 
 func (instantClient) Query(context.Context, string, *backend.Request) (*backend.Reply, error) {
--- a/node/forward_test.go
+++ b/node/forward_test.go
@@ -12,12 +12,14 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// serverPlace is a server whose connections the crowd shares.
+// serverPlace returns a server whose connections the nodes of the cluster
+// share.
 func serverPlace(server int) membership.ServerPlace {
 	return membership.ServerPlace{ID: serverID(server), Zone: "zone-a", Limit: serverConnectionLimit}
 }
 
-// members is the table that all nodes of the crowd have.
+// members returns the member table, which is the same on all nodes of the
+// cluster.
 func (c *cluster) members() []membership.Member {
 	var members []membership.Member
 	for index, n := range c.nodes {
@@ -26,7 +28,8 @@
 	return members
 }
 
-// requesterAndOwner returns a node that owns no connection to a server, and its first owner.
+// requesterAndOwner returns a node that owns no connection to a server, and the
+// owner that it tries first.
 func (c *cluster) requesterAndOwner(server int) (requester, owner *clusterNode) {
 	c.t.Helper()
 	members := c.members()
@@ -41,11 +44,11 @@
 			}
 		}
 	}
-	c.t.Fatal("every node is an owner")
+	c.t.Fatal("every node owns a connection to the server")
 	return nil, nil
 }
 
-// killNode ends a node without notice.
+// killNode ends a node without a planned stop and resets its connections.
 func (c *cluster) killNode(n *clusterNode) {
 	c.network.Kill(n.ip, network.KillReset)
 	n.node.Abort()
@@ -53,7 +56,8 @@
 	n.ended <- nil
 }
 
-// startNodeQuery asks in the background and returns once servers run the request.
+// startNodeQuery sends a request in the background and returns once the servers
+// execute it.
 func (c *cluster) startNodeQuery(ctx context.Context, n *clusterNode, requestID string, repeatable bool) <-chan response {
 	result := make(chan response, 1)
 	go func() { result <- c.queryNodeWithDeadline(ctx, n, requestID, repeatable, 10*time.Second) }()
@@ -61,7 +65,8 @@
 	return result
 }
 
-// maxExecutions is the greatest number of times that one server ran a request.
+// maxExecutions returns the highest number of executions of a request by a
+// single server.
 func (c *cluster) maxExecutions(requestID string) int {
 	most := 0
 	for _, server := range c.servers {
@@ -76,12 +81,12 @@
 	return most
 }
 
-// expectUnknown wants an answer that leaves open whether the request ran: as a
-// whole, or at one of the servers.
+// expectUnknown checks that a response leaves open whether the request ran,
+// either entirely ("unknown") or on one of the servers ("partial").
 func expectUnknown(t *testing.T, got response) {
 	t.Helper()
 	if got.status == http.StatusOK || got.problem.Execution != "unknown" && got.problem.Execution != "partial" {
-		t.Errorf("got %d %+v, want an execution that is unknown", got.status, got.problem)
+		t.Errorf("got %d %+v, want an unknown or partial execution", got.status, got.problem)
 	}
 }
 
@@ -91,7 +96,8 @@
 	}
 }
 
-// expectComplete wants a complete answer from every node but some.
+// expectComplete checks that every node gives a complete answer, with the
+// listed exceptions.
 func (c *cluster) expectComplete(name string, but ...*clusterNode) {
 	c.t.Helper()
 	for _, n := range c.nodes {
@@ -110,14 +116,14 @@
 		c.delayAllServers(time.Second)
 		result := c.startNodeQuery(t.Context(), requester, "once", false)
 		if c.maxExecutions("once") != 1 {
-			t.Fatal("the request does not run yet")
+			t.Fatal("no server has started to execute the request")
 		}
 		c.killNode(owner)
 		got := <-result
 		expectUnknown(t, got)
 		time.Sleep(10 * time.Second)
 		if most := c.maxExecutions("once"); most != 1 {
-			t.Errorf("a server ran it %d times", most)
+			t.Errorf("a server executed the request %d times", most)
 		}
 		c.delayAllServers(serviceTime * time.Millisecond)
 		c.expectComplete("later-", owner)
@@ -149,7 +155,7 @@
 		time.Sleep(10 * time.Second)
 		c.expectComplete("thawed-")
 		if most := c.maxExecutions("once"); most > 1 {
-			t.Errorf("a server ran it %d times", most)
+			t.Errorf("a server executed the request %d times", most)
 		}
 	})
 }
@@ -166,7 +172,8 @@
 			close(stopped)
 		}()
 		for round := 0; ; round++ {
-			// The requester has its one place at each server taken.
+			// The requester is excluded: the running query occupies its one
+			// slot at each server.
 			c.expectComplete(fmt.Sprintf("leaving-%d-", round), owner, requester)
 			select {
 			case <-stopped:
@@ -176,7 +183,7 @@
 			break
 		}
 		if got := <-once; got.status != http.StatusOK {
-			t.Errorf("the forward that ran: %d %+v", got.status, got.problem)
+			t.Errorf("forward in flight: %d %+v", got.status, got.problem)
 		}
 		c.expectComplete("gone-", owner)
 	})
@@ -191,13 +198,13 @@
 		faults.Draining = true
 		c.servers[0].SetFaults(faults)
 		if got := <-once; got.status != http.StatusOK {
-			t.Errorf("the forward that ran: %d %+v", got.status, got.problem)
+			t.Errorf("forward in flight: %d %+v", got.status, got.problem)
 		}
 		time.Sleep(settleTime)
 		before := len(c.servers[0].Executions())
 		for round := range 5 {
 			if got := c.queryNode(requester, fmt.Sprintf("after-%d", round), false); got.problem.Execution == "unknown" {
-				t.Errorf("after the drain: %d %+v", got.status, got.problem)
+				t.Errorf("after the drain: %d %+v, want a known execution", got.status, got.problem)
 			}
 		}
 		if sent := len(c.servers[0].Executions()) - before; sent > 0 {
@@ -213,7 +220,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		result := c.startNodeQuery(ctx, requester, "given-up", true)
 		if c.maxExecutions("given-up") == 0 {
-			t.Fatal("the request does not run yet")
+			t.Fatal("no server has started to execute the request")
 		}
 		cancel()
 		<-result
@@ -221,7 +228,7 @@
 		for _, server := range c.servers {
 			for _, execution := range server.Executions() {
 				if execution.RequestID == "given-up" && execution.Outcome != "ended during execution" {
-					t.Errorf("%s: %+v", execution.Server, execution)
+					t.Errorf("%s: execution not cancelled: %+v", execution.Server, execution)
 				}
 			}
 		}
--- a/node/health_internal_test.go
+++ b/node/health_internal_test.go
@@ -12,7 +12,8 @@
 	"github.com/banksail/banksail/backend"
 )
 
-// recordingHealthClient notes when each server's health is read; it answers at once.
+// recordingHealthClient records when each server's health is polled and replies
+// immediately.
 type recordingHealthClient struct {
 	backendClient
 	mutex     sync.Mutex
@@ -57,17 +58,18 @@
 		for address, times := range client.polls {
 			for index := 1; index < len(times); index++ {
 				if pause := times[index].Sub(times[index-1]); pause > longest {
-					t.Errorf("server %s was not read for %v", address, pause)
+					t.Errorf("server %s was not polled for %v", address, pause)
 				}
 			}
 		}
 		if most := int(span/pollTick) + servers; len(client.pollTimes) > most {
-			t.Errorf("%d moments of readings, want at most %d", len(client.pollTimes), most)
+			t.Errorf("polls at %d different times, want at most %d", len(client.pollTimes), most)
 		}
 	})
 }
 
-// newBudgetedPoller is a poller with a budget, of servers of which the first are its duty.
+// newBudgetedPoller returns a poller with a budget. The first servers, as many
+// as duties says, are assigned to it.
 func newBudgetedPoller(client backendClient, servers, duties int, budget float64) *poller {
 	poller := newPoller(pollerOptions{
 		client: client, interval: 1500 * time.Millisecond, timeout: time.Second, concurrency: servers, seed: 1,
@@ -95,9 +97,10 @@
 		span    = 120 * time.Second
 	)
 	tests := map[string]struct {
-		// each runs once a second beside the poller.
+		// each runs once per second concurrently with the poller.
 		each func(p *poller)
-		// wantOthers says whether servers that are no duty are read.
+		// wantOthers reports whether servers that are not assigned should be
+		// polled.
 		wantOthers bool
 	}{
 		"quiet": {func(*poller) {}, true},
@@ -136,14 +139,14 @@
 				time.Sleep(time.Second)
 				total, others := client.countSince(begin, duties)
 				if rate := float64(total) / span.Seconds(); rate > budget {
-					t.Errorf("%.1f readings a second, the budget is %g", rate, budget)
+					t.Errorf("%.1f polls per second, budget is %g", rate, budget)
 				}
 				if (others > 0) != test.wantOthers {
-					t.Errorf("%d readings of servers that are no duty", others)
+					t.Errorf("%d polls of servers that are not assigned", others)
 				}
 				for number := range duties {
 					if read := len(client.polls[fmt.Sprint(number)]); read < int((span+warmUp)/(2*time.Second)) {
-						t.Errorf("server %d, a duty, was read %d times", number, read)
+						t.Errorf("assigned server %d was polled only %d times", number, read)
 					}
 				}
 			})
@@ -151,8 +154,8 @@
 	}
 }
 
-// countSince counts the readings from a time on, and those among them of servers that
-// are no duty.
+// countSince returns the number of polls since a time, and how many of them
+// were of servers that are not assigned.
 func (h *recordingHealthClient) countSince(begin time.Time, duties int) (total, others int) {
 	for address, times := range h.polls {
 		number, _ := strconv.Atoi(address)
@@ -190,7 +193,7 @@
 				soon = soon || !at.Before(asked) && at.Sub(asked) <= 24*recheckSpreadPerNode+pollTick
 			}
 			if !soon {
-				t.Errorf("server %d was not read soon", number)
+				t.Errorf("server %d was not polled within the recheck delay", number)
 			}
 		}
 	})
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -81,16 +81,16 @@
 		}
 		refused := env.query(t.Context(), "late", true, "orders")
 		if refused.problem.Execution != "not_run" || refused.problem.Reason != "stopping" || !refused.closes {
-			t.Errorf("during the stop: %+v", refused)
+			t.Errorf("query during the stop: %+v", refused)
 		}
 		if env.executions("late") != 0 {
-			t.Error("the refused request ran")
+			t.Error("the rejected request was executed")
 		}
 		if got := <-running; got.status != http.StatusOK || !got.answer.Complete || !got.closes {
-			t.Errorf("the running request got %+v", got)
+			t.Errorf("running query got %+v", got)
 		}
 		if err := <-env.ended; err != nil {
-			t.Errorf("the stop ended with %v", err)
+			t.Errorf("Run returned %v", err)
 		}
 		env.ended <- nil
 	})
@@ -140,9 +140,9 @@
 			}
 		}
 		if ran := env.executions("held"); ran < finished {
-			t.Errorf("%d finished, but %d ran", finished, ran)
+			t.Errorf("%d queries finished, but only %d ran", finished, ran)
 		}
-		t.Logf("%d finished, %d refused", finished, refused)
+		t.Logf("%d finished, %d rejected", finished, refused)
 	})
 }
 
@@ -157,10 +157,10 @@
 		err := <-env.ended
 		env.ended <- nil
 		if !errors.Is(err, node.ErrAborted) || time.Since(before) > 2*time.Second {
-			t.Errorf("ended with %v after %v", err, time.Since(before))
+			t.Errorf("Run returned %v after %v", err, time.Since(before))
 		}
 		if got := <-pending; got.err == nil && got.problem.Execution == "not_run" {
-			t.Errorf("the cut request got %+v", got)
+			t.Errorf("interrupted request got %+v", got)
 		}
 		if !strings.Contains(env.log.String(), `"request_ids":["cut-me"]`) {
 			t.Errorf("log:\n%s", env.log)
@@ -199,7 +199,7 @@
 				}
 				again := env.query(t.Context(), "r-1", test.repeatable, "orders")
 				if again.status != http.StatusOK || !again.answer.Complete {
-					t.Errorf("asked again: %+v", again)
+					t.Errorf("second query: %+v", again)
 				}
 			})
 		})
@@ -249,16 +249,16 @@
 		env.putConfiguration(2, without)
 		time.Sleep(2 * time.Second)
 		if got := env.query(t.Context(), "late", true, "orders"); got.status != http.StatusNotFound {
-			t.Errorf("a removed service answered %+v", got)
+			t.Errorf("query for a removed service got %+v", got)
 		}
 		if got := <-running; got.status != http.StatusOK || !got.answer.Complete {
-			t.Errorf("in flight while its service was removed: %+v", got)
+			t.Errorf("query in flight while its service was removed: %+v", got)
 		}
 		env.delayServer(0, serviceTime*time.Millisecond)
 		env.putConfiguration(3, env.configuration(2))
 		time.Sleep(settleTime)
 		if got := env.query(t.Context(), "back", true, "orders"); got.status != http.StatusOK {
-			t.Errorf("a service that came back: %+v", got)
+			t.Errorf("query for the restored service: %+v", got)
 		}
 		if _, text := env.getOperator("/readyz"); text != "ready at revision 3\n" {
 			t.Errorf("readyz: %q", text)
@@ -284,10 +284,10 @@
 		env.delayServer(0, time.Second)
 		first := env.startQuery(t.Context(), "first", true)
 		if got := env.query(t.Context(), "second", true, "orders"); got.problem.Reason != "overload" || got.problem.Execution != "not_run" {
-			t.Errorf("over the bound: %+v", got)
+			t.Errorf("above the limit: %+v", got)
 		}
 		if got := <-first; got.status != http.StatusOK {
-			t.Errorf("within the bound: %+v", got)
+			t.Errorf("within the limit: %+v", got)
 		}
 	})
 }
--- a/node/once_test.go
+++ b/node/once_test.go
@@ -25,7 +25,7 @@
 		}
 		other := env.query(t.Context(), "return-1", false, "other orders")
 		if other.status != http.StatusConflict || other.problem.Field != "request_id" {
-			t.Errorf("other content got %+v", other)
+			t.Errorf("different body with the same ID got %+v", other)
 		}
 		if count := env.executions("return-1"); count != 2 {
 			t.Errorf("%d executions on 2 servers", count)
@@ -61,7 +61,7 @@
 			t.Errorf("after %v got %+v", took, got)
 		}
 		if got := <-first; got.status != http.StatusOK {
-			t.Errorf("the first one got %+v", got)
+			t.Errorf("first request got %+v", got)
 		}
 	})
 }
@@ -72,12 +72,12 @@
 		env.delayServer(0, time.Second)
 		first := env.startQuery(t.Context(), "return-1", false)
 		if got := env.query(t.Context(), "return-1", false, "orders"); got.problem.Execution != "unknown" {
-			t.Errorf("while it runs: %+v", got)
+			t.Errorf("duplicate while the request runs: %+v", got)
 		}
 		<-first
 		holder := env.startQuery(t.Context(), "other", true)
 		if got := env.query(t.Context(), "return-1", false, "orders"); got.problem.Execution != "unknown" {
-			t.Errorf("after it ran: %+v", got)
+			t.Errorf("duplicate after the request ran: %+v", got)
 		}
 		<-holder
 	})
@@ -93,14 +93,14 @@
 		t.Run(name, func(t *testing.T) {
 			withTestEnv(t, 1, nil, func(t *testing.T, env *testEnv) {
 				if got, _ := env.queryNonRepeatable(t.Context(), "return-1", time.Second); got.status != http.StatusOK {
-					t.Errorf("first: %+v", got)
+					t.Errorf("first request: %+v", got)
 				}
 				config := env.configuration(1)
 				change(&config)
 				env.putConfiguration(2, config)
 				time.Sleep(settleTime)
 				if got, _ := env.queryNonRepeatable(t.Context(), "return-1", time.Second); got.status != http.StatusOK && got.problem.Execution != "unknown" {
-					t.Errorf("again: %+v", got)
+					t.Errorf("duplicate after the change: %+v", got)
 				}
 			})
 		})
@@ -151,7 +151,7 @@
 		}
 		env.servers[0].SetFaults(emulator.ServerFaults{})
 		if again := env.query(t.Context(), "return-1", false, "secret orders"); again.problem.Execution != "unknown" || env.executions("return-1") != 1 {
-			t.Errorf("asked again: %+v, %d executions", again, env.executions("return-1"))
+			t.Errorf("duplicate: %+v, %d executions", again, env.executions("return-1"))
 		}
 	})
 }
@@ -162,7 +162,7 @@
 		env.query(t.Context(), "return-1", false, "orders")
 		got := env.query(t.Context(), "return-1", false, "orders")
 		if got.status != http.StatusConflict || got.problem.Reason != "result_forgotten" || got.problem.Execution != "unknown" {
-			t.Errorf("asked again: %+v", got)
+			t.Errorf("duplicate: %+v", got)
 		}
 		if count := env.executions("return-1"); count != 1 {
 			t.Errorf("%d executions", count)
@@ -177,13 +177,13 @@
 		env.servers[0].SetFaults(faults)
 		first := env.query(t.Context(), "return-1", false, "orders")
 		if first.problem.Execution != "not_run" {
-			t.Errorf("shed by the only server: %+v", first)
+			t.Errorf("request shed by the only server: %+v", first)
 		}
 		faults.ShedShare = 0
 		env.servers[0].SetFaults(faults)
 		time.Sleep(time.Second)
 		if second := env.query(t.Context(), "return-1", false, "orders"); second.status != http.StatusOK {
-			t.Errorf("second try: %+v", second)
+			t.Errorf("retry: %+v", second)
 		}
 		if count := env.executions("return-1"); count != 1 {
 			t.Errorf("%d executions", count)
--- a/node/overhead_bench_test.go
+++ b/node/overhead_bench_test.go
@@ -26,22 +26,24 @@
 	"github.com/banksail/banksail/store"
 )
 
-// benchmarkServiceTime is how long each server of the benchmark works.
+// benchmarkServiceTime is the execution time of each sub-request.
 const benchmarkServiceTime = time.Millisecond
 
-// fanOut is a service of one server per group on loopback, with a node before it.
+// fanOut is a service with one server per group on loopback, with a node in
+// front of it.
 type fanOut struct {
 	groups  []policy.Group
 	bare    *backend.Client
 	callers *http.Client
 	url     string
-	// bareURL answers a caller at once with lastAnswer, the node's last one.
+	// bareURL is a server that immediately returns lastAnswer, the node's
+	// latest answer.
 	bareURL    string
 	lastAnswer []byte
 	next       int
 }
 
-// serveSubRequest answers every sub-request after the service time.
+// serveSubRequest answers every sub-request after benchmarkServiceTime.
 func serveSubRequest(writer http.ResponseWriter, request *http.Request) {
 	if request.URL.Path == backend.HealthPath {
 		_, _ = io.WriteString(writer, `{"state":"ready","incarnation":"1","snapshots":[1]}`)
@@ -129,7 +131,7 @@
 	deadline := time.Now().Add(10 * time.Second)
 	for f.throughNode() != nil {
 		if time.Now().After(deadline) {
-			b.Fatal("the node gave no complete answer in time")
+			b.Fatal("node gave no complete answer within 10 s")
 		}
 		runtime.Gosched()
 	}
@@ -140,8 +142,8 @@
 	return f.post(f.url)
 }
 
-// exchangeOnly is the exchange between caller and node alone: the same request
-// and answer, which a server gives at once.
+// exchangeOnly performs only the exchange between caller and node: the same
+// request and answer, returned immediately by a server.
 func (f *fanOut) exchangeOnly() error { return f.post(f.bareURL) }
 
 func (f *fanOut) post(url string) error {
@@ -163,7 +165,8 @@
 	return nil
 }
 
-// throughBareClient sends the same sub-requests at once and waits for all.
+// throughBareClient sends the same sub-requests concurrently with a backend
+// client and waits for all replies.
 func (f *fanOut) throughBareClient() error {
 	f.next++
 	errs := make([]error, len(f.groups))
@@ -186,7 +189,7 @@
 	return nil
 }
 
-// cost is what one way of asking cost.
+// cost accumulates the durations and allocations of one kind of query.
 type cost struct {
 	durations []time.Duration
 	allocs    uint64
@@ -212,11 +215,11 @@
 	return s.durations[len(s.durations)/2]
 }
 
-// BenchmarkOverhead compares one query through a node with the same fan-out by
-// a bare client, in turns within one run. The exchange between caller and node
-// by itself takes its turn too; no node can add less. Allocations are those of the whole
-// process, so the servers' are in both; the difference is the node's and its
-// caller's.
+// BenchmarkOverhead compares a query through a node with the same fan-out by a
+// bare backend client, alternating within one run. It also measures the
+// exchange between caller and node alone, which is a lower bound on what any
+// node adds. Allocations are those of the whole process and include the
+// servers' in both cases; the difference is due to the node and its caller.
 func BenchmarkOverhead(b *testing.B) {
 	for _, groups := range []int{1, 8, 16, 32, 64, 128, 256} {
 		b.Run(strconv.Itoa(groups)+"-groups", func(b *testing.B) {
--- a/node/recorded_internal_test.go
+++ b/node/recorded_internal_test.go
@@ -24,13 +24,13 @@
 		}
 	}
 	if newest := added[count-1]; newest.evicted || len(newest.duplicateResult().Outcome.Parts) != 1 {
-		t.Errorf("the newest is forgotten: %+v", newest)
+		t.Errorf("newest outcome was evicted: %+v", newest)
 	}
 	if oldest := added[0]; !oldest.evicted || oldest.duplicateResult().Outcome.Execution != dispatch.ExecutionUnknown {
-		t.Errorf("the oldest is kept: %+v", oldest)
+		t.Errorf("oldest outcome was not evicted: %+v", oldest)
 	}
 	outcomes.add(time.Hour, caller.Result{})
 	if len(outcomes.withParts) != 1 {
-		t.Errorf("%d outcomes are kept after the window", len(outcomes.withParts))
+		t.Errorf("%d outcomes have parts after the window, want 1", len(outcomes.withParts))
 	}
 }
--- a/node/shard_bench_internal_test.go
+++ b/node/shard_bench_internal_test.go
@@ -15,7 +15,7 @@
 	"github.com/banksail/banksail/telemetry"
 )
 
-// instantSender replies at once, without a network.
+// instantSender replies immediately, without a network.
 type instantSender struct{ body json.RawMessage }
 
 func (i instantSender) sendSubRequest(_ context.Context, outgoing *subRequest) dispatch.Event {
@@ -24,7 +24,7 @@
 	}}
 }
 
-// BenchmarkShard measures the driver and the dispatcher without any network.
+// BenchmarkShard measures a shard and its dispatcher without a network.
 func BenchmarkShard(b *testing.B) {
 	for _, groups := range []int{1, 8, 64, 256} {
 		b.Run(strconv.Itoa(groups)+"-groups", func(b *testing.B) { benchmarkShard(b, groups) })
--- a/node/workers_internal_test.go
+++ b/node/workers_internal_test.go
@@ -11,7 +11,8 @@
 	"github.com/banksail/banksail/telemetry"
 )
 
-// gatedSender counts the sub-requests that run and holds them until the gate opens.
+// gatedSender counts the running sub-requests and blocks them until the gate is
+// closed.
 type gatedSender struct {
 	gate chan struct{}
 
@@ -27,7 +28,7 @@
 	return dispatch.AttemptFailed{Attempt: outgoing.send.Attempt, Delivery: dispatch.NotDelivered}
 }
 
-// noopDispatcher decides nothing.
+// noopDispatcher returns no actions.
 type noopDispatcher struct{}
 
 func (noopDispatcher) Step(_ time.Duration, _ dispatch.Event) []dispatch.Action { return nil }
@@ -54,18 +55,18 @@
 			}
 			synctest.Wait()
 			if held.running != jobs {
-				t.Errorf("%d of %d jobs run", held.running, jobs)
+				t.Errorf("%d of %d jobs are running", held.running, jobs)
 			}
 			close(held.gate)
 			reported.Wait()
 			synctest.Wait()
 			if idle := pool.idle.Load(); idle != maxIdleWorkers {
-				t.Errorf("%d goroutines wait for a job, want %d", idle, maxIdleWorkers)
+				t.Errorf("%d idle goroutines, want %d", idle, maxIdleWorkers)
 			}
 		}
 		pool.close()
 		if idle := pool.idle.Load(); idle != 0 {
-			t.Errorf("%d goroutines wait after the end", idle)
+			t.Errorf("%d idle goroutines after close, want 0", idle)
 		}
 	})
 }
