--- a/gossip/exchanger.go
+++ b/gossip/exchanger.go
@@ -62,7 +62,7 @@
 
 // nextTick returns the time by which tick must be called.
 func (e *exchanger) nextTick() time.Duration {
-	next := e.nodes.Next()
+	next := e.nodes.NextTick()
 	for _, request := range e.pending {
 		next = min(next, request.deadline)
 	}
--- a/membership/connections.go
+++ b/membership/connections.go
@@ -36,8 +36,8 @@
 	return limit - reserved
 }
 
-// ServerPlace names a server whose connections are shared out.
-type ServerPlace struct {
+// ServerSpec names a server whose connections are shared out.
+type ServerSpec struct {
 	ID   string
 	Zone string
 	// Limit is the number of connections that the server accepts in all.
@@ -54,7 +54,7 @@
 // ShareableConnections divided by the size of its own view, rounded up, so N
 // nodes that each miss at most M others hold at most N times that quotient at
 // N-M together, as long as N is at most ShareableConnections.
-func OwnerShare(self string, server ServerPlace, nodes []Member) Share {
+func OwnerShare(self string, server ServerSpec, nodes []Member) Share {
 	return ShareOf(self, Owners(server, nodes))
 }
 
@@ -77,7 +77,7 @@
 // Owners returns the nodes that hold connections to a server with their
 // shares, in rendezvous order. All nodes do while the connections suffice;
 // otherwise a few do, those in the server's zone first.
-func Owners(server ServerPlace, nodes []Member) []Owner {
+func Owners(server ServerSpec, nodes []Member) []Owner {
 	if server.Limit < 1 || len(nodes) == 0 {
 		return nil
 	}
@@ -128,7 +128,7 @@
 // rankZoneFirst returns the first count nodes in rendezvous order, those of the
 // server's zone before all others. The others are ranked only when the zone
 // has too few.
-func rankZoneFirst(server ServerPlace, nodes []Member, count int) []string {
+func rankZoneFirst(server ServerSpec, nodes []Member, count int) []string {
 	ranked := rank(server, nodes, count, func(zone string) bool { return zone == server.Zone })
 	if len(ranked) < count {
 		others := func(zone string) bool { return zone != server.Zone }
@@ -152,7 +152,7 @@
 
 // rank returns the first count nodes of the wanted zones by their rendezvous
 // weight for the server.
-func rank(server ServerPlace, nodes []Member, count int, wanted func(zone string) bool) []string {
+func rank(server ServerSpec, nodes []Member, count int, wanted func(zone string) bool) []string {
 	first := make([]weighted, 0, count+1)
 	for index := range nodes {
 		node := &nodes[index]
--- a/membership/connections_test.go
+++ b/membership/connections_test.go
@@ -20,7 +20,7 @@
 	return nodes
 }
 
-func shares(place membership.ServerPlace, nodes []membership.Member) map[string]int {
+func shares(place membership.ServerSpec, nodes []membership.Member) map[string]int {
 	held := make(map[string]int)
 	for _, node := range nodes {
 		held[node.ID] = membership.OwnerShare(node.ID, place, nodes).Maximum
@@ -36,8 +36,8 @@
 	return total
 }
 
-func place(server, limit int) membership.ServerPlace {
-	return membership.ServerPlace{ID: fmt.Sprintf("server-%d", server), Zone: gossiptest.ZoneOf(server), Limit: limit}
+func place(server, limit int) membership.ServerSpec {
+	return membership.ServerSpec{ID: fmt.Sprintf("server-%d", server), Zone: gossiptest.ZoneOf(server), Limit: limit}
 }
 
 func TestOwnerShareProperties(t *testing.T) {
--- a/membership/example_test.go
+++ b/membership/example_test.go
@@ -61,7 +61,7 @@
 		{ID: "node-2", Zone: "b", State: membership.Live},
 		{ID: "node-3", Zone: "c", State: membership.Live},
 	}
-	server := membership.ServerPlace{ID: "search-1", Zone: "a", Limit: 70}
+	server := membership.ServerSpec{ID: "search-1", Zone: "a", Limit: 70}
 	sum := 0
 	for _, node := range nodes {
 		share := membership.OwnerShare(node.ID, server, nodes)
--- a/membership/findings.go
+++ b/membership/findings.go
@@ -50,9 +50,9 @@
 // HasFindings reports whether findings wait.
 func (s *Servers) HasFindings() bool { return len(s.findings) > 0 }
 
-// TakeDoubts returns the servers of which other nodes told news since the last
+// TakeUnverified returns the servers of which other nodes told news since the last
 // call. Their own word decides, so each is to be read.
-func (s *Servers) TakeDoubts() []string {
+func (s *Servers) TakeUnverified() []string {
 	doubts := s.doubts
 	s.doubts = nil
 	return doubts
--- a/membership/findings_test.go
+++ b/membership/findings_test.go
@@ -144,7 +144,7 @@
 			if got := servers.State(server); got != test.want {
 				t.Errorf("the server is %v, want %v", got, test.want)
 			}
-			if doubts := servers.TakeDoubts(); slices.Contains(doubts, server) != test.doubted {
+			if doubts := servers.TakeUnverified(); slices.Contains(doubts, server) != test.doubted {
 				t.Errorf("servers to read: %v", doubts)
 			}
 		})
@@ -154,7 +154,7 @@
 func TestReadersChangeOnlyForTheNodeThatFails(t *testing.T) {
 	nodes := nodesNamed(24)
 	for number := range 70 {
-		place := membership.ServerPlace{ID: gossiptest.NodeID(1000 + number), Zone: "z1", Limit: 70}
+		place := membership.ServerSpec{ID: gossiptest.NodeID(1000 + number), Zone: "z1", Limit: 70}
 		owners := membership.Owners(place, nodes)
 		all := membership.Readers(owners, func(string) bool { return true })
 		if len(all) != membership.ReadersPerServer {
@@ -183,7 +183,7 @@
 	}
 	for others := range 200 {
 		const duties = 9
-		gap, pause := budget.Others(duties, others)
+		gap, pause := budget.OtherIntervals(duties, others)
 		if others == 0 {
 			continue
 		}
--- a/membership/forward.go
+++ b/membership/forward.go
@@ -12,7 +12,7 @@
 // zone, and among equals by the requester's own rendezvous order, so that the
 // requesters spread over the owners. Owners that are not live are left out, and
 // so is the requester. The nodes are those that OwnerShare is given.
-func ForwardOwners(requester Member, server ServerPlace, nodes []Member) []Member {
+func ForwardOwners(requester Member, server ServerSpec, nodes []Member) []Member {
 	byID := make(map[string]*Member, OwnersPerServer)
 	owners := Owners(server, nodes)
 	for _, owner := range owners {
--- a/membership/forward_test.go
+++ b/membership/forward_test.go
@@ -7,7 +7,7 @@
 	"github.com/banksail/banksail/membership"
 )
 
-func ownersOf(server membership.ServerPlace, nodes []membership.Member) []string {
+func ownersOf(server membership.ServerSpec, nodes []membership.Member) []string {
 	var ids []string
 	for _, owner := range membership.Owners(server, nodes) {
 		ids = append(ids, owner.ID)
--- a/membership/gossiptest/gossiptest.go
+++ b/membership/gossiptest/gossiptest.go
@@ -74,11 +74,11 @@
 
 // New starts a number of nodes that know nobody.
 func New(size int, seed uint64) *Simulation {
-	return NewWithTombstones(size, seed, 0)
+	return NewWithTombstoneTime(size, seed, 0)
 }
 
-// NewWithTombstones does so with another time for which gone members are remembered.
-func NewWithTombstones(size int, seed uint64, tombstoneTime time.Duration) *Simulation {
+// NewWithTombstoneTime does so with another time for which gone members are remembered.
+func NewWithTombstoneTime(size int, seed uint64, tombstoneTime time.Duration) *Simulation {
 	s := &Simulation{
 		events:        priority.NewQueue(earlier, nil),
 		Random:        rand.New(rand.NewPCG(seed, 1)),
@@ -97,8 +97,8 @@
 // NodeID is the ID of the node at an index.
 func NodeID(index int) string { return fmt.Sprintf("node-%04d", index) }
 
-// Listed is the machine list's entry of the node at an index.
-func Listed(index int) membership.ListedNode {
+// ListEntryOf is the machine list's entry of the node at an index.
+func ListEntryOf(index int) membership.ListedNode {
 	return membership.ListedNode{ID: NodeID(index), Address: AddressOf(index), Zone: ZoneOf(index)}
 }
 
@@ -128,20 +128,20 @@
 	s.scheduleTick(node, 0)
 }
 
-// List gives every node the machine list.
-func (s *Simulation) List(nodes ...membership.ListedNode) {
+// SetMachineList gives every node the machine list.
+func (s *Simulation) SetMachineList(nodes ...membership.ListedNode) {
 	for _, node := range s.Nodes {
 		node.Core.ObserveList(nodes)
 	}
 }
 
-// ListAll gives every node a machine list that names all of them.
-func (s *Simulation) ListAll() {
+// ListAllNodes gives every node a machine list that names all of them.
+func (s *Simulation) ListAllNodes() {
 	var nodes []membership.ListedNode
 	for i := range s.Nodes {
-		nodes = append(nodes, Listed(i))
+		nodes = append(nodes, ListEntryOf(i))
 	}
-	s.List(nodes...)
+	s.SetMachineList(nodes...)
 }
 
 func (s *Simulation) after(delay time.Duration, run func()) {
@@ -197,7 +197,7 @@
 		}
 		s.onNode(node, func() {
 			s.send(node, node.Core.Tick(s.Now))
-			s.scheduleTick(node, min(max(0, node.Core.Next()-s.Now), 500*time.Millisecond))
+			s.scheduleTick(node, min(max(0, node.Core.NextTick()-s.Now), 500*time.Millisecond))
 		})
 	})
 }
@@ -311,8 +311,8 @@
 	})
 }
 
-// AllSee tells whether each of the observers sees each of the subjects in a state.
-func AllSee(observers, subjects []*Node, state membership.State) bool {
+// AllSeeState tells whether each of the observers sees each of the subjects in a state.
+func AllSeeState(observers, subjects []*Node, state membership.State) bool {
 	for _, observer := range observers {
 		for _, subject := range subjects {
 			if observer == subject {
@@ -327,8 +327,8 @@
 	return true
 }
 
-// Sees gives an observer's state of a subject; zero when it is unknown.
-func Sees(observer, subject *Node) membership.State {
+// StateSeen gives an observer's state of a subject; zero when it is unknown.
+func StateSeen(observer, subject *Node) membership.State {
 	known, _ := observer.Core.Lookup(subject.ID)
 	return known.State
 }
--- a/membership/news.go
+++ b/membership/news.go
@@ -7,15 +7,15 @@
 // A member that is new or gone spreads with the probes: nobody waits for the one, and
 // all who heard the suspicion find the other by themselves.
 func (n *Nodes) planNews(now time.Duration, before, after Member) {
-	if n.options.NewsFanout == 0 {
+	if n.options.AnnouncementFanout == 0 {
 		return
 	}
 	if after.State == Suspect || after.State == Leaving || (after.State == Live && before.State == Suspect) {
-		n.nextNews = min(n.nextNews, now+n.options.NewsDelay)
+		n.nextNews = min(n.nextNews, now+n.options.AnnouncementDelay)
 	}
 }
 
 // tellNews sends the newest updates to a few members.
 func (n *Nodes) tellNews() []Request {
-	return n.announceTo(n.options.NewsFanout)
+	return n.announceTo(n.options.AnnouncementFanout)
 }
--- a/membership/nodes.go
+++ b/membership/nodes.go
@@ -25,7 +25,7 @@
 
 // Nodes is the failure detector and member table of one node.
 //
-// The owner calls Tick no later than Next says, sends the requests that it
+// The owner calls Tick no later than NextTick says, sends the requests that it
 // gets, and hands in results and what other nodes send.
 type Nodes struct {
 	options NodesOptions
@@ -202,10 +202,10 @@
 // maximumInquiries bounds the members that an inquiry asks.
 const maximumInquiries = 64
 
-// Inquire returns requests to live members whose configuration is not known to
+// RequestRevisions returns requests to live members whose configuration is not known to
 // be as new as the revision; their replies tell the one in force there. It asks
 // a bounded number, at random.
-func (n *Nodes) Inquire(revision policy.Revision) []Request {
+func (n *Nodes) RequestRevisions(revision policy.Revision) []Request {
 	targets := n.pick(maximumInquiries, func(m Member) bool {
 		return m.State <= Suspect && m.Revision < revision
 	})
--- a/membership/nodes_test.go
+++ b/membership/nodes_test.go
@@ -15,8 +15,8 @@
 func joined(t testing.TB, size int, seed uint64) *gossiptest.Simulation {
 	t.Helper()
 	s := gossiptest.New(size, seed)
-	s.ListAll()
-	if _, ok := s.RunUntilTrue(2*time.Minute, func() bool { return gossiptest.AllSee(s.Nodes, s.Nodes, membership.Live) }); !ok {
+	s.ListAllNodes()
+	if _, ok := s.RunUntilTrue(2*time.Minute, func() bool { return gossiptest.AllSeeState(s.Nodes, s.Nodes, membership.Live) }); !ok {
 		t.Fatal("the nodes did not join")
 	}
 	return s
@@ -28,7 +28,7 @@
 	for end := s.Now + during; s.Now < end; s.RunUntil(s.Now + 100*time.Millisecond) {
 		for _, observer := range observers {
 			for _, subject := range subjects {
-				if gossiptest.Sees(observer, subject) == membership.Gone {
+				if gossiptest.StateSeen(observer, subject) == membership.Gone {
 					t.Fatalf("%s is taken for gone", gossiptest.NodeID(subject.Index))
 				}
 			}
@@ -48,9 +48,9 @@
 	s.Nodes[3].Alive = false
 	survivors := append(s.Nodes[:3:3], s.Nodes[4:]...)
 	eventually(t, s, 30*time.Second, "every survivor sees the node as gone", func() bool {
-		return gossiptest.AllSee(survivors, s.Nodes[3:4], membership.Gone)
+		return gossiptest.AllSeeState(survivors, s.Nodes[3:4], membership.Gone)
 	})
-	if !gossiptest.AllSee(survivors, survivors, membership.Live) {
+	if !gossiptest.AllSeeState(survivors, survivors, membership.Live) {
 		t.Fatal("a survivor is not seen as live")
 	}
 }
@@ -60,10 +60,10 @@
 	frozen := s.Nodes[5]
 	frozen.FrozenUntil = s.Now + 5*time.Second
 	eventually(t, s, 5*time.Second, "somebody suspects the node", func() bool {
-		return gossiptest.Sees(s.Nodes[0], frozen) == membership.Suspect
+		return gossiptest.StateSeen(s.Nodes[0], frozen) == membership.Suspect
 	})
 	neverGone(t, s, 30*time.Second, s.Nodes, []*gossiptest.Node{frozen})
-	if !gossiptest.AllSee(s.Nodes, s.Nodes, membership.Live) {
+	if !gossiptest.AllSeeState(s.Nodes, s.Nodes, membership.Live) {
 		t.Fatal("the nodes do not see each other as live again")
 	}
 }
@@ -73,12 +73,12 @@
 	frozen := s.Nodes[5]
 	frozen.FrozenUntil = s.Now + 2*time.Minute
 	s.RunUntil(frozen.FrozenUntil)
-	if gossiptest.Sees(s.Nodes[0], frozen) != membership.Gone {
+	if gossiptest.StateSeen(s.Nodes[0], frozen) != membership.Gone {
 		t.Fatal("the frozen node is not gone")
 	}
 	neverGone(t, s, 30*time.Second, []*gossiptest.Node{frozen}, append(s.Nodes[:5:5], s.Nodes[6:]...))
 	eventually(t, s, 30*time.Second, "all see each other as live", func() bool {
-		return gossiptest.AllSee(s.Nodes, s.Nodes, membership.Live)
+		return gossiptest.AllSeeState(s.Nodes, s.Nodes, membership.Live)
 	})
 }
 
@@ -93,10 +93,10 @@
 	s.Blocked = func(_, to *gossiptest.Node) bool { return to.Index == 1 }
 	others := append(s.Nodes[:1:1], s.Nodes[2:]...)
 	neverGone(t, s, 3*time.Minute, others, others)
-	if !gossiptest.AllSee(others, s.Nodes[1:2], membership.Gone) {
+	if !gossiptest.AllSeeState(others, s.Nodes[1:2], membership.Gone) {
 		t.Fatal("the deaf node is not gone")
 	}
-	if !gossiptest.AllSee(others, others, membership.Live) {
+	if !gossiptest.AllSeeState(others, others, membership.Live) {
 		t.Fatal("the others do not see each other as live")
 	}
 }
@@ -106,28 +106,28 @@
 	half := testSize / 2
 	s.Blocked = func(from, to *gossiptest.Node) bool { return (from.Index < half) != (to.Index < half) }
 	s.RunUntil(s.Now + time.Hour)
-	if !gossiptest.AllSee(s.Nodes[:half], s.Nodes[half:], membership.Gone) || !gossiptest.AllSee(s.Nodes[:half], s.Nodes[:half], membership.Live) {
+	if !gossiptest.AllSeeState(s.Nodes[:half], s.Nodes[half:], membership.Gone) || !gossiptest.AllSeeState(s.Nodes[:half], s.Nodes[:half], membership.Live) {
 		t.Fatal("a side does not see the other one as gone and itself as live")
 	}
 	s.Blocked = func(_, _ *gossiptest.Node) bool { return false }
 	neverGone(t, s, time.Minute, s.Nodes[:half], s.Nodes[:half])
 	eventually(t, s, 2*time.Minute, "all see each other as live", func() bool {
-		return gossiptest.AllSee(s.Nodes, s.Nodes, membership.Live)
+		return gossiptest.AllSeeState(s.Nodes, s.Nodes, membership.Live)
 	})
 }
 
 func TestMachineListLies(t *testing.T) {
 	s := gossiptest.New(8, 6)
 	dead := membership.ListedNode{ID: "dead", Address: "10.0.3.1:7300", Zone: "zone-0"}
-	s.List(dead, gossiptest.Listed(0), gossiptest.Listed(1))
+	s.SetMachineList(dead, gossiptest.ListEntryOf(0), gossiptest.ListEntryOf(1))
 	eventually(t, s, time.Minute, "nodes that the list lacks are known", func() bool {
-		return gossiptest.AllSee(s.Nodes, s.Nodes, membership.Live)
+		return gossiptest.AllSeeState(s.Nodes, s.Nodes, membership.Live)
 	})
-	s.List(dead)
+	s.SetMachineList(dead)
 	s.RunUntil(s.Now + time.Minute)
-	s.List()
+	s.SetMachineList()
 	s.RunUntil(s.Now + time.Minute)
-	if !gossiptest.AllSee(s.Nodes, s.Nodes, membership.Live) {
+	if !gossiptest.AllSeeState(s.Nodes, s.Nodes, membership.Live) {
 		t.Fatal("the list removed a member")
 	}
 	if _, known := s.Nodes[0].Core.Lookup("dead"); known {
@@ -141,11 +141,11 @@
 			s := joined(t, testSize, 7)
 			for life := range uint64(2) {
 				s.Start(s.Nodes[4], 70+life, incarnation)
-				s.Nodes[4].Core.ObserveList([]membership.ListedNode{gossiptest.Listed(0), gossiptest.Listed(1)})
+				s.Nodes[4].Core.ObserveList([]membership.ListedNode{gossiptest.ListEntryOf(0), gossiptest.ListEntryOf(1)})
 				s.RunUntil(s.Now + 2*time.Second)
 			}
 			eventually(t, s, time.Minute, "all see the new life as live", func() bool {
-				return gossiptest.AllSee(s.Nodes, s.Nodes, membership.Live) && sameIncarnation(s, 4)
+				return gossiptest.AllSeeState(s.Nodes, s.Nodes, membership.Live) && sameIncarnation(s, 4)
 			})
 		})
 	}
@@ -169,7 +169,7 @@
 		s.RunUntil(s.Now + 4*time.Second)
 	}
 	eventually(t, s, time.Minute, "all see each other as live", func() bool {
-		return gossiptest.AllSee(s.Nodes, s.Nodes, membership.Live)
+		return gossiptest.AllSeeState(s.Nodes, s.Nodes, membership.Live)
 	})
 }
 
@@ -180,9 +180,9 @@
 		node.Alive = false
 	}
 	eventually(t, s, time.Minute, "the rest see the dead as gone", func() bool {
-		return gossiptest.AllSee(s.Nodes[:half], s.Nodes[half:], membership.Gone)
+		return gossiptest.AllSeeState(s.Nodes[:half], s.Nodes[half:], membership.Gone)
 	})
-	if !gossiptest.AllSee(s.Nodes[:half], s.Nodes[:half], membership.Live) {
+	if !gossiptest.AllSeeState(s.Nodes[:half], s.Nodes[:half], membership.Live) {
 		t.Fatal("a survivor is not seen as live")
 	}
 }
@@ -208,20 +208,20 @@
 
 func TestTombstonesAreForgottenUnlessListed(t *testing.T) {
 	const tombstoneTime = 5 * time.Minute
-	s := gossiptest.NewWithTombstones(6, 11, tombstoneTime)
-	s.ListAll()
+	s := gossiptest.NewWithTombstoneTime(6, 11, tombstoneTime)
+	s.ListAllNodes()
 	s.RunUntil(time.Minute)
 	s.Nodes[5].Alive = false
 	s.RunUntil(s.Now + 2*tombstoneTime)
-	if gossiptest.Sees(s.Nodes[0], s.Nodes[5]) != membership.Gone {
+	if gossiptest.StateSeen(s.Nodes[0], s.Nodes[5]) != membership.Gone {
 		t.Fatal("a gone member that the list names is forgotten")
 	}
-	s.List()
+	s.SetMachineList()
 	s.RunUntil(s.Now + 2*tombstoneTime)
-	if gossiptest.Sees(s.Nodes[0], s.Nodes[5]) != membership.Gone {
+	if gossiptest.StateSeen(s.Nodes[0], s.Nodes[5]) != membership.Gone {
 		t.Fatal("an empty list made a node forget a gone member")
 	}
-	s.List(gossiptest.Listed(0), gossiptest.Listed(1))
+	s.SetMachineList(gossiptest.ListEntryOf(0), gossiptest.ListEntryOf(1))
 	s.RunUntil(s.Now + 2*tombstoneTime)
 	if _, known := s.Nodes[0].Core.Lookup(gossiptest.NodeID(5)); known {
 		t.Fatal("a tombstone stays for ever")
@@ -232,7 +232,7 @@
 	s := joined(t, 2, 12)
 	s.Nodes[1].Alive = false
 	eventually(t, s, 30*time.Second, "the survivor sees the node as gone", func() bool {
-		return gossiptest.Sees(s.Nodes[0], s.Nodes[1]) == membership.Gone
+		return gossiptest.StateSeen(s.Nodes[0], s.Nodes[1]) == membership.Gone
 	})
 }
 
@@ -249,7 +249,7 @@
 	twin := &gossiptest.Node{Index: len(s.Nodes), ID: gossiptest.NodeID(3)}
 	s.Nodes = append(s.Nodes, twin)
 	s.StartAs(twin, gossiptest.NodeID(3), 17, 2)
-	s.ListAll()
+	s.ListAllNodes()
 	others := append(s.Nodes[4:testSize:testSize], s.Nodes[:3]...)
 	before := meanBytes(s)
 	const during = 2 * time.Minute
--- a/membership/options.go
+++ b/membership/options.go
@@ -62,12 +62,12 @@
 	TombstoneTime time.Duration
 	// LeavingTime is how long a leaving member may take to go.
 	LeavingTime time.Duration
-	// NewsFanout is the number of members that are told at once of a suspicion, its
+	// AnnouncementFanout is the number of members that are told at once of a suspicion, its
 	// refutation or a leaving that the node has just learned. Zero is none: then such
 	// news spreads with the probes alone, which takes several probe intervals.
-	NewsFanout int
-	// NewsDelay is how long news is gathered before it is told.
-	NewsDelay time.Duration
+	AnnouncementFanout int
+	// AnnouncementDelay is how long news is gathered before it is told.
+	AnnouncementDelay time.Duration
 	// IsolationTime is the time without any reply after which a node takes itself for
 	// cut off: what it found of others since the last reply is void once a reply comes.
 	// Zero is never.
--- a/membership/readings.go
+++ b/membership/readings.go
@@ -38,9 +38,9 @@
 	return b.Rate == 0 || b.DutyRate(servers) <= b.Rate
 }
 
-// Others returns the pace of the servers that are not duties: the mean time
+// OtherIntervals returns the pace of the servers that are not duties: the mean time
 // between two readings, and between two readings of one server.
-func (b ReadingBudget) Others(duties, others int) (gap, pause time.Duration) {
+func (b ReadingBudget) OtherIntervals(duties, others int) (gap, pause time.Duration) {
 	if b.Rate == 0 || others == 0 {
 		return 0, b.Interval
 	}
--- a/membership/scale_bench_test.go
+++ b/membership/scale_bench_test.go
@@ -25,8 +25,8 @@
 
 func measureNodes(b *testing.B, size int) {
 	s := gossiptest.New(size, 1)
-	s.ListAll()
-	join, ok := s.RunUntilTrue(5*time.Minute, func() bool { return gossiptest.AllSee(s.Nodes, s.Nodes, membership.Live) })
+	s.ListAllNodes()
+	join, ok := s.RunUntilTrue(5*time.Minute, func() bool { return gossiptest.AllSeeState(s.Nodes, s.Nodes, membership.Live) })
 	if !ok {
 		b.Fatal("the nodes did not join")
 	}
@@ -57,13 +57,13 @@
 	victim.Alive = false
 	survivors := append(s.Nodes[:size/2:size/2], s.Nodes[size/2+1:]...)
 	first, ok := s.RunUntilTrue(5*time.Minute, func() bool {
-		return !gossiptest.AllSee(survivors, []*gossiptest.Node{victim}, membership.Live)
+		return !gossiptest.AllSeeState(survivors, []*gossiptest.Node{victim}, membership.Live)
 	})
 	if !ok {
 		b.Fatal("nobody suspects the killed node")
 	}
 	all, ok := s.RunUntilTrue(5*time.Minute, func() bool {
-		return gossiptest.AllSee(survivors, []*gossiptest.Node{victim}, membership.Gone)
+		return gossiptest.AllSeeState(survivors, []*gossiptest.Node{victim}, membership.Gone)
 	})
 	if !ok {
 		b.Fatal("the killed node is not seen as gone")
--- a/membership/servers.go
+++ b/membership/servers.go
@@ -7,10 +7,10 @@
 
 // Defaults of ServersOptions.
 const (
-	DefaultSuspectFailures = 3
-	DefaultGoneAfter       = 30 * time.Second
-	DefaultAbandonAfter    = 10 * time.Minute
-	DefaultServerLeaving   = 11 * time.Minute
+	DefaultSuspectFailures     = 3
+	DefaultUnlistedGoneTimeout = 30 * time.Second
+	DefaultListedGoneTimeout   = 10 * time.Minute
+	DefaultServerLeavingTime   = 11 * time.Minute
 )
 
 // Bounds of the table of servers.
@@ -27,11 +27,11 @@
 	// SuspectFailures is the number of connect failures in a row that make a
 	// server suspect.
 	SuspectFailures int
-	// GoneAfter is how long a server that the machine list doesn't name may
+	// UnlistedGoneTimeout is how long a server that the machine list doesn't name may
 	// be unreachable before it counts as gone.
-	GoneAfter time.Duration
-	// AbandonAfter is the same bound for a server that the list still names.
-	AbandonAfter time.Duration
+	UnlistedGoneTimeout time.Duration
+	// ListedGoneTimeout is the same bound for a server that the list still names.
+	ListedGoneTimeout time.Duration
 	// LeavingTime is how long a leaving server may take to end its work in
 	// flight; it must exceed the longest deadline of a request. Until then not
 	// even a failure to connect makes it gone, as a server that ends its work
@@ -41,9 +41,9 @@
 
 func (o ServersOptions) withDefaults() ServersOptions {
 	setDefault(&o.SuspectFailures, DefaultSuspectFailures)
-	setDefault(&o.GoneAfter, DefaultGoneAfter)
-	setDefault(&o.AbandonAfter, DefaultAbandonAfter)
-	setDefault(&o.LeavingTime, DefaultServerLeaving)
+	setDefault(&o.UnlistedGoneTimeout, DefaultUnlistedGoneTimeout)
+	setDefault(&o.ListedGoneTimeout, DefaultListedGoneTimeout)
+	setDefault(&o.LeavingTime, DefaultServerLeavingTime)
 	return o
 }
 
@@ -343,7 +343,7 @@
 
 func (s *Servers) patience(known *serverEntry) time.Duration {
 	if known.listed {
-		return s.options.AbandonAfter
+		return s.options.ListedGoneTimeout
 	}
-	return s.options.GoneAfter
+	return s.options.UnlistedGoneTimeout
 }
--- a/membership/tick.go
+++ b/membership/tick.go
@@ -22,8 +22,8 @@
 // two ticks is taken for a pause of the process itself.
 const pauseIntervals = 3
 
-// Next tells when Tick must be called at the latest.
-func (n *Nodes) Next() time.Duration {
+// NextTick tells when Tick must be called at the latest.
+func (n *Nodes) NextTick() time.Duration {
 	return min(n.nextProbe, n.nextReconnect, n.nextSync, n.nextExpiry, n.nextNews)
 }
 
--- a/node/configuration.go
+++ b/node/configuration.go
@@ -25,7 +25,7 @@
 	address string
 	// place identifies the server and the connection limit that the nodes
 	// divide among themselves.
-	place  membership.ServerPlace
+	place  membership.ServerSpec
 	shards []*shard
 }
 
@@ -87,7 +87,7 @@
 		for _, server := range group.Servers {
 			entry := c.servers[server.ID]
 			entry.address = server.Address
-			entry.place = membership.ServerPlace{ID: server.ID, Zone: server.Zone, Limit: server.Connections}
+			entry.place = membership.ServerSpec{ID: server.ID, Zone: server.Zone, Limit: server.Connections}
 			if !slices.Contains(entry.shards, serviceShard) {
 				entry.shards = append(entry.shards, serviceShard)
 			}
--- a/node/forward_internal_test.go
+++ b/node/forward_internal_test.go
@@ -118,8 +118,8 @@
 	t.Cleanup(forwarder.CloseIdleConnections)
 	return &router{
 		direct:       noDirectClient{t: t},
-		route:        func(string) route { return route{place: membership.ServerPlace{ID: "server-1"}} },
-		owners:       func(membership.ServerPlace) []membership.Member { return owners },
+		route:        func(string) route { return route{place: membership.ServerSpec{ID: "server-1"}} },
+		owners:       func(membership.ServerSpec) []membership.Member { return owners },
 		forwarder:    forwarder,
 		counters:     newForwardCounters(telemetry.NewMetrics().Forwards),
 		recentHealth: newHealthCache(0),
--- a/node/forward_test.go
+++ b/node/forward_test.go
@@ -14,8 +14,8 @@
 
 // serverPlace returns a server whose connections the nodes of the cluster
 // share.
-func serverPlace(server int) membership.ServerPlace {
-	return membership.ServerPlace{ID: serverID(server), Zone: "zone-a", Limit: serverConnectionLimit}
+func serverPlace(server int) membership.ServerSpec {
+	return membership.ServerSpec{ID: serverID(server), Zone: "zone-a", Limit: serverConnectionLimit}
 }
 
 // members returns the member table, which is the same on all nodes of the
--- a/node/health_schedule.go
+++ b/node/health_schedule.go
@@ -119,7 +119,7 @@
 			p.setTargetAssigned(target, isAssigned, now)
 		}
 	}
-	p.pacer.interval, p.pacer.targetInterval = p.budget.Others(assigned, len(p.targets)-assigned)
+	p.pacer.interval, p.pacer.targetInterval = p.budget.OtherIntervals(assigned, len(p.targets)-assigned)
 }
 
 // setTargetAssigned changes whether a target is assigned. A newly assigned
--- a/node/route.go
+++ b/node/route.go
@@ -37,7 +37,7 @@
 
 // route describes how to reach one server.
 type route struct {
-	place membership.ServerPlace
+	place membership.ServerSpec
 	// owners are the nodes that hold connections to the server.
 	owners []membership.Owner
 	// connections is this node's share of the server's connections; if it is
@@ -55,7 +55,7 @@
 	route func(address string) route
 	// owners returns the nodes through which a server can be reached, in order
 	// of preference.
-	owners       func(server membership.ServerPlace) []membership.Member
+	owners       func(server membership.ServerSpec) []membership.Member
 	forwarder    *peer.Forwarder
 	counters     forwardCounters
 	recentHealth *healthCache
@@ -68,7 +68,7 @@
 		direct:           n.client,
 		closeConnections: n.client.CloseServerConnections,
 		route:            n.routeTo,
-		owners:           func(server membership.ServerPlace) []membership.Member { return n.agent.ForwardOwners(server) },
+		owners:           func(server membership.ServerSpec) []membership.Member { return n.agent.ForwardOwners(server) },
 		forwarder:        n.forwarder,
 		counters:         newForwardCounters(n.metrics.Forwards),
 		recentHealth:     recentHealth,
@@ -109,7 +109,7 @@
 
 // forward tries the owners in turn until one may have delivered the
 // sub-request.
-func (r *router) forward(ctx context.Context, server membership.ServerPlace, request *backend.Request) (*backend.Reply, error) {
+func (r *router) forward(ctx context.Context, server membership.ServerSpec, request *backend.Request) (*backend.Reply, error) {
 	failure := fmt.Errorf("%w: %w", backend.ErrNotDelivered, errNoOwner)
 	owners := r.owners(server)
 	for _, owner := range owners[:min(len(owners), maxOwnersTried)] {
--- a/peer/agent.go
+++ b/peer/agent.go
@@ -162,7 +162,7 @@
 // not in time. Members is then as exact as it can be, where gossip lags.
 func (a *Agent) RefreshRevisions(ctx context.Context, revision policy.Revision) {
 	a.nodes.mutex.Lock()
-	requests := a.nodes.core.Inquire(revision)
+	requests := a.nodes.core.RequestRevisions(revision)
 	a.nodes.mutex.Unlock()
 	a.sendAndWait(ctx, requests)
 }
@@ -199,7 +199,7 @@
 	a.nodes.mutex.Lock()
 	now := a.now()
 	requests := a.nodes.core.Tick(now)
-	next := a.nodes.core.Next()
+	next := a.nodes.core.NextTick()
 	changes := a.nodes.core.TakeChanges()
 	a.nodes.mutex.Unlock()
 	a.logChanges(changes)
--- a/peer/agent_test.go
+++ b/peer/agent_test.go
@@ -280,7 +280,7 @@
 		network := newMemoryNetwork()
 		nodes := startNodes(t, network, "n1", "n2", "n3")
 		defer stopNodes(nodes)
-		place := membership.ServerPlace{ID: "s1", Zone: "a", Limit: 70}
+		place := membership.ServerSpec{ID: "s1", Zone: "a", Limit: 70}
 		shared := membership.ShareableConnections(place.Limit)
 		total := func(ids ...string) int {
 			sum := 0
@@ -342,7 +342,7 @@
 		node := startNode(t, newMemoryNetwork(), AgentOptions{Self: member("n1"), MachineList: list, Seed: 1})
 		defer node.stop()
 		time.Sleep(time.Second)
-		place := membership.ServerPlace{ID: "s1", Zone: "a", Limit: 70}
+		place := membership.ServerSpec{ID: "s1", Zone: "a", Limit: 70}
 		want := membership.ShareableConnections(place.Limit) / 3
 		if got := node.agent.ConnectionShare(place).Maximum; got != want {
 			t.Fatalf("a node that reached none of the other two takes %d connections, want %d", got, want)
@@ -359,7 +359,7 @@
 		nodes := startNodesWithList(t, newMemoryNetwork(), list, "n1", "n2")
 		defer stopNodes(nodes)
 		time.Sleep(10 * time.Second)
-		place := membership.ServerPlace{ID: "s1", Zone: "a", Limit: 70}
+		place := membership.ServerSpec{ID: "s1", Zone: "a", Limit: 70}
 		most := (membership.ShareableConnections(place.Limit) + 5) / 6
 		for id, node := range nodes {
 			if got := node.agent.ConnectionShare(place).Maximum; got > most {
--- a/peer/connections.go
+++ b/peer/connections.go
@@ -11,14 +11,14 @@
 type shareCache struct {
 	version uint64
 	nodes   []membership.Member
-	shares  map[membership.ServerPlace]membership.Share
-	owners  map[membership.ServerPlace][]membership.Member
+	shares  map[membership.ServerSpec]membership.Share
+	owners  map[membership.ServerSpec][]membership.Member
 }
 
 // ConnectionShare returns the node's part of a server's connections, given the
 // members that the node now sees as live or suspect, and the nodes that only the
 // machine list names.
-func (a *Agent) ConnectionShare(server membership.ServerPlace) membership.Share {
+func (a *Agent) ConnectionShare(server membership.ServerSpec) membership.Share {
 	a.nodes.mutex.Lock()
 	defer a.nodes.mutex.Unlock()
 	cache := a.currentShares()
@@ -59,7 +59,7 @@
 
 // ForwardOwners returns the nodes through which this node reaches a server to
 // which it owns no connection, the first choice first.
-func (a *Agent) ForwardOwners(server membership.ServerPlace) []membership.Member {
+func (a *Agent) ForwardOwners(server membership.ServerSpec) []membership.Member {
 	a.nodes.mutex.Lock()
 	defer a.nodes.mutex.Unlock()
 	cache := a.currentShares()
@@ -78,8 +78,8 @@
 	cache := &a.nodes.shares
 	if cache.shares == nil || cache.version != core.Version() {
 		cache.version = core.Version()
-		cache.shares = make(map[membership.ServerPlace]membership.Share)
-		cache.owners = make(map[membership.ServerPlace][]membership.Member)
+		cache.shares = make(map[membership.ServerSpec]membership.Share)
+		cache.owners = make(map[membership.ServerSpec][]membership.Member)
 		cache.nodes = sharingNodes(core)
 	}
 	return cache
--- a/peer/findings.go
+++ b/peer/findings.go
@@ -46,7 +46,7 @@
 }
 
 // ServerOwners returns the nodes that hold connections to a server, as Owners does.
-func (a *Agent) ServerOwners(server membership.ServerPlace) []membership.Owner {
+func (a *Agent) ServerOwners(server membership.ServerSpec) []membership.Owner {
 	a.nodes.mutex.Lock()
 	defer a.nodes.mutex.Unlock()
 	return membership.Owners(server, a.currentShares().nodes)
--- a/peer/servers.go
+++ b/peer/servers.go
@@ -35,7 +35,7 @@
 	t.mutex.Lock()
 	change(t.core)
 	t.queue(t.core.TakeChanges(), t.subscribers)
-	doubts, doubted := t.core.TakeDoubts(), t.doubted
+	doubts, doubted := t.core.TakeUnverified(), t.doubted
 	found := t.core.HasFindings()
 	t.mutex.Unlock()
 	t.deliver()
