--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -174,7 +174,7 @@
 	if table == nil {
 		return nil
 	}
-	return table.Homes(host)
+	return table.CommonHomes(host)
 }
 
 // SetTable puts a route table in force. A table that is not newer than the one in force is
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -75,7 +75,7 @@
 		return resultRefused
 	case outcome.Execution != gather.ExecutionDone:
 		return resultFailed
-	case request.route.Aim > 0 && elapsed > request.route.Aim:
+	case request.route.LatencyTarget > 0 && elapsed > request.route.LatencyTarget:
 		return resultLate
 	case outcome.Missing > 0:
 		return resultPartial
--- a/gateway/reply.go
+++ b/gateway/reply.go
@@ -27,7 +27,7 @@
 		return 0, "encoded"
 	case success:
 		return gather.ReplyDone, ""
-	case r.Target.FanOut() || reply.Status >= http.StatusInternalServerError:
+	case r.Target.IsFanOut() || reply.Status >= http.StatusInternalServerError:
 		return gather.ReplyError, ""
 	default:
 		return gather.ReplyDone, ""
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -200,7 +200,7 @@
 // writeOutcome writes the final answer.
 func (g *Gateway) writeOutcome(writer http.ResponseWriter, pending *pendingRequest, outcome routing.Outcome) {
 	switch {
-	case outcome.Execution == gather.ExecutionDone && pending.route.Target.FanOut():
+	case outcome.Execution == gather.ExecutionDone && pending.route.Target.IsFanOut():
 		g.writeMerged(writer, pending, outcome)
 	case outcome.Execution == gather.ExecutionDone:
 		writeReply(writer, outcome.Parts[0].Body.(*exchange.Reply))
--- a/route/encoding.go
+++ b/route/encoding.go
@@ -32,16 +32,16 @@
 }
 
 type encodedRoute struct {
-	Name       string         `json:"name"`
-	Host       string         `json:"host"`
-	PathPrefix string         `json:"path_prefix"`
-	Repeatable bool           `json:"repeatable,omitempty"`
-	Timeout    time.Duration  `json:"timeout_ns"`
-	Aim        time.Duration  `json:"aim_ns,omitempty"`
-	Attempts   int            `json:"attempts"`
-	Priority   int            `json:"priority,omitempty"`
-	Homes      []string       `json:"homes,omitempty"`
-	Shares     []encodedShare `json:"shares,omitempty"`
+	Name          string         `json:"name"`
+	Host          string         `json:"host"`
+	PathPrefix    string         `json:"path_prefix"`
+	Repeatable    bool           `json:"repeatable,omitempty"`
+	Timeout       time.Duration  `json:"timeout_ns"`
+	LatencyTarget time.Duration  `json:"aim_ns,omitempty"`
+	Attempts      int            `json:"attempts"`
+	Priority      int            `json:"priority,omitempty"`
+	Homes         []string       `json:"homes,omitempty"`
+	Shares        []encodedShare `json:"shares,omitempty"`
 	// Set is one more than the number of the set of shards; zero is none.
 	Set     int     `json:"set,omitempty"`
 	Top     int     `json:"top,omitempty"`
@@ -74,22 +74,22 @@
 
 func encodeRoute(r *Route, sets *shardSets) encodedRoute {
 	encoded := encodedRoute{
-		Name:       r.Name,
-		Host:       r.Host,
-		PathPrefix: r.PathPrefix,
-		Repeatable: r.Repeatable,
-		Timeout:    r.Timeout,
-		Aim:        r.Aim,
-		Attempts:   r.Attempts,
-		Priority:   r.Priority,
-		Homes:      r.Homes,
-		Top:        r.Target.Top,
-		Minimum:    r.Target.MinimumCoverage,
+		Name:          r.Name,
+		Host:          r.Host,
+		PathPrefix:    r.PathPrefix,
+		Repeatable:    r.Repeatable,
+		Timeout:       r.Timeout,
+		LatencyTarget: r.LatencyTarget,
+		Attempts:      r.Attempts,
+		Priority:      r.Priority,
+		Homes:         r.Homes,
+		Top:           r.Target.Top,
+		Minimum:       r.Target.MinimumCoverage,
 	}
 	for _, share := range r.Target.Shares {
 		encoded.Shares = append(encoded.Shares, encodedShare(share))
 	}
-	if r.Target.FanOut() {
+	if r.Target.IsFanOut() {
 		encoded.Set = sets.number(r.Target.Shards) + 1
 	}
 	return encoded
@@ -125,16 +125,16 @@
 		return Route{}, invalid("set", "there are %d, not %d", len(sets), e.Set)
 	}
 	decoded := Route{
-		Name:       e.Name,
-		Host:       e.Host,
-		PathPrefix: e.PathPrefix,
-		Repeatable: e.Repeatable,
-		Timeout:    e.Timeout,
-		Aim:        e.Aim,
-		Attempts:   e.Attempts,
-		Priority:   e.Priority,
-		Homes:      e.Homes,
-		Target:     Target{Top: e.Top, MinimumCoverage: e.Minimum},
+		Name:          e.Name,
+		Host:          e.Host,
+		PathPrefix:    e.PathPrefix,
+		Repeatable:    e.Repeatable,
+		Timeout:       e.Timeout,
+		LatencyTarget: e.LatencyTarget,
+		Attempts:      e.Attempts,
+		Priority:      e.Priority,
+		Homes:         e.Homes,
+		Target:        Target{Top: e.Top, MinimumCoverage: e.Minimum},
 	}
 	for _, share := range e.Shares {
 		decoded.Target.Shares = append(decoded.Target.Shares, Share(share))
--- a/route/shards.go
+++ b/route/shards.go
@@ -31,7 +31,7 @@
 	sets := newShardSets()
 	routes := slices.Clone(d.Routes)
 	for i := range routes {
-		if target := &routes[i].Target; target.FanOut() {
+		if target := &routes[i].Target; target.IsFanOut() {
 			target.Shards = sets.sets[sets.number(target.Shards)]
 		}
 	}
--- a/route/table.go
+++ b/route/table.go
@@ -56,8 +56,8 @@
 	Repeatable bool
 	// Timeout is how long a request may be held.
 	Timeout time.Duration
-	// Aim is the time within which an answer is worth most; zero is none.
-	Aim time.Duration
+	// LatencyTarget is the time within which an answer is worth most; zero is none.
+	LatencyTarget time.Duration
 	// Attempts is the number of servers that may be asked for one part of a request.
 	Attempts int
 	// Priority ranks the route; zero is the most urgent.
@@ -87,12 +87,12 @@
 	Weight  float64
 }
 
-// FanOut reports whether every shard is asked.
-func (t Target) FanOut() bool { return len(t.Shards) > 0 }
+// IsFanOut reports whether every shard is asked.
+func (t Target) IsFanOut() bool { return len(t.Shards) > 0 }
 
-// Names lists the services that may answer.
-func (t Target) Names() []string {
-	if t.FanOut() {
+// ServiceNames lists the services that may answer.
+func (t Target) ServiceNames() []string {
+	if t.IsFanOut() {
 		return t.Shards
 	}
 	names := make([]string, 0, len(t.Shares))
@@ -174,9 +174,9 @@
 	return nil
 }
 
-// Homes lists the regions in which every route of a host that has homes may be served;
+// CommonHomes lists the regions in which every route of a host that has homes may be served;
 // none where no route has any, or no region suits all.
-func (t *Table) Homes(host string) []string {
+func (t *Table) CommonHomes(host string) []string {
 	var common []string
 	for _, r := range t.byHost[hostName(host)] {
 		switch {
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -95,7 +95,7 @@
 	}
 	for i := range 500 {
 		definition.Routes = append(definition.Routes, route.Route{
-			Name: fmt.Sprint("r", i), Host: "h", PathPrefix: fmt.Sprintf("/%d/", i), Repeatable: true, Timeout: 1, Aim: 2, Attempts: 3, Priority: 4,
+			Name: fmt.Sprint("r", i), Host: "h", PathPrefix: fmt.Sprintf("/%d/", i), Repeatable: true, Timeout: 1, LatencyTarget: 2, Attempts: 3, Priority: 4,
 			Target: route.Target{Shards: slices.Clone(shards), Top: 5, MinimumCoverage: 0.5},
 		})
 	}
--- a/route/validate.go
+++ b/route/validate.go
@@ -91,7 +91,7 @@
 		return invalid("path_prefix", "%q must begin and end with a slash", r.PathPrefix)
 	case r.Timeout <= 0:
 		return invalid("timeout", "must be positive")
-	case r.Aim < 0:
+	case r.LatencyTarget < 0:
 		return invalid("aim", "must not be negative")
 	case r.Attempts < 1:
 		return invalid("attempts", "must be at least 1")
@@ -105,23 +105,23 @@
 func (r *Route) validateTarget(services map[string]struct{}, sound map[*string]bool) *fieldError {
 	t := &r.Target
 	switch {
-	case t.FanOut() && len(t.Shares) > 0:
+	case t.IsFanOut() && len(t.Shares) > 0:
 		return invalid("target", "names both shards and weighted services")
-	case !t.FanOut() && len(t.Shares) == 0:
+	case !t.IsFanOut() && len(t.Shares) == 0:
 		return invalid("target", "names no service")
-	case t.FanOut() && !r.Repeatable:
+	case t.IsFanOut() && !r.Repeatable:
 		return invalid("repeatable", "must be true for a route over shards")
-	case t.FanOut() && t.Top < 0:
+	case t.IsFanOut() && t.Top < 0:
 		return invalid("top", "must not be negative")
 	case t.MinimumCoverage < 0 || t.MinimumCoverage > 1:
 		return invalid("minimum_coverage", "must be from 0 to 1")
-	case t.FanOut() && sound[&t.Shards[0]]:
+	case t.IsFanOut() && sound[&t.Shards[0]]:
 		return nil
 	}
 	if err := t.validateShares(); err != nil {
 		return err
 	}
-	return validateNames(t.Names(), services)
+	return validateNames(t.ServiceNames(), services)
 }
 
 func (t *Target) validateShares() *fieldError {
@@ -132,7 +132,7 @@
 		}
 		total += share.Weight
 	}
-	if !t.FanOut() && total <= 0 {
+	if !t.IsFanOut() && total <= 0 {
 		return invalid("shares", "must have a positive weight")
 	}
 	return nil
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -75,7 +75,7 @@
 // accepted, it would be late and delay those behind it.
 func (r *Router) serversSaturated(q *request) bool {
 	limit := q.answerTimeout()
-	if q.asked.Route.Aim == 0 {
+	if q.asked.Route.LatencyTarget == 0 {
 		limit = q.asked.Remaining
 	}
 	median := q.stats.median()
@@ -95,7 +95,7 @@
 
 // minParts returns the number of parts that are enough for an answer.
 func (q *request) minParts() int {
-	if !q.asked.Route.Target.FanOut() {
+	if !q.asked.Route.Target.IsFanOut() {
 		return 1
 	}
 	return minPartsFor(len(q.serviceNames), q.asked.Route.Target.MinimumCoverage)
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -99,7 +99,7 @@
 // has just started does not know all servers yet. A request to a single service is rejected
 // instead, before it costs anything.
 func (q *request) waitsForDiscovery(s *service) bool {
-	return len(s.servers) == 0 && q.asked.Route.Repeatable && q.asked.Route.Target.FanOut()
+	return len(s.servers) == 0 && q.asked.Route.Repeatable && q.asked.Route.Target.IsFanOut()
 }
 
 // canAnswerInTime reports whether an attempt with the given expected latency may still answer
@@ -107,7 +107,7 @@
 // A hedge that cannot is wasted work.
 func (q *request) canAnswerInTime(expected time.Duration) bool {
 	answerBy := q.arrivedAt + q.answerTimeout()
-	if q.asked.Route.Aim == 0 || q.router.now > answerBy || !q.router.enabled(mechanism.TimelyHedges) {
+	if q.asked.Route.LatencyTarget == 0 || q.router.now > answerBy || !q.router.enabled(mechanism.TimelyHedges) {
 		return true
 	}
 	return q.router.now+expected/2 <= answerBy
@@ -132,7 +132,7 @@
 		median = defaultLatency
 	}
 	expected := float64(median) * r.expectedSlowness(s) * (1 + s.Utilization(r.now, s.Slots))
-	expected += float64(r.distancePenalty(s.Zone, q.asked.Route.Aim))
+	expected += float64(r.distancePenalty(s.Zone, q.asked.Route.LatencyTarget))
 	return expected * (1 + scoreJitter*r.random.Float64())
 }
 
@@ -175,7 +175,7 @@
 
 // hedgeDelay returns how long to wait for an attempt before sending a hedge.
 func (r *Router) hedgeDelay(q *request) time.Duration {
-	longest := time.Duration(float64(q.asked.Route.Aim) * r.options.MaxHedgeDelayShare)
+	longest := time.Duration(float64(q.asked.Route.LatencyTarget) * r.options.MaxHedgeDelayShare)
 	if longest == 0 {
 		longest = time.Duration(float64(q.asked.Route.Timeout) * maxHedgeDelayTimeoutShare)
 	}
--- a/routing/cold_rate_test.go
+++ b/routing/cold_rate_test.go
@@ -98,7 +98,7 @@
 	h.setServers([]discovery.Server{coldServer("cold", time.Minute)})
 	h.setColdRate(10)
 	noTarget := single("s1", true)
-	noTarget.Timeout, noTarget.Aim = 3*time.Second, 0
+	noTarget.Timeout, noTarget.LatencyTarget = 3*time.Second, 0
 	for range 30 {
 		h.submit(noTarget)
 	}
@@ -122,7 +122,7 @@
 	h.setServers(servers(1, "s1"))
 	h.setTable(40, "s1")
 	r := single("s1", true)
-	r.Aim = 0
+	r.LatencyTarget = 0
 	shedRequest := h.submit(r)
 	delete(h.openSends, h.inFlight(shedRequest)[0].Attempt)
 	h.step(routing.Replied{Attempt: h.allSends[0].Attempt, Status: gather.ReplyShed, RetryAfter: 100 * time.Millisecond})
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -10,7 +10,7 @@
 // events that occurred, and carries out the actions that Step returns. Times are durations since
 // an epoch chosen by the owner and never decrease between calls.
 //
-// A route's aim (Route.Aim) is its latency target. A server is cold while it warms up after a
+// A route's latency target is Route.LatencyTarget. A server is cold while it warms up after a
 // start, and a service is overloaded when its servers have no free capacity.
 //
 // Invariants: a non-repeatable request is resent only after a server reported that it did not
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -130,14 +130,14 @@
 
 func fanOut(minimum float64, services ...string) *route.Route {
 	return &route.Route{
-		Name: "all", Repeatable: true, Timeout: time.Second, Aim: testAim, Attempts: 2,
+		Name: "all", Repeatable: true, Timeout: time.Second, LatencyTarget: testAim, Attempts: 2,
 		Target: route.Target{Shards: services, Top: 5, MinimumCoverage: minimum},
 	}
 }
 
 func single(name string, repeatable bool) *route.Route {
 	return &route.Route{
-		Name: name, Repeatable: repeatable, Timeout: time.Second, Aim: testAim, Attempts: 2,
+		Name: name, Repeatable: repeatable, Timeout: time.Second, LatencyTarget: testAim, Attempts: 2,
 		Target: route.Target{Shares: []route.Share{{Service: name, Weight: 1}}},
 	}
 }
--- a/routing/request.go
+++ b/routing/request.go
@@ -62,7 +62,7 @@
 
 func (r *Router) newRequest(asked Request) *request {
 	q := &request{router: r, asked: asked, arrivedAt: r.now, stats: r.ensureRouteStats(asked.Route)}
-	if asked.Route.Target.FanOut() {
+	if asked.Route.Target.IsFanOut() {
 		q.serviceNames = asked.Route.Target.Shards
 	} else {
 		q.serviceNames = []string{asked.Route.Target.Pick(q.stats.nextShareOffset(r.random))}
@@ -79,7 +79,7 @@
 	r := q.router
 	target := q.asked.Route.Target
 	minimum := 1.0
-	if target.FanOut() {
+	if target.IsFanOut() {
 		minimum = target.MinimumCoverage
 	}
 	q.query = gather.New(gather.Options{
--- a/routing/stop_policy.go
+++ b/routing/stop_policy.go
@@ -18,7 +18,7 @@
 // StopAfter implements gather.StopPolicy.
 func (p aimStopPolicy) StopAfter(gather.Progress) (time.Duration, bool) {
 	q := p.request
-	aim := q.asked.Route.Aim
+	aim := q.asked.Route.LatencyTarget
 	if aim == 0 {
 		return 0, false
 	}
@@ -35,11 +35,11 @@
 // answerTimeout returns the time since the request's arrival at which the answer must be sent to
 // reach the caller within the route's latency target. It is at least a quarter of the target.
 func (q *request) answerTimeout() time.Duration {
-	after := q.asked.Route.Aim - q.asked.Elapsed - q.asked.ReturnTime - q.router.options.AnswerMargin
-	return max(after, q.asked.Route.Aim/4)
+	after := q.asked.Route.LatencyTarget - q.asked.Elapsed - q.asked.ReturnTime - q.router.options.AnswerMargin
+	return max(after, q.asked.Route.LatencyTarget/4)
 }
 
 // isLate reports whether the request has missed its route's latency target.
 func (q *request) isLate() bool {
-	return q.asked.Route.Aim > 0 && q.router.now > q.arrivedAt+q.answerTimeout()
+	return q.asked.Route.LatencyTarget > 0 && q.router.now > q.arrivedAt+q.answerTimeout()
 }
--- a/routing/zone_reachability.go
+++ b/routing/zone_reachability.go
@@ -156,7 +156,7 @@
 	routes := table.Definition().Routes
 	for i := range routes {
 		target := &routes[i].Target
-		if !target.FanOut() {
+		if !target.IsFanOut() {
 			continue
 		}
 		key := fanOutKind{&target.Shards[0], target.MinimumCoverage}
