--- a/node/connections.go
+++ b/node/connections.go
@@ -42,7 +42,7 @@
 	timeout := time.NewTimer(machineListTimeout)
 	defer timeout.Stop()
 	select {
-	case <-n.agent.ListAsked():
+	case <-n.agent.ListAttempted():
 	case <-timeout.C:
 	case <-ctx.Done():
 	}
--- a/node/forward_bench_internal_test.go
+++ b/node/forward_bench_internal_test.go
@@ -63,7 +63,7 @@
 	defer client.CloseIdleConnections()
 	served := newTestForwardServer(client, backend.DefaultConnectionLimit, b.Context())
 	served.lookUpServer = func(string) (string, int) { return address, backend.DefaultConnectionLimit }
-	agent := peer.NewAgent(peer.AgentOptions{Self: membership.Member{ID: "owner"}, Forwards: served, Seed: 1})
+	agent := peer.NewAgent(peer.AgentOptions{Self: membership.Member{ID: "owner"}, ForwardTarget: served, Seed: 1})
 	var asked, sent int64
 	owner := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		asked += request.ContentLength
--- a/node/forward_internal_test.go
+++ b/node/forward_internal_test.go
@@ -100,7 +100,7 @@
 	var scripted []*scriptedOwner
 	for _, outcome := range outcomes {
 		owner := &scriptedOwner{outcome: outcome}
-		agent := peer.NewAgent(peer.AgentOptions{Self: membership.Member{ID: "owner"}, Forwards: owner, Seed: 1})
+		agent := peer.NewAgent(peer.AgentOptions{Self: membership.Member{ID: "owner"}, ForwardTarget: owner, Seed: 1})
 		server := httptest.NewServer(agent.Handler())
 		t.Cleanup(server.Close)
 		if outcome == peer.ForwardNotSent {
--- a/node/node.go
+++ b/node/node.go
@@ -161,7 +161,7 @@
 		HTTPClient:     n.peerClient,
 		MachineList:    n.options.MachineList,
 		Configurations: n.replicator,
-		Forwards:       n.forwardServer,
+		ForwardTarget:  n.forwardServer,
 		// A forward carries the body of a caller's request.
 		ForwardBodyBytes: n.options.Settings.Caller.BodyBytes,
 		Logger:           n.log,
--- a/node/route.go
+++ b/node/route.go
@@ -125,7 +125,7 @@
 			Str(telemetry.FieldRequestID, request.RequestID).
 			Stringer("outcome", result.Outcome).
 			Msg("forward failed")
-		if result.Outcome.Delivered() || ctx.Err() != nil {
+		if result.Outcome.MayHaveReachedServer() || ctx.Err() != nil {
 			return nil, forwardError(result)
 		}
 		failure = forwardError(result)
--- a/node/run.go
+++ b/node/run.go
@@ -96,7 +96,7 @@
 func (n *Node) startBackgroundTasks(ctx context.Context, duties *sync.WaitGroup) {
 	n.replicator.Subscribe(n.configure)
 	n.agent.SubscribeServers(n.handleServerStateChange)
-	n.agent.SubscribeDoubts(n.poller.requestRecheck)
+	n.agent.SubscribeUnverified(n.poller.requestRecheck)
 	duties.Go(func() { n.logTaskError("configuration", n.replicator.Run(ctx)) })
 	duties.Go(func() { n.logTaskError("peers", n.agent.Run(ctx)) })
 	duties.Go(func() { n.poller.run(ctx) })
--- a/peer/agent.go
+++ b/peer/agent.go
@@ -78,7 +78,7 @@
 		client:         boundedClient(options.HTTPClient),
 		machineList:    options.MachineList,
 		configurations: options.Configurations,
-		forwards:       options.Forwards,
+		forwards:       options.ForwardTarget,
 		forwardBytes:   forwardBytes(options.ForwardBodyBytes),
 		logger:         options.Logger.With().Str("component", "peer").Logger(),
 		seed:           options.Seed,
--- a/peer/connections.go
+++ b/peer/connections.go
@@ -39,9 +39,9 @@
 	return slices.DeleteFunc(nodes, func(m membership.Member) bool { return m.State == membership.Leaving })
 }
 
-// ListAsked is closed once the first reading of the machine list has ended, well
+// ListAttempted is closed once the first reading of the machine list has ended, well
 // or badly. Before, a node that starts takes itself for the only one.
-func (a *Agent) ListAsked() <-chan struct{} { return a.listAsked }
+func (a *Agent) ListAttempted() <-chan struct{} { return a.listAsked }
 
 // SharingNodes lists the IDs of the nodes that share the servers' connections,
 // in order.
--- a/peer/findings.go
+++ b/peer/findings.go
@@ -23,9 +23,9 @@
 	findingStream = 0x66696e64
 )
 
-// SubscribeDoubts calls the function for every server of which another node told
+// SubscribeUnverified calls the function for every server of which another node told
 // news, so that the node reads it itself. It must be called before Run.
-func (a *Agent) SubscribeDoubts(notify func(server string)) {
+func (a *Agent) SubscribeUnverified(notify func(server string)) {
 	a.servers.mutex.Lock()
 	defer a.servers.mutex.Unlock()
 	a.servers.doubted = notify
--- a/peer/findings_test.go
+++ b/peer/findings_test.go
@@ -22,7 +22,7 @@
 		var mutex sync.Mutex
 		doubted := make(map[string]bool)
 		for id, node := range nodes {
-			node.agent.SubscribeDoubts(func(string) {
+			node.agent.SubscribeUnverified(func(string) {
 				mutex.Lock()
 				defer mutex.Unlock()
 				doubted[id] = true
--- a/peer/forward.go
+++ b/peer/forward.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Delivered reports whether a byte of the sub-request may have reached the server.
-func (o ForwardOutcome) Delivered() bool {
+// MayHaveReachedServer reports whether a byte of the sub-request may have reached the server.
+func (o ForwardOutcome) MayHaveReachedServer() bool {
 	switch o {
 	case ForwardNotSent, ForwardNotOwner, ForwardLeaving, ForwardBusy, ForwardNotDelivered:
 		return false
--- a/peer/forward_test.go
+++ b/peer/forward_test.go
@@ -39,7 +39,7 @@
 }
 
 func ownerHandler(target ForwardTarget) http.Handler {
-	return NewAgent(AgentOptions{Self: member("owner"), Forwards: target, Seed: 1}).Handler()
+	return NewAgent(AgentOptions{Self: member("owner"), ForwardTarget: target, Seed: 1}).Handler()
 }
 
 func startOwner(t testing.TB, handler http.Handler) string {
--- a/peer/options.go
+++ b/peer/options.go
@@ -82,9 +82,9 @@
 	MachineList machinelist.Conn
 	// Configurations is the node's configuration replicator; nil for none.
 	Configurations ConfigurationSource
-	// Forwards asks servers for other nodes; nil for a node that owns no
+	// ForwardTarget asks servers for other nodes; nil for a node that owns no
 	// connections.
-	Forwards ForwardTarget
+	ForwardTarget ForwardTarget
 	// ForwardBodyBytes bounds the body of one forwarded sub-request; zero means
 	// a default. All nodes need the same.
 	ForwardBodyBytes int64
