--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -187,14 +187,14 @@
 }
 
 func (c *cluster) shutDownCluster() {
-	var ending sync.WaitGroup
+	var stops sync.WaitGroup
 	for _, n := range c.nodes {
-		ending.Go(func() { c.stopNode(n) })
+		stops.Go(func() { c.stopNode(n) })
 	}
-	ending.Wait()
+	stops.Wait()
 	c.client.CloseIdleConnections()
-	for _, web := range c.httpServers {
-		_ = web.Close()
+	for _, httpServer := range c.httpServers {
+		_ = httpServer.Close()
 	}
 	for _, server := range c.servers {
 		_ = server.Close()
@@ -231,17 +231,17 @@
 
 func TestMoreNodesThanConnections(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster) {
-		var asking sync.WaitGroup
+		var queries sync.WaitGroup
 		for round := range 5 {
 			for _, n := range c.nodes {
-				asking.Go(func() {
+				queries.Go(func() {
 					got := c.queryNode(n, fmt.Sprintf("%s-%d", n.id, round), true)
 					if got.status != http.StatusOK || got.answer.Coverage != 1 {
 						t.Errorf("%s: status %d, coverage %g, %v %v", n.id, got.status, got.answer.Coverage, got.problem, got.err)
 					}
 				})
 			}
-			asking.Wait()
+			queries.Wait()
 		}
 		forwarding := 0
 		for _, n := range c.nodes {
--- a/node/connections_internal_test.go
+++ b/node/connections_internal_test.go
@@ -67,9 +67,9 @@
 		n.configure(1, policy.Config{Services: []policy.Service{{Name: "catalog", KeySpace: space, Groups: []policy.Group{{
 			Name: "group", Range: space, Servers: []policy.Server{{ID: "server", Address: address, Connections: limit}},
 		}}}}})
-		shared := n.connectionLimit(address)
-		if shared <= 1 || shared > limit/2 {
-			t.Errorf("one of two nodes has %d of %d connections, want 2 to half of them", shared, limit)
+		share := n.connectionLimit(address)
+		if share <= 1 || share > limit/2 {
+			t.Errorf("one of two nodes has %d of %d connections, want 2 to half of them", share, limit)
 		}
 		stopped := make(chan struct{})
 		go func() {
@@ -77,8 +77,8 @@
 			stop()
 		}()
 		time.Sleep(5 * time.Second)
-		if kept := n.connectionLimit(address); kept != shared {
-			t.Errorf("share is %d connections while stopping, want %d as before", kept, shared)
+		if kept := n.connectionLimit(address); kept != share {
+			t.Errorf("share is %d connections while stopping, want %d as before", kept, share)
 		}
 		<-stopped
 		stopOther()
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -87,14 +87,14 @@
 	return total
 }
 
-// frequentPollers returns the IP addresses that polled a server's health at
-// least the given number of times.
-func (c *pollCounter) frequentPollers(server string, least int) []string {
+// frequentPollers returns the IP addresses that polled a server's health
+// minPolls times or more.
+func (c *pollCounter) frequentPollers(server string, minPolls int) []string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var ips []string
 	for ip, count := range c.byServer[server] {
-		if count >= least {
+		if count >= minPolls {
 			ips = append(ips, ip)
 		}
 	}
@@ -113,9 +113,9 @@
 				}
 				c.byServer[server][ip]++
 			}
-			deceived := ip == c.alwaysReadyFor && request.URL.Path == backend.HealthPath
+			forceReady := ip == c.alwaysReadyFor && request.URL.Path == backend.HealthPath
 			c.mutex.Unlock()
-			if deceived {
+			if forceReady {
 				_ = json.NewEncoder(writer).Encode(backend.Health{State: backend.HealthReady, Incarnation: "first", Snapshots: []uint64{1}})
 				return
 			}
@@ -157,13 +157,13 @@
 	f.check(err)
 	listener, err := process.Listen(serverAddress(index))
 	f.check(err)
-	web := &http.Server{Handler: f.polls.countPolls(serverID(index), server)}
-	go func() { _ = web.Serve(listener) }()
+	httpServer := &http.Server{Handler: f.polls.countPolls(serverID(index), server)}
+	go func() { _ = httpServer.Serve(listener) }()
 	if index < len(f.servers) {
-		f.httpServers[index], f.servers[index] = web, server
+		f.httpServers[index], f.servers[index] = httpServer, server
 		return
 	}
-	f.httpServers = append(f.httpServers, web)
+	f.httpServers = append(f.httpServers, httpServer)
 	f.servers = append(f.servers, server)
 }
 
@@ -201,16 +201,16 @@
 	f.t.Helper()
 	before := len(f.servers[index].Executions())
 	for round := range 2 {
-		var asking sync.WaitGroup
+		var queries sync.WaitGroup
 		for _, n := range nodes {
-			asking.Go(func() {
+			queries.Go(func() {
 				got := f.queryNode(n, fmt.Sprintf("%s-%d-%d", n.id, index, round), true)
 				if got.status != http.StatusOK || got.answer.Coverage != 1 {
 					f.t.Errorf("%s: status %d, coverage %g, %v", n.id, got.status, got.answer.Coverage, got.err)
 				}
 			})
 		}
-		asking.Wait()
+		queries.Wait()
 	}
 	if after := len(f.servers[index].Executions()); after > before {
 		f.t.Errorf("%d sub-requests reached the draining server", after-before)
@@ -235,35 +235,35 @@
 	const leaving = 7
 	// Each fault affects nodes that poll the server; it returns the nodes that
 	// cannot answer.
-	tests := map[string]func(f *fleet, readers []*clusterNode) []*clusterNode{
+	tests := map[string]func(f *fleet, pollers []*clusterNode) []*clusterNode{
 		"all nodes are well": func(*fleet, []*clusterNode) []*clusterNode { return nil },
-		"a reader has vanished": func(f *fleet, readers []*clusterNode) []*clusterNode {
-			f.killHost(readers[0])
-			return readers[:1]
+		"a reader has vanished": func(f *fleet, pollers []*clusterNode) []*clusterNode {
+			f.killHost(pollers[0])
+			return pollers[:1]
 		},
-		"two readers have vanished": func(f *fleet, readers []*clusterNode) []*clusterNode {
-			f.killHost(readers[0])
-			f.killHost(readers[1])
-			return readers[:2]
+		"two readers have vanished": func(f *fleet, pollers []*clusterNode) []*clusterNode {
+			f.killHost(pollers[0])
+			f.killHost(pollers[1])
+			return pollers[:2]
 		},
-		"a reader is frozen": func(f *fleet, readers []*clusterNode) []*clusterNode {
-			f.network.Freeze(readers[0].ip)
-			return readers[:1]
+		"a reader is frozen": func(f *fleet, pollers []*clusterNode) []*clusterNode {
+			f.network.Freeze(pollers[0].ip)
+			return pollers[:1]
 		},
-		"a reader is cut off from the server": func(f *fleet, readers []*clusterNode) []*clusterNode {
-			f.network.Cut(strings.Split(serverAddress(leaving), ":")[0], readers[0].ip)
+		"a reader is cut off from the server": func(f *fleet, pollers []*clusterNode) []*clusterNode {
+			f.network.Cut(strings.Split(serverAddress(leaving), ":")[0], pollers[0].ip)
 			return nil
 		},
-		"a reader hears that the server is well": func(f *fleet, readers []*clusterNode) []*clusterNode {
-			f.polls.reportReadyTo(readers[0].ip)
+		"a reader hears that the server is well": func(f *fleet, pollers []*clusterNode) []*clusterNode {
+			f.polls.reportReadyTo(pollers[0].ip)
 			return nil
 		},
 	}
 	for name, fault := range tests {
 		t.Run(name, func(t *testing.T) {
 			withFleet(t, func(t *testing.T, f *fleet) {
-				readers := f.pollersOf(leaving)
-				unavailable := fault(f, readers)
+				pollers := f.pollersOf(leaving)
+				unavailable := fault(f, pollers)
 				f.drainInHealthOnly(leaving)
 				time.Sleep(drainGrace)
 				f.expectNoNewRequests(leaving, f.without(unavailable))
@@ -281,16 +281,16 @@
 	f.polls.reset()
 	time.Sleep(fleetSettleTime)
 	ips := f.polls.frequentPollers(serverID(index), int(fleetSettleTime/(2500*time.Millisecond)))
-	var readers []*clusterNode
+	var pollers []*clusterNode
 	for _, n := range f.nodes {
 		if slices.Contains(ips, n.ip) {
-			readers = append(readers, n)
+			pollers = append(pollers, n)
 		}
 	}
-	if len(readers) < membership.ReadersPerServer {
-		f.t.Fatalf("only %d nodes poll the server every interval", len(readers))
+	if len(pollers) < membership.ReadersPerServer {
+		f.t.Fatalf("only %d nodes poll the server every interval", len(pollers))
 	}
-	return readers
+	return pollers
 }
 
 func (f *fleet) without(unavailable []*clusterNode) []*clusterNode {
@@ -341,9 +341,9 @@
 		}
 		// One health and one load poll per server, plus the polls that the
 		// budget allows.
-		most := 2*fleetServers + int(span.Seconds()*settings.Default().Backend.HealthReadings)
-		if readings := f.polls.pollsBy(restarted.ip); readings < fleetServers || readings > most {
-			t.Errorf("restarted node made %d polls, want %d to %d", readings, fleetServers, most)
+		maxPolls := 2*fleetServers + int(span.Seconds()*settings.Default().Backend.HealthReadings)
+		if polls := f.polls.pollsBy(restarted.ip); polls < fleetServers || polls > maxPolls {
+			t.Errorf("restarted node made %d polls, want %d to %d", polls, fleetServers, maxPolls)
 		}
 	})
 }
--- a/node/forward_bench_internal_test.go
+++ b/node/forward_bench_internal_test.go
@@ -19,13 +19,13 @@
 // benchmarkServer answers every sub-request immediately.
 func benchmarkServer(writer http.ResponseWriter, request *http.Request) {
 	data, _ := io.ReadAll(request.Body)
-	var asked backend.Request
-	if json.Unmarshal(data, &asked) != nil {
+	var received backend.Request
+	if json.Unmarshal(data, &received) != nil {
 		http.Error(writer, "malformed", http.StatusBadRequest)
 		return
 	}
 	_, _ = fmt.Fprintf(writer, `{"attempt_id":%q,"status":"done","snapshot":%d,"range":{"start":%d,"end":%d},"body":{"found":%q}}`,
-		asked.AttemptID, asked.Snapshot, asked.Range.Start, asked.Range.End, strings.Repeat("x", benchmarkReplyBytes))
+		received.AttemptID, received.Snapshot, received.Range.Start, received.Range.End, strings.Repeat("x", benchmarkReplyBytes))
 }
 
 // benchmarkReplyBytes is the size of the result in each reply.
@@ -34,11 +34,11 @@
 // byteCountingWriter counts the body bytes of an owner's responses.
 type byteCountingWriter struct {
 	http.ResponseWriter
-	sent *int64
+	replyBytes *int64
 }
 
 func (c byteCountingWriter) Write(data []byte) (int, error) {
-	*c.sent += int64(len(data))
+	*c.replyBytes += int64(len(data))
 	return c.ResponseWriter.Write(data)
 }
 
@@ -61,13 +61,13 @@
 	address := server.Listener.Addr().String()
 	client := backend.NewClient(backend.ClientOptions{})
 	defer client.CloseIdleConnections()
-	served := newTestForwardServer(client, backend.DefaultConnectionLimit, b.Context())
-	served.lookUpServer = func(string) (string, int) { return address, backend.DefaultConnectionLimit }
-	agent := peer.NewAgent(peer.AgentOptions{Self: membership.Member{ID: "owner"}, ForwardTarget: served, Seed: 1})
-	var asked, sent int64
+	forwardTarget := newTestForwardServer(client, backend.DefaultConnectionLimit, b.Context())
+	forwardTarget.lookUpServer = func(string) (string, int) { return address, backend.DefaultConnectionLimit }
+	agent := peer.NewAgent(peer.AgentOptions{Self: membership.Member{ID: "owner"}, ForwardTarget: forwardTarget, Seed: 1})
+	var requestBytes, replyBytes int64
 	owner := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		asked += request.ContentLength
-		agent.Handler().ServeHTTP(byteCountingWriter{ResponseWriter: writer, sent: &sent}, request)
+		requestBytes += request.ContentLength
+		agent.Handler().ServeHTTP(byteCountingWriter{ResponseWriter: writer, replyBytes: &replyBytes}, request)
 	}))
 	defer owner.Close()
 	forwarding := newTestRouter(b, []membership.Member{{ID: "owner", Address: owner.Listener.Addr().String()}})
@@ -79,7 +79,7 @@
 		router *router
 	}{{"direct", direct}, {"forwarded", forwarding}} {
 		b.Run(serverRoute.name, func(b *testing.B) {
-			asked, sent = 0, 0
+			requestBytes, replyBytes = 0, 0
 			b.ReportAllocs()
 			before := processCPUTime(b)
 			for b.Loop() {
@@ -88,8 +88,8 @@
 				}
 			}
 			b.ReportMetric(float64(processCPUTime(b)-before)/float64(b.N), "cpu-ns/op")
-			b.ReportMetric(float64(asked)/float64(b.N), "peer-request-B/op")
-			b.ReportMetric(float64(sent)/float64(b.N), "peer-reply-B/op")
+			b.ReportMetric(float64(requestBytes)/float64(b.N), "peer-request-B/op")
+			b.ReportMetric(float64(replyBytes)/float64(b.N), "peer-reply-B/op")
 		})
 	}
 }
--- a/node/forward_internal_test.go
+++ b/node/forward_internal_test.go
@@ -151,8 +151,8 @@
 }
 
 func TestNodeWithoutConnectionsRejectsForwards(t *testing.T) {
-	served := newTestForwardServer(noDirectClient{t: t}, 0, t.Context())
-	if got := served.ForwardQuery(t.Context(), "server-1", forwardedRequest()); got.Outcome != peer.ForwardNotOwner {
+	server := newTestForwardServer(noDirectClient{t: t}, 0, t.Context())
+	if got := server.ForwardQuery(t.Context(), "server-1", forwardedRequest()); got.Outcome != peer.ForwardNotOwner {
 		t.Errorf("outcome %v", got.Outcome)
 	}
 }
@@ -160,27 +160,27 @@
 func TestOwnerLimitsForwardsAndFinishesThemOnStop(t *testing.T) {
 	const connections = 2
 	direct := blockingClient{started: make(chan struct{})}
-	served := newTestForwardServer(direct, connections, t.Context())
+	server := newTestForwardServer(direct, connections, t.Context())
 	ctx, cancel := context.WithCancel(t.Context())
 	results := make(chan peer.ForwardOutcome)
 	for range connections * maxForwardsPerConnection {
-		go func() { results <- served.ForwardQuery(ctx, "server-1", forwardedRequest()).Outcome }()
+		go func() { results <- server.ForwardQuery(ctx, "server-1", forwardedRequest()).Outcome }()
 		<-direct.started
 	}
-	if got := served.ForwardQuery(ctx, "server-1", forwardedRequest()); got.Outcome != peer.ForwardBusy {
+	if got := server.ForwardQuery(ctx, "server-1", forwardedRequest()); got.Outcome != peer.ForwardBusy {
 		t.Errorf("above the forward limit: outcome %v, want busy", got.Outcome)
 	}
-	served.close()
-	if got := served.ForwardQuery(ctx, "server-2", forwardedRequest()); got.Outcome != peer.ForwardLeaving {
+	server.close()
+	if got := server.ForwardQuery(ctx, "server-2", forwardedRequest()); got.Outcome != peer.ForwardLeaving {
 		t.Errorf("while stopping: outcome %v, want leaving", got.Outcome)
 	}
-	waited := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		served.wait()
-		close(waited)
+		server.wait()
+		close(done)
 	}()
 	select {
-	case <-waited:
+	case <-done:
 		t.Error("wait returned before the forwards ended")
 	default:
 	}
@@ -190,7 +190,7 @@
 			t.Errorf("cancelled forward: outcome %v, want unknown", got)
 		}
 	}
-	<-waited
+	<-done
 }
 
 // queuedClient has no free connection before the context ends.
@@ -202,27 +202,27 @@
 }
 
 func TestOwnerQueueTimeoutIsNotServerFailure(t *testing.T) {
-	served := newTestForwardServer(queuedClient{}, 1, t.Context())
+	server := newTestForwardServer(queuedClient{}, 1, t.Context())
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if got := served.ForwardQuery(ctx, "server-1", forwardedRequest()); got.Outcome != peer.ForwardBusy {
+	if got := server.ForwardQuery(ctx, "server-1", forwardedRequest()); got.Outcome != peer.ForwardBusy {
 		t.Errorf("outcome %v", got.Outcome)
 	}
 }
 
 func TestShareLostDuringQueryClosesConnections(t *testing.T) {
 	router := newTestRouter(t, nil)
-	ways := []route{{connections: 1}, {}}
+	routes := []route{{connections: 1}, {}}
 	router.direct = instantClient{}
 	router.route = func(string) route {
-		serverRoute := ways[0]
-		ways = ways[1:]
+		serverRoute := routes[0]
+		routes = routes[1:]
 		return serverRoute
 	}
-	forgotten := ""
-	router.closeConnections = func(address string) { forgotten = address }
-	if _, err := router.Query(t.Context(), "10.0.0.9:9000", forwardedRequest()); err != nil || forgotten != "10.0.0.9:9000" {
-		t.Errorf("closed connections to %q, error %v", forgotten, err)
+	closedAddress := ""
+	router.closeConnections = func(address string) { closedAddress = address }
+	if _, err := router.Query(t.Context(), "10.0.0.9:9000", forwardedRequest()); err != nil || closedAddress != "10.0.0.9:9000" {
+		t.Errorf("closed connections to %q, error %v", closedAddress, err)
 	}
 }
 
@@ -236,9 +236,9 @@
 func TestAbortCancelsForwards(t *testing.T) {
 	direct := blockingClient{started: make(chan struct{}, 1)}
 	background, abort := context.WithCancel(t.Context())
-	served := newTestForwardServer(direct, 1, background)
+	server := newTestForwardServer(direct, 1, background)
 	result := make(chan peer.ForwardOutcome)
-	go func() { result <- served.ForwardQuery(t.Context(), "server-1", forwardedRequest()).Outcome }()
+	go func() { result <- server.ForwardQuery(t.Context(), "server-1", forwardedRequest()).Outcome }()
 	<-direct.started
 	abort()
 	if got := <-result; got != peer.ForwardUnknown {
--- a/node/forward_test.go
+++ b/node/forward_test.go
@@ -146,9 +146,9 @@
 	withCluster(t, func(t *testing.T, c *cluster) {
 		requester, owner := c.requesterAndOwner(0)
 		c.delayAllServers(300 * time.Millisecond)
-		once := c.startNodeQuery(t.Context(), requester, "once", false)
+		result := c.startNodeQuery(t.Context(), requester, "once", false)
 		c.network.Freeze(owner.ip)
-		expectUnknown(t, <-once)
+		expectUnknown(t, <-result)
 		time.Sleep(10 * time.Second)
 		c.expectComplete("frozen-", owner)
 		c.network.Thaw(owner.ip)
@@ -164,7 +164,7 @@
 	withCluster(t, func(t *testing.T, c *cluster) {
 		requester, owner := c.requesterAndOwner(0)
 		c.delayAllServers(4 * time.Second)
-		once := c.startNodeQuery(t.Context(), requester, "once", false)
+		result := c.startNodeQuery(t.Context(), requester, "once", false)
 		c.delayAllServers(serviceTime * time.Millisecond)
 		stopped := make(chan struct{})
 		go func() {
@@ -182,7 +182,7 @@
 			}
 			break
 		}
-		if got := <-once; got.status != http.StatusOK {
+		if got := <-result; got.status != http.StatusOK {
 			t.Errorf("forward in flight: %d %+v", got.status, got.problem)
 		}
 		c.expectComplete("gone-", owner)
@@ -193,11 +193,11 @@
 	withCluster(t, func(t *testing.T, c *cluster) {
 		requester, _ := c.requesterAndOwner(0)
 		c.delayAllServers(time.Second)
-		once := c.startNodeQuery(t.Context(), requester, "once", false)
+		result := c.startNodeQuery(t.Context(), requester, "once", false)
 		faults := c.servers[0].Faults()
 		faults.Draining = true
 		c.servers[0].SetFaults(faults)
-		if got := <-once; got.status != http.StatusOK {
+		if got := <-result; got.status != http.StatusOK {
 			t.Errorf("forward in flight: %d %+v", got.status, got.problem)
 		}
 		time.Sleep(settleTime)
--- a/node/health.go
+++ b/node/health.go
@@ -171,8 +171,8 @@
 func (p *poller) pollParameters(target *pollTarget) (address string, withLoad bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	wanted := target.isAssigned || target.needsFirstPoll()
-	return target.address, wanted && time.Since(target.lastLoad) >= minLoadPollInterval
+	loadAllowed := target.isAssigned || target.needsFirstPoll()
+	return target.address, loadAllowed && time.Since(target.lastLoad) >= minLoadPollInterval
 }
 
 func (p *poller) reschedule(target *pollTarget, succeeded, withLoad bool) {
--- a/node/health_internal_test.go
+++ b/node/health_internal_test.go
@@ -68,33 +68,33 @@
 	})
 }
 
-// newBudgetedPoller returns a poller with a budget. The first servers, as many
-// as duties says, are assigned to it.
-func newBudgetedPoller(client backendClient, servers, duties int, budget float64) *poller {
+// newBudgetedPoller returns a poller with a budget; the first servers, assigned
+// in number, are assigned to it.
+func newBudgetedPoller(client backendClient, servers, assigned int, budget float64) *poller {
 	poller := newPoller(pollerOptions{
 		client: client, interval: 1500 * time.Millisecond, timeout: time.Second, concurrency: servers, seed: 1,
 		budgetRate: budget, onResult: func(pollResult) {}, onUnreachable: func(string) {},
 	})
-	configured, places := map[string]configuredServer{}, map[string]int{}
+	configured, ranks := map[string]configuredServer{}, map[string]int{}
 	for number := range servers {
 		name := fmt.Sprint(number)
 		configured[name] = configuredServer{address: name}
-		if number < duties {
-			places[name] = 0
+		if number < assigned {
+			ranks[name] = 0
 		}
 	}
 	poller.setServers(configured)
-	poller.setAssigned(places, 24)
+	poller.setAssigned(ranks, 24)
 	return poller
 }
 
 func TestPollsStayWithinBudget(t *testing.T) {
 	const (
-		servers = 70
-		duties  = 9
-		budget  = 12.0
-		warmUp  = 20 * time.Second
-		span    = 120 * time.Second
+		servers  = 70
+		assigned = 9
+		budget   = 12.0
+		warmUp   = 20 * time.Second
+		span     = 120 * time.Second
 	)
 	tests := map[string]struct {
 		// each runs once per second concurrently with the poller.
@@ -106,7 +106,7 @@
 		"quiet": {func(*poller) {}, true},
 		"the others reply": {
 			func(p *poller) {
-				for number := duties; number < servers; number++ {
+				for number := assigned; number < servers; number++ {
 					p.recordReply(fmt.Sprint(number))
 				}
 			}, false,
@@ -114,7 +114,7 @@
 		"a doubt each second": {func(p *poller) { p.requestRecheck("40") }, true},
 		"replies of servers that then can't be reached": {
 			func(p *poller) {
-				for number := duties; number < servers; number++ {
+				for number := assigned; number < servers; number++ {
 					p.recordReply(fmt.Sprint(number))
 					p.clearReply(fmt.Sprint(number))
 				}
@@ -125,7 +125,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				client := &recordingHealthClient{polls: map[string][]time.Time{}, pollTimes: map[time.Time]bool{}}
-				poller := newBudgetedPoller(client, servers, duties, budget)
+				poller := newBudgetedPoller(client, servers, assigned, budget)
 				ctx, cancel := context.WithTimeout(t.Context(), warmUp+span)
 				defer cancel()
 				begin := time.Now().Add(warmUp)
@@ -137,14 +137,14 @@
 				}()
 				poller.run(ctx)
 				time.Sleep(time.Second)
-				total, others := client.countSince(begin, duties)
+				total, others := client.countSince(begin, assigned)
 				if rate := float64(total) / span.Seconds(); rate > budget {
 					t.Errorf("%.1f polls per second, budget is %g", rate, budget)
 				}
 				if (others > 0) != test.wantOthers {
 					t.Errorf("%d polls of servers that are not assigned", others)
 				}
-				for number := range duties {
+				for number := range assigned {
 					if read := len(client.polls[fmt.Sprint(number)]); read < int((span+warmUp)/(2*time.Second)) {
 						t.Errorf("assigned server %d was polled only %d times", number, read)
 					}
@@ -156,7 +156,7 @@
 
 // countSince returns the number of polls since a time, and how many of them
 // were of servers that are not assigned.
-func (h *recordingHealthClient) countSince(begin time.Time, duties int) (total, others int) {
+func (h *recordingHealthClient) countSince(begin time.Time, assigned int) (total, others int) {
 	for address, times := range h.polls {
 		number, _ := strconv.Atoi(address)
 		for _, at := range times {
@@ -164,7 +164,7 @@
 				continue
 			}
 			total++
-			if number >= duties {
+			if number >= assigned {
 				others++
 			}
 		}
@@ -178,21 +178,21 @@
 		poller := newBudgetedPoller(client, 2000, 0, 2)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Minute)
 		defer cancel()
-		var asked time.Time
+		var requestedAt time.Time
 		go func() {
 			time.Sleep(time.Minute)
-			asked = time.Now()
+			requestedAt = time.Now()
 			for number := range 10 {
 				poller.requestRecheck(fmt.Sprint(number))
 			}
 		}()
 		poller.run(ctx)
 		for number := range 10 {
-			soon := false
+			inTime := false
 			for _, at := range client.polls[fmt.Sprint(number)] {
-				soon = soon || !at.Before(asked) && at.Sub(asked) <= 24*recheckSpreadPerNode+pollTick
+				inTime = inTime || !at.Before(requestedAt) && at.Sub(requestedAt) <= 24*recheckSpreadPerNode+pollTick
 			}
-			if !soon {
+			if !inTime {
 				t.Errorf("server %d was not polled within the recheck delay", number)
 			}
 		}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -122,13 +122,13 @@
 func TestPlannedStopRejectsQueuedQueries(t *testing.T) {
 	withTestEnv(t, 1, nil, func(t *testing.T, env *testEnv) {
 		env.delayServer(0, 5*time.Second)
-		var held []<-chan response
+		var results []<-chan response
 		for range 12 {
-			held = append(held, env.startQuery(t.Context(), "held", true))
+			results = append(results, env.startQuery(t.Context(), "held", true))
 		}
 		env.stop()
 		finished, refused := 0, 0
-		for _, result := range held {
+		for _, result := range results {
 			got := <-result
 			switch {
 			case got.status == http.StatusOK && got.answer.Complete:
@@ -197,9 +197,9 @@
 				if len(executions) != 1 || executions[0].Completed != test.completes {
 					t.Errorf("executions %+v", executions)
 				}
-				again := env.query(t.Context(), "r-1", test.repeatable, "orders")
-				if again.status != http.StatusOK || !again.answer.Complete {
-					t.Errorf("second query: %+v", again)
+				second := env.query(t.Context(), "r-1", test.repeatable, "orders")
+				if second.status != http.StatusOK || !second.answer.Complete {
+					t.Errorf("second query: %+v", second)
 				}
 			})
 		})
@@ -279,8 +279,8 @@
 }
 
 func TestQueriesOverLimitAreRejected(t *testing.T) {
-	bound := func(nodeSettings *settings.Settings) { nodeSettings.Caller.Queries = 1 }
-	withTestEnv(t, 1, bound, func(t *testing.T, env *testEnv) {
+	limitQueries := func(nodeSettings *settings.Settings) { nodeSettings.Caller.Queries = 1 }
+	withTestEnv(t, 1, limitQueries, func(t *testing.T, env *testEnv) {
 		env.delayServer(0, time.Second)
 		first := env.startQuery(t.Context(), "first", true)
 		if got := env.query(t.Context(), "second", true, "orders"); got.problem.Reason != "overload" || got.problem.Execution != "not_run" {
--- a/node/once_test.go
+++ b/node/once_test.go
@@ -23,9 +23,9 @@
 		if len(second.answer.Warnings) != 1 {
 			t.Errorf("warnings %q", second.answer.Warnings)
 		}
-		other := env.query(t.Context(), "return-1", false, "other orders")
-		if other.status != http.StatusConflict || other.problem.Field != "request_id" {
-			t.Errorf("different body with the same ID got %+v", other)
+		conflicting := env.query(t.Context(), "return-1", false, "other orders")
+		if conflicting.status != http.StatusConflict || conflicting.problem.Field != "request_id" {
+			t.Errorf("different body with the same ID got %+v", conflicting)
 		}
 		if count := env.executions("return-1"); count != 2 {
 			t.Errorf("%d executions on 2 servers", count)
@@ -67,8 +67,8 @@
 }
 
 func TestDuplicateOverLimitIsNotReportedAsNotRun(t *testing.T) {
-	bound := func(nodeSettings *settings.Settings) { nodeSettings.Caller.Queries = 1 }
-	withTestEnv(t, 1, bound, func(t *testing.T, env *testEnv) {
+	limitQueries := func(nodeSettings *settings.Settings) { nodeSettings.Caller.Queries = 1 }
+	withTestEnv(t, 1, limitQueries, func(t *testing.T, env *testEnv) {
 		env.delayServer(0, time.Second)
 		first := env.startQuery(t.Context(), "return-1", false)
 		if got := env.query(t.Context(), "return-1", false, "orders"); got.problem.Execution != "unknown" {
@@ -150,8 +150,8 @@
 			t.Errorf("log:\n%s", log)
 		}
 		env.servers[0].SetFaults(emulator.ServerFaults{})
-		if again := env.query(t.Context(), "return-1", false, "secret orders"); again.problem.Execution != "unknown" || env.executions("return-1") != 1 {
-			t.Errorf("duplicate: %+v, %d executions", again, env.executions("return-1"))
+		if duplicate := env.query(t.Context(), "return-1", false, "secret orders"); duplicate.problem.Execution != "unknown" || env.executions("return-1") != 1 {
+			t.Errorf("duplicate: %+v, %d executions", duplicate, env.executions("return-1"))
 		}
 	})
 }
--- a/node/overhead_bench_test.go
+++ b/node/overhead_bench_test.go
@@ -54,14 +54,14 @@
 		return
 	}
 	data, _ := io.ReadAll(request.Body)
-	var asked backend.Request
-	if json.Unmarshal(data, &asked) != nil {
+	var received backend.Request
+	if json.Unmarshal(data, &received) != nil {
 		http.Error(writer, "malformed", http.StatusBadRequest)
 		return
 	}
 	time.Sleep(benchmarkServiceTime)
 	_, _ = fmt.Fprintf(writer, `{"attempt_id":%q,"status":"done","snapshot":%d,"range":{"start":%d,"end":%d},"body":{"found":[1,2,3]}}`,
-		asked.AttemptID, asked.Snapshot, asked.Range.Start, asked.Range.End)
+		received.AttemptID, received.Snapshot, received.Range.Start, received.Range.End)
 }
 
 func newFanOut(b *testing.B, groups int) *fanOut {
--- a/node/peers.go
+++ b/node/peers.go
@@ -123,8 +123,8 @@
 // membership, because the server was recently unreachable or is suspect there,
 // and clears the mark.
 func (n *Node) takeReplyReport(server string) bool {
-	_, troubled := n.awaitingReplyReport.LoadAndDelete(server)
-	return troubled
+	_, pending := n.awaitingReplyReport.LoadAndDelete(server)
+	return pending
 }
 
 func (n *Node) reportServer(server string, source membership.ServerSource, condition membership.ServerCondition, incarnation string) {
--- a/node/run.go
+++ b/node/run.go
@@ -34,8 +34,8 @@
 	n.publishAddresses(listeners)
 	control, stopControl := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopControl()
-	var duties sync.WaitGroup
-	n.startBackgroundTasks(control, &duties)
+	var tasks sync.WaitGroup
+	n.startBackgroundTasks(control, &tasks)
 	failures := make(chan error, len(listeners))
 	var serving sync.WaitGroup
 	for _, server := range listeners {
@@ -54,7 +54,7 @@
 	}
 	n.stop(listeners)
 	stopControl()
-	duties.Wait()
+	tasks.Wait()
 	n.stopListeners(listeners[1:], controlStopTimeout)
 	serving.Wait()
 	n.workers.close()
@@ -93,19 +93,19 @@
 
 // startBackgroundTasks starts the replicator, the agent, the poller and the
 // membership watch.
-func (n *Node) startBackgroundTasks(ctx context.Context, duties *sync.WaitGroup) {
+func (n *Node) startBackgroundTasks(ctx context.Context, tasks *sync.WaitGroup) {
 	n.replicator.Subscribe(n.configure)
 	n.agent.SubscribeServers(n.handleServerStateChange)
 	n.agent.SubscribeUnverified(n.poller.requestRecheck)
-	duties.Go(func() { n.logTaskError("configuration", n.replicator.Run(ctx)) })
-	duties.Go(func() { n.logTaskError("peers", n.agent.Run(ctx)) })
-	duties.Go(func() { n.poller.run(ctx) })
-	duties.Go(func() { n.watchMembers(ctx) })
+	tasks.Go(func() { n.logTaskError("configuration", n.replicator.Run(ctx)) })
+	tasks.Go(func() { n.logTaskError("peers", n.agent.Run(ctx)) })
+	tasks.Go(func() { n.poller.run(ctx) })
+	tasks.Go(func() { n.watchMembers(ctx) })
 }
 
-func (n *Node) logTaskError(duty string, err error) {
+func (n *Node) logTaskError(task string, err error) {
 	if err != nil {
-		n.log.Error().Err(err).Str("duty", duty).Msg("background task failed")
+		n.log.Error().Err(err).Str("duty", task).Msg("background task failed")
 	}
 }
 
@@ -148,12 +148,12 @@
 
 // logAborted logs the IDs of the requests that an abort interrupts.
 func (n *Node) logAborted() {
-	var cut []string
+	var interrupted []string
 	for _, serviceShard := range n.allShards() {
-		cut = append(cut, serviceShard.pendingRequestIDs()...)
+		interrupted = append(interrupted, serviceShard.pendingRequestIDs()...)
 	}
-	slices.Sort(cut)
-	n.log.Warn().Int("requests", len(cut)).Strs("request_ids", cut).Msg("aborted: in-flight requests interrupted")
+	slices.Sort(interrupted)
+	n.log.Warn().Int("requests", len(interrupted)).Strs("request_ids", interrupted).Msg("aborted: in-flight requests interrupted")
 }
 
 func (n *Node) stopListeners(listeners []*listener, timeout time.Duration) {
--- a/node/shard_bench_internal_test.go
+++ b/node/shard_bench_internal_test.go
@@ -57,8 +57,8 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		query := serviceShard.submit(request)
-		if end := <-query.done; !end.outcome.Complete {
-			b.Fatalf("outcome %+v", end.outcome)
+		if result := <-query.done; !result.outcome.Complete {
+			b.Fatalf("outcome %+v", result.outcome)
 		}
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*groups), "ns/send")
