--- a/route/encoding.go
+++ b/route/encoding.go
@@ -9,11 +9,11 @@
 // encodedDefinition is a definition as nodes tell it each other: each set of
 // shards stands once, and routes name it by its number.
 type encodedDefinition struct {
-	Version  uint64           `json:"version"`
-	Limits   encodedLimits    `json:"limits"`
-	Services []encodedService `json:"services"`
-	Sets     [][]string       `json:"shard_sets,omitempty"`
-	Routes   []encodedRoute   `json:"routes"`
+	Version   uint64           `json:"version"`
+	Limits    encodedLimits    `json:"limits"`
+	Services  []encodedService `json:"services"`
+	ShardSets [][]string       `json:"shard_sets,omitempty"`
+	Routes    []encodedRoute   `json:"routes"`
 }
 
 type encodedLimits struct {
@@ -42,10 +42,10 @@
 	Priority      int            `json:"priority,omitempty"`
 	Homes         []string       `json:"homes,omitempty"`
 	Shares        []encodedShare `json:"shares,omitempty"`
-	// Set is one more than the number of the set of shards; zero is none.
-	Set     int     `json:"set,omitempty"`
-	Top     int     `json:"top,omitempty"`
-	Minimum float64 `json:"minimum_coverage,omitempty"`
+	// ShardSet is one more than the number of the set of shards; zero is none.
+	ShardSet int     `json:"set,omitempty"`
+	Top      int     `json:"top,omitempty"`
+	Minimum  float64 `json:"minimum_coverage,omitempty"`
 }
 
 type encodedShare struct {
@@ -55,7 +55,7 @@
 
 // MarshalJSON implements json.Marshaler.
 func (d Definition) MarshalJSON() ([]byte, error) {
-	sets := newShardSets()
+	sets := newShardSetIndex()
 	encoded := encodedDefinition{
 		Version:  d.Version,
 		Limits:   encodedLimits(d.Limits),
@@ -68,11 +68,11 @@
 	for i := range d.Routes {
 		encoded.Routes = append(encoded.Routes, encodeRoute(&d.Routes[i], sets))
 	}
-	encoded.Sets = sets.sets
+	encoded.ShardSets = sets.sets
 	return json.Marshal(encoded)
 }
 
-func encodeRoute(r *Route, sets *shardSets) encodedRoute {
+func encodeRoute(r *Route, sets *shardSetIndex) encodedRoute {
 	encoded := encodedRoute{
 		Name:          r.Name,
 		Host:          r.Host,
@@ -90,7 +90,7 @@
 		encoded.Shares = append(encoded.Shares, encodedShare(share))
 	}
 	if r.Target.IsFanOut() {
-		encoded.Set = sets.number(r.Target.Shards) + 1
+		encoded.ShardSet = sets.indexOf(r.Target.Shards) + 1
 	}
 	return encoded
 }
@@ -111,7 +111,7 @@
 		d.Services = append(d.Services, Service(service))
 	}
 	for i := range encoded.Routes {
-		decoded, err := encoded.Routes[i].decode(encoded.Sets)
+		decoded, err := encoded.Routes[i].decode(encoded.ShardSets)
 		if err != nil {
 			return fmt.Errorf("routes[%d]: %w", i, err)
 		}
@@ -121,8 +121,8 @@
 }
 
 func (e *encodedRoute) decode(sets [][]string) (Route, error) {
-	if e.Set < 0 || e.Set > len(sets) {
-		return Route{}, invalid("set", "there are %d, not %d", len(sets), e.Set)
+	if e.ShardSet < 0 || e.ShardSet > len(sets) {
+		return Route{}, invalid("set", "there are %d, not %d", len(sets), e.ShardSet)
 	}
 	decoded := Route{
 		Name:          e.Name,
@@ -139,8 +139,8 @@
 	for _, share := range e.Shares {
 		decoded.Target.Shares = append(decoded.Target.Shares, Share(share))
 	}
-	if e.Set > 0 {
-		decoded.Target.Shards = sets[e.Set-1]
+	if e.ShardSet > 0 {
+		decoded.Target.Shards = sets[e.ShardSet-1]
 	}
 	return decoded, nil
 }
--- a/route/table.go
+++ b/route/table.go
@@ -18,9 +18,9 @@
 	Limits Limits
 
 	// byHost holds the routes of a host, those with the longest prefix first.
-	byHost     map[string][]*Route
-	definition Definition
-	used       []string
+	byHost       map[string][]*Route
+	definition   Definition
+	usedServices []string
 }
 
 // Service is a set of servers, each of which answers as well as another.
@@ -108,12 +108,12 @@
 	for _, share := range t.Shares {
 		total += share.Weight
 	}
-	left := point * total
+	remaining := point * total
 	for _, share := range t.Shares {
-		if left < share.Weight {
+		if remaining < share.Weight {
 			return share.Service
 		}
-		left -= share.Weight
+		remaining -= share.Weight
 	}
 	return t.Shares[len(t.Shares)-1].Service
 }
@@ -129,17 +129,17 @@
 // New returns the table of a definition, or an error that names the field at
 // fault; it wraps ErrInvalid.
 func New(definition Definition) (*Table, error) {
-	sets := definition.share()
+	sets := definition.deduplicateShards()
 	if err := definition.validate(sets); err != nil {
 		return nil, err
 	}
 	t := &Table{
-		Version:    definition.Version,
-		Services:   make(map[string]Service, len(definition.Services)),
-		Limits:     definition.Limits,
-		byHost:     make(map[string][]*Route),
-		definition: definition,
-		used:       definition.used(sets),
+		Version:      definition.Version,
+		Services:     make(map[string]Service, len(definition.Services)),
+		Limits:       definition.Limits,
+		byHost:       make(map[string][]*Route),
+		definition:   definition,
+		usedServices: definition.usedServices(sets),
 	}
 	for _, service := range definition.Services {
 		t.Services[service.Name] = service
@@ -200,10 +200,10 @@
 
 // UsedServices lists the services that a route names, sorted. The list must not
 // be changed.
-func (t *Table) UsedServices() []string { return t.used }
+func (t *Table) UsedServices() []string { return t.usedServices }
 
 // used lists the services that a route names, sorted; sets are its sets of shards.
-func (d *Definition) used(sets [][]string) []string {
+func (d *Definition) usedServices(sets [][]string) []string {
 	named := make(map[string]struct{})
 	for _, set := range sets {
 		for _, name := range set {
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestPickFollowsTheWeights(t *testing.T) {
+func TestPickFollowsWeights(t *testing.T) {
 	target := route.Target{Shares: []route.Share{{Service: "a", Weight: 1}, {Service: "none", Weight: 0}, {Service: "b", Weight: 3}}}
 	counts := make(map[string]int)
 	for point := range 1000 {
@@ -59,8 +59,8 @@
 }
 
 // A table that is at fault is refused with the name of the field.
-func TestInvalidTables(t *testing.T) {
-	for field, spoil := range map[string]func(d *route.Definition){
+func TestNewRejectsInvalidDefinitions(t *testing.T) {
+	for field, corrupt := range map[string]func(d *route.Definition){
 		"services[0].name":          func(d *route.Definition) { d.Services[0].Name = "" },
 		"services[1].connections":   func(d *route.Definition) { d.Services[1].Connections = 0 },
 		"routes[0].host":            func(d *route.Definition) { d.Routes[0].Host = "" },
@@ -76,9 +76,9 @@
 		"limits.idle_timeout":       func(d *route.Definition) { d.Limits.IdleTimeout = 0 },
 		"routes[1].target: names t": func(d *route.Definition) { d.Routes[1].Target.Shards[0] = "b" },
 	} {
-		spoilt := definition()
-		spoil(&spoilt)
-		_, err := route.New(spoilt)
+		invalid := definition()
+		corrupt(&invalid)
+		_, err := route.New(invalid)
 		if !errors.Is(err, route.ErrInvalid) || !strings.Contains(err.Error(), field) {
 			t.Errorf("%v, want one that names %s", err, field)
 		}
@@ -86,7 +86,7 @@
 }
 
 // A definition survives its encoding, and routes with the same shards share them.
-func TestDefinitionIsEncodedOnce(t *testing.T) {
+func TestDefinitionEncodingSharesShardSets(t *testing.T) {
 	shards := make([]string, 90)
 	definition := route.Definition{Version: 7, Limits: route.Limits{HeaderBytes: 1, BodyBytes: 2, HeaderTimeout: 3, IdleTimeout: 4}}
 	for i := range shards {
@@ -107,8 +107,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if least := 500 * len(shards) * len(shards[0]); len(encoded) > least/4 {
-		t.Errorf("%d bytes for 500 routes with %d bytes of shards", len(encoded), least)
+	if shardBytes := 500 * len(shards) * len(shards[0]); len(encoded) > shardBytes/4 {
+		t.Errorf("%d bytes for 500 routes with %d bytes of shards", len(encoded), shardBytes)
 	}
 	var decoded route.Definition
 	if err := json.Unmarshal(encoded, &decoded); err != nil {
--- a/route/validate.go
+++ b/route/validate.go
@@ -18,8 +18,8 @@
 // Unwrap lets errors.Is find ErrInvalid.
 func (e *fieldError) Unwrap() error { return ErrInvalid }
 
-// within is the error of a field that lies in another one.
-func (e *fieldError) within(field string) *fieldError {
+// inField is the error of a field that lies in another one.
+func (e *fieldError) inField(field string) *fieldError {
 	return &fieldError{field: field + "." + e.field, text: e.text}
 }
 
@@ -33,21 +33,21 @@
 	known := make(map[string]struct{}, len(d.Services))
 	for i, service := range d.Services {
 		if err := service.validate(known); err != nil {
-			return err.within(fmt.Sprintf("services[%d]", i))
+			return err.inField(fmt.Sprintf("services[%d]", i))
 		}
 		known[service.Name] = struct{}{}
 	}
-	sound := make(map[*string]bool, len(sets))
+	validShards := make(map[*string]bool, len(sets))
 	for _, set := range sets {
-		sound[&set[0]] = validateNames(set, known) == nil
+		validShards[&set[0]] = validateNames(set, known) == nil
 	}
 	for i := range d.Routes {
-		if err := d.Routes[i].validate(known, sound); err != nil {
-			return err.within(fmt.Sprintf("routes[%d]", i))
+		if err := d.Routes[i].validate(known, validShards); err != nil {
+			return err.inField(fmt.Sprintf("routes[%d]", i))
 		}
 	}
 	if err := d.Limits.validate(); err != nil {
-		return err.within("limits")
+		return err.inField("limits")
 	}
 	return nil
 }
@@ -56,7 +56,7 @@
 	if s.Name == "" {
 		return invalid("name", "must not be empty")
 	}
-	if _, twice := known[s.Name]; twice {
+	if _, duplicate := known[s.Name]; duplicate {
 		return invalid("name", "%q stands twice", s.Name)
 	}
 	if s.Connections < 1 {
@@ -83,7 +83,7 @@
 	}
 }
 
-func (r *Route) validate(services map[string]struct{}, sound map[*string]bool) *fieldError {
+func (r *Route) validate(services map[string]struct{}, validShards map[*string]bool) *fieldError {
 	switch {
 	case r.Host == "":
 		return invalid("host", "must not be empty")
@@ -98,11 +98,11 @@
 	case r.Priority < 0:
 		return invalid("priority", "must not be negative")
 	default:
-		return r.validateTarget(services, sound)
+		return r.validateTarget(services, validShards)
 	}
 }
 
-func (r *Route) validateTarget(services map[string]struct{}, sound map[*string]bool) *fieldError {
+func (r *Route) validateTarget(services map[string]struct{}, validShards map[*string]bool) *fieldError {
 	t := &r.Target
 	switch {
 	case t.IsFanOut() && len(t.Shares) > 0:
@@ -115,7 +115,7 @@
 		return invalid("top", "must not be negative")
 	case t.MinimumCoverage < 0 || t.MinimumCoverage > 1:
 		return invalid("minimum_coverage", "must be from 0 to 1")
-	case t.IsFanOut() && sound[&t.Shards[0]]:
+	case t.IsFanOut() && validShards[&t.Shards[0]]:
 		return nil
 	}
 	if err := t.validateShares(); err != nil {
@@ -144,7 +144,7 @@
 		if _, known := services[name]; !known {
 			return invalid("target", "names the service %q, which is not listed", name)
 		}
-		if _, twice := seen[name]; twice {
+		if _, duplicate := seen[name]; duplicate {
 			return invalid("target", "names the service %q twice", name)
 		}
 		seen[name] = struct{}{}
