--- a/route/doc.go
+++ b/route/doc.go
@@ -1,8 +1,6 @@
-// Package route holds the table of routes that is in force: which requests
-// belong to which route, what is promised to its callers, and which services
-// answer it.
+// Package route implements the routing table, which maps a request's host and path to a route: its
+// timeout, latency target and priority, and the services that serve it.
 //
-// A table is a value that is never changed once it was made. Its version is a
-// number that only rises; a request keeps the table that it was matched with,
-// so that all its parts come from the shards of one version.
+// A Table is immutable. Versions increase monotonically, and a request keeps the table that it was
+// matched against, so that all parts of its answer come from shards of one version.
 package route
--- a/route/encoding.go
+++ b/route/encoding.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// encodedDefinition is a definition as nodes tell it each other: each set of
-// shards stands once, and routes name it by its number.
+// encodedDefinition is the JSON form in which nodes exchange a Definition. Each distinct set of
+// shards is encoded once, and routes refer to it by index.
 type encodedDefinition struct {
 	Version   uint64           `json:"version"`
 	Limits    encodedLimits    `json:"limits"`
@@ -42,7 +42,7 @@
 	Priority      int            `json:"priority,omitempty"`
 	Homes         []string       `json:"homes,omitempty"`
 	Shares        []encodedShare `json:"shares,omitempty"`
-	// ShardSet is one more than the number of the set of shards; zero is none.
+	// ShardSet is the index of the route's set in ShardSets plus one. Zero means no shards.
 	ShardSet int     `json:"set,omitempty"`
 	Top      int     `json:"top,omitempty"`
 	Minimum  float64 `json:"minimum_coverage,omitempty"`
@@ -95,7 +95,8 @@
 	return encoded
 }
 
-// UnmarshalJSON implements json.Unmarshaler. Its error names the field at fault.
+// UnmarshalJSON implements json.Unmarshaler. An invalid shard set is reported with the path of the
+// route.
 func (d *Definition) UnmarshalJSON(data []byte) error {
 	var encoded encodedDefinition
 	if err := json.Unmarshal(data, &encoded); err != nil {
--- a/route/shards.go
+++ b/route/shards.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// shardSetIndex finds the distinct sets of shards among routes: most routes of a
-// table name the same few, each of them long.
+// shardSetIndex collects the distinct sets of shards of the routes. Most routes of a table use one
+// of a few long sets.
 type shardSetIndex struct {
 	indexes map[string]int
 	sets    [][]string
@@ -14,7 +14,8 @@
 
 func newShardSetIndex() *shardSetIndex { return &shardSetIndex{indexes: make(map[string]int)} }
 
-// indexOf is that of the set, counted from zero in the order in which they came.
+// indexOf returns the index of a set, and adds the set if it is new. Indexes start at zero and
+// follow the order of insertion.
 func (s *shardSetIndex) indexOf(shards []string) int {
 	key := strings.Join(shards, "\x00")
 	number, known := s.indexes[key]
@@ -26,7 +27,8 @@
 	return number
 }
 
-// deduplicateShards lets routes with the same shards hold one list of them.
+// deduplicateShards makes routes with equal sets of shards share one slice, and returns the distinct
+// sets. The caller's routes are not modified.
 func (d *Definition) deduplicateShards() (distinct [][]string) {
 	sets := newShardSetIndex()
 	routes := slices.Clone(d.Routes)
--- a/route/table.go
+++ b/route/table.go
@@ -8,89 +8,90 @@
 	"time"
 )
 
-// Table is one version of the routes and services.
+// Table is an immutable version of the routes and services.
 type Table struct {
-	// Version orders tables; a later one has a higher number.
+	// Version increases with each new table.
 	Version uint64
-	// Services are by name.
+	// Services maps service names to services.
 	Services map[string]Service
-	// Limits bound what a caller may send.
+	// Limits are the limits on callers' requests.
 	Limits Limits
 
-	// byHost holds the routes of a host, those with the longest prefix first.
+	// byHost maps a host to its routes, sorted by descending length of the path prefix.
 	byHost       map[string][]*Route
 	definition   Definition
 	usedServices []string
 }
 
-// Service is a set of servers, each of which answers as well as another.
+// Service is a set of interchangeable servers.
 type Service struct {
 	Name string
-	// HealthPath is where a server tells its health.
+	// HealthPath is the URL path of a server's health check.
 	HealthPath string
-	// Connections is the number that each server accepts from all nodes together.
+	// Connections is the number of connections that a server accepts from all nodes together.
 	Connections int
-	// ColdRate is the number of requests a second that a server bears while it is cold;
-	// zero is no bound.
+	// ColdRate limits the requests per second to a server that is warming up. Zero means no
+	// limit.
 	ColdRate float64
 }
 
-// Limits bound a caller's requests.
+// Limits are the limits on callers' requests and connections.
 type Limits struct {
-	// HeaderBytes and BodyBytes are the largest that are accepted.
+	// HeaderBytes and BodyBytes are the maximum sizes of a request's header and body.
 	HeaderBytes, BodyBytes int64
-	// HeaderTimeout bounds how long a header may take to arrive.
+	// HeaderTimeout is the maximum time to receive a request's header.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a connection may rest between requests.
+	// IdleTimeout is the maximum time that a connection may be idle between requests.
 	IdleTimeout time.Duration
 }
 
-// Route is what is promised to the requests that match it.
+// Route describes how the requests that match it are served.
 type Route struct {
 	Name string
-	// Host is matched without its port, in lower case.
+	// Host is the host name, without a port. It is matched case-insensitively.
 	Host string
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
-	// Repeatable says that a request may run more than once.
+	// Repeatable reports whether a request may be executed more than once.
 	Repeatable bool
-	// Timeout is how long a request may be held.
+	// Timeout is the maximum time to serve a request.
 	Timeout time.Duration
-	// LatencyTarget is the time within which an answer is worth most; zero is none.
+	// LatencyTarget is the time within which an answer has its full value. Zero means no target.
 	LatencyTarget time.Duration
-	// Attempts is the number of servers that may be asked for one part of a request.
+	// Attempts is the maximum number of servers to which one part of a request is sent.
 	Attempts int
-	// Priority ranks the route; zero is the most urgent.
+	// Priority is the rank of the route. Zero is the highest priority.
 	Priority int
-	// Homes are the regions in which requests may be served; none is everywhere.
+	// Homes lists the regions in which requests may be served. Empty means all regions.
 	Homes  []string
 	Target Target
 }
 
-// Target is what answers a route: one of several services by weight, or a
-// server of each of several shards.
+// Target says which services serve a route: either one service picked by weight (Shares), or a
+// fan-out to all shards (Shards). Exactly one of the two is set.
 type Target struct {
-	// Shares is set unless Shards is.
+	// Shares lists the services of a weighted target.
 	Shares []Share
-	// Shards names the services of which each is asked, and of which the answer
-	// merges the parts.
+	// Shards names the services of a fan-out. Each receives the request, and the answer merges
+	// their parts.
 	Shards []string
-	// Top is the number of the greatest records that an answer holds.
+	// Top is the number of highest-ranked records in the answer of a fan-out.
 	Top int
-	// MinimumCoverage is the least part of the shards that makes an answer.
+	// MinimumCoverage is the minimum fraction of the shards, from 0 to 1, that an answer must
+	// cover.
 	MinimumCoverage float64
 }
 
-// Share is a service with its weight among others.
+// Share is a service and its weight relative to the other shares.
 type Share struct {
 	Service string
 	Weight  float64
 }
 
-// IsFanOut reports whether every shard is asked.
+// IsFanOut reports whether a request is sent to all shards.
 func (t Target) IsFanOut() bool { return len(t.Shards) > 0 }
 
-// ServiceNames lists the services that may answer.
+// ServiceNames returns the names of the services that may serve the route.
 func (t Target) ServiceNames() []string {
 	if t.IsFanOut() {
 		return t.Shards
@@ -102,7 +103,7 @@
 	return names
 }
 
-// Pick chooses a service by weight; point lies in [0, 1).
+// Pick selects a service by weight. The point is in [0, 1). The target must not be a fan-out.
 func (t Target) Pick(point float64) string {
 	total := 0.0
 	for _, share := range t.Shares {
@@ -118,7 +119,7 @@
 	return t.Shares[len(t.Shares)-1].Service
 }
 
-// Definition is what a table is made of.
+// Definition is the content of a Table.
 type Definition struct {
 	Version  uint64
 	Routes   []Route
@@ -126,8 +127,8 @@
 	Limits   Limits
 }
 
-// New returns the table of a definition, or an error that names the field at
-// fault; it wraps ErrInvalid.
+// New validates a definition and returns its table. Its error wraps ErrInvalid and names the invalid
+// field.
 func New(definition Definition) (*Table, error) {
 	sets := definition.deduplicateShards()
 	if err := definition.validate(sets); err != nil {
@@ -157,14 +158,14 @@
 	return t, nil
 }
 
-// Len is the number of routes.
+// Len returns the number of routes.
 func (t *Table) Len() int { return len(t.definition.Routes) }
 
-// Definition is what the table was made of; it must not be changed.
+// Definition returns the definition of the table. The caller must not modify it.
 func (t *Table) Definition() Definition { return t.definition }
 
-// Match finds the route of a request: of the host's routes the one with the
-// longest prefix that begins the path. It is nil when there is none.
+// Match returns the route of the host with the longest prefix of the path, or nil if no route
+// matches.
 func (t *Table) Match(host, path string) *Route {
 	for _, r := range t.byHost[hostName(host)] {
 		if strings.HasPrefix(path, r.PathPrefix) {
@@ -174,8 +175,8 @@
 	return nil
 }
 
-// CommonHomes lists the regions in which every route of a host that has homes may be served;
-// none where no route has any, or no region suits all.
+// CommonHomes returns the regions that all routes of a host with homes have in common. It is empty
+// if no route has homes or if they have no region in common.
 func (t *Table) CommonHomes(host string) []string {
 	var common []string
 	for _, r := range t.byHost[hostName(host)] {
@@ -190,7 +191,7 @@
 	return common
 }
 
-// hostName is the host without its port, in lower case.
+// hostName returns the host in lower case, without its port.
 func hostName(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
@@ -198,11 +199,12 @@
 	return strings.ToLower(host)
 }
 
-// UsedServices lists the services that a route names, sorted. The list must not
-// be changed.
+// UsedServices returns the sorted names of the services that routes refer to. The caller must not
+// modify the slice.
 func (t *Table) UsedServices() []string { return t.usedServices }
 
-// used lists the services that a route names, sorted; sets are its sets of shards.
+// usedServices returns the sorted names of the services that routes refer to. The sets are the
+// distinct sets of shards of the definition.
 func (d *Definition) usedServices(sets [][]string) []string {
 	named := make(map[string]struct{})
 	for _, set := range sets {
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -42,7 +42,7 @@
 			got = matched.Name
 		}
 		if got != test.want {
-			t.Errorf("%s %s: %q, want %q", test.host, test.path, got, test.want)
+			t.Errorf("%s %s: got route %q, want %q", test.host, test.path, got, test.want)
 		}
 	}
 }
@@ -54,11 +54,11 @@
 		counts[target.Pick(float64(point)/1000)]++
 	}
 	if counts["a"] != 250 || counts["b"] != 750 || counts["none"] != 0 {
-		t.Errorf("%v", counts)
+		t.Errorf("got counts %v, want a: 250, b: 750, none: 0", counts)
 	}
 }
 
-// A table that is at fault is refused with the name of the field.
+// New rejects an invalid definition with an error that names the field.
 func TestNewRejectsInvalidDefinitions(t *testing.T) {
 	for field, corrupt := range map[string]func(d *route.Definition){
 		"services[0].name":          func(d *route.Definition) { d.Services[0].Name = "" },
@@ -80,12 +80,13 @@
 		corrupt(&invalid)
 		_, err := route.New(invalid)
 		if !errors.Is(err, route.ErrInvalid) || !strings.Contains(err.Error(), field) {
-			t.Errorf("%v, want one that names %s", err, field)
+			t.Errorf("got error %v, want one that names %s", err, field)
 		}
 	}
 }
 
-// A definition survives its encoding, and routes with the same shards share them.
+// A definition is unchanged by encoding and decoding, each set of shards is encoded only once, and
+// routes with equal sets share one slice.
 func TestDefinitionEncodingSharesShardSets(t *testing.T) {
 	shards := make([]string, 90)
 	definition := route.Definition{Version: 7, Limits: route.Limits{HeaderBytes: 1, BodyBytes: 2, HeaderTimeout: 3, IdleTimeout: 4}}
@@ -108,14 +109,14 @@
 		t.Fatal(err)
 	}
 	if shardBytes := 500 * len(shards) * len(shards[0]); len(encoded) > shardBytes/4 {
-		t.Errorf("%d bytes for 500 routes with %d bytes of shards", len(encoded), shardBytes)
+		t.Errorf("encoding has %d bytes for 500 routes with %d bytes of shards", len(encoded), shardBytes)
 	}
 	var decoded route.Definition
 	if err := json.Unmarshal(encoded, &decoded); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(decoded, definition) {
-		t.Error("the definition is not what it was")
+		t.Error("decoded definition differs from the original")
 	}
 	table, err := route.New(definition)
 	if err != nil {
@@ -123,12 +124,12 @@
 	}
 	first, last := table.Match("h", "/0/x"), table.Match("h", "/499/x")
 	if &first.Target.Shards[0] != &last.Target.Shards[0] {
-		t.Error("routes with the same shards hold them twice")
+		t.Error("routes with equal shards do not share one slice")
 	}
 	if got := table.UsedServices(); len(got) != len(shards) {
-		t.Errorf("%d services are used, want %d", len(got), len(shards))
+		t.Errorf("got %d used services, want %d", len(got), len(shards))
 	}
 	if err := json.Unmarshal([]byte(`{"routes":[{"set":1}]}`), &decoded); !errors.Is(err, route.ErrInvalid) || !strings.Contains(err.Error(), "routes[0]") {
-		t.Errorf("a set that is not there: %v", err)
+		t.Errorf("unknown shard set: got error %v", err)
 	}
 }
--- a/route/validate.go
+++ b/route/validate.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// ErrInvalid is wrapped by the errors of New.
+// ErrInvalid is wrapped by all errors of New.
 var ErrInvalid = errors.New("route: invalid table")
 
-// fieldError tells what is wrong with a field.
+// fieldError reports an invalid field of a definition.
 type fieldError struct{ field, text string }
 
 // Error implements error.
 func (e *fieldError) Error() string { return fmt.Sprintf("%s: %s: %s", ErrInvalid, e.field, e.text) }
 
-// Unwrap lets errors.Is find ErrInvalid.
+// Unwrap returns ErrInvalid.
 func (e *fieldError) Unwrap() error { return ErrInvalid }
 
-// inField is the error of a field that lies in another one.
+// inField returns the error with its path prefixed by the enclosing field.
 func (e *fieldError) inField(field string) *fieldError {
 	return &fieldError{field: field + "." + e.field, text: e.text}
 }
@@ -27,8 +27,8 @@
 	return &fieldError{field: field, text: fmt.Sprintf(format, values...)}
 }
 
-// validate looks at the definition, whose routes share the given sets of shards.
-// Each set is looked at once: tables have many routes with few long sets.
+// validate checks the definition, whose routes share the given sets of shards. Each set is checked
+// only once, because tables have many routes and few, long sets.
 func (d *Definition) validate(sets [][]string) error {
 	known := make(map[string]struct{}, len(d.Services))
 	for i, service := range d.Services {
