--- a/membership/apply.go
+++ b/membership/apply.go
@@ -24,13 +24,13 @@
 // Receive takes in another node's message and returns the own entry and the
 // updates for the reply.
 func (n *Nodes) Receive(now time.Duration, sender Member, updates []Member) (Member, []Member) {
-	n.takeIn(now, sender, updates, fromGossip)
+	n.mergeMessage(now, sender, updates, fromGossip)
 	return n.self, n.payload(sender.ID)
 }
 
-// takeIn applies a node's entry and the updates that came with it.
-func (n *Nodes) takeIn(now time.Duration, sender Member, updates []Member, from source) {
-	n.heardFrom(sender.ID)
+// mergeMessage applies a node's entry and the updates that came with it.
+func (n *Nodes) mergeMessage(now time.Duration, sender Member, updates []Member, from source) {
+	n.revokeSuspicionsOf(sender.ID)
 	n.apply(now, sender, fromSender)
 	for _, update := range updates[:min(len(updates), MaximumSyncMembers)] {
 		n.apply(now, update, from)
@@ -52,7 +52,7 @@
 		return
 	}
 	if from == fromSync || from == fromGossip {
-		update = softened(known.member, update)
+		update = softenGone(known.member, update)
 	}
 	if !update.Supersedes(known.member) {
 		return
@@ -60,15 +60,15 @@
 	before := known.member
 	known.member = merge(before, update)
 	if from != fromDetector {
-		known.unconfirmed = false
+		known.unannounced = false
 	}
-	n.changed(now, known, before, from)
+	n.recordChange(now, known, before, from)
 }
 
-// softened turns a death of a live member that only others tell into a
+// softenGone turns a death of a live member that only others tell into a
 // suspicion, so that it can refute: the two halves of a parted region that come
 // together, or a node that hears nobody, would bury each other's members.
-func softened(known, update Member) Member {
+func softenGone(known, update Member) Member {
 	if update.State == Gone && known.State == Live {
 		update.State = Suspect
 	}
@@ -89,11 +89,11 @@
 	n.entries[update.ID] = known
 	at, _ := slices.BinarySearch(n.ids, update.ID)
 	n.ids = slices.Insert(n.ids, at, update.ID)
-	n.changed(now, known, Member{}, from)
+	n.recordChange(now, known, Member{}, from)
 }
 
-// changed sets the deadline that goes with a new state and queues the update.
-func (n *Nodes) changed(now time.Duration, known *entry, before Member, from source) {
+// recordChange sets the deadline that goes with a new state and queues the update.
+func (n *Nodes) recordChange(now time.Duration, known *entry, before Member, from source) {
 	member := known.member
 	if len(n.changes) < maximumChanges {
 		n.changes = append(n.changes, member)
@@ -103,20 +103,20 @@
 		kind = revisionUpdate
 	} else {
 		n.version++
-		n.stateNews++
-		known.own = from == fromDetector
-		known.deadline = n.deadlineOf(now, member.State, known.own)
+		n.stateChanges++
+		known.selfDetected = from == fromDetector
+		known.deadline = n.stateDeadline(now, member.State, known.selfDetected)
 		n.nextExpiry = min(n.nextExpiry, known.deadline)
 	}
-	if from != fromSync && !known.unconfirmed {
+	if from != fromSync && !known.unannounced {
 		n.updates.add(member.ID, kind)
-		n.planNews(now, before, member)
+		n.scheduleAnnouncement(now, before, member)
 	}
 }
 
-// deadlineOf gives a suspicion that others told more time than an own finding,
+// stateDeadline gives a suspicion that others told more time than an own finding,
 // as the refutation may reach those who found it first.
-func (n *Nodes) deadlineOf(now time.Duration, state State, own bool) time.Duration {
+func (n *Nodes) stateDeadline(now time.Duration, state State, own bool) time.Duration {
 	switch state {
 	case Suspect:
 		if own {
@@ -147,7 +147,7 @@
 	}
 	n.self.Incarnation = min(update.Incarnation+1, MaximumIncarnation)
 	n.updates.add(n.self.ID, stateUpdate)
-	n.planNews(now, update, n.self)
+	n.scheduleAnnouncement(now, update, n.self)
 	n.version++
 }
 
--- a/membership/connections.go
+++ b/membership/connections.go
@@ -139,28 +139,28 @@
 
 func anyZone(string) bool { return true }
 
-// weighted is a node with its rendezvous weight for a server.
-type weighted struct {
+// weightedNode is a node with its rendezvous weight for a server.
+type weightedNode struct {
 	id     string
 	weight uint64
 }
 
-// heavierFirst puts the greater weight first, and at equal weights the lesser ID.
-func heavierFirst(x, y weighted) int {
+// compareWeights puts the greater weight first, and at equal weights the lesser ID.
+func compareWeights(x, y weightedNode) int {
 	return cmp.Or(cmp.Compare(y.weight, x.weight), cmp.Compare(x.id, y.id))
 }
 
 // rank returns the first count nodes of the wanted zones by their rendezvous
 // weight for the server.
 func rank(server ServerSpec, nodes []Member, count int, wanted func(zone string) bool) []string {
-	first := make([]weighted, 0, count+1)
+	first := make([]weightedNode, 0, count+1)
 	for index := range nodes {
 		node := &nodes[index]
 		if !wanted(node.Zone) {
 			continue
 		}
-		candidate := weighted{id: node.ID, weight: xxhash.Sum64String(server.ID + "\x00" + node.ID)}
-		at, _ := slices.BinarySearchFunc(first, candidate, heavierFirst)
+		candidate := weightedNode{id: node.ID, weight: xxhash.Sum64String(server.ID + "\x00" + node.ID)}
+		at, _ := slices.BinarySearchFunc(first, candidate, compareWeights)
 		if at == count {
 			continue
 		}
--- a/membership/connections_test.go
+++ b/membership/connections_test.go
@@ -12,7 +12,7 @@
 	"github.com/banksail/banksail/membership/gossiptest"
 )
 
-func nodesNamed(count int) []membership.Member {
+func makeNodes(count int) []membership.Member {
 	nodes := make([]membership.Member, 0, count)
 	for i := range count {
 		nodes = append(nodes, membership.Member{ID: gossiptest.NodeID(i), Zone: gossiptest.ZoneOf(i), State: membership.Live})
@@ -20,10 +20,10 @@
 	return nodes
 }
 
-func shares(place membership.ServerSpec, nodes []membership.Member) map[string]int {
+func shares(spec membership.ServerSpec, nodes []membership.Member) map[string]int {
 	held := make(map[string]int)
 	for _, node := range nodes {
-		held[node.ID] = membership.OwnerShare(node.ID, place, nodes).Maximum
+		held[node.ID] = membership.OwnerShare(node.ID, spec, nodes).Maximum
 	}
 	return held
 }
@@ -36,7 +36,7 @@
 	return total
 }
 
-func place(server, limit int) membership.ServerSpec {
+func spec(server, limit int) membership.ServerSpec {
 	return membership.ServerSpec{ID: fmt.Sprintf("server-%d", server), Zone: gossiptest.ZoneOf(server), Limit: limit}
 }
 
@@ -47,7 +47,7 @@
 
 	properties.Property("nodes with one view never exceed the limit and use what is shared out", prop.ForAll(
 		func(server, limit, count int) bool {
-			total := sum(shares(place(server, limit), nodesNamed(count)))
+			total := sum(shares(spec(server, limit), makeNodes(count)))
 			shared := membership.ShareableConnections(limit)
 			if count <= limit {
 				shared = max(shared, count)
@@ -57,7 +57,7 @@
 
 	properties.Property("every node has a connection while there are enough", prop.ForAll(
 		func(server, limit, count int) bool {
-			held := shares(place(server, limit), nodesNamed(count))
+			held := shares(spec(server, limit), makeNodes(count))
 			for _, share := range held {
 				if count <= limit && share == 0 {
 					return false
@@ -68,14 +68,14 @@
 
 	properties.Property("when a node leaves, no other one's share falls", prop.ForAll(
 		func(server, limit, count, leaver int) bool {
-			nodes := nodesNamed(count + 1)
+			nodes := makeNodes(count + 1)
 			if count+1 > limit {
 				return true // other owners are chosen: see the next property
 			}
-			before := shares(place(server, limit), nodes)
+			before := shares(spec(server, limit), nodes)
 			leaver %= len(nodes)
 			rest := append(nodes[:leaver:leaver], nodes[leaver+1:]...)
-			after := shares(place(server, limit), rest)
+			after := shares(spec(server, limit), rest)
 			for id, share := range after {
 				if share < before[id] {
 					return false
@@ -86,22 +86,22 @@
 
 	properties.Property("when a node leaves and nodes outnumber connections, at most one owner is new", prop.ForAll(
 		func(server, leaver int) bool {
-			nodes := nodesNamed(151)
-			before := shares(place(server, 70), nodes)
+			nodes := makeNodes(151)
+			before := shares(spec(server, 70), nodes)
 			leaver %= len(nodes)
-			after := shares(place(server, 70), append(nodes[:leaver:leaver], nodes[leaver+1:]...))
-			fresh := 0
+			after := shares(spec(server, 70), append(nodes[:leaver:leaver], nodes[leaver+1:]...))
+			newOwners := 0
 			for id, share := range after {
 				if share > 0 && before[id] == 0 {
-					fresh++
+					newOwners++
 				}
 			}
-			return fresh <= 1
+			return newOwners <= 1
 		}, serverNumber, counts))
 
 	properties.Property("the sum stays within the stated bound while views differ", prop.ForAll(
 		func(server, limit, count, missing int) bool {
-			nodes := nodesNamed(count)
+			nodes := makeNodes(count)
 			missing %= count
 			total := 0
 			for i, node := range nodes {
@@ -112,7 +112,7 @@
 						view = append(view, nodes[j])
 					}
 				}
-				total += membership.OwnerShare(node.ID, place(server, limit), view).Maximum
+				total += membership.OwnerShare(node.ID, spec(server, limit), view).Maximum
 			}
 			shared := membership.ShareableConnections(limit)
 			if count > shared {
@@ -125,12 +125,12 @@
 }
 
 func TestOwnersAreInTheZoneOfTheServer(t *testing.T) {
-	owners := membership.Owners(place(1, 70), nodesNamed(400))
+	owners := membership.Owners(spec(1, 70), makeNodes(400))
 	if len(owners) != membership.OwnersPerServer {
 		t.Fatalf("%d owners, want %d", len(owners), membership.OwnersPerServer)
 	}
 	zones := make(map[string]string)
-	for _, node := range nodesNamed(400) {
+	for _, node := range makeNodes(400) {
 		zones[node.ID] = node.Zone
 	}
 	for _, owner := range owners {
@@ -145,10 +145,10 @@
 
 func TestOwnershipIsSpreadEvenly(t *testing.T) {
 	const servers, count = 1000, 100
-	nodes := nodesNamed(count)
+	nodes := makeNodes(count)
 	owned := make(map[string]int)
 	for server := range servers {
-		for _, owner := range membership.Owners(place(server, 70), nodes) {
+		for _, owner := range membership.Owners(spec(server, 70), nodes) {
 			owned[owner.ID]++
 		}
 	}
--- a/membership/findings.go
+++ b/membership/findings.go
@@ -28,12 +28,12 @@
 	return ServerLeaving{ID: f.ID, Incarnation: f.Incarnation}.Valid()
 }
 
-// found queues a finding for a few peers, once.
-func (s *Servers) found(known *serverEntry, finding ServerFinding) {
-	if known.told == finding {
+// queueFinding queues a finding for a few peers, once.
+func (s *Servers) queueFinding(known *serverEntry, finding ServerFinding) {
+	if known.lastFinding == finding {
 		return
 	}
-	known.told = finding
+	known.lastFinding = finding
 	if len(s.findings) < maximumQueuedFindings && finding.Valid() {
 		s.findings = append(s.findings, finding)
 	}
@@ -53,9 +53,9 @@
 // TakeUnverified returns the servers of which other nodes told news since the last
 // call. Their own word decides, so each is to be read.
 func (s *Servers) TakeUnverified() []string {
-	doubts := s.doubts
-	s.doubts = nil
-	return doubts
+	unverified := s.unverified
+	s.unverified = nil
+	return unverified
 }
 
 // ReceiveFindings takes in what another node pushed. A leaving counts as one
@@ -74,18 +74,18 @@
 }
 
 func (s *Servers) receiveIncarnation(finding ServerFinding) {
-	known := s.ensure(finding.ID)
-	if known == nil || known.told == finding || finding.Incarnation == known.incarnation ||
-		slices.Contains(known.past, finding.Incarnation) {
+	known := s.ensureEntry(finding.ID)
+	if known == nil || known.lastFinding == finding || finding.Incarnation == known.incarnation ||
+		slices.Contains(known.pastIncarnations, finding.Incarnation) {
 		return
 	}
-	s.found(known, finding)
-	s.doubt(finding.ID)
+	s.queueFinding(known, finding)
+	s.markUnverified(finding.ID)
 }
 
-// doubt asks for a reading of a server.
-func (s *Servers) doubt(id string) {
-	if len(s.doubts) < maximumQueuedFindings {
-		s.doubts = append(s.doubts, id)
+// markUnverified asks for a reading of a server.
+func (s *Servers) markUnverified(id string) {
+	if len(s.unverified) < maximumQueuedFindings {
+		s.unverified = append(s.unverified, id)
 	}
 }
--- a/membership/findings_test.go
+++ b/membership/findings_test.go
@@ -13,14 +13,14 @@
 	return membership.ServerFinding{ID: server, Incarnation: incarnation, Leaving: true}
 }
 
-func newLife(incarnation string) membership.ServerFinding {
+func newIncarnation(incarnation string) membership.ServerFinding {
 	return membership.ServerFinding{ID: server, Incarnation: incarnation}
 }
 
-func TestFindingsArePassedOnOnce(t *testing.T) {
+func TestFindingsAreQueuedOnce(t *testing.T) {
 	tests := map[string]struct {
-		tell func(servers *membership.Servers)
-		want []membership.ServerFinding
+		apply func(servers *membership.Servers)
+		want  []membership.ServerFinding
 	}{
 		"own reading of a drain, twice": {
 			func(servers *membership.Servers) {
@@ -39,11 +39,11 @@
 		"a pushed incarnation, twice, then read": {
 			func(servers *membership.Servers) {
 				servers.Report(1, server, answered("a"))
-				servers.ReceiveFindings(2, []membership.ServerFinding{newLife("b")})
-				servers.ReceiveFindings(3, []membership.ServerFinding{newLife("b")})
+				servers.ReceiveFindings(2, []membership.ServerFinding{newIncarnation("b")})
+				servers.ReceiveFindings(3, []membership.ServerFinding{newIncarnation("b")})
 				servers.Report(4, server, answered("b"))
 			},
-			[]membership.ServerFinding{newLife("b")},
+			[]membership.ServerFinding{newIncarnation("b")},
 		},
 		"the first reading of a server": {
 			func(servers *membership.Servers) { servers.Report(1, server, answered("a")) }, nil,
@@ -53,7 +53,7 @@
 				servers.Report(1, server, answered("a"))
 				servers.Report(2, server, answered("b"))
 				servers.TakeFindings()
-				servers.ReceiveFindings(3, []membership.ServerFinding{newLife("a"), leavingFinding("a")})
+				servers.ReceiveFindings(3, []membership.ServerFinding{newIncarnation("a"), leavingFinding("a")})
 			},
 			nil,
 		},
@@ -67,7 +67,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			servers := membership.NewServers(membership.ServersOptions{})
-			test.tell(servers)
+			test.apply(servers)
 			if got := servers.TakeFindings(); !slices.Equal(got, test.want) {
 				t.Errorf("findings %v, want %v", got, test.want)
 			}
@@ -75,13 +75,13 @@
 	}
 }
 
-// TestWhatOthersTellOfAServer covers readers that lie: the server's own word on
+// TestFindingsFromOtherNodes covers readers that lie: the server's own word on
 // its incarnation goes before theirs.
-func TestWhatOthersTellOfAServer(t *testing.T) {
+func TestFindingsFromOtherNodes(t *testing.T) {
 	tests := map[string]struct {
-		tell    func(servers *membership.Servers)
-		want    membership.State
-		doubted bool
+		apply          func(servers *membership.Servers)
+		want           membership.State
+		wantUnverified bool
 	}{
 		"a leaving in the present incarnation": {
 			func(servers *membership.Servers) {
@@ -123,7 +123,7 @@
 		"a lie that a leaving server lives again": {
 			func(servers *membership.Servers) {
 				servers.Report(1, server, draining("a"))
-				servers.ReceiveFindings(2, []membership.ServerFinding{newLife("z")})
+				servers.ReceiveFindings(2, []membership.ServerFinding{newIncarnation("z")})
 				servers.Report(3, server, draining("a"))
 			},
 			membership.Leaving, true,
@@ -131,7 +131,7 @@
 		"a new incarnation that the server then tells": {
 			func(servers *membership.Servers) {
 				servers.Report(1, server, draining("a"))
-				servers.ReceiveFindings(2, []membership.ServerFinding{newLife("b")})
+				servers.ReceiveFindings(2, []membership.ServerFinding{newIncarnation("b")})
 				servers.Report(3, server, answered("b"))
 			},
 			membership.Live, true,
@@ -140,22 +140,22 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			servers := membership.NewServers(membership.ServersOptions{})
-			test.tell(servers)
+			test.apply(servers)
 			if got := servers.State(server); got != test.want {
 				t.Errorf("the server is %v, want %v", got, test.want)
 			}
-			if doubts := servers.TakeUnverified(); slices.Contains(doubts, server) != test.doubted {
-				t.Errorf("servers to read: %v", doubts)
+			if unverified := servers.TakeUnverified(); slices.Contains(unverified, server) != test.wantUnverified {
+				t.Errorf("servers to read: %v", unverified)
 			}
 		})
 	}
 }
 
-func TestReadersChangeOnlyForTheNodeThatFails(t *testing.T) {
-	nodes := nodesNamed(24)
+func TestFailedReaderIsReplacedAlone(t *testing.T) {
+	nodes := makeNodes(24)
 	for number := range 70 {
-		place := membership.ServerSpec{ID: gossiptest.NodeID(1000 + number), Zone: "z1", Limit: 70}
-		owners := membership.Owners(place, nodes)
+		spec := membership.ServerSpec{ID: gossiptest.NodeID(1000 + number), Zone: "z1", Limit: 70}
+		owners := membership.Owners(spec, nodes)
 		all := membership.Readers(owners, func(string) bool { return true })
 		if len(all) != membership.ReadersPerServer {
 			t.Fatalf("%d readers", len(all))
@@ -170,13 +170,13 @@
 
 func TestReadingBudget(t *testing.T) {
 	budget := membership.ReadingBudget{Rate: 12, Interval: 1500 * time.Millisecond, LoadInterval: 30 * time.Second}
-	firm, spare := make(map[string]int), make(map[string]int)
+	primary, spare := make(map[string]int), make(map[string]int)
 	for number := range 30 {
-		firm[gossiptest.NodeID(number)] = number % 2
+		primary[gossiptest.NodeID(number)] = number % 2
 		spare[gossiptest.NodeID(number)] = membership.ReadersPerServer - 1
 	}
-	if got := len(budget.Duties(firm)); got != len(firm) {
-		t.Errorf("%d of %d servers are read for which the node is needed", got, len(firm))
+	if got := len(budget.Duties(primary)); got != len(primary) {
+		t.Errorf("%d of %d servers are read for which the node is needed", got, len(primary))
 	}
 	if got := budget.Duties(spare); len(got) == 0 || budget.DutyRate(len(got)) > budget.Rate {
 		t.Errorf("%d servers are read as a spare reader, %.1f readings a second", len(got), budget.DutyRate(len(got)))
--- a/membership/forward.go
+++ b/membership/forward.go
@@ -30,9 +30,9 @@
 			continue
 		}
 		ranked = append(ranked, forwardOwner{
-			member: *member,
-			away:   member.Zone != requester.Zone,
-			weight: xxhash.Sum64String(server.ID + "\x00" + requester.ID + "\x00" + member.ID),
+			member:    *member,
+			otherZone: member.Zone != requester.Zone,
+			weight:    xxhash.Sum64String(server.ID + "\x00" + requester.ID + "\x00" + member.ID),
 		})
 	}
 	slices.SortFunc(ranked, compareForwardOwners)
@@ -45,14 +45,14 @@
 
 // forwardOwner is an owner with what ranks it for one requester.
 type forwardOwner struct {
-	member Member
-	away   bool
-	weight uint64
+	member    Member
+	otherZone bool
+	weight    uint64
 }
 
 func compareForwardOwners(x, y forwardOwner) int {
-	if x.away != y.away {
-		if y.away {
+	if x.otherZone != y.otherZone {
+		if y.otherZone {
 			return -1
 		}
 		return 1
--- a/membership/forward_test.go
+++ b/membership/forward_test.go
@@ -7,7 +7,7 @@
 	"github.com/banksail/banksail/membership"
 )
 
-func ownersOf(server membership.ServerSpec, nodes []membership.Member) []string {
+func ownerIDs(server membership.ServerSpec, nodes []membership.Member) []string {
 	var ids []string
 	for _, owner := range membership.Owners(server, nodes) {
 		ids = append(ids, owner.ID)
@@ -15,13 +15,13 @@
 	return ids
 }
 
-func TestForwardOwnersAreOwnersNearOnesFirst(t *testing.T) {
-	nodes := nodesNamed(30)
+func TestForwardOwnersPreferOwnZone(t *testing.T) {
+	nodes := makeNodes(30)
 	for server := range 50 {
-		place := place(server, 20)
-		owners := ownersOf(place, nodes)
+		spec := spec(server, 20)
+		owners := ownerIDs(spec, nodes)
 		for _, requester := range nodes {
-			chosen := membership.ForwardOwners(requester, place, nodes)
+			chosen := membership.ForwardOwners(requester, spec, nodes)
 			away := false
 			for _, owner := range chosen {
 				if owner.ID == requester.ID || !slices.Contains(owners, owner.ID) {
@@ -39,33 +39,33 @@
 	}
 }
 
-func TestForwardOwnersLeaveOutWhatIsNotLive(t *testing.T) {
-	nodes := nodesNamed(30)
-	place := place(1, 20)
-	first := membership.ForwardOwners(membership.Member{ID: "requester"}, place, nodes)[0]
+func TestForwardOwnersExcludeSuspects(t *testing.T) {
+	nodes := makeNodes(30)
+	spec := spec(1, 20)
+	first := membership.ForwardOwners(membership.Member{ID: "requester"}, spec, nodes)[0]
 	for index := range nodes {
 		if nodes[index].ID == first.ID {
 			nodes[index].State = membership.Suspect
 		}
 	}
-	for _, owner := range membership.ForwardOwners(membership.Member{ID: "requester"}, place, nodes) {
+	for _, owner := range membership.ForwardOwners(membership.Member{ID: "requester"}, spec, nodes) {
 		if owner.ID == first.ID {
 			t.Errorf("%s is suspect", owner.ID)
 		}
 	}
 }
 
-// TestForwardsSpread: requesters of one zone divide evenly over the owners there.
-func TestForwardsSpread(t *testing.T) {
-	nodes := nodesNamed(1400)
-	place := place(1, 70)
+// TestForwardOwnersSpreadLoad: requesters of one zone divide evenly over the owners there.
+func TestForwardOwnersSpreadLoad(t *testing.T) {
+	nodes := makeNodes(1400)
+	spec := spec(1, 70)
 	load := make(map[string]int)
 	requesters := 0
-	owners := ownersOf(place, nodes)
+	owners := ownerIDs(spec, nodes)
 	for _, requester := range nodes {
 		if !slices.Contains(owners, requester.ID) {
 			requesters++
-			load[membership.ForwardOwners(requester, place, nodes)[0].ID]++
+			load[membership.ForwardOwners(requester, spec, nodes)[0].ID]++
 		}
 	}
 	for id, count := range load {
--- a/membership/gossiptest/gossiptest.go
+++ b/membership/gossiptest/gossiptest.go
@@ -144,7 +144,7 @@
 	s.SetMachineList(nodes...)
 }
 
-func (s *Simulation) after(delay time.Duration, run func()) {
+func (s *Simulation) schedule(delay time.Duration, run func()) {
 	s.order++
 	s.events.Push(event{at: s.Now + delay, order: s.order, run: run})
 }
@@ -172,16 +172,16 @@
 	return s.Now - begin, true
 }
 
-// onNode runs a step of a node as soon as it isn't frozen.
-func (s *Simulation) onNode(node *Node, step func()) {
+// runStep runs a step of a node as soon as it isn't frozen.
+func (s *Simulation) runStep(node *Node, step func()) {
 	generation := node.generation
 	if !node.Alive {
 		return
 	}
 	if s.Now < node.FrozenUntil {
-		s.after(node.FrozenUntil-s.Now, func() {
+		s.schedule(node.FrozenUntil-s.Now, func() {
 			if node.generation == generation {
-				s.onNode(node, step)
+				s.runStep(node, step)
 			}
 		})
 		return
@@ -191,11 +191,11 @@
 
 func (s *Simulation) scheduleTick(node *Node, delay time.Duration) {
 	generation := node.generation
-	s.after(delay, func() {
+	s.schedule(delay, func() {
 		if node.generation != generation {
 			return
 		}
-		s.onNode(node, func() {
+		s.runStep(node, func() {
 			s.send(node, node.Core.Tick(s.Now))
 			s.scheduleTick(node, min(max(0, node.Core.NextTick()-s.Now), 500*time.Millisecond))
 		})
@@ -215,7 +215,7 @@
 		if done || from.generation != generation {
 			return
 		}
-		s.onNode(from, func() {
+		s.runStep(from, func() {
 			if done {
 				return
 			}
@@ -224,14 +224,14 @@
 			s.send(from, from.Core.Complete(s.Now, result))
 		})
 	}
-	s.after(request.Timeout, func() { finish(membership.Result{Failed: true}) })
+	s.schedule(request.Timeout, func() { finish(membership.Result{Failed: true}) })
 	switch request.Kind {
 	case membership.IndirectProbe:
-		s.indirect(from, request, finish)
+		s.sendIndirectProbe(from, request, finish)
 	case membership.Sync:
-		s.sync(from, request, finish)
+		s.sendSync(from, request, finish)
 	default:
-		s.gossip(from, request.To, request.Sender, request.Updates, finish)
+		s.sendProbe(from, request.To, request.Sender, request.Updates, finish)
 	}
 }
 
@@ -242,9 +242,9 @@
 	if s.Blocked(from, to) || !to.Alive {
 		return
 	}
-	s.after(1+time.Duration(s.Random.Int64N(int64(s.Delay))), func() {
+	s.schedule(1+time.Duration(s.Random.Int64N(int64(s.Delay))), func() {
 		to.Bytes += size
-		s.onNode(to, arrive)
+		s.runStep(to, arrive)
 	})
 }
 
@@ -260,7 +260,7 @@
 	return nil
 }
 
-func (s *Simulation) gossip(from *Node, target, sender membership.Member, updates []membership.Member, finish func(membership.Result)) {
+func (s *Simulation) sendProbe(from *Node, target, sender membership.Member, updates []membership.Member, finish func(membership.Result)) {
 	to := s.nodeAt(target.Address)
 	if to == nil {
 		return
@@ -275,7 +275,7 @@
 	})
 }
 
-func (s *Simulation) indirect(from *Node, request membership.Request, finish func(membership.Result)) {
+func (s *Simulation) sendIndirectProbe(from *Node, request membership.Request, finish func(membership.Result)) {
 	helper := s.nodeAt(request.To.Address)
 	message := &peer.ProbeIndirectRequest{Target: wire.FromMember(request.Target), TimeoutMs: 500}
 	s.deliver(from, helper, message, exchangeOverheadBytes/2, func() {
@@ -288,16 +288,16 @@
 			response := &peer.ProbeIndirectResponse{Reached: result.Reached, Target: wire.FromMember(result.Responder)}
 			s.deliver(helper, from, response, exchangeOverheadBytes/2, func() { finish(result) })
 		}
-		s.after(request.Timeout/2, func() { answer(membership.Result{}) })
+		s.schedule(request.Timeout/2, func() { answer(membership.Result{}) })
 		updates := []membership.Member{request.Target}
-		s.gossip(helper, request.Target, helper.Core.Self(), updates, func(result membership.Result) {
+		s.sendProbe(helper, request.Target, helper.Core.Self(), updates, func(result membership.Result) {
 			reached := result.Responder.ID == request.Target.ID
 			answer(membership.Result{Reached: reached, Responder: result.Responder})
 		})
 	})
 }
 
-func (s *Simulation) sync(from *Node, request membership.Request, finish func(membership.Result)) {
+func (s *Simulation) sendSync(from *Node, request membership.Request, finish func(membership.Result)) {
 	to := s.nodeAt(request.To.Address)
 	message := &peer.ListMembersRequest{Sender: wire.FromMember(request.Sender), Digests: request.Digests}
 	s.deliver(from, to, message, exchangeOverheadBytes/2, func() {
--- a/membership/leavings.go
+++ b/membership/leavings.go
@@ -37,8 +37,8 @@
 	transmissions int
 }
 
-// spread queues a leaving for the other nodes.
-func (s *Servers) spread(id, incarnation string) {
+// queueLeaving queues a leaving for the other nodes.
+func (s *Servers) queueLeaving(id, incarnation string) {
 	leaving := ServerLeaving{ID: id, Incarnation: incarnation}
 	if len(s.leavings) < maximumQueuedLeavings && leaving.Valid() {
 		s.leavings = append(s.leavings, leavingBroadcast{leaving: leaving})
@@ -72,19 +72,19 @@
 }
 
 func (s *Servers) receiveLeaving(now time.Duration, leaving ServerLeaving) {
-	known := s.ensure(leaving.ID)
-	if known == nil || slices.Contains(known.past, leaving.Incarnation) {
+	known := s.ensureEntry(leaving.ID)
+	if known == nil || slices.Contains(known.pastIncarnations, leaving.Incarnation) {
 		return
 	}
-	if known.direct && leaving.Incarnation != known.incarnation {
-		s.doubt(leaving.ID)
+	if known.selfReported && leaving.Incarnation != known.incarnation {
+		s.markUnverified(leaving.ID)
 		return
 	}
 	server := ListedServer{ID: leaving.ID, Leaving: true, Incarnation: leaving.Incarnation}
 	s.observeIncarnation(now, server, known)
 	before := known.state
-	s.leave(now, leaving.ID, known)
+	s.markLeaving(now, leaving.ID, known)
 	if known.state != before {
-		s.doubt(leaving.ID)
+		s.markUnverified(leaving.ID)
 	}
 }
--- a/membership/nodes.go
+++ b/membership/nodes.go
@@ -17,10 +17,10 @@
 	deadline time.Duration
 	// listed says that the machine list names the member as live.
 	listed bool
-	// own says that the state is this node's own finding, and unconfirmed that it has
+	// selfDetected says that the state is this node's own finding, and unconfirmed that it has
 	// told nobody of it.
-	own         bool
-	unconfirmed bool
+	selfDetected bool
+	unannounced  bool
 }
 
 // Nodes is the failure detector and member table of one node.
@@ -44,35 +44,35 @@
 	// probeOrder is the rest of the current round of probes.
 	probeOrder []string
 	pending    map[RequestID]pendingRequest
-	// indirect counts the indirect probes of a target that are still out.
-	indirect    map[string]int
-	lastRequest RequestID
-
-	lastTick      time.Duration
-	nextProbe     time.Duration
-	nextReconnect time.Duration
-	nextSync      time.Duration
-	nextExpiry    time.Duration
-	nextNews      time.Duration
-	// syncPause is the time between two comparisons, which grows while they bring nothing.
-	syncPause  time.Duration
-	syncBucket int
-	joined     bool
-	started    bool
+	// pendingIndirect counts the indirect probes of a target that are still out.
+	pendingIndirect map[string]int
+	lastRequest     RequestID
+
+	lastTick         time.Duration
+	nextProbe        time.Duration
+	nextReconnect    time.Duration
+	nextSync         time.Duration
+	nextExpiry       time.Duration
+	nextAnnouncement time.Duration
+	// syncBackoff is the time between two comparisons, which grows while they bring nothing.
+	syncBackoff time.Duration
+	syncBucket  int
+	joined      bool
+	started     bool
 
 	version uint64
-	// stateNews counts all changes of entries but those of a revision,
-	// inserted only new entries, passInserted those before the current pass
+	// stateChanges counts all changes of entries but those of a revision,
+	// inserted only new entries, insertedBeforePass those before the current pass
 	// of comparisons over all buckets.
-	stateNews    uint64
-	inserted     uint64
-	passInserted uint64
-	changes      []Member
+	stateChanges       uint64
+	inserted           uint64
+	insertedBeforePass uint64
+	changes            []Member
 
 	// lastReply is when another node last answered a request, and findings are what
 	// this node itself found of others since then.
-	lastReply time.Duration
-	findings  []finding
+	lastReply      time.Duration
+	heldSuspicions []heldSuspicion
 }
 
 // NewNodes returns a table that holds the node itself only.
@@ -81,16 +81,16 @@
 	self := options.Self
 	self.State = Live
 	nodes := &Nodes{
-		options:    options,
-		random:     rand.New(rand.NewPCG(options.Seed, seedStream)),
-		self:       self,
-		entries:    make(map[string]*entry),
-		candidates: make(map[string]Member),
-		pending:    make(map[RequestID]pendingRequest),
-		indirect:   make(map[string]int),
-		nextExpiry: never,
-		nextNews:   never,
-		version:    1,
+		options:          options,
+		random:           rand.New(rand.NewPCG(options.Seed, seedStream)),
+		self:             self,
+		entries:          make(map[string]*entry),
+		candidates:       make(map[string]Member),
+		pending:          make(map[RequestID]pendingRequest),
+		pendingIndirect:  make(map[string]int),
+		nextExpiry:       never,
+		nextAnnouncement: never,
+		version:          1,
 	}
 	nodes.updates.add(self.ID, stateUpdate)
 	return nodes
@@ -199,14 +199,14 @@
 // once; the rest learn from them.
 const announcementTargets = 5
 
-// maximumInquiries bounds the members that an inquiry asks.
-const maximumInquiries = 64
+// maximumRevisionRequests bounds the members that an inquiry asks.
+const maximumRevisionRequests = 64
 
 // RequestRevisions returns requests to live members whose configuration is not known to
 // be as new as the revision; their replies tell the one in force there. It asks
 // a bounded number, at random.
 func (n *Nodes) RequestRevisions(revision policy.Revision) []Request {
-	targets := n.pick(maximumInquiries, func(m Member) bool {
+	targets := n.pickMembers(maximumRevisionRequests, func(m Member) bool {
 		return m.State <= Suspect && m.Revision < revision
 	})
 	requests := make([]Request, 0, len(targets))
@@ -221,7 +221,7 @@
 // announceTo sends the newest updates to so many live members; it counts as one
 // transmission of each.
 func (n *Nodes) announceTo(count int) []Request {
-	targets := n.pick(count, func(m Member) bool { return m.State == Live })
+	targets := n.pickMembers(count, func(m Member) bool { return m.State == Live })
 	updates := n.updates.take("", n.transmissionLimit(), n.Lookup)
 	requests := make([]Request, 0, len(targets))
 	for _, target := range targets {
@@ -263,14 +263,14 @@
 // member itself goes along unless it is plainly live, so that it can refute.
 func (n *Nodes) payload(to string) []Member {
 	updates := n.updates.take(to, n.transmissionLimit(), n.Lookup)
-	if known, ok := n.entries[to]; ok && known.member.State != Live && !known.unconfirmed {
+	if known, ok := n.entries[to]; ok && known.member.State != Live && !known.unannounced {
 		updates = append(updates, known.member)
 	}
 	return updates
 }
 
-// pick returns up to count members that fit, at random.
-func (n *Nodes) pick(count int, fits func(Member) bool) []Member {
+// pickMembers returns up to count members that fit, at random.
+func (n *Nodes) pickMembers(count int, fits func(Member) bool) []Member {
 	return n.pickEntries(count, func(known *entry) bool { return fits(known.member) })
 }
 
--- a/membership/nodes_test.go
+++ b/membership/nodes_test.go
@@ -11,8 +11,8 @@
 
 const testSize = 24
 
-// joined returns a simulation whose nodes all know each other.
-func joined(t testing.TB, size int, seed uint64) *gossiptest.Simulation {
+// newJoinedSimulation returns a simulation whose nodes all know each other.
+func newJoinedSimulation(t testing.TB, size int, seed uint64) *gossiptest.Simulation {
 	t.Helper()
 	s := gossiptest.New(size, seed)
 	s.ListAllNodes()
@@ -22,10 +22,10 @@
 	return s
 }
 
-// neverGone runs on and fails when an observer ever sees a subject as gone.
-func neverGone(t *testing.T, s *gossiptest.Simulation, during time.Duration, observers, subjects []*gossiptest.Node) {
+// assertNeverGone runs on and fails when an observer ever sees a subject as gone.
+func assertNeverGone(t *testing.T, s *gossiptest.Simulation, duration time.Duration, observers, subjects []*gossiptest.Node) {
 	t.Helper()
-	for end := s.Now + during; s.Now < end; s.RunUntil(s.Now + 100*time.Millisecond) {
+	for end := s.Now + duration; s.Now < end; s.RunUntil(s.Now + 100*time.Millisecond) {
 		for _, observer := range observers {
 			for _, subject := range subjects {
 				if gossiptest.StateSeen(observer, subject) == membership.Gone {
@@ -43,8 +43,8 @@
 	}
 }
 
-func TestKilledNodeIsFoundGone(t *testing.T) {
-	s := joined(t, testSize, 1)
+func TestCrashedNodeBecomesGone(t *testing.T) {
+	s := newJoinedSimulation(t, testSize, 1)
 	s.Nodes[3].Alive = false
 	survivors := append(s.Nodes[:3:3], s.Nodes[4:]...)
 	eventually(t, s, 30*time.Second, "every survivor sees the node as gone", func() bool {
@@ -55,44 +55,44 @@
 	}
 }
 
-func TestShortlyFrozenNodeRefutes(t *testing.T) {
-	s := joined(t, testSize, 2)
+func TestBrieflyFrozenNodeRefutesSuspicion(t *testing.T) {
+	s := newJoinedSimulation(t, testSize, 2)
 	frozen := s.Nodes[5]
 	frozen.FrozenUntil = s.Now + 5*time.Second
 	eventually(t, s, 5*time.Second, "somebody suspects the node", func() bool {
 		return gossiptest.StateSeen(s.Nodes[0], frozen) == membership.Suspect
 	})
-	neverGone(t, s, 30*time.Second, s.Nodes, []*gossiptest.Node{frozen})
+	assertNeverGone(t, s, 30*time.Second, s.Nodes, []*gossiptest.Node{frozen})
 	if !gossiptest.AllSeeState(s.Nodes, s.Nodes, membership.Live) {
 		t.Fatal("the nodes do not see each other as live again")
 	}
 }
 
-func TestLongFrozenNodeComesBackAndBuriesNobody(t *testing.T) {
-	s := joined(t, testSize, 3)
+func TestLongFrozenNodeRejoinsWithoutRemovals(t *testing.T) {
+	s := newJoinedSimulation(t, testSize, 3)
 	frozen := s.Nodes[5]
 	frozen.FrozenUntil = s.Now + 2*time.Minute
 	s.RunUntil(frozen.FrozenUntil)
 	if gossiptest.StateSeen(s.Nodes[0], frozen) != membership.Gone {
 		t.Fatal("the frozen node is not gone")
 	}
-	neverGone(t, s, 30*time.Second, []*gossiptest.Node{frozen}, append(s.Nodes[:5:5], s.Nodes[6:]...))
+	assertNeverGone(t, s, 30*time.Second, []*gossiptest.Node{frozen}, append(s.Nodes[:5:5], s.Nodes[6:]...))
 	eventually(t, s, 30*time.Second, "all see each other as live", func() bool {
 		return gossiptest.AllSeeState(s.Nodes, s.Nodes, membership.Live)
 	})
 }
 
-func TestOneWayCutKeepsTheNodeAlive(t *testing.T) {
-	s := joined(t, testSize, 4)
+func TestOneWayCutRemovesNoNode(t *testing.T) {
+	s := newJoinedSimulation(t, testSize, 4)
 	s.Blocked = func(from, to *gossiptest.Node) bool { return from.Index == 1 && to.Index == 2 }
-	neverGone(t, s, 2*time.Minute, s.Nodes, s.Nodes)
+	assertNeverGone(t, s, 2*time.Minute, s.Nodes, s.Nodes)
 }
 
-func TestDeafNodeBuriesNobodyElse(t *testing.T) {
-	s := joined(t, testSize, 14)
+func TestNodeThatReceivesNothingRemovesNoOther(t *testing.T) {
+	s := newJoinedSimulation(t, testSize, 14)
 	s.Blocked = func(_, to *gossiptest.Node) bool { return to.Index == 1 }
 	others := append(s.Nodes[:1:1], s.Nodes[2:]...)
-	neverGone(t, s, 3*time.Minute, others, others)
+	assertNeverGone(t, s, 3*time.Minute, others, others)
 	if !gossiptest.AllSeeState(others, s.Nodes[1:2], membership.Gone) {
 		t.Fatal("the deaf node is not gone")
 	}
@@ -101,8 +101,8 @@
 	}
 }
 
-func TestRegionsPartedForAnHourComeTogether(t *testing.T) {
-	s := joined(t, testSize, 5)
+func TestPartitionedRegionsRejoin(t *testing.T) {
+	s := newJoinedSimulation(t, testSize, 5)
 	half := testSize / 2
 	s.Blocked = func(from, to *gossiptest.Node) bool { return (from.Index < half) != (to.Index < half) }
 	s.RunUntil(s.Now + time.Hour)
@@ -110,13 +110,13 @@
 		t.Fatal("a side does not see the other one as gone and itself as live")
 	}
 	s.Blocked = func(_, _ *gossiptest.Node) bool { return false }
-	neverGone(t, s, time.Minute, s.Nodes[:half], s.Nodes[:half])
+	assertNeverGone(t, s, time.Minute, s.Nodes[:half], s.Nodes[:half])
 	eventually(t, s, 2*time.Minute, "all see each other as live", func() bool {
 		return gossiptest.AllSeeState(s.Nodes, s.Nodes, membership.Live)
 	})
 }
 
-func TestMachineListLies(t *testing.T) {
+func TestMachineListIsOnlyAHint(t *testing.T) {
 	s := gossiptest.New(8, 6)
 	dead := membership.ListedNode{ID: "dead", Address: "10.0.3.1:7300", Zone: "zone-0"}
 	s.SetMachineList(dead, gossiptest.ListEntryOf(0), gossiptest.ListEntryOf(1))
@@ -138,21 +138,21 @@
 func TestRestartsWithTheSameID(t *testing.T) {
 	for name, incarnation := range map[string]uint64{"a later clock": 9, "the same clock": 1, "no clock": 0} {
 		t.Run(name, func(t *testing.T) {
-			s := joined(t, testSize, 7)
-			for life := range uint64(2) {
-				s.Start(s.Nodes[4], 70+life, incarnation)
+			s := newJoinedSimulation(t, testSize, 7)
+			for restart := range uint64(2) {
+				s.Start(s.Nodes[4], 70+restart, incarnation)
 				s.Nodes[4].Core.ObserveList([]membership.ListedNode{gossiptest.ListEntryOf(0), gossiptest.ListEntryOf(1)})
 				s.RunUntil(s.Now + 2*time.Second)
 			}
 			eventually(t, s, time.Minute, "all see the new life as live", func() bool {
-				return gossiptest.AllSeeState(s.Nodes, s.Nodes, membership.Live) && sameIncarnation(s, 4)
+				return gossiptest.AllSeeState(s.Nodes, s.Nodes, membership.Live) && allKnowIncarnation(s, 4)
 			})
 		})
 	}
 }
 
-// sameIncarnation tells whether all see the incarnation that a node has now.
-func sameIncarnation(s *gossiptest.Simulation, index int) bool {
+// allKnowIncarnation tells whether all see the incarnation that a node has now.
+func allKnowIncarnation(s *gossiptest.Simulation, index int) bool {
 	for _, observer := range s.Nodes {
 		known, _ := observer.Core.Lookup(gossiptest.NodeID(index))
 		if known.Incarnation != s.Nodes[index].Core.Self().Incarnation {
@@ -162,8 +162,8 @@
 	return true
 }
 
-func TestFlappingNodeSettles(t *testing.T) {
-	s := joined(t, testSize, 8)
+func TestFlappingNodeRecovers(t *testing.T) {
+	s := newJoinedSimulation(t, testSize, 8)
 	for range 10 {
 		s.Nodes[2].FrozenUntil = s.Now + 3*time.Second
 		s.RunUntil(s.Now + 4*time.Second)
@@ -173,8 +173,8 @@
 	})
 }
 
-func TestHalfOfTheNodesDieAtOnce(t *testing.T) {
-	s := joined(t, testSize, 9)
+func TestHalfOfTheNodesCrash(t *testing.T) {
+	s := newJoinedSimulation(t, testSize, 9)
 	half := testSize / 2
 	for _, node := range s.Nodes[half:] {
 		node.Alive = false
@@ -189,7 +189,7 @@
 
 func TestEqualSeedsGiveEqualRuns(t *testing.T) {
 	run := func() []int {
-		s := joined(t, testSize, 10)
+		s := newJoinedSimulation(t, testSize, 10)
 		s.Nodes[0].Alive = false
 		s.RunUntil(s.Now + time.Minute)
 		var bytes []int
@@ -206,7 +206,7 @@
 	}
 }
 
-func TestTombstonesAreForgottenUnlessListed(t *testing.T) {
+func TestTombstonesExpireUnlessListed(t *testing.T) {
 	const tombstoneTime = 5 * time.Minute
 	s := gossiptest.NewWithTombstoneTime(6, 11, tombstoneTime)
 	s.ListAllNodes()
@@ -228,42 +228,42 @@
 	}
 }
 
-func TestOnlyOtherNodeDies(t *testing.T) {
-	s := joined(t, 2, 12)
+func TestOnlyOtherNodeCrashes(t *testing.T) {
+	s := newJoinedSimulation(t, 2, 12)
 	s.Nodes[1].Alive = false
 	eventually(t, s, 30*time.Second, "the survivor sees the node as gone", func() bool {
 		return gossiptest.StateSeen(s.Nodes[0], s.Nodes[1]) == membership.Gone
 	})
 }
 
-func TestLossyNetworkBuriesNobody(t *testing.T) {
+func TestPacketLossRemovesNoNode(t *testing.T) {
 	const lossPercent = 10
-	s := joined(t, testSize, 15)
+	s := newJoinedSimulation(t, testSize, 15)
 	s.Blocked = func(_, _ *gossiptest.Node) bool { return s.Random.IntN(100) < lossPercent }
-	neverGone(t, s, 5*time.Minute, s.Nodes, s.Nodes)
+	assertNeverGone(t, s, 5*time.Minute, s.Nodes, s.Nodes)
 }
 
 // Two processes that claim one ID never agree, but do not harm the others.
 func TestTwoNodesWithOneID(t *testing.T) {
-	s := joined(t, testSize, 16)
+	s := newJoinedSimulation(t, testSize, 16)
 	twin := &gossiptest.Node{Index: len(s.Nodes), ID: gossiptest.NodeID(3)}
 	s.Nodes = append(s.Nodes, twin)
 	s.StartAs(twin, gossiptest.NodeID(3), 17, 2)
 	s.ListAllNodes()
 	others := append(s.Nodes[4:testSize:testSize], s.Nodes[:3]...)
 	before := meanBytes(s)
-	const during = 2 * time.Minute
-	neverGone(t, s, during, others, others)
-	if rate := (meanBytes(s) - before) / during.Seconds(); rate > controlBudget {
+	const observation = 2 * time.Minute
+	assertNeverGone(t, s, observation, others, others)
+	if rate := (meanBytes(s) - before) / observation.Seconds(); rate > controlTrafficBudget {
 		t.Fatalf("%.0f bytes a second and node", rate)
 	}
 }
 
-// controlBudget is what control may cost a node, in bytes a second.
-const controlBudget = 9000
+// controlTrafficBudget is what control may cost a node, in bytes a second.
+const controlTrafficBudget = 9000
 
-func TestTrafficStaysWithinTheBudgetWhenAllChangesAllTheTime(t *testing.T) {
-	s := joined(t, 2*testSize, 18)
+func TestTrafficBudgetUnderConstantChange(t *testing.T) {
+	s := newJoinedSimulation(t, 2*testSize, 18)
 	before, begin := meanBytes(s), s.Now
 	for revision := range policy.Revision(60) {
 		for _, node := range s.Nodes {
@@ -274,7 +274,7 @@
 	}
 	rate := (meanBytes(s) - before) / (s.Now - begin).Seconds()
 	t.Logf("%.0f bytes a second and node", rate)
-	if rate > controlBudget {
-		t.Fatalf("%.0f bytes a second and node, the budget is %d", rate, controlBudget)
+	if rate > controlTrafficBudget {
+		t.Fatalf("%.0f bytes a second and node, the budget is %d", rate, controlTrafficBudget)
 	}
 }
--- a/membership/readings.go
+++ b/membership/readings.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// leastOtherShare is the part of the budget that the others have even when
+	// minOtherShare is the part of the budget that the others have even when
 	// the duties take more than the rest.
-	leastOtherShare = 0.1
-	// firmReaders is the number of a server's readers that read it whatever their
+	minOtherShare = 0.1
+	// primaryReaders is the number of a server's readers that read it whatever their
 	// budget; a further one does when its budget has room.
-	firmReaders = 2
+	primaryReaders = 2
 	// slackShare is the part of the others' readings that is kept for readings
 	// out of turn.
 	slackShare = 0.1
@@ -44,7 +44,7 @@
 	if b.Rate == 0 || others == 0 {
 		return 0, b.Interval
 	}
-	rate := max(b.Rate-b.DutyRate(duties), leastOtherShare*b.Rate)
+	rate := max(b.Rate-b.DutyRate(duties), minOtherShare*b.Rate)
 	gap = time.Duration(float64(time.Second) / rate)
 	return gap, max(b.Interval, time.Duration(float64(others)*float64(gap)*(1+slackShare)))
 }
@@ -55,7 +55,7 @@
 func (b ReadingBudget) Duties(places map[string]int) []string {
 	var duties, spare []string
 	for server, place := range places {
-		if place < firmReaders {
+		if place < primaryReaders {
 			duties = append(duties, server)
 		} else {
 			spare = append(spare, server)
@@ -63,7 +63,7 @@
 	}
 	slices.Sort(spare)
 	for _, server := range spare {
-		if b.Rate > 0 && b.DutyRate(len(duties)+1) > (1-leastOtherShare)*b.Rate {
+		if b.Rate > 0 && b.DutyRate(len(duties)+1) > (1-minOtherShare)*b.Rate {
 			break
 		}
 		duties = append(duties, server)
--- a/membership/servers.go
+++ b/membership/servers.go
@@ -96,10 +96,10 @@
 	state State
 	// incarnation is the one that the state belongs to; direct tells that the
 	// server gave it itself.
-	incarnation string
-	direct      bool
-	since       time.Duration
-	past        []string
+	incarnation      string
+	selfReported     bool
+	incarnationSince time.Duration
+	pastIncarnations []string
 	// failures counts connect failures in a row, the first at failingSince.
 	failures     int
 	failingSince time.Duration
@@ -109,8 +109,8 @@
 	// certain, as it was known when the leaving was told.
 	sticky bool
 	listed bool
-	// told is the last finding that was queued for peers.
-	told ServerFinding
+	// lastFinding is the last finding that was queued for peers.
+	lastFinding ServerFinding
 }
 
 // Servers merges what several sources say of the back-end servers.
@@ -127,8 +127,8 @@
 	// leavings wait to be told to other nodes.
 	leavings []leavingBroadcast
 	// findings wait to be pushed; doubts are servers to be read.
-	findings []ServerFinding
-	doubts   []string
+	findings   []ServerFinding
+	unverified []string
 }
 
 // NewServers returns an empty table; a server that it doesn't hold is live.
@@ -161,7 +161,7 @@
 	return changes
 }
 
-func (s *Servers) ensure(id string) *serverEntry {
+func (s *Servers) ensureEntry(id string) *serverEntry {
 	known, ok := s.entries[id]
 	if ok {
 		return known
@@ -169,14 +169,14 @@
 	if len(s.ids) >= MaximumServers || id == "" || len(id) > MaximumIDBytes {
 		return nil
 	}
-	known = &serverEntry{state: Live, since: longAgo}
+	known = &serverEntry{state: Live, incarnationSince: longAgo}
 	s.entries[id] = known
 	at, _ := slices.BinarySearch(s.ids, id)
 	s.ids = slices.Insert(s.ids, at, id)
 	return known
 }
 
-func (s *Servers) set(id string, known *serverEntry, state State) {
+func (s *Servers) setState(id string, known *serverEntry, state State) {
 	if known.state == state {
 		return
 	}
@@ -186,24 +186,24 @@
 
 // Report takes in one observation.
 func (s *Servers) Report(now time.Duration, id string, report ServerReport) {
-	known := s.ensure(id)
-	if known == nil || slices.Contains(known.past, report.Incarnation) {
+	known := s.ensureEntry(id)
+	if known == nil || slices.Contains(known.pastIncarnations, report.Incarnation) {
 		return
 	}
 	if report.Condition == ServerUnreachable {
-		s.failed(now, id, known)
+		s.recordConnectFailure(now, id, known)
 		return
 	}
-	if now-known.lateness(report) < known.since {
+	if now-known.lateness(report) < known.incarnationSince {
 		return
 	}
-	s.renew(now, id, known, report)
+	s.updateIncarnation(now, id, known, report)
 	known.failures = 0
 	switch {
 	case report.Condition == ServerDraining:
-		s.leave(now, id, known)
+		s.markLeaving(now, id, known)
 	case known.state == Suspect, known.state == Gone && !known.sticky:
-		s.set(id, known, Live)
+		s.setState(id, known, Live)
 	}
 }
 
@@ -219,39 +219,39 @@
 	return report.Age
 }
 
-// renew starts the entry afresh when the server itself tells a new incarnation.
-func (s *Servers) renew(now time.Duration, id string, known *serverEntry, report ServerReport) {
+// updateIncarnation starts the entry afresh when the server itself tells a new incarnation.
+func (s *Servers) updateIncarnation(now time.Duration, id string, known *serverEntry, report ServerReport) {
 	if report.Incarnation == "" {
 		return
 	}
 	if report.Incarnation == known.incarnation {
-		known.direct = true
+		known.selfReported = true
 		return
 	}
 	first := known.incarnation == ""
 	if !first {
-		known.past = append(known.past, known.incarnation)
-		known.past = known.past[max(0, len(known.past)-rememberedIncarnations):]
+		known.pastIncarnations = append(known.pastIncarnations, known.incarnation)
+		known.pastIncarnations = known.pastIncarnations[max(0, len(known.pastIncarnations)-rememberedIncarnations):]
 	}
 	known.incarnation = report.Incarnation
-	known.direct = true
+	known.selfReported = true
 	if first {
 		return
 	}
-	known.since = now
+	known.incarnationSince = now
 	known.sticky = false
-	s.found(known, ServerFinding{ID: id, Incarnation: known.incarnation})
-	s.set(id, known, Live)
+	s.queueFinding(known, ServerFinding{ID: id, Incarnation: known.incarnation})
+	s.setState(id, known, Live)
 }
 
-// failed counts a failure to connect.
-func (s *Servers) failed(now time.Duration, id string, known *serverEntry) {
+// recordConnectFailure counts a failure to connect.
+func (s *Servers) recordConnectFailure(now time.Duration, id string, known *serverEntry) {
 	if known.failures == 0 {
 		known.failingSince = now
 	}
 	known.failures++
 	if known.state == Live && known.failures >= s.options.SuspectFailures {
-		s.set(id, known, Suspect)
+		s.setState(id, known, Suspect)
 	}
 }
 
@@ -272,35 +272,35 @@
 		s.entries[id].listed = false
 	}
 	for _, server := range servers {
-		s.observe(now, server)
+		s.observeServer(now, server)
 	}
 }
 
-func (s *Servers) observe(now time.Duration, server ListedServer) {
-	known := s.ensure(server.ID)
-	if known == nil || slices.Contains(known.past, server.Incarnation) {
+func (s *Servers) observeServer(now time.Duration, server ListedServer) {
+	known := s.ensureEntry(server.ID)
+	if known == nil || slices.Contains(known.pastIncarnations, server.Incarnation) {
 		return
 	}
-	if known.direct && server.Incarnation != "" && server.Incarnation != known.incarnation {
+	if known.selfReported && server.Incarnation != "" && server.Incarnation != known.incarnation {
 		return
 	}
 	s.observeIncarnation(now, server, known)
 	known.listed = !server.Leaving
 	if server.Leaving {
-		s.leave(now, server.ID, known)
+		s.markLeaving(now, server.ID, known)
 	}
 }
 
-func (s *Servers) leave(now time.Duration, id string, known *serverEntry) {
+func (s *Servers) markLeaving(now time.Duration, id string, known *serverEntry) {
 	if known.state == Leaving || known.state == Gone {
 		return
 	}
 	known.sticky = known.incarnation != ""
 	known.deadline = now + s.options.LeavingTime
-	s.set(id, known, Leaving)
+	s.setState(id, known, Leaving)
 	if known.sticky {
-		s.spread(id, known.incarnation)
-		s.found(known, ServerFinding{ID: id, Incarnation: known.incarnation, Leaving: true})
+		s.queueLeaving(id, known.incarnation)
+		s.queueFinding(known, ServerFinding{ID: id, Incarnation: known.incarnation, Leaving: true})
 	}
 }
 
@@ -311,8 +311,8 @@
 		return
 	}
 	report := ServerReport{Condition: ServerAnswered, Incarnation: server.Incarnation}
-	s.renew(now, server.ID, known, report)
-	known.direct = false
+	s.updateIncarnation(now, server.ID, known, report)
+	known.selfReported = false
 }
 
 // Tick ends suspicions and leavings whose time has come. While more than half
@@ -324,9 +324,9 @@
 		known := s.entries[id]
 		switch {
 		case known.state == Leaving && now >= known.deadline:
-			s.set(id, known, Gone)
-		case known.state == Suspect && !isolated && now-known.failingSince >= s.patience(known):
-			s.set(id, known, Gone)
+			s.setState(id, known, Gone)
+		case known.state == Suspect && !isolated && now-known.failingSince >= s.goneTimeout(known):
+			s.setState(id, known, Gone)
 		}
 	}
 }
@@ -341,7 +341,7 @@
 	return 2*suspects > len(s.ids)
 }
 
-func (s *Servers) patience(known *serverEntry) time.Duration {
+func (s *Servers) goneTimeout(known *serverEntry) time.Duration {
 	if known.listed {
 		return s.options.ListedGoneTimeout
 	}
--- a/membership/servers_test.go
+++ b/membership/servers_test.go
@@ -45,8 +45,8 @@
 
 var listOfOthers = []membership.ListedServer{{ID: "s2"}}
 
-// failing gives connect failures once a second.
-func failing(from, to time.Duration) []serverStep {
+// connectFailures gives connect failures once a second.
+func connectFailures(from, to time.Duration) []serverStep {
 	var steps []serverStep
 	for at := from; at <= to; at += time.Second {
 		steps = append(steps, serverStep{at: at, report: unreachable})
@@ -118,22 +118,22 @@
 		"an empty list": {
 			[]serverStep{{at: 1, list: listLive("a")}, {at: 2, list: []membership.ListedServer{}}}, membership.Live,
 		},
-		"a few failures": {failing(0, 4*time.Second), membership.Suspect},
+		"a few failures": {connectFailures(0, 4*time.Second), membership.Suspect},
 		"an answer after failures": {
-			append(failing(0, 4*time.Second), serverStep{at: 5 * time.Second, report: reply}), membership.Live,
+			append(connectFailures(0, 4*time.Second), serverStep{at: 5 * time.Second, report: reply}), membership.Live,
 		},
 		"long failures of a listed server": {
-			append([]serverStep{{at: 0, list: listLive("a")}}, failing(0, 2*time.Minute)...), membership.Suspect,
+			append([]serverStep{{at: 0, list: listLive("a")}}, connectFailures(0, 2*time.Minute)...), membership.Suspect,
 		},
-		"long failures of a server that is not listed": {failing(0, 2*time.Minute), membership.Gone},
+		"long failures of a server that is not listed": {connectFailures(0, 2*time.Minute), membership.Gone},
 		"longer failures of a listed server": {
-			append([]serverStep{{at: 0, list: listLive("a")}}, failing(0, 11*time.Minute)...), membership.Gone,
+			append([]serverStep{{at: 0, list: listLive("a")}}, connectFailures(0, 11*time.Minute)...), membership.Gone,
 		},
 		"gone by failures, then an answer": {
-			append(failing(0, 2*time.Minute), serverStep{at: 3 * time.Minute, report: reply}), membership.Live,
+			append(connectFailures(0, 2*time.Minute), serverStep{at: 3 * time.Minute, report: reply}), membership.Live,
 		},
 		"leaving, then no new connections while work in flight ends": {
-			append([]serverStep{{at: 0, report: drainReply}}, failing(1, 5*time.Minute)...), membership.Leaving,
+			append([]serverStep{{at: 0, report: drainReply}}, connectFailures(1, 5*time.Minute)...), membership.Leaving,
 		},
 		"leaving for long": {
 			[]serverStep{{at: 0, report: draining("a")}, {at: 20 * time.Minute, report: answered("a")}}, membership.Gone,
@@ -149,7 +149,7 @@
 			[]serverStep{{at: 0, report: draining("a")}, {at: 20 * time.Minute, report: answered("b")}}, membership.Live,
 		},
 		"suspect, then the list says leaving": {
-			append(failing(0, 4*time.Second), serverStep{at: 5 * time.Second, list: listLeaving("a")}), membership.Leaving,
+			append(connectFailures(0, 4*time.Second), serverStep{at: 5 * time.Second, list: listLeaving("a")}), membership.Leaving,
 		},
 		"the list knows the new life before the server told": {
 			[]serverStep{{at: 1, list: listLeaving("a")}, {at: 2, list: listLive("b")}}, membership.Live,
@@ -176,9 +176,9 @@
 	}
 }
 
-func TestServerChangesAreToldOnceInOrder(t *testing.T) {
+func TestServerChangesAreReturnedOnceInOrder(t *testing.T) {
 	servers := membership.NewServers(membership.ServersOptions{})
-	for _, step := range failing(0, 4*time.Second) {
+	for _, step := range connectFailures(0, 4*time.Second) {
 		servers.Report(step.at, server, step.report)
 	}
 	servers.Report(5*time.Second, server, drainReply)
@@ -192,9 +192,9 @@
 	}
 }
 
-func TestNodeThatReachesNoServerBuriesNone(t *testing.T) {
+func TestNodeThatReachesNoServerMarksNoneGone(t *testing.T) {
 	servers := membership.NewServers(membership.ServersOptions{})
-	for _, step := range failing(0, 20*time.Minute) {
+	for _, step := range connectFailures(0, 20*time.Minute) {
 		for _, id := range []string{"s1", "s2", "s3"} {
 			servers.Report(step.at, id, step.report)
 		}
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -10,9 +10,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// compare asks a random live member for the entries that differ.
-func (n *Nodes) compare() []Request {
-	targets := n.pick(1, func(m Member) bool { return m.State == Live })
+// startSync asks a random live member for the entries that differ.
+func (n *Nodes) startSync() []Request {
+	targets := n.pickMembers(1, func(m Member) bool { return m.State == Live })
 	if len(targets) == 0 {
 		return nil
 	}
@@ -64,11 +64,11 @@
 	if n.Isolated(now) {
 		return reply // what this node holds of others may be its own fault
 	}
-	buckets := n.differing(digests)
+	buckets := n.differingBuckets(digests)
 	size := 0
 	for bucket := max(0, firstBucket); bucket < DigestBuckets; bucket++ {
 		members := buckets[bucket]
-		size += sizeOf(members)
+		size += encodedSize(members)
 		if len(reply.Members) > 0 && !n.fitsReply(len(reply.Members)+len(members), size) {
 			reply.More = true
 			reply.NextBucket = bucket
@@ -84,7 +84,7 @@
 	return count <= MaximumSyncMembers && (n.options.SyncBytes == 0 || size <= n.options.SyncBytes)
 }
 
-func sizeOf(members []Member) int {
+func encodedSize(members []Member) int {
 	size := 0
 	for _, member := range members {
 		size += member.encodedBytes()
@@ -92,22 +92,22 @@
 	return size
 }
 
-// A comparison that brought a member that gossip had not, or manyNews changes of state,
-// is followed by another one after hurriedSyncIntervals probe intervals: many nodes have
+// A comparison that brought a member that gossip had not, or manyStateChanges changes of state,
+// is followed by another one after minSyncProbeIntervals probe intervals: many nodes have
 // just started, or parted regions have come together. From then on, and from a node's
 // start, the time between two comparisons doubles up to the SyncInterval.
 const (
-	manyNews             = 16
-	hurriedSyncIntervals = 3
+	manyStateChanges      = 16
+	minSyncProbeIntervals = 3
 )
 
-// hurriedSync is the shortest time between two comparisons.
-func (n *Nodes) hurriedSync() time.Duration {
-	return min(hurriedSyncIntervals*n.options.ProbeInterval, n.options.SyncInterval)
+// minSyncInterval is the shortest time between two comparisons.
+func (n *Nodes) minSyncInterval() time.Duration {
+	return min(minSyncProbeIntervals*n.options.ProbeInterval, n.options.SyncInterval)
 }
 
-// differing returns the entries of each bucket that differs from the digests.
-func (n *Nodes) differing(digests []uint64) [DigestBuckets][]Member {
+// differingBuckets returns the entries of each bucket that differs from the digests.
+func (n *Nodes) differingBuckets(digests []uint64) [DigestBuckets][]Member {
 	var buckets [DigestBuckets][]Member
 	for _, member := range n.Table() {
 		bucket := bucketOf(member.ID)
@@ -131,13 +131,13 @@
 		return nil
 	}
 	if pending.firstBucket == 0 {
-		n.passInserted = n.inserted
+		n.insertedBeforePass = n.inserted
 	}
-	news := n.stateNews
-	n.takeIn(now, result.Responder, result.Updates, fromSync)
-	if n.stateNews-news >= manyNews || n.inserted > n.passInserted {
-		n.syncPause = n.hurriedSync()
-		n.nextSync = min(n.nextSync, now+n.jittered(n.syncPause))
+	changesBefore := n.stateChanges
+	n.mergeMessage(now, result.Responder, result.Updates, fromSync)
+	if n.stateChanges-changesBefore >= manyStateChanges || n.inserted > n.insertedBeforePass {
+		n.syncBackoff = n.minSyncInterval()
+		n.nextSync = min(n.nextSync, now+n.jittered(n.syncBackoff))
 	}
 	n.syncBucket = result.NextBucket
 	if !result.More {
@@ -153,7 +153,7 @@
 
 // finishPass ends a pass of comparisons over all buckets.
 func (n *Nodes) finishPass() {
-	if n.joined || n.inserted != n.passInserted {
+	if n.joined || n.inserted != n.insertedBeforePass {
 		return
 	}
 	n.joined = true
@@ -164,15 +164,15 @@
 // new member. Until then the table may lack most nodes.
 func (n *Nodes) Joined() bool { return n.joined }
 
-// afterContact compares tables until a whole comparison has brought no new member.
-func (n *Nodes) afterContact() []Request {
-	if n.joined || n.syncing() {
+// continueJoin compares tables until a whole comparison has brought no new member.
+func (n *Nodes) continueJoin() []Request {
+	if n.joined || n.hasPendingSync() {
 		return nil
 	}
-	return n.compare()
+	return n.startSync()
 }
 
-func (n *Nodes) syncing() bool {
+func (n *Nodes) hasPendingSync() bool {
 	for _, pending := range n.pending {
 		if pending.kind == Sync {
 			return true
@@ -275,12 +275,12 @@
 
 func (n *Nodes) reconnectTargets() []Member {
 	var targets []Member
-	reached := make(map[string]struct{}, len(n.ids)) // addresses of members that are there
+	liveAddresses := make(map[string]struct{}, len(n.ids)) // addresses of members that are there
 	for _, id := range n.ids {
 		known := n.entries[id]
 		switch {
 		case known.member.State != Gone:
-			reached[known.member.Address] = struct{}{}
+			liveAddresses[known.member.Address] = struct{}{}
 		case known.listed || n.options.ProbeGone:
 			targets = append(targets, known.member)
 		}
@@ -291,7 +291,7 @@
 	}
 	slices.Sort(candidates)
 	for _, id := range candidates {
-		if _, known := reached[n.candidates[id].Address]; !known {
+		if _, known := liveAddresses[n.candidates[id].Address]; !known {
 			targets = append(targets, n.candidates[id])
 		}
 	}
--- a/membership/tick.go
+++ b/membership/tick.go
@@ -15,8 +15,8 @@
 	firstBucket int
 }
 
-// hurriedProbes is the number of probes in a probe interval while they fail.
-const hurriedProbes = 4
+// probesPerIntervalOnFailure is the number of probes in a probe interval while they fail.
+const probesPerIntervalOnFailure = 4
 
 // pauseIntervals is the number of probe intervals after which a gap between
 // two ticks is taken for a pause of the process itself.
@@ -24,31 +24,31 @@
 
 // NextTick tells when Tick must be called at the latest.
 func (n *Nodes) NextTick() time.Duration {
-	return min(n.nextProbe, n.nextReconnect, n.nextSync, n.nextExpiry, n.nextNews)
+	return min(n.nextProbe, n.nextReconnect, n.nextSync, n.nextExpiry, n.nextAnnouncement)
 }
 
 // Tick advances to the given time and returns the requests that are due.
 func (n *Nodes) Tick(now time.Duration) []Request {
 	n.start(now)
-	n.excusePause(now)
+	n.compensatePause(now)
 	requests := n.expire(now)
 	if now >= n.nextProbe {
 		n.nextProbe = now + n.jittered(n.options.ProbeInterval)
 		requests = append(requests, n.probe()...)
-		requests = append(requests, n.probeSuspect()...)
+		requests = append(requests, n.reprobeSuspect()...)
 	}
 	if now >= n.nextReconnect {
 		n.nextReconnect = now + n.jittered(n.reconnectInterval())
 		requests = append(requests, n.reconnect()...)
 	}
 	if now >= n.nextSync {
-		n.nextSync = now + n.jittered(n.syncPause)
-		n.syncPause = min(2*n.syncPause, n.options.SyncInterval)
-		requests = append(requests, n.compare()...)
+		n.nextSync = now + n.jittered(n.syncBackoff)
+		n.syncBackoff = min(2*n.syncBackoff, n.options.SyncInterval)
+		requests = append(requests, n.startSync()...)
 	}
-	if now >= n.nextNews {
-		n.nextNews = never
-		requests = append(requests, n.tellNews()...)
+	if now >= n.nextAnnouncement {
+		n.nextAnnouncement = never
+		requests = append(requests, n.announceUpdates()...)
 	}
 	return requests
 }
@@ -62,8 +62,8 @@
 	n.lastTick = now
 	n.nextProbe = now + time.Duration(n.random.Int64N(int64(n.options.ProbeInterval)))
 	n.nextReconnect = now
-	n.syncPause = n.hurriedSync()
-	n.nextSync = now + time.Duration(n.random.Int64N(int64(n.syncPause)))
+	n.syncBackoff = n.minSyncInterval()
+	n.nextSync = now + time.Duration(n.random.Int64N(int64(n.syncBackoff)))
 }
 
 // jitterShare is the share by which an interval varies to either side.
@@ -74,16 +74,16 @@
 	return time.Duration(float64(interval) * factor)
 }
 
-// excusePause handles a pause of the process itself: probes that were out have
+// compensatePause handles a pause of the process itself: probes that were out have
 // failed for that reason, and suspects had no chance to be heard.
-func (n *Nodes) excusePause(now time.Duration) {
+func (n *Nodes) compensatePause(now time.Duration) {
 	gap := now - n.lastTick
 	n.lastTick = now
 	if gap <= pauseIntervals*n.options.ProbeInterval {
 		return
 	}
 	clear(n.pending)
-	clear(n.indirect)
+	clear(n.pendingIndirect)
 	for _, id := range n.ids {
 		if known := n.entries[id]; known.member.State == Suspect {
 			known.deadline += gap
@@ -112,24 +112,24 @@
 }
 
 func (n *Nodes) expireEntry(now time.Duration, id string, known *entry) []Request {
-	if known.member.State == Suspect && !known.own {
-		return []Request{n.lastProbe(now, known)}
+	if known.member.State == Suspect && !known.selfDetected {
+		return []Request{n.finalProbe(now, known)}
 	}
-	n.endEntry(now, id, known)
+	n.advanceState(now, id, known)
 	return nil
 }
 
-// lastProbe gives a member whose suspicion others told a last chance to answer this
+// finalProbe gives a member whose suspicion others told a last chance to answer this
 // node itself: its refutation may have been lost on the way.
-func (n *Nodes) lastProbe(now time.Duration, known *entry) Request {
-	known.own = true
+func (n *Nodes) finalProbe(now time.Duration, known *entry) Request {
+	known.selfDetected = true
 	known.deadline = now + 2*n.options.ProbeTimeout
 	request := n.newRequest(ReconnectProbe, known.member)
 	request.Updates = n.payload(known.member.ID)
 	return request
 }
 
-func (n *Nodes) endEntry(now time.Duration, id string, known *entry) {
+func (n *Nodes) advanceState(now time.Duration, id string, known *entry) {
 	if known.member.State != Gone {
 		n.setState(now, known, Gone)
 		return
@@ -173,13 +173,13 @@
 	return []Request{request}
 }
 
-// probeSuspect asks one of the members again that this node itself suspects.
+// reprobeSuspect asks one of the members again that this node itself suspects.
 // One lost message then buries nobody, as the reply of a live member refutes.
-func (n *Nodes) probeSuspect() []Request {
+func (n *Nodes) reprobeSuspect() []Request {
 	if n.nextExpiry == never {
 		return nil
 	}
-	targets := n.pickEntries(1, func(known *entry) bool { return known.own && known.member.State == Suspect })
+	targets := n.pickEntries(1, func(known *entry) bool { return known.selfDetected && known.member.State == Suspect })
 	var requests []Request
 	for _, target := range targets {
 		request := n.newRequest(ReconnectProbe, target)
@@ -210,25 +210,25 @@
 
 // Complete takes in what became of a request and returns those that follow.
 func (n *Nodes) Complete(now time.Duration, result Result) []Request {
-	n.excusePause(now)
+	n.compensatePause(now)
 	pending, ok := n.pending[result.ID]
 	if !ok {
 		return nil
 	}
 	delete(n.pending, result.ID)
 	if !result.Failed && result.Responder.ID != n.self.ID { // an own answer is no other node's
-		n.replied(now)
+		n.recordReply(now)
 	}
 	switch pending.kind {
 	case DirectProbe, ReconnectProbe:
 		return n.completeProbe(now, pending, result)
 	case IndirectProbe:
-		n.completeIndirect(now, pending, result)
+		n.completeIndirectProbe(now, pending, result)
 	case Sync:
 		return n.completeSync(now, pending, result)
 	case Announcement:
 		if !result.Failed {
-			n.takeIn(now, result.Responder, result.Updates, fromGossip)
+			n.mergeMessage(now, result.Responder, result.Updates, fromGossip)
 		}
 	}
 	return nil
@@ -238,10 +238,10 @@
 // has taken over the address counts as a failure of the member.
 func (n *Nodes) completeProbe(now time.Duration, pending pendingRequest, result Result) []Request {
 	if !result.Failed {
-		n.takeIn(now, result.Responder, result.Updates, fromGossip)
+		n.mergeMessage(now, result.Responder, result.Updates, fromGossip)
 	}
 	if !result.Failed && (result.Responder.ID == pending.to || pending.kind == ReconnectProbe) {
-		return n.afterContact()
+		return n.continueJoin()
 	}
 	if pending.kind == ReconnectProbe {
 		return nil
@@ -251,20 +251,20 @@
 		return nil
 	}
 	// Losses come together: another member is probed soon.
-	n.nextProbe = min(n.nextProbe, now+n.options.ProbeInterval/hurriedProbes)
-	return n.askOthers(now, known)
+	n.nextProbe = min(n.nextProbe, now+n.options.ProbeInterval/probesPerIntervalOnFailure)
+	return n.probeIndirectly(now, known)
 }
 
-func (n *Nodes) askOthers(now time.Duration, known *entry) []Request {
+func (n *Nodes) probeIndirectly(now time.Duration, known *entry) []Request {
 	target := known.member
-	if known.unconfirmed {
+	if known.unannounced {
 		target.State = Live // nobody is told yet, not even the target
 	}
-	helpers := n.pick(n.options.IndirectProbes, func(m Member) bool {
+	helpers := n.pickMembers(n.options.IndirectProbes, func(m Member) bool {
 		return m.State == Live && m.ID != target.ID
 	})
 	if len(helpers) == 0 {
-		n.suspect(now, known)
+		n.recordUnreachable(now, known)
 		return nil
 	}
 	var requests []Request
@@ -277,37 +277,37 @@
 		}
 		requests = append(requests, request)
 	}
-	n.indirect[target.ID] = len(requests)
+	n.pendingIndirect[target.ID] = len(requests)
 	return requests
 }
 
-func (n *Nodes) completeIndirect(now time.Duration, pending pendingRequest, result Result) {
+func (n *Nodes) completeIndirectProbe(now time.Duration, pending pendingRequest, result Result) {
 	if !result.Failed && result.Reached && result.Responder.ID == pending.target {
-		delete(n.indirect, pending.target)
+		delete(n.pendingIndirect, pending.target)
 		n.apply(now, result.Responder, fromSender)
 		return
 	}
-	if _, waiting := n.indirect[pending.target]; !waiting {
+	if _, waiting := n.pendingIndirect[pending.target]; !waiting {
 		return
 	}
-	n.indirect[pending.target]--
-	if n.indirect[pending.target] > 0 {
+	n.pendingIndirect[pending.target]--
+	if n.pendingIndirect[pending.target] > 0 {
 		return
 	}
-	delete(n.indirect, pending.target)
+	delete(n.pendingIndirect, pending.target)
 	known, ok := n.entries[pending.target]
 	if ok && known.member.Incarnation == pending.incarnation {
-		n.suspect(now, known)
+		n.recordUnreachable(now, known)
 	}
 }
 
-// suspect records that a member answers neither this node nor others.
-func (n *Nodes) suspect(now time.Duration, known *entry) {
+// recordUnreachable records that a member answers neither this node nor others.
+func (n *Nodes) recordUnreachable(now time.Duration, known *entry) {
 	switch known.member.State {
 	case Live:
-		if n.unheard(now) {
-			known.unconfirmed = true
-			n.findings = append(n.findings, finding{before: known.member})
+		if n.noRecentReply(now) {
+			known.unannounced = true
+			n.heldSuspicions = append(n.heldSuspicions, heldSuspicion{before: known.member})
 		}
 		n.setState(now, known, Suspect)
 	case Leaving:
--- a/membership/updates_test.go
+++ b/membership/updates_test.go
@@ -12,8 +12,8 @@
 	"github.com/banksail/banksail/membership/wire"
 )
 
-// pair returns a node that knows one other node, and is about to probe it.
-func pair(t *testing.T) (*membership.Nodes, membership.Member) {
+// newNodesWithPeer returns a node that knows one other node, and is about to probe it.
+func newNodesWithPeer(t *testing.T) (*membership.Nodes, membership.Member) {
 	t.Helper()
 	self := membership.Member{ID: "self", Address: "10.0.0.1:7300", Incarnation: 5}
 	other := membership.Member{ID: "other", Address: "10.0.0.2:7300", Incarnation: 5, State: membership.Live}
@@ -23,8 +23,8 @@
 	return core, other
 }
 
-// probeOf ticks until the node sends a direct probe.
-func probeOf(t *testing.T, core *membership.Nodes, now time.Duration) (membership.Request, time.Duration) {
+// nextDirectProbe ticks until the node sends a direct probe.
+func nextDirectProbe(t *testing.T, core *membership.Nodes, now time.Duration) (membership.Request, time.Duration) {
 	t.Helper()
 	for end := now + 5*time.Second; now < end; now += 100 * time.Millisecond {
 		for _, request := range core.Tick(now) {
@@ -37,18 +37,18 @@
 	return membership.Request{}, 0
 }
 
-func TestProbeThatFailedDuringAPauseOfTheNodeItself(t *testing.T) {
-	core, other := pair(t)
-	request, now := probeOf(t, core, 0)
+func TestProbeFailureDuringOwnPauseIsIgnored(t *testing.T) {
+	core, other := newNodesWithPeer(t)
+	request, now := nextDirectProbe(t, core, 0)
 	core.Complete(now+time.Minute, membership.Result{ID: request.ID, Failed: true})
 	if known, _ := core.Lookup(other.ID); known.State != membership.Live {
 		t.Fatalf("after its own pause the node takes the other one for %v", known.State)
 	}
 }
 
-func TestReplyOfAnotherNodeAtTheAddress(t *testing.T) {
-	core, other := pair(t)
-	request, now := probeOf(t, core, 0)
+func TestReplyFromOtherNodeAtSameAddress(t *testing.T) {
+	core, other := newNodesWithPeer(t)
+	request, now := nextDirectProbe(t, core, 0)
 	stranger := membership.Member{ID: "new", Address: other.Address, Incarnation: 9, State: membership.Live}
 	for _, indirect := range core.Complete(now, membership.Result{ID: request.ID, Responder: stranger}) {
 		core.Complete(now, membership.Result{ID: indirect.ID, Failed: true})
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestDeathThatAnotherNodeTells(t *testing.T) {
+func TestGoneUpdateFromOtherNode(t *testing.T) {
 	tests := map[string]struct{ known, want membership.State }{
 		"of a live member":     {membership.Live, membership.Suspect},
 		"of a suspect member":  {membership.Suspect, membership.Gone},
@@ -70,7 +70,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			core, other := pair(t)
+			core, other := newNodesWithPeer(t)
 			third := membership.Member{ID: "third", Address: "10.0.0.3:7300", Incarnation: 5, State: test.known}
 			core.Receive(0, other, []membership.Member{third})
 			third.State = membership.Gone
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestUpdatesInAnyOrderEndAlike(t *testing.T) {
+func TestUpdatesAreOrderIndependent(t *testing.T) {
 	updates := []membership.Member{
 		{ID: "other", Address: "a:1", Incarnation: 7, State: membership.Live},
 		{ID: "other", Address: "a:1", Incarnation: 6, State: membership.Gone},
@@ -90,7 +90,7 @@
 		{ID: "other", Address: "a:1", Incarnation: 5, State: membership.Leaving, Revision: 9},
 	}
 	for first := range updates {
-		core, other := pair(t)
+		core, other := newNodesWithPeer(t)
 		for i := range updates {
 			core.Receive(0, membership.Member{ID: "x", Address: "x:1", State: membership.Live},
 				updates[(first+i)%len(updates):][:1])
@@ -107,8 +107,8 @@
 	}
 }
 
-func TestUpdatesOutOfBoundsAreDropped(t *testing.T) {
-	core, other := pair(t)
+func TestInvalidUpdatesAreDropped(t *testing.T) {
+	core, other := newNodesWithPeer(t)
 	updates := []membership.Member{
 		{ID: other.ID, Address: other.Address, Incarnation: membership.MaximumIncarnation + 1, State: membership.Gone},
 		{ID: "no state", Address: "a:1", Incarnation: 1},
@@ -123,8 +123,8 @@
 	}
 }
 
-func TestMessagesAndTableStayWithinTheirBounds(t *testing.T) {
-	core, other := pair(t)
+func TestMessageAndTableLimits(t *testing.T) {
+	core, other := newNodesWithPeer(t)
 	for i := range 2 * membership.MaximumMembers {
 		update := membership.Member{ID: gossiptest.NodeID(i), Address: gossiptest.AddressOf(i), Incarnation: 1, State: membership.Live}
 		core.Receive(0, other, []membership.Member{update})
@@ -146,9 +146,9 @@
 	}
 }
 
-func TestEachRoundProbesEveryMemberOnceInAnotherOrder(t *testing.T) {
+func TestProbeRoundsCoverAllMembersInNewOrder(t *testing.T) {
 	const others = 10
-	core, _ := pair(t)
+	core, _ := newNodesWithPeer(t)
 	for i := range others - 1 {
 		sender := membership.Member{ID: gossiptest.NodeID(i), Address: gossiptest.AddressOf(i), Incarnation: 1, State: membership.Live}
 		core.Receive(0, sender, nil)
@@ -158,7 +158,7 @@
 	for round := range rounds {
 		for range others {
 			var request membership.Request
-			request, now = probeOf(t, core, now)
+			request, now = nextDirectProbe(t, core, now)
 			rounds[round] = append(rounds[round], request.To.ID)
 			core.Complete(now, membership.Result{ID: request.ID, Responder: request.To})
 		}
@@ -171,9 +171,9 @@
 	}
 }
 
-func TestLargeTablesAreComparedInBoundedPasses(t *testing.T) {
+func TestLargeTableSyncIsPaginated(t *testing.T) {
 	const size = 1000
-	s := joined(t, 2, 13)
+	s := newJoinedSimulation(t, 2, 13)
 	for i := 2; i < size; i++ {
 		update := membership.Member{ID: gossiptest.NodeID(i), Address: "10.9.9.9:1", Incarnation: 1, State: membership.Leaving}
 		s.Nodes[0].Core.Receive(s.Now, s.Nodes[1].Core.Self(), []membership.Member{update})
