--- a/membership/announcement.go
+++ b/membership/announcement.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// scheduleAnnouncement arranges that a change is told to a few members soon, if those who choose
-// nodes should know of it at once: a member may be lost, is well after all, or leaves.
-// A member that is new or gone spreads with the probes: nobody waits for the one, and
-// all who heard the suspicion find the other by themselves.
+// scheduleAnnouncement schedules an announcement if the change affects whom other nodes
+// send work to: a new suspicion, its refutation, or a planned departure. New and gone
+// members are only piggybacked on probes: new members are not urgent, and nodes that
+// know of the suspicion detect its expiry themselves.
 func (n *Nodes) scheduleAnnouncement(now time.Duration, before, after Member) {
 	if n.options.AnnouncementFanout == 0 {
 		return
@@ -15,7 +15,7 @@
 	}
 }
 
-// announceUpdates sends the newest updates to a few members.
+// announceUpdates sends the newest updates to AnnouncementFanout members.
 func (n *Nodes) announceUpdates() []Request {
 	return n.announceTo(n.options.AnnouncementFanout)
 }
--- a/membership/apply.go
+++ b/membership/apply.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// source tells how an update came, which decides how far it is trusted and
-// whether it is passed on.
+// source is the origin of an update. It determines how far the update is trusted and
+// whether it is forwarded.
 type source int
 
 const (
-	// fromGossip updates rode on a message and are passed on.
+	// fromGossip updates were piggybacked on a message and are forwarded.
 	fromGossip source = iota
-	// fromSender entries are a node's own account of itself.
+	// fromSender entries were sent by the member itself.
 	fromSender
-	// fromSync entries came in a table comparison; they are not passed on, as
-	// others compare as well.
+	// fromSync entries came from a table sync. They are not forwarded, as the other
+	// nodes sync as well.
 	fromSync
-	// fromDetector updates are this node's own findings.
+	// fromDetector updates were detected by this node.
 	fromDetector
 )
 
-// Receive takes in another node's message and returns the own entry and the
+// Receive processes another node's message and returns this node's entry and the
 // updates for the reply.
 func (n *Nodes) Receive(now time.Duration, sender Member, updates []Member) (Member, []Member) {
 	n.mergeMessage(now, sender, updates, fromGossip)
 	return n.self, n.payload(sender.ID)
 }
 
-// mergeMessage applies a node's entry and the updates that came with it.
+// mergeMessage applies the entry of a message's sender and the updates in the message.
 func (n *Nodes) mergeMessage(now time.Duration, sender Member, updates []Member, from source) {
 	n.revokeSuspicionsOf(sender.ID)
 	n.apply(now, sender, fromSender)
@@ -65,9 +65,9 @@
 	n.recordChange(now, known, before, from)
 }
 
-// softenGone turns a death of a live member that only others tell into a
-// suspicion, so that it can refute: the two halves of a parted region that come
-// together, or a node that hears nobody, would bury each other's members.
+// softenGone turns a report that a live member is gone into a suspicion, so that the
+// member can refute it. Otherwise the two sides of a healed partition, or a node that
+// receives nothing, would make each other's live members gone.
 func softenGone(known, update Member) Member {
 	if update.State == Gone && known.State == Live {
 		update.State = Suspect
@@ -75,7 +75,7 @@
 	return update
 }
 
-// insert adds a member that was not known.
+// insert adds an unknown member.
 func (n *Nodes) insert(now time.Duration, update Member, from source) {
 	if len(n.ids) >= MaximumMembers {
 		return
@@ -92,7 +92,7 @@
 	n.recordChange(now, known, Member{}, from)
 }
 
-// recordChange sets the deadline that goes with a new state and queues the update.
+// recordChange sets the deadline for a new state and queues the update.
 func (n *Nodes) recordChange(now time.Duration, known *entry, before Member, from source) {
 	member := known.member
 	if len(n.changes) < maximumChanges {
@@ -114,8 +114,9 @@
 	}
 }
 
-// stateDeadline gives a suspicion that others told more time than an own finding,
-// as the refutation may reach those who found it first.
+// stateDeadline returns when a state expires. A suspicion raised by another node gets
+// 1.5 times as long as one of this node, as the refutation may reach the node that
+// raised it first.
 func (n *Nodes) stateDeadline(now time.Duration, state State, own bool) time.Duration {
 	switch state {
 	case Suspect:
@@ -132,8 +133,8 @@
 	}
 }
 
-// refute answers an update about the node itself. Anything that would win over
-// the own entry and differs from it is beaten by a higher incarnation.
+// refute handles an update about this node itself. An update that differs from its own
+// entry and would take precedence is refuted with a higher incarnation.
 func (n *Nodes) refute(now time.Duration, update Member) {
 	if update.Incarnation < n.self.Incarnation {
 		return
@@ -151,7 +152,7 @@
 	n.version++
 }
 
-// remove forgets a member.
+// remove deletes a member from the table.
 func (n *Nodes) remove(id string) {
 	delete(n.entries, id)
 	if at, found := slices.BinarySearch(n.ids, id); found {
--- a/membership/broadcast.go
+++ b/membership/broadcast.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// urgency orders updates: changes of state go before changes of revision.
+// urgency is the priority of an update. State changes take precedence over revision
+// changes.
 type urgency int
 
 const (
@@ -13,23 +14,23 @@
 	revisionUpdate
 )
 
-// broadcast is an update that waits to ride on messages.
+// broadcast is a queued update to be piggybacked on messages.
 type broadcast struct {
 	id            string
 	urgency       urgency
 	transmissions int
 }
 
-// broadcasts is the bounded queue of updates. It holds one entry a member at
-// most; the member's current table entry is what is sent.
+// broadcasts is the bounded queue of updates. It holds at most one entry per member;
+// messages carry the member's current entry in the table.
 type broadcasts struct {
 	queue []broadcast
 }
 
-// maximumQueued bounds the queue. What does not fit spreads by comparisons.
+// maximumQueued limits the queue. Further updates spread by table syncs only.
 const maximumQueued = 2048
 
-// add queues a member's entry afresh.
+// add queues a member's entry and resets its number of transmissions.
 func (b *broadcasts) add(id string, u urgency) {
 	for i := range b.queue {
 		if b.queue[i].id == id {
@@ -44,9 +45,9 @@
 	b.queue = append(b.queue, broadcast{id: id, urgency: u})
 }
 
-// take picks updates for a message to a member, those sent the fewest times
-// first, and drops what has been sent limit times. It leaves room for one more
-// entry, and never picks that of the receiver.
+// take returns the updates for a message to a member, the least transmitted ones first,
+// and drops those that have been sent limit times. It leaves room for one more entry
+// and skips the receiver's own.
 func (b *broadcasts) take(to string, limit int, lookup func(string) (Member, bool)) []Member {
 	var picked []Member
 	size := 0
--- a/membership/connections.go
+++ b/membership/connections.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// reservedShare is the part of a server's connection limit that is not
-	// shared out: it takes up what nodes with differing member tables open.
+	// reservedShare is the share of a server's connection limit that is not assigned to
+	// nodes. It absorbs excess connections while nodes have different member tables.
 	reservedShare = 0.1
-	// OwnersPerServer is the number of nodes that connect to a server when
-	// there are more nodes than connections.
+	// OwnersPerServer is the number of nodes that connect to a server if there are more
+	// nodes than connections.
 	OwnersPerServer = 8
-	// warmShare is the part of a node's share that stays open while idle.
+	// warmShare is the part of a node's share that is kept open while idle.
 	warmShare = 0.25
 )
 
-// Share is a node's part of a server's connections.
+// Share is a node's share of a server's connections.
 type Share struct {
-	// Maximum is the greatest number of connections that the node may open.
+	// Maximum is the maximum number of connections that the node may open.
 	Maximum int
 	// Warm is the number of connections that the node keeps open while idle.
 	Warm int
 }
 
-// ShareableConnections is the number of connections that are shared out of a
-// server's limit; the rest is reserved.
+// ShareableConnections returns the number of connections of a server's limit that are
+// assigned to nodes. The rest is reserved.
 func ShareableConnections(limit int) int {
 	reserved := max(1, int(float64(limit)*reservedShare))
 	if limit <= 1 {
@@ -36,24 +36,24 @@
 	return limit - reserved
 }
 
-// ServerSpec names a server whose connections are shared out.
+// ServerSpec identifies a server whose connections are divided among nodes.
 type ServerSpec struct {
 	ID   string
 	Zone string
-	// Limit is the number of connections that the server accepts in all.
+	// Limit is the maximum number of connections that the server accepts.
 	Limit int
 }
 
-// OwnerShare returns the share that a node has of a server's connections,
-// given the nodes that are neither leaving nor gone.
+// OwnerShare returns a node's share of a server's connections. nodes are all nodes that
+// are neither leaving nor gone.
 //
-// Nodes that see the same members never hold more than the limit together.
-// While the nodes do not outnumber the limit, each has a connection, and when
-// one leaves, no other one's share falls, and what they gain is what it held.
-// Nodes whose views differ may exceed the shared-out part: each holds at most
-// ShareableConnections divided by the size of its own view, rounded up, so N
-// nodes that each miss at most M others hold at most N times that quotient at
-// N-M together, as long as N is at most ShareableConnections.
+// Nodes with the same view of the members never exceed the limit together. As long as
+// there are no more nodes than the limit, each has a connection; when one leaves, no
+// other share decreases, and together they gain what it held. Nodes with different
+// views may exceed the assigned part: each holds at most ShareableConnections divided
+// by the size of its own view, rounded up, so N nodes that each miss at most M others
+// hold together at most N times that quotient at N-M, provided that N is at most
+// ShareableConnections.
 func OwnerShare(self string, server ServerSpec, nodes []Member) Share {
 	return ShareOf(self, Owners(server, nodes))
 }
@@ -74,16 +74,16 @@
 	Share Share
 }
 
-// Owners returns the nodes that hold connections to a server with their
-// shares, in rendezvous order. All nodes do while the connections suffice;
-// otherwise a few do, those in the server's zone first.
+// Owners returns the nodes that connect to a server with their shares, in rendezvous
+// order. These are all nodes if there are enough connections, and otherwise a few,
+// those in the server's zone first.
 func Owners(server ServerSpec, nodes []Member) []Owner {
 	if server.Limit < 1 || len(nodes) == 0 {
 		return nil
 	}
 	shared := ShareableConnections(server.Limit)
 	if len(nodes) <= server.Limit {
-		// The reserve is given up before nodes go without a connection.
+		// Use the reserve before leaving nodes without a connection.
 		shared = max(shared, len(nodes))
 	}
 	var ranked []string
@@ -104,14 +104,13 @@
 	return owners
 }
 
-// ReadersPerServer is the number of nodes that read a server's health every
-// interval.
+// ReadersPerServer is the number of nodes that read a server's health every interval.
 const ReadersPerServer = 3
 
-// Readers returns, in order, the nodes that read a server's health every interval: its
-// first live owners, so that no reading needs a connection that is not shared
-// out. The owners are those of Owners and don't change when a node is suspected;
-// its place is then taken by the next one.
+// Readers returns the nodes that read a server's health every interval: its first live
+// owners, in order, so that every reading uses an assigned connection. owners must be
+// the result of Owners, which does not change when a node becomes suspect; the next
+// live owner then takes its place.
 func Readers(owners []Owner, live func(node string) bool) []string {
 	readers := make([]string, 0, ReadersPerServer)
 	for _, owner := range owners {
@@ -125,9 +124,9 @@
 	return readers
 }
 
-// rankZoneFirst returns the first count nodes in rendezvous order, those of the
-// server's zone before all others. The others are ranked only when the zone
-// has too few.
+// rankZoneFirst returns the first count nodes in rendezvous order, those in the
+// server's zone before all others. The others are ranked only if the zone has too few
+// nodes.
 func rankZoneFirst(server ServerSpec, nodes []Member, count int) []string {
 	ranked := rank(server, nodes, count, func(zone string) bool { return zone == server.Zone })
 	if len(ranked) < count {
@@ -145,12 +144,12 @@
 	weight uint64
 }
 
-// compareWeights puts the greater weight first, and at equal weights the lesser ID.
+// compareWeights orders by descending weight, and at equal weights by ID.
 func compareWeights(x, y weightedNode) int {
 	return cmp.Or(cmp.Compare(y.weight, x.weight), cmp.Compare(x.id, y.id))
 }
 
-// rank returns the first count nodes of the wanted zones by their rendezvous
+// rank returns the first count nodes in the wanted zones, by descending rendezvous
 // weight for the server.
 func rank(server ServerSpec, nodes []Member, count int, wanted func(zone string) bool) []string {
 	first := make([]weightedNode, 0, count+1)
--- a/membership/connections_test.go
+++ b/membership/connections_test.go
@@ -70,7 +70,7 @@
 		func(server, limit, count, leaver int) bool {
 			nodes := makeNodes(count + 1)
 			if count+1 > limit {
-				return true // other owners are chosen: see the next property
+				return true // fewer nodes own connections: see the next property
 			}
 			before := shares(spec(server, limit), nodes)
 			leaver %= len(nodes)
@@ -116,7 +116,7 @@
 			}
 			shared := membership.ShareableConnections(limit)
 			if count > shared {
-				return true // the bound is stated for views in which all nodes own
+				return true // the bound only holds if all nodes are owners
 			}
 			return total <= count*((shared+count-missing-1)/(count-missing))
 		}, serverNumber, limits, counts, counts))
--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,16 +1,14 @@
-// Package membership holds the pure cores that tell which nodes and servers
-// are live, suspect, leaving or gone, and who shares out the connections of a
-// server.
+// Package membership tracks which nodes and servers are live, suspect, leaving or gone,
+// and divides the connection limits of servers among the nodes.
 //
-// Nodes is a failure detector and a table of nodes in the manner of SWIM:
-// shuffled probes, indirect probes, suspicion with a time-out, refutation by
-// incarnation, and updates that ride on probes. Servers merges what several
-// sources say of the back-end servers. OwnerShare divides the connection
-// limit of a server over the nodes by rendezvous hashing.
+// Nodes is a failure detector and member table based on SWIM: probes in shuffled
+// rounds, indirect probes, suspicion with a timeout, refutation by incarnation, and
+// updates piggybacked on probes. Servers merges reports on back-end servers from
+// several sources. OwnerShare divides a server's connection limit among the nodes by
+// rendezvous hashing.
 //
-// Nothing in the package has a goroutine, a clock or I/O: the owner passes the
-// time as a duration since an epoch of its choice, carries out the requests
-// that the core returns, and reports their results. Equal seeds and equal
-// inputs give equal outputs. None of the types is safe for concurrent use; the
-// owner holds a lock.
+// Nothing in the package uses goroutines, a clock or I/O. The owner passes the time as
+// a duration since an epoch of its choice, sends the requests that the state machine
+// returns, and reports their results. Equal seeds and inputs give equal outputs. No
+// type is safe for concurrent use; the owner must hold a lock.
 package membership
--- a/membership/example_test.go
+++ b/membership/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// Two cores that are driven by hand: the owner carries each request to the
-// other core and reports the reply.
+// Two state machines, driven by hand: the owner delivers each request to the other one
+// and reports the reply.
 func ExampleNodes() {
 	first := membership.NewNodes(membership.NodesOptions{
 		Self: membership.Member{ID: "first", Address: "10.0.0.1:7300", Incarnation: 1},
@@ -33,7 +33,8 @@
 	// second live
 }
 
-// A server's own word that it drains wins over the machine list's that it lives.
+// A server's own report that it is draining takes precedence over the machine list,
+// which still names it as live.
 func ExampleServers() {
 	servers := membership.NewServers(membership.ServersOptions{})
 	servers.Report(0, "search-1", membership.ServerReport{
--- a/membership/findings.go
+++ b/membership/findings.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Bounds of what nodes push to each other of servers.
+// Limits of the findings on servers that nodes push to each other.
 const (
-	// MaximumServerFindings bounds the findings in a message.
+	// MaximumServerFindings is the maximum number of findings in a message.
 	MaximumServerFindings = 8
-	// maximumQueuedFindings bounds those that wait; gossip carries the leavings
-	// among those that don't fit.
+	// maximumQueuedFindings limits the queued findings. Departures that do not fit
+	// still spread by gossip.
 	maximumQueuedFindings = 1024
 )
 
-// ServerFinding is news of a server that is pushed to a few peers at once.
+// ServerFinding is a change of a server that is pushed to a few peers at once.
 type ServerFinding struct {
 	ID          string
 	Incarnation string
-	// Leaving says that the server is leaving in the incarnation; otherwise the
-	// incarnation is a new one.
+	// Leaving is true if the server is leaving in this incarnation. Otherwise the
+	// incarnation is new.
 	Leaving bool
 }
 
-// Valid reports whether the fields are within their bounds.
+// Valid reports whether the fields are within their limits.
 func (f ServerFinding) Valid() bool {
 	return ServerLeaving{ID: f.ID, Incarnation: f.Incarnation}.Valid()
 }
 
-// queueFinding queues a finding for a few peers, once.
+// queueFinding queues a finding for a few peers, unless it repeats the previous one.
 func (s *Servers) queueFinding(known *serverEntry, finding ServerFinding) {
 	if known.lastFinding == finding {
 		return
@@ -39,7 +39,7 @@
 	}
 }
 
-// TakeFindings returns at most MaximumServerFindings that wait to be pushed.
+// TakeFindings removes and returns up to MaximumServerFindings queued findings.
 func (s *Servers) TakeFindings() []ServerFinding {
 	count := min(len(s.findings), MaximumServerFindings)
 	taken := slices.Clone(s.findings[:count])
@@ -47,20 +47,21 @@
 	return taken
 }
 
-// HasFindings reports whether findings wait.
+// HasFindings reports whether findings are queued.
 func (s *Servers) HasFindings() bool { return len(s.findings) > 0 }
 
-// TakeUnverified returns the servers of which other nodes told news since the last
-// call. Their own word decides, so each is to be read.
+// TakeUnverified returns the servers on which other nodes have reported changes since
+// the last call. The owner should read each of them, as only the server's own report is
+// conclusive.
 func (s *Servers) TakeUnverified() []string {
 	unverified := s.unverified
 	s.unverified = nil
 	return unverified
 }
 
-// ReceiveFindings takes in what another node pushed. A leaving counts as one
-// that gossip tells. A new incarnation changes no state: the node is to read the
-// server itself.
+// ReceiveFindings processes findings pushed by another node. A departure is handled
+// like one received by gossip. A new incarnation changes no state; the server is to be
+// read instead.
 func (s *Servers) ReceiveFindings(now time.Duration, findings []ServerFinding) {
 	for _, finding := range findings[:min(len(findings), MaximumServerFindings)] {
 		switch {
@@ -83,7 +84,7 @@
 	s.markUnverified(finding.ID)
 }
 
-// markUnverified asks for a reading of a server.
+// markUnverified queues a server for TakeUnverified.
 func (s *Servers) markUnverified(id string) {
 	if len(s.unverified) < maximumQueuedFindings {
 		s.unverified = append(s.unverified, id)
--- a/membership/findings_test.go
+++ b/membership/findings_test.go
@@ -69,14 +69,14 @@
 			servers := membership.NewServers(membership.ServersOptions{})
 			test.apply(servers)
 			if got := servers.TakeFindings(); !slices.Equal(got, test.want) {
-				t.Errorf("findings %v, want %v", got, test.want)
+				t.Errorf("queued findings %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// TestFindingsFromOtherNodes covers readers that lie: the server's own word on
-// its incarnation goes before theirs.
+// Findings from other nodes may be wrong. The server's own report of its incarnation
+// must take precedence.
 func TestFindingsFromOtherNodes(t *testing.T) {
 	tests := map[string]struct {
 		apply          func(servers *membership.Servers)
@@ -145,7 +145,7 @@
 				t.Errorf("the server is %v, want %v", got, test.want)
 			}
 			if unverified := servers.TakeUnverified(); slices.Contains(unverified, server) != test.wantUnverified {
-				t.Errorf("servers to read: %v", unverified)
+				t.Errorf("unverified servers: %v", unverified)
 			}
 		})
 	}
@@ -163,7 +163,7 @@
 		failed := all[1]
 		rest := membership.Readers(owners, func(id string) bool { return id != failed })
 		if len(rest) != membership.ReadersPerServer || rest[0] != all[0] || rest[1] != all[2] {
-			t.Fatalf("readers %v, after %s failed %v", all, failed, rest)
+			t.Fatalf("readers %v, after %s failed: %v", all, failed, rest)
 		}
 	}
 }
@@ -176,10 +176,10 @@
 		spare[gossiptest.NodeID(number)] = membership.ReadersPerServer - 1
 	}
 	if got := len(budget.Duties(primary)); got != len(primary) {
-		t.Errorf("%d of %d servers are read for which the node is needed", got, len(primary))
+		t.Errorf("%d of %d servers are read as a primary reader", got, len(primary))
 	}
 	if got := budget.Duties(spare); len(got) == 0 || budget.DutyRate(len(got)) > budget.Rate {
-		t.Errorf("%d servers are read as a spare reader, %.1f readings a second", len(got), budget.DutyRate(len(got)))
+		t.Errorf("%d servers are read as a spare reader, at %.1f readings per second", len(got), budget.DutyRate(len(got)))
 	}
 	for others := range 200 {
 		const duties = 9
@@ -188,16 +188,16 @@
 			continue
 		}
 		if rate := budget.DutyRate(duties) + float64(others)/pause.Seconds(); rate > budget.Rate {
-			t.Errorf("%d others: %.2f readings a second", others, rate)
+			t.Errorf("%d others: %.2f readings per second", others, rate)
 		}
 		if pause < budget.Interval || gap <= 0 {
 			t.Errorf("%d others: pause %v, gap %v", others, pause, gap)
 		}
 	}
 	if !budget.Covers(17) || budget.Covers(18) {
-		t.Error("12 readings a second cover 17 servers and not 18")
+		t.Error("12 readings per second should cover 17 servers but not 18")
 	}
 	if unbounded := (membership.ReadingBudget{Interval: time.Second, LoadInterval: time.Minute}); !unbounded.Covers(1000) {
-		t.Error("no bound covers all")
+		t.Error("an unlimited budget should cover all servers")
 	}
 }
--- a/membership/forward.go
+++ b/membership/forward.go
@@ -7,11 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ForwardOwners returns the nodes through which the requester reaches a server
-// to which it owns no connection, the first choice first: owners in its own
-// zone, and among equals by the requester's own rendezvous order, so that the
-// requesters spread over the owners. Owners that are not live are left out, and
-// so is the requester. The nodes are those that OwnerShare is given.
+// ForwardOwners returns the nodes through which the requester reaches a server to which
+// it owns no connection, in order of preference: owners in the requester's zone first,
+// then by a rendezvous order specific to the requester, which spreads requesters over
+// the owners. The requester and owners that are not live are omitted. nodes must be the
+// same as for OwnerShare.
 func ForwardOwners(requester Member, server ServerSpec, nodes []Member) []Member {
 	byID := make(map[string]*Member, OwnersPerServer)
 	owners := Owners(server, nodes)
@@ -43,7 +43,7 @@
 	return members
 }
 
-// forwardOwner is an owner with what ranks it for one requester.
+// forwardOwner is an owner with its sort keys for one requester.
 type forwardOwner struct {
 	member    Member
 	otherZone bool
--- a/membership/forward_test.go
+++ b/membership/forward_test.go
@@ -25,10 +25,10 @@
 			away := false
 			for _, owner := range chosen {
 				if owner.ID == requester.ID || !slices.Contains(owners, owner.ID) {
-					t.Fatalf("%s may not ask %s", requester.ID, owner.ID)
+					t.Fatalf("%s may not forward to %s", requester.ID, owner.ID)
 				}
 				if near := owner.Zone == requester.Zone; near && away {
-					t.Fatalf("%s of the requester's zone is behind one of another", owner.ID)
+					t.Fatalf("%s in the requester's zone is ranked after an owner in another zone", owner.ID)
 				}
 				away = away || owner.Zone != requester.Zone
 			}
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestForwardOwnersSpreadLoad: requesters of one zone divide evenly over the owners there.
+// The requesters of a zone are spread evenly over the owners in it.
 func TestForwardOwnersSpreadLoad(t *testing.T) {
 	nodes := makeNodes(1400)
 	spec := spec(1, 70)
--- a/membership/gossiptest/gossiptest.go
+++ b/membership/gossiptest/gossiptest.go
@@ -1,6 +1,6 @@
-// Package gossiptest runs many membership state machines on an event queue with
-// virtual time, with delays, cuts, freezes and kills, and counts the bytes of
-// their messages. It drives the real cores, with the real message encodings.
+// Package gossiptest simulates many membership state machines in virtual time, with
+// message delays, cuts, freezes and crashes, and counts the bytes of their messages. It
+// uses the real state machines and message encodings.
 package gossiptest
 
 import (
@@ -16,23 +16,22 @@
 	"github.com/banksail/banksail/peer"
 )
 
-// exchangeOverheadBytes is what HTTP adds to the messages of one exchange;
-// package peer's TestExchangeOverhead measures it. TCP/IP headers are not in it.
+// exchangeOverheadBytes is the overhead of HTTP per exchange, as measured by
+// TestExchangeOverhead in package peer. It excludes TCP and IP headers.
 const exchangeOverheadBytes = 420
 
-// Simulation runs many Nodes on an event queue, with delays, cuts, freezes and
-// kills, and counts the bytes of their messages.
+// Simulation runs many Nodes on an event queue in virtual time.
 type Simulation struct {
 	// Now is the virtual time since the start.
 	Now    time.Duration
 	events *priority.Queue[event]
-	// Random is the seeded source of delays.
+	// Random is the seeded source of message delays.
 	Random *rand.Rand
-	// Nodes are all nodes, dead ones among them.
+	// Nodes holds all nodes, including dead ones.
 	Nodes []*Node
-	// Delay is the longest time that a message takes one way.
+	// Delay is the maximum one-way delay of a message.
 	Delay time.Duration
-	// Blocked tells whether a message between two nodes is lost.
+	// Blocked reports whether messages from one node to another are lost.
 	Blocked func(from, to *Node) bool
 	order   uint64
 	// tombstoneTime overrides the default unless it is zero.
@@ -41,20 +40,20 @@
 
 // Node is one simulated node.
 type Node struct {
-	// Index is its place in Simulation.Nodes.
+	// Index is the node's position in Simulation.Nodes.
 	Index int
-	// ID is the one it was started under.
+	// ID is the ID under which the node was started.
 	ID string
-	// Core is the state machine of its present life.
+	// Core is the state machine since the node's last start.
 	Core *membership.Nodes
-	// Alive is false for a node that was killed.
+	// Alive is false if the node was killed.
 	Alive bool
-	// FrozenUntil is when a frozen node goes on.
+	// FrozenUntil is when a frozen node resumes.
 	FrozenUntil time.Duration
-	// generation grows when the node restarts, so that timers of an earlier
-	// life do nothing.
+	// generation increases with each start, so that timers set before a restart are
+	// ignored.
 	generation int
-	// Bytes counts what it sent and received.
+	// Bytes is the number of bytes sent and received.
 	Bytes int
 }
 
@@ -64,7 +63,7 @@
 	run   func()
 }
 
-// earlier orders events by time, those at one time by when they were set.
+// earlier orders events by time, and by insertion at equal times.
 func earlier(a, b event) bool {
 	if a.at != b.at {
 		return a.at < b.at
@@ -72,12 +71,13 @@
 	return a.order < b.order
 }
 
-// New starts a number of nodes that know nobody.
+// New starts size nodes that do not know each other.
 func New(size int, seed uint64) *Simulation {
 	return NewWithTombstoneTime(size, seed, 0)
 }
 
-// NewWithTombstoneTime does so with another time for which gone members are remembered.
+// NewWithTombstoneTime is like New with a different NodesOptions.TombstoneTime; zero
+// means the default.
 func NewWithTombstoneTime(size int, seed uint64, tombstoneTime time.Duration) *Simulation {
 	s := &Simulation{
 		events:        priority.NewQueue(earlier, nil),
@@ -94,26 +94,26 @@
 	return s
 }
 
-// NodeID is the ID of the node at an index.
+// NodeID returns the ID of the node at an index.
 func NodeID(index int) string { return fmt.Sprintf("node-%04d", index) }
 
-// ListEntryOf is the machine list's entry of the node at an index.
+// ListEntryOf returns the machine list entry of the node at an index.
 func ListEntryOf(index int) membership.ListedNode {
 	return membership.ListedNode{ID: NodeID(index), Address: AddressOf(index), Zone: ZoneOf(index)}
 }
 
-// AddressOf is the address of the node at an index.
+// AddressOf returns the address of the node at an index.
 func AddressOf(index int) string { return fmt.Sprintf("10.0.%d.%d:7300", index/250, index%250) }
 
-// ZoneOf is the zone of the node at an index.
+// ZoneOf returns the zone of the node at an index.
 func ZoneOf(index int) string { return fmt.Sprintf("zone-%d", index%4) }
 
-// Start begins a life of a node, which knows nobody yet.
+// Start starts or restarts a node, which knows no other node.
 func (s *Simulation) Start(node *Node, seed, incarnation uint64) {
 	s.StartAs(node, NodeID(node.Index), seed, incarnation)
 }
 
-// StartAs begins a life of a node under an ID of its own choice.
+// StartAs starts or restarts a node under the given ID.
 func (s *Simulation) StartAs(node *Node, id string, seed, incarnation uint64) {
 	node.Core = membership.NewNodes(membership.NodesOptions{
 		Self: membership.Member{
@@ -128,14 +128,14 @@
 	s.scheduleTick(node, 0)
 }
 
-// SetMachineList gives every node the machine list.
+// SetMachineList passes a machine list to every node.
 func (s *Simulation) SetMachineList(nodes ...membership.ListedNode) {
 	for _, node := range s.Nodes {
 		node.Core.ObserveList(nodes)
 	}
 }
 
-// ListAllNodes gives every node a machine list that names all of them.
+// ListAllNodes passes a machine list with all nodes to every node.
 func (s *Simulation) ListAllNodes() {
 	var nodes []membership.ListedNode
 	for i := range s.Nodes {
@@ -149,7 +149,7 @@
 	s.events.Push(event{at: s.Now + delay, order: s.order, run: run})
 }
 
-// RunUntil advances to a time.
+// RunUntil advances virtual time to end.
 func (s *Simulation) RunUntil(end time.Duration) {
 	for s.events.Len() > 0 && s.events.First().at <= end {
 		next := s.events.Pop()
@@ -159,8 +159,8 @@
 	s.Now = end
 }
 
-// RunUntilTrue advances until the condition holds, checked ten times a second,
-// and returns the time that it took; ok is false when limit passed first.
+// RunUntilTrue advances virtual time until the condition holds, checking it ten times a
+// second, and returns the time that took. The result is false if limit elapsed first.
 func (s *Simulation) RunUntilTrue(limit time.Duration, condition func() bool) (time.Duration, bool) {
 	begin := s.Now
 	for !condition() {
@@ -172,7 +172,8 @@
 	return s.Now - begin, true
 }
 
-// runStep runs a step of a node as soon as it isn't frozen.
+// runStep calls step as soon as the node is not frozen, unless it was killed or
+// restarted.
 func (s *Simulation) runStep(node *Node, step func()) {
 	generation := node.generation
 	if !node.Alive {
@@ -235,7 +236,8 @@
 	}
 }
 
-// deliver hands a message over unless it is lost, and counts its bytes at both ends.
+// deliver sends a message, counts its bytes at both ends, and calls arrive at the
+// receiver unless the message is lost.
 func (s *Simulation) deliver(from, to *Node, message proto.Message, overhead int, arrive func()) {
 	size := proto.Size(message) + overhead
 	from.Bytes += size
@@ -248,7 +250,7 @@
 	})
 }
 
-// nodeAt finds the node that listens on an address.
+// nodeAt returns the node with an address, or nil if there is none.
 func (s *Simulation) nodeAt(address string) *Node {
 	var high, low int
 	if _, err := fmt.Sscanf(address, "10.0.%d.%d:7300", &high, &low); err != nil {
@@ -311,7 +313,7 @@
 	})
 }
 
-// AllSeeState tells whether each of the observers sees each of the subjects in a state.
+// AllSeeState reports whether all observers see all subjects in a state.
 func AllSeeState(observers, subjects []*Node, state membership.State) bool {
 	for _, observer := range observers {
 		for _, subject := range subjects {
@@ -327,7 +329,7 @@
 	return true
 }
 
-// StateSeen gives an observer's state of a subject; zero when it is unknown.
+// StateSeen returns the state of a subject as seen by an observer, or 0 if unknown.
 func StateSeen(observer, subject *Node) membership.State {
 	known, _ := observer.Core.Lookup(subject.ID)
 	return known.State
--- a/membership/isolation.go
+++ b/membership/isolation.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// heldSuspicion is a suspicion of this node's own that it has told nobody yet, with the
-// entry as it was before.
+// heldSuspicion is a suspicion raised by this node that it has not published yet, with
+// the entry from before.
 type heldSuspicion struct{ before Member }
 
-// Isolated reports whether nobody has answered for so long that this node takes
-// itself for cut off from the members that it knows.
+// Isolated reports whether no other node has replied for longer than IsolationTime, so
+// that this node is probably cut off from the members it knows.
 func (n *Nodes) Isolated(now time.Duration) bool {
 	return n.options.IsolationTime > 0 && len(n.ids) > 0 && now-n.lastReply > n.options.IsolationTime
 }
 
-// noRecentReply reports whether nobody has answered of late: what the node finds then may be
-// its own fault, and waits until somebody answers.
+// noRecentReply reports whether no other node has replied for a probe interval.
+// Failures detected meanwhile may be this node's own fault and are held back until a
+// reply arrives.
 func (n *Nodes) noRecentReply(now time.Duration) bool {
 	return n.options.IsolationTime > 0 && now-n.lastReply > n.options.ProbeInterval
 }
 
-// recordReply notes that another node has answered. What this node has found meanwhile is
-// told now, unless nobody had answered for long: then the fault was its own, and the
-// findings are void, and so is what becomes of the requests that are out. The others
-// would refute them one by one.
+// recordReply records that another node has replied, and publishes the held suspicions.
+// If the node was isolated, they and all pending requests are discarded instead, as the
+// fault was its own and the suspects would have to refute one by one.
 func (n *Nodes) recordReply(now time.Duration) {
 	isolated := n.Isolated(now)
 	n.lastReply = now
@@ -46,7 +46,8 @@
 	}
 }
 
-// revokeSuspicionsOf takes back what this node alone has found of a member that sends to it.
+// revokeSuspicionsOf revokes the unpublished suspicion of a member from which a message
+// has arrived.
 func (n *Nodes) revokeSuspicionsOf(id string) {
 	known, ok := n.entries[id]
 	if !ok || !known.unannounced {
@@ -59,7 +60,7 @@
 	}
 }
 
-// revokeSuspicion takes a finding back.
+// revokeSuspicion restores the state from before a held suspicion.
 func (n *Nodes) revokeSuspicion(known *entry, held heldSuspicion) {
 	known.member.State = held.before.State
 	known.deadline = never
--- a/membership/leavings.go
+++ b/membership/leavings.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// Bounds of what nodes tell each other of leaving servers.
+// Limits of the server departures that nodes gossip to each other.
 const (
-	// MaximumServerLeavings bounds the leavings in a message.
+	// MaximumServerLeavings is the maximum number of departures in a message.
 	MaximumServerLeavings = 8
-	// MaximumIncarnationBytes bounds a server's incarnation.
+	// MaximumIncarnationBytes is the maximum length of a server's incarnation.
 	MaximumIncarnationBytes = 64
-	// maximumQueuedLeavings bounds those that wait.
+	// maximumQueuedLeavings limits the queued departures.
 	maximumQueuedLeavings = 1024
-	// leavingTransmissions is the number of messages that carry a leaving; it
-	// suits DefaultTransmissionFactor at a thousand nodes.
+	// leavingTransmissions is the number of messages in which a departure is sent. It
+	// matches DefaultTransmissionFactor at a thousand nodes.
 	leavingTransmissions = 16
 )
 
-// ServerLeaving tells that a server is leaving in an incarnation.
+// ServerLeaving reports that a server is leaving in the given incarnation.
 type ServerLeaving struct {
 	ID          string
 	Incarnation string
 }
 
-// Valid reports whether the fields are within their bounds.
+// Valid reports whether the fields are within their limits.
 func (l ServerLeaving) Valid() bool {
 	return l.ID != "" && len(l.ID) <= MaximumIDBytes &&
 		l.Incarnation != "" && len(l.Incarnation) <= MaximumIncarnationBytes
 }
 
-// leavingBroadcast is a leaving that waits to ride on messages.
+// leavingBroadcast is a queued departure to be piggybacked on messages.
 type leavingBroadcast struct {
 	leaving       ServerLeaving
 	transmissions int
 }
 
-// queueLeaving queues a leaving for the other nodes.
+// queueLeaving queues a departure for the other nodes.
 func (s *Servers) queueLeaving(id, incarnation string) {
 	leaving := ServerLeaving{ID: id, Incarnation: incarnation}
 	if len(s.leavings) < maximumQueuedLeavings && leaving.Valid() {
@@ -45,7 +45,8 @@
 	}
 }
 
-// TakeLeavings picks what to tell another node, those told the fewest times first.
+// TakeLeavings returns the departures for a message to another node, the least
+// transmitted ones first.
 func (s *Servers) TakeLeavings() []ServerLeaving {
 	slices.SortStableFunc(s.leavings, func(x, y leavingBroadcast) int {
 		return cmp.Compare(x.transmissions, y.transmissions)
@@ -61,8 +62,8 @@
 	return picked
 }
 
-// ReceiveLeavings takes in what another node tells. Like the machine list it
-// does not count against another incarnation that the server told itself.
+// ReceiveLeavings processes departures gossiped by another node. Like the machine list,
+// they do not override a different incarnation that the server itself reported.
 func (s *Servers) ReceiveLeavings(now time.Duration, leavings []ServerLeaving) {
 	for _, leaving := range leavings[:min(len(leavings), MaximumServerLeavings)] {
 		if leaving.Valid() {
--- a/membership/member.go
+++ b/membership/member.go
@@ -4,22 +4,22 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// State is what is known of a node or a server. At an equal incarnation a
-// greater state wins.
+// State is the state of a node or a server. At equal incarnations, the greater state
+// takes precedence.
 type State int
 
 const (
-	// Live members take new work.
+	// Live members accept new work.
 	Live State = iota + 1
-	// Suspect members missed probes and have not refuted it yet.
+	// Suspect members failed probes and have not refuted the suspicion yet.
 	Suspect
-	// Leaving members end what is in flight and take no new work.
+	// Leaving members finish the work in flight and accept no new work.
 	Leaving
-	// Gone members have left or are taken for failed.
+	// Gone members have left or are considered failed.
 	Gone
 )
 
-// String names the state in lower case.
+// String returns the name of the state in lower case.
 func (s State) String() string {
 	switch s {
 	case Live:
@@ -35,39 +35,40 @@
 	}
 }
 
-// Valid reports whether the state is one of the named ones.
+// Valid reports whether the state is one of the constants above.
 func (s State) Valid() bool { return s >= Live && s <= Gone }
 
-// Bounds of a member's fields. Updates that exceed them are dropped.
+// Limits of a member's fields. Updates that exceed them are dropped.
 const (
 	MaximumIDBytes      = 128
 	MaximumAddressBytes = 64
 	MaximumZoneBytes    = 64
 	MaximumDetailsBytes = 128
-	// MaximumIncarnation leaves room for refutations above any clock.
+	// MaximumIncarnation leaves room for refutations above any incarnation taken from a
+	// clock.
 	MaximumIncarnation = 1 << 60
 )
 
 // Member is one node's entry in the member table.
 type Member struct {
-	// ID names the node; a node that restarts may keep it.
+	// ID identifies the node. A node may keep it across restarts.
 	ID string
-	// Address is the IP number and port of the node's peer listener.
+	// Address is the IP address and port on which other nodes reach the node.
 	Address string
 	// Zone is the failure zone in which the node runs.
 	Zone string
-	// Incarnation is picked by the member itself and only grows.
+	// Incarnation is chosen by the member itself and never decreases.
 	Incarnation uint64
-	// State is what is known of the member.
+	// State is the last known state of the member.
 	State State
-	// Revision is the configuration in force at the member, as last heard.
+	// Revision is the last known revision of the configuration in force at the member.
 	Revision policy.Revision
-	// Details is what the member tells of itself beyond that, in its owner's own
-	// encoding; it changes only together with the incarnation.
+	// Details holds additional properties of the member, in an encoding of the owner's
+	// choice. It changes only together with the incarnation.
 	Details string
 }
 
-// Valid reports whether the member's fields are within their bounds.
+// Valid reports whether the member's fields are within their limits.
 func (m Member) Valid() bool {
 	switch {
 	case m.ID == "" || len(m.ID) > MaximumIDBytes:
@@ -82,9 +83,9 @@
 	return m.State.Valid()
 }
 
-// Supersedes reports whether m is later knowledge of the same member than
-// other: a higher incarnation, or at an equal one a greater state, or at an
-// equal state a higher revision.
+// Supersedes reports whether m is newer information about the same member than other: a
+// higher incarnation, at equal incarnations a greater state, or at equal states a
+// higher revision.
 func (m Member) Supersedes(other Member) bool {
 	if m.Incarnation != other.Incarnation {
 		return m.Incarnation > other.Incarnation
@@ -95,8 +96,8 @@
 	return m.Revision > other.Revision
 }
 
-// merge returns the later knowledge of the two. A revision never falls within
-// an incarnation.
+// merge combines two entries of the same member. A higher incarnation replaces a lower
+// one. Within an incarnation neither the state nor the revision decreases.
 func merge(current, update Member) Member {
 	if update.Incarnation != current.Incarnation {
 		if update.Incarnation > current.Incarnation {
@@ -110,10 +111,11 @@
 	return merged
 }
 
-// memberOverheadBytes bounds the encoded size of a member without its strings.
+// memberOverheadBytes is an upper bound on the encoded size of a member without its
+// strings.
 const memberOverheadBytes = 32
 
-// encodedBytes bounds the member's size in a message.
+// encodedBytes returns an upper bound on the member's size in a message.
 func (m Member) encodedBytes() int {
 	return len(m.ID) + len(m.Address) + len(m.Zone) + len(m.Details) + memberOverheadBytes
 }
--- a/membership/nodes.go
+++ b/membership/nodes.go
@@ -9,42 +9,42 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// entry is what a node knows of another one.
+// entry is the state of another node in the table.
 type entry struct {
 	member Member
-	// deadline ends a suspicion, a leaving or a tombstone; it is not used for
-	// live members.
+	// deadline is when a suspicion, a departure or a tombstone expires. It is unused
+	// for live members.
 	deadline time.Duration
-	// listed says that the machine list names the member as live.
+	// listed is true if the machine list names the member as live.
 	listed bool
-	// selfDetected says that the state is this node's own finding, and unconfirmed that it has
-	// told nobody of it.
+	// selfDetected is true if this node detected the state itself, unannounced if it
+	// has not published it yet.
 	selfDetected bool
 	unannounced  bool
 }
 
 // Nodes is the failure detector and member table of one node.
 //
-// The owner calls Tick no later than NextTick says, sends the requests that it
-// gets, and hands in results and what other nodes send.
+// The owner calls Tick by the time that NextTick returns, sends the returned requests,
+// and passes in their results and the messages of other nodes.
 type Nodes struct {
 	options NodesOptions
 	random  *rand.Rand
 	self    Member
 
-	// entries holds every known member but the node itself.
+	// entries holds every known member except the node itself.
 	entries map[string]*entry
-	// ids holds the keys of entries, sorted, so that no choice depends on the
-	// order of a map.
+	// ids holds the keys of entries in sorted order, so that no choice depends on the
+	// iteration order of a map.
 	ids []string
-	// candidates holds nodes that only the machine list names.
+	// candidates holds nodes known only from the machine list.
 	candidates map[string]Member
 	updates    broadcasts
 
-	// probeOrder is the rest of the current round of probes.
+	// probeOrder holds the members still to be probed in the current round.
 	probeOrder []string
 	pending    map[RequestID]pendingRequest
-	// pendingIndirect counts the indirect probes of a target that are still out.
+	// pendingIndirect is the number of unanswered indirect probes by target.
 	pendingIndirect map[string]int
 	lastRequest     RequestID
 
@@ -54,28 +54,29 @@
 	nextSync         time.Duration
 	nextExpiry       time.Duration
 	nextAnnouncement time.Duration
-	// syncBackoff is the time between two comparisons, which grows while they bring nothing.
+	// syncBackoff is the time until the next sync, which grows while syncs bring
+	// nothing new.
 	syncBackoff time.Duration
 	syncBucket  int
 	joined      bool
 	started     bool
 
 	version uint64
-	// stateChanges counts all changes of entries but those of a revision,
-	// inserted only new entries, insertedBeforePass those before the current pass
-	// of comparisons over all buckets.
+	// stateChanges counts changes of entries other than revisions. inserted counts new
+	// entries, insertedBeforePass those before the current pass of syncs over all
+	// buckets.
 	stateChanges       uint64
 	inserted           uint64
 	insertedBeforePass uint64
 	changes            []Member
 
-	// lastReply is when another node last answered a request, and findings are what
-	// this node itself found of others since then.
+	// lastReply is when another node last replied to a request. heldSuspicions are the
+	// suspicions raised since then and not published yet.
 	lastReply      time.Duration
 	heldSuspicions []heldSuspicion
 }
 
-// NewNodes returns a table that holds the node itself only.
+// NewNodes returns a table that holds only the node itself.
 func NewNodes(options NodesOptions) *Nodes {
 	options = options.withDefaults()
 	self := options.Self
@@ -97,8 +98,8 @@
 }
 
 const (
-	// seedStream keeps the table's random numbers apart from other users of
-	// the same seed.
+	// seedStream makes the random sequence differ from those of other users of the same
+	// seed.
 	seedStream = 0x6d656d62657273
 	never      = time.Duration(math.MaxInt64)
 )
@@ -106,18 +107,18 @@
 // Self returns the node's own entry.
 func (n *Nodes) Self() Member { return n.self }
 
-// Version grows whenever a member appears, disappears, or changes its state,
-// address or incarnation. It does not grow for a revision.
+// Version increases whenever a member appears, disappears, or changes its state,
+// address or incarnation. Changes of a revision do not increase it.
 func (n *Nodes) Version() uint64 { return n.version }
 
-// Members returns the node itself and every member that is not gone, sorted by ID.
+// Members returns the node itself and all members that are not gone, sorted by ID.
 func (n *Nodes) Members() []Member {
 	members := n.Table()
 	return slices.DeleteFunc(members, func(m Member) bool { return m.State == Gone })
 }
 
-// Table returns every known member, tombstones and the node itself among them,
-// sorted by ID.
+// Table returns all known members, including tombstones and the node itself, sorted by
+// ID.
 func (n *Nodes) Table() []Member {
 	members := make([]Member, 0, len(n.ids)+1)
 	at, _ := slices.BinarySearch(n.ids, n.self.ID)
@@ -133,7 +134,7 @@
 	return members
 }
 
-// Lookup returns what is known of a member.
+// Lookup returns the entry of a member. The result is false if the member is unknown.
 func (n *Nodes) Lookup(id string) (Member, bool) {
 	if id == n.self.ID {
 		return n.self, true
@@ -145,17 +146,17 @@
 	return known.member, true
 }
 
-// maximumChanges bounds the changes that wait to be taken; later ones are lost.
+// maximumChanges limits the changes held for TakeChanges. Further ones are dropped.
 const maximumChanges = 2 * MaximumMembers
 
-// TakeChanges returns the entries that changed since the last call, in order.
+// TakeChanges returns the entries that have changed since the last call, in order.
 func (n *Nodes) TakeChanges() []Member {
 	changes := n.changes
 	n.changes = nil
 	return changes
 }
 
-// SetRevision records the configuration in force at the node itself.
+// SetRevision records the configuration revision in force at this node.
 func (n *Nodes) SetRevision(revision policy.Revision) {
 	if revision <= n.self.Revision {
 		return
@@ -164,7 +165,8 @@
 	n.updates.add(n.self.ID, revisionUpdate)
 }
 
-// SetDetails changes what the node tells of itself.
+// SetDetails changes the details in this node's own entry and increments its
+// incarnation.
 func (n *Nodes) SetDetails(details string) {
 	if details == n.self.Details || len(details) > MaximumDetailsBytes {
 		return
@@ -186,8 +188,8 @@
 	return n.announce()
 }
 
-// Depart marks the node as gone, once its work has ended, and returns
-// announcements to a few members.
+// Depart marks the node as gone, once its work has finished, and returns announcements
+// to a few members.
 func (n *Nodes) Depart() []Request {
 	n.self.State = Gone
 	n.updates.add(n.self.ID, stateUpdate)
@@ -195,16 +197,17 @@
 	return n.announce()
 }
 
-// announcementTargets is the number of members that are told of a leaving at
-// once; the rest learn from them.
+// announcementTargets is the number of members to which a departure is announced. They
+// pass it on to the rest.
 const announcementTargets = 5
 
-// maximumRevisionRequests bounds the members that an inquiry asks.
+// maximumRevisionRequests is the maximum number of requests that RequestRevisions
+// returns.
 const maximumRevisionRequests = 64
 
-// RequestRevisions returns requests to live members whose configuration is not known to
-// be as new as the revision; their replies tell the one in force there. It asks
-// a bounded number, at random.
+// RequestRevisions returns requests to random live or suspect members whose known
+// configuration revision is lower than the given one. Their replies contain the
+// revision in force.
 func (n *Nodes) RequestRevisions(revision policy.Revision) []Request {
 	targets := n.pickMembers(maximumRevisionRequests, func(m Member) bool {
 		return m.State <= Suspect && m.Revision < revision
@@ -218,8 +221,8 @@
 
 func (n *Nodes) announce() []Request { return n.announceTo(announcementTargets) }
 
-// announceTo sends the newest updates to so many live members; it counts as one
-// transmission of each.
+// announceTo sends the newest updates to up to count live members. This counts as a
+// single transmission of each update.
 func (n *Nodes) announceTo(count int) []Request {
 	targets := n.pickMembers(count, func(m Member) bool { return m.State == Live })
 	updates := n.updates.take("", n.transmissionLimit(), n.Lookup)
@@ -232,7 +235,7 @@
 	return requests
 }
 
-// size is the number of members that are not gone, the node itself among them.
+// size returns the number of members that are not gone, including the node itself.
 func (n *Nodes) size() int {
 	count := 1
 	for _, id := range n.ids {
@@ -243,10 +246,12 @@
 	return count
 }
 
+// transmissionLimit returns the number of messages in which an update is sent.
 func (n *Nodes) transmissionLimit() int {
 	return n.options.TransmissionFactor * logarithm(n.size())
 }
 
+// suspicionTime returns how long a suspect has to refute.
 func (n *Nodes) suspicionTime() time.Duration {
 	if n.options.SuspicionTime > 0 {
 		return n.options.SuspicionTime
@@ -254,13 +259,13 @@
 	return n.options.ProbeInterval * time.Duration(n.options.SuspicionFactor*logarithm(n.size()))
 }
 
-// logarithm is the decimal logarithm of the size plus one, rounded up, at least one.
+// logarithm returns the decimal logarithm of size+1, rounded up, but at least 1.
 func logarithm(size int) int {
 	return max(1, int(math.Ceil(math.Log10(float64(size+1)))))
 }
 
-// payload picks the updates for a message to a member. What is known of that
-// member itself goes along unless it is plainly live, so that it can refute.
+// payload returns the updates for a message to a member. It includes the entry of that
+// member unless it is live, so that the member can refute it.
 func (n *Nodes) payload(to string) []Member {
 	updates := n.updates.take(to, n.transmissionLimit(), n.Lookup)
 	if known, ok := n.entries[to]; ok && known.member.State != Live && !known.unannounced {
@@ -269,7 +274,7 @@
 	return updates
 }
 
-// pickMembers returns up to count members that fit, at random.
+// pickMembers returns up to count random members that satisfy fits.
 func (n *Nodes) pickMembers(count int, fits func(Member) bool) []Member {
 	return n.pickEntries(count, func(known *entry) bool { return fits(known.member) })
 }
--- a/membership/nodes_bench_test.go
+++ b/membership/nodes_bench_test.go
@@ -10,9 +10,8 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// BenchmarkNodes measures joining, the steady traffic, and the detection of a
-// killed node at several sizes. The processor time is that of the core without
-// HTTP, the simulation's own work included.
+// BenchmarkNodes measures joining, idle traffic, and the detection of a crashed node at
+// several cluster sizes. The processor time excludes HTTP but includes the simulation.
 func BenchmarkNodes(b *testing.B) {
 	for _, size := range []int{50, 100, 200, 400, 700, 1400} {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
@@ -48,7 +47,7 @@
 	observers := s.Nodes[:10]
 	spread, ok := s.RunUntilTrue(5*time.Minute, func() bool { return allHaveRevision(observers, s.Nodes, 1) })
 	if !ok {
-		b.Fatal("the revision in force at all nodes is not known")
+		b.Fatal("the nodes do not know the revision in force at all nodes")
 	}
 	s.RunUntil(max(s.Now, begin+changeInterval))
 	changeBytes := (meanBytes(s) - before) / (s.Now - begin).Seconds()
@@ -60,7 +59,7 @@
 		return !gossiptest.AllSeeState(survivors, []*gossiptest.Node{victim}, membership.Live)
 	})
 	if !ok {
-		b.Fatal("nobody suspects the killed node")
+		b.Fatal("no node suspects the killed node")
 	}
 	all, ok := s.RunUntilTrue(5*time.Minute, func() bool {
 		return gossiptest.AllSeeState(survivors, []*gossiptest.Node{victim}, membership.Gone)
@@ -78,10 +77,11 @@
 	b.ReportMetric(100*processor, "%core/node")
 }
 
-// changeInterval is the time between two changes of configuration at 1,400 a day.
+// changeInterval is the time between two configuration changes at 1,400 a day.
 const changeInterval = 61 * time.Second
 
-// allHaveRevision tells whether the observers know that all subjects have a revision.
+// allHaveRevision reports whether all observers know that all subjects have at least a
+// revision.
 func allHaveRevision(observers, subjects []*gossiptest.Node, revision policy.Revision) bool {
 	for _, observer := range observers {
 		for _, subject := range subjects {
@@ -94,7 +94,7 @@
 	return true
 }
 
-// meanBytes is the mean of what a node has sent and received.
+// meanBytes returns the mean number of bytes sent and received per node.
 func meanBytes(s *gossiptest.Simulation) float64 {
 	total := 0
 	for _, node := range s.Nodes {
--- a/membership/nodes_test.go
+++ b/membership/nodes_test.go
@@ -11,7 +11,7 @@
 
 const testSize = 24
 
-// newJoinedSimulation returns a simulation whose nodes all know each other.
+// newJoinedSimulation returns a simulation whose nodes all see each other as live.
 func newJoinedSimulation(t testing.TB, size int, seed uint64) *gossiptest.Simulation {
 	t.Helper()
 	s := gossiptest.New(size, seed)
@@ -22,14 +22,15 @@
 	return s
 }
 
-// assertNeverGone runs on and fails when an observer ever sees a subject as gone.
+// assertNeverGone advances virtual time and fails the test if an observer ever sees a
+// subject as gone.
 func assertNeverGone(t *testing.T, s *gossiptest.Simulation, duration time.Duration, observers, subjects []*gossiptest.Node) {
 	t.Helper()
 	for end := s.Now + duration; s.Now < end; s.RunUntil(s.Now + 100*time.Millisecond) {
 		for _, observer := range observers {
 			for _, subject := range subjects {
 				if gossiptest.StateSeen(observer, subject) == membership.Gone {
-					t.Fatalf("%s is taken for gone", gossiptest.NodeID(subject.Index))
+					t.Fatalf("%s is seen as gone", gossiptest.NodeID(subject.Index))
 				}
 			}
 		}
@@ -94,7 +95,7 @@
 	others := append(s.Nodes[:1:1], s.Nodes[2:]...)
 	assertNeverGone(t, s, 3*time.Minute, others, others)
 	if !gossiptest.AllSeeState(others, s.Nodes[1:2], membership.Gone) {
-		t.Fatal("the deaf node is not gone")
+		t.Fatal("the node that receives nothing is not gone")
 	}
 	if !gossiptest.AllSeeState(others, others, membership.Live) {
 		t.Fatal("the others do not see each other as live")
@@ -107,7 +108,7 @@
 	s.Blocked = func(from, to *gossiptest.Node) bool { return (from.Index < half) != (to.Index < half) }
 	s.RunUntil(s.Now + time.Hour)
 	if !gossiptest.AllSeeState(s.Nodes[:half], s.Nodes[half:], membership.Gone) || !gossiptest.AllSeeState(s.Nodes[:half], s.Nodes[:half], membership.Live) {
-		t.Fatal("a side does not see the other one as gone and itself as live")
+		t.Fatal("one side does not see the other side as gone and itself as live")
 	}
 	s.Blocked = func(_, _ *gossiptest.Node) bool { return false }
 	assertNeverGone(t, s, time.Minute, s.Nodes[:half], s.Nodes[:half])
@@ -128,10 +129,10 @@
 	s.SetMachineList()
 	s.RunUntil(s.Now + time.Minute)
 	if !gossiptest.AllSeeState(s.Nodes, s.Nodes, membership.Live) {
-		t.Fatal("the list removed a member")
+		t.Fatal("the machine list removed a member")
 	}
 	if _, known := s.Nodes[0].Core.Lookup("dead"); known {
-		t.Fatal("the list added a member that never answered")
+		t.Fatal("the machine list added a member that never replied")
 	}
 }
 
@@ -151,7 +152,7 @@
 	}
 }
 
-// allKnowIncarnation tells whether all see the incarnation that a node has now.
+// allKnowIncarnation reports whether all nodes know the current incarnation of a node.
 func allKnowIncarnation(s *gossiptest.Simulation, index int) bool {
 	for _, observer := range s.Nodes {
 		known, _ := observer.Core.Lookup(gossiptest.NodeID(index))
@@ -201,7 +202,7 @@
 	first, second := run(), run()
 	for i := range first {
 		if first[i] != second[i] {
-			t.Fatalf("node %d sent and got %d bytes, then %d", i, first[i], second[i])
+			t.Fatalf("node %d sent and received %d bytes, then %d", i, first[i], second[i])
 		}
 	}
 }
@@ -214,17 +215,17 @@
 	s.Nodes[5].Alive = false
 	s.RunUntil(s.Now + 2*tombstoneTime)
 	if gossiptest.StateSeen(s.Nodes[0], s.Nodes[5]) != membership.Gone {
-		t.Fatal("a gone member that the list names is forgotten")
+		t.Fatal("a gone member on the machine list was removed")
 	}
 	s.SetMachineList()
 	s.RunUntil(s.Now + 2*tombstoneTime)
 	if gossiptest.StateSeen(s.Nodes[0], s.Nodes[5]) != membership.Gone {
-		t.Fatal("an empty list made a node forget a gone member")
+		t.Fatal("an empty machine list removed a gone member")
 	}
 	s.SetMachineList(gossiptest.ListEntryOf(0), gossiptest.ListEntryOf(1))
 	s.RunUntil(s.Now + 2*tombstoneTime)
 	if _, known := s.Nodes[0].Core.Lookup(gossiptest.NodeID(5)); known {
-		t.Fatal("a tombstone stays for ever")
+		t.Fatal("a tombstone did not expire")
 	}
 }
 
@@ -243,7 +244,7 @@
 	assertNeverGone(t, s, 5*time.Minute, s.Nodes, s.Nodes)
 }
 
-// Two processes that claim one ID never agree, but do not harm the others.
+// Two processes with the same ID never converge but must not harm other nodes.
 func TestTwoNodesWithOneID(t *testing.T) {
 	s := newJoinedSimulation(t, testSize, 16)
 	twin := &gossiptest.Node{Index: len(s.Nodes), ID: gossiptest.NodeID(3)}
@@ -255,11 +256,11 @@
 	const observation = 2 * time.Minute
 	assertNeverGone(t, s, observation, others, others)
 	if rate := (meanBytes(s) - before) / observation.Seconds(); rate > controlTrafficBudget {
-		t.Fatalf("%.0f bytes a second and node", rate)
+		t.Fatalf("%.0f bytes per second and node", rate)
 	}
 }
 
-// controlTrafficBudget is what control may cost a node, in bytes a second.
+// controlTrafficBudget is the maximum control traffic of a node in bytes per second.
 const controlTrafficBudget = 9000
 
 func TestTrafficBudgetUnderConstantChange(t *testing.T) {
@@ -273,8 +274,8 @@
 		s.RunUntil(s.Now + time.Second)
 	}
 	rate := (meanBytes(s) - before) / (s.Now - begin).Seconds()
-	t.Logf("%.0f bytes a second and node", rate)
+	t.Logf("%.0f bytes per second and node", rate)
 	if rate > controlTrafficBudget {
-		t.Fatalf("%.0f bytes a second and node, the budget is %d", rate, controlTrafficBudget)
+		t.Fatalf("%.0f bytes per second and node, the budget is %d", rate, controlTrafficBudget)
 	}
 }
--- a/membership/options.go
+++ b/membership/options.go
@@ -15,68 +15,72 @@
 	DefaultLeavingTime        = time.Minute
 )
 
-// Bounds of messages and tables.
+// Limits of messages and tables.
 const (
-	// MaximumUpdates bounds the piggybacked updates of a message.
+	// MaximumUpdates is the maximum number of piggybacked updates in a message.
 	MaximumUpdates = 24
-	// MaximumUpdateBytes bounds their encoded size.
+	// MaximumUpdateBytes is the maximum encoded size of those updates.
 	MaximumUpdateBytes = 1024
-	// MaximumSyncMembers bounds the entries in one reply to a sync.
+	// MaximumSyncMembers is the maximum number of entries in a reply to a sync.
 	MaximumSyncMembers = 256
-	// MaximumMembers bounds the table, tombstones among them.
+	// MaximumMembers is the maximum size of the table, including tombstones.
 	MaximumMembers = 8192
-	// MaximumCandidates bounds the nodes known from the machine list only.
+	// MaximumCandidates is the maximum number of nodes known only from the machine
+	// list.
 	MaximumCandidates = 8192
-	// DigestBuckets is the number of buckets that a table's digest has.
+	// DigestBuckets is the number of buckets in a table's digest.
 	DigestBuckets = 64
 )
 
-// NodesOptions configure Nodes. Zero fields take the defaults.
+// NodesOptions configures Nodes. Zero fields take the defaults.
 type NodesOptions struct {
-	// Self is the node's own entry. Its state is taken as Live. Its
-	// incarnation should exceed that of earlier lives; when it does not, the
-	// node raises it once a peer tells it so.
+	// Self is the node's own entry. Its state is set to Live. Its incarnation should
+	// exceed those of the node's earlier processes; if it does not, the node raises it
+	// when a peer reports a higher one.
 	Self Member
-	// Seed makes the choices repeatable.
+	// Seed makes random choices reproducible.
 	Seed uint64
-	// ProbeInterval is the time between two direct probes of this node.
+	// ProbeInterval is the time between two direct probes by this node.
 	ProbeInterval time.Duration
-	// ProbeTimeout bounds a direct probe; indirect ones get twice as long.
+	// ProbeTimeout is the timeout of a direct probe. Indirect probes get twice as long.
 	ProbeTimeout time.Duration
-	// IndirectProbes is the number of peers asked to probe in turn.
+	// IndirectProbes is the number of peers that are asked to probe a member that did
+	// not reply.
 	IndirectProbes int
-	// SuspicionFactor times the decimal logarithm of the number of members is
-	// the number of probe intervals for which a suspect may refute.
+	// SuspicionFactor times the decimal logarithm of the number of members is the
+	// suspicion timeout in probe intervals.
 	SuspicionFactor int
-	// SuspicionTime is that time itself; zero leaves it to SuspicionFactor.
+	// SuspicionTime is the suspicion timeout itself. If zero, it is derived from
+	// SuspicionFactor.
 	SuspicionTime time.Duration
-	// TransmissionFactor times the decimal logarithm of the number of members
-	// is the number of messages that carry an update.
+	// TransmissionFactor times the decimal logarithm of the number of members is the
+	// number of messages in which an update is sent.
 	TransmissionFactor int
-	// ReconnectInterval is the time between two probes of gone members and
-	// of nodes that only the machine list names.
+	// ReconnectInterval is the time between two probes of gone members and of nodes
+	// known only from the machine list.
 	ReconnectInterval time.Duration
-	// SyncInterval is the time between two comparisons with a random member.
+	// SyncInterval is the maximum time between two syncs with a random member.
 	SyncInterval time.Duration
-	// TombstoneTime is how long a gone member is remembered.
+	// TombstoneTime is how long a gone member is kept in the table.
 	TombstoneTime time.Duration
-	// LeavingTime is how long a leaving member may take to go.
+	// LeavingTime is how long a member may be leaving before it becomes gone.
 	LeavingTime time.Duration
-	// AnnouncementFanout is the number of members that are told at once of a suspicion, its
-	// refutation or a leaving that the node has just learned. Zero is none: then such
-	// news spreads with the probes alone, which takes several probe intervals.
+	// AnnouncementFanout is the number of members to which the node announces a new
+	// suspicion, refutation or departure immediately. If zero, such updates are only
+	// piggybacked on probes, which takes several probe intervals.
 	AnnouncementFanout int
-	// AnnouncementDelay is how long news is gathered before it is told.
+	// AnnouncementDelay is how long updates are batched before they are announced.
 	AnnouncementDelay time.Duration
-	// IsolationTime is the time without any reply after which a node takes itself for
-	// cut off: what it found of others since the last reply is void once a reply comes.
-	// Zero is never.
+	// IsolationTime is the time without any reply after which the node considers itself
+	// isolated. Suspicions that it raised since the last reply are then discarded when
+	// a reply arrives. Zero disables this.
 	IsolationTime time.Duration
-	// ProbeGone makes gone members be probed again although no list names them, so
-	// that parted regions come together without a list.
+	// ProbeGone makes the node keep probing gone members that are not on the machine
+	// list, so that partitioned regions rejoin without a list.
 	ProbeGone bool
-	// SyncBytes bounds the entries of a reply to a comparison, but for the first
-	// bucket; zero leaves it to MaximumSyncMembers.
+	// SyncBytes limits the size of the entries in a reply to a sync, except that the
+	// first bucket is always sent whole. Zero means that only MaximumSyncMembers
+	// applies.
 	SyncBytes int
 }
 
--- a/membership/readings.go
+++ b/membership/readings.go
@@ -6,40 +6,43 @@
 )
 
 const (
-	// minOtherShare is the part of the budget that the others have even when
-	// the duties take more than the rest.
+	// minOtherShare is the minimum share of the budget for servers that are not duties,
+	// even if the duties exceed the rest.
 	minOtherShare = 0.1
-	// primaryReaders is the number of a server's readers that read it whatever their
-	// budget; a further one does when its budget has room.
+	// primaryReaders is the number of a server's readers that read it regardless of
+	// their budget. Further ones do so only if their budget allows it.
 	primaryReaders = 2
-	// slackShare is the part of the others' readings that is kept for readings
-	// out of turn.
+	// slackShare is the share of the readings of other servers that is reserved for
+	// unscheduled readings.
 	slackShare = 0.1
 )
 
-// ReadingBudget bounds a node's readings of servers. A server that is the node's
-// duty is read every interval; what the duties leave of the budget is spread
-// evenly over the others.
+// ReadingBudget limits the rate at which a node reads servers' health and load. The
+// servers that are the node's duty are read every interval; the rest of the budget is
+// spread evenly over the other servers.
 type ReadingBudget struct {
-	// Rate is the number of readings a second; zero means no bound.
+	// Rate is the maximum number of readings per second; zero means unlimited.
 	Rate float64
-	// Interval is the mean time between two readings of a duty's health, and
-	// LoadInterval that between two readings of its load.
+	// Interval is the mean time between two health readings of a duty, LoadInterval
+	// that between two load readings.
 	Interval, LoadInterval time.Duration
 }
 
-// DutyRate is the number of readings a second that so many duties take.
+// DutyRate returns the number of readings per second that the given number of duties
+// needs.
 func (b ReadingBudget) DutyRate(duties int) float64 {
 	return float64(duties) * (1/b.Interval.Seconds() + 1/b.LoadInterval.Seconds())
 }
 
-// Covers reports whether all of so many servers can be read every interval.
+// Covers reports whether the budget allows reading the given number of servers every
+// interval.
 func (b ReadingBudget) Covers(servers int) bool {
 	return b.Rate == 0 || b.DutyRate(servers) <= b.Rate
 }
 
-// OtherIntervals returns the pace of the servers that are not duties: the mean time
-// between two readings, and between two readings of one server.
+// OtherIntervals returns the intervals for servers that are not duties: gap is the mean
+// time between two readings of any of them, pause that between two readings of the same
+// one.
 func (b ReadingBudget) OtherIntervals(duties, others int) (gap, pause time.Duration) {
 	if b.Rate == 0 || others == 0 {
 		return 0, b.Interval
@@ -49,9 +52,9 @@
 	return gap, max(b.Interval, time.Duration(float64(others)*float64(gap)*(1+slackShare)))
 }
 
-// Duties returns the servers, sorted, that a node reads every interval, given its
-// place among the readers of each, from zero on, as Readers ranks them. Those to
-// which it is a spare reader are left out when the budget is short.
+// Duties returns the servers that a node reads every interval, sorted. places maps each
+// server to the node's zero-based position among its Readers. Servers for which the
+// node is a spare reader are omitted if the budget is short.
 func (b ReadingBudget) Duties(places map[string]int) []string {
 	var duties, spare []string
 	for server, place := range places {
--- a/membership/servers.go
+++ b/membership/servers.go
@@ -13,29 +13,29 @@
 	DefaultServerLeavingTime   = 11 * time.Minute
 )
 
-// Bounds of the table of servers.
+// Limits of the server table.
 const (
-	// MaximumServers bounds the table.
+	// MaximumServers is the maximum size of the table.
 	MaximumServers = 20000
-	// rememberedIncarnations is the number of earlier incarnations of a server
-	// whose late reports are ignored.
+	// rememberedIncarnations is the number of past incarnations of a server whose late
+	// reports are ignored.
 	rememberedIncarnations = 4
 )
 
-// ServersOptions configure Servers. Zero fields take the defaults.
+// ServersOptions configures Servers. Zero fields take the defaults.
 type ServersOptions struct {
-	// SuspectFailures is the number of connect failures in a row that make a
-	// server suspect.
+	// SuspectFailures is the number of consecutive connect failures that make a server
+	// suspect.
 	SuspectFailures int
-	// UnlistedGoneTimeout is how long a server that the machine list doesn't name may
-	// be unreachable before it counts as gone.
+	// UnlistedGoneTimeout is how long a server that is not on the machine list may be
+	// unreachable before it becomes gone.
 	UnlistedGoneTimeout time.Duration
-	// ListedGoneTimeout is the same bound for a server that the list still names.
+	// ListedGoneTimeout is the same timeout for a server on the machine list.
 	ListedGoneTimeout time.Duration
-	// LeavingTime is how long a leaving server may take to end its work in
-	// flight; it must exceed the longest deadline of a request. Until then not
-	// even a failure to connect makes it gone, as a server that ends its work
-	// may take no new connections.
+	// LeavingTime is how long a leaving server may take to finish its work in flight.
+	// It must exceed the longest deadline of a request. Until then even connect
+	// failures do not make the server gone, as a draining server may refuse new
+	// connections.
 	LeavingTime time.Duration
 }
 
@@ -47,27 +47,28 @@
 	return o
 }
 
-// ServerSource is where a report on a server comes from.
+// ServerSource is the origin of a report on a server.
 type ServerSource int
 
 const (
-	// FromReply reports rode on a reply to a sub-request.
+	// FromReply reports were piggybacked on the reply to a sub-request.
 	FromReply ServerSource = iota + 1
 	// FromHealth reports came from the server's health endpoint.
 	FromHealth
-	// FromConnect reports are failures to connect.
+	// FromConnect reports are connect failures.
 	FromConnect
 )
 
-// ServerCondition is what a report says.
+// ServerCondition is the content of a report.
 type ServerCondition int
 
 const (
-	// ServerAnswered means that the server replied and did not say that it is leaving.
+	// ServerAnswered means that the server replied without indicating that it is
+	// leaving.
 	ServerAnswered ServerCondition = iota + 1
-	// ServerDraining means that the server said that it is leaving.
+	// ServerDraining means that the server reported that it is leaving.
 	ServerDraining
-	// ServerUnreachable means that no connection could be made.
+	// ServerUnreachable means that connecting failed.
 	ServerUnreachable
 )
 
@@ -75,68 +76,71 @@
 type ServerReport struct {
 	Source    ServerSource
 	Condition ServerCondition
-	// Incarnation is the server's own account of it; empty when it gave none.
+	// Incarnation is the incarnation that the server reported, or empty if it reported
+	// none.
 	Incarnation string
-	// Age is the time since the request was sent that led to the report. A
-	// report that is older than the server's current incarnation is ignored.
+	// Age is the time since the request that led to the report was sent. Reports older
+	// than the server's current incarnation are ignored.
 	Age time.Duration
 }
 
-// ServerChange is a new state of a server.
+// ServerChange is a state change of a server.
 type ServerChange struct {
 	ID    string
 	State State
 }
 
-// longAgo precedes every report.
+// longAgo is earlier than any report.
 const longAgo = -never
 
-// serverEntry is what is known of one server.
+// serverEntry is the state of one server in the table.
 type serverEntry struct {
 	state State
-	// incarnation is the one that the state belongs to; direct tells that the
-	// server gave it itself.
+	// incarnation is the incarnation that state applies to. selfReported is true if the
+	// server itself reported it.
 	incarnation      string
 	selfReported     bool
 	incarnationSince time.Duration
 	pastIncarnations []string
-	// failures counts connect failures in a row, the first at failingSince.
+	// failures is the number of consecutive connect failures, the first of which was at
+	// failingSince.
 	failures     int
 	failingSince time.Duration
-	// deadline ends a leaving.
+	// deadline is when a leaving server becomes gone.
 	deadline time.Duration
-	// sticky says that the server was leaving in the current incarnation for
-	// certain, as it was known when the leaving was told.
+	// sticky is true if the server is known to be leaving in its current incarnation,
+	// because the incarnation was known when the departure was reported.
 	sticky bool
 	listed bool
-	// lastFinding is the last finding that was queued for peers.
+	// lastFinding is the last finding queued for other nodes.
 	lastFinding ServerFinding
 }
 
-// Servers merges what several sources say of the back-end servers.
+// Servers merges reports on back-end servers from several sources.
 //
-// Whichever source says first that a server is leaving wins, and the state
-// sticks until the server has a new incarnation. Failures to connect make a
-// server suspect, never leaving; it is gone only after a bound. The machine
-// list never removes a server that answers.
+// The first source to report a server as leaving wins, and the server stays leaving
+// until it has a new incarnation. Connect failures make a server suspect, never
+// leaving, and gone only after a timeout. The machine list never removes a server that
+// replies.
 type Servers struct {
 	options ServersOptions
 	entries map[string]*serverEntry
 	ids     []string
 	changes []ServerChange
-	// leavings wait to be told to other nodes.
+	// leavings are the departures to be gossiped to other nodes.
 	leavings []leavingBroadcast
-	// findings wait to be pushed; doubts are servers to be read.
+	// findings are to be pushed to other nodes. unverified holds the servers that
+	// should be read because of other nodes' findings.
 	findings   []ServerFinding
 	unverified []string
 }
 
-// NewServers returns an empty table; a server that it doesn't hold is live.
+// NewServers returns an empty table. Servers that are not in it are considered live.
 func NewServers(options ServersOptions) *Servers {
 	return &Servers{options: options.withDefaults(), entries: make(map[string]*serverEntry)}
 }
 
-// State returns what is known of a server; one that was never heard of is live.
+// State returns the state of a server. An unknown server is live.
 func (s *Servers) State(id string) State {
 	known, ok := s.entries[id]
 	if !ok {
@@ -145,7 +149,7 @@
 	return known.state
 }
 
-// States returns every state that the table holds, sorted by ID.
+// States returns all states in the table, sorted by ID.
 func (s *Servers) States() []ServerChange {
 	states := make([]ServerChange, 0, len(s.ids))
 	for _, id := range s.ids {
@@ -154,13 +158,15 @@
 	return states
 }
 
-// TakeChanges returns the changes of state since the last call, in order.
+// TakeChanges returns the state changes since the last call, in order.
 func (s *Servers) TakeChanges() []ServerChange {
 	changes := s.changes
 	s.changes = nil
 	return changes
 }
 
+// ensureEntry returns the entry of a server and creates it if necessary. It returns nil
+// if the table is full or the ID invalid.
 func (s *Servers) ensureEntry(id string) *serverEntry {
 	known, ok := s.entries[id]
 	if ok {
@@ -176,6 +182,7 @@
 	return known
 }
 
+// setState records the state of a server and queues the change, if any.
 func (s *Servers) setState(id string, known *serverEntry, state State) {
 	if known.state == state {
 		return
@@ -184,7 +191,7 @@
 	s.changes = append(s.changes, ServerChange{ID: id, State: state})
 }
 
-// Report takes in one observation.
+// Report processes one observation of a server.
 func (s *Servers) Report(now time.Duration, id string, report ServerReport) {
 	known := s.ensureEntry(id)
 	if known == nil || slices.Contains(known.pastIncarnations, report.Incarnation) {
@@ -207,11 +214,11 @@
 	}
 }
 
-// lateReplyTime is how late a reply may be that tells neither its age nor the
-// incarnation of its server.
+// lateReplyTime is the assumed age of a reply that contains neither its age nor the
+// server's incarnation.
 const lateReplyTime = 2 * time.Second
 
-// lateness is the age of a report, or the greatest one that is likely.
+// lateness returns the age of a report, or the greatest likely age if it is unknown.
 func (e *serverEntry) lateness(report ServerReport) time.Duration {
 	if report.Source == FromReply && report.Incarnation == "" && report.Age == 0 {
 		return lateReplyTime
@@ -219,7 +226,8 @@
 	return report.Age
 }
 
-// updateIncarnation starts the entry afresh when the server itself tells a new incarnation.
+// updateIncarnation records the incarnation in a report. If it replaces an earlier one,
+// the server is live again.
 func (s *Servers) updateIncarnation(now time.Duration, id string, known *serverEntry, report ServerReport) {
 	if report.Incarnation == "" {
 		return
@@ -244,7 +252,8 @@
 	s.setState(id, known, Live)
 }
 
-// recordConnectFailure counts a failure to connect.
+// recordConnectFailure counts a connect failure and makes a live server suspect after
+// SuspectFailures of them.
 func (s *Servers) recordConnectFailure(now time.Duration, id string, known *serverEntry) {
 	if known.failures == 0 {
 		known.failingSince = now
@@ -255,15 +264,15 @@
 	}
 }
 
-// ListedServer is a server that the machine list names.
+// ListedServer is a server on the machine list.
 type ListedServer struct {
 	ID          string
 	Leaving     bool
 	Incarnation string
 }
 
-// ObserveList takes in what the machine list says. Its silence on a server
-// tells nothing, and an empty list tells nothing at all.
+// ObserveList processes the machine list. The absence of a server from the list means
+// nothing, and an empty list is ignored.
 func (s *Servers) ObserveList(now time.Duration, servers []ListedServer) {
 	if len(servers) == 0 {
 		return
@@ -276,6 +285,8 @@
 	}
 }
 
+// observeServer processes a server's entry on the machine list. It ignores past
+// incarnations and those that contradict the incarnation reported by the server itself.
 func (s *Servers) observeServer(now time.Duration, server ListedServer) {
 	known := s.ensureEntry(server.ID)
 	if known == nil || slices.Contains(known.pastIncarnations, server.Incarnation) {
@@ -291,6 +302,8 @@
 	}
 }
 
+// markLeaving makes a server leaving. If its incarnation is known, other nodes are
+// informed.
 func (s *Servers) markLeaving(now time.Duration, id string, known *serverEntry) {
 	if known.state == Leaving || known.state == Gone {
 		return
@@ -304,8 +317,8 @@
 	}
 }
 
-// observeIncarnation takes the list's word for the incarnation of a server that
-// has not told its own.
+// observeIncarnation adopts the incarnation on the machine list. The caller has checked
+// that it does not contradict the server's own report.
 func (s *Servers) observeIncarnation(now time.Duration, server ListedServer, known *serverEntry) {
 	if server.Incarnation == "" || server.Incarnation == known.incarnation {
 		return
@@ -315,9 +328,8 @@
 	known.selfReported = false
 }
 
-// Tick ends suspicions and leavings whose time has come. While more than half
-// of the servers can't be reached, the fault is taken to be this node's, and no
-// suspect becomes gone.
+// Tick expires suspicions and departures. While more than half of the servers are
+// suspect, the fault is assumed to be this node's, and no suspect becomes gone.
 func (s *Servers) Tick(now time.Duration) {
 	isolated := s.mostlySuspect()
 	for _, id := range s.ids {
@@ -341,6 +353,7 @@
 	return 2*suspects > len(s.ids)
 }
 
+// goneTimeout returns how long a server may be unreachable before it becomes gone.
 func (s *Servers) goneTimeout(known *serverEntry) time.Duration {
 	if known.listed {
 		return s.options.ListedGoneTimeout
--- a/membership/servers_test.go
+++ b/membership/servers_test.go
@@ -8,7 +8,7 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// serverStep is one observation at a time.
+// serverStep is an observation at a point in time.
 type serverStep struct {
 	at     time.Duration
 	report membership.ServerReport
@@ -45,7 +45,7 @@
 
 var listOfOthers = []membership.ListedServer{{ID: "s2"}}
 
-// connectFailures gives connect failures once a second.
+// connectFailures returns one connect failure per second.
 func connectFailures(from, to time.Duration) []serverStep {
 	var steps []serverStep
 	for at := from; at <= to; at += time.Second {
@@ -188,7 +188,7 @@
 		t.Fatalf("changes %v, want %v", got, want)
 	}
 	if got := servers.TakeChanges(); len(got) != 0 {
-		t.Fatalf("changes told twice: %v", got)
+		t.Fatalf("changes returned twice: %v", got)
 	}
 }
 
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// startSync asks a random live member for the entries that differ.
+// startSync starts a sync with a random live member.
 func (n *Nodes) startSync() []Request {
 	targets := n.pickMembers(1, func(m Member) bool { return m.State == Live })
 	if len(targets) == 0 {
@@ -19,7 +19,7 @@
 	return []Request{n.newSync(targets[0], n.syncBucket)}
 }
 
-// syncTimeoutFactor is how many times longer a sync may take than a probe.
+// syncTimeoutFactor is the ratio of the timeout of a sync to that of a probe.
 const syncTimeoutFactor = 4
 
 func (n *Nodes) newSync(to Member, firstBucket int) Request {
@@ -33,7 +33,8 @@
 	return request
 }
 
-// digests summarises the table, one number a bucket of IDs.
+// digests returns one digest per bucket of the table. Members are assigned to buckets
+// by their IDs.
 func (n *Nodes) digests() []uint64 {
 	digests := make([]uint64, DigestBuckets)
 	for _, member := range n.Table() {
@@ -46,7 +47,7 @@
 	return int(xxhash.Sum64String(id) % DigestBuckets)
 }
 
-// digest condenses what two tables must agree on.
+// digest hashes the fields of a member that two synchronized tables have in common.
 func digest(member Member) uint64 {
 	buffer := make([]byte, 0, MaximumIDBytes)
 	buffer = append(buffer, member.ID...)
@@ -56,13 +57,13 @@
 	return xxhash.Sum64(buffer)
 }
 
-// ReceiveSync answers another node's Sync with the entries of the buckets that
-// differ, from firstBucket on, at most MaximumSyncMembers.
+// ReceiveSync replies to another node's Sync with the entries of the buckets that
+// differ, from firstBucket on, up to MaximumSyncMembers.
 func (n *Nodes) ReceiveSync(now time.Duration, sender Member, digests []uint64, firstBucket int) SyncReply {
 	n.apply(now, sender, fromSender)
 	reply := SyncReply{Responder: n.self}
 	if n.Isolated(now) {
-		return reply // what this node holds of others may be its own fault
+		return reply // its view of the others may be wrong because of its own fault
 	}
 	buckets := n.differingBuckets(digests)
 	size := 0
@@ -79,11 +80,12 @@
 	return reply
 }
 
-// fitsReply reports whether so many entries of that size may go into one reply.
+// fitsReply reports whether count entries of the given total size fit into a reply.
 func (n *Nodes) fitsReply(count, size int) bool {
 	return count <= MaximumSyncMembers && (n.options.SyncBytes == 0 || size <= n.options.SyncBytes)
 }
 
+// encodedSize returns an upper bound on the encoded size of the members.
 func encodedSize(members []Member) int {
 	size := 0
 	for _, member := range members {
@@ -92,21 +94,22 @@
 	return size
 }
 
-// A comparison that brought a member that gossip had not, or manyStateChanges changes of state,
-// is followed by another one after minSyncProbeIntervals probe intervals: many nodes have
-// just started, or parted regions have come together. From then on, and from a node's
-// start, the time between two comparisons doubles up to the SyncInterval.
+// A sync that returns a member unknown to gossip, or at least manyStateChanges state
+// changes, is followed by another one after minSyncProbeIntervals probe intervals, as
+// many nodes have just started or a partition has healed. From then on, and from a
+// node's start, the time between two syncs doubles up to SyncInterval.
 const (
 	manyStateChanges      = 16
 	minSyncProbeIntervals = 3
 )
 
-// minSyncInterval is the shortest time between two comparisons.
+// minSyncInterval returns the shortest time between two syncs.
 func (n *Nodes) minSyncInterval() time.Duration {
 	return min(minSyncProbeIntervals*n.options.ProbeInterval, n.options.SyncInterval)
 }
 
-// differingBuckets returns the entries of each bucket that differs from the digests.
+// differingBuckets returns the entries of each bucket whose digest differs, or of all
+// buckets if the number of digests is wrong.
 func (n *Nodes) differingBuckets(digests []uint64) [DigestBuckets][]Member {
 	var buckets [DigestBuckets][]Member
 	for _, member := range n.Table() {
@@ -125,7 +128,8 @@
 	return buckets
 }
 
-// completeSync takes in the entries, and goes on while the node joins.
+// completeSync applies the entries of a reply, and requests the next buckets while the
+// node is joining.
 func (n *Nodes) completeSync(now time.Duration, pending pendingRequest, result Result) []Request {
 	if result.Failed {
 		return nil
@@ -151,7 +155,8 @@
 	return []Request{n.newSync(result.Responder, result.NextBucket)}
 }
 
-// finishPass ends a pass of comparisons over all buckets.
+// finishPass ends a pass of syncs over all buckets. The node has joined if the pass
+// found no new member.
 func (n *Nodes) finishPass() {
 	if n.joined || n.inserted != n.insertedBeforePass {
 		return
@@ -160,11 +165,11 @@
 	n.version++
 }
 
-// Joined reports whether a whole comparison with another node has brought no
-// new member. Until then the table may lack most nodes.
+// Joined reports whether a full table sync with another node has found no new member.
+// Until then the table may lack most nodes.
 func (n *Nodes) Joined() bool { return n.joined }
 
-// continueJoin compares tables until a whole comparison has brought no new member.
+// continueJoin starts a sync unless the node has joined or a sync is pending.
 func (n *Nodes) continueJoin() []Request {
 	if n.joined || n.hasPendingSync() {
 		return nil
@@ -181,16 +186,16 @@
 	return false
 }
 
-// ListedNode is a node that the machine list names.
+// ListedNode is a node on the machine list.
 type ListedNode struct {
 	ID      string
 	Address string
 	Zone    string
 }
 
-// ObserveList takes in the live nodes that the machine list names. The list is
-// a hint: it may lag, name dead nodes and lack new ones. So it neither adds nor
-// removes a member; it only tells whom to contact. An empty list tells nothing.
+// ObserveList processes the live nodes on the machine list. The list is a hint: it may
+// be stale, name dead nodes and lack new ones. It therefore neither adds nor removes
+// members and only determines which nodes to contact. An empty list is ignored.
 func (n *Nodes) ObserveList(nodes []ListedNode) {
 	if len(nodes) == 0 {
 		return
@@ -206,7 +211,7 @@
 	before := maps.Clone(n.candidates)
 	clear(n.candidates)
 	for _, node := range nodes[:min(len(nodes), MaximumCandidates)] {
-		// The list may name the node itself by another ID, as by that of its process.
+		// The list may name this node by another ID, such as its process name.
 		own := node.ID == n.self.ID || node.Address == n.self.Address
 		if _, known := n.entries[node.ID]; known || own {
 			continue
@@ -221,8 +226,7 @@
 	}
 }
 
-// Candidates lists the nodes that the machine list names and that were not
-// heard of yet, sorted by ID.
+// Candidates returns the nodes known only from the machine list, sorted by ID.
 func (n *Nodes) Candidates() []Member {
 	candidates := make([]Member, 0, len(n.candidates))
 	for _, candidate := range n.candidates {
@@ -232,8 +236,8 @@
 	return candidates
 }
 
-// ListedGone lists the gone members that the machine list still names as live,
-// sorted by ID: the node may only be cut off from them.
+// ListedGone returns the gone members that the machine list still names as live, sorted
+// by ID. This node may merely be cut off from them.
 func (n *Nodes) ListedGone() []Member {
 	var listed []Member
 	for _, id := range n.ids {
@@ -244,10 +248,11 @@
 	return listed
 }
 
-// joinContacts is the number of listed nodes that a joining node contacts at once.
+// joinContacts is the number of listed nodes that a joining node probes at once.
 const joinContacts = 3
 
-// reconnectInterval is short until the node has joined.
+// reconnectInterval returns the time between two reconnect attempts, which is shorter
+// until the node has joined.
 func (n *Nodes) reconnectInterval() time.Duration {
 	if n.joined {
 		return n.options.ReconnectInterval
@@ -255,8 +260,8 @@
 	return n.options.ProbeInterval
 }
 
-// reconnect probes nodes that only the list names, and gone members that it
-// still names.
+// reconnect probes nodes known only from the machine list and gone members that may be
+// live.
 func (n *Nodes) reconnect() []Request {
 	targets := n.reconnectTargets()
 	count := 1
@@ -275,7 +280,7 @@
 
 func (n *Nodes) reconnectTargets() []Member {
 	var targets []Member
-	liveAddresses := make(map[string]struct{}, len(n.ids)) // addresses of members that are there
+	liveAddresses := make(map[string]struct{}, len(n.ids)) // addresses of members that are not gone
 	for _, id := range n.ids {
 		known := n.entries[id]
 		switch {
--- a/membership/tick.go
+++ b/membership/tick.go
@@ -4,30 +4,31 @@
 	"time"
 )
 
-// pendingRequest is a request without a result.
+// pendingRequest is a request that awaits its result.
 type pendingRequest struct {
 	kind   RequestKind
 	to     string
 	target string
-	// incarnation is that of the member whose answer is awaited.
+	// incarnation is the incarnation of the probed member when the request was sent.
 	incarnation uint64
 	// firstBucket is set for Sync.
 	firstBucket int
 }
 
-// probesPerIntervalOnFailure is the number of probes in a probe interval while they fail.
+// probesPerIntervalOnFailure is the number of probes per probe interval while probes
+// fail.
 const probesPerIntervalOnFailure = 4
 
-// pauseIntervals is the number of probe intervals after which a gap between
-// two ticks is taken for a pause of the process itself.
+// pauseIntervals is the number of probe intervals beyond which a gap between two ticks
+// is treated as a pause of this process.
 const pauseIntervals = 3
 
-// NextTick tells when Tick must be called at the latest.
+// NextTick returns the time by which Tick must be called.
 func (n *Nodes) NextTick() time.Duration {
 	return min(n.nextProbe, n.nextReconnect, n.nextSync, n.nextExpiry, n.nextAnnouncement)
 }
 
-// Tick advances to the given time and returns the requests that are due.
+// Tick runs the timers that are due at the given time and returns the requests to send.
 func (n *Nodes) Tick(now time.Duration) []Request {
 	n.start(now)
 	n.compensatePause(now)
@@ -53,7 +54,8 @@
 	return requests
 }
 
-// start spreads the first probes of nodes that start at the same moment.
+// start randomizes the first probe and sync, so that nodes that start at the same time
+// do not send theirs at once.
 func (n *Nodes) start(now time.Duration) {
 	if n.started {
 		return
@@ -66,16 +68,18 @@
 	n.nextSync = now + time.Duration(n.random.Int64N(int64(n.syncBackoff)))
 }
 
-// jitterShare is the share by which an interval varies to either side.
+// jitterShare is the maximum relative deviation of an interval in either direction.
 const jitterShare = 0.1
 
+// jittered returns the interval with random jitter.
 func (n *Nodes) jittered(interval time.Duration) time.Duration {
 	factor := 1 + jitterShare*(2*n.random.Float64()-1)
 	return time.Duration(float64(interval) * factor)
 }
 
-// compensatePause handles a pause of the process itself: probes that were out have
-// failed for that reason, and suspects had no chance to be heard.
+// compensatePause handles a pause of this process: pending requests may have failed
+// because of it and are discarded, and suspects, whose refutations could not be
+// received, get the lost time back.
 func (n *Nodes) compensatePause(now time.Duration) {
 	gap := now - n.lastTick
 	n.lastTick = now
@@ -91,8 +95,8 @@
 	}
 }
 
-// expire ends suspicions, leavings and tombstones whose time has come. It returns the
-// probes of those members that this node has only heard to be suspect.
+// expire handles the entries whose deadline has passed. It returns final probes of the
+// members that only other nodes suspect.
 func (n *Nodes) expire(now time.Duration) []Request {
 	if now < n.nextExpiry {
 		return nil
@@ -119,8 +123,8 @@
 	return nil
 }
 
-// finalProbe gives a member whose suspicion others told a last chance to answer this
-// node itself: its refutation may have been lost on the way.
+// finalProbe probes a member suspected by other nodes once more before it becomes gone,
+// as its refutation may have been lost.
 func (n *Nodes) finalProbe(now time.Duration, known *entry) Request {
 	known.selfDetected = true
 	known.deadline = now + 2*n.options.ProbeTimeout
@@ -129,6 +133,8 @@
 	return request
 }
 
+// advanceState makes a member gone, or removes its tombstone unless the machine list
+// still names the member.
 func (n *Nodes) advanceState(now time.Duration, id string, known *entry) {
 	if known.member.State != Gone {
 		n.setState(now, known, Gone)
@@ -142,7 +148,7 @@
 	n.remove(id)
 }
 
-// setState records this node's own finding on a member.
+// setState records a state that this node has detected itself.
 func (n *Nodes) setState(now time.Duration, known *entry, state State) {
 	update := known.member
 	update.State = state
@@ -162,7 +168,7 @@
 	return request
 }
 
-// probe asks the next member of the round.
+// probe probes the next member of the round.
 func (n *Nodes) probe() []Request {
 	target, ok := n.nextTarget()
 	if !ok {
@@ -173,8 +179,9 @@
 	return []Request{request}
 }
 
-// reprobeSuspect asks one of the members again that this node itself suspects.
-// One lost message then buries nobody, as the reply of a live member refutes.
+// reprobeSuspect probes a random member that this node itself suspects. This keeps a
+// single lost message from making a live member gone, as its reply refutes the
+// suspicion.
 func (n *Nodes) reprobeSuspect() []Request {
 	if n.nextExpiry == never {
 		return nil
@@ -189,8 +196,8 @@
 	return requests
 }
 
-// nextTarget walks through all members in an order that is shuffled anew for
-// each round.
+// nextTarget returns the next member to probe. Each round covers all members in a newly
+// shuffled order.
 func (n *Nodes) nextTarget() (Member, bool) {
 	for range 2 {
 		for len(n.probeOrder) > 0 {
@@ -208,7 +215,8 @@
 	return Member{}, false
 }
 
-// Complete takes in what became of a request and returns those that follow.
+// Complete processes the result of a request and returns the requests that follow from
+// it.
 func (n *Nodes) Complete(now time.Duration, result Result) []Request {
 	n.compensatePause(now)
 	pending, ok := n.pending[result.ID]
@@ -216,7 +224,7 @@
 		return nil
 	}
 	delete(n.pending, result.ID)
-	if !result.Failed && result.Responder.ID != n.self.ID { // an own answer is no other node's
+	if !result.Failed && result.Responder.ID != n.self.ID { // a reply from this node itself, at an address it did not recognize, does not count
 		n.recordReply(now)
 	}
 	switch pending.kind {
@@ -234,8 +242,8 @@
 	return nil
 }
 
-// completeProbe asks others when a direct probe failed. A reply of a node that
-// has taken over the address counts as a failure of the member.
+// completeProbe starts indirect probes if a direct probe failed. A reply from another
+// node that now uses the address counts as a failure of the member.
 func (n *Nodes) completeProbe(now time.Duration, pending pendingRequest, result Result) []Request {
 	if !result.Failed {
 		n.mergeMessage(now, result.Responder, result.Updates, fromGossip)
@@ -250,15 +258,16 @@
 	if !ok || known.member.State == Gone || known.member.Incarnation != pending.incarnation {
 		return nil
 	}
-	// Losses come together: another member is probed soon.
+	// Failures often come together, so probe another member soon.
 	n.nextProbe = min(n.nextProbe, now+n.options.ProbeInterval/probesPerIntervalOnFailure)
 	return n.probeIndirectly(now, known)
 }
 
+// probeIndirectly asks other members to probe a member that did not reply.
 func (n *Nodes) probeIndirectly(now time.Duration, known *entry) []Request {
 	target := known.member
 	if known.unannounced {
-		target.State = Live // nobody is told yet, not even the target
+		target.State = Live // the suspicion is unpublished, even to the target
 	}
 	helpers := n.pickMembers(n.options.IndirectProbes, func(m Member) bool {
 		return m.State == Live && m.ID != target.ID
@@ -301,7 +310,8 @@
 	}
 }
 
-// recordUnreachable records that a member answers neither this node nor others.
+// recordUnreachable records that neither this node nor the relays could reach a member:
+// a live member becomes suspect, a leaving one gone.
 func (n *Nodes) recordUnreachable(now time.Duration, known *entry) {
 	switch known.member.State {
 	case Live:
--- a/membership/updates_test.go
+++ b/membership/updates_test.go
@@ -12,7 +12,7 @@
 	"github.com/banksail/banksail/membership/wire"
 )
 
-// newNodesWithPeer returns a node that knows one other node, and is about to probe it.
+// newNodesWithPeer returns a node that knows one other node and is about to probe it.
 func newNodesWithPeer(t *testing.T) (*membership.Nodes, membership.Member) {
 	t.Helper()
 	self := membership.Member{ID: "self", Address: "10.0.0.1:7300", Incarnation: 5}
@@ -23,7 +23,8 @@
 	return core, other
 }
 
-// nextDirectProbe ticks until the node sends a direct probe.
+// nextDirectProbe ticks until the node sends a direct probe, and returns the probe and
+// its time.
 func nextDirectProbe(t *testing.T, core *membership.Nodes, now time.Duration) (membership.Request, time.Duration) {
 	t.Helper()
 	for end := now + 5*time.Second; now < end; now += 100 * time.Millisecond {
@@ -42,7 +43,7 @@
 	request, now := nextDirectProbe(t, core, 0)
 	core.Complete(now+time.Minute, membership.Result{ID: request.ID, Failed: true})
 	if known, _ := core.Lookup(other.ID); known.State != membership.Live {
-		t.Fatalf("after its own pause the node takes the other one for %v", known.State)
+		t.Fatalf("after its own pause the node sees the other one as %v", known.State)
 	}
 }
 
@@ -54,7 +55,7 @@
 		core.Complete(now, membership.Result{ID: indirect.ID, Failed: true})
 	}
 	if known, _ := core.Lookup(other.ID); known.State != membership.Suspect {
-		t.Fatalf("the node whose address another one has is %v", known.State)
+		t.Fatalf("the node whose address was taken over is %v", known.State)
 	}
 	if known, _ := core.Lookup("new"); known.State != membership.Live {
 		t.Fatalf("the node that replied is %v", known.State)
@@ -98,11 +99,11 @@
 		core.TakeChanges()
 		core.Receive(0, membership.Member{ID: "x", Address: "x:1", State: membership.Live}, updates)
 		if changes := core.TakeChanges(); len(changes) != 0 {
-			t.Fatalf("updates that are not newer changed the table: %v", changes)
+			t.Fatalf("outdated updates changed the table: %v", changes)
 		}
 		known, _ := core.Lookup(other.ID)
 		if known.Incarnation != 7 || known.State != membership.Suspect || known.Revision != 2 {
-			t.Fatalf("order from %d ends with %+v", first, known)
+			t.Fatalf("starting with update %d the result is %+v", first, known)
 		}
 	}
 }
@@ -142,7 +143,7 @@
 	}
 	reply := core.ReceiveSync(0, other, nil, 0)
 	if len(reply.Members) > membership.MaximumSyncMembers || !reply.More {
-		t.Fatalf("%d members in a comparison, more: %v", len(reply.Members), reply.More)
+		t.Fatalf("%d members in a sync reply, more: %v", len(reply.Members), reply.More)
 	}
 }
 
@@ -167,7 +168,7 @@
 		}
 	}
 	if slices.Equal(rounds[0], rounds[1]) {
-		t.Fatal("two rounds have the same order")
+		t.Fatal("two rounds probed the members in the same order")
 	}
 }
 
@@ -183,13 +184,13 @@
 	seen := len(reply.Members)
 	for ; reply.More; passes++ {
 		if passes > size/membership.MaximumSyncMembers+2 {
-			t.Fatalf("%d comparisons did not end", passes)
+			t.Fatalf("sync is not complete after %d replies", passes)
 		}
 		bucket = reply.NextBucket
 		reply = s.Nodes[0].Core.ReceiveSync(s.Now, s.Nodes[1].Core.Self(), nil, bucket)
 		seen += len(reply.Members)
 	}
 	if seen != size {
-		t.Fatalf("the passes brought %d of %d members", seen, size)
+		t.Fatalf("sync returned %d of %d members", seen, size)
 	}
 }
--- a/membership/wire/wire.go
+++ b/membership/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire encodes member entries for the messages between nodes.
+// Package wire converts member entries to and from their protobuf messages.
 package wire
 
 //go:generate protoc -I ../.. --go_out=../.. --go_opt=paths=source_relative membership/wire/member.proto
@@ -44,7 +44,7 @@
 	return messages
 }
 
-// ToMember converts a message; ok is false when a field is out of its bounds.
+// ToMember converts a message to a member. ok is false if a field exceeds its limit.
 func ToMember(message *Member) (member membership.Member, ok bool) {
 	if message == nil {
 		return membership.Member{}, false
@@ -61,8 +61,7 @@
 	return member, member.Valid()
 }
 
-// ToMembers converts at most limit messages and leaves out those that are out of
-// bounds.
+// ToMembers converts up to limit messages and omits invalid ones.
 func ToMembers(messages []*Member, limit int) []membership.Member {
 	messages = messages[:min(len(messages), limit)]
 	members := make([]membership.Member, 0, len(messages))
