--- a/node/run.go
+++ b/node/run.go
@@ -92,7 +92,7 @@
 }
 
 // startBackgroundTasks starts the replicator, the agent, the poller and the
-// membership watch.
+// membership watch in their own goroutines. tasks counts them.
 func (n *Node) startBackgroundTasks(ctx context.Context, tasks *sync.WaitGroup) {
 	n.replicator.Subscribe(n.configure)
 	n.agent.SubscribeServers(n.handleServerStateChange)
