--- a/node/configuration.go
+++ b/node/configuration.go
@@ -16,16 +16,16 @@
 	revision policy.Revision
 	shards   map[string]*shard
 	classes  map[string]policy.Class
-	// servers maps a server's ID to its configured address, place and shards.
+	// servers maps a server's ID to its configured address, spec and shards.
 	servers map[string]configuredServer
 }
 
 // configuredServer is a server and the shards that may send sub-requests to it.
 type configuredServer struct {
 	address string
-	// place identifies the server and the connection limit that the nodes
+	// spec identifies the server and the connection limit that the nodes
 	// divide among themselves.
-	place  membership.ServerSpec
+	spec   membership.ServerSpec
 	shards []*shard
 }
 
@@ -87,7 +87,7 @@
 		for _, server := range group.Servers {
 			entry := c.servers[server.ID]
 			entry.address = server.Address
-			entry.place = membership.ServerSpec{ID: server.ID, Zone: server.Zone, Limit: server.Connections}
+			entry.spec = membership.ServerSpec{ID: server.ID, Zone: server.Zone, Limit: server.Connections}
 			if !slices.Contains(entry.shards, serviceShard) {
 				entry.shards = append(entry.shards, serviceShard)
 			}
--- a/node/connections.go
+++ b/node/connections.go
@@ -76,9 +76,9 @@
 	routes := make(map[string]route, len(current.servers))
 	owned := 0
 	for _, server := range current.servers {
-		owners := n.agent.ServerOwners(server.place)
+		owners := n.agent.ServerOwners(server.spec)
 		share := membership.ShareOf(n.options.Settings.Node.ID, owners).Maximum
-		routes[server.address] = route{place: server.place, owners: owners, connections: share}
+		routes[server.address] = route{spec: server.spec, owners: owners, connections: share}
 		if share > 0 {
 			owned++
 		}
--- a/node/forward_internal_test.go
+++ b/node/forward_internal_test.go
@@ -118,7 +118,7 @@
 	t.Cleanup(forwarder.CloseIdleConnections)
 	return &router{
 		direct:       noDirectClient{t: t},
-		route:        func(string) route { return route{place: membership.ServerSpec{ID: "server-1"}} },
+		route:        func(string) route { return route{spec: membership.ServerSpec{ID: "server-1"}} },
 		owners:       func(membership.ServerSpec) []membership.Member { return owners },
 		forwarder:    forwarder,
 		counters:     newForwardCounters(telemetry.NewMetrics().Forwards),
--- a/node/forward_test.go
+++ b/node/forward_test.go
@@ -12,9 +12,9 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// serverPlace returns a server whose connections the nodes of the cluster
+// serverSpec returns a server whose connections the nodes of the cluster
 // share.
-func serverPlace(server int) membership.ServerSpec {
+func serverSpec(server int) membership.ServerSpec {
 	return membership.ServerSpec{ID: serverID(server), Zone: "zone-a", Limit: serverConnectionLimit}
 }
 
@@ -34,10 +34,10 @@
 	c.t.Helper()
 	members := c.members()
 	for index, n := range c.nodes {
-		if membership.OwnerShare(n.id, serverPlace(server), members).Maximum > 0 {
+		if membership.OwnerShare(n.id, serverSpec(server), members).Maximum > 0 {
 			continue
 		}
-		first := membership.ForwardOwners(members[index], serverPlace(server), members)[0]
+		first := membership.ForwardOwners(members[index], serverSpec(server), members)[0]
 		for _, other := range c.nodes {
 			if other.id == first.ID {
 				return n, other
--- a/node/readers.go
+++ b/node/readers.go
@@ -27,7 +27,7 @@
 	for _, serverRoute := range *routes {
 		readers := membership.Readers(serverRoute.owners, func(id string) bool { return isLive[id] })
 		if rank := slices.Index(readers, self); rank >= 0 {
-			ranks[serverRoute.place.ID] = rank
+			ranks[serverRoute.spec.ID] = rank
 		}
 	}
 	n.poller.setAssigned(ranks, len(live))
--- a/node/route.go
+++ b/node/route.go
@@ -37,7 +37,7 @@
 
 // route describes how to reach one server.
 type route struct {
-	place membership.ServerSpec
+	spec membership.ServerSpec
 	// owners are the nodes that hold connections to the server.
 	owners []membership.Owner
 	// connections is this node's share of the server's connections; if it is
@@ -92,7 +92,7 @@
 func (r *router) Query(ctx context.Context, address string, request *backend.Request) (*backend.Reply, error) {
 	serverRoute := r.route(address)
 	if serverRoute.connections == 0 {
-		return r.forward(ctx, serverRoute.place, request)
+		return r.forward(ctx, serverRoute.spec, request)
 	}
 	reply, err := r.direct.Query(ctx, address, request)
 	r.closeIfShareLost(address)
@@ -161,15 +161,15 @@
 	health, err := r.direct.Health(ctx, address)
 	r.closeIfShareLost(address)
 	if err == nil {
-		r.recentHealth.put(serverRoute.place.ID, health)
+		r.recentHealth.put(serverRoute.spec.ID, health)
 	}
 	return health, err
 }
 
 func (r *router) forwardHealth(ctx context.Context, serverRoute route) (*backend.Health, error) {
-	owners := pollingOwners(serverRoute, r.owners(serverRoute.place))
+	owners := pollingOwners(serverRoute, r.owners(serverRoute.spec))
 	for _, owner := range owners[:min(len(owners), maxOwnersTried)] {
-		health, known, err := r.forwarder.ServerHealth(ctx, owner.Address, serverRoute.place.ID)
+		health, known, err := r.forwarder.ServerHealth(ctx, owner.Address, serverRoute.spec.ID)
 		if err == nil && known {
 			return health, nil
 		}
