--- a/settings/check.go
+++ b/settings/check.go
@@ -15,9 +15,9 @@
 // identifierPattern is what node IDs and zones are made of.
 var identifierPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// check applies the validation tags. Settings that already have a fault are
+// validate applies the validation tags. Settings that already have a fault are
 // left out, so that each fault is printed once.
-func check(loaded Settings, known []Fault) []Fault {
+func validate(loaded Settings, known []Fault) []Fault {
 	err := newValidator().Struct(loaded)
 	var invalid validator.ValidationErrors
 	if err == nil {
@@ -26,40 +26,40 @@
 	if !errors.As(err, &invalid) {
 		return []Fault{{Problem: err.Error()}}
 	}
-	faulty := make(map[string]bool, len(known))
+	reported := make(map[string]bool, len(known))
 	for _, fault := range known {
-		faulty[fault.Path] = true
+		reported[fault.Path] = true
 	}
 	var faults []Fault
 	for _, field := range invalid {
 		path := validation.Path(field)
-		if !faulty[path] {
-			faults = append(faults, Fault{Path: path, Problem: describe(field)})
+		if !reported[path] {
+			faults = append(faults, Fault{Path: path, Problem: describeFailure(field)})
 		}
 	}
 	return faults
 }
 
 func newValidator() *validator.Validate {
-	checker := validation.New("koanf")
+	v := validation.New("koanf")
 	register := func(tag string, valid func(string) bool) {
 		function := func(level validator.FieldLevel) bool { return valid(level.Field().String()) }
-		if err := checker.RegisterValidation(tag, function); err != nil {
+		if err := v.RegisterValidation(tag, function); err != nil {
 			panic(fmt.Sprintf("settings: registering %s: %v", tag, err))
 		}
 	}
 	register("identifier", identifierPattern.MatchString)
-	register("ip_port", isAddress)
-	return checker
+	register("ip_port", isIPPort)
+	return v
 }
 
-func isAddress(text string) bool {
+func isIPPort(text string) bool {
 	_, err := netip.ParseAddrPort(text)
 	return err == nil
 }
 
-// describe turns a failed validation tag into a sentence.
-func describe(field validator.FieldError) string {
+// describeFailure turns a failed validation tag into a sentence.
+func describeFailure(field validator.FieldError) string {
 	switch field.Tag() {
 	case "required":
 		return "is required"
--- a/settings/flags.go
+++ b/settings/flags.go
@@ -12,9 +12,9 @@
 // flag set is parsed.
 func RegisterFlags(flags *flag.FlagSet) map[string]string {
 	overrides := make(map[string]string)
-	for _, setting := range declared() {
+	for _, setting := range declaredSettings() {
 		path := setting.path
-		flags.Func(path, setting.help(), func(text string) error {
+		flags.Func(path, setting.usage(), func(text string) error {
 			overrides[path] = text
 			return nil
 		})
@@ -24,7 +24,7 @@
 
 // Paths lists the paths of all settings, in the order of their declaration.
 func Paths() []string {
-	settings := declared()
+	settings := declaredSettings()
 	paths := make([]string, 0, len(settings))
 	for _, setting := range settings {
 		paths = append(paths, setting.path)
@@ -35,34 +35,34 @@
 // setting is one setting as it is declared.
 type setting struct {
 	path string
-	// fallback is the default value; nil for a setting without one.
-	fallback any
+	// defaultValue is the default value; nil for a setting without one.
+	defaultValue any
 }
 
-// help is the text that explains the setting's flag.
-func (s setting) help() string {
-	if s.fallback == nil {
+// usage is the text that explains the setting's flag.
+func (s setting) usage() string {
+	if s.defaultValue == nil {
 		return descriptions[s.path]
 	}
-	return fmt.Sprintf("%s (default %v)", descriptions[s.path], s.fallback)
+	return fmt.Sprintf("%s (default %v)", descriptions[s.path], s.defaultValue)
 }
 
-// declared lists all settings, in the order of their declaration.
-func declared() []setting {
-	return appendSettings(nil, "", reflect.ValueOf(Default()))
+// declaredSettings lists all settings, in the order of their declaration.
+func declaredSettings() []setting {
+	return collectSettings(nil, "", reflect.ValueOf(Default()))
 }
 
-func appendSettings(settings []setting, prefix string, structure reflect.Value) []setting {
+func collectSettings(settings []setting, prefix string, structure reflect.Value) []setting {
 	for index := range structure.NumField() {
 		value := structure.Field(index)
 		path := prefix + structure.Type().Field(index).Tag.Get("koanf")
 		if value.Kind() == reflect.Struct {
-			settings = appendSettings(settings, path+pathDelimiter, value)
+			settings = collectSettings(settings, path+pathDelimiter, value)
 			continue
 		}
 		declared := setting{path: path}
 		if value.Kind() != reflect.String || value.String() != "" {
-			declared.fallback = value.Interface()
+			declared.defaultValue = value.Interface()
 		}
 		settings = append(settings, declared)
 	}
--- a/settings/load.go
+++ b/settings/load.go
@@ -97,7 +97,7 @@
 		}
 	}
 	loaded, faults := decode(tree)
-	faults = append(faults, check(loaded, faults)...)
+	faults = append(faults, validate(loaded, faults)...)
 	if len(faults) > 0 {
 		slices.SortStableFunc(faults, func(a, b Fault) int { return strings.Compare(a.Path, b.Path) })
 		return Settings{}, &FaultsError{Faults: faults}
@@ -122,7 +122,7 @@
 	loaded := Default()
 	err := tree.UnmarshalWithConf("", &loaded, koanf.UnmarshalConf{
 		DecoderConfig: &mapstructure.DecoderConfig{
-			DecodeHook:       durationHook,
+			DecodeHook:       decodeDuration,
 			MatchName:        func(key, field string) bool { return key == field },
 			Result:           &loaded,
 			WeaklyTypedInput: true,
@@ -136,22 +136,22 @@
 func unknownSettings(tree *koanf.Koanf) []Fault {
 	var faults []Fault
 	for _, path := range tree.Keys() {
-		if !slices.ContainsFunc(Paths(), func(known string) bool { return related(path, known) }) {
+		if !slices.ContainsFunc(Paths(), func(known string) bool { return isPrefixRelated(path, known) }) {
 			faults = append(faults, Fault{Path: path, Problem: "unknown setting"})
 		}
 	}
 	return faults
 }
 
-// related says that the paths are equal or that one leads to the other.
-func related(one, other string) bool {
+// isPrefixRelated says that the paths are equal or that one leads to the other.
+func isPrefixRelated(one, other string) bool {
 	one, other = one+pathDelimiter, other+pathDelimiter
 	return strings.HasPrefix(one, other) || strings.HasPrefix(other, one)
 }
 
-// durationHook reads durations, which must carry a unit: a bare number would
+// decodeDuration reads durations, which must carry a unit: a bare number would
 // silently be taken for nanoseconds.
-func durationHook(_, target reflect.Type, value any) (any, error) {
+func decodeDuration(_, target reflect.Type, value any) (any, error) {
 	if target != reflect.TypeFor[time.Duration]() {
 		return value, nil
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// complete is a valid file that leaves all defaults alone.
-const complete = `
+// minimalDocument is a valid file that leaves all defaults alone.
+const minimalDocument = `
 node: {id: node-1, zone: kingston-a}
 listen: {caller: "127.0.0.1:7101", operator: "127.0.0.1:7102", peer: "127.0.0.1:7103"}
 store: {address: "10.0.0.5:7000"}
@@ -24,7 +24,7 @@
 
 func TestLoad(t *testing.T) {
 	overrides := map[string]string{"listen.caller": "127.0.0.1:9999", "stop.grace": "3s", "caller.queries": "7"}
-	loaded, err := Load([]byte(complete), overrides)
+	loaded, err := Load([]byte(minimalDocument), overrides)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestLoadPrintsEveryFault(t *testing.T) {
+func TestLoadReportsAllFaults(t *testing.T) {
 	tests := map[string]struct {
 		change    string
 		overrides map[string]string
@@ -99,7 +99,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			_, err := Load([]byte(complete+test.change), test.overrides)
+			_, err := Load([]byte(minimalDocument+test.change), test.overrides)
 			var faults *FaultsError
 			if !errors.As(err, &faults) || !errors.Is(err, ErrInvalid) {
 				t.Fatalf("got %v, expected faults", err)
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestMissingSettingsAreFaults(t *testing.T) {
+func TestLoadRejectsMissingSettings(t *testing.T) {
 	_, err := Load(nil, nil)
 	var faults *FaultsError
 	if !errors.As(err, &faults) {
@@ -135,7 +135,7 @@
 	}
 }
 
-func TestLoadFile(t *testing.T) {
+func TestLoadFileRejectsUnreadableFiles(t *testing.T) {
 	tooLarge := filepath.Join(t.TempDir(), "large.yaml")
 	if err := os.WriteFile(tooLarge, make([]byte, MaximumFileBytes+1), 0o600); err != nil {
 		t.Fatal(err)
@@ -162,7 +162,7 @@
 }
 
 func FuzzLoad(f *testing.F) {
-	f.Add([]byte(complete))
+	f.Add([]byte(minimalDocument))
 	f.Add([]byte("node: [1, 2]\nlisten: {caller: {deep: {er: 1}}}\n"))
 	f.Add([]byte("a: &a [*a]\n"))
 	f.Add([]byte("? {x: 1}\n: y\n1: 2\n~: 3\n"))
@@ -171,7 +171,7 @@
 			return
 		}
 		loaded, err := Load(document, nil)
-		if err == nil && check(loaded, nil) != nil {
+		if err == nil && validate(loaded, nil) != nil {
 			t.Errorf("invalid settings were loaded from %q", document)
 		}
 		if err != nil && !errors.Is(err, ErrInvalid) {
@@ -185,7 +185,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, setting := range declared() {
+	for _, setting := range declaredSettings() {
 		description := descriptions[setting.path]
 		if description == "" {
 			t.Errorf("%s has no description", setting.path)
@@ -207,15 +207,15 @@
 
 func checkDocumentedDefault(t *testing.T, setting setting, text string) {
 	t.Helper()
-	expected := fmt.Sprint(setting.fallback)
-	if _, isDuration := setting.fallback.(time.Duration); isDuration {
+	expected := fmt.Sprint(setting.defaultValue)
+	if _, isDuration := setting.defaultValue.(time.Duration); isDuration {
 		documented, err := time.ParseDuration(text)
 		if err != nil {
 			t.Errorf("%s: %v", setting.path, err)
 		}
 		text = documented.String()
 	}
-	if setting.fallback != nil && text != expected {
+	if setting.defaultValue != nil && text != expected {
 		t.Errorf("%s has the default %s on the page, is %s", setting.path, text, expected)
 	}
 }
