--- a/settings/check.go
+++ b/settings/check.go
@@ -12,11 +12,11 @@
 	"github.com/banksail/banksail/internal/validation"
 )
 
-// identifierPattern is what node IDs and zones are made of.
+// identifierPattern matches valid node IDs and zones.
 var identifierPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// validate applies the validation tags. Settings that already have a fault are
-// left out, so that each fault is printed once.
+// validate checks the settings against their validation tags. It skips settings for which a fault is
+// already known, so that each is reported once.
 func validate(loaded Settings, known []Fault) []Fault {
 	err := newValidator().Struct(loaded)
 	var invalid validator.ValidationErrors
@@ -58,7 +58,7 @@
 	return err == nil
 }
 
-// describeFailure turns a failed validation tag into a sentence.
+// describeFailure returns the message for a failed validation tag.
 func describeFailure(field validator.FieldError) string {
 	switch field.Tag() {
 	case "required":
--- a/settings/descriptions.go
+++ b/settings/descriptions.go
@@ -1,8 +1,8 @@
 package settings
 
-// descriptions says in one line what each setting does, and its unit, by path.
-// The flags' help and docs/SETTINGS.md give the same text. Durations carry
-// their unit themselves, as in 250ms.
+// descriptions maps the path of each setting to a one-line description with its unit. The flags' help
+// and docs/SETTINGS.md have the same text. Durations have no fixed unit: their values carry one, as
+// in 250ms.
 var descriptions = map[string]string{
 	"node.id":                    "name of this node, unique among the nodes",
 	"node.zone":                  "failure zone in which the node runs",
--- a/settings/flags.go
+++ b/settings/flags.go
@@ -6,10 +6,9 @@
 	"reflect"
 )
 
-// RegisterFlags declares one flag per setting, named by its path, such as
-// -listen.caller, with the setting's description and default as help. Flags
-// that are given land in the returned map, which is ready for Load once the
-// flag set is parsed.
+// RegisterFlags defines one flag per setting, named after its path, such as -listen.caller. The usage
+// message is the setting's description and default. When the flag set is parsed, the flags that are
+// given are added to the returned map, which is passed to Load or LoadFile as overrides.
 func RegisterFlags(flags *flag.FlagSet) map[string]string {
 	overrides := make(map[string]string)
 	for _, setting := range declaredSettings() {
@@ -22,7 +21,7 @@
 	return overrides
 }
 
-// Paths lists the paths of all settings, in the order of their declaration.
+// Paths returns the paths of all settings in declaration order.
 func Paths() []string {
 	settings := declaredSettings()
 	paths := make([]string, 0, len(settings))
@@ -32,14 +31,14 @@
 	return paths
 }
 
-// setting is one setting as it is declared.
+// setting is the path and default of one setting.
 type setting struct {
 	path string
-	// defaultValue is the default value; nil for a setting without one.
+	// defaultValue is nil for a setting without a default.
 	defaultValue any
 }
 
-// usage is the text that explains the setting's flag.
+// usage returns the usage message of the setting's flag.
 func (s setting) usage() string {
 	if s.defaultValue == nil {
 		return descriptions[s.path]
@@ -47,7 +46,7 @@
 	return fmt.Sprintf("%s (default %v)", descriptions[s.path], s.defaultValue)
 }
 
-// declaredSettings lists all settings, in the order of their declaration.
+// declaredSettings returns all settings in declaration order.
 func declaredSettings() []setting {
 	return collectSettings(nil, "", reflect.ValueOf(Default()))
 }
--- a/settings/load.go
+++ b/settings/load.go
@@ -17,29 +17,30 @@
 	"github.com/knadh/koanf/v2"
 )
 
-// MaximumFileBytes bounds the size of a settings file.
+// MaximumFileBytes is the maximum size of a settings file in bytes.
 const MaximumFileBytes = 1 << 20
 
-// pathDelimiter joins the parts of a setting's path, as in listen.caller.
+// pathDelimiter separates the parts of a setting's path, as in listen.caller.
 const pathDelimiter = "."
 
-// Errors of this package, wrapped.
+// Errors that LoadFile and Load wrap.
 var (
-	// ErrUnreadable: the file can't be read or is too large.
-	ErrUnreadable = errors.New("settings: unreadable")
-	// ErrInvalid: the settings have faults; the error is a *FaultsError.
-	ErrInvalid = errors.New("settings: invalid")
+	// ErrUnreadable means that the file cannot be read or is larger than MaximumFileBytes.
+	ErrUnreadable = errors.New("settings: cannot read file")
+	// ErrInvalid means that settings are invalid. The error is a *FaultsError.
+	ErrInvalid = errors.New("settings: invalid settings")
 )
 
-// Fault is one thing that is wrong with a setting.
+// Fault describes an invalid setting.
 type Fault struct {
-	// Path names the setting, for example listen.caller.
+	// Path is the path of the setting, for example listen.caller. It is empty if
+	// the fault concerns no single setting.
 	Path string
-	// Problem says what is wrong, in one line.
+	// Problem is a one-line description of the fault.
 	Problem string
 }
 
-// String formats the fault in one line.
+// String returns the path and the problem on one line.
 func (f Fault) String() string {
 	if f.Path == "" {
 		return f.Problem
@@ -47,10 +48,10 @@
 	return f.Path + ": " + f.Problem
 }
 
-// FaultsError holds every fault found in the settings, sorted by path.
+// FaultsError reports all faults found in the settings, sorted by path.
 type FaultsError struct{ Faults []Fault }
 
-// Error lists the faults, one a line.
+// Error returns one line per fault.
 func (e *FaultsError) Error() string {
 	lines := make([]string, 0, len(e.Faults)+1)
 	lines = append(lines, ErrInvalid.Error())
@@ -60,11 +61,11 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap makes errors.Is(err, ErrInvalid) hold.
+// Unwrap returns ErrInvalid.
 func (e *FaultsError) Unwrap() error { return ErrInvalid }
 
-// LoadFile reads a settings file and applies overrides, which map a setting's
-// path to its text. An empty path stands for no file.
+// LoadFile reads a settings file and loads it as Load does. An empty path means that there is no
+// file. Its error wraps ErrUnreadable or is that of Load.
 func LoadFile(path string, overrides map[string]string) (Settings, error) {
 	if path == "" {
 		return Load(nil, overrides)
@@ -84,8 +85,8 @@
 	return Load(document, overrides)
 }
 
-// Load parses a YAML document, applies overrides, and checks the result. Every
-// fault is reported, in a *FaultsError.
+// Load parses a YAML document, applies the overrides, and validates the result. The overrides map
+// paths of settings to values in text form. Faults are returned as a *FaultsError.
 func Load(document []byte, overrides map[string]string) (Settings, error) {
 	tree, err := parse(document)
 	if err != nil {
@@ -116,8 +117,8 @@
 	return tree, nil
 }
 
-// decode fills the defaults with what the tree holds. Settings of the wrong
-// type and settings that don't exist are faults.
+// decode returns the default settings overlaid with the values of the tree. It reports values of the
+// wrong type and unknown settings as faults.
 func decode(tree *koanf.Koanf) (Settings, []Fault) {
 	loaded := Default()
 	err := tree.UnmarshalWithConf("", &loaded, koanf.UnmarshalConf{
@@ -131,8 +132,8 @@
 	return loaded, append(unknownSettings(tree), decodeFaults(err)...)
 }
 
-// unknownSettings lists the paths that lead to no setting. A section in place
-// of a setting, or the other way round, is found when decoding.
+// unknownSettings returns a fault for each path that does not belong to a setting. A section in place
+// of a setting, or the reverse, is reported when the tree is decoded.
 func unknownSettings(tree *koanf.Koanf) []Fault {
 	var faults []Fault
 	for _, path := range tree.Keys() {
@@ -143,14 +144,14 @@
 	return faults
 }
 
-// isPrefixRelated says that the paths are equal or that one leads to the other.
+// isPrefixRelated reports whether the paths are equal or one is a parent of the other.
 func isPrefixRelated(one, other string) bool {
 	one, other = one+pathDelimiter, other+pathDelimiter
 	return strings.HasPrefix(one, other) || strings.HasPrefix(other, one)
 }
 
-// decodeDuration reads durations, which must carry a unit: a bare number would
-// silently be taken for nanoseconds.
+// decodeDuration is a decode hook that parses durations. It requires a unit, because a number without
+// one would silently be interpreted as nanoseconds.
 func decodeDuration(_, target reflect.Type, value any) (any, error) {
 	if target != reflect.TypeFor[time.Duration]() {
 		return value, nil
@@ -169,7 +170,7 @@
 	return duration, nil
 }
 
-// decodeFaults splits a decoding error into one fault per setting.
+// decodeFaults converts a decoding error to one fault per setting.
 func decodeFaults(err error) []Fault {
 	if err == nil {
 		return nil
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,11 +1,10 @@
-// Package settings loads and checks the process settings of a node: addresses,
-// zone, limits and timeouts. What operators decide for all nodes is not here;
-// it lives in the configuration record (package policy).
+// Package settings loads and validates the process settings of a node: addresses, zone, limits and
+// timeouts. The configuration that operators change for all nodes at once is in package policy.
 package settings
 
 import "time"
 
-// Settings is the whole settings file of one node.
+// Settings is the content of a node's settings file.
 type Settings struct {
 	Node        Node        `koanf:"node"`
 	Listen      Listen      `koanf:"listen"`
@@ -21,97 +20,94 @@
 
 // Node identifies the node.
 type Node struct {
-	// ID is unique among the nodes; peers and the machine list know the node by it.
+	// ID is unique among the nodes. It identifies the node to peers and in the machine list.
 	ID string `koanf:"id" validate:"required,max=64,identifier"`
 	// Zone is the failure zone in which the node runs.
 	Zone string `koanf:"zone" validate:"required,max=64,identifier"`
-	// Advertise is the IP number and port at which peers reach this node; the
-	// peer listener's own address when empty.
+	// Advertise is the IP address and port at which peers reach the node. If it is empty, it is
+	// Listen.Peer.
 	Advertise string `koanf:"advertise" validate:"omitempty,ip_port"`
 }
 
-// Listen holds the addresses of the node's three listeners, as IP number and port.
+// Listen holds the addresses of the node's listeners, each an IP address and port.
 type Listen struct {
-	// Caller serves queries.
+	// Caller is the address of the API for callers.
 	Caller string `koanf:"caller" validate:"required,ip_port"`
-	// Operator serves operators, metrics and the health endpoints.
+	// Operator is the address of the operator API, the metrics and the health endpoints.
 	Operator string `koanf:"operator" validate:"required,ip_port,nefield=Caller"`
-	// Peer serves the other nodes.
+	// Peer is the address for requests from other nodes.
 	Peer string `koanf:"peer" validate:"required,ip_port,nefield=Caller,nefield=Operator"`
 }
 
-// Remote is a service of the platform.
+// Remote configures the client of a platform service.
 type Remote struct {
-	// Address is the IP number and port of the service.
+	// Address is the IP address and port of the service.
 	Address string `koanf:"address" validate:"required,ip_port"`
-	// Timeout bounds one request to the service, besides the wait of a watch.
+	// Timeout is the timeout of one request. A watch may take its wait time in addition.
 	Timeout time.Duration `koanf:"timeout" validate:"min=10ms,max=60s"`
 }
 
-// Caller bounds what callers may ask of the node.
+// Caller holds the limits on callers' requests and connections.
 type Caller struct {
-	// BodyBytes is the greatest size of a request's JSON document, in bytes.
+	// BodyBytes is the maximum size of a request's JSON document in bytes.
 	BodyBytes int64 `koanf:"body_bytes" validate:"min=1024,max=67108864"`
-	// Queries is the greatest number of queries that the node holds at once,
-	// queued and running together.
+	// Queries is the maximum number of queries in the node, queued and running.
 	Queries int `koanf:"queries" validate:"min=1,max=1000000"`
-	// ReadTimeout bounds the reading of one request.
+	// ReadTimeout is the maximum time to read one request.
 	ReadTimeout time.Duration `koanf:"read_timeout" validate:"min=100ms,max=10m"`
-	// IdleTimeout closes a keep-alive connection without requests.
+	// IdleTimeout is the time after which an idle keep-alive connection is closed.
 	IdleTimeout time.Duration `koanf:"idle_timeout" validate:"min=1s,max=1h"`
 }
 
-// Backend sets the node's dealings with the servers.
+// Backend configures health checks of servers and connections to them.
 type Backend struct {
-	// HealthInterval is the mean time between two health readings of a server by
-	// each node that reads it for all nodes.
+	// HealthInterval is the mean time between two health checks of a server by each node that checks
+	// it on behalf of all nodes.
 	HealthInterval time.Duration `koanf:"health_interval" validate:"min=100ms,max=1h"`
-	// HealthTimeout bounds one health reading.
+	// HealthTimeout is the timeout of one health check.
 	HealthTimeout time.Duration `koanf:"health_timeout" validate:"min=10ms,max=60s"`
-	// HealthConcurrency bounds the health readings that run at once.
+	// HealthConcurrency is the maximum number of concurrent health checks.
 	HealthConcurrency int `koanf:"health_concurrency" validate:"min=1,max=1024"`
-	// HealthReadings is the budget of health and load readings a second. A node
-	// that is one of a server's first two readers reads it beyond the budget.
+	// HealthReadings is the budget of health checks and load reads per second. The first two readers
+	// of a server read it even if that exceeds their budget.
 	HealthReadings float64 `koanf:"health_readings" validate:"min=0.1,max=100000"`
-	// SpareConnections is the number of idle connections kept to each server.
+	// SpareConnections is the number of idle connections kept open to each server.
 	SpareConnections int `koanf:"spare_connections" validate:"min=0,max=1024"`
 }
 
-// AtMostOnce sets the window in which request IDs of not-repeatable requests
-// are remembered.
+// AtMostOnce configures the deduplication of non-repeatable requests by request ID.
 type AtMostOnce struct {
-	// Window is how long an outcome is remembered after the request ended. Other
-	// nodes keep their claims for 20 minutes, so that a longer one could not be
-	// kept up when this node ends.
+	// Window is how long the outcome of a request is kept after the request ended. Other nodes keep
+	// their claims for 20 minutes, so a longer window would not hold after this node terminated.
 	Window time.Duration `koanf:"window" validate:"min=1s,max=20m"`
-	// Requests bounds the requests remembered; when all places are taken,
-	// further not-repeatable requests are refused as not run.
+	// Requests is the maximum number of requests that are kept. While it is reached, further
+	// non-repeatable requests are rejected as not run.
 	Requests int `koanf:"requests" validate:"min=1,max=10000000"`
-	// ResultBytes bounds the results that are kept for repetitions, in bytes;
-	// the oldest go first, and one that takes more than a sixteenth is not kept.
+	// ResultBytes is the maximum total size in bytes of the results that are kept to answer
+	// duplicates. The oldest are evicted first. A result larger than a sixteenth of it is not kept.
 	ResultBytes int64 `koanf:"result_bytes" validate:"min=0,max=8589934592"`
 }
 
-// Explanation sets how many explanations of finished requests are kept.
+// Explanation limits the explanations of finished requests that are kept.
 type Explanation struct {
 	Requests int `koanf:"requests" validate:"min=1,max=1000000"`
-	// Bytes bounds what they take together; the oldest go first.
+	// Bytes is the maximum total size of the explanations. The oldest are evicted first.
 	Bytes int64 `koanf:"bytes" validate:"min=65536,max=8589934592"`
 }
 
-// Stop sets the planned stop.
+// Stop configures the graceful shutdown.
 type Stop struct {
-	// Grace is how long the listeners stay open after the stop began, so that
-	// callers see that the node is no longer ready.
+	// Grace is how long the listeners stay open after the shutdown began, so that callers observe
+	// that the node is no longer ready.
 	Grace time.Duration `koanf:"grace" validate:"min=0,max=10m"`
 }
 
-// Log sets the log on standard error.
+// Log configures the log, which is written to standard error.
 type Log struct {
 	Level string `koanf:"level" validate:"oneof=debug info warn error"`
 }
 
-// Default settings; the identity and the addresses have none.
+// Default returns the default settings. The node's identity and the addresses have no defaults.
 func Default() Settings {
 	return Settings{
 		Store:       Remote{Timeout: 2 * time.Second},
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// minimalDocument is a valid file that leaves all defaults alone.
+// minimalDocument is a valid document that sets only the settings without defaults.
 const minimalDocument = `
 node: {id: node-1, zone: kingston-a}
 listen: {caller: "127.0.0.1:7101", operator: "127.0.0.1:7102", peer: "127.0.0.1:7103"}
@@ -109,7 +109,7 @@
 			}
 			for index, prefix := range test.faults {
 				if got := faults.Faults[index].String(); !strings.HasPrefix(got, prefix) {
-					t.Errorf("fault %d is %q, expected %q", index, got, prefix)
+					t.Errorf("fault %d is %q, expected prefix %q", index, got, prefix)
 				}
 			}
 		})
@@ -153,11 +153,11 @@
 	overrides := RegisterFlags(flags)
 	for _, path := range Paths() {
 		if err := flags.Parse([]string{"--" + path, "value"}); err != nil || overrides[path] != "value" {
-			t.Errorf("flag %s: %v, override %q", path, err, overrides[path])
+			t.Errorf("flag %s: got error %v, override %q", path, err, overrides[path])
 		}
 	}
 	if err := flags.Parse([]string{"--listen.nobody=1"}); err == nil {
-		t.Error("an unknown flag was taken")
+		t.Error("an unknown flag was accepted")
 	}
 }
 
@@ -192,16 +192,16 @@
 		}
 		rows := regexp.MustCompile(`(?m)^\| `+"`"+regexp.QuoteMeta(setting.path)+"`"+` \| (.*?) \| .*?\| (.*) \|$`).FindAllStringSubmatch(string(page), -1)
 		if len(rows) != 1 {
-			t.Errorf("%s has %d rows", setting.path, len(rows))
+			t.Errorf("%s has %d rows in docs/SETTINGS.md, expected 1", setting.path, len(rows))
 			continue
 		}
 		checkDocumentedDefault(t, setting, strings.Trim(rows[0][1], "`"))
 		if meaning := rows[0][2]; !strings.HasPrefix(meaning, description) {
-			t.Errorf("%s is described as %q, the flag says %q", setting.path, meaning, description)
+			t.Errorf("%s is described as %q in docs/SETTINGS.md, the flag says %q", setting.path, meaning, description)
 		}
 	}
 	if len(descriptions) != len(Paths()) {
-		t.Errorf("%d descriptions of %d settings", len(descriptions), len(Paths()))
+		t.Errorf("got %d descriptions for %d settings", len(descriptions), len(Paths()))
 	}
 }
 
@@ -216,6 +216,6 @@
 		text = documented.String()
 	}
 	if setting.defaultValue != nil && text != expected {
-		t.Errorf("%s has the default %s on the page, is %s", setting.path, text, expected)
+		t.Errorf("%s has default %s in docs/SETTINGS.md, expected %s", setting.path, text, expected)
 	}
 }
