--- a/membership/nodes.go
+++ b/membership/nodes.go
@@ -264,8 +264,9 @@
 	return max(1, int(math.Ceil(math.Log10(float64(size+1)))))
 }
 
-// payload returns the updates for a message to a member. It includes the entry of that
-// member unless it is live, so that the member can refute it.
+// payload returns the updates for a message to a member. Unless that member is live, or
+// is suspected but the suspicion unpublished, they include its own entry, so that it
+// can refute it.
 func (n *Nodes) payload(to string) []Member {
 	updates := n.updates.take(to, n.transmissionLimit(), n.Lookup)
 	if known, ok := n.entries[to]; ok && known.member.State != Live && !known.unannounced {
--- a/membership/tick.go
+++ b/membership/tick.go
@@ -224,7 +224,9 @@
 		return nil
 	}
 	delete(n.pending, result.ID)
-	if !result.Failed && result.Responder.ID != n.self.ID { // a reply from this node itself, at an address it did not recognize, does not count
+	// A reply from this node itself, at an address that is known under another ID,
+	// does not show that another node is reachable.
+	if !result.Failed && result.Responder.ID != n.self.ID {
 		n.recordReply(now)
 	}
 	switch pending.kind {
