--- a/cmd/banksail-front/check.go
+++ b/cmd/banksail-front/check.go
@@ -22,7 +22,7 @@
 
 func (*checkCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	if _, err := platform.ReadSettings(); err != nil {
-		return fail(err)
+		return reportFailure(err)
 	}
 	fmt.Println("the settings are valid")
 	return subcommands.ExitSuccess
--- a/cmd/banksail-front/main.go
+++ b/cmd/banksail-front/main.go
@@ -19,8 +19,8 @@
 	os.Exit(int(subcommands.Execute(context.Background())))
 }
 
-// fail names the error and gives the status of a failed command.
-func fail(err error) subcommands.ExitStatus {
+// reportFailure names the error and gives the status of a failed command.
+func reportFailure(err error) subcommands.ExitStatus {
 	fmt.Fprintln(os.Stderr, err)
 	return subcommands.ExitFailure
 }
--- a/cmd/banksail-front/providers.go
+++ b/cmd/banksail-front/providers.go
@@ -18,12 +18,12 @@
 
 // logOptions say what is logged, and how much of it at most.
 type logOptions struct {
-	level        string
-	lines, bytes int
+	level                          string
+	linesPerSecond, bytesPerSecond int
 }
 
 func newOutput(options logOptions) *telemetry.BoundedWriter {
-	return telemetry.NewBoundedWriter(os.Stdout, options.lines, options.bytes)
+	return telemetry.NewBoundedWriter(os.Stdout, options.linesPerSecond, options.bytesPerSecond)
 }
 
 func newLogger(settings platform.Settings, options logOptions, output *telemetry.BoundedWriter) (zerolog.Logger, error) {
@@ -43,7 +43,7 @@
 }
 
 func newOptions(
-	settings platform.Settings, store *platform.Store, registry *prometheus.Registry, logger zerolog.Logger, off mechanism.Disabled,
+	settings platform.Settings, store *platform.Store, registry *prometheus.Registry, logger zerolog.Logger, disabled mechanism.Disabled,
 ) front.Options {
 	started := time.Now().UnixNano()
 	return front.Options{
@@ -60,6 +60,6 @@
 		Logger:        logger,
 		Registry:      registry,
 		Seed:          uint64(started),
-		Disabled:      off,
+		Disabled:      disabled,
 	}
 }
--- a/cmd/banksail-front/serve.go
+++ b/cmd/banksail-front/serve.go
@@ -22,8 +22,8 @@
 
 // serveCommand runs a node.
 type serveCommand struct {
-	log     logOptions
-	without string
+	log                logOptions
+	disabledMechanisms string
 }
 
 func (*serveCommand) Name() string     { return "serve" }
@@ -32,31 +32,31 @@
 
 func (c *serveCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&c.log.level, "log-level", "info", "least level of the lines that are written")
-	flags.StringVar(&c.without, "without", "", "for diagnosis: mechanisms to switch off, separated by commas: "+strings.Join(mechanism.Names(), ", "))
-	flags.IntVar(&c.log.lines, "log-lines", telemetry.DefaultLinesPerSecond, "most lines a second; others are dropped and counted")
-	flags.IntVar(&c.log.bytes, "log-bytes", telemetry.DefaultBytesPerSecond, "most bytes a second; others are dropped and counted")
+	flags.StringVar(&c.disabledMechanisms, "without", "", "for diagnosis: mechanisms to switch off, separated by commas: "+strings.Join(mechanism.Names(), ", "))
+	flags.IntVar(&c.log.linesPerSecond, "log-lines", telemetry.DefaultLinesPerSecond, "most lines a second; others are dropped and counted")
+	flags.IntVar(&c.log.bytesPerSecond, "log-bytes", telemetry.DefaultBytesPerSecond, "most bytes a second; others are dropped and counted")
 }
 
-// garbageTarget is the growth of the heap between two collections, in percent:
+// gcPercent is the growth of the heap between two collections, in percent:
 // memory at its peak weighs more here than processor time.
-const garbageTarget = 50
+const gcPercent = 50
 
 func (c *serveCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	debug.SetGCPercent(garbageTarget)
-	off, err := mechanism.Parse(c.without)
+	debug.SetGCPercent(gcPercent)
+	disabled, err := mechanism.Parse(c.disabledMechanisms)
 	if err != nil {
-		return fail(fmt.Errorf("-without: %w", err))
+		return reportFailure(fmt.Errorf("-without: %w", err))
 	}
 	settings, err := platform.ReadSettings()
 	if err != nil {
-		return fail(err)
+		return reportFailure(err)
 	}
-	running, err := newDaemon(settings, c.log, off)
+	d, err := newDaemon(settings, c.log, disabled)
 	if err != nil {
-		return fail(err)
+		return reportFailure(err)
 	}
-	if err := running.run(ctx); err != nil {
-		return fail(err)
+	if err := d.run(ctx); err != nil {
+		return reportFailure(err)
 	}
 	return subcommands.ExitSuccess
 }
@@ -68,13 +68,13 @@
 	output *telemetry.BoundedWriter
 }
 
-// lastLinesTime bounds the writing of the last lines of the log at the end.
-const lastLinesTime = 200 * time.Millisecond
+// logFlushTimeout bounds the writing of the last lines of the log at the end.
+const logFlushTimeout = 200 * time.Millisecond
 
 // run runs the node until a signal asks it to stop; its settings are read anew when they
 // change.
 func (d *daemon) run(ctx context.Context) error {
-	defer d.output.CloseWithin(lastLinesTime)
+	defer d.output.CloseWithin(logFlushTimeout)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	hangups := make(chan os.Signal, 1)
--- a/cmd/banksail-front/soak_test.go
+++ b/cmd/banksail-front/soak_test.go
@@ -14,10 +14,10 @@
 
 // Nodes whose pace of reading is too slow for the bound by which they are judged are found
 // out: a configuration comes into force later than it may.
-func TestSoakFindsABoundThatDoesNotSum(t *testing.T) {
+func TestSoakDetectsLateConfiguration(t *testing.T) {
 	report, err := soak.Run(context.Background(), soak.Options{
 		Seed: 1, Duration: soak.ShortestDuration, Program: os.Args[0], Arguments: []string{"serve"},
-		Environment: []string{asProcess + "=1"}, Directory: t.TempDir(), Kinds: []schedule.Kind{soak.Configure},
+		Environment: []string{runMainVariable + "=1"}, Directory: t.TempDir(), Kinds: []schedule.Kind{soak.Configure},
 		ToldApplyBound: time.Minute,
 	})
 	if err != nil {
--- a/cmd/banksail-front/wire.go
+++ b/cmd/banksail-front/wire.go
@@ -22,7 +22,7 @@
 )
 
 // newDaemon connects a node to the platform's store, its log and its metrics.
-func newDaemon(settings platform.Settings, log logOptions, off mechanism.Disabled) (*daemon, error) {
+func newDaemon(settings platform.Settings, log logOptions, disabled mechanism.Disabled) (*daemon, error) {
 	wire.Build(daemonSet)
 	return nil, nil
 }
--- a/cmd/banksail-front/wire_gen.go
+++ b/cmd/banksail-front/wire_gen.go
@@ -16,7 +16,7 @@
 // Injectors from wire.go:
 
 // newDaemon connects a node to the platform's store, its log and its metrics.
-func newDaemon(settings platform.Settings, log logOptions, off mechanism.Disabled) (*daemon, error) {
+func newDaemon(settings platform.Settings, log logOptions, disabled mechanism.Disabled) (*daemon, error) {
 	boundedWriter := newOutput(log)
 	registry := newRegistry(boundedWriter)
 	logger, err := newLogger(settings, log, boundedWriter)
@@ -24,7 +24,7 @@
 		return nil, err
 	}
 	store := newStore(settings, registry, logger)
-	options := newOptions(settings, store, registry, logger, off)
+	options := newOptions(settings, store, registry, logger, disabled)
 	frontFront, err := front.New(options)
 	if err != nil {
 		return nil, err
