--- a/cmd/banksaild/check.go
+++ b/cmd/banksaild/check.go
@@ -44,7 +44,7 @@
 
 // Execute implements subcommands.Command.
 func (c *checkCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if !noArguments(flags) {
+	if !requireNoArguments(flags) {
 		return subcommands.ExitUsageError
 	}
 	if _, err := settings.LoadFile(c.file, c.overrides); err != nil {
--- a/cmd/banksaild/examples_test.go
+++ b/cmd/banksaild/examples_test.go
@@ -14,30 +14,30 @@
 const examples = "../../examples"
 
 func TestExamplesAreValid(t *testing.T) {
-	groups := map[string]map[string]int{
+	wantGroups := map[string]map[string]int{
 		"blue-mahoe": {"route-desk": 8, "hotel-portal": 12, "member-ledger": 1, "stain-log": 1},
 		"thibodeau":  {"solicitation-search": 8, "fee-ledger": 12, "notice-tool": 1, "mailroom": 1},
 	}
-	for deployment, services := range groups {
+	for deployment, wantServices := range wantGroups {
 		t.Run(deployment, func(t *testing.T) {
 			if _, err := settings.LoadFile(filepath.Join(examples, deployment, "node.yaml"), nil); err != nil {
 				t.Error(err)
 			}
-			config := configurationOf(t, filepath.Join(examples, deployment, "intent.yaml"))
-			if len(config.Services) != len(services) {
+			config := applyIntentFile(t, filepath.Join(examples, deployment, "intent.yaml"))
+			if len(config.Services) != len(wantServices) {
 				t.Errorf("%d services", len(config.Services))
 			}
 			for _, service := range config.Services {
-				if len(service.Groups) != services[service.Name] {
-					t.Errorf("%s has %d groups, expected %d", service.Name, len(service.Groups), services[service.Name])
+				if len(service.Groups) != wantServices[service.Name] {
+					t.Errorf("%s has %d groups, expected %d", service.Name, len(service.Groups), wantServices[service.Name])
 				}
 			}
 		})
 	}
 }
 
-// configurationOf applies an intent to an empty configuration.
-func configurationOf(t *testing.T, path string) policy.Config {
+// applyIntentFile applies an intent to an empty configuration.
+func applyIntentFile(t *testing.T, path string) policy.Config {
 	t.Helper()
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/banksaild/providers.go
+++ b/cmd/banksaild/providers.go
@@ -25,12 +25,12 @@
 func newNetwork() *node.SystemNetwork { return node.NewSystemNetwork(dialTimeout) }
 
 func newOptions(
-	loaded settings.Settings, network node.Network, records store.Conn, machines machinelist.Conn, logger zerolog.Logger,
+	loaded settings.Settings, network node.Network, configStore store.Conn, machines machinelist.Conn, logger zerolog.Logger,
 ) node.Options {
 	return node.Options{
 		Settings:       loaded,
 		Network:        network,
-		Store:          records,
+		Store:          configStore,
 		MachineList:    machines,
 		Logger:         logger,
 		ProcessMetrics: true,
--- a/cmd/banksaild/serve.go
+++ b/cmd/banksaild/serve.go
@@ -51,7 +51,7 @@
 
 // Execute implements subcommands.Command.
 func (s *serveCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if !noArguments(flags) {
+	if !requireNoArguments(flags) {
 		return subcommands.ExitUsageError
 	}
 	loaded, err := settings.LoadFile(s.file, s.overrides)
@@ -80,9 +80,9 @@
 	defer signal.Stop(signals)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	ended := make(chan struct{})
-	defer close(ended)
-	go d.obey(signals, ended, stop)
+	done := make(chan struct{})
+	defer close(done)
+	go d.handleSignals(signals, done, stop)
 	err := d.node.Run(ctx)
 	if err == nil {
 		d.logger.Info().Msg("stopped")
@@ -94,25 +94,25 @@
 	return subcommands.ExitFailure
 }
 
-// obey stops the node at the first signal and aborts it at the second.
-func (d *daemon) obey(signals <-chan os.Signal, ended <-chan struct{}, stop func()) {
+// handleSignals stops the node at the first signal and aborts it at the second.
+func (d *daemon) handleSignals(signals <-chan os.Signal, done <-chan struct{}, stop func()) {
 	select {
-	case <-ended:
+	case <-done:
 		return
 	case received := <-signals:
 		d.logger.Info().Stringer("signal", received).Msg("planned stop")
 		stop()
 	}
 	select {
-	case <-ended:
+	case <-done:
 	case received := <-signals:
 		d.logger.Warn().Stringer("signal", received).Msg("ending at once")
 		d.node.Abort()
 	}
 }
 
-// noArguments complains about arguments that are not flags.
-func noArguments(flags *flag.FlagSet) bool {
+// requireNoArguments complains about arguments that are not flags.
+func requireNoArguments(flags *flag.FlagSet) bool {
 	if flags.NArg() == 0 {
 		return true
 	}
--- a/cmd/banksaild/serve_test.go
+++ b/cmd/banksaild/serve_test.go
@@ -24,48 +24,48 @@
 	return loaded
 }
 
-// serve starts a daemon and returns once it listens.
-func serve(t *testing.T, loaded settings.Settings) <-chan subcommands.ExitStatus {
+// startDaemon starts a daemon and returns once it listens.
+func startDaemon(t *testing.T, loaded settings.Settings) <-chan subcommands.ExitStatus {
 	t.Helper()
 	daemon, err := newDaemon(loaded, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan subcommands.ExitStatus, 1)
-	go func() { ended <- daemon.run(context.Background()) }()
+	exited := make(chan subcommands.ExitStatus, 1)
+	go func() { exited <- daemon.run(context.Background()) }()
 	<-daemon.node.Listening()
-	return ended
+	return exited
 }
 
-func signalSelf(t *testing.T) {
+func sendSIGTERM(t *testing.T) {
 	t.Helper()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestFirstSignalStopsAsPlanned(t *testing.T) {
-	ended := serve(t, testSettings(0))
-	signalSelf(t)
-	if status := <-ended; status != subcommands.ExitSuccess {
+func TestFirstSignalStopsGracefully(t *testing.T) {
+	exited := startDaemon(t, testSettings(0))
+	sendSIGTERM(t)
+	if status := <-exited; status != subcommands.ExitSuccess {
 		t.Errorf("exit status %d", status)
 	}
 }
 
-func TestSecondSignalEndsAtOnce(t *testing.T) {
+func TestSecondSignalAborts(t *testing.T) {
 	// With this grace the test would never end by a planned stop.
-	ended := serve(t, testSettings(10*time.Minute))
-	signalSelf(t)
+	exited := startDaemon(t, testSettings(10*time.Minute))
+	sendSIGTERM(t)
 	for {
 		select {
-		case status := <-ended:
+		case status := <-exited:
 			if status != subcommands.ExitFailure {
 				t.Errorf("exit status %d", status)
 			}
 			return
 		case <-time.After(10 * time.Millisecond):
 			// The kernel may merge signals that are sent in a row.
-			signalSelf(t)
+			sendSIGTERM(t)
 		}
 	}
 }
--- a/cmd/banksaild/version.go
+++ b/cmd/banksaild/version.go
@@ -38,7 +38,7 @@
 
 // Execute implements subcommands.Command.
 func (*versionCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if !noArguments(flags) {
+	if !requireNoArguments(flags) {
 		return subcommands.ExitUsageError
 	}
 	info, known := debug.ReadBuildInfo()
