--- a/cmd/banksail-front/check.go
+++ b/cmd/banksail-front/check.go
@@ -10,7 +10,7 @@
 	"github.com/banksail/banksail/platform"
 )
 
-// checkCommand checks the settings file.
+// checkCommand validates the settings file and prints the error, if any.
 type checkCommand struct{}
 
 func (*checkCommand) Name() string     { return "check" }
--- a/cmd/banksail-front/main.go
+++ b/cmd/banksail-front/main.go
@@ -1,5 +1,5 @@
-// Command banksail-front runs one node on the users' platform. Its settings
-// file is named by the environment.
+// Command banksail-front runs one banksail node on the users' platform. The path of its
+// settings file is in the environment variable platform.SettingsVariable.
 package main
 
 import (
@@ -19,7 +19,8 @@
 	os.Exit(int(subcommands.Execute(context.Background())))
 }
 
-// reportFailure names the error and gives the status of a failed command.
+// reportFailure prints the error to standard error and returns the exit status of a failed
+// command.
 func reportFailure(err error) subcommands.ExitStatus {
 	fmt.Fprintln(os.Stderr, err)
 	return subcommands.ExitFailure
--- a/cmd/banksail-front/process_test.go
+++ b/cmd/banksail-front/process_test.go
@@ -20,7 +20,8 @@
 	"github.com/banksail/banksail/platform/standin"
 )
 
-// runMainVariable makes the test's own program the command under test.
+// runMainVariable is the environment variable that makes the test binary run main, so that
+// tests can start it as the command under test.
 const runMainVariable = "BANKSAIL_FRONT_UNDER_TEST"
 
 func TestMain(m *testing.M) {
@@ -31,7 +32,7 @@
 	os.Exit(m.Run())
 }
 
-// process is the command as a process of its own.
+// process is a banksail-front process started by a test.
 type process struct {
 	t            *testing.T
 	command      *exec.Cmd
@@ -41,16 +42,17 @@
 	host         string
 }
 
-// logMessageTimeout bounds the wait for a line of the log.
+// logMessageTimeout is the longest wait for a log message.
 const logMessageTimeout = 30 * time.Second
 
-// uniqueLoopbackHost is an address of loopback that no other process listens on.
+// uniqueLoopbackHost returns a loopback address derived from the process ID, so that no other
+// process listens on it.
 func uniqueLoopbackHost() string {
 	id := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+id>>16&63, id>>8&255, id&255)
 }
 
-// Ports of the process at its own host.
+// Ports on which the process listens, at its own loopback address.
 const (
 	callerPort = 21800 + iota
 	readyPort
@@ -59,7 +61,8 @@
 	gossipPort
 )
 
-// writeSettings writes the settings file.
+// writeSettings writes the settings file with the given store address and grace period. A
+// negative grace period is invalid.
 func (p *process) writeSettings(storeAddress string, graceSeconds int) {
 	p.t.Helper()
 	text := standin.NodeSettings{
@@ -72,7 +75,7 @@
 	}
 }
 
-// start runs the command, which is killed at the test's end if it is still there.
+// start runs the command with the given arguments. The process is killed when the test ends.
 func (p *process) start(arguments ...string) {
 	p.t.Helper()
 	p.command = exec.Command(os.Args[0], arguments...)
@@ -90,7 +93,8 @@
 	p.t.Cleanup(func() { _ = p.command.Process.Kill() })
 }
 
-// awaitLogMessage reads the log up to a line with the message.
+// awaitLogMessage reads the log until a line has the message. The test fails if the process
+// exits first; the process is killed after logMessageTimeout.
 func (p *process) awaitLogMessage(message string) {
 	p.t.Helper()
 	timer := time.AfterFunc(logMessageTimeout, func() { _ = p.command.Process.Kill() })
@@ -103,27 +107,28 @@
 			return
 		}
 	}
-	p.t.Fatalf("the process ended without the line %q; errors: %s", message, p.stderr)
+	p.t.Fatalf("the process exited without logging %q; stderr: %s", message, p.stderr)
 }
 
 func (p *process) signal(signal syscall.Signal) {
 	p.t.Helper()
 	if err := p.command.Process.Signal(signal); err != nil {
-		p.t.Fatalf("the process has ended: %v", err)
+		p.t.Fatalf("send signal to the process: %v", err)
 	}
 }
 
-// awaitExit reads what the process still writes, and returns its exit code.
+// awaitExit reads the rest of the log until the process exits, and returns its exit code.
 func (p *process) awaitExit() int {
 	p.t.Helper()
 	for p.logLines.Scan() {
 		continue
 	}
-	_ = p.command.Wait() // the exit code tells
+	_ = p.command.Wait() // the exit code is returned
 	return p.command.ProcessState.ExitCode()
 }
 
-// getStatus returns the status of a call to a port of the process.
+// getStatus sends a GET request to a port of the process and returns the HTTP status, or 0 if
+// there was no response.
 func (p *process) getStatus(port int, path string) int {
 	response, err := http.Get(fmt.Sprintf("http://%s:%d%s", p.host, port, path))
 	if err != nil {
@@ -134,7 +139,8 @@
 	return response.StatusCode
 }
 
-// newProcess prepares a node before a store that holds a configuration.
+// newProcess prepares a process, which is not yet started, and a stand-in store with an empty
+// configuration of revision 1.
 func newProcess(t *testing.T) (p *process, storeAddress string) {
 	t.Helper()
 	standInStore := standin.NewStore()
@@ -145,8 +151,9 @@
 	return p, strings.TrimPrefix(server.URL, "http://")
 }
 
-// A process that is told that its settings changed takes those that are valid, tells what
-// is wrong with others, goes on serving all that it serves, and ends only when it is asked.
+// On SIGHUP the process applies valid settings, and logs an error and keeps the last valid ones
+// if they are invalid. It serves readiness and the directory throughout, and exits only on
+// SIGTERM, with code 0.
 func TestSettingsReloadAndShutdownOnSignals(t *testing.T) {
 	p, storeAddress := newProcess(t)
 	p.writeSettings(storeAddress, 6)
@@ -163,19 +170,20 @@
 	p.signal(syscall.SIGHUP)
 	p.awaitLogMessage("settings applied")
 	if status := p.getStatus(readyPort, platform.ReadinessPath); status != http.StatusOK {
-		t.Errorf("readiness: %d", status)
+		t.Errorf("readiness: HTTP status %d", status)
 	}
 	if status := p.getStatus(directoryPort, platform.ResolvePath+"?name=x&zone=zone-a&region=here"); status != http.StatusOK {
-		t.Errorf("directory: %d", status)
+		t.Errorf("directory: HTTP status %d", status)
 	}
 	p.signal(syscall.SIGTERM)
 	p.awaitLogMessage("stopped")
 	if code := p.awaitExit(); code != 0 {
-		t.Errorf("exit code %d after a planned stop; errors: %s", code, p.stderr)
+		t.Errorf("exit code %d after SIGTERM, expected 0; stderr: %s", code, p.stderr)
 	}
 }
 
-// A process that can't listen ends at once with an error that names the address.
+// A process that cannot listen on one of its ports exits at once with a non-zero code and an
+// error that contains the address.
 func TestServeFailsIfPortInUse(t *testing.T) {
 	p, storeAddress := newProcess(t)
 	listener, err := net.Listen("tcp", fmt.Sprintf("%s:%d", p.host, directoryPort))
@@ -186,6 +194,6 @@
 	p.writeSettings(storeAddress, 6)
 	p.start("serve")
 	if code := p.awaitExit(); code == 0 || !strings.Contains(p.stderr.String(), listener.Addr().String()) {
-		t.Errorf("exit code %d, errors: %s", code, p.stderr)
+		t.Errorf("exit code %d, stderr: %s", code, p.stderr)
 	}
 }
--- a/cmd/banksail-front/providers.go
+++ b/cmd/banksail-front/providers.go
@@ -16,7 +16,7 @@
 
 //go:generate wire
 
-// logOptions say what is logged, and how much of it at most.
+// logOptions are the minimum level of the log and its rate limits, in lines and bytes per second.
 type logOptions struct {
 	level                          string
 	linesPerSecond, bytesPerSecond int
--- a/cmd/banksail-front/serve.go
+++ b/cmd/banksail-front/serve.go
@@ -20,7 +20,7 @@
 	"github.com/banksail/banksail/telemetry"
 )
 
-// serveCommand runs a node.
+// serveCommand runs a node until SIGTERM or SIGINT.
 type serveCommand struct {
 	log                logOptions
 	disabledMechanisms string
@@ -37,8 +37,8 @@
 	flags.IntVar(&c.log.bytesPerSecond, "log-bytes", telemetry.DefaultBytesPerSecond, "most bytes a second; others are dropped and counted")
 }
 
-// gcPercent is the growth of the heap between two collections, in percent:
-// memory at its peak weighs more here than processor time.
+// gcPercent is the garbage collector's target percentage, as in debug.SetGCPercent. It is lower
+// than Go's default of 100, as peak memory matters more here than processor time.
 const gcPercent = 50
 
 func (c *serveCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -61,18 +61,19 @@
 	return subcommands.ExitSuccess
 }
 
-// daemon is a node with its log.
+// daemon is a node with its logger and the output of its log.
 type daemon struct {
 	node   *front.Front
 	logger zerolog.Logger
 	output *telemetry.BoundedWriter
 }
 
-// logFlushTimeout bounds the writing of the last lines of the log at the end.
+// logFlushTimeout bounds the time for writing the remaining log lines on exit.
 const logFlushTimeout = 200 * time.Millisecond
 
-// run runs the node until a signal asks it to stop; its settings are read anew when they
-// change.
+// run runs the node until ctx is done or SIGTERM or SIGINT is received. It reloads the settings
+// on SIGHUP and when the settings file changes; after a failed reload the last valid settings
+// remain in force.
 func (d *daemon) run(ctx context.Context) error {
 	defer d.output.CloseWithin(logFlushTimeout)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/banksail-front/soak_test.go
+++ b/cmd/banksail-front/soak_test.go
@@ -12,8 +12,9 @@
 	"github.com/banksail/banksail/lab/soak"
 )
 
-// Nodes whose pace of reading is too slow for the bound by which they are judged are found
-// out: a configuration comes into force later than it may.
+// A soak run reports a violation if nodes apply a configuration too late: the nodes are given an
+// apply bound of one minute, so that they poll the registry too slowly for the bound that the
+// run checks.
 func TestSoakDetectsLateConfiguration(t *testing.T) {
 	report, err := soak.Run(context.Background(), soak.Options{
 		Seed: 1, Duration: soak.ShortestDuration, Program: os.Args[0], Arguments: []string{"serve"},
@@ -24,6 +25,6 @@
 		t.Fatal(err)
 	}
 	if !slices.ContainsFunc(report.Violations, func(v soak.Violation) bool { return v.Invariant == history.Configuration }) {
-		t.Errorf("not found: %v", report.Violations)
+		t.Errorf("no violation of the configuration invariant reported; violations: %v", report.Violations)
 	}
 }
