--- a/cmd/banksaild/check.go
+++ b/cmd/banksaild/check.go
@@ -11,7 +11,7 @@
 	"github.com/banksail/banksail/settings"
 )
 
-// checkCommand checks a settings file.
+// checkCommand validates a settings file, with overrides from flags, and prints every fault.
 type checkCommand struct {
 	file      string
 	overrides map[string]string
--- a/cmd/banksaild/examples_test.go
+++ b/cmd/banksaild/examples_test.go
@@ -13,6 +13,8 @@
 
 const examples = "../../examples"
 
+// The settings and intents under examples/ are valid and define the expected services and numbers
+// of groups.
 func TestExamplesAreValid(t *testing.T) {
 	wantGroups := map[string]map[string]int{
 		"blue-mahoe": {"route-desk": 8, "hotel-portal": 12, "member-ledger": 1, "stain-log": 1},
@@ -25,7 +27,7 @@
 			}
 			config := applyIntentFile(t, filepath.Join(examples, deployment, "intent.yaml"))
 			if len(config.Services) != len(wantServices) {
-				t.Errorf("%d services", len(config.Services))
+				t.Errorf("the configuration has %d services", len(config.Services))
 			}
 			for _, service := range config.Services {
 				if len(service.Groups) != wantServices[service.Name] {
@@ -36,7 +38,8 @@
 	}
 }
 
-// applyIntentFile applies an intent to an empty configuration.
+// applyIntentFile reads a YAML intent and returns the configuration that results from applying it
+// to an empty one.
 func applyIntentFile(t *testing.T, path string) policy.Config {
 	t.Helper()
 	data, err := os.ReadFile(path)
--- a/cmd/banksaild/providers.go
+++ b/cmd/banksaild/providers.go
@@ -15,7 +15,7 @@
 
 //go:generate wire
 
-// dialTimeout bounds the opening of a connection.
+// dialTimeout is the longest time for opening a TCP connection.
 const dialTimeout = 2 * time.Second
 
 func newLogger(loaded settings.Settings, output io.Writer) (zerolog.Logger, error) {
--- a/cmd/banksaild/serve.go
+++ b/cmd/banksaild/serve.go
@@ -16,7 +16,7 @@
 	"github.com/banksail/banksail/settings"
 )
 
-// serveCommand runs a node until a signal stops it.
+// serveCommand runs a node until SIGINT or SIGTERM.
 type serveCommand struct {
 	file      string
 	overrides map[string]string
@@ -67,13 +67,15 @@
 	return daemon.run(ctx)
 }
 
-// daemon is a node with its log.
+// daemon is a node with its logger.
 type daemon struct {
 	node   *node.Node
 	logger zerolog.Logger
 }
 
-// run serves until signals end it.
+// run runs the node until ctx is done or SIGINT or SIGTERM is received, and returns the exit
+// status: success after a graceful stop, failure if the node was aborted or stopped with an
+// error.
 func (d *daemon) run(ctx context.Context) subcommands.ExitStatus {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
@@ -89,12 +91,13 @@
 		return subcommands.ExitSuccess
 	}
 	if !errors.Is(err, node.ErrAborted) {
-		d.logger.Error().Err(err).Msg("ended")
+		d.logger.Error().Err(err).Msg("node stopped with an error")
 	}
 	return subcommands.ExitFailure
 }
 
-// handleSignals stops the node at the first signal and aborts it at the second.
+// handleSignals calls stop on the first signal, for a graceful stop, and aborts the node on the
+// second. It returns when done is closed.
 func (d *daemon) handleSignals(signals <-chan os.Signal, done <-chan struct{}, stop func()) {
 	select {
 	case <-done:
@@ -106,12 +109,13 @@
 	select {
 	case <-done:
 	case received := <-signals:
-		d.logger.Warn().Stringer("signal", received).Msg("ending at once")
+		d.logger.Warn().Stringer("signal", received).Msg("second signal received, aborting without waiting for running queries")
 		d.node.Abort()
 	}
 }
 
-// requireNoArguments complains about arguments that are not flags.
+// requireNoArguments reports whether there are no arguments besides flags, and prints an error
+// if there are.
 func requireNoArguments(flags *flag.FlagSet) bool {
 	if flags.NArg() == 0 {
 		return true
--- a/cmd/banksaild/version.go
+++ b/cmd/banksaild/version.go
@@ -9,10 +9,10 @@
 	"github.com/google/subcommands"
 )
 
-// unknownVersion is printed when the build carries no version.
+// unknownVersion is printed if the binary has no build information or no VCS revision.
 const unknownVersion = "unknown"
 
-// versionCommand prints what the program was built from.
+// versionCommand prints the module version, VCS revision and Go version of the binary.
 type versionCommand struct{}
 
 // Name implements subcommands.Command.
