--- a/cmd/banksailctl/command.go
+++ b/cmd/banksailctl/command.go
@@ -16,169 +16,169 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// exitUnknown says that a change may or may not be in effect.
-const exitUnknown subcommands.ExitStatus = 3
+// exitOutcomeUnknown says that a change may or may not be in effect.
+const exitOutcomeUnknown subcommands.ExitStatus = 3
 
 const (
-	defaultNode = "127.0.0.1:7102"
-	// nodeVariable names the environment variable that replaces defaultNode.
-	nodeVariable = "BANKSAIL_OPERATOR"
+	defaultNodeAddress = "127.0.0.1:7102"
+	// nodeAddressVariable names the environment variable that replaces defaultNodeAddress.
+	nodeAddressVariable = "BANKSAIL_OPERATOR"
 )
 
 // register adds all subcommands.
 func register(commander *subcommands.Commander, output, errorOutput io.Writer) {
-	common := func() common { return common{output: output, errorOutput: errorOutput} }
+	newBase := func() baseCommand { return baseCommand{output: output, errorOutput: errorOutput} }
 	commander.Register(commander.HelpCommand(), "")
 	commander.Register(commander.FlagsCommand(), "")
-	commander.Register(&planCommand{common: common()}, "changes")
-	commander.Register(&confirmCommand{common: common()}, "changes")
-	commander.Register(&configCommand{common: common()}, "changes")
-	commander.Register(&historyCommand{common: common()}, "changes")
-	commander.Register(&statusCommand{common: common()}, "state")
-	commander.Register(&nodesCommand{common: common()}, "state")
-	commander.Register(&explainCommand{common: common()}, "state")
+	commander.Register(&planCommand{baseCommand: newBase()}, "changes")
+	commander.Register(&confirmCommand{baseCommand: newBase()}, "changes")
+	commander.Register(&configCommand{baseCommand: newBase()}, "changes")
+	commander.Register(&historyCommand{baseCommand: newBase()}, "changes")
+	commander.Register(&statusCommand{baseCommand: newBase()}, "state")
+	commander.Register(&nodesCommand{baseCommand: newBase()}, "state")
+	commander.Register(&explainCommand{baseCommand: newBase()}, "state")
 }
 
-// common holds what all subcommands share.
-type common struct {
+// baseCommand holds what all subcommands share.
+type baseCommand struct {
 	output      io.Writer
 	errorOutput io.Writer
-	node        string
+	nodeAddress string
 	timeout     time.Duration
-	json        bool
+	printsJSON  bool
 }
 
 // SetFlags declares the flags that all subcommands share.
-func (c *common) SetFlags(flags *flag.FlagSet) {
-	node := os.Getenv(nodeVariable)
+func (c *baseCommand) SetFlags(flags *flag.FlagSet) {
+	node := os.Getenv(nodeAddressVariable)
 	if node == "" {
-		node = defaultNode
+		node = defaultNodeAddress
 	}
-	flags.StringVar(&c.node, "node", node, "a node's operator listener, as host:port; any node will do; "+nodeVariable+" in the environment replaces the default")
+	flags.StringVar(&c.nodeAddress, "node", node, "a node's operator listener, as host:port; any node will do; "+nodeAddressVariable+" in the environment replaces the default")
 	flags.DurationVar(&c.timeout, "timeout", operator.DefaultClientTimeout, "longest wait for the node's answer")
-	flags.BoolVar(&c.json, "json", false, "print JSON")
+	flags.BoolVar(&c.printsJSON, "json", false, "print JSON")
 }
 
-func (c *common) client() *operator.Client { return operator.NewClient(c.node, c.timeout) }
+func (c *baseCommand) client() *operator.Client { return operator.NewClient(c.nodeAddress, c.timeout) }
 
-// usage prints a usage error.
-func (c *common) usage(format string, arguments ...any) subcommands.ExitStatus {
-	c.complain(format, arguments...)
+// usageError prints a usage error.
+func (c *baseCommand) usageError(format string, arguments ...any) subcommands.ExitStatus {
+	c.printError(format, arguments...)
 	return subcommands.ExitUsageError
 }
 
-func (c *common) complain(format string, arguments ...any) {
+func (c *baseCommand) printError(format string, arguments ...any) {
 	_, _ = fmt.Fprintf(c.errorOutput, "banksailctl: "+format+"\n", arguments...)
 }
 
 // print writes to standard output.
-func (c *common) print(format string, arguments ...any) {
+func (c *baseCommand) print(format string, arguments ...any) {
 	_, _ = fmt.Fprintf(c.output, format, arguments...)
 }
 
 // printJSON writes a document.
-func (c *common) printJSON(value any) subcommands.ExitStatus {
+func (c *baseCommand) printJSON(value any) subcommands.ExitStatus {
 	encoder := json.NewEncoder(c.output)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(value); err != nil {
-		c.complain("%v", err)
+		c.printError("%v", err)
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
 }
 
-// fail prints an error and returns the exit status that fits it.
-func (c *common) fail(err error) subcommands.ExitStatus {
-	var answered *operator.ProblemError
-	if !errors.As(err, &answered) {
-		c.complain("%v", err)
+// reportFailure prints an error and returns the exit status that fits it.
+func (c *baseCommand) reportFailure(err error) subcommands.ExitStatus {
+	var problemErr *operator.ProblemError
+	if !errors.As(err, &problemErr) {
+		c.printError("%v", err)
 		return subcommands.ExitFailure
 	}
-	if c.json {
-		c.printJSON(answered.Problem)
+	if c.printsJSON {
+		c.printJSON(problemErr.Problem)
 	} else {
-		c.printProblem(answered.Problem)
+		c.printProblem(problemErr.Problem)
 	}
-	if answered.Problem.AskAgain != "" {
-		return exitUnknown
+	if problemErr.Problem.AskAgain != "" {
+		return exitOutcomeUnknown
 	}
 	return subcommands.ExitFailure
 }
 
-// failDocument reports a document that can't be read; nothing was sent.
-func (c *common) failDocument(path string, err error) subcommands.ExitStatus {
+// reportInvalidDocument reports a document that can't be read; nothing was sent.
+func (c *baseCommand) reportInvalidDocument(path string, err error) subcommands.ExitStatus {
 	var invalid *policy.ValidationError
 	if !errors.As(err, &invalid) {
-		c.complain("%s: %v", path, err)
+		c.printError("%s: %v", path, err)
 		return subcommands.ExitFailure
 	}
-	c.complain("%s is not valid", path)
+	c.printError("%s is not valid", path)
 	c.printFaults(invalid.Faults)
 	return subcommands.ExitFailure
 }
 
-func (c *common) printFaults(faults []policy.Fault) {
+func (c *baseCommand) printFaults(faults []policy.Fault) {
 	for _, fault := range faults {
-		c.complain("  %s: %s", fault.Field, fault.Problem)
+		c.printError("  %s: %s", fault.Field, fault.Problem)
 	}
 }
 
-func (c *common) printProblem(problem operator.Problem) {
-	c.complain("%s", problem.Title)
+func (c *baseCommand) printProblem(problem operator.Problem) {
+	c.printError("%s", problem.Title)
 	c.printFaults(problem.Faults)
 	if len(problem.Faults) == 0 {
-		c.complain("  %s", problem.Detail)
+		c.printError("  %s", problem.Detail)
 	}
 	if problem.Conflict != nil {
 		c.printConflict(*problem.Conflict)
 	}
 	if problem.AskAgain != "" {
-		c.complain("ask again with: %s", problem.AskAgain)
+		c.printError("ask again with: %s", problem.AskAgain)
 	}
 }
 
-func (c *common) printConflict(conflict operator.Conflict) {
-	c.complain("planned for revision %d, now %d; changes in between:", conflict.Base, conflict.Current)
+func (c *baseCommand) printConflict(conflict operator.Conflict) {
+	c.printError("planned for revision %d, now %d; changes in between:", conflict.Base, conflict.Current)
 	if conflict.Truncated {
-		c.complain("  (older changes are no longer in the history)")
+		c.printError("  (older changes are no longer in the history)")
 	}
 	for _, entry := range conflict.Between {
-		c.complain("  revision %d by %s at %s %s", entry.Revision, entry.Author, entry.ConfirmedAt.Format(time.RFC3339), entry.Note)
+		c.printError("  revision %d by %s at %s %s", entry.Revision, entry.Author, entry.ConfirmedAt.Format(time.RFC3339), entry.Note)
 		for _, line := range entry.Summary {
-			c.complain("    %s", line)
+			c.printError("    %s", line)
 		}
 	}
-	c.complain("make a new plan from the same intent")
+	c.printError("make a new plan from the same intent")
 }
 
-// oneArgument checks that exactly one argument was given.
-func oneArgument(flags *flag.FlagSet) (string, error) {
+// requireOneArgument checks that exactly one argument was given.
+func requireOneArgument(flags *flag.FlagSet) (string, error) {
 	if flags.NArg() != 1 {
 		return "", fmt.Errorf("one argument is needed, %d given", flags.NArg())
 	}
 	return flags.Arg(0), nil
 }
 
-// noArguments checks that none was given.
-func noArguments(flags *flag.FlagSet) error {
+// requireNoArguments checks that none was given.
+func requireNoArguments(flags *flag.FlagSet) error {
 	if flags.NArg() != 0 {
 		return fmt.Errorf("no argument is taken, %d given", flags.NArg())
 	}
 	return nil
 }
 
-// query runs a read that takes no argument.
-func query[T any](ctx context.Context, c *common, flags *flag.FlagSet, read func(context.Context) (T, error), show func(T)) subcommands.ExitStatus {
-	if err := noArguments(flags); err != nil {
-		return c.usage("%v", err)
+// runQuery runs a read that takes no argument.
+func runQuery[T any](ctx context.Context, c *baseCommand, flags *flag.FlagSet, read func(context.Context) (T, error), printValue func(T)) subcommands.ExitStatus {
+	if err := requireNoArguments(flags); err != nil {
+		return c.usageError("%v", err)
 	}
 	value, err := read(ctx)
 	if err != nil {
-		return c.fail(err)
+		return c.reportFailure(err)
 	}
-	if c.json {
+	if c.printsJSON {
 		return c.printJSON(value)
 	}
-	show(value)
+	printValue(value)
 	return subcommands.ExitSuccess
 }
--- a/cmd/banksailctl/confirm.go
+++ b/cmd/banksailctl/confirm.go
@@ -12,7 +12,7 @@
 )
 
 // confirmCommand puts a plan into effect.
-type confirmCommand struct{ common }
+type confirmCommand struct{ baseCommand }
 
 func (*confirmCommand) Name() string     { return "confirm" }
 func (*confirmCommand) Synopsis() string { return "put a plan into effect" }
@@ -32,33 +32,33 @@
 }
 
 func (c *confirmCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	path, err := oneArgument(flags)
+	path, err := requireOneArgument(flags)
 	if err != nil {
-		return c.usage("%v: the plan file", err)
+		return c.usageError("%v: the plan file", err)
 	}
 	data, err := readFile(path, policy.MaximumPlanBytes)
 	if err != nil {
-		return c.usage("%v", err)
+		return c.usageError("%v", err)
 	}
 	plan, err := policy.DecodePlan(data)
 	if err != nil {
-		return c.failDocument(path, err)
+		return c.reportInvalidDocument(path, err)
 	}
 	receipt, err := c.client().Confirm(ctx, plan)
 	if errors.Is(err, operator.ErrNoAnswer) {
-		return c.unknown(plan, err)
+		return c.reportUnknownOutcome(plan, err)
 	}
 	if err != nil {
-		return c.fail(err)
+		return c.reportFailure(err)
 	}
-	if c.json {
+	if c.printsJSON {
 		return c.printJSON(receipt)
 	}
-	c.show(receipt)
+	c.printReceipt(receipt)
 	return subcommands.ExitSuccess
 }
 
-func (c *confirmCommand) show(receipt policy.Receipt) {
+func (c *confirmCommand) printReceipt(receipt policy.Receipt) {
 	if receipt.AlreadyApplied {
 		c.print("plan %s was applied already: revision %d\n", receipt.PlanID, receipt.Revision)
 		return
@@ -66,19 +66,19 @@
 	c.print("plan %s applied: revision %d\n", receipt.PlanID, receipt.Revision)
 }
 
-// unknown reports a confirmation whose answer was lost between node and operator.
-func (c *confirmCommand) unknown(plan policy.Plan, err error) subcommands.ExitStatus {
+// reportUnknownOutcome reports a confirmation whose answer was lost between node and operator.
+func (c *confirmCommand) reportUnknownOutcome(plan policy.Plan, err error) subcommands.ExitStatus {
 	askAgain := operator.AskAgainCommand(plan)
-	if c.json {
+	if c.printsJSON {
 		c.printJSON(operator.Problem{
 			Title:    "The plan may be in effect",
 			Detail:   err.Error(),
 			Receipt:  &policy.Receipt{PlanID: plan.ID, Outcome: policy.OutcomeUnknown},
 			AskAgain: askAgain,
 		})
-		return exitUnknown
+		return exitOutcomeUnknown
 	}
-	c.complain("%v", err)
-	c.complain("the plan may be in effect; ask again with: %s", askAgain)
-	return exitUnknown
+	c.printError("%v", err)
+	c.printError("the plan may be in effect; ask again with: %s", askAgain)
+	return exitOutcomeUnknown
 }
--- a/cmd/banksailctl/explain.go
+++ b/cmd/banksailctl/explain.go
@@ -15,14 +15,14 @@
 
 // explainCommand tells why a request was answered as it was.
 type explainCommand struct {
-	common
-	logs string
+	baseCommand
+	logFiles string
 }
 
 // SetFlags declares the flags.
 func (e *explainCommand) SetFlags(flags *flag.FlagSet) {
-	e.common.SetFlags(flags)
-	flags.StringVar(&e.logs, "logs", "", "files of nodes' logs, separated by commas, instead of a node; - is the standard input")
+	e.baseCommand.SetFlags(flags)
+	flags.StringVar(&e.logFiles, "logs", "", "files of nodes' logs, separated by commas, instead of a node; - is the standard input")
 }
 
 func (*explainCommand) Name() string     { return "explain" }
@@ -43,26 +43,26 @@
 }
 
 func (e *explainCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	id, err := oneArgument(flags)
+	id, err := requireOneArgument(flags)
 	if err != nil {
-		return e.usage("%v: the request ID", err)
+		return e.usageError("%v: the request ID", err)
 	}
-	if e.logs != "" {
+	if e.logFiles != "" {
 		return e.explainLogs(id)
 	}
 	document, err := e.client().Explanation(ctx, id)
 	if err != nil {
-		return e.fail(err)
+		return e.reportFailure(err)
 	}
 	var explanation telemetry.Explanation
-	if err := json.Unmarshal(document, &explanation); err != nil || e.json {
+	if err := json.Unmarshal(document, &explanation); err != nil || e.printsJSON {
 		return e.printJSON(document)
 	}
-	e.show(explanation)
+	e.printExplanation(explanation)
 	return subcommands.ExitSuccess
 }
 
-func (e *explainCommand) show(explanation telemetry.Explanation) {
+func (e *explainCommand) printExplanation(explanation telemetry.Explanation) {
 	e.print("request %s: service %s, class %s, answered by %s\n",
 		explanation.RequestID, explanation.Service, explanation.Class, explanation.Node)
 	e.print("execution %s, because %s; snapshot %d, coverage %g\n\n",
--- a/cmd/banksailctl/plan.go
+++ b/cmd/banksailctl/plan.go
@@ -14,15 +14,15 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// maximumLine bounds the bytes of a difference that is printed; the plan
+// maxDifferenceLength bounds the bytes of a difference that is printed; the plan
 // document holds it whole.
-const maximumLine = 160
+const maxDifferenceLength = 160
 
 // planCommand asks a node what an intent would change.
 type planCommand struct {
-	common
-	out    string
-	author string
+	baseCommand
+	outputPath string
+	author     string
 }
 
 func (*planCommand) Name() string { return "plan" }
@@ -51,37 +51,37 @@
 }
 
 func (p *planCommand) SetFlags(flags *flag.FlagSet) {
-	p.common.SetFlags(flags)
-	flags.StringVar(&p.out, "out", "plan.json", "file that the plan document is written to")
+	p.baseCommand.SetFlags(flags)
+	flags.StringVar(&p.outputPath, "out", "plan.json", "file that the plan document is written to")
 	flags.StringVar(&p.author, "author", "", "operator's name; replaces the intent's (default $USER when the intent names none)")
 }
 
 func (p *planCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	path, err := oneArgument(flags)
+	path, err := requireOneArgument(flags)
 	if err != nil {
-		return p.usage("%v: the intent file", err)
+		return p.usageError("%v: the intent file", err)
 	}
 	data, err := readFile(path, policy.MaximumIntentBytes)
 	if err != nil {
-		return p.usage("%v", err)
+		return p.usageError("%v", err)
 	}
 	intent, err := decodeIntent(data)
 	if err != nil {
-		return p.failDocument(path, err)
+		return p.reportInvalidDocument(path, err)
 	}
 	p.setAuthor(&intent)
 	plan, err := p.client().Plan(ctx, intent)
 	if err != nil {
-		return p.fail(err)
+		return p.reportFailure(err)
 	}
-	if err := writePlan(p.out, plan); err != nil {
-		p.complain("%v", err)
+	if err := writePlan(p.outputPath, plan); err != nil {
+		p.printError("%v", err)
 		return subcommands.ExitFailure
 	}
-	if p.json {
+	if p.printsJSON {
 		return p.printJSON(plan)
 	}
-	p.show(plan)
+	p.printPlan(plan)
 	return subcommands.ExitSuccess
 }
 
@@ -94,18 +94,18 @@
 	}
 }
 
-func (p *planCommand) show(plan policy.Plan) {
+func (p *planCommand) printPlan(plan policy.Plan) {
 	p.print("plan %s on revision %d\n", plan.ID, plan.BaseRevision)
 	if len(plan.Differences) == 0 {
 		p.print("  (no difference)\n")
 	}
 	for _, difference := range plan.Differences {
-		p.print("  %s\n", difference.Abbreviate(maximumLine))
+		p.print("  %s\n", difference.Abbreviate(maxDifferenceLength))
 	}
 	for _, warning := range plan.Warnings {
 		p.print("warning: %s: %s\n", warning.Field, warning.Message)
 	}
-	p.print("written to %s; put it into effect with: banksailctl confirm %s\n", p.out, p.out)
+	p.print("written to %s; put it into effect with: banksailctl confirm %s\n", p.outputPath, p.outputPath)
 }
 
 // decodeIntent reads an intent in YAML or JSON.
--- a/cmd/banksailctl/show.go
+++ b/cmd/banksailctl/show.go
@@ -14,7 +14,7 @@
 )
 
 // configCommand prints the configuration in force.
-type configCommand struct{ common }
+type configCommand struct{ baseCommand }
 
 func (*configCommand) Name() string     { return "config" }
 func (*configCommand) Synopsis() string { return "print the configuration in force" }
@@ -33,10 +33,10 @@
 }
 
 func (c *configCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	return query(ctx, &c.common, flags, c.client().Configuration, c.show)
+	return runQuery(ctx, &c.baseCommand, flags, c.client().Configuration, c.printConfiguration)
 }
 
-func (c *configCommand) show(configuration operator.Configuration) {
+func (c *configCommand) printConfiguration(configuration operator.Configuration) {
 	c.print("revision %d\n\n", configuration.Revision)
 	table := tabwriter.NewWriter(c.output, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "CLASS\tORDER\tLONGEST WAIT\tDEADLINE\tMINIMUM COVERAGE\tHEDGE SHARE\tHEADROOM")
@@ -46,13 +46,13 @@
 	}
 	_, _ = fmt.Fprintln(table, "\nSERVICE\tKEY SPACE\tGROUPS\tSERVERS\tSLOTS")
 	for _, service := range configuration.Config.Services {
-		servers, slots := capacity(service)
+		servers, slots := countCapacity(service)
 		_, _ = fmt.Fprintf(table, "%s\t%v\t%d\t%d\t%d\n", service.Name, service.KeySpace, len(service.Groups), servers, slots)
 	}
 	_ = table.Flush()
 }
 
-func capacity(service policy.Service) (servers, slots int) {
+func countCapacity(service policy.Service) (servers, slots int) {
 	for _, group := range service.Groups {
 		servers += len(group.Servers)
 		for _, server := range group.Servers {
@@ -63,7 +63,7 @@
 }
 
 // historyCommand prints the latest changes.
-type historyCommand struct{ common }
+type historyCommand struct{ baseCommand }
 
 func (*historyCommand) Name() string     { return "history" }
 func (*historyCommand) Synopsis() string { return "print the latest accepted changes" }
@@ -81,10 +81,10 @@
 }
 
 func (h *historyCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	return query(ctx, &h.common, flags, h.client().History, h.show)
+	return runQuery(ctx, &h.baseCommand, flags, h.client().History, h.printHistory)
 }
 
-func (h *historyCommand) show(history operator.History) {
+func (h *historyCommand) printHistory(history operator.History) {
 	for _, entry := range history.Entries {
 		h.print("revision %d  %s  %s  plan %s\n", entry.Revision, entry.ConfirmedAt.Format(time.RFC3339), entry.Author, entry.PlanID)
 		if entry.Note != "" {
--- a/cmd/banksailctl/status.go
+++ b/cmd/banksailctl/status.go
@@ -15,9 +15,9 @@
 
 // statusCommand tells where the newest revision is in force, or whether a plan is.
 type statusCommand struct {
-	common
-	plan string
-	base int64
+	baseCommand
+	planID       string
+	baseRevision int64
 }
 
 func (*statusCommand) Name() string     { return "status" }
@@ -38,65 +38,65 @@
 }
 
 func (s *statusCommand) SetFlags(flags *flag.FlagSet) {
-	s.common.SetFlags(flags)
-	flags.StringVar(&s.plan, "plan", "", "ID of a plan whose outcome is asked for")
-	flags.Int64Var(&s.base, "base", -1, "the plan's base revision; needed with --plan")
+	s.baseCommand.SetFlags(flags)
+	flags.StringVar(&s.planID, "plan", "", "ID of a plan whose outcome is asked for")
+	flags.Int64Var(&s.baseRevision, "base", -1, "the plan's base revision; needed with --plan")
 }
 
 func (s *statusCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if s.plan != "" {
-		return s.outcome(ctx, flags)
+	if s.planID != "" {
+		return s.queryOutcome(ctx, flags)
 	}
-	return query(ctx, &s.common, flags, s.client().Status, s.show)
+	return runQuery(ctx, &s.baseCommand, flags, s.client().Status, s.printStatus)
 }
 
-func (s *statusCommand) show(status operator.Status) {
+func (s *statusCommand) printStatus(status operator.Status) {
 	s.print("revision %d in force on %d of %d live nodes (asked %s)\n", status.Revision, status.InForce, status.Live, status.Node)
 	if len(status.Behind) > 0 {
 		s.print("behind: %s\n", strings.Join(status.Behind, ", "))
 	}
 }
 
-func (s *statusCommand) outcome(ctx context.Context, flags *flag.FlagSet) subcommands.ExitStatus {
-	if err := noArguments(flags); err != nil {
-		return s.usage("%v", err)
+func (s *statusCommand) queryOutcome(ctx context.Context, flags *flag.FlagSet) subcommands.ExitStatus {
+	if err := requireNoArguments(flags); err != nil {
+		return s.usageError("%v", err)
 	}
-	if s.base < 0 {
-		return s.usage("--plan needs --base, the plan's base revision")
+	if s.baseRevision < 0 {
+		return s.usageError("--plan needs --base, the plan's base revision")
 	}
-	receipt, err := s.client().Outcome(ctx, s.plan, policy.Revision(s.base))
+	receipt, err := s.client().Outcome(ctx, s.planID, policy.Revision(s.baseRevision))
 	if err != nil {
-		s.fail(err)
-		return exitUnknown
+		s.reportFailure(err)
+		return exitOutcomeUnknown
 	}
-	if s.json {
+	if s.printsJSON {
 		s.printJSON(receipt)
 	} else {
-		s.print("plan %s: %s\n", receipt.PlanID, describe(receipt))
+		s.print("plan %s: %s\n", receipt.PlanID, describeReceipt(receipt))
 	}
-	return outcomeStatus(receipt.Outcome)
+	return exitStatusOf(receipt.Outcome)
 }
 
-func describe(receipt policy.Receipt) string {
+func describeReceipt(receipt policy.Receipt) string {
 	if receipt.Outcome == policy.OutcomeApplied {
 		return fmt.Sprintf("applied as revision %d (now %d)", receipt.Revision, receipt.Current)
 	}
 	return fmt.Sprintf("%s at revision %d; %s", strings.ReplaceAll(string(receipt.Outcome), "_", " "), receipt.Current, receipt.Detail)
 }
 
-func outcomeStatus(outcome policy.Outcome) subcommands.ExitStatus {
+func exitStatusOf(outcome policy.Outcome) subcommands.ExitStatus {
 	switch outcome {
 	case policy.OutcomeApplied:
 		return subcommands.ExitSuccess
 	case policy.OutcomeNotApplied:
 		return subcommands.ExitFailure
 	default:
-		return exitUnknown
+		return exitOutcomeUnknown
 	}
 }
 
 // nodesCommand lists the nodes.
-type nodesCommand struct{ common }
+type nodesCommand struct{ baseCommand }
 
 func (*nodesCommand) Name() string     { return "nodes" }
 func (*nodesCommand) Synopsis() string { return "list the nodes with their state and revision" }
@@ -113,10 +113,10 @@
 }
 
 func (n *nodesCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	return query(ctx, &n.common, flags, n.client().Status, n.show)
+	return runQuery(ctx, &n.baseCommand, flags, n.client().Status, n.printNodes)
 }
 
-func (n *nodesCommand) show(status operator.Status) {
+func (n *nodesCommand) printNodes(status operator.Status) {
 	table := tabwriter.NewWriter(n.output, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "NODE\tZONE\tADDRESS\tSTATE\tREVISION")
 	for _, node := range status.Nodes {
--- a/cmd/banksailctl/story.go
+++ b/cmd/banksailctl/story.go
@@ -16,40 +16,40 @@
 // standardInput names the standard input among files.
 const standardInput = "-"
 
-var errNoLine = errors.New("no line tells of the request")
+var errRequestNotLogged = errors.New("no line tells of the request")
 
 // explainLogs tells a request's story from nodes' logs.
 func (e *explainCommand) explainLogs(id string) subcommands.ExitStatus {
 	var logs []io.Reader
-	for name := range strings.SplitSeq(e.logs, ",") {
+	for name := range strings.SplitSeq(e.logFiles, ",") {
 		if name == standardInput {
 			logs = append(logs, os.Stdin)
 			continue
 		}
 		file, err := os.Open(name)
 		if err != nil {
-			return e.fail(err)
+			return e.reportFailure(err)
 		}
 		defer func() { _ = file.Close() }()
 		logs = append(logs, file)
 	}
 	lines, unreadable, err := telemetry.ReadStory(id, logs...)
 	if err != nil {
-		return e.fail(err)
+		return e.reportFailure(err)
 	}
 	if unreadable > 0 {
 		_, _ = fmt.Fprintf(e.errorOutput, "%d lines that name the request are cut or unreadable\n", unreadable)
 	}
 	if len(lines) == 0 {
-		return e.fail(fmt.Errorf("%w %s; a good one is logged only if its ID is in the sample", errNoLine, id))
+		return e.reportFailure(fmt.Errorf("%w %s; a good one is logged only if its ID is in the sample", errRequestNotLogged, id))
 	}
 	for _, line := range lines {
-		e.showLine(line)
+		e.printStoryLine(line)
 	}
 	return subcommands.ExitSuccess
 }
 
-func (e *explainCommand) showLine(line telemetry.StoryLine) {
+func (e *explainCommand) printStoryLine(line telemetry.StoryLine) {
 	e.print("%s %s: %s\n", line.Time.Format("15:04:05"), line.Node, line.Message)
 	if line.Result == "" {
 		e.print("  status %d, because %s\n", line.Status, line.Reason)
@@ -63,16 +63,16 @@
 	}
 	table := tabwriter.NewWriter(e.output, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "  SENT\tENDED\tKIND\tSERVICE\tSERVER\tEND\tSLOWNESS\tIN FLIGHT")
-	for _, one := range line.Attempts {
+	for _, attempt := range line.Attempts {
 		_, _ = fmt.Fprintf(table, "  %.1f ms\t%s\t%s\t%s\t%s\t%s\t%.2f\t%d\n",
-			one.Sent, endText(one), one.Kind, one.Service, one.Server, one.End, one.Slowness, one.InFlight)
+			attempt.Sent, endTimeText(attempt), attempt.Kind, attempt.Service, attempt.Server, attempt.End, attempt.Slowness, attempt.InFlight)
 	}
 	_ = table.Flush()
 }
 
-func endText(one telemetry.StoryAttempt) string {
-	if one.Ended == 0 {
+func endTimeText(attempt telemetry.StoryAttempt) string {
+	if attempt.Ended == 0 {
 		return ""
 	}
-	return fmt.Sprintf("%.1f ms", one.Ended)
+	return fmt.Sprintf("%.1f ms", attempt.Ended)
 }
