--- a/cmd/banksailctl/command.go
+++ b/cmd/banksailctl/command.go
@@ -16,16 +16,17 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// exitOutcomeUnknown says that a change may or may not be in effect.
+// exitOutcomeUnknown is the exit status if a change may or may not be in effect.
 const exitOutcomeUnknown subcommands.ExitStatus = 3
 
 const (
+	// defaultNodeAddress is the default of the flag --node.
 	defaultNodeAddress = "127.0.0.1:7102"
-	// nodeAddressVariable names the environment variable that replaces defaultNodeAddress.
+	// nodeAddressVariable is the environment variable that overrides defaultNodeAddress.
 	nodeAddressVariable = "BANKSAIL_OPERATOR"
 )
 
-// register adds all subcommands.
+// register adds all subcommands to the commander, with the given output streams.
 func register(commander *subcommands.Commander, output, errorOutput io.Writer) {
 	newBase := func() baseCommand { return baseCommand{output: output, errorOutput: errorOutput} }
 	commander.Register(commander.HelpCommand(), "")
@@ -39,7 +40,7 @@
 	commander.Register(&explainCommand{baseCommand: newBase()}, "state")
 }
 
-// baseCommand holds what all subcommands share.
+// baseCommand holds the flags and output streams that all subcommands share.
 type baseCommand struct {
 	output      io.Writer
 	errorOutput io.Writer
@@ -48,7 +49,7 @@
 	printsJSON  bool
 }
 
-// SetFlags declares the flags that all subcommands share.
+// SetFlags defines the flags that all subcommands share.
 func (c *baseCommand) SetFlags(flags *flag.FlagSet) {
 	node := os.Getenv(nodeAddressVariable)
 	if node == "" {
@@ -61,22 +62,23 @@
 
 func (c *baseCommand) client() *operator.Client { return operator.NewClient(c.nodeAddress, c.timeout) }
 
-// usageError prints a usage error.
+// usageError prints an error in the command line and returns ExitUsageError.
 func (c *baseCommand) usageError(format string, arguments ...any) subcommands.ExitStatus {
 	c.printError(format, arguments...)
 	return subcommands.ExitUsageError
 }
 
+// printError writes a line, prefixed with the program's name, to the error output.
 func (c *baseCommand) printError(format string, arguments ...any) {
 	_, _ = fmt.Fprintf(c.errorOutput, "banksailctl: "+format+"\n", arguments...)
 }
 
-// print writes to standard output.
+// print writes formatted text to the standard output.
 func (c *baseCommand) print(format string, arguments ...any) {
 	_, _ = fmt.Fprintf(c.output, format, arguments...)
 }
 
-// printJSON writes a document.
+// printJSON writes a value as indented JSON to the standard output.
 func (c *baseCommand) printJSON(value any) subcommands.ExitStatus {
 	encoder := json.NewEncoder(c.output)
 	encoder.SetIndent("", "  ")
@@ -87,7 +89,9 @@
 	return subcommands.ExitSuccess
 }
 
-// reportFailure prints an error and returns the exit status that fits it.
+// reportFailure prints an error, as JSON if requested and if a node reported it, and returns the
+// exit status: exitOutcomeUnknown if the problem asks the operator to query the outcome again,
+// otherwise ExitFailure.
 func (c *baseCommand) reportFailure(err error) subcommands.ExitStatus {
 	var problemErr *operator.ProblemError
 	if !errors.As(err, &problemErr) {
@@ -105,7 +109,8 @@
 	return subcommands.ExitFailure
 }
 
-// reportInvalidDocument reports a document that can't be read; nothing was sent.
+// reportInvalidDocument prints why an intent or plan file cannot be decoded, and returns
+// ExitFailure. It is called before anything is sent to a node.
 func (c *baseCommand) reportInvalidDocument(path string, err error) subcommands.ExitStatus {
 	var invalid *policy.ValidationError
 	if !errors.As(err, &invalid) {
@@ -151,7 +156,7 @@
 	c.printError("make a new plan from the same intent")
 }
 
-// requireOneArgument checks that exactly one argument was given.
+// requireOneArgument returns the only argument, or an error if the number of arguments is not one.
 func requireOneArgument(flags *flag.FlagSet) (string, error) {
 	if flags.NArg() != 1 {
 		return "", fmt.Errorf("one argument is needed, %d given", flags.NArg())
@@ -159,7 +164,7 @@
 	return flags.Arg(0), nil
 }
 
-// requireNoArguments checks that none was given.
+// requireNoArguments returns an error if there are arguments besides flags.
 func requireNoArguments(flags *flag.FlagSet) error {
 	if flags.NArg() != 0 {
 		return fmt.Errorf("no argument is taken, %d given", flags.NArg())
@@ -167,7 +172,8 @@
 	return nil
 }
 
-// runQuery runs a read that takes no argument.
+// runQuery runs a subcommand without arguments that reads a value from a node: it calls read and
+// prints the result as JSON if requested, otherwise with printValue.
 func runQuery[T any](ctx context.Context, c *baseCommand, flags *flag.FlagSet, read func(context.Context) (T, error), printValue func(T)) subcommands.ExitStatus {
 	if err := requireNoArguments(flags); err != nil {
 		return c.usageError("%v", err)
--- a/cmd/banksailctl/command_test.go
+++ b/cmd/banksailctl/command_test.go
@@ -22,6 +22,7 @@
 	"github.com/banksail/banksail/store"
 )
 
+// fixedExplanations has an explanation of the request "known" only.
 type fixedExplanations struct{}
 
 func (fixedExplanations) Explanation(id string) (json.RawMessage, bool) {
@@ -29,13 +30,14 @@
 	return json.RawMessage(document), id == "known"
 }
 
+// fixedNodes is a fixed list of nodes.
 type fixedNodes []operator.Node
 
 func (n fixedNodes) Nodes(context.Context, policy.Revision) []operator.Node {
 	return append([]operator.Node{}, n...)
 }
 
-// testEnvironment runs commands against one node.
+// testEnvironment runs command lines against the operator API of one node with a store in memory.
 type testEnvironment struct {
 	t         *testing.T
 	store     *store.Memory
@@ -74,7 +76,7 @@
 	return env.path(name)
 }
 
-// run executes a command line and returns its exit status and output.
+// run executes a command line and returns its exit status, standard output and error output.
 func (env *testEnvironment) run(arguments ...string) (status subcommands.ExitStatus, output, errorOutput string) {
 	env.t.Helper()
 	var out, errOut bytes.Buffer
@@ -98,6 +100,8 @@
   - set_class: {name: urgent, order: 0, longest_wait_ms: 20, deadline_ms: 100, minimum_coverage: 0.9, hedge_share: 0.05, headroom: 0.2}
 `
 
+// mustRun executes a command line and fails the test unless it succeeds and its output contains
+// want.
 func (env *testEnvironment) mustRun(want string, arguments ...string) {
 	env.t.Helper()
 	status, output, errorOutput := env.run(arguments...)
@@ -208,7 +212,7 @@
 	return string(data)
 }
 
-// abortHandler reads a request and closes the connection.
+// abortHandler closes the connection without a response.
 type abortHandler struct{}
 
 func (abortHandler) ServeHTTP(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
--- a/cmd/banksailctl/confirm.go
+++ b/cmd/banksailctl/confirm.go
@@ -11,7 +11,7 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// confirmCommand puts a plan into effect.
+// confirmCommand implements "confirm", which applies a plan.
 type confirmCommand struct{ baseCommand }
 
 func (*confirmCommand) Name() string     { return "confirm" }
@@ -66,7 +66,8 @@
 	c.print("plan %s applied: revision %d\n", receipt.PlanID, receipt.Revision)
 }
 
-// reportUnknownOutcome reports a confirmation whose answer was lost between node and operator.
+// reportUnknownOutcome reports that a confirmation got no response, so that the plan may have been
+// applied. It prints the command that queries the outcome and returns exitOutcomeUnknown.
 func (c *confirmCommand) reportUnknownOutcome(plan policy.Plan, err error) subcommands.ExitStatus {
 	askAgain := operator.AskAgainCommand(plan)
 	if c.printsJSON {
--- a/cmd/banksailctl/explain.go
+++ b/cmd/banksailctl/explain.go
@@ -13,13 +13,14 @@
 	"github.com/banksail/banksail/telemetry"
 )
 
-// explainCommand tells why a request was answered as it was.
+// explainCommand implements "explain", which prints how a request was executed and why it ended
+// with its result.
 type explainCommand struct {
 	baseCommand
 	logFiles string
 }
 
-// SetFlags declares the flags.
+// SetFlags defines the flags.
 func (e *explainCommand) SetFlags(flags *flag.FlagSet) {
 	e.baseCommand.SetFlags(flags)
 	flags.StringVar(&e.logFiles, "logs", "", "files of nodes' logs, separated by commas, instead of a node; - is the standard input")
@@ -75,6 +76,7 @@
 	_ = table.Flush()
 }
 
+// attemptText returns the attempt's ID, or "" for a step without an attempt.
 func attemptText(step dispatch.Step) string {
 	if step.Attempt == 0 {
 		return ""
@@ -82,6 +84,7 @@
 	return fmt.Sprint(uint64(step.Attempt))
 }
 
+// rangeText returns the step's key range, or "" if it is empty.
 func rangeText(step dispatch.Step) string {
 	if step.Range.Size() == 0 {
 		return ""
--- a/cmd/banksailctl/main.go
+++ b/cmd/banksailctl/main.go
@@ -1,5 +1,6 @@
-// Banksailctl is the operators' command line: it plans and confirms changes of
-// the configuration, and tells the state of the nodes.
+// Command banksailctl is the command-line client for operators. It plans and
+// confirms changes of the configuration, shows the state of the nodes, and
+// explains how requests were executed.
 package main
 
 import (
--- a/cmd/banksailctl/plan.go
+++ b/cmd/banksailctl/plan.go
@@ -14,11 +14,12 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// maxDifferenceLength bounds the bytes of a difference that is printed; the plan
-// document holds it whole.
+// maxDifferenceLength is the maximum number of bytes printed of one difference. The plan document
+// contains the full difference.
 const maxDifferenceLength = 160
 
-// planCommand asks a node what an intent would change.
+// planCommand implements "plan", which asks a node what an intent would change and writes the plan
+// document.
 type planCommand struct {
 	baseCommand
 	outputPath string
@@ -85,6 +86,8 @@
 	return subcommands.ExitSuccess
 }
 
+// setAuthor sets the intent's author from the flag --author, or from $USER if neither the flag nor
+// the intent names one.
 func (p *planCommand) setAuthor(intent *policy.Intent) {
 	switch {
 	case p.author != "":
@@ -108,7 +111,7 @@
 	p.print("written to %s; put it into effect with: banksailctl confirm %s\n", p.outputPath, p.outputPath)
 }
 
-// decodeIntent reads an intent in YAML or JSON.
+// decodeIntent decodes an intent from JSON, if the data starts with "{", or from YAML.
 func decodeIntent(data []byte) (policy.Intent, error) {
 	if bytes.HasPrefix(bytes.TrimSpace(data), []byte("{")) {
 		return policy.DecodeIntent(data)
@@ -120,6 +123,7 @@
 	return policy.DecodeIntent(converted)
 }
 
+// writePlan writes the plan document to a file that only its owner can access.
 func writePlan(path string, plan policy.Plan) error {
 	encoded, err := policy.EncodePlan(plan)
 	if err != nil {
@@ -128,7 +132,8 @@
 	return os.WriteFile(path, encoded, 0o600)
 }
 
-// readFile reads a file of bounded size; "-" is standard input.
+// readFile reads a file, or the standard input if path is "-". It returns an error if there are
+// more than limit bytes.
 func readFile(path string, limit int64) ([]byte, error) {
 	source := os.Stdin
 	if path != "-" {
@@ -144,7 +149,7 @@
 		return nil, err
 	}
 	if int64(len(data)) > limit {
-		return nil, fmt.Errorf("larger than %d bytes", limit)
+		return nil, fmt.Errorf("input is larger than %d bytes", limit)
 	}
 	return data, nil
 }
--- a/cmd/banksailctl/show.go
+++ b/cmd/banksailctl/show.go
@@ -13,7 +13,7 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// configCommand prints the configuration in force.
+// configCommand implements "config", which prints the configuration in force at a node.
 type configCommand struct{ baseCommand }
 
 func (*configCommand) Name() string     { return "config" }
@@ -52,6 +52,7 @@
 	_ = table.Flush()
 }
 
+// countCapacity returns the numbers of servers and slots in all groups of a service.
 func countCapacity(service policy.Service) (servers, slots int) {
 	for _, group := range service.Groups {
 		servers += len(group.Servers)
@@ -62,7 +63,7 @@
 	return servers, slots
 }
 
-// historyCommand prints the latest changes.
+// historyCommand implements "history", which prints the latest accepted changes.
 type historyCommand struct{ baseCommand }
 
 func (*historyCommand) Name() string     { return "history" }
--- a/cmd/banksailctl/status.go
+++ b/cmd/banksailctl/status.go
@@ -13,7 +13,8 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// statusCommand tells where the newest revision is in force, or whether a plan is.
+// statusCommand implements "status", which prints on which nodes the newest revision is in force
+// or, with --plan, whether a plan was applied.
 type statusCommand struct {
 	baseCommand
 	planID       string
@@ -57,6 +58,8 @@
 	}
 }
 
+// queryOutcome queries whether the plan was applied and prints the receipt. An error means that the
+// outcome is unknown.
 func (s *statusCommand) queryOutcome(ctx context.Context, flags *flag.FlagSet) subcommands.ExitStatus {
 	if err := requireNoArguments(flags); err != nil {
 		return s.usageError("%v", err)
@@ -84,6 +87,7 @@
 	return fmt.Sprintf("%s at revision %d; %s", strings.ReplaceAll(string(receipt.Outcome), "_", " "), receipt.Current, receipt.Detail)
 }
 
+// exitStatusOf returns the exit status for the outcome of a plan.
 func exitStatusOf(outcome policy.Outcome) subcommands.ExitStatus {
 	switch outcome {
 	case policy.OutcomeApplied:
@@ -95,7 +99,7 @@
 	}
 }
 
-// nodesCommand lists the nodes.
+// nodesCommand implements "nodes", which lists the nodes in the queried node's view.
 type nodesCommand struct{ baseCommand }
 
 func (*nodesCommand) Name() string     { return "nodes" }
--- a/cmd/banksailctl/story.go
+++ b/cmd/banksailctl/story.go
@@ -13,12 +13,12 @@
 	"github.com/banksail/banksail/telemetry"
 )
 
-// standardInput names the standard input among files.
+// standardInput is the file name that stands for the standard input.
 const standardInput = "-"
 
-var errRequestNotLogged = errors.New("no line tells of the request")
+var errRequestNotLogged = errors.New("no log line found for request")
 
-// explainLogs tells a request's story from nodes' logs.
+// explainLogs prints the log lines on a request from the logs of several nodes, in order of time.
 func (e *explainCommand) explainLogs(id string) subcommands.ExitStatus {
 	var logs []io.Reader
 	for name := range strings.SplitSeq(e.logFiles, ",") {
@@ -41,7 +41,7 @@
 		_, _ = fmt.Fprintf(e.errorOutput, "%d lines that name the request are cut or unreadable\n", unreadable)
 	}
 	if len(lines) == 0 {
-		return e.reportFailure(fmt.Errorf("%w %s; a good one is logged only if its ID is in the sample", errRequestNotLogged, id))
+		return e.reportFailure(fmt.Errorf("%w %s; a successful request is logged only if its ID is in the sample", errRequestNotLogged, id))
 	}
 	for _, line := range lines {
 		e.printStoryLine(line)
@@ -49,6 +49,7 @@
 	return subcommands.ExitSuccess
 }
 
+// printStoryLine prints one log line and a table of the request's attempts, if the line has any.
 func (e *explainCommand) printStoryLine(line telemetry.StoryLine) {
 	e.print("%s %s: %s\n", line.Time.Format("15:04:05"), line.Node, line.Message)
 	if line.Result == "" {
@@ -70,6 +71,7 @@
 	_ = table.Flush()
 }
 
+// endTimeText returns the time at which the attempt ended, or "" if it has not ended.
 func endTimeText(attempt telemetry.StoryAttempt) string {
 	if attempt.Ended == 0 {
 		return ""
