--- a/cmd/banksailctl/command.go
+++ b/cmd/banksailctl/command.go
@@ -28,16 +28,16 @@
 
 // register adds all subcommands to the commander, with the given output streams.
 func register(commander *subcommands.Commander, output, errorOutput io.Writer) {
-	newBase := func() baseCommand { return baseCommand{output: output, errorOutput: errorOutput} }
+	baseCommand := func() baseCommand { return baseCommand{output: output, errorOutput: errorOutput} }
 	commander.Register(commander.HelpCommand(), "")
 	commander.Register(commander.FlagsCommand(), "")
-	commander.Register(&planCommand{baseCommand: newBase()}, "changes")
-	commander.Register(&confirmCommand{baseCommand: newBase()}, "changes")
-	commander.Register(&configCommand{baseCommand: newBase()}, "changes")
-	commander.Register(&historyCommand{baseCommand: newBase()}, "changes")
-	commander.Register(&statusCommand{baseCommand: newBase()}, "state")
-	commander.Register(&nodesCommand{baseCommand: newBase()}, "state")
-	commander.Register(&explainCommand{baseCommand: newBase()}, "state")
+	commander.Register(&planCommand{baseCommand: baseCommand()}, "changes")
+	commander.Register(&confirmCommand{baseCommand: baseCommand()}, "changes")
+	commander.Register(&configCommand{baseCommand: baseCommand()}, "changes")
+	commander.Register(&historyCommand{baseCommand: baseCommand()}, "changes")
+	commander.Register(&statusCommand{baseCommand: baseCommand()}, "state")
+	commander.Register(&nodesCommand{baseCommand: baseCommand()}, "state")
+	commander.Register(&explainCommand{baseCommand: baseCommand()}, "state")
 }
 
 // baseCommand holds the flags and output streams that all subcommands share.
