--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -35,11 +35,11 @@
 	return n.result, n.fault
 }
 
-func (n *nodeStub) Explain(requestID string) (telemetry.Explanation, bool) {
+func (n *nodeStub) FindExplanation(requestID string) (telemetry.Explanation, bool) {
 	return telemetry.Explanation{RequestID: requestID, Reason: "complete"}, requestID == "r-1"
 }
 
-func (n *nodeStub) Stopping() bool { return n.stopping }
+func (n *nodeStub) IsStopping() bool { return n.stopping }
 
 func post(node *nodeStub, body string) *httptest.ResponseRecorder {
 	recorder := httptest.NewRecorder()
--- a/caller/problem.go
+++ b/caller/problem.go
@@ -18,9 +18,9 @@
 	// ReasonHeldElsewhere means that another node has claimed the request ID,
 	// and may have run the request.
 	ReasonHeldElsewhere dispatch.Reason = "held_elsewhere"
-	// ReasonResultForgotten means that the request ran to its end, but its
+	// ReasonResultEvicted means that the request ran to its end, but its
 	// result is no longer kept.
-	ReasonResultForgotten dispatch.Reason = "result_forgotten"
+	ReasonResultEvicted dispatch.Reason = "result_forgotten"
 	// ReasonNoQuorum means that too few other nodes could record the claim of
 	// the request ID.
 	ReasonNoQuorum dispatch.Reason = "no_quorum"
@@ -83,25 +83,25 @@
 // Error formats the fault.
 func (e *FieldError) Error() string { return "caller: " + e.Field + ": " + e.Detail }
 
-// UnknownServiceError says that the configuration in force has no such service.
-func UnknownServiceError() *FieldError {
+// NewUnknownServiceError says that the configuration in force has no such service.
+func NewUnknownServiceError() *FieldError {
 	return &FieldError{
 		Field: "service", Detail: "the configuration has no such service",
 		Status: http.StatusNotFound, Reason: reasonUnknownService,
 	}
 }
 
-// UnknownClassError says that the configuration in force has no such class.
-func UnknownClassError() *FieldError {
+// NewUnknownClassError says that the configuration in force has no such class.
+func NewUnknownClassError() *FieldError {
 	return &FieldError{
 		Field: "class", Detail: "the configuration has no such class",
 		Reason: string(dispatch.ReasonUnknownClass),
 	}
 }
 
-// ReusedIDError says that a not-repeatable request has the ID of another one
+// NewReusedIDError says that a not-repeatable request has the ID of another one
 // with other content.
-func ReusedIDError() *FieldError {
+func NewReusedIDError() *FieldError {
 	return &FieldError{
 		Field: "request_id", Detail: "another request with this ID and other content ran within the window",
 		Status: http.StatusConflict, Reason: reasonIDReused,
@@ -166,7 +166,7 @@
 		return http.StatusTooManyRequests
 	case dispatch.ReasonDeadline:
 		return http.StatusGatewayTimeout
-	case ReasonHeldElsewhere, ReasonResultForgotten:
+	case ReasonHeldElsewhere, ReasonResultEvicted:
 		return http.StatusConflict
 	case dispatch.ReasonOutcomeUnknown, dispatch.ReasonServerError:
 		return http.StatusBadGateway
--- a/caller/service.go
+++ b/caller/service.go
@@ -19,10 +19,10 @@
 	// Query carries a request to its one final answer. The error, if any, is a
 	// *FieldError, and then nothing was sent. The query ends when ctx does.
 	Query(ctx context.Context, request Request) (Result, error)
-	// Explain finds the explanation of a finished request.
-	Explain(requestID string) (telemetry.Explanation, bool)
-	// Stopping says that the node is about to stop, so connections should close.
-	Stopping() bool
+	// FindExplanation finds the explanation of a finished request.
+	FindExplanation(requestID string) (telemetry.Explanation, bool)
+	// IsStopping says that the node is about to stop, so connections should close.
+	IsStopping() bool
 }
 
 // Options of the API.
@@ -86,7 +86,7 @@
 
 // closeWhenStopping ends keep-alive connections after their response.
 func (s *service) closeWhenStopping(writer http.ResponseWriter) {
-	if s.options.Node.Stopping() {
+	if s.options.Node.IsStopping() {
 		writer.Header().Set("Connection", "close")
 	}
 }
@@ -156,7 +156,7 @@
 
 func (s *service) explain(request *restful.Request, response *restful.Response) {
 	writer := response.ResponseWriter
-	explanation, found := s.options.Node.Explain(request.PathParameter("id"))
+	explanation, found := s.options.Node.FindExplanation(request.PathParameter("id"))
 	if !found {
 		writeProblem(writer, Problem{
 			Title: "No explanation of this request is kept here", Status: http.StatusNotFound,
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -24,7 +24,7 @@
 		if len(got.answer.Parts) != 8 || len(got.answer.Missing) != 0 || env.executions("r-1") != 8 {
 			t.Errorf("%d parts, missing %v, %d executions", len(got.answer.Parts), got.answer.Missing, env.executions("r-1"))
 		}
-		if explanation, found := env.node.Explain("r-1"); !found || len(explanation.Steps) == 0 {
+		if explanation, found := env.node.FindExplanation("r-1"); !found || len(explanation.Steps) == 0 {
 			t.Errorf("explanation %+v", explanation)
 		}
 		_, metrics := env.getOperator("/metrics")
--- a/node/once.go
+++ b/node/once.go
@@ -118,7 +118,7 @@
 		return result, nil
 	default:
 		part.mutex.Unlock()
-		return caller.Result{}, caller.ReusedIDError()
+		return caller.Result{}, caller.NewReusedIDError()
 	}
 }
 
--- a/node/peers.go
+++ b/node/peers.go
@@ -65,7 +65,7 @@
 
 // Explanation returns the explanation of a finished request.
 func (o operatorExplanations) Explanation(requestID string) (json.RawMessage, bool) {
-	explanation, found := o.node.Explain(requestID)
+	explanation, found := o.node.FindExplanation(requestID)
 	if !found {
 		return nil, false
 	}
--- a/node/query.go
+++ b/node/query.go
@@ -51,11 +51,11 @@
 func (c *activeConfig) admit(request *caller.Request) (*shard, error) {
 	serviceShard, known := c.shards[request.Service]
 	if !known {
-		return nil, caller.UnknownServiceError()
+		return nil, caller.NewUnknownServiceError()
 	}
 	class, known := c.classes[request.Class]
 	if !known {
-		return nil, caller.UnknownClassError()
+		return nil, caller.NewUnknownClassError()
 	}
 	return serviceShard, applyDeadline(request, class)
 }
@@ -177,11 +177,11 @@
 	}
 }
 
-// Explain returns the explanation of a finished request; it implements
+// FindExplanation returns the explanation of a finished request; it implements
 // caller.Node.
-func (n *Node) Explain(requestID string) (telemetry.Explanation, bool) {
+func (n *Node) FindExplanation(requestID string) (telemetry.Explanation, bool) {
 	return n.explanations.Find(requestID)
 }
 
-// Stopping reports whether the node is stopping; it implements caller.Node.
-func (n *Node) Stopping() bool { return n.stopping.Load() }
+// IsStopping reports whether the node is stopping; it implements caller.Node.
+func (n *Node) IsStopping() bool { return n.stopping.Load() }
--- a/node/recorded.go
+++ b/node/recorded.go
@@ -57,7 +57,7 @@
 	result.Duplicate = true
 	if r.evicted && result.Outcome.Execution == dispatch.ExecutionDone {
 		result.Outcome.Execution = dispatch.ExecutionUnknown
-		result.Outcome.Reason = caller.ReasonResultForgotten
+		result.Outcome.Reason = caller.ReasonResultEvicted
 		result.Outcome.RetryAfter = rejectionRetryAfter
 	}
 	return result
