--- a/peer/agent.go
+++ b/peer/agent.go
@@ -23,35 +23,35 @@
 // Run must be called once; Handler serves the peers. All methods may be called
 // from several goroutines.
 type Agent struct {
-	epoch          time.Time
-	client         *http.Client
-	machineList    machinelist.Conn
-	configurations ConfigurationSource
-	logger         zerolog.Logger
-	forwards       ForwardTarget
-	forwardBytes   int64
-	handler        http.Handler
-	seed           uint64
+	startTime           time.Time
+	client              *http.Client
+	machineList         machinelist.Conn
+	configurations      ConfigurationSource
+	logger              zerolog.Logger
+	forwardTarget       ForwardTarget
+	maximumForwardBytes int64
+	handler             http.Handler
+	seed                uint64
 
 	// selfID and started name this process in claims.
-	selfID  string
-	started uint64
-	// listed is set once a machine list that names machines was read.
-	listed atomic.Bool
-	// listAsked is closed by listTried once the first reading has ended.
-	listAsked chan struct{}
-	listTried func()
+	selfID           string
+	startIncarnation uint64
+	// hasReadList is set once a machine list that names machines was read.
+	hasReadList atomic.Bool
+	// listAttempted is closed by markListAttempted once the first reading has ended.
+	listAttempted     chan struct{}
+	markListAttempted func()
 
 	nodes   nodeTable
 	servers serverTable
 	claims  claimTable
 
-	// slots bounds the requests in flight.
-	slots chan struct{}
+	// requestSlots bounds the requests in flight.
+	requestSlots chan struct{}
 	// wake makes the loop look at the tables at once; it holds one token.
 	wake chan struct{}
-	// requests counts the goroutines that wait for a peer's reply.
-	requests sync.WaitGroup
+	// pendingRequests counts the goroutines that wait for a peer's reply.
+	pendingRequests sync.WaitGroup
 }
 
 // nodeTable is the shard of the agent's state about nodes.
@@ -74,26 +74,26 @@
 	nodesOptions.Self = self
 	nodesOptions.Seed = options.Seed
 	agent := &Agent{
-		epoch:          time.Now(),
-		client:         boundedClient(options.HTTPClient),
-		machineList:    options.MachineList,
-		configurations: options.Configurations,
-		forwards:       options.ForwardTarget,
-		forwardBytes:   forwardBytes(options.ForwardBodyBytes),
-		logger:         options.Logger.With().Str("component", "peer").Logger(),
-		seed:           options.Seed,
-		selfID:         self.ID,
-		started:        self.Incarnation,
-		claims:         claimTable{ledger: claim.NewTable(options.Claims)},
-		listAsked:      make(chan struct{}),
-		nodes:          nodeTable{core: membership.NewNodes(nodesOptions)},
-		servers:        serverTable{core: membership.NewServers(options.Servers), foundNews: make(chan struct{}, 1)},
-		slots:          make(chan struct{}, maximumInFlight),
-		wake:           make(chan struct{}, 1),
+		startTime:           time.Now(),
+		client:              boundedClient(options.HTTPClient),
+		machineList:         options.MachineList,
+		configurations:      options.Configurations,
+		forwardTarget:       options.ForwardTarget,
+		maximumForwardBytes: forwardSizeLimit(options.ForwardBodyBytes),
+		logger:              options.Logger.With().Str("component", "peer").Logger(),
+		seed:                options.Seed,
+		selfID:              self.ID,
+		startIncarnation:    self.Incarnation,
+		claims:              claimTable{table: claim.NewTable(options.Claims)},
+		listAttempted:       make(chan struct{}),
+		nodes:               nodeTable{core: membership.NewNodes(nodesOptions)},
+		servers:             serverTable{core: membership.NewServers(options.Servers), findingsReady: make(chan struct{}, 1)},
+		requestSlots:        make(chan struct{}, maximumInFlight),
+		wake:                make(chan struct{}, 1),
 	}
-	agent.listTried = sync.OnceFunc(func() { close(agent.listAsked) })
+	agent.markListAttempted = sync.OnceFunc(func() { close(agent.listAttempted) })
 	if agent.machineList == nil {
-		agent.listTried()
+		agent.markListAttempted()
 	}
 	agent.handler = newHandler(agent)
 	return agent
@@ -129,7 +129,7 @@
 }
 
 // now is the time since the agent's epoch.
-func (a *Agent) now() time.Duration { return time.Since(a.epoch) }
+func (a *Agent) now() time.Duration { return time.Since(a.startTime) }
 
 // Run probes peers and follows the machine list until the context ends; it
 // then hands its claims over, announces the departure and returns when all its goroutines have ended.
@@ -142,9 +142,9 @@
 	}
 	loops.Wait()
 	a.handOver(context.WithoutCancel(ctx))
-	a.claims.asking.Wait()
+	a.claims.pendingCalls.Wait()
 	a.depart(context.WithoutCancel(ctx))
-	a.requests.Wait()
+	a.pendingRequests.Wait()
 	return nil
 }
 
@@ -236,9 +236,9 @@
 func (a *Agent) send(ctx context.Context, requests []membership.Request) {
 	for _, request := range requests {
 		select {
-		case a.slots <- struct{}{}:
-			a.requests.Go(func() {
-				defer func() { <-a.slots }()
+		case a.requestSlots <- struct{}{}:
+			a.pendingRequests.Go(func() {
+				defer func() { <-a.requestSlots }()
 				a.perform(ctx, request)
 			})
 		default:
--- a/peer/agent_test.go
+++ b/peer/agent_test.go
@@ -17,19 +17,19 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// memoryKeeper is a ConfigurationSource.
-type memoryKeeper struct {
+// memoryConfigurationSource is a ConfigurationSource.
+type memoryConfigurationSource struct {
 	mutex    sync.Mutex
 	revision policy.Revision
 	record   []byte
 }
 
-func (k *memoryKeeper) Revision() policy.Revision {
+func (k *memoryConfigurationSource) Revision() policy.Revision {
 	revision, _ := k.RecordAbove(0)
 	return revision
 }
 
-func (k *memoryKeeper) RecordAbove(above policy.Revision) (policy.Revision, []byte) {
+func (k *memoryConfigurationSource) RecordAbove(above policy.Revision) (policy.Revision, []byte) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if k.revision <= above {
@@ -38,7 +38,7 @@
 	return k.revision, k.record
 }
 
-func (k *memoryKeeper) Offer(revision policy.Revision, record []byte) error {
+func (k *memoryConfigurationSource) Offer(revision policy.Revision, record []byte) error {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if revision > k.revision {
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// states gives what an agent sees, by ID.
-func states(agent *Agent) map[string]membership.State {
+// memberStates gives what an agent sees, by ID.
+func memberStates(agent *Agent) map[string]membership.State {
 	seen := make(map[string]membership.State)
 	for _, known := range agent.Members() {
 		seen[known.ID] = known.State
@@ -58,7 +58,7 @@
 
 func wantStates(t *testing.T, agent *Agent, want map[string]membership.State) {
 	t.Helper()
-	got := states(agent)
+	got := memberStates(agent)
 	if len(got) != len(want) {
 		t.Fatalf("%s sees %v, want %v", agent.Self().ID, got, want)
 	}
@@ -79,7 +79,7 @@
 	nodes := make(map[string]*testNode)
 	for i, id := range ids {
 		nodes[id] = startNode(t, network, AgentOptions{
-			Self: member(id), MachineList: list, Seed: uint64(i + 1), Configurations: &memoryKeeper{},
+			Self: member(id), MachineList: list, Seed: uint64(i + 1), Configurations: &memoryConfigurationSource{},
 		})
 	}
 	return nodes
@@ -113,7 +113,7 @@
 	})
 }
 
-func TestRevisionsRideOnGossipAndRecordsAreFetchedAndPushed(t *testing.T) {
+func TestRevisionsSpreadByGossipAndRecordsAreFetchedAndPushed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newMemoryNetwork()
 		nodes := startNodes(t, network, "n1", "n2", "n3")
@@ -191,16 +191,16 @@
 	ids := []string{"n1", "n2", "n3", "n4"}
 	tests := map[string]func(t *testing.T, network memoryNetwork, list *machinelist.Static, nodes map[string]*testNode){
 		"a node cut off for long comes back": func(t *testing.T, network memoryNetwork, _ *machinelist.Static, nodes map[string]*testNode) {
-			network.setParted(ids[:1], ids[1:], true)
+			network.setPartitioned(ids[:1], ids[1:], true)
 			time.Sleep(time.Minute)
 			wantStates(t, nodes["n1"].agent, map[string]membership.State{"n1": membership.Live})
-			network.setParted(ids[:1], ids[1:], false)
+			network.setPartitioned(ids[:1], ids[1:], false)
 		},
 		"two halves part and come together": func(t *testing.T, network memoryNetwork, _ *machinelist.Static, nodes map[string]*testNode) {
-			network.setParted(ids[:2], ids[2:], true)
+			network.setPartitioned(ids[:2], ids[2:], true)
 			time.Sleep(time.Hour)
 			wantStates(t, nodes["n1"].agent, map[string]membership.State{"n1": membership.Live, "n2": membership.Live})
-			network.setParted(ids[:2], ids[2:], false)
+			network.setPartitioned(ids[:2], ids[2:], false)
 		},
 		"a one-way cut": func(t *testing.T, network memoryNetwork, _ *machinelist.Static, nodes map[string]*testNode) {
 			network.setCut(addressOf("n1"), addressOf("n2"), true)
@@ -228,7 +228,7 @@
 			time.Sleep(time.Minute)
 		},
 	}
-	for name, provoke := range tests {
+	for name, injectFault := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				network, list := newMemoryNetwork(), listOf(ids...)
@@ -236,7 +236,7 @@
 				defer stopNodes(nodes)
 				time.Sleep(10 * time.Second)
 				wantAllLive(t, nodes)
-				provoke(t, network, list, nodes)
+				injectFault(t, network, list, nodes)
 				time.Sleep(time.Minute)
 				wantAllLive(t, nodes)
 			})
@@ -244,7 +244,7 @@
 	}
 }
 
-func TestKilledMachineIsFoundGone(t *testing.T) {
+func TestKilledNodeIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hosts := newMemoryNetwork()
 		nodes := startNodes(t, hosts, "n1", "n2", "n3")
@@ -258,7 +258,7 @@
 	})
 }
 
-func TestRestartedNodeReplacesItsEarlierLife(t *testing.T) {
+func TestRestartedNodeReplacesItsEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newMemoryNetwork()
 		nodes := startNodes(t, network, "n1", "n2", "n3")
@@ -300,16 +300,16 @@
 	})
 }
 
-func TestLeavingServersAreToldToOtherNodes(t *testing.T) {
+func TestLeavingServersAreGossiped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newMemoryNetwork()
 		nodes := startNodes(t, network, "n1", "n2", "n3")
 		defer stopNodes(nodes)
 		time.Sleep(10 * time.Second)
-		answered := membership.ServerReport{
+		answeredReport := membership.ServerReport{
 			Source: membership.FromHealth, Condition: membership.ServerAnswered, Incarnation: "b",
 		}
-		nodes["n2"].agent.ReportServer("s2", answered)
+		nodes["n2"].agent.ReportServer("s2", answeredReport)
 		for id, incarnation := range map[string]string{"s1": "a", "s2": "a"} {
 			nodes["n1"].agent.ReportServer(id, membership.ServerReport{
 				Source: membership.FromHealth, Condition: membership.ServerDraining, Incarnation: incarnation,
@@ -360,16 +360,16 @@
 		defer stopNodes(nodes)
 		time.Sleep(10 * time.Second)
 		place := membership.ServerSpec{ID: "s1", Zone: "a", Limit: 70}
-		most := (membership.ShareableConnections(place.Limit) + 5) / 6
+		maximum := (membership.ShareableConnections(place.Limit) + 5) / 6
 		for id, node := range nodes {
-			if got := node.agent.ConnectionShare(place).Maximum; got > most {
-				t.Errorf("%s takes %d connections while six nodes are listed, want %d at most", id, got, most)
+			if got := node.agent.ConnectionShare(place).Maximum; got > maximum {
+				t.Errorf("%s takes %d connections while six nodes are listed, want %d at most", id, got, maximum)
 			}
 		}
 	})
 }
 
-func TestRefreshTellsTheRevisionsInForceAtOnce(t *testing.T) {
+func TestRefreshRevisionsLearnsRevisionsWithoutGossip(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ids := []string{"n1", "n2", "n3", "n4"}
 		nodes := startNodes(t, newMemoryNetwork(), ids...)
--- a/peer/claim.go
+++ b/peer/claim.go
@@ -18,9 +18,9 @@
 	MaximumClaimKeyBytes = 512
 	// claimTimeout bounds one owner's answer.
 	claimTimeout = 300 * time.Millisecond
-	// claimStraggle is how long a claim that a majority has granted waits for
+	// claimStragglerTimeout is how long a claim that a majority has granted waits for
 	// the other owners.
-	claimStraggle = 20 * time.Millisecond
+	claimStragglerTimeout = 20 * time.Millisecond
 	// releaseTimeout bounds one owner's answer to a release.
 	releaseTimeout = time.Second
 )
@@ -33,11 +33,11 @@
 	// decrease, as the clock is read under the lock; once closed is set, the
 	// ledger grants nothing, so that all it granted was handed over.
 	mutex  sync.Mutex
-	ledger *claim.Table
+	table  *claim.Table
 	closed bool
-	// asking counts the calls to owners that are out. It grows only under mutex
+	// pendingCalls counts the calls to owners that are out. It grows only under mutex
 	// and while closed is not set, so that waiting for it after that is safe.
-	asking sync.WaitGroup
+	pendingCalls sync.WaitGroup
 }
 
 // Claim is a claim that was made at a request's owners.
@@ -55,39 +55,39 @@
 // when the decision is Won. A claim whose request did not run is to be given to
 // ReleaseRequest.
 func (a *Agent) ClaimRequest(ctx context.Context, key string) Claim {
-	if !a.acquainted() {
+	if !a.knowsOtherNodes() {
 		return Claim{Decision: claim.Unavailable}
 	}
-	made := Claim{claim: claim.Claim{
+	result := Claim{claim: claim.Claim{
 		Key:      key,
 		Holder:   a.holder(),
 		Sequence: a.claims.sequence.Add(1),
 	}}
-	if answer := a.recordClaim(made.claim); answer.Verdict != claim.Granted {
+	if answer := a.recordClaim(result.claim); answer.Verdict != claim.Granted {
 		round := claim.NewRound(1)
 		round.AddAnswer(answer)
-		made.Decision, made.Holder = round.Decision(), round.Holder()
-		return made
+		result.Decision, result.Holder = round.Decision(), round.Holder()
+		return result
 	}
-	made.owners = a.claimOwners(key)
-	round := a.askOwners(ctx, made)
-	made.Decision, made.Holder = round.Decision(), round.Holder()
-	return made
+	result.owners = a.claimOwners(key)
+	round := a.claimAtOwners(ctx, result)
+	result.Decision, result.Holder = round.Decision(), round.Holder()
+	return result
 }
 
 // ReleaseRequest takes back a claim whose request certainly did not run. It
 // returns when the owners have answered or their time is up.
-func (a *Agent) ReleaseRequest(ctx context.Context, made Claim) {
-	if made.claim.Key == "" {
+func (a *Agent) ReleaseRequest(ctx context.Context, released Claim) {
+	if released.claim.Key == "" {
 		return
 	}
-	a.forgetClaim(made.claim)
+	a.releaseClaim(released.claim)
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	var asked sync.WaitGroup
-	for _, owner := range made.owners {
+	for _, owner := range released.owners {
 		asked.Go(func() {
-			if _, err := a.stub(owner.Address).ReleaseRequest(ctx, claimToWire(made.claim)); err != nil {
+			if _, err := a.stub(owner.Address).ReleaseRequest(ctx, claimToWire(released.claim)); err != nil {
 				a.logger.Debug().Err(err).Str("member", owner.ID).Msg("claim not released; it lapses")
 			}
 		})
@@ -95,11 +95,11 @@
 	asked.Wait()
 }
 
-// acquainted reports whether the agent knows the other nodes: a node that has
+// knowsOtherNodes reports whether the agent knows the other nodes: a node that has
 // just started would otherwise take itself for the only one, and run what
 // another node holds.
-func (a *Agent) acquainted() bool {
-	if a.machineList == nil || a.listed.Load() {
+func (a *Agent) knowsOtherNodes() bool {
+	if a.machineList == nil || a.hasReadList.Load() {
 		return true
 	}
 	return len(a.claimCandidates()) > 0
@@ -108,7 +108,7 @@
 func (a *Agent) holder() claim.Holder {
 	// The incarnation that the process started with names the process; the
 	// member's own grows when it refutes a suspicion.
-	return claim.Holder{Node: a.selfID, Incarnation: a.started}
+	return claim.Holder{Node: a.selfID, Incarnation: a.startIncarnation}
 }
 
 // claimCandidates lists the other nodes that may be owners, by ID: members, and
@@ -118,7 +118,7 @@
 func (a *Agent) claimCandidates() map[string]membership.Member {
 	a.nodes.mutex.Lock()
 	known := append(a.nodes.core.Members(), a.nodes.core.Candidates()...)
-	gone := a.nodes.core.ListedGone()
+	listedGone := a.nodes.core.ListedGone()
 	a.nodes.mutex.Unlock()
 	candidates := make(map[string]membership.Member)
 	for _, member := range known {
@@ -129,7 +129,7 @@
 	if len(candidates) > 0 {
 		return candidates
 	}
-	for _, member := range gone {
+	for _, member := range listedGone {
 		candidates[member.ID] = member
 	}
 	return candidates
@@ -154,43 +154,43 @@
 	failed bool
 }
 
-// askOwners asks all owners at once and collects their answers.
-func (a *Agent) askOwners(ctx context.Context, made Claim) *claim.Round {
-	if !a.beginAsking(len(made.owners)) {
-		return unavailable()
+// claimAtOwners asks all owners at once and collects their answers.
+func (a *Agent) claimAtOwners(ctx context.Context, pending Claim) *claim.Round {
+	if !a.beginOwnerCalls(len(pending.owners)) {
+		return failedRound()
 	}
-	round := claim.NewRound(len(made.owners))
-	answers := make(chan ownerAnswer, len(made.owners))
+	round := claim.NewRound(len(pending.owners))
+	answers := make(chan ownerAnswer, len(pending.owners))
 	calls := context.WithoutCancel(ctx) // a claim should stand at all owners, also when nobody waits
-	for _, owner := range made.owners {
+	for _, owner := range pending.owners {
 		go func() {
-			defer a.claims.asking.Done()
-			answers <- a.askOwner(calls, owner, made.claim)
+			defer a.claims.pendingCalls.Done()
+			answers <- a.claimAtOwner(calls, owner, pending.claim)
 		}()
 	}
 	return collectAnswers(ctx, round, answers)
 }
 
-// unavailable is a round that an owner did not answer.
-func unavailable() *claim.Round {
+// failedRound is a round that an owner did not answer.
+func failedRound() *claim.Round {
 	round := claim.NewRound(1)
 	round.AddFailure()
 	return round
 }
 
-// beginAsking counts calls that are about to start; it is false once the agent ends.
-func (a *Agent) beginAsking(calls int) bool {
+// beginOwnerCalls counts calls that are about to start; it is false once the agent ends.
+func (a *Agent) beginOwnerCalls(calls int) bool {
 	a.claims.mutex.Lock()
 	defer a.claims.mutex.Unlock()
 	if a.claims.closed {
 		return false
 	}
-	a.claims.asking.Add(calls)
+	a.claims.pendingCalls.Add(calls)
 	return true
 }
 
 func collectAnswers(ctx context.Context, round *claim.Round, answers <-chan ownerAnswer) *claim.Round {
-	var straggle <-chan time.Time
+	var stragglerTimeout <-chan time.Time
 	for round.Decision() == claim.Undecided {
 		select {
 		case answer := <-answers:
@@ -199,22 +199,22 @@
 			} else {
 				round.AddAnswer(answer.answer)
 			}
-		case <-straggle:
+		case <-stragglerTimeout:
 			round.Close()
 		case <-ctx.Done():
 			round.Close()
 		}
-		if straggle == nil && round.HasMajority() {
-			straggle = time.After(claimStraggle)
+		if stragglerTimeout == nil && round.HasMajority() {
+			stragglerTimeout = time.After(claimStragglerTimeout)
 		}
 	}
 	return round
 }
 
-func (a *Agent) askOwner(ctx context.Context, owner membership.Member, made claim.Claim) ownerAnswer {
+func (a *Agent) claimAtOwner(ctx context.Context, owner membership.Member, entry claim.Claim) ownerAnswer {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	reply, err := a.stub(owner.Address).ClaimRequest(ctx, claimToWire(made))
+	reply, err := a.stub(owner.Address).ClaimRequest(ctx, claimToWire(entry))
 	if err != nil {
 		a.logger.Debug().Err(err).Str("member", owner.ID).Msg("no answer to a claim")
 		return ownerAnswer{failed: true}
@@ -230,19 +230,19 @@
 	}
 }
 
-func (a *Agent) recordClaim(made claim.Claim) claim.Answer {
+func (a *Agent) recordClaim(entry claim.Claim) claim.Answer {
 	a.claims.mutex.Lock()
 	defer a.claims.mutex.Unlock()
 	if a.claims.closed {
 		return claim.Answer{Verdict: claim.Full}
 	}
-	return a.claims.ledger.Claim(a.now(), made)
+	return a.claims.table.Claim(a.now(), entry)
 }
 
-func (a *Agent) forgetClaim(made claim.Claim) {
+func (a *Agent) releaseClaim(entry claim.Claim) {
 	a.claims.mutex.Lock()
 	defer a.claims.mutex.Unlock()
-	a.claims.ledger.Release(made)
+	a.claims.table.Release(entry)
 }
 
 // ClaimRequest implements Peer.
@@ -265,7 +265,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.agent.forgetClaim(made)
+	s.agent.releaseClaim(made)
 	return &ReleaseRequestResponse{}, nil
 }
 
@@ -275,12 +275,12 @@
 	claim.Full:    RequestClaimAnswer_VERDICT_FULL,
 }
 
-func claimToWire(made claim.Claim) *RequestClaim {
+func claimToWire(entry claim.Claim) *RequestClaim {
 	return &RequestClaim{
-		Key:               made.Key,
-		Holder:            made.Holder.Node,
-		HolderIncarnation: made.Holder.Incarnation,
-		Sequence:          made.Sequence,
+		Key:               entry.Key,
+		Holder:            entry.Holder.Node,
+		HolderIncarnation: entry.Holder.Incarnation,
+		Sequence:          entry.Sequence,
 	}
 }
 
--- a/peer/claim_test.go
+++ b/peer/claim_test.go
@@ -10,8 +10,8 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// startAll starts a node for each ID, each with a list of all of them.
-func startAll(t *testing.T, network memoryNetwork, ids ...string) map[string]*testNode {
+// startNodesWithOwnLists starts a node for each ID, each with a list of all of them.
+func startNodesWithOwnLists(t *testing.T, network memoryNetwork, ids ...string) map[string]*testNode {
 	t.Helper()
 	nodes := make(map[string]*testNode)
 	for _, id := range ids {
@@ -30,18 +30,18 @@
 
 func wantDecision(t *testing.T, node *testNode, key string, want claim.Decision) Claim {
 	t.Helper()
-	made := node.agent.ClaimRequest(t.Context(), key)
-	if made.Decision != want {
-		t.Fatalf("%s: decision %d, want %d", node.agent.selfID, made.Decision, want)
+	result := node.agent.ClaimRequest(t.Context(), key)
+	if result.Decision != want {
+		t.Fatalf("%s: decision %d, want %d", node.agent.selfID, result.Decision, want)
 	}
-	return made
+	return result
 }
 
 func TestClaimOutlivesItsHolder(t *testing.T) {
 	for _, ids := range [][]string{{"a", "b"}, {"a", "b", "c"}, {"a", "b", "c", "d", "e", "f"}} {
 		synctest.Test(t, func(t *testing.T) {
 			network := newMemoryNetwork()
-			nodes := startAll(t, network, ids...)
+			nodes := startNodesWithOwnLists(t, network, ids...)
 			defer func() { stopAll(nodes) }()
 			wantDecision(t, nodes["a"], "request", claim.Won)
 			nodes["a"].stop()
@@ -58,12 +58,12 @@
 	}
 }
 
-func TestReleasedClaimIsFree(t *testing.T) {
+func TestReleasedClaimCanBeWonAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nodes := startAll(t, newMemoryNetwork(), "a", "b", "c", "d")
+		nodes := startNodesWithOwnLists(t, newMemoryNetwork(), "a", "b", "c", "d")
 		defer stopAll(nodes)
-		made := wantDecision(t, nodes["a"], "request", claim.Won)
-		nodes["a"].agent.ReleaseRequest(t.Context(), made)
+		won := wantDecision(t, nodes["a"], "request", claim.Won)
+		nodes["a"].agent.ReleaseRequest(t.Context(), won)
 		wantDecision(t, nodes["b"], "request", claim.Won)
 	})
 }
@@ -71,7 +71,7 @@
 func TestNoClaimWithoutTheOnlyOtherNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newMemoryNetwork()
-		nodes := startAll(t, network, "a", "b")
+		nodes := startNodesWithOwnLists(t, network, "a", "b")
 		defer stopAll(nodes)
 		network.setCut(addressOf("a"), addressOf("b"), true)
 		wantDecision(t, nodes["a"], "request", claim.Unavailable)
@@ -93,7 +93,7 @@
 func TestNoClaimIsWonWhileJoining(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newMemoryNetwork()
-		nodes := startAll(t, network, "a", "b")
+		nodes := startNodesWithOwnLists(t, network, "a", "b")
 		defer func() { stopAll(nodes) }()
 		wantDecision(t, nodes["a"], "request", claim.Won)
 		nodes["a"].stop()
@@ -102,7 +102,7 @@
 		restarted.Incarnation = uint64(time.Now().UnixMilli())
 		nodes["a"] = startNode(t, network, AgentOptions{Self: restarted, MachineList: listOf("a", "b"), Seed: 2})
 		for range 200 {
-			if made := nodes["a"].agent.ClaimRequest(t.Context(), "request"); made.Decision == claim.Won {
+			if result := nodes["a"].agent.ClaimRequest(t.Context(), "request"); result.Decision == claim.Won {
 				t.Fatal("won the claim of another holder")
 			}
 			time.Sleep(5 * time.Millisecond)
@@ -116,7 +116,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ids := []string{"a", "b", "c", "d", "e"}
 		network := newMemoryNetwork()
-		nodes := startAll(t, network, ids...)
+		nodes := startNodesWithOwnLists(t, network, ids...)
 		defer func() { stopAll(nodes) }()
 		keys := []string{"one", "two", "three", "four", "five"}
 		for _, key := range keys {
--- a/peer/client.go
+++ b/peer/client.go
@@ -53,7 +53,7 @@
 func (a *Agent) exchange(ctx context.Context, request membership.Request) (membership.Result, error) {
 	switch request.Kind {
 	case membership.IndirectProbe:
-		return a.probeThrough(ctx, request)
+		return a.probeIndirectly(ctx, request)
 	case membership.Sync:
 		return a.sync(ctx, request)
 	default:
@@ -65,12 +65,12 @@
 	reply, err := a.stub(request.To.Address).Gossip(ctx, &GossipRequest{
 		Sender:         wire.FromMember(request.Sender),
 		Updates:        wire.FromMembers(request.Updates),
-		LeavingServers: a.takeLeavings(),
+		LeavingServers: a.takeLeavingServers(),
 	})
 	if err != nil {
 		return membership.Result{}, unreachable(err)
 	}
-	a.receiveLeavings(reply.GetLeavingServers())
+	a.receiveLeavingServers(reply.GetLeavingServers())
 	responder, ok := wire.ToMember(reply.GetResponder())
 	if !ok {
 		return membership.Result{}, fmt.Errorf("%w: responder", ErrMalformed)
@@ -79,7 +79,7 @@
 	return membership.Result{Responder: responder, Updates: updates}, nil
 }
 
-func (a *Agent) probeThrough(ctx context.Context, request membership.Request) (membership.Result, error) {
+func (a *Agent) probeIndirectly(ctx context.Context, request membership.Request) (membership.Result, error) {
 	reply, err := a.stub(request.To.Address).ProbeIndirect(ctx, &ProbeIndirectRequest{
 		Target:    wire.FromMember(request.Target),
 		TimeoutMs: uint32(request.Timeout.Milliseconds() / 2),
--- a/peer/connections.go
+++ b/peer/connections.go
@@ -21,7 +21,7 @@
 func (a *Agent) ConnectionShare(server membership.ServerSpec) membership.Share {
 	a.nodes.mutex.Lock()
 	defer a.nodes.mutex.Unlock()
-	cache := a.currentShares()
+	cache := a.validShareCache()
 	share, known := cache.shares[server]
 	if !known {
 		share = membership.OwnerShare(a.selfID, server, cache.nodes)
@@ -41,14 +41,14 @@
 
 // ListAttempted is closed once the first reading of the machine list has ended, well
 // or badly. Before, a node that starts takes itself for the only one.
-func (a *Agent) ListAttempted() <-chan struct{} { return a.listAsked }
+func (a *Agent) ListAttempted() <-chan struct{} { return a.listAttempted }
 
 // SharingNodes lists the IDs of the nodes that share the servers' connections,
 // in order.
 func (a *Agent) SharingNodes() []string {
 	a.nodes.mutex.Lock()
 	defer a.nodes.mutex.Unlock()
-	cache := a.currentShares()
+	cache := a.validShareCache()
 	ids := make([]string, 0, len(cache.nodes))
 	for _, node := range cache.nodes {
 		ids = append(ids, node.ID)
@@ -62,7 +62,7 @@
 func (a *Agent) ForwardOwners(server membership.ServerSpec) []membership.Member {
 	a.nodes.mutex.Lock()
 	defer a.nodes.mutex.Unlock()
-	cache := a.currentShares()
+	cache := a.validShareCache()
 	owners, known := cache.owners[server]
 	if !known {
 		owners = membership.ForwardOwners(a.nodes.core.Self(), server, cache.nodes)
@@ -71,9 +71,9 @@
 	return owners
 }
 
-// currentShares returns the cache, emptied when the table has changed. The
+// validShareCache returns the cache, emptied when the table has changed. The
 // nodes' lock is held.
-func (a *Agent) currentShares() *shareCache {
+func (a *Agent) validShareCache() *shareCache {
 	core := a.nodes.core
 	cache := &a.nodes.shares
 	if cache.shares == nil || cache.version != core.Version() {
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -2,7 +2,7 @@
 
 import "github.com/banksail/banksail/membership"
 
-func leavingsToWire(leavings []membership.ServerLeaving) []*ServerLeaving {
+func leavingServersToWire(leavings []membership.ServerLeaving) []*ServerLeaving {
 	messages := make([]*ServerLeaving, 0, len(leavings))
 	for _, leaving := range leavings {
 		messages = append(messages, &ServerLeaving{Id: leaving.ID, Incarnation: leaving.Incarnation})
@@ -10,7 +10,7 @@
 	return messages
 }
 
-func leavingsFromWire(messages []*ServerLeaving) []membership.ServerLeaving {
+func leavingServersFromWire(messages []*ServerLeaving) []membership.ServerLeaving {
 	messages = messages[:min(len(messages), membership.MaximumServerLeavings)]
 	leavings := make([]membership.ServerLeaving, 0, len(messages))
 	for _, message := range messages {
--- a/peer/exchange_bench_test.go
+++ b/peer/exchange_bench_test.go
@@ -27,8 +27,8 @@
 	to := member("target")
 	to.Address = server.Listener.Addr().String()
 	to.State = membership.Live
-	updates := manyLive(membership.MaximumUpdates)
-	for _, known := range manyLive(1400) {
+	updates := liveMembers(membership.MaximumUpdates)
+	for _, known := range liveMembers(1400) {
 		target.nodes.core.Receive(0, known, nil)
 	}
 	b.ReportAllocs()
@@ -40,7 +40,7 @@
 	}
 }
 
-func manyLive(count int) []membership.Member {
+func liveMembers(count int) []membership.Member {
 	members := make([]membership.Member, 0, count)
 	for i := range count {
 		known := member(string(rune('a'+i%26)) + addressOf(string(rune(i))))
--- a/peer/findings.go
+++ b/peer/findings.go
@@ -16,11 +16,11 @@
 	FindingFanout = 5
 	// findingTimeout bounds one push.
 	findingTimeout = 500 * time.Millisecond
-	// findingPause bounds the rate of pushes; what waits goes together.
-	findingPause = 100 * time.Millisecond
-	// findingStream keeps the random numbers of the pushes apart from other users
+	// findingPushInterval bounds the rate of pushes; what waits goes together.
+	findingPushInterval = 100 * time.Millisecond
+	// findingRandomStream keeps the random numbers of the pushes apart from other users
 	// of the same seed.
-	findingStream = 0x66696e64
+	findingRandomStream = 0x66696e64
 )
 
 // SubscribeUnverified calls the function for every server of which another node told
@@ -28,7 +28,7 @@
 func (a *Agent) SubscribeUnverified(notify func(server string)) {
 	a.servers.mutex.Lock()
 	defer a.servers.mutex.Unlock()
-	a.servers.doubted = notify
+	a.servers.onUnverified = notify
 }
 
 // LiveNodes lists the IDs of the nodes that share the servers' connections and
@@ -37,7 +37,7 @@
 	a.nodes.mutex.Lock()
 	defer a.nodes.mutex.Unlock()
 	var live []string
-	for _, node := range a.currentShares().nodes {
+	for _, node := range a.validShareCache().nodes {
 		if node.State != membership.Suspect {
 			live = append(live, node.ID)
 		}
@@ -49,7 +49,7 @@
 func (a *Agent) ServerOwners(server membership.ServerSpec) []membership.Owner {
 	a.nodes.mutex.Lock()
 	defer a.nodes.mutex.Unlock()
-	return membership.Owners(server, a.currentShares().nodes)
+	return membership.Owners(server, a.validShareCache().nodes)
 }
 
 // PushServerFindings implements Peer.
@@ -69,16 +69,16 @@
 
 // findingLoop pushes what the node found, until the context ends.
 func (a *Agent) findingLoop(ctx context.Context) {
-	random := rand.New(rand.NewPCG(a.seed, findingStream))
+	random := rand.New(rand.NewPCG(a.seed, findingRandomStream))
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-a.servers.foundNews:
+		case <-a.servers.findingsReady:
 		}
 		for findings := a.takeFindings(); len(findings) > 0; findings = a.takeFindings() {
 			a.pushFindings(ctx, random, findings)
-			sleep(ctx, findingPause)
+			sleep(ctx, findingPushInterval)
 		}
 	}
 }
@@ -98,8 +98,8 @@
 // pushFindings tells a few random peers, and does not wait for the slow ones.
 func (a *Agent) pushFindings(ctx context.Context, random *rand.Rand, findings []*ServerFinding) {
 	message := &ServerFindings{Findings: findings}
-	for _, address := range a.findingPeers(random) {
-		a.requests.Go(func() {
+	for _, address := range a.selectFindingPeers(random) {
+		a.pendingRequests.Go(func() {
 			pushContext, cancel := context.WithTimeout(ctx, findingTimeout)
 			defer cancel()
 			if _, err := a.stub(address).PushServerFindings(pushContext, message); err != nil {
@@ -109,8 +109,8 @@
 	}
 }
 
-// findingPeers picks the addresses of a few live members.
-func (a *Agent) findingPeers(random *rand.Rand) []string {
+// selectFindingPeers picks the addresses of a few live members.
+func (a *Agent) selectFindingPeers(random *rand.Rand) []string {
 	var addresses []string
 	for _, member := range a.Members() {
 		if member.ID != a.selfID && member.State == membership.Live {
--- a/peer/findings_test.go
+++ b/peer/findings_test.go
@@ -20,12 +20,12 @@
 		nodes := startNodes(t, newMemoryNetwork(), ids...)
 		defer stopNodes(nodes)
 		var mutex sync.Mutex
-		doubted := make(map[string]bool)
+		notified := make(map[string]bool)
 		for id, node := range nodes {
 			node.agent.SubscribeUnverified(func(string) {
 				mutex.Lock()
 				defer mutex.Unlock()
-				doubted[id] = true
+				notified[id] = true
 			})
 		}
 		time.Sleep(20 * time.Second)
@@ -35,7 +35,7 @@
 		}
 		report.Condition = membership.ServerDraining
 		nodes[ids[0]].agent.ReportServer("s1", report)
-		leaving := func() int {
+		countLeaving := func() int {
 			known := 0
 			for _, node := range nodes {
 				if node.agent.serverState("s1") == membership.Leaving {
@@ -45,22 +45,22 @@
 			return known
 		}
 		time.Sleep(time.Second)
-		if known := leaving(); known < count*9/10 {
+		if known := countLeaving(); known < count*9/10 {
 			t.Errorf("%d of %d nodes know the leaving after a second", known, count)
 		}
 		time.Sleep(2 * time.Second)
-		if known := leaving(); known != count {
+		if known := countLeaving(); known != count {
 			t.Errorf("%d of %d nodes know the leaving after three seconds", known, count)
 		}
 		mutex.Lock()
 		defer mutex.Unlock()
-		if doubted[ids[0]] || len(doubted) != count-1 {
-			t.Errorf("%d nodes are to read the server, the one that found it among them: %t", len(doubted), doubted[ids[0]])
+		if notified[ids[0]] || len(notified) != count-1 {
+			t.Errorf("%d nodes are to read the server, the one that found it among them: %t", len(notified), notified[ids[0]])
 		}
 	})
 }
 
-func TestPushOfTooManyFindingsIsRefused(t *testing.T) {
+func TestPushOfTooManyFindingsIsRejected(t *testing.T) {
 	agent := NewAgent(AgentOptions{Self: member("n1")})
 	findings := make([]*ServerFinding, membership.MaximumServerFindings+1)
 	for index := range findings {
--- a/peer/forward.go
+++ b/peer/forward.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/banksail/banksail/backend"
-	written "github.com/banksail/banksail/internal/delivery"
+	"github.com/banksail/banksail/internal/delivery"
 )
 
 // ForwardOutcome is how far a forwarded sub-request got.
@@ -86,9 +86,9 @@
 	// forwardConnectionsPerOwner bounds the connections to one owner; each
 	// carries one forward at a time.
 	forwardConnectionsPerOwner = 32
-	// forwardIdlePerOwner bounds the idle ones.
-	forwardIdlePerOwner = 4
-	forwardIdleTimeout  = 30 * time.Second
+	// idleForwardConnectionsPerOwner bounds the idle ones.
+	idleForwardConnectionsPerOwner = 4
+	forwardIdleTimeout             = 30 * time.Second
 	// forwardDialTimeout bounds the opening of a connection to an owner; another
 	// owner is asked afterwards.
 	forwardDialTimeout = 500 * time.Millisecond
@@ -104,19 +104,19 @@
 // NewForwarder returns a forwarder that opens connections with dial.
 func NewForwarder(dial func(ctx context.Context, network, address string) (net.Conn, error)) *Forwarder {
 	transport := &http.Transport{
-		DialContext: written.WrapDial(func(ctx context.Context, network, address string) (net.Conn, error) {
+		DialContext: delivery.WrapDial(func(ctx context.Context, network, address string) (net.Conn, error) {
 			ctx, cancel := context.WithTimeout(ctx, forwardDialTimeout)
 			defer cancel()
 			return dial(ctx, network, address)
 		}),
 		MaxConnsPerHost:     forwardConnectionsPerOwner,
-		MaxIdleConnsPerHost: forwardIdlePerOwner,
+		MaxIdleConnsPerHost: idleForwardConnectionsPerOwner,
 		IdleConnTimeout:     forwardIdleTimeout,
 		DisableCompression:  true,
 	}
 	return &Forwarder{
 		transport: transport,
-		client:    &http.Client{Transport: onceTransport{next: transport}},
+		client:    &http.Client{Transport: noRetryTransport{next: transport}},
 	}
 }
 
@@ -129,12 +129,12 @@
 	message := forwardToWire(server, request)
 	stub := NewPeerProtobufClient("http://"+owner, f.client)
 	for {
-		remaining := remainingOf(ctx, request)
+		remaining := remainingTime(ctx, request)
 		if remaining <= 0 || ctx.Err() != nil {
 			return ForwardResult{Outcome: ForwardNotSent, Err: context.DeadlineExceeded}
 		}
 		message.RemainingMs = milliseconds(remaining)
-		tracked, tracker := written.Track(ctx)
+		tracked, tracker := delivery.Track(ctx)
 		answer, err := stub.ForwardQuery(tracked, message)
 		if err == nil {
 			return forwardFromWire(answer, request)
@@ -165,9 +165,9 @@
 	return health, err == nil, err
 }
 
-// remainingOf is the time left for a sub-request: what it says, or less when
+// remainingTime is the time left for a sub-request: what it says, or less when
 // its context ends before.
-func remainingOf(ctx context.Context, request *backend.Request) time.Duration {
+func remainingTime(ctx context.Context, request *backend.Request) time.Duration {
 	remaining := time.Duration(request.RemainingMilliseconds * float64(time.Millisecond))
 	if deadline, ok := ctx.Deadline(); ok {
 		remaining = min(remaining, time.Until(deadline))
@@ -175,13 +175,13 @@
 	return remaining
 }
 
-// onceTransport sends each request once and bounds the bodies of replies:
+// noRetryTransport sends each request once and bounds the bodies of replies:
 // net/http's transport sends a request again on its own only when its body can
 // be rewound, so that way is taken from it.
-type onceTransport struct{ next http.RoundTripper }
+type noRetryTransport struct{ next http.RoundTripper }
 
 // RoundTrip implements http.RoundTripper.
-func (t onceTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+func (t noRetryTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	once := request.WithContext(request.Context())
 	once.GetBody = nil
 	response, err := t.next.RoundTrip(once)
--- a/peer/forward_server.go
+++ b/peer/forward_server.go
@@ -16,8 +16,8 @@
 const (
 	// DefaultForwardBodyBytes bounds the body of one forwarded sub-request.
 	DefaultForwardBodyBytes = 1 << 20
-	// forwardFrameBytes is what a sub-request takes besides its body.
-	forwardFrameBytes = 4 << 10
+	// forwardOverheadBytes is what a sub-request takes besides its body.
+	forwardOverheadBytes = 4 << 10
 	// maximumForwards bounds the forwards that an owner takes at once; together
 	// with the bytes of each it bounds what they hold in memory.
 	maximumForwards = 2048
@@ -38,12 +38,12 @@
 	ServerHealth(server string) (*backend.Health, bool)
 }
 
-// forwardBytes is the greatest size of a forward with a body of the given size.
-func forwardBytes(body int64) int64 {
+// forwardSizeLimit is the greatest size of a forward with a body of the given size.
+func forwardSizeLimit(body int64) int64 {
 	if body == 0 {
 		body = DefaultForwardBodyBytes
 	}
-	return body + forwardFrameBytes
+	return body + forwardOverheadBytes
 }
 
 // limitForwards bounds the forwards at once and the bytes of each.
@@ -67,13 +67,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if s.agent.forwards == nil {
+	if s.agent.forwardTarget == nil {
 		return &ForwardQueryResponse{Outcome: ForwardQueryResponse_OUTCOME_NOT_OWNER}, nil
 	}
 	remaining := time.Duration(request.RemainingMilliseconds * float64(time.Millisecond))
 	ctx, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
-	result := s.agent.forwards.ForwardQuery(ctx, message.GetServer(), request)
+	result := s.agent.forwardTarget.ForwardQuery(ctx, message.GetServer(), request)
 	return &ForwardQueryResponse{
 		Outcome: outcomeToWire[result.Outcome],
 		Reply:   replyToWire(result.Reply),
@@ -82,10 +82,10 @@
 
 // ReadServerHealth implements Peer.
 func (s service) ReadServerHealth(_ context.Context, message *ServerHealthRequest) (*ServerHealthResponse, error) {
-	if s.agent.forwards == nil {
+	if s.agent.forwardTarget == nil {
 		return &ServerHealthResponse{}, nil
 	}
-	health, known := s.agent.forwards.ServerHealth(message.GetServer())
+	health, known := s.agent.forwardTarget.ServerHealth(message.GetServer())
 	if !known {
 		return &ServerHealthResponse{}, nil
 	}
--- a/peer/forward_test.go
+++ b/peer/forward_test.go
@@ -20,18 +20,18 @@
 
 // fakeTarget is an owner's side; ask decides what becomes of a forward.
 type fakeTarget struct {
-	ask    func(ctx context.Context, server string, request *backend.Request) ForwardResult
-	health *backend.Health
+	forward func(ctx context.Context, server string, request *backend.Request) ForwardResult
+	health  *backend.Health
 }
 
 func (f fakeTarget) ForwardQuery(ctx context.Context, server string, request *backend.Request) ForwardResult {
-	return f.ask(ctx, server, request)
+	return f.forward(ctx, server, request)
 }
 
 func (f fakeTarget) ServerHealth(string) (*backend.Health, bool) { return f.health, f.health != nil }
 
-// echo answers as a server that executes the request.
-func echo(_ context.Context, _ string, request *backend.Request) ForwardResult {
+// echoForward answers as a server that executes the request.
+func echoForward(_ context.Context, _ string, request *backend.Request) ForwardResult {
 	return ForwardResult{Outcome: ForwardReplied, Reply: &backend.Reply{
 		AttemptID: request.AttemptID, Status: backend.StatusDone, Snapshot: &request.Snapshot, Range: &request.Range,
 		Body: request.Body, Load: &backend.Load{InFlight: 3, Queued: 2, Snapshots: []uint64{1, 2}},
@@ -72,12 +72,12 @@
 
 func TestForwardCarriesRequestAndReply(t *testing.T) {
 	var asked backend.Request
-	target := fakeTarget{ask: func(ctx context.Context, server string, request *backend.Request) ForwardResult {
+	target := fakeTarget{forward: func(ctx context.Context, server string, request *backend.Request) ForwardResult {
 		asked = *request
 		if server != "server-1" {
 			t.Errorf("server %q", server)
 		}
-		return echo(ctx, server, request)
+		return echoForward(ctx, server, request)
 	}}
 	request := testRequest()
 	result := newTestForwarder(t).Forward(t.Context(), startOwner(t, ownerHandler(target)), "server-1", request)
@@ -90,13 +90,13 @@
 	}
 }
 
-func TestForwardTellsHowFarItGot(t *testing.T) {
+func TestForwardReturnsTheOwnersOutcome(t *testing.T) {
 	for _, outcome := range ForwardOutcomes() {
 		if outcome == ForwardReplied || outcome == ForwardNotSent {
 			continue
 		}
 		t.Run(outcome.String(), func(t *testing.T) {
-			target := fakeTarget{ask: func(context.Context, string, *backend.Request) ForwardResult {
+			target := fakeTarget{forward: func(context.Context, string, *backend.Request) ForwardResult {
 				return ForwardResult{Outcome: outcome}
 			}}
 			wantOutcome(t, newTestForwarder(t).Forward(t.Context(), startOwner(t, ownerHandler(target)), "server-1", testRequest()), outcome)
@@ -104,11 +104,11 @@
 	}
 }
 
-func TestForwardOfANodeWithoutConnections(t *testing.T) {
+func TestForwardToNodeWithoutForwardTarget(t *testing.T) {
 	wantOutcome(t, newTestForwarder(t).Forward(t.Context(), startOwner(t, ownerHandler(nil)), "server-1", testRequest()), ForwardNotOwner)
 }
 
-func TestForwardToNobodyIsNotSent(t *testing.T) {
+func TestForwardToUnreachableOwnerIsNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -125,7 +125,7 @@
 // later one after reading it whole; it counts the requests.
 func closingOwner(t *testing.T, requests *atomic.Int32) http.Handler {
 	t.Helper()
-	inner := ownerHandler(fakeTarget{ask: echo})
+	inner := ownerHandler(fakeTarget{forward: echoForward})
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if requests.Add(1) == 1 {
 			inner.ServeHTTP(writer, request)
@@ -141,9 +141,9 @@
 	})
 }
 
-// TestForwardIsNotSentAgain: an owner reads a request on a kept connection and
+// TestForwardReadByOwnerIsNotRetried: an owner reads a request on a kept connection and
 // dies. The owner may have passed it on.
-func TestForwardIsNotSentAgain(t *testing.T) {
+func TestForwardReadByOwnerIsNotRetried(t *testing.T) {
 	var requests atomic.Int32
 	owner := startOwner(t, closingOwner(t, &requests))
 	forwarder := newTestForwarder(t)
@@ -154,29 +154,31 @@
 	}
 }
 
-// keyed adds the header by which net/http takes a POST for one that may be
+// idempotencyKeyTransport adds the header by which net/http takes a POST for one that may be
 // sent again.
-type keyed struct{ next http.RoundTripper }
+type idempotencyKeyTransport struct{ next http.RoundTripper }
 
 // RoundTrip implements http.RoundTripper.
-func (k keyed) RoundTrip(request *http.Request) (*http.Response, error) {
+func (k idempotencyKeyTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	marked := request.Clone(request.Context())
 	marked.Header.Set("Idempotency-Key", "key")
 	return k.next.RoundTrip(marked)
 }
 
-// TestWhatTheTransportSendsAgain pins down net/http: the same owner reads a
+// TestTransportRetriesRewindableRequests pins down net/http: the same owner reads a
 // request of twirp's own client once, but one that looks idempotent twice, as
-// its body can be rewound. onceTransport takes that way from it.
-func TestWhatTheTransportSendsAgain(t *testing.T) {
+// its body can be rewound. noRetryTransport takes that way from it.
+func TestTransportRetriesRewindableRequests(t *testing.T) {
 	tests := []struct {
 		name string
 		wrap func(http.RoundTripper) http.RoundTripper
 		want int32
 	}{
 		{"twirp's own", func(bare http.RoundTripper) http.RoundTripper { return bare }, 2},
-		{"looks idempotent", func(bare http.RoundTripper) http.RoundTripper { return keyed{next: bare} }, 3},
-		{"sent once", func(bare http.RoundTripper) http.RoundTripper { return keyed{next: onceTransport{next: bare}} }, 2},
+		{"looks idempotent", func(bare http.RoundTripper) http.RoundTripper { return idempotencyKeyTransport{next: bare} }, 3},
+		{"sent once", func(bare http.RoundTripper) http.RoundTripper {
+			return idempotencyKeyTransport{next: noRetryTransport{next: bare}}
+		}, 2},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -200,9 +202,9 @@
 	}
 }
 
-func TestForwardOverAConnectionThatClosedIsSentOnce(t *testing.T) {
+func TestForwardOverClosedConnectionIsSentOnce(t *testing.T) {
 	var requests atomic.Int32
-	inner := ownerHandler(fakeTarget{ask: echo})
+	inner := ownerHandler(fakeTarget{forward: echoForward})
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		requests.Add(1)
 		inner.ServeHTTP(writer, request)
@@ -222,17 +224,17 @@
 }
 
 func TestReplyToAnotherForwardIsMalformed(t *testing.T) {
-	target := fakeTarget{ask: func(ctx context.Context, server string, request *backend.Request) ForwardResult {
+	target := fakeTarget{forward: func(ctx context.Context, server string, request *backend.Request) ForwardResult {
 		other := *request
 		other.AttemptID = "attempt-2"
-		return echo(ctx, server, &other)
+		return echoForward(ctx, server, &other)
 	}}
 	wantOutcome(t, newTestForwarder(t).Forward(t.Context(), startOwner(t, ownerHandler(target)), "server-1", testRequest()), ForwardMalformed)
 }
 
 func TestCancelledForwardEndsAtTheOwner(t *testing.T) {
 	began, ended := make(chan struct{}), make(chan struct{})
-	target := fakeTarget{ask: func(ctx context.Context, _ string, _ *backend.Request) ForwardResult {
+	target := fakeTarget{forward: func(ctx context.Context, _ string, _ *backend.Request) ForwardResult {
 		close(began)
 		<-ctx.Done()
 		close(ended)
@@ -248,8 +250,8 @@
 	wantOutcome(t, <-result, ForwardUnknown)
 }
 
-func TestOwnerEndsByTheRemainingTime(t *testing.T) {
-	target := fakeTarget{ask: func(ctx context.Context, _ string, _ *backend.Request) ForwardResult {
+func TestOwnerCancelsForwardAfterRemainingTime(t *testing.T) {
+	target := fakeTarget{forward: func(ctx context.Context, _ string, _ *backend.Request) ForwardResult {
 		<-ctx.Done()
 		return ForwardResult{Outcome: ForwardUnknown}
 	}}
@@ -262,16 +264,16 @@
 	}
 }
 
-func TestOwnerBoundsForwards(t *testing.T) {
+func TestOwnerRejectsForwardsOutOfBounds(t *testing.T) {
 	called := false
-	target := fakeTarget{ask: func(ctx context.Context, server string, request *backend.Request) ForwardResult {
+	target := fakeTarget{forward: func(ctx context.Context, server string, request *backend.Request) ForwardResult {
 		called = true
-		return echo(ctx, server, request)
+		return echoForward(ctx, server, request)
 	}}
 	owner := startOwner(t, ownerHandler(target))
-	large := testRequest()
-	large.Body = json.RawMessage(`"` + strings.Repeat("x", 2*DefaultForwardBodyBytes) + `"`)
-	if got := newTestForwarder(t).Forward(t.Context(), owner, "server-1", large); got.Outcome == ForwardReplied || called {
+	oversized := testRequest()
+	oversized.Body = json.RawMessage(`"` + strings.Repeat("x", 2*DefaultForwardBodyBytes) + `"`)
+	if got := newTestForwarder(t).Forward(t.Context(), owner, "server-1", oversized); got.Outcome == ForwardReplied || called {
 		t.Errorf("a large body got %v", got.Outcome)
 	}
 	message := forwardToWire("server-1", testRequest())
@@ -282,7 +284,7 @@
 	}
 }
 
-func TestOwnerOverItsBoundIsBusy(t *testing.T) {
+func TestOwnerOverForwardLimitIsBusy(t *testing.T) {
 	const waiting = maximumForwards
 	began, release := make(chan struct{}, waiting), make(chan struct{})
 	handler := limitForwards(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -311,7 +313,7 @@
 	}
 }
 
-func TestServerHealthThroughAnOwner(t *testing.T) {
+func TestServerHealthIsReadFromOwner(t *testing.T) {
 	health := &backend.Health{State: backend.HealthDraining, Incarnation: "5", Snapshots: []uint64{1, 2}}
 	forwarder := newTestForwarder(t)
 	got, known, err := forwarder.ServerHealth(t.Context(), startOwner(t, ownerHandler(fakeTarget{health: health})), "server-1")
--- a/peer/fuzz_test.go
+++ b/peer/fuzz_test.go
@@ -13,8 +13,8 @@
 	"github.com/banksail/banksail/membership/wire"
 )
 
-// post sends bytes to one of the agent's methods.
-func post(agent *Agent, method string, body []byte) *httptest.ResponseRecorder {
+// postToAgent sends bytes to one of the agent's methods.
+func postToAgent(agent *Agent, method string, body []byte) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(http.MethodPost, PeerPathPrefix+method, bytes.NewReader(body))
 	request.Header.Set("Content-Type", "application/protobuf")
 	recorder := httptest.NewRecorder()
@@ -22,7 +22,7 @@
 	return recorder
 }
 
-func encoded(t testing.TB, message proto.Message) []byte {
+func marshal(t testing.TB, message proto.Message) []byte {
 	t.Helper()
 	body, err := proto.Marshal(message)
 	if err != nil {
@@ -47,19 +47,19 @@
 	strange := memberMessage("n2")
 	strange.Incarnation = math.MaxUint64
 	strange.State = 99
-	f.Add(0, encoded(f, &GossipRequest{Sender: memberMessage("n2"), Updates: []*wire.Member{strange, memberMessage("n1")}}))
-	f.Add(0, encoded(f, &GossipRequest{Sender: memberMessage("n2"), Updates: manyMembers()}))
-	f.Add(0, encoded(f, &GossipRequest{Sender: memberMessage("n2"), LeavingServers: make([]*ServerLeaving, 5000)}))
-	f.Add(1, encoded(f, &ListMembersRequest{Sender: memberMessage("n2"), Digests: make([]uint64, 5000), FirstBucket: math.MaxUint32}))
-	f.Add(2, encoded(f, &FetchConfigurationRequest{Above: math.MaxUint64}))
-	f.Add(3, encoded(f, &Configuration{Revision: math.MaxUint64, Record: []byte("{")}))
-	f.Add(4, encoded(f, &ForwardQueryRequest{Server: "s", RemainingMs: math.Inf(1), Range: &KeyRange{Start: 2, End: 1}}))
-	f.Add(4, encoded(f, forwardToWire("s", testRequest())))
-	f.Add(5, encoded(f, &ServerHealthRequest{Server: "s"}))
+	f.Add(0, marshal(f, &GossipRequest{Sender: memberMessage("n2"), Updates: []*wire.Member{strange, memberMessage("n1")}}))
+	f.Add(0, marshal(f, &GossipRequest{Sender: memberMessage("n2"), Updates: manyMembers()}))
+	f.Add(0, marshal(f, &GossipRequest{Sender: memberMessage("n2"), LeavingServers: make([]*ServerLeaving, 5000)}))
+	f.Add(1, marshal(f, &ListMembersRequest{Sender: memberMessage("n2"), Digests: make([]uint64, 5000), FirstBucket: math.MaxUint32}))
+	f.Add(2, marshal(f, &FetchConfigurationRequest{Above: math.MaxUint64}))
+	f.Add(3, marshal(f, &Configuration{Revision: math.MaxUint64, Record: []byte("{")}))
+	f.Add(4, marshal(f, &ForwardQueryRequest{Server: "s", RemainingMs: math.Inf(1), Range: &KeyRange{Start: 2, End: 1}}))
+	f.Add(4, marshal(f, forwardToWire("s", testRequest())))
+	f.Add(5, marshal(f, &ServerHealthRequest{Server: "s"}))
 	f.Add(0, []byte{0x0a, 0xff, 0xff, 0xff, 0xff, 0x0f})
 	f.Fuzz(func(t *testing.T, method int, body []byte) {
-		agent := NewAgent(AgentOptions{Self: member("n1"), Configurations: &memoryKeeper{}, Seed: 1})
-		recorder := post(agent, methods[uint(method)%uint(len(methods))], body)
+		agent := NewAgent(AgentOptions{Self: member("n1"), Configurations: &memoryConfigurationSource{}, Seed: 1})
+		recorder := postToAgent(agent, methods[uint(method)%uint(len(methods))], body)
 		if recorder.Code == http.StatusInternalServerError {
 			t.Fatalf("internal error: %s", recorder.Body)
 		}
@@ -74,26 +74,26 @@
 	})
 }
 
-func TestBodiesOverTheirBoundAreRefused(t *testing.T) {
-	agent := NewAgent(AgentOptions{Self: member("n1"), Configurations: &memoryKeeper{}})
+func TestOversizedBodiesAreRejected(t *testing.T) {
+	agent := NewAgent(AgentOptions{Self: member("n1"), Configurations: &memoryConfigurationSource{}})
 	for method, size := range map[string]int{
 		"Gossip": maximumGossipBytes + 1, "PushConfiguration": maximumRequestBytes + 1,
 	} {
-		if recorder := post(agent, method, make([]byte, size)); recorder.Code == http.StatusOK {
+		if recorder := postToAgent(agent, method, make([]byte, size)); recorder.Code == http.StatusOK {
 			t.Fatalf("%s took a body of %d bytes", method, size)
 		}
 	}
 }
 
 func FuzzReplies(f *testing.F) {
-	f.Add(encoded(f, &GossipResponse{Responder: memberMessage("n2"), Updates: manyMembers()}))
-	f.Add(encoded(f, &ListMembersResponse{Responder: memberMessage("n2"), Members: manyMembers(), More: true, NextBucket: math.MaxUint32}))
-	f.Add(encoded(f, &ProbeIndirectResponse{Reached: true}))
-	f.Add(encoded(f, &Configuration{Revision: 1}))
+	f.Add(marshal(f, &GossipResponse{Responder: memberMessage("n2"), Updates: manyMembers()}))
+	f.Add(marshal(f, &ListMembersResponse{Responder: memberMessage("n2"), Members: manyMembers(), More: true, NextBucket: math.MaxUint32}))
+	f.Add(marshal(f, &ProbeIndirectResponse{Reached: true}))
+	f.Add(marshal(f, &Configuration{Revision: 1}))
 	f.Add([]byte{0x12, 0xff})
 	kinds := []membership.RequestKind{membership.DirectProbe, membership.IndirectProbe, membership.Sync}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		client := &http.Client{Transport: replying(body)}
+		client := &http.Client{Transport: fixedReplyTransport(body)}
 		agent := NewAgent(AgentOptions{Self: member("n1"), HTTPClient: client, Seed: 1})
 		to := member("n2")
 		to.State = membership.Live
@@ -111,10 +111,10 @@
 	})
 }
 
-// replying answers every request with the same body.
-type replying []byte
+// fixedReplyTransport answers every request with the same body.
+type fixedReplyTransport []byte
 
-func (r replying) RoundTrip(request *http.Request) (*http.Response, error) {
+func (r fixedReplyTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	recorder := httptest.NewRecorder()
 	recorder.Header().Set("Content-Type", "application/protobuf")
 	recorder.Write(r)
--- a/peer/handler.go
+++ b/peer/handler.go
@@ -23,7 +23,7 @@
 	server := NewPeerServer(service{agent: agent})
 	configurations := http.MaxBytesHandler(server, maximumRequestBytes)
 	others := http.MaxBytesHandler(server, maximumGossipBytes)
-	forwards := limitForwards(server, agent.forwardBytes)
+	forwards := limitForwards(server, agent.maximumForwardBytes)
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		switch {
 		case strings.HasSuffix(request.URL.Path, "/PushConfiguration"):
@@ -47,11 +47,11 @@
 	table.mutex.Lock()
 	self, reply := table.core.Receive(s.agent.now(), sender, updates)
 	table.mutex.Unlock()
-	s.agent.receiveLeavings(request.GetLeavingServers())
+	s.agent.receiveLeavingServers(request.GetLeavingServers())
 	return &GossipResponse{
 		Responder:      wire.FromMember(self),
 		Updates:        wire.FromMembers(reply),
-		LeavingServers: s.agent.takeLeavings(),
+		LeavingServers: s.agent.takeLeavingServers(),
 	}, nil
 }
 
--- a/peer/handover.go
+++ b/peer/handover.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// maximumAdopted bounds the claims in one message, which stays below
+	// maximumClaimsPerHandover bounds the claims in one message, which stays below
 	// maximumGossipBytes with keys and holders of the greatest length.
-	maximumAdopted = 64
+	maximumClaimsPerHandover = 64
 	// handoverTimeout bounds the whole handover of a leaving node's claims.
 	handoverTimeout = 2 * time.Second
-	// handoverParallel bounds the messages of a handover that are out at once.
-	handoverParallel = 8
+	// handoverConcurrency bounds the messages of a handover that are out at once.
+	handoverConcurrency = 8
 )
 
-// batch is a part of the handover, for one node.
-type batch struct {
+// handoverBatch is a part of the handover, for one node.
+type handoverBatch struct {
 	member  string
 	address string
 	claims  []claim.ActiveClaim
@@ -35,84 +35,84 @@
 func (a *Agent) handOver(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	batches := a.handoverBatches(a.closeLedger())
+	batches := a.handoverBatches(a.closeClaimTable())
 	var sending sync.WaitGroup
-	slots := make(chan struct{}, handoverParallel)
-	for _, one := range batches {
+	slots := make(chan struct{}, handoverConcurrency)
+	for _, batch := range batches {
 		slots <- struct{}{}
 		sending.Go(func() {
 			defer func() { <-slots }()
-			a.sendBatch(ctx, one)
+			a.sendBatch(ctx, batch)
 		})
 	}
 	sending.Wait()
 }
 
-// closeLedger ends the granting of claims and returns those that are kept.
-func (a *Agent) closeLedger() []claim.ActiveClaim {
+// closeClaimTable ends the granting of claims and returns those that are kept.
+func (a *Agent) closeClaimTable() []claim.ActiveClaim {
 	a.claims.mutex.Lock()
 	defer a.claims.mutex.Unlock()
 	a.claims.closed = true
-	return a.claims.ledger.ActiveClaims(a.now())
+	return a.claims.table.ActiveClaims(a.now())
 }
 
-// handoverBatches divides the claims by their owners.
-func (a *Agent) handoverBatches(kept []claim.ActiveClaim) []batch {
+// handoverBatches divides the activeClaims by their owners.
+func (a *Agent) handoverBatches(activeClaims []claim.ActiveClaim) []handoverBatch {
 	candidates := a.claimCandidates()
 	ids := make([]string, 0, len(candidates))
 	for id := range candidates {
 		ids = append(ids, id)
 	}
 	owned := make(map[string][]claim.ActiveClaim)
-	for _, one := range kept {
-		holder := one.Claim.Holder.Node
+	for _, active := range activeClaims {
+		holder := active.Claim.Holder.Node
 		others := slices.DeleteFunc(slices.Clone(ids), func(id string) bool { return id == holder })
-		for _, owner := range claim.Owners(one.Claim.Key, others) {
-			owned[owner] = append(owned[owner], one)
+		for _, owner := range claim.Owners(active.Claim.Key, others) {
+			owned[owner] = append(owned[owner], active)
 		}
 	}
-	var batches []batch
+	var batches []handoverBatch
 	for id, claims := range owned {
-		for part := range slices.Chunk(claims, maximumAdopted) {
-			batches = append(batches, batch{member: id, address: candidates[id].Address, claims: part})
+		for part := range slices.Chunk(claims, maximumClaimsPerHandover) {
+			batches = append(batches, handoverBatch{member: id, address: candidates[id].Address, claims: part})
 		}
 	}
 	return batches
 }
 
-func (a *Agent) sendBatch(ctx context.Context, one batch) {
+func (a *Agent) sendBatch(ctx context.Context, batch handoverBatch) {
 	request := &AdoptClaimsRequest{}
-	for _, kept := range one.claims {
+	for _, active := range batch.claims {
 		request.Claims = append(request.Claims, &KeptClaim{
-			Claim:       claimToWire(kept.Claim),
-			RemainingMs: uint32(kept.Remaining.Milliseconds()),
+			Claim:       claimToWire(active.Claim),
+			RemainingMs: uint32(active.Remaining.Milliseconds()),
 		})
 	}
-	if _, err := a.stub(one.address).AdoptClaims(ctx, request); err != nil {
-		a.logger.Warn().Err(err).Str("member", one.member).Int("claims", len(one.claims)).Msg("claims not handed over")
+	if _, err := a.stub(batch.address).AdoptClaims(ctx, request); err != nil {
+		a.logger.Warn().Err(err).Str("member", batch.member).Int("claims", len(batch.claims)).Msg("claims not handed over")
 	}
 }
 
 // AdoptClaims implements Peer.
 func (s service) AdoptClaims(_ context.Context, request *AdoptClaimsRequest) (*AdoptClaimsResponse, error) {
-	if len(request.GetClaims()) > maximumAdopted {
+	if len(request.GetClaims()) > maximumClaimsPerHandover {
 		return nil, twirp.InvalidArgumentError("claims", "are too many")
 	}
 	for _, message := range request.GetClaims() {
-		made, err := claimFromWire(message.GetClaim())
+		entry, err := claimFromWire(message.GetClaim())
 		if err != nil {
 			return nil, err
 		}
 		s.agent.adoptClaim(claim.ActiveClaim{
-			Claim:     made,
+			Claim:     entry,
 			Remaining: time.Duration(message.GetRemainingMs()) * time.Millisecond,
 		})
 	}
 	return &AdoptClaimsResponse{}, nil
 }
 
-func (a *Agent) adoptClaim(kept claim.ActiveClaim) {
+func (a *Agent) adoptClaim(active claim.ActiveClaim) {
 	a.claims.mutex.Lock()
 	defer a.claims.mutex.Unlock()
-	a.claims.ledger.Adopt(a.now(), kept)
+	a.claims.table.Adopt(a.now(), active)
 }
--- a/peer/list.go
+++ b/peer/list.go
@@ -12,13 +12,13 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// listStream keeps the random numbers of the list's reader apart from other
+// listRandomStream keeps the random numbers of the list's reader apart from other
 // users of the same seed.
-const listStream = 0x6c697374
+const listRandomStream = 0x6c697374
 
 // listLoop follows the machine list.
 func (a *Agent) listLoop(ctx context.Context) {
-	random := rand.New(rand.NewPCG(a.seed, listStream))
+	random := rand.New(rand.NewPCG(a.seed, listRandomStream))
 	limiter := rate.NewLimiter(listBytesPerSecond, listBurstBytes)
 	var version uint64
 	unchanged := 0 // watches in a row that heard nothing
@@ -28,16 +28,16 @@
 		if err == nil {
 			a.observeList(list)
 		}
-		a.listTried()
+		a.markListAttempted()
 		switch {
 		case err == nil:
 			version, unchanged = list.Version, 0
 			delay = listRetryBase
-			pay(ctx, limiter, len(list.Machines)*listMachineBytes)
+			waitForBytes(ctx, limiter, len(list.Machines)*estimatedMachineBytes)
 			sleep(ctx, jitter(random, listRetryBase))
 		case errors.Is(err, machinelist.ErrUnchanged):
 			delay = listRetryBase
-			if unchanged++; unchanged == listWatches {
+			if unchanged++; unchanged == maximumUnchangedWatches {
 				version = 0
 			}
 			sleep(ctx, jitter(random, listRetryBase))
@@ -45,7 +45,7 @@
 			a.logger.Debug().Err(err).Msg("machine list not read")
 			version = 0
 			sleep(ctx, jitter(random, delay))
-			delay = min(2*delay, listRetryMaximum)
+			delay = min(2*delay, maximumListRetry)
 		}
 	}
 }
@@ -55,12 +55,12 @@
 const (
 	listBytesPerSecond = 2048
 	listBurstBytes     = 64 << 10
-	// listMachineBytes is about the size of a machine in the list.
-	listMachineBytes = 128
+	// estimatedMachineBytes is about the size of a machine in the list.
+	estimatedMachineBytes = 128
 )
 
-// pay waits until the limiter has let through the bytes that were read.
-func pay(ctx context.Context, limiter *rate.Limiter, bytes int) {
+// waitForBytes waits until the limiter has let through the bytes that were read.
+func waitForBytes(ctx context.Context, limiter *rate.Limiter, bytes int) {
 	for bytes > 0 && ctx.Err() == nil {
 		part := min(bytes, listBurstBytes)
 		if limiter.WaitN(ctx, part) != nil {
@@ -73,12 +73,12 @@
 // readList reads the list at once when no version of it is known, and waits
 // for a newer one otherwise.
 func (a *Agent) readList(ctx context.Context, version uint64) (machinelist.List, error) {
-	ctx, cancel := context.WithTimeout(ctx, listTimeout)
+	ctx, cancel := context.WithTimeout(ctx, listReadTimeout)
 	defer cancel()
 	if version == 0 {
 		return a.machineList.Get(ctx)
 	}
-	return a.machineList.Watch(ctx, version, listWait)
+	return a.machineList.Watch(ctx, version, listWatchTimeout)
 }
 
 // observeList hands the list to both tables. A list without machines tells
@@ -104,7 +104,7 @@
 	a.nodes.core.ObserveList(nodes)
 	a.nodes.mutex.Unlock()
 	if len(list.Machines) > 0 {
-		a.listed.Store(true)
+		a.hasReadList.Store(true)
 	}
 	a.servers.update(func(core *membership.Servers) { core.ObserveList(a.now(), servers) })
 }
--- a/peer/list_test.go
+++ b/peer/list_test.go
@@ -39,45 +39,47 @@
 	})
 }
 
-// listInTurn is a machine list that another one has taken the place of.
-type listInTurn struct {
+// replaceableList is a machine list that another one has taken the place of.
+type replaceableList struct {
 	machinelist.Conn
-	next atomic.Pointer[machinelist.Static]
+	replacement atomic.Pointer[machinelist.Static]
 }
 
-func (l *listInTurn) current() machinelist.Conn {
-	if next := l.next.Load(); next != nil {
+func (l *replaceableList) current() machinelist.Conn {
+	if next := l.replacement.Load(); next != nil {
 		return next
 	}
 	return l.Conn
 }
 
-func (l *listInTurn) Get(ctx context.Context) (machinelist.List, error) { return l.current().Get(ctx) }
+func (l *replaceableList) Get(ctx context.Context) (machinelist.List, error) {
+	return l.current().Get(ctx)
+}
 
-func (l *listInTurn) Watch(ctx context.Context, after uint64, wait time.Duration) (machinelist.List, error) {
+func (l *replaceableList) Watch(ctx context.Context, after uint64, wait time.Duration) (machinelist.List, error) {
 	return l.current().Watch(ctx, after, wait)
 }
 
 // The machine list comes back with a lower version: a watch after the one before hears nothing of
 // it for as long as it has not passed that. It is read whole from time to time.
-func TestAMachineListWhoseVersionGoesBackIsHeardAgain(t *testing.T) {
+func TestMachineListIsReadAgainAfterItsVersionDecreases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		machine := machinelist.Machine{
 			ID: "s1", Address: "s1:80", Role: machinelist.RoleServer, State: machinelist.StateLive, Incarnation: "a",
 		}
-		before := machinelist.NewStatic(machine)
+		original := machinelist.NewStatic(machine)
 		for range 10 {
-			before.Set(machine)
+			original.Set(machine)
 		}
-		list := &listInTurn{Conn: before}
+		list := &replaceableList{Conn: original}
 		node := startNode(t, newMemoryNetwork(), AgentOptions{Self: member("n1"), MachineList: list, Seed: 1})
 		defer node.stop()
 		var state atomic.Int64
-		node.agent.SubscribeServers(func(_ string, told dispatch.ServerState) { state.Store(int64(told)) })
+		node.agent.SubscribeServers(func(_ string, reported dispatch.ServerState) { state.Store(int64(reported)) })
 		time.Sleep(5 * time.Second)
 		machine.State = machinelist.StateLeaving
-		list.next.Store(machinelist.NewStatic(machine))
-		time.Sleep((listWatches + 2) * listWait)
+		list.replacement.Store(machinelist.NewStatic(machine))
+		time.Sleep((maximumUnchangedWatches + 2) * listWatchTimeout)
 		if got := dispatch.ServerState(state.Load()); got != dispatch.ServerLeaving {
 			t.Errorf("the leaving server is in state %d", got)
 		}
--- a/peer/network_test.go
+++ b/peer/network_test.go
@@ -39,8 +39,8 @@
 	n.Heal(hostOf(from), hostOf(to))
 }
 
-// setParted cuts or heals the ways between two sets of nodes.
-func (n memoryNetwork) setParted(left, right []string, cut bool) {
+// setPartitioned cuts or heals the ways between two sets of nodes.
+func (n memoryNetwork) setPartitioned(left, right []string, cut bool) {
 	for _, a := range left {
 		for _, b := range right {
 			n.setCut(addressOf(a), addressOf(b), cut)
--- a/peer/options.go
+++ b/peer/options.go
@@ -44,14 +44,14 @@
 const (
 	configurationTimeout = 2 * time.Second
 	departTimeout        = time.Second
-	listWait             = 30 * time.Second
-	listTimeout          = listWait + 5*time.Second
-	// listWatches is the number of watches in a row that hear nothing after which the list is
+	listWatchTimeout     = 30 * time.Second
+	listReadTimeout      = listWatchTimeout + 5*time.Second
+	// maximumUnchangedWatches is the number of watches in a row that hear nothing after which the list is
 	// read whole: one whose versions have gone back is heard again 10 min later, at 1.5 KB/s
 	// for 6,900 machines.
-	listWatches      = 20
-	listRetryBase    = 500 * time.Millisecond
-	listRetryMaximum = 10 * time.Second
+	maximumUnchangedWatches = 20
+	listRetryBase           = 500 * time.Millisecond
+	maximumListRetry        = 10 * time.Second
 	// maximumTick bounds the time between two looks at the configuration
 	// source and at the servers' deadlines.
 	maximumTick = 500 * time.Millisecond
--- a/peer/servers.go
+++ b/peer/servers.go
@@ -12,21 +12,21 @@
 	// mutex guards the fields below. Invariant: deliveries holds the changes
 	// that subscribers have not seen yet, in order, and only the goroutine that
 	// set delivering calls subscribers, without holding mutex.
-	mutex       sync.Mutex
-	core        *membership.Servers
-	subscribers []subscriber
-	deliveries  []delivery
-	delivering  bool
-	// doubted is told of the servers that the node is to read; it is set once.
-	doubted func(server string)
-	// foundNews wakes the loop that pushes findings; it holds one token.
-	foundNews chan struct{}
+	mutex         sync.Mutex
+	core          *membership.Servers
+	subscribers   []subscriber
+	notifications []queuedNotification
+	notifying     bool
+	// onUnverified is told of the servers that the node is to read; it is set once.
+	onUnverified func(server string)
+	// findingsReady wakes the loop that pushes findings; it holds one token.
+	findingsReady chan struct{}
 }
 
 type subscriber func(id string, state dispatch.ServerState)
 
-// delivery is a change that waits to be told to subscribers.
-type delivery struct {
+// queuedNotification is a change that waits to be told to subscribers.
+type queuedNotification struct {
 	change membership.ServerChange
 	to     []subscriber
 }
@@ -34,78 +34,78 @@
 func (t *serverTable) update(change func(*membership.Servers)) {
 	t.mutex.Lock()
 	change(t.core)
-	t.queue(t.core.TakeChanges(), t.subscribers)
-	doubts, doubted := t.core.TakeUnverified(), t.doubted
+	t.enqueue(t.core.TakeChanges(), t.subscribers)
+	unverified, doubted := t.core.TakeUnverified(), t.onUnverified
 	found := t.core.HasFindings()
 	t.mutex.Unlock()
-	t.deliver()
+	t.notifySubscribers()
 	if found {
-		t.wakePushes()
+		t.wakeFindingLoop()
 	}
-	for _, server := range doubts {
+	for _, server := range unverified {
 		if doubted != nil {
 			doubted(server)
 		}
 	}
 }
 
-// wakePushes wakes the loop that pushes findings.
-func (t *serverTable) wakePushes() {
+// wakeFindingLoop wakes the loop that pushes findings.
+func (t *serverTable) wakeFindingLoop() {
 	select {
-	case t.foundNews <- struct{}{}:
+	case t.findingsReady <- struct{}{}:
 	default:
 	}
 }
 
-// receiveLeavings takes in the leavings that another node told.
-func (a *Agent) receiveLeavings(messages []*ServerLeaving) {
-	leavings := leavingsFromWire(messages)
+// receiveLeavingServers takes in the leavings that another node told.
+func (a *Agent) receiveLeavingServers(messages []*ServerLeaving) {
+	leavings := leavingServersFromWire(messages)
 	if len(leavings) == 0 {
 		return
 	}
 	a.servers.update(func(core *membership.Servers) { core.ReceiveLeavings(a.now(), leavings) })
 }
 
-// takeLeavings returns the leavings to tell another node.
-func (a *Agent) takeLeavings() []*ServerLeaving {
+// takeLeavingServers returns the leavings to tell another node.
+func (a *Agent) takeLeavingServers() []*ServerLeaving {
 	a.servers.mutex.Lock()
 	defer a.servers.mutex.Unlock()
-	return leavingsToWire(a.servers.core.TakeLeavings())
+	return leavingServersToWire(a.servers.core.TakeLeavings())
 }
 
 func (t *serverTable) subscribe(notify subscriber) {
 	t.mutex.Lock()
 	t.subscribers = append(t.subscribers[:len(t.subscribers):len(t.subscribers)], notify)
-	t.queue(t.core.States(), []subscriber{notify})
+	t.enqueue(t.core.States(), []subscriber{notify})
 	t.mutex.Unlock()
-	t.deliver()
+	t.notifySubscribers()
 }
 
-// queue is called under the lock.
-func (t *serverTable) queue(changes []membership.ServerChange, to []subscriber) {
+// enqueue is called under the lock.
+func (t *serverTable) enqueue(changes []membership.ServerChange, to []subscriber) {
 	for _, change := range changes {
-		t.deliveries = append(t.deliveries, delivery{change: change, to: to})
+		t.notifications = append(t.notifications, queuedNotification{change: change, to: to})
 	}
 }
 
-// deliver tells subscribers what waits, unless another goroutine does.
-func (t *serverTable) deliver() {
+// notifySubscribers tells subscribers what waits, unless another goroutine does.
+func (t *serverTable) notifySubscribers() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.delivering {
+	if t.notifying {
 		return
 	}
-	t.delivering = true
-	defer func() { t.delivering = false }()
-	for len(t.deliveries) > 0 {
-		next := t.deliveries[0]
-		t.deliveries = t.deliveries[1:]
-		t.tell(next)
+	t.notifying = true
+	defer func() { t.notifying = false }()
+	for len(t.notifications) > 0 {
+		next := t.notifications[0]
+		t.notifications = t.notifications[1:]
+		t.notifyChange(next)
 	}
 }
 
-// tell is called under the lock, which it gives up for the calls.
-func (t *serverTable) tell(next delivery) {
+// notifyChange is called under the lock, which it gives up for the calls.
+func (t *serverTable) notifyChange(next queuedNotification) {
 	t.mutex.Unlock()
 	defer t.mutex.Lock()
 	for _, notify := range next.to {
