--- a/peer/agent.go
+++ b/peer/agent.go
@@ -17,11 +17,12 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// Agent keeps the node's view of the other nodes and of the servers: it drives
-// the cores of package membership over twirp, and reads the machine list.
+// Agent maintains the node's view of the other nodes and of the back-end
+// servers. It drives the state machines of package membership over twirp,
+// follows the machine list, and claims requests at the nodes that own them.
 //
-// Run must be called once; Handler serves the peers. All methods may be called
-// from several goroutines.
+// Run must be called once; Handler serves requests from peers. All methods are
+// safe for concurrent use.
 type Agent struct {
 	startTime           time.Time
 	client              *http.Client
@@ -33,12 +34,13 @@
 	handler             http.Handler
 	seed                uint64
 
-	// selfID and started name this process in claims.
+	// selfID and startIncarnation identify this process in claims.
 	selfID           string
 	startIncarnation uint64
-	// hasReadList is set once a machine list that names machines was read.
+	// hasReadList is set once a non-empty machine list has been read.
 	hasReadList atomic.Bool
-	// listAttempted is closed by markListAttempted once the first reading has ended.
+	// listAttempted is closed by markListAttempted once the first attempt to
+	// read the machine list has ended.
 	listAttempted     chan struct{}
 	markListAttempted func()
 
@@ -46,25 +48,25 @@
 	servers serverTable
 	claims  claimTable
 
-	// requestSlots bounds the requests in flight.
+	// requestSlots limits the membership requests in flight.
 	requestSlots chan struct{}
-	// wake makes the loop look at the tables at once; it holds one token.
+	// wake triggers an immediate tick; it buffers one signal.
 	wake chan struct{}
-	// pendingRequests counts the goroutines that wait for a peer's reply.
+	// pendingRequests counts the goroutines that are waiting for a peer's reply.
 	pendingRequests sync.WaitGroup
 }
 
-// nodeTable is the shard of the agent's state about nodes.
+// nodeTable holds the agent's state about nodes.
 type nodeTable struct {
-	// mutex guards core and shares. Invariant: core sees times that never
-	// decrease, as the clock is read under the lock; shares belong to the
-	// table's version.
+	// mutex guards core and shares. Invariants: the times passed to core never
+	// decrease, because the clock is read with mutex held; shares is only valid
+	// for the table version that it records.
 	mutex  sync.Mutex
 	core   *membership.Nodes
 	shares shareCache
 }
 
-// NewAgent returns an agent that knows no peer yet.
+// NewAgent returns an agent that knows no peers yet.
 func NewAgent(options AgentOptions) *Agent {
 	self := options.Self
 	if self.Incarnation == 0 {
@@ -99,40 +101,43 @@
 	return agent
 }
 
-// Handler serves the other nodes' requests.
+// Handler returns the HTTP handler for requests from other nodes.
 func (a *Agent) Handler() http.Handler { return a.handler }
 
-// Self returns the node's own entry.
+// Self returns the node's own membership entry.
 func (a *Agent) Self() membership.Member {
 	a.nodes.mutex.Lock()
 	defer a.nodes.mutex.Unlock()
 	return a.nodes.core.Self()
 }
 
-// Members returns the node itself and every member that is not gone, sorted by ID.
+// Members returns the node itself and every member that is not in state Gone,
+// sorted by ID.
 func (a *Agent) Members() []membership.Member {
 	a.nodes.mutex.Lock()
 	defer a.nodes.mutex.Unlock()
 	return a.nodes.core.Members()
 }
 
-// SubscribeServers calls the function for every known server, and then for
-// every change, in order and one call at a time. A server of which it was told
-// nothing is live. The function may call the agent's methods.
+// SubscribeServers calls notify with the state of every known server, and then
+// with every change of state. Calls are made in order and one at a time. A
+// server that has not been reported is live. notify may call the agent's
+// methods.
 func (a *Agent) SubscribeServers(notify func(id string, state dispatch.ServerState)) {
 	a.servers.subscribe(notify)
 }
 
-// ReportServer takes in what the node saw of a server.
+// ReportServer records the node's own observation of a server.
 func (a *Agent) ReportServer(id string, report membership.ServerReport) {
 	a.servers.update(func(core *membership.Servers) { core.Report(a.now(), id, report) })
 }
 
-// now is the time since the agent's epoch.
+// now returns the time since the agent was created.
 func (a *Agent) now() time.Duration { return time.Since(a.startTime) }
 
-// Run probes peers and follows the machine list until the context ends; it
-// then hands its claims over, announces the departure and returns when all its goroutines have ended.
+// Run probes peers and follows the machine list until ctx is cancelled. It then
+// hands over the claims that it holds, announces its departure and returns when
+// all its goroutines have ended.
 func (a *Agent) Run(ctx context.Context) error {
 	var loops sync.WaitGroup
 	loops.Go(func() { a.tickLoop(ctx) })
@@ -148,8 +153,9 @@
 	return nil
 }
 
-// Leave announces to several peers that the node is leaving: it finishes what
-// is in flight and takes no new work.
+// Leave announces to several peers that the node is leaving, that is, that it
+// completes the requests in flight and accepts no new ones. It returns when the
+// announcements have been answered or have timed out.
 func (a *Agent) Leave(ctx context.Context) {
 	a.nodes.mutex.Lock()
 	requests := a.nodes.core.Leave()
@@ -157,9 +163,10 @@
 	a.sendAndWait(ctx, requests)
 }
 
-// RefreshRevisions asks members that are not known to have the revision in
-// force, a bounded number of them, and returns when they have answered or did
-// not in time. Members is then as exact as it can be, where gossip lags.
+// RefreshRevisions asks a bounded number of members that are not known to have
+// the given revision for the one in force there. It returns when they have
+// answered or timed out. Afterwards the revisions in Members are as current as
+// possible; those spread by gossip alone lag behind.
 func (a *Agent) RefreshRevisions(ctx context.Context, revision policy.Revision) {
 	a.nodes.mutex.Lock()
 	requests := a.nodes.core.RequestRevisions(revision)
@@ -167,7 +174,7 @@
 	a.sendAndWait(ctx, requests)
 }
 
-// depart announces that the node is gone.
+// depart announces that the node has stopped.
 func (a *Agent) depart(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, departTimeout)
 	defer cancel()
@@ -177,7 +184,7 @@
 	a.sendAndWait(ctx, requests)
 }
 
-// tickLoop drives the cores' timers.
+// tickLoop drives the timers of the node and server tables until ctx is cancelled.
 func (a *Agent) tickLoop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -192,7 +199,8 @@
 	}
 }
 
-// tick advances the cores and returns the time until the next one.
+// tick advances both tables, sends the requests that are due and returns the
+// delay until the next tick.
 func (a *Agent) tick(ctx context.Context) time.Duration {
 	a.servers.update(func(core *membership.Servers) { core.Tick(a.now()) })
 	a.refreshRevision()
@@ -207,7 +215,7 @@
 	return min(max(0, next-now), maximumTick)
 }
 
-// logChanges writes what changed in the table of nodes.
+// logChanges logs changes to the node table.
 func (a *Agent) logChanges(changes []membership.Member) {
 	for _, member := range changes {
 		a.logger.Debug().
@@ -220,7 +228,8 @@
 	}
 }
 
-// refreshRevision takes over the revision in force, which rides on gossip.
+// refreshRevision updates the configuration revision that gossip carries to the
+// one now in force.
 func (a *Agent) refreshRevision() {
 	if a.configurations == nil {
 		return
@@ -231,8 +240,8 @@
 	a.nodes.core.SetRevision(revision)
 }
 
-// send carries out requests, each in its own goroutine. A request over the
-// bound on those in flight fails at once.
+// send performs each request in its own goroutine. A request that exceeds the
+// limit on requests in flight fails immediately.
 func (a *Agent) send(ctx context.Context, requests []membership.Request) {
 	for _, request := range requests {
 		select {
@@ -247,7 +256,8 @@
 	}
 }
 
-// sendAndWait carries out announcements and returns when all have ended.
+// sendAndWait performs the requests concurrently, without regard to the limit on
+// requests in flight, and returns when all have ended.
 func (a *Agent) sendAndWait(ctx context.Context, requests []membership.Request) {
 	var sent sync.WaitGroup
 	for _, request := range requests {
@@ -256,7 +266,7 @@
 	sent.Wait()
 }
 
-// perform carries out one request and reports its result.
+// perform sends one request and passes its result to the node table.
 func (a *Agent) perform(ctx context.Context, request membership.Request) {
 	requestContext, cancel := context.WithTimeout(ctx, request.Timeout)
 	defer cancel()
@@ -269,6 +279,8 @@
 	a.complete(ctx, result)
 }
 
+// complete passes a result to the node table and sends the requests that follow
+// from it, unless ctx is done.
 func (a *Agent) complete(ctx context.Context, result membership.Result) {
 	a.nodes.mutex.Lock()
 	requests := a.nodes.core.Complete(a.now(), result)
@@ -278,7 +290,7 @@
 	}
 }
 
-// jitter returns a time between half of the delay and the whole of it.
+// jitter returns a random duration between half of delay and delay.
 func jitter(random *rand.Rand, delay time.Duration) time.Duration {
 	half := delay / 2
 	return half + time.Duration(random.Int64N(int64(half)+1))
--- a/peer/claim.go
+++ b/peer/claim.go
@@ -12,48 +12,50 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// Times and bounds of claims.
+// Limits and time-outs of claims.
 const (
-	// MaximumClaimKeyBytes bounds the key of a claim.
+	// MaximumClaimKeyBytes limits the length of a claim's key.
 	MaximumClaimKeyBytes = 512
-	// claimTimeout bounds one owner's answer.
+	// claimTimeout limits the wait for one owner's answer to a claim.
 	claimTimeout = 300 * time.Millisecond
-	// claimStragglerTimeout is how long a claim that a majority has granted waits for
-	// the other owners.
+	// claimStragglerTimeout limits the wait for the remaining owners once a
+	// majority has granted a claim.
 	claimStragglerTimeout = 20 * time.Millisecond
-	// releaseTimeout bounds one owner's answer to a release.
+	// releaseTimeout limits the wait for the owners' answers to a release.
 	releaseTimeout = time.Second
 )
 
-// claimTable is the shard of the agent's state about claims.
+// claimTable holds the agent's state about claims.
 type claimTable struct {
 	// sequence numbers the agent's own claims.
 	sequence atomic.Uint64
-	// mutex guards the fields below. Invariants: ledger sees times that never
-	// decrease, as the clock is read under the lock; once closed is set, the
-	// ledger grants nothing, so that all it granted was handed over.
+	// mutex guards the fields below. Invariants: the times passed to table
+	// never decrease, because the clock is read with mutex held; once closed is
+	// set, no claim is granted, so that the handover includes every granted
+	// claim.
 	mutex  sync.Mutex
 	table  *claim.Table
 	closed bool
-	// pendingCalls counts the calls to owners that are out. It grows only under mutex
-	// and while closed is not set, so that waiting for it after that is safe.
+	// pendingCalls counts the calls to owners in flight. It is incremented only
+	// with mutex held and while closed is not set, so that it is safe to wait
+	// for it after closed has been set.
 	pendingCalls sync.WaitGroup
 }
 
-// Claim is a claim that was made at a request's owners.
+// Claim is the result of claiming a request at the nodes that own its key.
 type Claim struct {
-	// Decision tells whether the request may run.
+	// Decision says whether the request may run.
 	Decision claim.Decision
-	// Holder is the node that has the request, when the decision is lost.
+	// Holder is the node that holds the claim if Decision is claim.Lost.
 	Holder claim.Holder
 
 	claim  claim.Claim
 	owners []membership.Member
 }
 
-// ClaimRequest claims a not-repeatable request before it runs. It must run only
-// when the decision is Won. A claim whose request did not run is to be given to
-// ReleaseRequest.
+// ClaimRequest claims a non-repeatable request before it runs. The request may
+// run only if the decision is claim.Won. If it then does not run, the caller
+// passes the claim to ReleaseRequest.
 func (a *Agent) ClaimRequest(ctx context.Context, key string) Claim {
 	if !a.knowsOtherNodes() {
 		return Claim{Decision: claim.Unavailable}
@@ -75,8 +77,8 @@
 	return result
 }
 
-// ReleaseRequest takes back a claim whose request certainly did not run. It
-// returns when the owners have answered or their time is up.
+// ReleaseRequest releases a claim whose request certainly did not run. It
+// returns when the owners have answered or timed out.
 func (a *Agent) ReleaseRequest(ctx context.Context, released Claim) {
 	if released.claim.Key == "" {
 		return
@@ -88,16 +90,16 @@
 	for _, owner := range released.owners {
 		asked.Go(func() {
 			if _, err := a.stub(owner.Address).ReleaseRequest(ctx, claimToWire(released.claim)); err != nil {
-				a.logger.Debug().Err(err).Str("member", owner.ID).Msg("claim not released; it lapses")
+				a.logger.Debug().Err(err).Str("member", owner.ID).Msg("claim not released at owner; it stays until it expires")
 			}
 		})
 	}
 	asked.Wait()
 }
 
-// knowsOtherNodes reports whether the agent knows the other nodes: a node that has
-// just started would otherwise take itself for the only one, and run what
-// another node holds.
+// knowsOtherNodes reports whether the agent knows enough about the cluster to
+// make claims. Without this check a node that has just started would consider
+// itself the only one and run requests that another node holds.
 func (a *Agent) knowsOtherNodes() bool {
 	if a.machineList == nil || a.hasReadList.Load() {
 		return true
@@ -105,16 +107,17 @@
 	return len(a.claimCandidates()) > 0
 }
 
+// holder identifies this process as the holder of its claims.
 func (a *Agent) holder() claim.Holder {
-	// The incarnation that the process started with names the process; the
-	// member's own grows when it refutes a suspicion.
+	// The incarnation at start identifies the process; the member's own
+	// incarnation increases whenever it refutes a suspicion.
 	return claim.Holder{Node: a.selfID, Incarnation: a.startIncarnation}
 }
 
-// claimCandidates lists the other nodes that may be owners, by ID: members, and
-// nodes that the machine list names and that were not heard of yet. Where that
-// leaves none, listed nodes that are taken for gone count: each of two nodes that
-// are cut off from each other would otherwise take itself for the only one.
+// claimCandidates returns the other nodes that may own claims, by ID: members,
+// and nodes in the machine list that are not members yet. If there are none, it
+// returns the listed nodes that are considered gone: otherwise each of two nodes
+// on either side of a network partition would consider itself the only one.
 func (a *Agent) claimCandidates() map[string]membership.Member {
 	a.nodes.mutex.Lock()
 	known := append(a.nodes.core.Members(), a.nodes.core.Candidates()...)
@@ -135,6 +138,7 @@
 	return candidates
 }
 
+// claimOwners returns the nodes that own a claim's key.
 func (a *Agent) claimOwners(key string) []membership.Member {
 	candidates := a.claimCandidates()
 	ids := make([]string, 0, len(candidates))
@@ -148,20 +152,21 @@
 	return owners
 }
 
-// ownerAnswer is one owner's answer; failed when there was none.
+// ownerAnswer is one owner's answer; failed is set if it gave no usable one.
 type ownerAnswer struct {
 	answer claim.Answer
 	failed bool
 }
 
-// claimAtOwners asks all owners at once and collects their answers.
+// claimAtOwners sends the claim to all owners concurrently and collects their
+// answers until the round is decided.
 func (a *Agent) claimAtOwners(ctx context.Context, pending Claim) *claim.Round {
 	if !a.beginOwnerCalls(len(pending.owners)) {
 		return failedRound()
 	}
 	round := claim.NewRound(len(pending.owners))
 	answers := make(chan ownerAnswer, len(pending.owners))
-	calls := context.WithoutCancel(ctx) // a claim should stand at all owners, also when nobody waits
+	calls := context.WithoutCancel(ctx) // all owners should record the claim, even if the caller no longer waits
 	for _, owner := range pending.owners {
 		go func() {
 			defer a.claims.pendingCalls.Done()
@@ -171,14 +176,15 @@
 	return collectAnswers(ctx, round, answers)
 }
 
-// failedRound is a round that an owner did not answer.
+// failedRound returns a round whose only owner failed to answer.
 func failedRound() *claim.Round {
 	round := claim.NewRound(1)
 	round.AddFailure()
 	return round
 }
 
-// beginOwnerCalls counts calls that are about to start; it is false once the agent ends.
+// beginOwnerCalls adds to the calls in flight; it returns false, and adds
+// nothing, once the claim table is closed.
 func (a *Agent) beginOwnerCalls(calls int) bool {
 	a.claims.mutex.Lock()
 	defer a.claims.mutex.Unlock()
@@ -189,6 +195,8 @@
 	return true
 }
 
+// collectAnswers adds answers to the round until it is decided. It closes the
+// round early when ctx is done, or claimStragglerTimeout after a majority.
 func collectAnswers(ctx context.Context, round *claim.Round, answers <-chan ownerAnswer) *claim.Round {
 	var stragglerTimeout <-chan time.Time
 	for round.Decision() == claim.Undecided {
@@ -211,12 +219,14 @@
 	return round
 }
 
+// claimAtOwner sends the claim to one owner. An unknown verdict, or that the
+// owner's table is full, counts as a failure.
 func (a *Agent) claimAtOwner(ctx context.Context, owner membership.Member, entry claim.Claim) ownerAnswer {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	reply, err := a.stub(owner.Address).ClaimRequest(ctx, claimToWire(entry))
 	if err != nil {
-		a.logger.Debug().Err(err).Str("member", owner.ID).Msg("no answer to a claim")
+		a.logger.Debug().Err(err).Str("member", owner.ID).Msg("owner did not answer a claim")
 		return ownerAnswer{failed: true}
 	}
 	switch reply.GetVerdict() {
@@ -230,6 +240,8 @@
 	}
 }
 
+// recordClaim records a claim in this node's own table. The verdict is
+// claim.Full once the table is closed.
 func (a *Agent) recordClaim(entry claim.Claim) claim.Answer {
 	a.claims.mutex.Lock()
 	defer a.claims.mutex.Unlock()
@@ -239,6 +251,7 @@
 	return a.claims.table.Claim(a.now(), entry)
 }
 
+// releaseClaim removes a claim from this node's own table.
 func (a *Agent) releaseClaim(entry claim.Claim) {
 	a.claims.mutex.Lock()
 	defer a.claims.mutex.Unlock()
@@ -284,6 +297,7 @@
 	}
 }
 
+// claimFromWire decodes and validates a claim.
 func claimFromWire(request *RequestClaim) (claim.Claim, error) {
 	key, holder := request.GetKey(), request.GetHolder()
 	if key == "" || len(key) > MaximumClaimKeyBytes {
--- a/peer/client.go
+++ b/peer/client.go
@@ -12,8 +12,8 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// boundedClient returns a client that reads no more of a reply than
-// maximumReplyBytes.
+// boundedClient returns a copy of client that reads at most maximumReplyBytes of
+// a response body. A nil client stands for http.DefaultClient.
 func boundedClient(client *http.Client) *http.Client {
 	if client == nil {
 		client = http.DefaultClient
@@ -23,7 +23,7 @@
 	return &bounded
 }
 
-// boundedTransport bounds the bodies of replies.
+// boundedTransport limits response bodies to maximumReplyBytes.
 type boundedTransport struct{ next http.RoundTripper }
 
 func (t boundedTransport) RoundTrip(request *http.Request) (*http.Response, error) {
@@ -39,17 +39,18 @@
 	return response, nil
 }
 
+// boundedBody reads from a limited reader and closes the underlying body.
 type boundedBody struct {
 	io.Reader
 	io.Closer
 }
 
-// stub returns the twirp client of a peer.
+// stub returns a twirp client for the peer at address.
 func (a *Agent) stub(address string) Peer {
 	return NewPeerProtobufClient("http://"+address, a.client)
 }
 
-// exchange carries out one request of the core.
+// exchange sends one request of the node table to a peer.
 func (a *Agent) exchange(ctx context.Context, request membership.Request) (membership.Result, error) {
 	switch request.Kind {
 	case membership.IndirectProbe:
@@ -61,6 +62,7 @@
 	}
 }
 
+// gossip probes a peer directly and exchanges membership updates with it.
 func (a *Agent) gossip(ctx context.Context, request membership.Request) (membership.Result, error) {
 	reply, err := a.stub(request.To.Address).Gossip(ctx, &GossipRequest{
 		Sender:         wire.FromMember(request.Sender),
@@ -73,12 +75,14 @@
 	a.receiveLeavingServers(reply.GetLeavingServers())
 	responder, ok := wire.ToMember(reply.GetResponder())
 	if !ok {
-		return membership.Result{}, fmt.Errorf("%w: responder", ErrMalformed)
+		return membership.Result{}, fmt.Errorf("%w: invalid responder", ErrMalformed)
 	}
 	updates := wire.ToMembers(reply.GetUpdates(), membership.MaximumUpdates)
 	return membership.Result{Responder: responder, Updates: updates}, nil
 }
 
+// probeIndirectly asks a peer to probe the target on this node's behalf, within
+// half of the request's timeout.
 func (a *Agent) probeIndirectly(ctx context.Context, request membership.Request) (membership.Result, error) {
 	reply, err := a.stub(request.To.Address).ProbeIndirect(ctx, &ProbeIndirectRequest{
 		Target:    wire.FromMember(request.Target),
@@ -92,11 +96,12 @@
 	}
 	target, ok := wire.ToMember(reply.GetTarget())
 	if !ok {
-		return membership.Result{}, fmt.Errorf("%w: target", ErrMalformed)
+		return membership.Result{}, fmt.Errorf("%w: invalid target", ErrMalformed)
 	}
 	return membership.Result{Responder: target, Reached: true}, nil
 }
 
+// sync fetches the entries of a peer's member table that differ from this node's.
 func (a *Agent) sync(ctx context.Context, request membership.Request) (membership.Result, error) {
 	reply, err := a.stub(request.To.Address).ListMembers(ctx, &ListMembersRequest{
 		Sender:      wire.FromMember(request.Sender),
@@ -108,7 +113,7 @@
 	}
 	responder, ok := wire.ToMember(reply.GetResponder())
 	if !ok {
-		return membership.Result{}, fmt.Errorf("%w: responder", ErrMalformed)
+		return membership.Result{}, fmt.Errorf("%w: invalid responder", ErrMalformed)
 	}
 	return membership.Result{
 		Responder:  responder,
@@ -118,9 +123,9 @@
 	}, nil
 }
 
-// Fetch asks a member for the configuration in force there. The revision is
-// zero when it is not greater than above. Errors are ErrUnknownMember,
-// ErrUnreachable and ErrMalformed.
+// Fetch returns the configuration record in force at a member, and its revision.
+// The revision is zero if the member has none greater than above. Errors wrap
+// ErrUnknownMember, ErrUnreachable or ErrMalformed.
 func (a *Agent) Fetch(ctx context.Context, member string, above policy.Revision) (policy.Revision, []byte, error) {
 	address, err := a.address(member)
 	if err != nil {
@@ -142,8 +147,8 @@
 	return revision, reply.GetRecord(), nil
 }
 
-// Push offers a configuration to a member and returns the revision that is in
-// force there afterwards. Errors are ErrUnknownMember, ErrUnreachable and
+// Push offers a configuration record to a member and returns the revision in
+// force there afterwards. Errors wrap ErrUnknownMember, ErrUnreachable or
 // ErrTooLarge.
 func (a *Agent) Push(ctx context.Context, member string, revision policy.Revision, record []byte) (policy.Revision, error) {
 	if len(record) > MaximumConfigurationBytes {
@@ -162,6 +167,7 @@
 	return policy.Revision(reply.GetRevision()), nil
 }
 
+// address returns the address of a member that is not gone.
 func (a *Agent) address(id string) (string, error) {
 	a.nodes.mutex.Lock()
 	defer a.nodes.mutex.Unlock()
@@ -172,7 +178,7 @@
 	return member.Address, nil
 }
 
-// unreachable turns an error of the transport into the agent's own.
+// unreachable joins ErrUnreachable with a transport error.
 func unreachable(err error) error {
 	return errors.Join(ErrUnreachable, err)
 }
--- a/peer/connections.go
+++ b/peer/connections.go
@@ -6,8 +6,8 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// shareCache keeps the shares, and the owners through which to forward, that were
-// worked out for one version of the table.
+// shareCache caches connection shares and forward owners computed for one
+// version of the node table.
 type shareCache struct {
 	version uint64
 	nodes   []membership.Member
@@ -15,9 +15,9 @@
 	owners  map[membership.ServerSpec][]membership.Member
 }
 
-// ConnectionShare returns the node's part of a server's connections, given the
-// members that the node now sees as live or suspect, and the nodes that only the
-// machine list names.
+// ConnectionShare returns the node's share of a server's connections. They are
+// shared between the members that are now live or suspect and the nodes that are
+// only in the machine list.
 func (a *Agent) ConnectionShare(server membership.ServerSpec) membership.Share {
 	a.nodes.mutex.Lock()
 	defer a.nodes.mutex.Unlock()
@@ -30,21 +30,23 @@
 	return share
 }
 
-// sharingNodes lists the nodes that share the servers' connections. Those that
-// only the machine list names count as well, also after the node has joined: it
-// may have joined through one that did not know them yet, and they may hold
-// connections by now.
+// sharingNodes returns the nodes that share the servers' connections. Nodes that
+// are only in the machine list are included, even after this node has joined: it
+// may have joined through a node that did not know them yet, and they may
+// already hold connections.
 func sharingNodes(core *membership.Nodes) []membership.Member {
 	nodes := append(core.Members(), core.Candidates()...)
 	return slices.DeleteFunc(nodes, func(m membership.Member) bool { return m.State == membership.Leaving })
 }
 
-// ListAttempted is closed once the first reading of the machine list has ended, well
-// or badly. Before, a node that starts takes itself for the only one.
+// ListAttempted returns a channel that is closed once the first attempt to read
+// the machine list has ended, successfully or not. Until then a starting node
+// considers itself the only one. Without a machine list it is closed from the
+// start.
 func (a *Agent) ListAttempted() <-chan struct{} { return a.listAttempted }
 
-// SharingNodes lists the IDs of the nodes that share the servers' connections,
-// in order.
+// SharingNodes returns the sorted IDs of the nodes that share the servers'
+// connections.
 func (a *Agent) SharingNodes() []string {
 	a.nodes.mutex.Lock()
 	defer a.nodes.mutex.Unlock()
@@ -58,7 +60,7 @@
 }
 
 // ForwardOwners returns the nodes through which this node reaches a server to
-// which it owns no connection, the first choice first.
+// which it owns no connection, in order of preference.
 func (a *Agent) ForwardOwners(server membership.ServerSpec) []membership.Member {
 	a.nodes.mutex.Lock()
 	defer a.nodes.mutex.Unlock()
@@ -71,8 +73,8 @@
 	return owners
 }
 
-// validShareCache returns the cache, emptied when the table has changed. The
-// nodes' lock is held.
+// validShareCache returns the cache, after clearing it if the node table has
+// changed. The caller must hold a.nodes.mutex.
 func (a *Agent) validShareCache() *shareCache {
 	core := a.nodes.core
 	cache := &a.nodes.shares
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -10,6 +10,8 @@
 	return messages
 }
 
+// leavingServersFromWire decodes at most membership.MaximumServerLeavings
+// entries and skips invalid ones.
 func leavingServersFromWire(messages []*ServerLeaving) []membership.ServerLeaving {
 	messages = messages[:min(len(messages), membership.MaximumServerLeavings)]
 	leavings := make([]membership.ServerLeaving, 0, len(messages))
--- a/peer/findings.go
+++ b/peer/findings.go
@@ -11,28 +11,31 @@
 )
 
 const (
-	// FindingFanout is the number of peers that a finding is pushed to; each that
-	// learns news pushes it on once.
+	// FindingFanout is the number of peers to which a finding is pushed. Each
+	// peer to which the finding is new pushes it on once.
 	FindingFanout = 5
-	// findingTimeout bounds one push.
+	// findingTimeout limits the duration of one push.
 	findingTimeout = 500 * time.Millisecond
-	// findingPushInterval bounds the rate of pushes; what waits goes together.
+	// findingPushInterval is the pause after each push; findings that arrive in
+	// the meantime are sent together.
 	findingPushInterval = 100 * time.Millisecond
-	// findingRandomStream keeps the random numbers of the pushes apart from other users
-	// of the same seed.
+	// findingRandomStream selects a random stream that differs from those of
+	// other users of the same seed.
 	findingRandomStream = 0x66696e64
 )
 
-// SubscribeUnverified calls the function for every server of which another node told
-// news, so that the node reads it itself. It must be called before Run.
+// SubscribeUnverified calls notify with the ID of every server whose state
+// another node has reported, so that this node checks the server's health
+// itself. It must be called before Run.
 func (a *Agent) SubscribeUnverified(notify func(server string)) {
 	a.servers.mutex.Lock()
 	defer a.servers.mutex.Unlock()
 	a.servers.onUnverified = notify
 }
 
-// LiveNodes lists the IDs of the nodes that share the servers' connections and
-// are not suspect, in order.
+// LiveNodes returns the IDs of the nodes that share the servers' connections and
+// are not suspect: members first, then nodes that are only in the machine list,
+// each sorted by ID.
 func (a *Agent) LiveNodes() []string {
 	a.nodes.mutex.Lock()
 	defer a.nodes.mutex.Unlock()
@@ -45,7 +48,8 @@
 	return live
 }
 
-// ServerOwners returns the nodes that hold connections to a server, as Owners does.
+// ServerOwners returns the nodes that own connections to a server; see
+// membership.Owners.
 func (a *Agent) ServerOwners(server membership.ServerSpec) []membership.Owner {
 	a.nodes.mutex.Lock()
 	defer a.nodes.mutex.Unlock()
@@ -67,7 +71,7 @@
 	return &PushServerFindingsResponse{}, nil
 }
 
-// findingLoop pushes what the node found, until the context ends.
+// findingLoop pushes new server findings to peers until ctx is cancelled.
 func (a *Agent) findingLoop(ctx context.Context) {
 	random := rand.New(rand.NewPCG(a.seed, findingRandomStream))
 	for {
@@ -83,6 +87,8 @@
 	}
 }
 
+// takeFindings removes the findings to be pushed next from the server table and
+// encodes them.
 func (a *Agent) takeFindings() []*ServerFinding {
 	a.servers.mutex.Lock()
 	defer a.servers.mutex.Unlock()
@@ -95,7 +101,8 @@
 	return messages
 }
 
-// pushFindings tells a few random peers, and does not wait for the slow ones.
+// pushFindings sends the findings to a few random peers without waiting for
+// their responses.
 func (a *Agent) pushFindings(ctx context.Context, random *rand.Rand, findings []*ServerFinding) {
 	message := &ServerFindings{Findings: findings}
 	for _, address := range a.selectFindingPeers(random) {
@@ -103,13 +110,14 @@
 			pushContext, cancel := context.WithTimeout(ctx, findingTimeout)
 			defer cancel()
 			if _, err := a.stub(address).PushServerFindings(pushContext, message); err != nil {
-				a.logger.Debug().Err(err).Str("address", address).Msg("findings not pushed")
+				a.logger.Debug().Err(err).Str("address", address).Msg("failed to push server findings")
 			}
 		})
 	}
 }
 
-// selectFindingPeers picks the addresses of a few live members.
+// selectFindingPeers returns the addresses of up to FindingFanout random live
+// members.
 func (a *Agent) selectFindingPeers(random *rand.Rand) []string {
 	var addresses []string
 	for _, member := range a.Members() {
--- a/peer/forward.go
+++ b/peer/forward.go
@@ -14,7 +14,7 @@
 	"github.com/banksail/banksail/internal/delivery"
 )
 
-// ForwardOutcome is how far a forwarded sub-request got.
+// ForwardOutcome says how far a forwarded sub-request got.
 type ForwardOutcome int
 
 // Outcomes of forwards.
@@ -23,18 +23,19 @@
 	ForwardUnknown ForwardOutcome = iota
 	// ForwardReplied: the server answered.
 	ForwardReplied
-	// ForwardNotSent: no byte was written to the owner.
+	// ForwardNotSent: no byte of the sub-request was written to the owner.
 	ForwardNotSent
-	// ForwardNotOwner: the node that was asked owns no connection to the server.
+	// ForwardNotOwner: the node that was asked owns no connection to the server
+	// and did not send the sub-request.
 	ForwardNotOwner
-	// ForwardLeaving: the owner stops and takes no new forwards.
+	// ForwardLeaving: the owner is shutting down and accepts no new forwards.
 	ForwardLeaving
-	// ForwardBusy: the owner forwards as much as it may.
+	// ForwardBusy: the owner has reached its limit on forwards.
 	ForwardBusy
-	// ForwardNotDelivered: the owner wrote no byte to the server.
+	// ForwardNotDelivered: the owner wrote no byte of the sub-request to the server.
 	ForwardNotDelivered
-	// ForwardMalformed: a reply came that does not follow the protocol; the
-	// server may have executed the sub-request.
+	// ForwardMalformed: the reply violates the protocol; the server may have
+	// executed the sub-request.
 	ForwardMalformed
 )
 
@@ -49,10 +50,10 @@
 	ForwardMalformed:    "malformed",
 }
 
-// String names the outcome in metrics and logs.
+// String returns the name of the outcome in metrics and logs.
 func (o ForwardOutcome) String() string { return forwardOutcomeNames[o] }
 
-// ForwardOutcomes lists all outcomes.
+// ForwardOutcomes returns all outcomes.
 func ForwardOutcomes() []ForwardOutcome {
 	return []ForwardOutcome{
 		ForwardUnknown, ForwardReplied, ForwardNotSent, ForwardNotOwner,
@@ -70,38 +71,40 @@
 	}
 }
 
-// ForwardResult is the end of one forward.
+// ForwardResult is the result of one forward.
 type ForwardResult struct {
 	Outcome ForwardOutcome
-	// Reply is set when the outcome is ForwardReplied.
+	// Reply is set if Outcome is ForwardReplied.
 	Reply *backend.Reply
-	// Err tells more about an outcome without a reply; it may be nil.
+	// Err is the cause of an outcome without a reply; it may be nil.
 	Err error
 }
 
-// Bounds and times of forwards.
+// Limits and time-outs of forwards.
 const (
-	// maximumForwardReplyBytes bounds an owner's answer.
+	// maximumForwardReplyBytes limits the size of an owner's response: a server's
+	// reply and 64 KiB for the rest of the message.
 	maximumForwardReplyBytes = backend.MaximumReplyBytes + 64<<10
-	// forwardConnectionsPerOwner bounds the connections to one owner; each
+	// forwardConnectionsPerOwner limits the connections to one owner; each
 	// carries one forward at a time.
 	forwardConnectionsPerOwner = 32
-	// idleForwardConnectionsPerOwner bounds the idle ones.
+	// idleForwardConnectionsPerOwner limits the idle connections to one owner.
 	idleForwardConnectionsPerOwner = 4
 	forwardIdleTimeout             = 30 * time.Second
-	// forwardDialTimeout bounds the opening of a connection to an owner; another
-	// owner is asked afterwards.
+	// forwardDialTimeout limits the time to connect to an owner; the caller
+	// then tries another owner.
 	forwardDialTimeout = 500 * time.Millisecond
 )
 
-// Forwarder sends sub-requests to servers through other nodes. It never sends
-// one twice: what may have been written to an owner is told as unknown.
+// Forwarder sends sub-requests to servers through other nodes. It never sends a
+// sub-request twice: if a byte may have been written to an owner that then gave
+// no response, the outcome is ForwardUnknown.
 type Forwarder struct {
 	transport *http.Transport
 	client    *http.Client
 }
 
-// NewForwarder returns a forwarder that opens connections with dial.
+// NewForwarder returns a Forwarder that connects to owners with dial.
 func NewForwarder(dial func(ctx context.Context, network, address string) (net.Conn, error)) *Forwarder {
 	transport := &http.Transport{
 		DialContext: delivery.WrapDial(func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -120,11 +123,11 @@
 	}
 }
 
-// CloseIdleConnections closes the connections that carry no forward.
+// CloseIdleConnections closes connections that carry no forward.
 func (f *Forwarder) CloseIdleConnections() { f.transport.CloseIdleConnections() }
 
-// Forward asks the owner at an address to send a sub-request to a server. The
-// end of the context ends the owner's request to the server as well.
+// Forward asks the node at address owner to send a sub-request to a server.
+// Cancelling ctx also cancels the owner's request to the server.
 func (f *Forwarder) Forward(ctx context.Context, owner, server string, request *backend.Request) ForwardResult {
 	message := forwardToWire(server, request)
 	stub := NewPeerProtobufClient("http://"+owner, f.client)
@@ -145,13 +148,15 @@
 		if !tracker.Reused() {
 			return ForwardResult{Outcome: ForwardNotSent, Err: unreachable(err)}
 		}
-		// A kept connection had closed before a byte was written; it is gone
-		// now, so this ends with the last of them.
+		// A reused connection had been closed before any byte was written. The
+		// transport has discarded it, so that there are no more retries than idle
+		// connections.
 	}
 }
 
-// ServerHealth asks an owner what it last read of a server's health. The second
-// result is false when the owner knows nothing of late.
+// ServerHealth fetches a server's health as an owner last read it. The second
+// result is false if the owner has no recent reading. Errors wrap ErrUnreachable
+// or ErrMalformed.
 func (f *Forwarder) ServerHealth(ctx context.Context, owner, server string) (*backend.Health, bool, error) {
 	stub := NewPeerProtobufClient("http://"+owner, f.client)
 	answer, err := stub.ReadServerHealth(ctx, &ServerHealthRequest{Server: server})
@@ -165,8 +170,8 @@
 	return health, err == nil, err
 }
 
-// remainingTime is the time left for a sub-request: what it says, or less when
-// its context ends before.
+// remainingTime returns the time left for a sub-request: its own remaining time
+// or the time until the deadline of ctx, whichever is less.
 func remainingTime(ctx context.Context, request *backend.Request) time.Duration {
 	remaining := time.Duration(request.RemainingMilliseconds * float64(time.Millisecond))
 	if deadline, ok := ctx.Deadline(); ok {
@@ -175,9 +180,9 @@
 	return remaining
 }
 
-// noRetryTransport sends each request once and bounds the bodies of replies:
-// net/http's transport sends a request again on its own only when its body can
-// be rewound, so that way is taken from it.
+// noRetryTransport sends each request once and limits the size of response
+// bodies. The transport of net/http retries a request on its own only if it can
+// rewind the body, so GetBody is cleared.
 type noRetryTransport struct{ next http.RoundTripper }
 
 // RoundTrip implements http.RoundTripper.
@@ -192,12 +197,13 @@
 	return response, nil
 }
 
-// forwardFromWire takes in an owner's answer.
+// forwardFromWire decodes an owner's response and checks the server's reply
+// against the request.
 func forwardFromWire(answer *ForwardQueryResponse, request *backend.Request) ForwardResult {
 	outcome, known := outcomeFromWire[answer.GetOutcome()]
 	switch {
 	case !known:
-		return ForwardResult{Outcome: ForwardUnknown, Err: fmt.Errorf("%w: outcome %d", ErrMalformed, answer.GetOutcome())}
+		return ForwardResult{Outcome: ForwardUnknown, Err: fmt.Errorf("%w: unknown outcome %d", ErrMalformed, answer.GetOutcome())}
 	case outcome != ForwardReplied:
 		return ForwardResult{Outcome: outcome}
 	}
@@ -208,7 +214,8 @@
 	return ForwardResult{Outcome: ForwardReplied, Reply: reply}
 }
 
-// writeBusy answers a forward whose body is not read.
+// writeBusy responds with the outcome "busy" to a forward whose body has not
+// been read.
 func writeBusy(writer http.ResponseWriter) {
 	body, err := proto.Marshal(&ForwardQueryResponse{Outcome: ForwardQueryResponse_OUTCOME_BUSY})
 	if err != nil {
--- a/peer/forward_convert.go
+++ b/peer/forward_convert.go
@@ -100,14 +100,15 @@
 	return reply
 }
 
-// healthFromWire checks an owner's account of a server's health.
+// healthFromWire decodes and validates a server's health as read by an owner.
+// Errors wrap ErrMalformed.
 func healthFromWire(message *ServerHealthResponse) (*backend.Health, error) {
 	state := backend.HealthState(message.GetState())
 	switch {
 	case state != backend.HealthStarting && state != backend.HealthReady && state != backend.HealthDraining:
-		return nil, fmt.Errorf("%w: unknown state of health", ErrMalformed)
+		return nil, fmt.Errorf("%w: unknown health state", ErrMalformed)
 	case len(message.GetIncarnation()) > membership.MaximumIDBytes:
-		return nil, fmt.Errorf("%w: incarnation", ErrMalformed)
+		return nil, fmt.Errorf("%w: incarnation too long", ErrMalformed)
 	case len(message.GetSnapshots()) > backend.MaximumSnapshots:
 		return nil, fmt.Errorf("%w: snapshots", ErrMalformed)
 	}
--- a/peer/forward_server.go
+++ b/peer/forward_server.go
@@ -12,33 +12,37 @@
 	"github.com/banksail/banksail/coverage"
 )
 
-// Bounds of what an owner takes on.
+// Limits on the forwards that an owner accepts.
 const (
-	// DefaultForwardBodyBytes bounds the body of one forwarded sub-request.
+	// DefaultForwardBodyBytes is the default limit on the body of one forwarded
+	// sub-request.
 	DefaultForwardBodyBytes = 1 << 20
-	// forwardOverheadBytes is what a sub-request takes besides its body.
+	// forwardOverheadBytes is the space allowed for a sub-request's fields other
+	// than its body.
 	forwardOverheadBytes = 4 << 10
-	// maximumForwards bounds the forwards that an owner takes at once; together
-	// with the bytes of each it bounds what they hold in memory.
+	// maximumForwards limits the forwards that an owner handles concurrently.
+	// Together with the size limit of each it bounds their memory use.
 	maximumForwards = 2048
-	// maximumForwardTime bounds the time that a requester may give a sub-request.
+	// maximumForwardTime limits the remaining time that a requester may set.
 	maximumForwardTime = time.Hour
-	// maximumNameBytes bounds the names and IDs in a forward.
+	// maximumNameBytes limits the length of each name and ID in a forward.
 	maximumNameBytes = 128
 )
 
-// ForwardTarget asks servers for other nodes, over connections that this node
-// owns. Its methods are called from several goroutines.
+// ForwardTarget sends requests to servers on behalf of other nodes, over
+// connections that this node owns. Its methods must be safe for concurrent use.
 type ForwardTarget interface {
-	// ForwardQuery sends a sub-request to a server itself; it never asks another
-	// node. The request's remaining time and the context bound it.
+	// ForwardQuery sends a sub-request directly to a server, never through another
+	// node. It is limited by the request's remaining time and by ctx.
 	ForwardQuery(ctx context.Context, server string, request *backend.Request) ForwardResult
-	// ServerHealth returns what was last read of a server's health; false when
-	// this node owns no connection to it or has read nothing lately.
+	// ServerHealth returns the last reading of a server's health. The second
+	// result is false if this node owns no connection to the server or has no
+	// recent reading.
 	ServerHealth(server string) (*backend.Health, bool)
 }
 
-// forwardSizeLimit is the greatest size of a forward with a body of the given size.
+// forwardSizeLimit returns the maximum size in bytes of a forward message whose
+// body has up to body bytes; zero stands for DefaultForwardBodyBytes.
 func forwardSizeLimit(body int64) int64 {
 	if body == 0 {
 		body = DefaultForwardBodyBytes
@@ -46,7 +50,8 @@
 	return body + forwardOverheadBytes
 }
 
-// limitForwards bounds the forwards at once and the bytes of each.
+// limitForwards limits the number of concurrent forwards and the size of each.
+// Forwards over the first limit are answered with the outcome "busy".
 func limitForwards(next http.Handler, maximumBytes int64) http.Handler {
 	slots := make(chan struct{}, maximumForwards)
 	bounded := http.MaxBytesHandler(next, maximumBytes)
@@ -97,7 +102,7 @@
 	}, nil
 }
 
-// requestFromWire checks a forwarded sub-request.
+// requestFromWire decodes and validates a forwarded sub-request.
 func requestFromWire(message *ForwardQueryRequest) (*backend.Request, error) {
 	names := []struct{ field, value string }{
 		{"server", message.GetServer()},
--- a/peer/handler.go
+++ b/peer/handler.go
@@ -18,7 +18,8 @@
 
 var _ Peer = service{}
 
-// newHandler returns the twirp server with bounded bodies.
+// newHandler returns the agent's twirp server, with a limit on request bodies
+// that depends on the method.
 func newHandler(agent *Agent) http.Handler {
 	server := NewPeerServer(service{agent: agent})
 	configurations := http.MaxBytesHandler(server, maximumRequestBytes)
--- a/peer/handover.go
+++ b/peer/handover.go
@@ -12,26 +12,27 @@
 )
 
 const (
-	// maximumClaimsPerHandover bounds the claims in one message, which stays below
-	// maximumGossipBytes with keys and holders of the greatest length.
+	// maximumClaimsPerHandover limits the claims in one message, so that it stays
+	// below maximumGossipBytes with keys and holders of maximum length.
 	maximumClaimsPerHandover = 64
-	// handoverTimeout bounds the whole handover of a leaving node's claims.
+	// handoverTimeout limits the whole handover of a leaving node's claims.
 	handoverTimeout = 2 * time.Second
-	// handoverConcurrency bounds the messages of a handover that are out at once.
+	// handoverConcurrency limits the handover messages in flight.
 	handoverConcurrency = 8
 )
 
-// handoverBatch is a part of the handover, for one node.
+// handoverBatch is one handover message's claims, for one node.
 type handoverBatch struct {
 	member  string
 	address string
 	claims  []claim.ActiveClaim
 }
 
-// handOver gives the claims that this node keeps to all their owners among the
-// nodes that stay: not only to the one that takes its place, since a node that
-// joined after the claim was made is an owner that does not know it. No claim is
-// granted from then on: it would be lost.
+// handOver sends the claims in this node's table to all their owners among the
+// remaining nodes. The node that replaces this one as an owner would not be
+// enough, because a node that joined after a claim was made may be an owner that
+// does not know it. Once the handover has begun no claim is granted, as it would
+// be lost.
 func (a *Agent) handOver(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
@@ -48,7 +49,7 @@
 	sending.Wait()
 }
 
-// closeClaimTable ends the granting of claims and returns those that are kept.
+// closeClaimTable stops the granting of claims and returns the active ones.
 func (a *Agent) closeClaimTable() []claim.ActiveClaim {
 	a.claims.mutex.Lock()
 	defer a.claims.mutex.Unlock()
@@ -56,7 +57,8 @@
 	return a.claims.table.ActiveClaims(a.now())
 }
 
-// handoverBatches divides the activeClaims by their owners.
+// handoverBatches groups the claims by their owners, into batches of at most
+// maximumClaimsPerHandover. A claim's holder is not considered as an owner.
 func (a *Agent) handoverBatches(activeClaims []claim.ActiveClaim) []handoverBatch {
 	candidates := a.claimCandidates()
 	ids := make([]string, 0, len(candidates))
@@ -80,6 +82,7 @@
 	return batches
 }
 
+// sendBatch sends one handover message; a failure is only logged.
 func (a *Agent) sendBatch(ctx context.Context, batch handoverBatch) {
 	request := &AdoptClaimsRequest{}
 	for _, active := range batch.claims {
@@ -111,6 +114,7 @@
 	return &AdoptClaimsResponse{}, nil
 }
 
+// adoptClaim adds a claim that a leaving node handed over to this node's table.
 func (a *Agent) adoptClaim(active claim.ActiveClaim) {
 	a.claims.mutex.Lock()
 	defer a.claims.mutex.Unlock()
--- a/peer/list.go
+++ b/peer/list.go
@@ -12,16 +12,17 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// listRandomStream keeps the random numbers of the list's reader apart from other
+// listRandomStream selects a random stream that differs from those of other
 // users of the same seed.
 const listRandomStream = 0x6c697374
 
-// listLoop follows the machine list.
+// listLoop follows the machine list until ctx is cancelled. After an error, or
+// maximumUnchangedWatches watches without a change, it reads the whole list.
 func (a *Agent) listLoop(ctx context.Context) {
 	random := rand.New(rand.NewPCG(a.seed, listRandomStream))
 	limiter := rate.NewLimiter(listBytesPerSecond, listBurstBytes)
 	var version uint64
-	unchanged := 0 // watches in a row that heard nothing
+	unchanged := 0 // consecutive watches without a change
 	delay := listRetryBase
 	for ctx.Err() == nil {
 		list, err := a.readList(ctx, version)
@@ -42,7 +43,7 @@
 			}
 			sleep(ctx, jitter(random, listRetryBase))
 		default:
-			a.logger.Debug().Err(err).Msg("machine list not read")
+			a.logger.Debug().Err(err).Msg("failed to read machine list")
 			version = 0
 			sleep(ctx, jitter(random, delay))
 			delay = min(2*delay, maximumListRetry)
@@ -50,16 +51,17 @@
 	}
 }
 
-// Bounds of the traffic of reading the machine list. A list that is larger than
-// the burst is read less often.
+// Limits on the traffic of reading the machine list. A list larger than the
+// burst is read less often.
 const (
 	listBytesPerSecond = 2048
 	listBurstBytes     = 64 << 10
-	// estimatedMachineBytes is about the size of a machine in the list.
+	// estimatedMachineBytes is the approximate size of one machine in the list.
 	estimatedMachineBytes = 128
 )
 
-// waitForBytes waits until the limiter has let through the bytes that were read.
+// waitForBytes waits until the limiter has admitted the bytes that were read, or
+// ctx is done. It takes them in parts of at most the burst.
 func waitForBytes(ctx context.Context, limiter *rate.Limiter, bytes int) {
 	for bytes > 0 && ctx.Err() == nil {
 		part := min(bytes, listBurstBytes)
@@ -70,8 +72,8 @@
 	}
 }
 
-// readList reads the list at once when no version of it is known, and waits
-// for a newer one otherwise.
+// readList reads the whole list if version is zero; otherwise it watches for a
+// newer version for up to listWatchTimeout.
 func (a *Agent) readList(ctx context.Context, version uint64) (machinelist.List, error) {
 	ctx, cancel := context.WithTimeout(ctx, listReadTimeout)
 	defer cancel()
@@ -81,8 +83,9 @@
 	return a.machineList.Watch(ctx, version, listWatchTimeout)
 }
 
-// observeList hands the list to both tables. A list without machines tells
-// nothing.
+// observeList passes the list to the node table and the server table. A list
+// without machines carries no information: hasReadList stays as it is, and both
+// tables ignore a list without entries of their kind.
 func (a *Agent) observeList(list machinelist.List) {
 	var nodes []membership.ListedNode
 	var servers []membership.ListedServer
@@ -109,6 +112,7 @@
 	a.servers.update(func(core *membership.Servers) { core.ObserveList(a.now(), servers) })
 }
 
+// sleep waits for delay or until ctx is done.
 func sleep(ctx context.Context, delay time.Duration) {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
--- a/peer/servers.go
+++ b/peer/servers.go
@@ -7,7 +7,7 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// serverTable is the shard of the agent's state about servers.
+// serverTable holds the agent's state about back-end servers.
 type serverTable struct {
 	// mutex guards the fields below. Invariant: deliveries holds the changes
 	// that subscribers have not seen yet, in order, and only the goroutine that
@@ -17,20 +17,24 @@
 	subscribers   []subscriber
 	notifications []queuedNotification
 	notifying     bool
-	// onUnverified is told of the servers that the node is to read; it is set once.
+	// onUnverified is called with the ID of each server whose health this node
+	// should check; it is set once.
 	onUnverified func(server string)
-	// findingsReady wakes the loop that pushes findings; it holds one token.
+	// findingsReady wakes the loop that pushes findings; it buffers one signal.
 	findingsReady chan struct{}
 }
 
 type subscriber func(id string, state dispatch.ServerState)
 
-// queuedNotification is a change that waits to be told to subscribers.
+// queuedNotification is a change to be passed to subscribers.
 type queuedNotification struct {
 	change membership.ServerChange
 	to     []subscriber
 }
 
+// update applies change to the server table with mutex held, and then, without
+// it, notifies subscribers and wakes the loop that pushes findings if there are
+// any.
 func (t *serverTable) update(change func(*membership.Servers)) {
 	t.mutex.Lock()
 	change(t.core)
@@ -57,7 +61,7 @@
 	}
 }
 
-// receiveLeavingServers takes in the leavings that another node told.
+// receiveLeavingServers records leaving servers that another node reported.
 func (a *Agent) receiveLeavingServers(messages []*ServerLeaving) {
 	leavings := leavingServersFromWire(messages)
 	if len(leavings) == 0 {
@@ -66,13 +70,15 @@
 	a.servers.update(func(core *membership.Servers) { core.ReceiveLeavings(a.now(), leavings) })
 }
 
-// takeLeavingServers returns the leavings to tell another node.
+// takeLeavingServers returns the leaving servers to be included in the next
+// gossip message.
 func (a *Agent) takeLeavingServers() []*ServerLeaving {
 	a.servers.mutex.Lock()
 	defer a.servers.mutex.Unlock()
 	return leavingServersToWire(a.servers.core.TakeLeavings())
 }
 
+// subscribe adds a subscriber and queues the states of all known servers for it.
 func (t *serverTable) subscribe(notify subscriber) {
 	t.mutex.Lock()
 	t.subscribers = append(t.subscribers[:len(t.subscribers):len(t.subscribers)], notify)
@@ -81,14 +87,15 @@
 	t.notifySubscribers()
 }
 
-// enqueue is called under the lock.
+// enqueue queues changes for subscribers. The caller must hold t.mutex.
 func (t *serverTable) enqueue(changes []membership.ServerChange, to []subscriber) {
 	for _, change := range changes {
 		t.notifications = append(t.notifications, queuedNotification{change: change, to: to})
 	}
 }
 
-// notifySubscribers tells subscribers what waits, unless another goroutine does.
+// notifySubscribers delivers queued changes, unless another goroutine is already
+// doing so.
 func (t *serverTable) notifySubscribers() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -104,7 +111,8 @@
 	}
 }
 
-// notifyChange is called under the lock, which it gives up for the calls.
+// notifyChange passes one change to its subscribers. The caller must hold
+// t.mutex, which is released during the calls.
 func (t *serverTable) notifyChange(next queuedNotification) {
 	t.mutex.Unlock()
 	defer t.mutex.Lock()
