--- a/peer/agent_test.go
+++ b/peer/agent_test.go
@@ -17,7 +17,8 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// memoryConfigurationSource is a ConfigurationSource.
+// memoryConfigurationSource is a ConfigurationSource that keeps one record in
+// memory.
 type memoryConfigurationSource struct {
 	mutex    sync.Mutex
 	revision policy.Revision
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// memberStates gives what an agent sees, by ID.
+// memberStates returns the members' states in an agent's view, by ID.
 func memberStates(agent *Agent) map[string]membership.State {
 	seen := make(map[string]membership.State)
 	for _, known := range agent.Members() {
@@ -56,6 +57,8 @@
 	return seen
 }
 
+// wantStates fails the test unless the agent's view holds exactly these members
+// and states.
 func wantStates(t *testing.T, agent *Agent, want map[string]membership.State) {
 	t.Helper()
 	got := memberStates(agent)
@@ -85,7 +88,8 @@
 	return nodes
 }
 
-// wantAllLive fails unless every node sees all of them as live and no other one.
+// wantAllLive fails the test unless every node sees exactly the given nodes, all
+// live.
 func wantAllLive(t *testing.T, nodes map[string]*testNode) {
 	t.Helper()
 	want := make(map[string]membership.State)
@@ -125,23 +129,23 @@
 			t.Fatalf("push: revision %d, error %v", revision, err)
 		}
 		if revision, _ = nodes["n1"].agent.Push(t.Context(), "n2", 3, []byte("old")); revision != 4 {
-			t.Fatalf("an older push left revision %d", revision)
+			t.Fatalf("revision is %d after a push of an older one, want 4", revision)
 		}
 		revision, got, err := nodes["n3"].agent.Fetch(t.Context(), "n2", 3)
 		if err != nil || revision != 4 || !bytes.Equal(got, record) {
 			t.Fatalf("fetch: revision %d, record %q, error %v", revision, got, err)
 		}
 		if revision, _, err = nodes["n3"].agent.Fetch(t.Context(), "n2", 4); err != nil || revision != 0 {
-			t.Fatalf("fetch above the newest: revision %d, error %v", revision, err)
+			t.Fatalf("fetch above the revision in force: revision %d, error %v; want 0, nil", revision, err)
 		}
 		if _, _, err = nodes["n3"].agent.Fetch(t.Context(), "n9", 0); !errors.Is(err, ErrUnknownMember) {
-			t.Fatalf("fetch from a stranger: %v", err)
+			t.Fatalf("fetch from an unknown member: error %v, want ErrUnknownMember", err)
 		}
 		time.Sleep(10 * time.Second)
 		seen := nodes["n3"].agent.Members()
 		at := slices.IndexFunc(seen, func(m membership.Member) bool { return m.ID == "n2" })
 		if seen[at].Revision != 4 {
-			t.Fatalf("n3 sees revision %d at n2", seen[at].Revision)
+			t.Fatalf("n3 sees revision %d at n2, want 4", seen[at].Revision)
 		}
 	})
 }
@@ -267,7 +271,7 @@
 			time.Sleep(10 * time.Second)
 			nodes["n3"].stop()
 			self := member("n3")
-			self.Incarnation = 1 // a clock that was set back
+			self.Incarnation = 1 // as after the clock was set back
 			nodes["n3"] = startNode(t, network, AgentOptions{Self: self, MachineList: listOf("n1"), Seed: 9})
 		}
 		time.Sleep(time.Minute)
@@ -295,7 +299,7 @@
 		}
 		nodes["n3"].agent.Leave(t.Context())
 		if got := total("n1", "n2"); got != shared {
-			t.Fatalf("the two that stay share %d of %d connections", got, shared)
+			t.Fatalf("the two remaining nodes share %d of %d connections", got, shared)
 		}
 	})
 }
@@ -315,9 +319,9 @@
 				Source: membership.FromHealth, Condition: membership.ServerDraining, Incarnation: incarnation,
 			})
 		}
-		time.Sleep(3 * time.Second) // the bound on new work for a leaving server
+		time.Sleep(3 * time.Second) // limit until which a leaving server may receive new work
 		want := map[string]map[string]membership.State{
-			"n2": {"s1": membership.Leaving, "s2": membership.Live}, // n2 knows a later incarnation of s2
+			"n2": {"s1": membership.Leaving, "s2": membership.Live}, // n2 has seen a later incarnation of s2
 			"n3": {"s1": membership.Leaving, "s2": membership.Leaving},
 		}
 		for id, servers := range want {
@@ -345,14 +349,15 @@
 		place := membership.ServerSpec{ID: "s1", Zone: "a", Limit: 70}
 		want := membership.ShareableConnections(place.Limit) / 3
 		if got := node.agent.ConnectionShare(place).Maximum; got != want {
-			t.Fatalf("a node that reached none of the other two takes %d connections, want %d", got, want)
+			t.Fatalf("a node that reached neither of the other two has a share of %d connections, want %d", got, want)
 		}
 	})
 }
 
-// Nodes that join one after the other have compared their tables while some
-// nodes were in none of them. Each would take too large a share, and together
-// they would be over a server's limit, which refuses the connection of an owner.
+// Nodes that join one after another synchronize their tables while some nodes
+// are in none of them. If listed nodes did not count, each joined node would take
+// too large a share of connections. Together they would exceed the server's
+// limit, and the server would reject an owner's connection.
 func TestJoinedNodesShareWithNodesThatOnlyTheListNames(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := listOf("n1", "n2", "n3", "n4", "n5", "n6")
@@ -363,7 +368,7 @@
 		maximum := (membership.ShareableConnections(place.Limit) + 5) / 6
 		for id, node := range nodes {
 			if got := node.agent.ConnectionShare(place).Maximum; got > maximum {
-				t.Errorf("%s takes %d connections while six nodes are listed, want %d at most", id, got, maximum)
+				t.Errorf("%s has a share of %d connections while six nodes are listed, want at most %d", id, got, maximum)
 			}
 		}
 	})
@@ -380,11 +385,11 @@
 				t.Fatal(err)
 			}
 		}
-		time.Sleep(maximumTick) // each agent looks at its source once more
+		time.Sleep(maximumTick) // each agent checks its configuration source again
 		nodes["n1"].agent.RefreshRevisions(t.Context(), 7)
 		for _, known := range nodes["n1"].agent.Members() {
 			if known.Revision != 7 {
-				t.Fatalf("%s is known to have revision %d", known.ID, known.Revision)
+				t.Fatalf("revision of %s is %d, want 7", known.ID, known.Revision)
 			}
 		}
 	})
--- a/peer/claim_test.go
+++ b/peer/claim_test.go
@@ -10,7 +10,8 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// startNodesWithOwnLists starts a node for each ID, each with a list of all of them.
+// startNodesWithOwnLists starts a node for each ID, each with its own machine
+// list of all of them, and waits until they have joined.
 func startNodesWithOwnLists(t *testing.T, network memoryNetwork, ids ...string) map[string]*testNode {
 	t.Helper()
 	nodes := make(map[string]*testNode)
@@ -28,6 +29,7 @@
 	}
 }
 
+// wantDecision claims a key at a node and checks the decision.
 func wantDecision(t *testing.T, node *testNode, key string, want claim.Decision) Claim {
 	t.Helper()
 	result := node.agent.ClaimRequest(t.Context(), key)
@@ -37,6 +39,8 @@
 	return result
 }
 
+// TestClaimOutlivesItsHolder: a claim remains in force after its holder has
+// stopped, and after the holder has restarted with a new incarnation.
 func TestClaimOutlivesItsHolder(t *testing.T) {
 	for _, ids := range [][]string{{"a", "b"}, {"a", "b", "c"}, {"a", "b", "c", "d", "e", "f"}} {
 		synctest.Test(t, func(t *testing.T) {
@@ -88,8 +92,8 @@
 	})
 }
 
-// TestNoClaimIsWonWhileJoining: a node that has read the machine list but not
-// heard of any node yet counts the listed ones as owners.
+// TestNoClaimIsWonWhileJoining: a node that has read the machine list, but does
+// not have any other node in its table yet, counts the listed nodes as owners.
 func TestNoClaimIsWonWhileJoining(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newMemoryNetwork()
@@ -103,15 +107,15 @@
 		nodes["a"] = startNode(t, network, AgentOptions{Self: restarted, MachineList: listOf("a", "b"), Seed: 2})
 		for range 200 {
 			if result := nodes["a"].agent.ClaimRequest(t.Context(), "request"); result.Decision == claim.Won {
-				t.Fatal("won the claim of another holder")
+				t.Fatal("won a claim that another holder has")
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
 	})
 }
 
-// TestClaimOutlivesRestartsOfAllNodes: planned restarts, one node after another,
-// hand each owner's claims to the next.
+// TestClaimOutlivesRestartsOfAllNodes: in a rolling restart each owner hands over
+// its claims, so that none is lost.
 func TestClaimOutlivesRestartsOfAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ids := []string{"a", "b", "c", "d", "e"}
@@ -136,8 +140,9 @@
 	})
 }
 
-// TestTwoNodesCutOffFromEachOther: each takes the other for gone, but the machine
-// list names both. Once it drops one, the other may run requests again.
+// TestTwoNodesCutOffFromEachOther: after a network partition each node considers
+// the other one gone, but the machine list contains both, so neither wins claims.
+// Once one is removed from the list, the other may run requests again.
 func TestTwoNodesCutOffFromEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newMemoryNetwork()
--- a/peer/exchange_bench_test.go
+++ b/peer/exchange_bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// BenchmarkExchange measures one gossip exchange over loopback, both sides
-// together, with a full message each way and a table of 1,400 members. A node
-// takes part in about one of its own and one of another node's a second.
+// BenchmarkExchange measures one gossip exchange over loopback, including both
+// sides, with a full message in each direction and a table of 1,400 members. A
+// node initiates about one exchange per second and answers about one.
 func BenchmarkExchange(b *testing.B) {
 	for name, keepAlive := range map[string]bool{"connection=kept": true, "connection=new": false} {
 		b.Run(name, func(b *testing.B) { benchmarkExchange(b, keepAlive) })
@@ -40,6 +40,7 @@
 	}
 }
 
+// liveMembers returns count live members with different IDs.
 func liveMembers(count int) []membership.Member {
 	members := make([]membership.Member, 0, count)
 	for i := range count {
--- a/peer/findings_test.go
+++ b/peer/findings_test.go
@@ -46,16 +46,16 @@
 		}
 		time.Sleep(time.Second)
 		if known := countLeaving(); known < count*9/10 {
-			t.Errorf("%d of %d nodes know the leaving after a second", known, count)
+			t.Errorf("%d of %d nodes know after 1 s that the server is leaving, want at least 9 in 10", known, count)
 		}
 		time.Sleep(2 * time.Second)
 		if known := countLeaving(); known != count {
-			t.Errorf("%d of %d nodes know the leaving after three seconds", known, count)
+			t.Errorf("%d of %d nodes know after 3 s that the server is leaving, want all", known, count)
 		}
 		mutex.Lock()
 		defer mutex.Unlock()
 		if notified[ids[0]] || len(notified) != count-1 {
-			t.Errorf("%d nodes are to read the server, the one that found it among them: %t", len(notified), notified[ids[0]])
+			t.Errorf("%d nodes were asked to verify the server (the finder among them: %t), want all but the finder", len(notified), notified[ids[0]])
 		}
 	})
 }
@@ -67,9 +67,9 @@
 		findings[index] = &ServerFinding{Id: "s1", Incarnation: "a", Leaving: true}
 	}
 	if _, err := (service{agent: agent}).PushServerFindings(t.Context(), &ServerFindings{Findings: findings}); err == nil {
-		t.Error("too many findings were taken")
+		t.Error("a message with too many findings was accepted")
 	}
 	if agent.serverState("s1") != membership.Live {
-		t.Error("a refused message had an effect")
+		t.Error("a rejected message changed the server's state")
 	}
 }
--- a/peer/forward_test.go
+++ b/peer/forward_test.go
@@ -18,7 +18,7 @@
 	"github.com/banksail/banksail/coverage"
 )
 
-// fakeTarget is an owner's side; ask decides what becomes of a forward.
+// fakeTarget is a ForwardTarget whose forwards are handled by a function.
 type fakeTarget struct {
 	forward func(ctx context.Context, server string, request *backend.Request) ForwardResult
 	health  *backend.Health
@@ -30,7 +30,8 @@
 
 func (f fakeTarget) ServerHealth(string) (*backend.Health, bool) { return f.health, f.health != nil }
 
-// echoForward answers as a server that executes the request.
+// echoForward replies like a server that executes the request and returns its
+// body.
 func echoForward(_ context.Context, _ string, request *backend.Request) ForwardResult {
 	return ForwardResult{Outcome: ForwardReplied, Reply: &backend.Reply{
 		AttemptID: request.AttemptID, Status: backend.StatusDone, Snapshot: &request.Snapshot, Range: &request.Range,
@@ -75,7 +76,7 @@
 	target := fakeTarget{forward: func(ctx context.Context, server string, request *backend.Request) ForwardResult {
 		asked = *request
 		if server != "server-1" {
-			t.Errorf("server %q", server)
+			t.Errorf("server %q, want server-1", server)
 		}
 		return echoForward(ctx, server, request)
 	}}
@@ -83,10 +84,10 @@
 	result := newTestForwarder(t).Forward(t.Context(), startOwner(t, ownerHandler(target)), "server-1", request)
 	wantOutcome(t, result, ForwardReplied)
 	if asked.RemainingMilliseconds <= 0 || asked.RemainingMilliseconds > request.RemainingMilliseconds {
-		t.Errorf("remaining %g ms", asked.RemainingMilliseconds)
+		t.Errorf("remaining time at the owner is %g ms, want more than 0 and at most the request's", asked.RemainingMilliseconds)
 	}
 	if string(result.Reply.Body) != string(request.Body) || result.Reply.Load.Queued != 2 {
-		t.Errorf("reply %+v", result.Reply)
+		t.Errorf("reply %+v does not match the server's", result.Reply)
 	}
 }
 
@@ -121,8 +122,9 @@
 	wantOutcome(t, newTestForwarder(t).Forward(ctx, startOwner(t, ownerHandler(nil)), "server-1", testRequest()), ForwardNotSent)
 }
 
-// closingOwner answers the first request and closes the connection of every
-// later one after reading it whole; it counts the requests.
+// closingOwner returns a handler that answers the first request and, for every
+// later one, reads the whole request and closes the connection. It counts the
+// requests.
 func closingOwner(t *testing.T, requests *atomic.Int32) http.Handler {
 	t.Helper()
 	inner := ownerHandler(fakeTarget{forward: echoForward})
@@ -141,8 +143,9 @@
 	})
 }
 
-// TestForwardReadByOwnerIsNotRetried: an owner reads a request on a kept connection and
-// dies. The owner may have passed it on.
+// TestForwardReadByOwnerIsNotRetried: an owner reads a request on a reused
+// connection and crashes. It may have sent the request to the server, so the
+// outcome is unknown and the request is not sent again.
 func TestForwardReadByOwnerIsNotRetried(t *testing.T) {
 	var requests atomic.Int32
 	owner := startOwner(t, closingOwner(t, &requests))
@@ -154,8 +157,8 @@
 	}
 }
 
-// idempotencyKeyTransport adds the header by which net/http takes a POST for one that may be
-// sent again.
+// idempotencyKeyTransport adds the header by which net/http considers a POST
+// request idempotent, so that it may be retried.
 type idempotencyKeyTransport struct{ next http.RoundTripper }
 
 // RoundTrip implements http.RoundTripper.
@@ -165,9 +168,10 @@
 	return k.next.RoundTrip(marked)
 }
 
-// TestTransportRetriesRewindableRequests pins down net/http: the same owner reads a
-// request of twirp's own client once, but one that looks idempotent twice, as
-// its body can be rewound. noRetryTransport takes that way from it.
+// TestTransportRetriesRewindableRequests pins the behaviour of net/http: an owner
+// that closes the connection reads a request of twirp's client once, but one that
+// looks idempotent twice, as its body can be rewound. noRetryTransport prevents
+// that.
 func TestTransportRetriesRewindableRequests(t *testing.T) {
 	tests := []struct {
 		name string
@@ -193,7 +197,7 @@
 				t.Fatal(err)
 			}
 			if _, err := stub.ForwardQuery(t.Context(), message); err == nil {
-				t.Error("no error")
+				t.Error("got no error although the owner closed the connection")
 			}
 			if got := requests.Load(); got != test.want {
 				t.Errorf("the owner read %d requests, want %d", got, test.want)
@@ -219,7 +223,7 @@
 		server.CloseClientConnections()
 	}
 	if got := requests.Load(); got > 20 {
-		t.Errorf("20 forwards were read %d times", got)
+		t.Errorf("the owner read %d requests for 20 forwards", got)
 	}
 }
 
@@ -274,13 +278,13 @@
 	oversized := testRequest()
 	oversized.Body = json.RawMessage(`"` + strings.Repeat("x", 2*DefaultForwardBodyBytes) + `"`)
 	if got := newTestForwarder(t).Forward(t.Context(), owner, "server-1", oversized); got.Outcome == ForwardReplied || called {
-		t.Errorf("a large body got %v", got.Outcome)
+		t.Errorf("an oversized body got outcome %v, or was passed to the target", got.Outcome)
 	}
 	message := forwardToWire("server-1", testRequest())
 	message.RemainingMs = 1e12
 	stub := NewPeerProtobufClient("http://"+owner, http.DefaultClient)
 	if _, err := stub.ForwardQuery(t.Context(), message); err == nil || called {
-		t.Errorf("an endless time was taken: %v", err)
+		t.Errorf("a remaining time over the limit was accepted: %v", err)
 	}
 }
 
@@ -318,9 +322,9 @@
 	forwarder := newTestForwarder(t)
 	got, known, err := forwarder.ServerHealth(t.Context(), startOwner(t, ownerHandler(fakeTarget{health: health})), "server-1")
 	if err != nil || !known || got.State != health.State || got.Incarnation != "5" || len(got.Snapshots) != 2 {
-		t.Errorf("got %+v, %t, %v", got, known, err)
+		t.Errorf("got health %+v, known %t, error %v", got, known, err)
 	}
 	if _, known, err := forwarder.ServerHealth(t.Context(), startOwner(t, ownerHandler(fakeTarget{})), "server-1"); known || err != nil {
-		t.Errorf("unknown health: %t, %v", known, err)
+		t.Errorf("server without a reading: known %t, error %v; want false, nil", known, err)
 	}
 }
--- a/peer/fuzz_test.go
+++ b/peer/fuzz_test.go
@@ -13,7 +13,7 @@
 	"github.com/banksail/banksail/membership/wire"
 )
 
-// postToAgent sends bytes to one of the agent's methods.
+// postToAgent sends a request body to one of the agent's methods.
 func postToAgent(agent *Agent, method string, body []byte) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(http.MethodPost, PeerPathPrefix+method, bytes.NewReader(body))
 	request.Header.Set("Content-Type", "application/protobuf")
@@ -31,7 +31,7 @@
 	return body
 }
 
-// manyMembers is a message with far more entries than are taken.
+// manyMembers returns far more entries than a receiver accepts.
 func manyMembers() []*wire.Member {
 	return make([]*wire.Member, 5000)
 }
@@ -64,11 +64,11 @@
 			t.Fatalf("internal error: %s", recorder.Body)
 		}
 		if known := len(agent.Members()); known > membership.MaximumUpdates+2 {
-			t.Fatalf("one message brought %d members", known)
+			t.Fatalf("the table has %d members after one message", known)
 		}
 		for _, known := range agent.Members() {
 			if !known.Valid() {
-				t.Fatalf("the table holds %+v", known)
+				t.Fatalf("the table holds an invalid member: %+v", known)
 			}
 		}
 	})
@@ -80,7 +80,7 @@
 		"Gossip": maximumGossipBytes + 1, "PushConfiguration": maximumRequestBytes + 1,
 	} {
 		if recorder := postToAgent(agent, method, make([]byte, size)); recorder.Code == http.StatusOK {
-			t.Fatalf("%s took a body of %d bytes", method, size)
+			t.Fatalf("%s accepted a body of %d bytes", method, size)
 		}
 	}
 }
@@ -102,16 +102,16 @@
 			request := membership.Request{Kind: kind, To: to, Target: to, Sender: agent.Self()}
 			result, err := agent.exchange(t.Context(), request)
 			if err == nil && len(result.Updates) > membership.MaximumSyncMembers {
-				t.Fatalf("%d updates of one reply", len(result.Updates))
+				t.Fatalf("accepted %d updates from one reply", len(result.Updates))
 			}
 		}
 		if revision, record, err := agent.Fetch(t.Context(), "n2", 0); err == nil && revision > 0 && len(record) == 0 {
-			t.Fatal("a revision without a record")
+			t.Fatal("fetch returned a revision without a record")
 		}
 	})
 }
 
-// fixedReplyTransport answers every request with the same body.
+// fixedReplyTransport responds to every request with the same body.
 type fixedReplyTransport []byte
 
 func (r fixedReplyTransport) RoundTrip(request *http.Request) (*http.Response, error) {
--- a/peer/list_test.go
+++ b/peer/list_test.go
@@ -30,16 +30,16 @@
 		time.Sleep(5 * time.Second)
 		machine.State = machinelist.StateLeaving
 		list.Set(machine)
-		time.Sleep(3 * time.Second) // the bound on new work for a leaving server
+		time.Sleep(3 * time.Second) // limit until which a leaving server may receive new work
 		mutex.Lock()
 		defer mutex.Unlock()
 		if seen["s1"] != dispatch.ServerLeaving {
-			t.Fatalf("the leaving server is in state %d", seen["s1"])
+			t.Fatalf("the leaving server is in state %d, want ServerLeaving", seen["s1"])
 		}
 	})
 }
 
-// replaceableList is a machine list that another one has taken the place of.
+// replaceableList is a machine list that can be replaced by another one.
 type replaceableList struct {
 	machinelist.Conn
 	replacement atomic.Pointer[machinelist.Static]
@@ -60,8 +60,9 @@
 	return l.current().Watch(ctx, after, wait)
 }
 
-// The machine list comes back with a lower version: a watch after the one before hears nothing of
-// it for as long as it has not passed that. It is read whole from time to time.
+// The machine list is replaced by one with a lower version. A watch after the
+// former version reports no change until the new list's version exceeds it, so
+// the agent reads the whole list from time to time.
 func TestMachineListIsReadAgainAfterItsVersionDecreases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		machine := machinelist.Machine{
@@ -81,7 +82,7 @@
 		list.replacement.Store(machinelist.NewStatic(machine))
 		time.Sleep((maximumUnchangedWatches + 2) * listWatchTimeout)
 		if got := dispatch.ServerState(state.Load()); got != dispatch.ServerLeaving {
-			t.Errorf("the leaving server is in state %d", got)
+			t.Errorf("the leaving server is in state %d, want ServerLeaving", got)
 		}
 	})
 }
--- a/peer/network_test.go
+++ b/peer/network_test.go
@@ -15,12 +15,12 @@
 	"github.com/banksail/banksail/membership"
 )
 
-// memoryNetwork is an in-memory network on which hosts go by the nodes' IDs.
+// memoryNetwork is an in-memory network with one host per node.
 type memoryNetwork struct{ *network.Network }
 
 func newMemoryNetwork() memoryNetwork { return memoryNetwork{network.New(network.Options{Seed: 1})} }
 
-// dialFrom dials as a process on the host of an address.
+// dialFrom returns a dial function of a process on the host of an address.
 func (n memoryNetwork) dialFrom(t *testing.T, address string) func(context.Context, string, string) (net.Conn, error) {
 	t.Helper()
 	process, err := n.Start(hostOf(address))
@@ -30,7 +30,7 @@
 	return process.DialContext
 }
 
-// setCut cuts or heals the way from one address to another.
+// setCut cuts or heals the path from one address to another, in one direction.
 func (n memoryNetwork) setCut(from, to string, cut bool) {
 	if cut {
 		n.Cut(hostOf(from), hostOf(to))
@@ -39,7 +39,8 @@
 	n.Heal(hostOf(from), hostOf(to))
 }
 
-// setPartitioned cuts or heals the ways between two sets of nodes.
+// setPartitioned cuts or heals the paths between two sets of nodes, in both
+// directions.
 func (n memoryNetwork) setPartitioned(left, right []string, cut bool) {
 	for _, a := range left {
 		for _, b := range right {
@@ -49,12 +50,13 @@
 	}
 }
 
-// testNode is an agent with its server on a memory network.
+// testNode is an agent and its HTTP server on a memoryNetwork.
 type testNode struct {
 	agent *Agent
 	stop  func()
 }
 
+// startNode starts an agent and its server on the host of its own address.
 func startNode(t *testing.T, hosts memoryNetwork, options AgentOptions) *testNode {
 	t.Helper()
 	process, err := hosts.Start(hostOf(options.Self.Address))
@@ -95,7 +97,7 @@
 	return listed
 }
 
-// addressOf gives each ID a host of its own.
+// addressOf derives a node's address from its ID, so that each has its own host.
 func addressOf(id string) string {
 	sum := xxhash.Sum64String(id)
 	return fmt.Sprintf("10.%d.%d.%d:7300", byte(sum), byte(sum>>8), byte(sum>>16))
--- a/peer/overhead_test.go
+++ b/peer/overhead_test.go
@@ -14,11 +14,11 @@
 	"github.com/banksail/banksail/membership/wire"
 )
 
-// assumedOverheadBytes is what the simulation of package membership adds to the
-// messages of one exchange.
+// assumedOverheadBytes is the HTTP overhead that the simulation in package
+// membership assumes for one exchange.
 const assumedOverheadBytes = 420
 
-// countingConn counts the bytes that pass through a connection.
+// countingConn counts the bytes read from and written to a connection.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -58,7 +58,7 @@
 		}
 		overhead := int(bytes.Load()) - proto.Size(request) - proto.Size(response)
 		if overhead > assumedOverheadBytes {
-			t.Fatalf("HTTP adds %d bytes to an exchange, the simulation assumes %d", overhead, assumedOverheadBytes)
+			t.Fatalf("HTTP adds %d bytes to an exchange, the simulation assumes at most %d", overhead, assumedOverheadBytes)
 		}
 		t.Logf("HTTP adds %d bytes to an exchange", overhead)
 	})
