--- a/peer/claim.go
+++ b/peer/claim.go
@@ -219,8 +219,8 @@
 	return round
 }
 
-// claimAtOwner sends the claim to one owner. An unknown verdict, or that the
-// owner's table is full, counts as a failure.
+// claimAtOwner sends the claim to one owner. A full table at the owner, or an
+// unknown verdict, counts as a failure.
 func (a *Agent) claimAtOwner(ctx context.Context, owner membership.Member, entry claim.Claim) ownerAnswer {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
--- a/peer/servers.go
+++ b/peer/servers.go
@@ -9,9 +9,9 @@
 
 // serverTable holds the agent's state about back-end servers.
 type serverTable struct {
-	// mutex guards the fields below. Invariant: deliveries holds the changes
-	// that subscribers have not seen yet, in order, and only the goroutine that
-	// set delivering calls subscribers, without holding mutex.
+	// mutex guards the fields below. Invariant: notifications holds, in order,
+	// the changes that subscribers have not received yet, and only the goroutine
+	// that set notifying calls subscribers, without holding mutex.
 	mutex         sync.Mutex
 	core          *membership.Servers
 	subscribers   []subscriber
@@ -32,9 +32,9 @@
 	to     []subscriber
 }
 
-// update applies change to the server table with mutex held, and then, without
-// it, notifies subscribers and wakes the loop that pushes findings if there are
-// any.
+// update applies change to the server table with mutex held. After releasing it,
+// update notifies subscribers, wakes the loop that pushes findings if there are
+// any, and reports the servers that this node should check.
 func (t *serverTable) update(change func(*membership.Servers)) {
 	t.mutex.Lock()
 	change(t.core)
