--- a/peer/agent_test.go
+++ b/peer/agent_test.go
@@ -284,12 +284,12 @@
 		network := newMemoryNetwork()
 		nodes := startNodes(t, network, "n1", "n2", "n3")
 		defer stopNodes(nodes)
-		place := membership.ServerSpec{ID: "s1", Zone: "a", Limit: 70}
-		shared := membership.ShareableConnections(place.Limit)
+		spec := membership.ServerSpec{ID: "s1", Zone: "a", Limit: 70}
+		shared := membership.ShareableConnections(spec.Limit)
 		total := func(ids ...string) int {
 			sum := 0
 			for _, id := range ids {
-				sum += nodes[id].agent.ConnectionShare(place).Maximum
+				sum += nodes[id].agent.ConnectionShare(spec).Maximum
 			}
 			return sum
 		}
@@ -346,9 +346,9 @@
 		node := startNode(t, newMemoryNetwork(), AgentOptions{Self: member("n1"), MachineList: list, Seed: 1})
 		defer node.stop()
 		time.Sleep(time.Second)
-		place := membership.ServerSpec{ID: "s1", Zone: "a", Limit: 70}
-		want := membership.ShareableConnections(place.Limit) / 3
-		if got := node.agent.ConnectionShare(place).Maximum; got != want {
+		spec := membership.ServerSpec{ID: "s1", Zone: "a", Limit: 70}
+		want := membership.ShareableConnections(spec.Limit) / 3
+		if got := node.agent.ConnectionShare(spec).Maximum; got != want {
 			t.Fatalf("a node that reached neither of the other two has a share of %d connections, want %d", got, want)
 		}
 	})
@@ -364,10 +364,10 @@
 		nodes := startNodesWithList(t, newMemoryNetwork(), list, "n1", "n2")
 		defer stopNodes(nodes)
 		time.Sleep(10 * time.Second)
-		place := membership.ServerSpec{ID: "s1", Zone: "a", Limit: 70}
-		maximum := (membership.ShareableConnections(place.Limit) + 5) / 6
+		spec := membership.ServerSpec{ID: "s1", Zone: "a", Limit: 70}
+		maximum := (membership.ShareableConnections(spec.Limit) + 5) / 6
 		for id, node := range nodes {
-			if got := node.agent.ConnectionShare(place).Maximum; got > maximum {
+			if got := node.agent.ConnectionShare(spec).Maximum; got > maximum {
 				t.Errorf("%s has a share of %d connections while six nodes are listed, want at most %d", id, got, maximum)
 			}
 		}
--- a/peer/claim.go
+++ b/peer/claim.go
@@ -86,15 +86,15 @@
 	a.releaseClaim(released.claim)
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	var asked sync.WaitGroup
+	var calls sync.WaitGroup
 	for _, owner := range released.owners {
-		asked.Go(func() {
+		calls.Go(func() {
 			if _, err := a.stub(owner.Address).ReleaseRequest(ctx, claimToWire(released.claim)); err != nil {
 				a.logger.Debug().Err(err).Str("member", owner.ID).Msg("claim not released at owner; it stays until it expires")
 			}
 		})
 	}
-	asked.Wait()
+	calls.Wait()
 }
 
 // knowsOtherNodes reports whether the agent knows enough about the cluster to
--- a/peer/forward_test.go
+++ b/peer/forward_test.go
@@ -72,9 +72,9 @@
 }
 
 func TestForwardCarriesRequestAndReply(t *testing.T) {
-	var asked backend.Request
+	var received backend.Request
 	target := fakeTarget{forward: func(ctx context.Context, server string, request *backend.Request) ForwardResult {
-		asked = *request
+		received = *request
 		if server != "server-1" {
 			t.Errorf("server %q, want server-1", server)
 		}
@@ -83,8 +83,8 @@
 	request := testRequest()
 	result := newTestForwarder(t).Forward(t.Context(), startOwner(t, ownerHandler(target)), "server-1", request)
 	wantOutcome(t, result, ForwardReplied)
-	if asked.RemainingMilliseconds <= 0 || asked.RemainingMilliseconds > request.RemainingMilliseconds {
-		t.Errorf("remaining time at the owner is %g ms, want more than 0 and at most the request's", asked.RemainingMilliseconds)
+	if received.RemainingMilliseconds <= 0 || received.RemainingMilliseconds > request.RemainingMilliseconds {
+		t.Errorf("remaining time at the owner is %g ms, want more than 0 and at most the request's", received.RemainingMilliseconds)
 	}
 	if string(result.Reply.Body) != string(request.Body) || result.Reply.Load.Queued != 2 {
 		t.Errorf("reply %+v does not match the server's", result.Reply)
--- a/peer/servers.go
+++ b/peer/servers.go
@@ -39,7 +39,7 @@
 	t.mutex.Lock()
 	change(t.core)
 	t.enqueue(t.core.TakeChanges(), t.subscribers)
-	unverified, doubted := t.core.TakeUnverified(), t.onUnverified
+	unverified, onUnverified := t.core.TakeUnverified(), t.onUnverified
 	found := t.core.HasFindings()
 	t.mutex.Unlock()
 	t.notifySubscribers()
@@ -47,8 +47,8 @@
 		t.wakeFindingLoop()
 	}
 	for _, server := range unverified {
-		if doubted != nil {
-			doubted(server)
+		if onUnverified != nil {
+			onUnverified(server)
 		}
 	}
 }
