--- a/peer/agent.go
+++ b/peer/agent.go
@@ -48,7 +48,7 @@
 	servers serverTable
 	claims  claimTable
 
-	// requestSlots limits the probes and syncs in flight.
+	// requestSlots limits the membership requests that send has in flight.
 	requestSlots chan struct{}
 	// wake triggers an immediate tick; it buffers one signal.
 	wake chan struct{}
