--- a/cmd/banksail-lab/backends.go
+++ b/cmd/banksail-lab/backends.go
@@ -21,16 +21,16 @@
 
 // backendsCommand serves the back ends of a profile in one process.
 type backendsCommand struct {
-	placement   placementFlags
-	only        string
-	seed        uint64
-	snapshots   int
-	serviceMean float64
-	notice      time.Duration
+	placement         placementFlags
+	serverPattern     string
+	seed              uint64
+	snapshotCount     int
+	serviceTimeMeanMS float64
+	drainDuration     time.Duration
 }
 
-// drainTimeout bounds the wait for the requests in flight of a planned stop.
-const drainTimeout = 10 * time.Second
+// inFlightTimeout bounds the wait for the requests in flight of a planned stop.
+const inFlightTimeout = 10 * time.Second
 
 // Name returns the subcommand's name.
 func (*backendsCommand) Name() string { return "backends" }
@@ -53,24 +53,24 @@
 
 // SetFlags declares the flags.
 func (c *backendsCommand) SetFlags(flags *flag.FlagSet) {
-	c.placement.register(flags)
-	flags.StringVar(&c.only, "only", "*", "pattern of the server IDs to serve, as in path.Match")
+	c.placement.registerFlags(flags)
+	flags.StringVar(&c.serverPattern, "only", "*", "pattern of the server IDs to serve, as in path.Match")
 	flags.Uint64Var(&c.seed, "seed", 1, "seed of service times and faults")
-	flags.IntVar(&c.snapshots, "snapshots", 1, "highest snapshot held; those from 1 to it are")
-	flags.DurationVar(&c.notice, "drain", 0, "how long a signal makes the back ends drain before they stop; 0 stops them at once")
-	flags.Float64Var(&c.serviceMean, "service-ms", 0, "mean service time in milliseconds; 0 keeps the profile's")
+	flags.IntVar(&c.snapshotCount, "snapshots", 1, "highest snapshot held; those from 1 to it are")
+	flags.DurationVar(&c.drainDuration, "drain", 0, "how long a signal makes the back ends drain before they stop; 0 stops them at once")
+	flags.Float64Var(&c.serviceTimeMeanMS, "service-ms", 0, "mean service time in milliseconds; 0 keeps the profile's")
 }
 
 // Execute runs the subcommand.
 func (c *backendsCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if err := noArguments(flags); err != nil {
-		return finish(err)
+	if err := requireNoArguments(flags); err != nil {
+		return exitStatus(err)
 	}
-	return finish(c.run(ctx))
+	return exitStatus(c.run(ctx))
 }
 
 func (c *backendsCommand) run(ctx context.Context) error {
-	chosen, config, err := c.placement.load()
+	chosen, config, err := c.placement.loadProfile()
 	if err != nil {
 		return err
 	}
@@ -95,7 +95,7 @@
 	count := 0
 	for _, shard := range service.Groups {
 		for _, member := range shard.Servers {
-			matched, err := path.Match(c.only, member.ID)
+			matched, err := path.Match(c.serverPattern, member.ID)
 			if err != nil {
 				return 0, fmt.Errorf("--only: %w", err)
 			}
@@ -117,14 +117,14 @@
 	chosen profile.Profile, tier profile.Tier, shard policy.Group, member policy.Server,
 ) emulator.ServerOptions {
 	serviceTime := tier.ServiceTime
-	if c.serviceMean > 0 {
-		serviceTime.Mean = policy.Milliseconds(c.serviceMean)
+	if c.serviceTimeMeanMS > 0 {
+		serviceTime.Mean = policy.Milliseconds(c.serviceTimeMeanMS)
 		serviceTime.Maximum = 0
 	}
 	return emulator.ServerOptions{
 		ID:              member.ID,
 		Ranges:          []coverage.Range{shard.Range},
-		Snapshots:       snapshotsUpTo(c.snapshots),
+		Snapshots:       snapshotsUpTo(c.snapshotCount),
 		Slots:           member.Slots,
 		Connections:     member.Connections,
 		ConnectionSetup: chosen.Network.NewConnection,
@@ -141,23 +141,23 @@
 	if err != nil {
 		return err
 	}
-	if c.notice <= 0 {
-		return serve(ctx, group, address, server)
+	if c.drainDuration <= 0 {
+		return serveUntilDone(ctx, group, address, server)
 	}
-	return serve(ctx, group, address, drainedServer{Server: server, notice: c.notice})
+	return serveUntilDone(ctx, group, address, drainingServer{Server: server, drainDuration: c.drainDuration})
 }
 
-// drainedServer is a back end that stops as planned.
-type drainedServer struct {
+// drainingServer is a back end that stops as planned.
+type drainingServer struct {
 	*emulator.Server
-	notice time.Duration
+	drainDuration time.Duration
 }
 
 // Close drains the server before it closes it.
-func (s drainedServer) Close() error {
-	ctx, cancel := context.WithTimeout(context.Background(), s.notice+drainTimeout)
+func (s drainingServer) Close() error {
+	ctx, cancel := context.WithTimeout(context.Background(), s.drainDuration+inFlightTimeout)
 	defer cancel()
-	return errors.Join(s.Drain(ctx, s.notice), s.Server.Close())
+	return errors.Join(s.Drain(ctx, s.drainDuration), s.Server.Close())
 }
 
 // standIn is what the stand-ins have in common.
@@ -166,8 +166,8 @@
 	Close() error
 }
 
-// serve listens at the address and serves until the context ends.
-func serve(ctx context.Context, group *errgroup.Group, address string, server standIn) error {
+// serveUntilDone listens at the address and serves until the context ends.
+func serveUntilDone(ctx context.Context, group *errgroup.Group, address string, server standIn) error {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
 		return err
--- a/cmd/banksail-lab/collect.go
+++ b/cmd/banksail-lab/collect.go
@@ -20,22 +20,22 @@
 )
 
 const (
-	collectTimeout         = 10 * time.Second
-	maximumExecutionsBytes = 256 << 20
+	collectTimeout     = 10 * time.Second
+	maxExecutionsBytes = 256 << 20
 )
 
 // Errors of the subcommand collect.
 var (
-	errForgotten    = errors.New("the execution history is not whole")
-	errNotCollected = errors.New("the execution history can't be read")
+	errHistoryIncomplete  = errors.New("the execution history is not whole")
+	errHistoryUnavailable = errors.New("the execution history can't be read")
 )
 
 // collectCommand writes down what back ends ran and what was accepted.
 type collectCommand struct {
-	placement placementFlags
-	only      string
-	operator  string
-	out       string
+	placement       placementFlags
+	serverPattern   string
+	operatorAddress string
+	outputPath      string
 }
 
 // Name returns the subcommand's name.
@@ -60,27 +60,27 @@
 
 // SetFlags declares the flags.
 func (c *collectCommand) SetFlags(flags *flag.FlagSet) {
-	c.placement.register(flags)
-	flags.StringVar(&c.only, "only", "*", "pattern of the server IDs, as in path.Match")
-	flags.StringVar(&c.operator, "operator", "", "IP number and port of a node's operator API")
-	flags.StringVar(&c.out, "out", "ran.jsonl", "journal to write")
+	c.placement.registerFlags(flags)
+	flags.StringVar(&c.serverPattern, "only", "*", "pattern of the server IDs, as in path.Match")
+	flags.StringVar(&c.operatorAddress, "operator", "", "IP number and port of a node's operator API")
+	flags.StringVar(&c.outputPath, "out", "ran.jsonl", "journal to write")
 }
 
 // Execute runs the subcommand.
 func (c *collectCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if err := noArguments(flags); err != nil {
-		return finish(err)
+	if err := requireNoArguments(flags); err != nil {
+		return exitStatus(err)
 	}
-	return finish(withJournal(c.out, func(journal *history.Journal) error { return c.run(ctx, journal) }))
+	return exitStatus(withJournal(c.outputPath, func(journal *history.Journal) error { return c.run(ctx, journal) }))
 }
 
 func (c *collectCommand) run(ctx context.Context, journal *history.Journal) error {
-	_, config, err := c.placement.load()
+	_, config, err := c.placement.loadProfile()
 	if err != nil {
 		return err
 	}
 	for _, machine := range serverMachines(config) {
-		matched, err := path.Match(c.only, machine.ID)
+		matched, err := path.Match(c.serverPattern, machine.ID)
 		if err != nil {
 			return fmt.Errorf("--only: %w", err)
 		}
@@ -91,11 +91,11 @@
 			return fmt.Errorf("%s: %w", machine.ID, err)
 		}
 	}
-	if c.operator == "" {
+	if c.operatorAddress == "" {
 		return nil
 	}
 	writeKeySpaces(config, journal)
-	return collectAccepted(ctx, c.operator, journal)
+	return collectAcceptedChanges(ctx, c.operatorAddress, journal)
 }
 
 func writeKeySpaces(config policy.Config, journal *history.Journal) {
@@ -104,9 +104,9 @@
 	}
 }
 
-// collectAccepted reads the accepted changes. Their times are the confirming
+// collectAcceptedChanges reads the accepted changes. Their times are the confirming
 // nodes' wall clocks, which is one clock on one machine.
-func collectAccepted(ctx context.Context, address string, journal *history.Journal) error {
+func collectAcceptedChanges(ctx context.Context, address string, journal *history.Journal) error {
 	accepted, err := operator.NewClient(address, collectTimeout).History(ctx)
 	if err != nil {
 		return err
@@ -123,14 +123,14 @@
 // collectExecutions reads what one back end ran. When a node decided to send is
 // not known there, so a sub-request counts as sent when it arrived.
 func collectExecutions(ctx context.Context, address string, journal *history.Journal) error {
-	ran, err := readExecutions(ctx, address)
+	executions, err := readExecutions(ctx, address)
 	if err != nil {
 		return err
 	}
-	if ran.Forgotten > 0 {
-		return fmt.Errorf("%w: %d are forgotten", errForgotten, ran.Forgotten)
+	if executions.Forgotten > 0 {
+		return fmt.Errorf("%w: %d are forgotten", errHistoryIncomplete, executions.Forgotten)
 	}
-	for _, execution := range ran.Executions {
+	for _, execution := range executions.Executions {
 		arrived := time.Duration(execution.ArrivedUnixNanoseconds)
 		journal.Write(history.Entry{Attempt: &history.Attempt{
 			Server: execution.Server, AttemptID: execution.AttemptID, RequestID: execution.RequestID,
@@ -144,13 +144,13 @@
 func readExecutions(ctx context.Context, address string) (emulator.ExecutionHistory, error) {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
-	var ran emulator.ExecutionHistory
-	reply, err := callOnce(ctx, httpcall.Call{Address: address, Path: emulator.ExecutionsPath, Limit: maximumExecutionsBytes})
+	var executions emulator.ExecutionHistory
+	reply, err := callOnce(ctx, httpcall.Call{Address: address, Path: emulator.ExecutionsPath, Limit: maxExecutionsBytes})
 	if err != nil {
-		return ran, err
+		return executions, err
 	}
 	if reply.Code != http.StatusOK {
-		return ran, fmt.Errorf("%w: HTTP status %d", errNotCollected, reply.Code)
+		return executions, fmt.Errorf("%w: HTTP status %d", errHistoryUnavailable, reply.Code)
 	}
-	return ran, strictjson.Unmarshal(reply.Body, strictjson.Limits{Bytes: maximumExecutionsBytes}, &ran)
+	return executions, strictjson.Unmarshal(reply.Body, strictjson.Limits{Bytes: maxExecutionsBytes}, &executions)
 }
--- a/cmd/banksail-lab/commands_test.go
+++ b/cmd/banksail-lab/commands_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/subcommands"
 )
 
-func TestEveryCommandExplainsItselfAndRefusesUnknownFlags(t *testing.T) {
+func TestEveryCommandHasExampleAndRejectsUnknownFlags(t *testing.T) {
 	commander := subcommands.NewCommander(flag.NewFlagSet("banksail-lab", flag.ContinueOnError), "banksail-lab")
 	commander.Output, commander.Error = io.Discard, io.Discard
 	register(commander)
--- a/cmd/banksail-lab/common.go
+++ b/cmd/banksail-lab/common.go
@@ -20,20 +20,20 @@
 
 // placementFlags are the flags that pick a profile and its addresses.
 type placementFlags struct {
-	name     string
-	host     string
-	basePort int
+	profileName string
+	host        string
+	basePort    int
 }
 
-func (f *placementFlags) register(flags *flag.FlagSet) {
-	flags.StringVar(&f.name, "profile", profile.Small, "profile: "+strings.Join(profile.Names(), ", "))
+func (f *placementFlags) registerFlags(flags *flag.FlagSet) {
+	flags.StringVar(&f.profileName, "profile", profile.Small, "profile: "+strings.Join(profile.Names(), ", "))
 	flags.StringVar(&f.host, "host", profile.DefaultHost, "IP number of the back ends")
 	flags.IntVar(&f.basePort, "base-port", profile.DefaultBasePort, "port of the first back end; the others follow")
 }
 
-// load returns the profile and its configuration.
-func (f *placementFlags) load() (profile.Profile, policy.Config, error) {
-	chosen, err := profile.Get(f.name)
+// loadProfile returns the profile and its configuration.
+func (f *placementFlags) loadProfile() (profile.Profile, policy.Config, error) {
+	chosen, err := profile.Get(f.profileName)
 	if err != nil {
 		return profile.Profile{}, policy.Config{}, err
 	}
@@ -41,8 +41,8 @@
 	return chosen, config, err
 }
 
-// finish prints an error and returns the command's exit status.
-func finish(err error) subcommands.ExitStatus {
+// exitStatus prints an error and returns the command's exit status.
+func exitStatus(err error) subcommands.ExitStatus {
 	if err == nil {
 		return subcommands.ExitSuccess
 	}
@@ -53,8 +53,8 @@
 	return subcommands.ExitFailure
 }
 
-// noArguments refuses arguments that are no flags.
-func noArguments(flags *flag.FlagSet) error {
+// requireNoArguments refuses arguments that are no flags.
+func requireNoArguments(flags *flag.FlagSet) error {
 	if flags.NArg() == 0 {
 		return nil
 	}
--- a/cmd/banksail-lab/experiment.go
+++ b/cmd/banksail-lab/experiment.go
@@ -19,10 +19,10 @@
 
 // experimentCommand runs an experiment file.
 type experimentCommand struct {
-	output   string
-	parallel int
-	quiet    bool
-	only     string
+	outputDirectory string
+	parallel        int
+	quiet           bool
+	workload        string
 }
 
 // Name implements subcommands.Command.
@@ -48,10 +48,10 @@
 
 // SetFlags implements subcommands.Command.
 func (c *experimentCommand) SetFlags(flags *flag.FlagSet) {
-	flags.StringVar(&c.output, "output", "", "directory for results.csv and plots; none when empty")
+	flags.StringVar(&c.outputDirectory, "output", "", "directory for results.csv and plots; none when empty")
 	flags.IntVar(&c.parallel, "parallel", 0, "simulations that run at once; 0 means one per processor")
 	flags.BoolVar(&c.quiet, "quiet", false, "don't draw the progress bar")
-	flags.StringVar(&c.only, "workload", "", "run only the workload of this name")
+	flags.StringVar(&c.workload, "workload", "", "run only the workload of this name")
 }
 
 // Execute implements subcommands.Command.
@@ -60,7 +60,7 @@
 		fmt.Fprint(os.Stderr, c.Usage())
 		return subcommands.ExitUsageError
 	}
-	return status(c.run(ctx, flags.Arg(0)))
+	return unprefixedExitStatus(c.run(ctx, flags.Arg(0)))
 }
 
 func (c *experimentCommand) run(ctx context.Context, path string) error {
@@ -68,8 +68,8 @@
 	if err != nil {
 		return err
 	}
-	if c.only != "" {
-		if err := file.KeepWorkload(c.only); err != nil {
+	if c.workload != "" {
+		if err := file.KeepWorkload(c.workload); err != nil {
 			return err
 		}
 	}
@@ -84,17 +84,17 @@
 	if err := experiment.WriteTable(os.Stdout, file, cells); err != nil {
 		return err
 	}
-	if c.output == "" {
+	if c.outputDirectory == "" {
 		return nil
 	}
 	return c.writeFiles(file, cells)
 }
 
 func (c *experimentCommand) writeFiles(file *experiment.File, cells []*experiment.Cell) error {
-	if err := os.MkdirAll(c.output, outputDirectoryMode); err != nil {
+	if err := os.MkdirAll(c.outputDirectory, outputDirectoryMode); err != nil {
 		return err
 	}
-	path := filepath.Join(c.output, "results.csv")
+	path := filepath.Join(c.outputDirectory, "results.csv")
 	out, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, outputFileMode)
 	if err != nil {
 		return err
@@ -106,5 +106,5 @@
 	if err := out.Close(); err != nil {
 		return err
 	}
-	return experiment.WritePlots(c.output, cells)
+	return experiment.WritePlots(c.outputDirectory, cells)
 }
--- a/cmd/banksail-lab/fault.go
+++ b/cmd/banksail-lab/fault.go
@@ -23,21 +23,21 @@
 // Errors of the subcommand fault.
 var (
 	errInvalidSwitch = errors.New("a switch must be NAME=VALUE with a JSON value")
-	errNoStandIn     = errors.New("no stand-in: give --address, or --server with a pattern that fits")
-	errFaultRefused  = errors.New("refused")
+	errNoTargets     = errors.New("no stand-in: give --address, or --server with a pattern that fits")
+	errFaultRejected = errors.New("refused")
 )
 
 const (
-	faultTimeout      = 5 * time.Second
-	maximumFaultReply = 1 << 20
+	faultTimeout          = 5 * time.Second
+	maxFaultResponseBytes = 1 << 20
 )
 
 // faultCommand sets fault switches of running stand-ins.
 type faultCommand struct {
-	placement placementFlags
-	addresses stringList
-	server    string
-	reset     bool
+	placement     placementFlags
+	addresses     stringList
+	serverPattern string
+	resetFirst    bool
 }
 
 // Name returns the subcommand's name.
@@ -61,15 +61,15 @@
 
 // SetFlags declares the flags.
 func (c *faultCommand) SetFlags(flags *flag.FlagSet) {
-	c.placement.register(flags)
+	c.placement.registerFlags(flags)
 	flags.Var(&c.addresses, "address", "IP number and port of a stand-in; may be given several times")
-	flags.StringVar(&c.server, "server", "", "pattern of the server IDs, as in path.Match")
-	flags.BoolVar(&c.reset, "reset", false, "switch all faults off first")
+	flags.StringVar(&c.serverPattern, "server", "", "pattern of the server IDs, as in path.Match")
+	flags.BoolVar(&c.resetFirst, "reset", false, "switch all faults off first")
 }
 
 // Execute runs the subcommand.
 func (c *faultCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	return finish(c.run(ctx, flags.Args()))
+	return exitStatus(c.run(ctx, flags.Args()))
 }
 
 func (c *faultCommand) run(ctx context.Context, arguments []string) error {
@@ -81,13 +81,13 @@
 	if err != nil {
 		return err
 	}
-	var problems []error
+	var errs []error
 	for _, target := range targets {
 		if err := c.apply(ctx, target, body); err != nil {
-			problems = append(problems, fmt.Errorf("%s: %w", target, err))
+			errs = append(errs, fmt.Errorf("%s: %w", target, err))
 		}
 	}
-	return errors.Join(problems...)
+	return errors.Join(errs...)
 }
 
 // encodeSwitches turns NAME=VALUE arguments into a JSON document, nil for none.
@@ -116,19 +116,19 @@
 // targets lists the addresses of the chosen stand-ins.
 func (c *faultCommand) targets() ([]string, error) {
 	targets := append([]string(nil), c.addresses...)
-	if c.server != "" {
-		_, config, err := c.placement.load()
+	if c.serverPattern != "" {
+		_, config, err := c.placement.loadProfile()
 		if err != nil {
 			return nil, err
 		}
-		matched, err := matchServers(config, c.server)
+		matched, err := matchServers(config, c.serverPattern)
 		if err != nil {
 			return nil, err
 		}
 		targets = append(targets, matched...)
 	}
 	if len(targets) == 0 {
-		return nil, errNoStandIn
+		return nil, errNoTargets
 	}
 	return targets, nil
 }
@@ -149,7 +149,7 @@
 
 // apply resets, sets and prints the switches of one stand-in.
 func (c *faultCommand) apply(ctx context.Context, address string, body []byte) error {
-	if c.reset {
+	if c.resetFirst {
 		if _, err := callFaults(ctx, address, http.MethodDelete, nil); err != nil {
 			return err
 		}
@@ -170,13 +170,13 @@
 	ctx, cancel := context.WithTimeout(ctx, faultTimeout)
 	defer cancel()
 	reply, err := callOnce(ctx, httpcall.Call{
-		Method: method, Address: address, Path: emulator.FaultsPath, Body: body, Limit: maximumFaultReply,
+		Method: method, Address: address, Path: emulator.FaultsPath, Body: body, Limit: maxFaultResponseBytes,
 	})
 	if err != nil {
 		return nil, err
 	}
 	if reply.Code != http.StatusOK {
-		return nil, fmt.Errorf("%w: HTTP status %d: %s", errFaultRefused, reply.Code, bytes.TrimSpace(reply.Body))
+		return nil, fmt.Errorf("%w: HTTP status %d: %s", errFaultRejected, reply.Code, bytes.TrimSpace(reply.Body))
 	}
 	return reply.Body, nil
 }
--- a/cmd/banksail-lab/flags_test.go
+++ b/cmd/banksail-lab/flags_test.go
@@ -34,15 +34,15 @@
 
 func TestFaultTargets(t *testing.T) {
 	command := faultCommand{
-		placement: placementFlags{name: profile.Small, host: "127.0.0.1", basePort: 21000},
-		server:    "catalog-g03-*",
+		placement:     placementFlags{profileName: profile.Small, host: "127.0.0.1", basePort: 21000},
+		serverPattern: "catalog-g03-*",
 	}
 	targets, err := command.targets()
 	if err != nil || len(targets) != 2 || targets[0] != "127.0.0.1:21006" {
 		t.Errorf("targets are %v, %v", targets, err)
 	}
-	command.server = "nothing"
-	if _, err := command.targets(); !errors.Is(err, errNoStandIn) {
+	command.serverPattern = "nothing"
+	if _, err := command.targets(); !errors.Is(err, errNoTargets) {
 		t.Errorf("error is %v", err)
 	}
 }
--- a/cmd/banksail-lab/judge.go
+++ b/cmd/banksail-lab/judge.go
@@ -18,16 +18,16 @@
 
 // Errors of the subcommand judge.
 var (
-	errNoJournal  = errors.New("no journal given")
-	errViolations = errors.New("invariants were violated")
-	errNotJudged  = errors.New("an invariant had nothing to be judged by")
+	errNoJournal          = errors.New("no journal given")
+	errViolations         = errors.New("invariants were violated")
+	errInvariantNotJudged = errors.New("an invariant had nothing to be judged by")
 )
 
-// shownViolations bounds the violations that are printed.
-const shownViolations = 40
+// maxPrintedViolations bounds the violations that are printed.
+const maxPrintedViolations = 40
 
-// timed lists the invariants that a slow machine alone can violate.
-var timed = []history.Invariant{history.LeavingServer, history.OneFinalAnswer, history.Recovery}
+// timingInvariants lists the invariants that a slow machine alone can violate.
+var timingInvariants = []history.Invariant{history.LeavingServer, history.OneFinalAnswer, history.Recovery}
 
 // judgeCommand judges the record of a run of real processes.
 type judgeCommand struct {
@@ -68,7 +68,7 @@
 
 // Execute runs the subcommand.
 func (c *judgeCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	return finish(c.run(os.Stdout, flags.Args()))
+	return exitStatus(c.run(os.Stdout, flags.Args()))
 }
 
 func (c *judgeCommand) run(writer io.Writer, paths []string) error {
@@ -98,7 +98,7 @@
 // verdict is a report without what is left out.
 type verdict struct {
 	report     history.Report
-	leftOut    []history.Invariant
+	skipped    []history.Invariant
 	violations []history.Violation
 	requireAll bool
 }
@@ -106,10 +106,10 @@
 func (c *judgeCommand) verdict(report history.Report) verdict {
 	result := verdict{report: report, requireAll: c.requireAll}
 	if c.safetyOnly {
-		result.leftOut = timed
+		result.skipped = timingInvariants
 	}
 	for _, violation := range report.Violations {
-		if !slices.Contains(result.leftOut, violation.Invariant) {
+		if !slices.Contains(result.skipped, violation.Invariant) {
 			result.violations = append(result.violations, violation)
 		}
 	}
@@ -131,7 +131,7 @@
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "INVARIANT\tJUDGED\tVIOLATIONS")
 	for _, invariant := range history.Invariants() {
-		if slices.Contains(v.leftOut, invariant) {
+		if slices.Contains(v.skipped, invariant) {
 			_, _ = fmt.Fprintf(table, "%s\tnot judged\t-\n", invariant)
 			continue
 		}
@@ -141,19 +141,19 @@
 		return err
 	}
 	_, err := fmt.Fprintf(writer, "%d calls of %d requests, %d answers, %d sub-requests, %d accepted revisions, %d confirmations, %d runs of nodes, over %v\n",
-		len(joined.Calls), requests(joined), len(joined.Answers), len(joined.Attempts), len(joined.Accepted),
+		len(joined.Calls), countRequests(joined), len(joined.Answers), len(joined.Attempts), len(joined.Accepted),
 		len(joined.Confirmations), len(joined.Runs), joined.End)
 	for _, limit := range v.report.Limits {
 		_, _ = fmt.Fprintf(writer, "known limit: %s\n", limit)
 	}
-	for _, violation := range v.violations[:min(len(v.violations), shownViolations)] {
+	for _, violation := range v.violations[:min(len(v.violations), maxPrintedViolations)] {
 		_, _ = fmt.Fprintf(writer, "violation: %s\n", violation)
 	}
 	return err
 }
 
-// requests counts the requests, which may be sent more than once.
-func requests(joined *history.History) int {
+// countRequests counts the requests, which may be sent more than once.
+func countRequests(joined *history.History) int {
 	seen := make(map[string]bool)
 	for _, call := range joined.Calls {
 		seen[call.RequestID] = true
@@ -167,8 +167,8 @@
 		return fmt.Errorf("%w: %d violations", errViolations, len(v.violations))
 	}
 	for _, invariant := range history.Invariants() {
-		if v.requireAll && v.report.Judged[invariant] == 0 && !slices.Contains(v.leftOut, invariant) {
-			return fmt.Errorf("%w: %s", errNotJudged, invariant)
+		if v.requireAll && v.report.Judged[invariant] == 0 && !slices.Contains(v.skipped, invariant) {
+			return fmt.Errorf("%w: %s", errInvariantNotJudged, invariant)
 		}
 	}
 	return nil
--- a/cmd/banksail-lab/judge_test.go
+++ b/cmd/banksail-lab/judge_test.go
@@ -11,9 +11,9 @@
 	"github.com/banksail/banksail/lab/history"
 )
 
-// soundJournal is a run in which one request that is not repeatable was refused
+// validJournal is a run in which one request that is not repeatable was refused
 // by a node and then answered by another.
-const soundJournal = `{"event":{"kind":"node_started","subject":"n1","address":"10.0.0.1:80","at_ns":1000000001}}
+const validJournal = `{"event":{"kind":"node_started","subject":"n1","address":"10.0.0.1:80","at_ns":1000000001}}
 {"event":{"kind":"node_started","subject":"n2","address":"10.0.0.2:80","at_ns":1000000001}}
 {"key_space":{"service":"ledger","range":{"start":0,"end":10}}}
 {"call":{"id":1,"request_id":"r","node":"10.0.0.1:80","service":"ledger","class":"batch","repeatable":false,"deadline_ns":1000000000,"minimum_coverage":0,"at_ns":2000000000}}
@@ -28,7 +28,7 @@
 {"in_force":{"node":"n1","revision":1,"at_ns":9000000000}}
 `
 
-func judged(t *testing.T, command *judgeCommand, journal string) (string, error) {
+func runJudge(t *testing.T, command *judgeCommand, journal string) (string, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "run.jsonl")
 	if err := os.WriteFile(path, []byte(journal), 0o600); err != nil {
@@ -57,7 +57,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			command := &judgeCommand{options: history.DefaultOptions()}
-			output, err := judged(t, command, strings.NewReplacer(test.replace...).Replace(soundJournal))
+			output, err := runJudge(t, command, strings.NewReplacer(test.replace...).Replace(validJournal))
 			if test.invariant == "" {
 				if err != nil {
 					t.Fatalf("%v\n%s", err, output)
@@ -71,18 +71,18 @@
 	}
 }
 
-func TestJudgeWithoutWhatHangsOnTime(t *testing.T) {
-	late := strings.Replace(soundJournal, `"at_ns":2120000000,"kind":"result"`, `"at_ns":8120000000,"kind":"result"`, 1)
+func TestJudgeSafetyOnlySkipsTimingInvariants(t *testing.T) {
+	late := strings.Replace(validJournal, `"at_ns":2120000000,"kind":"result"`, `"at_ns":8120000000,"kind":"result"`, 1)
 	command := &judgeCommand{options: history.DefaultOptions(), safetyOnly: true}
-	output, err := judged(t, command, late)
+	output, err := runJudge(t, command, late)
 	if err != nil || !strings.Contains(output, "not judged") {
 		t.Errorf("error %v\n%s", err, output)
 	}
 }
 
-func TestJudgeDemandsSomethingToJudge(t *testing.T) {
+func TestJudgeRequireAllFailsIfNothingToJudge(t *testing.T) {
 	command := &judgeCommand{options: history.DefaultOptions(), requireAll: true}
-	if output, err := judged(t, command, soundJournal); !errors.Is(err, errNotJudged) {
+	if output, err := runJudge(t, command, validJournal); !errors.Is(err, errInvariantNotJudged) {
 		t.Errorf("error %v\n%s", err, output)
 	}
 }
--- a/cmd/banksail-lab/load.go
+++ b/cmd/banksail-lab/load.go
@@ -16,21 +16,21 @@
 	"github.com/banksail/banksail/lab/profile"
 )
 
-// errNothingChosen is returned when no query of the profile fits the flags.
-var errNothingChosen = errors.New("no query of the profile's mix has the service and class")
+// errNoMatchingQuery is returned when no query of the profile fits the flags.
+var errNoMatchingQuery = errors.New("no query of the profile's mix has the service and class")
 
 // errWrongAnswers is returned when answers contradict the stand-ins' results.
 var errWrongAnswers = errors.New("wrong answers")
 
 // loadCommand sends queries to a node.
 type loadCommand struct {
-	options     load.Options
-	profileName string
-	service     string
-	class       string
-	deadlineMS  float64
-	retry       stringList
-	journal     string
+	options        load.Options
+	profileName    string
+	service        string
+	class          string
+	deadlineMS     float64
+	retryAddresses stringList
+	journal        string
 }
 
 // Name returns the subcommand's name.
@@ -63,16 +63,16 @@
 	flags.Float64Var(&c.deadlineMS, "deadline-ms", 0, "deadline of each query; 0 leaves it to the class")
 	flags.Float64Var(&c.options.MinimumCoverage, "minimum-coverage", 0, "minimum coverage of each query, from 0 to 1; 0 leaves it to the class")
 	flags.Uint64Var(&c.options.Seed, "seed", 1, "seed of the arrivals")
-	flags.Var(&c.retry, "retry", "caller API to which queries that are not repeatable are sent again, with their ID, while they have no answer; may be given several times")
+	flags.Var(&c.retryAddresses, "retry", "caller API to which queries that are not repeatable are sent again, with their ID, while they have no answer; may be given several times")
 	flags.StringVar(&c.journal, "journal", "", "file that gets every sending and its end, for the subcommand judge; needs --deadline-ms")
 }
 
 // Execute runs the subcommand.
 func (c *loadCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if err := noArguments(flags); err != nil {
-		return finish(err)
+	if err := requireNoArguments(flags); err != nil {
+		return exitStatus(err)
 	}
-	return finish(c.run(ctx))
+	return exitStatus(c.run(ctx))
 }
 
 func (c *loadCommand) run(ctx context.Context) error {
@@ -82,11 +82,11 @@
 	}
 	options := c.options
 	options.Deadline = time.Duration(c.deadlineMS * float64(time.Millisecond))
-	options.Mix = c.choose(chosen.Mix)
+	options.Mix = c.selectQueries(chosen.Mix)
 	if len(options.Mix) == 0 {
-		return fmt.Errorf("%w: %q, %q", errNothingChosen, c.service, c.class)
+		return fmt.Errorf("%w: %q, %q", errNoMatchingQuery, c.service, c.class)
 	}
-	options.RetryAddresses = c.retry
+	options.RetryAddresses = c.retryAddresses
 	var report *load.Report
 	err = withJournal(c.journal, func(journal *history.Journal) error {
 		options.Journal = journal
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// choose keeps the kinds of queries that the flags name.
-func (c *loadCommand) choose(mix []profile.Share) []profile.Share {
+// selectQueries keeps the kinds of queries that the flags name.
+func (c *loadCommand) selectQueries(mix []profile.Share) []profile.Share {
 	var chosen []profile.Share
 	for _, share := range mix {
 		if c.service != "" && share.Service != c.service {
--- a/cmd/banksail-lab/machines.go
+++ b/cmd/banksail-lab/machines.go
@@ -22,10 +22,10 @@
 
 // machinesCommand serves the machine list.
 type machinesCommand struct {
-	placement placementFlags
-	address   string
-	nodes     stringList
-	empty     bool
+	placement      placementFlags
+	address        string
+	nodes          stringList
+	withoutServers bool
 }
 
 // Name returns the subcommand's name.
@@ -48,29 +48,29 @@
 
 // SetFlags declares the flags.
 func (c *machinesCommand) SetFlags(flags *flag.FlagSet) {
-	c.placement.register(flags)
+	c.placement.registerFlags(flags)
 	flags.StringVar(&c.address, "address", "127.0.0.1:20002", "IP number and port to listen on")
 	flags.Var(&c.nodes, "node", "a node as ID=IP:PORT@ZONE; may be given several times")
-	flags.BoolVar(&c.empty, "no-servers", false, "leave the profile's servers out")
+	flags.BoolVar(&c.withoutServers, "no-servers", false, "leave the profile's servers out")
 }
 
 // Execute runs the subcommand.
 func (c *machinesCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if err := noArguments(flags); err != nil {
-		return finish(err)
+	if err := requireNoArguments(flags); err != nil {
+		return exitStatus(err)
 	}
 	machines, err := c.machines()
 	if err != nil {
-		return finish(err)
+		return exitStatus(err)
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	server := emulator.NewMachineListServer(machines...)
 	server.StartAt(uint64(time.Now().UnixMilli()))
-	if err := serve(ctx, group, c.address, server); err != nil {
-		return finish(err)
+	if err := serveUntilDone(ctx, group, c.address, server); err != nil {
+		return exitStatus(err)
 	}
 	fmt.Printf("serving a list of %d machines at %s\n", len(machines), c.address)
-	return finish(group.Wait())
+	return exitStatus(group.Wait())
 }
 
 func (c *machinesCommand) machines() ([]machinelist.Machine, error) {
@@ -82,10 +82,10 @@
 		}
 		machines = append(machines, node)
 	}
-	if c.empty {
+	if c.withoutServers {
 		return machines, nil
 	}
-	_, config, err := c.placement.load()
+	_, config, err := c.placement.loadProfile()
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/banksail-lab/observe.go
+++ b/cmd/banksail-lab/observe.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	readyPath         = "/readyz"
-	observeTimeout    = time.Second
-	maximumReadyBytes = 4096
+	readyPath      = "/readyz"
+	observeTimeout = time.Second
+	maxReadyBytes  = 4096
 )
 
 // Errors of the subcommand observe.
 var (
-	errInvalidObserved = errors.New("--node must be ID=IP:PORT")
-	errNothingObserved = errors.New("no node: give --node")
+	errInvalidNodeAddress = errors.New("--node must be ID=IP:PORT")
+	errNoNodes            = errors.New("no node: give --node")
 )
 
 // revisionPattern finds the revision in force in the text of a ready node.
@@ -37,9 +37,9 @@
 
 // observeCommand records which revision nodes have in force.
 type observeCommand struct {
-	nodes    stringList
-	interval time.Duration
-	out      string
+	nodes      stringList
+	interval   time.Duration
+	outputPath string
 }
 
 // Name returns the subcommand's name.
@@ -64,29 +64,29 @@
 func (c *observeCommand) SetFlags(flags *flag.FlagSet) {
 	flags.Var(&c.nodes, "node", "a node as ID=IP:PORT with its operator address; may be given several times")
 	flags.DurationVar(&c.interval, "interval", 100*time.Millisecond, "time between two reads of a node")
-	flags.StringVar(&c.out, "out", "revisions.jsonl", "journal to write")
+	flags.StringVar(&c.outputPath, "out", "revisions.jsonl", "journal to write")
 }
 
 // Execute runs the subcommand.
 func (c *observeCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if err := noArguments(flags); err != nil {
-		return finish(err)
+	if err := requireNoArguments(flags); err != nil {
+		return exitStatus(err)
 	}
-	return finish(c.run(ctx))
+	return exitStatus(c.run(ctx))
 }
 
 func (c *observeCommand) run(ctx context.Context) error {
 	if len(c.nodes) == 0 {
-		return errNothingObserved
+		return errNoNodes
 	}
 	client := &http.Client{Timeout: observeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	return withJournal(c.out, func(journal *history.Journal) error {
+	return withJournal(c.outputPath, func(journal *history.Journal) error {
 		var observers sync.WaitGroup
 		defer observers.Wait()
 		for _, text := range c.nodes {
 			id, address, ok := strings.Cut(text, "=")
 			if _, _, err := net.SplitHostPort(address); !ok || id == "" || err != nil {
-				return fmt.Errorf("%w: %q", errInvalidObserved, text)
+				return fmt.Errorf("%w: %q", errInvalidNodeAddress, text)
 			}
 			observed := observer{id: id, address: address, client: client, journal: journal}
 			observers.Go(func() { observed.run(ctx, c.interval) })
@@ -106,7 +106,7 @@
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
-		if revision, ok := o.read(ctx); ok {
+		if revision, ok := o.readRevision(ctx); ok {
 			o.journal.Write(history.Entry{InForce: &history.InForce{Node: o.id, Revision: revision, At: o.journal.Now()}})
 		}
 		select {
@@ -117,8 +117,8 @@
 	}
 }
 
-// read returns the revision in force, false when the node did not tell.
-func (o observer) read(ctx context.Context) (uint64, bool) {
+// readRevision returns the revision in force, false when the node did not tell.
+func (o observer) readRevision(ctx context.Context) (uint64, bool) {
 	target := url.URL{Scheme: "http", Host: o.address, Path: readyPath}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
 	if err != nil {
@@ -129,7 +129,7 @@
 		return 0, false
 	}
 	defer func() { _ = response.Body.Close() }()
-	text, err := strictjson.Read(response.Body, maximumReadyBytes)
+	text, err := strictjson.Read(response.Body, maxReadyBytes)
 	if err != nil {
 		return 0, false
 	}
--- a/cmd/banksail-lab/platform.go
+++ b/cmd/banksail-lab/platform.go
@@ -54,10 +54,10 @@
 
 // Execute runs the subcommand.
 func (c *platformCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if err := noArguments(flags); err != nil {
-		return finish(err)
+	if err := requireNoArguments(flags); err != nil {
+		return exitStatus(err)
 	}
-	return finish(c.run(ctx))
+	return exitStatus(c.run(ctx))
 }
 
 func (c *platformCommand) run(ctx context.Context) error {
@@ -68,8 +68,8 @@
 		return fmt.Errorf("--address: %w", err)
 	}
 	server := &http.Server{Handler: store}
-	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(listener) }()
+	serveErrors := make(chan error, 1)
+	go func() { serveErrors <- server.Serve(listener) }()
 	defer func() { _ = server.Close() }()
 	if err := c.startServers(store); err != nil {
 		return err
@@ -77,7 +77,7 @@
 	select {
 	case <-ctx.Done():
 		return nil
-	case err := <-ended:
+	case err := <-serveErrors:
 		return err
 	}
 }
@@ -103,14 +103,14 @@
 	return nil
 }
 
-// errService is a service in --services that can't be read.
-var errService = errors.New("--services")
+// errInvalidService is a service in --services that can't be read.
+var errInvalidService = errors.New("--services")
 
 func parseService(entry string) (name string, count int, err error) {
 	name, number, given := strings.Cut(entry, "=")
 	count, err = strconv.Atoi(number)
 	if !given || name == "" || err != nil || count < 1 {
-		return "", 0, fmt.Errorf("%w: %q must be a name, =, and a number of servers", errService, entry)
+		return "", 0, fmt.Errorf("%w: %q must be a name, =, and a number of servers", errInvalidService, entry)
 	}
 	return name, count, nil
 }
--- a/cmd/banksail-lab/profile.go
+++ b/cmd/banksail-lab/profile.go
@@ -15,7 +15,7 @@
 // profileCommand prints a profile's configuration.
 type profileCommand struct {
 	placement placementFlags
-	intent    bool
+	asIntent  bool
 	author    string
 }
 
@@ -39,22 +39,22 @@
 
 // SetFlags declares the flags.
 func (c *profileCommand) SetFlags(flags *flag.FlagSet) {
-	c.placement.register(flags)
-	flags.BoolVar(&c.intent, "intent", false, "print an intent that replaces the whole configuration")
+	c.placement.registerFlags(flags)
+	flags.BoolVar(&c.asIntent, "intent", false, "print an intent that replaces the whole configuration")
 	flags.StringVar(&c.author, "author", "banksail-lab", "author of the intent")
 }
 
 // Execute runs the subcommand.
 func (c *profileCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if err := noArguments(flags); err != nil {
-		return finish(err)
+	if err := requireNoArguments(flags); err != nil {
+		return exitStatus(err)
 	}
-	chosen, config, err := c.placement.load()
+	chosen, config, err := c.placement.loadProfile()
 	if err != nil {
-		return finish(err)
+		return exitStatus(err)
 	}
 	var document any = config
-	if c.intent {
+	if c.asIntent {
 		document = policy.Intent{
 			Author:  c.author,
 			Note:    "profile " + chosen.Name,
@@ -63,7 +63,7 @@
 	}
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
-	return finish(encoder.Encode(document))
+	return exitStatus(encoder.Encode(document))
 }
 
 // hashID gives each server its own seed.
--- a/cmd/banksail-lab/replay.go
+++ b/cmd/banksail-lab/replay.go
@@ -13,7 +13,7 @@
 	"github.com/banksail/banksail/lab/replay"
 )
 
-var errTraceDiffers = errors.New("the dispatcher differs from the trace")
+var errTraceMismatch = errors.New("the dispatcher differs from the trace")
 
 // recordCommand writes a trace.
 type recordCommand struct {
@@ -67,7 +67,7 @@
 		}
 		err = replay.Make(os.Stdout, file, c.selection)
 	}
-	return status(err)
+	return unprefixedExitStatus(err)
 }
 
 // replayCommand drives a dispatcher with traces.
@@ -107,7 +107,7 @@
 	result := subcommands.ExitSuccess
 	for _, path := range flags.Args() {
 		if err := replayFile(path); err != nil {
-			result = status(fmt.Errorf("%s: %w", path, err))
+			result = unprefixedExitStatus(fmt.Errorf("%s: %w", path, err))
 		}
 	}
 	return result
@@ -124,14 +124,14 @@
 		return err
 	}
 	if report.Difference != nil {
-		return fmt.Errorf("%w: %s", errTraceDiffers, report.Difference)
+		return fmt.Errorf("%w: %s", errTraceMismatch, report.Difference)
 	}
 	fmt.Printf("%s: %d records replayed alike; outcomes %v\n", path, report.Records, report.Outcomes)
 	return nil
 }
 
-// status prints an error, if there is one, and gives the exit status.
-func status(err error) subcommands.ExitStatus {
+// unprefixedExitStatus prints an error, if there is one, and gives the exit status.
+func unprefixedExitStatus(err error) subcommands.ExitStatus {
 	if err == nil {
 		return subcommands.ExitSuccess
 	}
--- a/cmd/banksail-lab/soak.go
+++ b/cmd/banksail-lab/soak.go
@@ -22,9 +22,9 @@
 // soakCommand runs the real node program as many processes, with faults from outside, and
 // judges what callers, servers and the operator saw.
 type soakCommand struct {
-	seeds, kinds, program, keep, regressions string
-	duration                                 time.Duration
-	show                                     bool
+	seeds, kinds, program, keepDirectory, regressionsPath string
+	duration                                              time.Duration
+	scheduleOnly                                          bool
 }
 
 // Name returns the subcommand's name.
@@ -55,17 +55,17 @@
 	flags.DurationVar(&c.duration, "for", time.Minute, "how long a seed plays")
 	flags.StringVar(&c.program, "program", "bin/banksail-front", "the node's program")
 	flags.StringVar(&c.kinds, "faults", "", "kinds of faults to draw from, with commas between; none is all")
-	flags.StringVar(&c.keep, "keep", "", "directory that settings and logs are written to; they are deleted otherwise, unless a rule was broken")
-	flags.StringVar(&c.regressions, "regressions", "", "file of seeds that found something, to be played instead: seed, duration, kinds of faults (- is all) and cause a line")
-	flags.BoolVar(&c.show, "show", false, "print the schedules and play nothing")
+	flags.StringVar(&c.keepDirectory, "keep", "", "directory that settings and logs are written to; they are deleted otherwise, unless a rule was broken")
+	flags.StringVar(&c.regressionsPath, "regressions", "", "file of seeds that found something, to be played instead: seed, duration, kinds of faults (- is all) and cause a line")
+	flags.BoolVar(&c.scheduleOnly, "show", false, "print the schedules and play nothing")
 }
 
 // Execute runs the subcommand.
 func (c *soakCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if err := noArguments(flags); err != nil {
-		return finish(err)
+	if err := requireNoArguments(flags); err != nil {
+		return exitStatus(err)
 	}
-	return finish(c.run(ctx, os.Stdout))
+	return exitStatus(c.run(ctx, os.Stdout))
 }
 
 func (c *soakCommand) run(ctx context.Context, writer io.Writer) error {
@@ -73,22 +73,22 @@
 	if err != nil {
 		return err
 	}
-	broken := 0
-	for _, one := range runs {
-		if _, err := fmt.Fprint(writer, soak.Draw(one.seed, one.duration, soak.DefaultLayout(), one.kinds...)); err != nil {
+	violations := 0
+	for _, plannedRun := range runs {
+		if _, err := fmt.Fprint(writer, soak.Draw(plannedRun.seed, plannedRun.duration, soak.DefaultLayout(), plannedRun.kinds...)); err != nil {
 			return err
 		}
-		if c.show {
+		if c.scheduleOnly {
 			continue
 		}
-		found, err := c.play(ctx, writer, one)
+		found, err := c.runSoak(ctx, writer, plannedRun)
 		if err != nil {
 			return err
 		}
-		broken += found
+		violations += found
 	}
-	if broken > 0 {
-		return fmt.Errorf("%w: %d violations", errViolations, broken)
+	if violations > 0 {
+		return fmt.Errorf("%w: %d violations", errViolations, violations)
 	}
 	return nil
 }
@@ -102,8 +102,8 @@
 
 // runs lists what is to be played.
 func (c *soakCommand) runs() (runs []soakRun, err error) {
-	if c.regressions != "" {
-		return readRegressions(c.regressions)
+	if c.regressionsPath != "" {
+		return readRegressions(c.regressionsPath)
 	}
 	seeds, err := parseSeeds(c.seeds)
 	if err != nil {
@@ -115,15 +115,15 @@
 	return runs, nil
 }
 
-// errRegression is a line of regressions that can't be read.
-var errRegression = errors.New("--regressions")
+// errInvalidRegressions is a line of regressions that can't be read.
+var errInvalidRegressions = errors.New("--regressions")
 
 // readRegressions reads a file of seeds: seed, duration, kinds of faults and cause a line;
 // lines that begin with # are passed over.
 func readRegressions(path string) (runs []soakRun, err error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errRegression, err)
+		return nil, fmt.Errorf("%w: %w", errInvalidRegressions, err)
 	}
 	for number, line := range strings.Split(string(content), "\n") {
 		if strings.HasPrefix(line, "#") || strings.TrimSpace(line) == "" {
@@ -131,19 +131,19 @@
 		}
 		fields := strings.Fields(line)
 		if len(fields) < 4 {
-			return nil, fmt.Errorf("%w: line %d: must be a seed, a duration, kinds and a cause", errRegression, number+1)
+			return nil, fmt.Errorf("%w: line %d: must be a seed, a duration, kinds and a cause", errInvalidRegressions, number+1)
 		}
-		one := soakRun{}
-		if one.seed, err = strconv.ParseUint(fields[0], 10, 63); err != nil {
-			return nil, fmt.Errorf("%w: line %d: seed: %w", errRegression, number+1, err)
+		regression := soakRun{}
+		if regression.seed, err = strconv.ParseUint(fields[0], 10, 63); err != nil {
+			return nil, fmt.Errorf("%w: line %d: seed: %w", errInvalidRegressions, number+1, err)
 		}
-		if one.duration, err = time.ParseDuration(fields[1]); err != nil {
-			return nil, fmt.Errorf("%w: line %d: duration: %w", errRegression, number+1, err)
+		if regression.duration, err = time.ParseDuration(fields[1]); err != nil {
+			return nil, fmt.Errorf("%w: line %d: duration: %w", errInvalidRegressions, number+1, err)
 		}
 		if fields[2] != "-" {
-			one.kinds = parseKinds(fields[2])
+			regression.kinds = parseKinds(fields[2])
 		}
-		runs = append(runs, one)
+		runs = append(runs, regression)
 	}
 	return runs, nil
 }
@@ -158,9 +158,9 @@
 	return kinds
 }
 
-// play plays one seed and prints what was found.
-func (c *soakCommand) play(ctx context.Context, writer io.Writer, one soakRun) (violations int, err error) {
-	directory, err := os.MkdirTemp(c.keep, fmt.Sprintf("soak-%d-", one.seed))
+// runSoak plays one seed and prints what was found.
+func (c *soakCommand) runSoak(ctx context.Context, writer io.Writer, plannedRun soakRun) (violations int, err error) {
+	directory, err := os.MkdirTemp(c.keepDirectory, fmt.Sprintf("soak-%d-", plannedRun.seed))
 	if err != nil {
 		return 0, err
 	}
@@ -169,24 +169,24 @@
 		return 0, fmt.Errorf("--program: %w", err)
 	}
 	report, err := soak.Run(ctx, soak.Options{
-		Seed: one.seed, Duration: one.duration, Program: program, Arguments: []string{"serve"}, Kinds: one.kinds, Directory: directory,
+		Seed: plannedRun.seed, Duration: plannedRun.duration, Program: program, Arguments: []string{"serve"}, Kinds: plannedRun.kinds, Directory: directory,
 		Tell: func(format string, arguments ...any) { _, _ = fmt.Fprintf(writer, format+"\n", arguments...) },
 	})
 	if err != nil {
 		return 0, errors.Join(err, os.RemoveAll(directory))
 	}
-	if err := writeSoak(writer, report); err != nil {
+	if err := writeSoakReport(writer, report); err != nil {
 		return 0, err
 	}
-	if len(report.Violations) == 0 && c.keep == "" {
+	if len(report.Violations) == 0 && c.keepDirectory == "" {
 		return 0, os.RemoveAll(directory)
 	}
 	_, err = fmt.Fprintf(writer, "settings and logs: %s\n", directory)
 	return len(report.Violations), err
 }
 
-// writeSoak prints what a soak found.
-func writeSoak(writer io.Writer, report *soak.Report) error {
+// writeSoakReport prints what a soak found.
+func writeSoakReport(writer io.Writer, report *soak.Report) error {
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "INVARIANT\tJUDGED\tVIOLATIONS")
 	for _, invariant := range soak.Invariants() {
@@ -203,17 +203,17 @@
 	}
 	_, err := fmt.Fprintf(writer, "seed %d: %d faults, %d requests, %d answered well, %d arrivals at servers, %d configurations, roll-out: %s, longest pause %s\n",
 		report.Schedule.Seed, len(report.Schedule.Faults), report.Requests, report.Good, report.Arrivals, report.Configurations, report.Rollout, report.Pause)
-	for _, violation := range report.Violations[:min(len(report.Violations), shownViolations)] {
+	for _, violation := range report.Violations[:min(len(report.Violations), maxPrintedViolations)] {
 		_, _ = fmt.Fprintf(writer, "violation: %s\n", violation)
 	}
 	return err
 }
 
-// errSeed is a seed that can't be read.
-var errSeed = errors.New("--seed")
+// errInvalidSeed is a seed that can't be read.
+var errInvalidSeed = errors.New("--seed")
 
-// mostSeeds bounds the seeds of one call.
-const mostSeeds = 1000
+// maxSeeds bounds the seeds of one call.
+const maxSeeds = 1000
 
 // parseSeeds reads numbers and ranges with commas between.
 func parseSeeds(text string) (seeds []uint64, err error) {
@@ -224,8 +224,8 @@
 		if err == nil && isRange {
 			until, err = strconv.ParseUint(last, 10, 63)
 		}
-		if err != nil || until < from || until-from+uint64(len(seeds)) >= mostSeeds {
-			return nil, fmt.Errorf("%w: %q must be a number, or two with .. between, and %d seeds at most", errSeed, entry, mostSeeds)
+		if err != nil || until < from || until-from+uint64(len(seeds)) >= maxSeeds {
+			return nil, fmt.Errorf("%w: %q must be a number, or two with .. between, and %d seeds at most", errInvalidSeed, entry, maxSeeds)
 		}
 		for seed := from; seed <= until; seed++ {
 			seeds = append(seeds, seed)
--- a/cmd/banksail-lab/soak_test.go
+++ b/cmd/banksail-lab/soak_test.go
@@ -16,7 +16,7 @@
 		t.Errorf("seeds are %v, %v", seeds, err)
 	}
 	for _, text := range []string{"", "x", "-1", "5..3", "1..", "0..5000"} {
-		if _, err := parseSeeds(text); !errors.Is(err, errSeed) {
+		if _, err := parseSeeds(text); !errors.Is(err, errInvalidSeed) {
 			t.Errorf("%q gave %v", text, err)
 		}
 	}
@@ -24,23 +24,23 @@
 
 func TestReadRegressions(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "seeds")
-	write := func(text string) {
+	writeFile := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	write("# seeds\n\n7 30s evacuate,reshard a cause\n")
+	writeFile("# seeds\n\n7 30s evacuate,reshard a cause\n")
 	runs, err := readRegressions(path)
 	if err != nil || len(runs) != 1 || runs[0].seed != 7 || runs[0].duration != 30*time.Second || len(runs[0].kinds) != 2 {
 		t.Errorf("runs are %v, %v", runs, err)
 	}
 	for text, field := range map[string]string{"7 30s": "kinds", "7 30s -": "cause", "x 30s - c": "seed", "7 x - c": "duration"} {
-		write("7 30s - good\n" + text + "\n")
-		if _, err := readRegressions(path); !errors.Is(err, errRegression) || !strings.Contains(err.Error(), field) || !strings.Contains(err.Error(), "line 2") {
+		writeFile("7 30s - good\n" + text + "\n")
+		if _, err := readRegressions(path); !errors.Is(err, errInvalidRegressions) || !strings.Contains(err.Error(), field) || !strings.Contains(err.Error(), "line 2") {
 			t.Errorf("%q gave %v", text, err)
 		}
 	}
-	if _, err := readRegressions(path + "-none"); !errors.Is(err, errRegression) {
+	if _, err := readRegressions(path + "-none"); !errors.Is(err, errInvalidRegressions) {
 		t.Errorf("a file that is not there gave %v", err)
 	}
 }
--- a/cmd/banksail-lab/store.go
+++ b/cmd/banksail-lab/store.go
@@ -14,8 +14,8 @@
 
 // storeCommand serves a key-value service in memory.
 type storeCommand struct {
-	address string
-	rate    float64
+	address        string
+	callsPerSecond float64
 }
 
 // Name returns the subcommand's name.
@@ -37,20 +37,20 @@
 // SetFlags declares the flags.
 func (c *storeCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&c.address, "address", "127.0.0.1:20001", "IP number and port to listen on")
-	flags.Float64Var(&c.rate, "rate", 0, "calls a second that are served; 0 means no bound")
+	flags.Float64Var(&c.callsPerSecond, "rate", 0, "calls a second that are served; 0 means no bound")
 }
 
 // Execute runs the subcommand.
 func (c *storeCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if err := noArguments(flags); err != nil {
-		return finish(err)
+	if err := requireNoArguments(flags); err != nil {
+		return exitStatus(err)
 	}
 	memory := store.NewMemory(store.MemoryOptions{})
-	memory.SetFaults(store.MemoryFaults{CallsPerSecond: c.rate})
+	memory.SetFaults(store.MemoryFaults{CallsPerSecond: c.callsPerSecond})
 	group, ctx := errgroup.WithContext(ctx)
-	if err := serve(ctx, group, c.address, emulator.NewStoreServer(memory)); err != nil {
-		return finish(err)
+	if err := serveUntilDone(ctx, group, c.address, emulator.NewStoreServer(memory)); err != nil {
+		return exitStatus(err)
 	}
 	fmt.Printf("serving the key-value service at %s\n", c.address)
-	return finish(group.Wait())
+	return exitStatus(group.Wait())
 }
