--- a/cmd/banksail-lab/backends.go
+++ b/cmd/banksail-lab/backends.go
@@ -19,7 +19,7 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// backendsCommand serves the back ends of a profile in one process.
+// backendsCommand emulates the back ends of a profile in one process.
 type backendsCommand struct {
 	placement         placementFlags
 	serverPattern     string
@@ -29,16 +29,16 @@
 	drainDuration     time.Duration
 }
 
-// inFlightTimeout bounds the wait for the requests in flight of a planned stop.
+// inFlightTimeout is the longest wait for in-flight requests after a server's drain period.
 const inFlightTimeout = 10 * time.Second
 
-// Name returns the subcommand's name.
+// Name implements subcommands.Command.
 func (*backendsCommand) Name() string { return "backends" }
 
-// Synopsis returns one line of help.
+// Synopsis implements subcommands.Command.
 func (*backendsCommand) Synopsis() string { return "serve the back ends of a profile" }
 
-// Usage returns the help.
+// Usage implements subcommands.Command.
 func (*backendsCommand) Usage() string {
 	return `backends [flags]:
   Serve the back ends of a profile in one process, one port each, until a signal.
@@ -51,7 +51,7 @@
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags implements subcommands.Command.
 func (c *backendsCommand) SetFlags(flags *flag.FlagSet) {
 	c.placement.registerFlags(flags)
 	flags.StringVar(&c.serverPattern, "only", "*", "pattern of the server IDs to serve, as in path.Match")
@@ -61,7 +61,7 @@
 	flags.Float64Var(&c.serviceTimeMeanMS, "service-ms", 0, "mean service time in milliseconds; 0 keeps the profile's")
 }
 
-// Execute runs the subcommand.
+// Execute implements subcommands.Command.
 func (c *backendsCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := requireNoArguments(flags); err != nil {
 		return exitStatus(err)
@@ -88,7 +88,8 @@
 	return group.Wait()
 }
 
-// startService starts the chosen servers of one service.
+// startService starts the servers of one service whose IDs match the flag --only, and returns their
+// number.
 func (c *backendsCommand) startService(
 	ctx context.Context, group *errgroup.Group, chosen profile.Profile, tier profile.Tier, service policy.Service,
 ) (int, error) {
@@ -113,6 +114,8 @@
 	return count, nil
 }
 
+// serverOptions returns the options of one emulated server. Its seed depends on its ID, so that
+// servers draw different service times and faults.
 func (c *backendsCommand) serverOptions(
 	chosen profile.Profile, tier profile.Tier, shard policy.Group, member policy.Server,
 ) emulator.ServerOptions {
@@ -134,6 +137,7 @@
 	}
 }
 
+// startServer starts one emulated server, which drains before it closes if --drain is given.
 func (c *backendsCommand) startServer(
 	ctx context.Context, group *errgroup.Group, address string, options emulator.ServerOptions,
 ) error {
@@ -147,26 +151,27 @@
 	return serveUntilDone(ctx, group, address, drainingServer{Server: server, drainDuration: c.drainDuration})
 }
 
-// drainingServer is a back end that stops as planned.
+// drainingServer is an emulated server that drains for drainDuration before it closes.
 type drainingServer struct {
 	*emulator.Server
 	drainDuration time.Duration
 }
 
-// Close drains the server before it closes it.
+// Close drains the server, waits up to inFlightTimeout for requests in flight, and closes it.
 func (s drainingServer) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), s.drainDuration+inFlightTimeout)
 	defer cancel()
 	return errors.Join(s.Drain(ctx, s.drainDuration), s.Server.Close())
 }
 
-// standIn is what the stand-ins have in common.
+// standIn is an emulated server, key-value service or machine list.
 type standIn interface {
 	Serve(listener net.Listener) error
 	Close() error
 }
 
-// serveUntilDone listens at the address and serves until the context ends.
+// serveUntilDone listens on the address and serves in the background until ctx is done. The
+// group collects the server's errors.
 func serveUntilDone(ctx context.Context, group *errgroup.Group, address string, server standIn) error {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
@@ -180,6 +185,7 @@
 	return nil
 }
 
+// snapshotsUpTo returns the snapshots from 1 to count, at least snapshot 1.
 func snapshotsUpTo(count int) []uint64 {
 	snapshots := make([]uint64, 0, max(1, count))
 	for index := range max(1, count) {
--- a/cmd/banksail-lab/collect.go
+++ b/cmd/banksail-lab/collect.go
@@ -26,11 +26,12 @@
 
 // Errors of the subcommand collect.
 var (
-	errHistoryIncomplete  = errors.New("the execution history is not whole")
-	errHistoryUnavailable = errors.New("the execution history can't be read")
+	errHistoryIncomplete  = errors.New("execution history is incomplete")
+	errHistoryUnavailable = errors.New("cannot read execution history")
 )
 
-// collectCommand writes down what back ends ran and what was accepted.
+// collectCommand writes the execution histories of back ends and the accepted configuration changes
+// to a journal.
 type collectCommand struct {
 	placement       placementFlags
 	serverPattern   string
@@ -38,13 +39,13 @@
 	outputPath      string
 }
 
-// Name returns the subcommand's name.
+// Name implements subcommands.Command.
 func (*collectCommand) Name() string { return "collect" }
 
-// Synopsis returns one line of help.
+// Synopsis implements subcommands.Command.
 func (*collectCommand) Synopsis() string { return "record what back ends ran and what was accepted" }
 
-// Usage returns the help.
+// Usage implements subcommands.Command.
 func (*collectCommand) Usage() string {
 	return `collect [flags]:
   Read the execution histories of a profile's back ends and, with --operator,
@@ -58,7 +59,7 @@
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags implements subcommands.Command.
 func (c *collectCommand) SetFlags(flags *flag.FlagSet) {
 	c.placement.registerFlags(flags)
 	flags.StringVar(&c.serverPattern, "only", "*", "pattern of the server IDs, as in path.Match")
@@ -66,7 +67,7 @@
 	flags.StringVar(&c.outputPath, "out", "ran.jsonl", "journal to write")
 }
 
-// Execute runs the subcommand.
+// Execute implements subcommands.Command.
 func (c *collectCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := requireNoArguments(flags); err != nil {
 		return exitStatus(err)
@@ -98,14 +99,16 @@
 	return collectAcceptedChanges(ctx, c.operatorAddress, journal)
 }
 
+// writeKeySpaces writes the key space of each service to the journal.
 func writeKeySpaces(config policy.Config, journal *history.Journal) {
 	for _, service := range config.Services {
 		journal.Write(history.Entry{KeySpace: &history.KeySpace{Service: service.Name, Range: service.KeySpace}})
 	}
 }
 
-// collectAcceptedChanges reads the accepted changes. Their times are the confirming
-// nodes' wall clocks, which is one clock on one machine.
+// collectAcceptedChanges reads the accepted configuration changes from the operator API of a node
+// and writes them to the journal. Their times are from the wall clocks of the confirming nodes,
+// which agree if all nodes run on one machine.
 func collectAcceptedChanges(ctx context.Context, address string, journal *history.Journal) error {
 	accepted, err := operator.NewClient(address, collectTimeout).History(ctx)
 	if err != nil {
@@ -120,15 +123,16 @@
 	return nil
 }
 
-// collectExecutions reads what one back end ran. When a node decided to send is
-// not known there, so a sub-request counts as sent when it arrived.
+// collectExecutions reads the execution history of one back end and writes it to the journal. The
+// back end does not know when the node sent a sub-request, so its arrival time is also used as its
+// send time. It returns errHistoryIncomplete if the back end has evicted entries.
 func collectExecutions(ctx context.Context, address string, journal *history.Journal) error {
 	executions, err := readExecutions(ctx, address)
 	if err != nil {
 		return err
 	}
 	if executions.Forgotten > 0 {
-		return fmt.Errorf("%w: %d are forgotten", errHistoryIncomplete, executions.Forgotten)
+		return fmt.Errorf("%w: %d executions were evicted", errHistoryIncomplete, executions.Forgotten)
 	}
 	for _, execution := range executions.Executions {
 		arrived := time.Duration(execution.ArrivedUnixNanoseconds)
@@ -141,6 +145,7 @@
 	return nil
 }
 
+// readExecutions reads the execution history of one back end.
 func readExecutions(ctx context.Context, address string) (emulator.ExecutionHistory, error) {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
--- a/cmd/banksail-lab/commands_test.go
+++ b/cmd/banksail-lab/commands_test.go
@@ -9,6 +9,7 @@
 	"github.com/google/subcommands"
 )
 
+// Every subcommand has an example in its help and rejects unknown flags.
 func TestEveryCommandHasExampleAndRejectsUnknownFlags(t *testing.T) {
 	commander := subcommands.NewCommander(flag.NewFlagSet("banksail-lab", flag.ContinueOnError), "banksail-lab")
 	commander.Output, commander.Error = io.Discard, io.Discard
@@ -26,7 +27,7 @@
 			flags.SetOutput(io.Discard)
 			command.SetFlags(flags)
 			if err := flags.Parse([]string{"--no-such-flag"}); err == nil {
-				t.Error("an unknown flag was taken")
+				t.Error("an unknown flag was accepted")
 			}
 		})
 	})
--- a/cmd/banksail-lab/common.go
+++ b/cmd/banksail-lab/common.go
@@ -15,23 +15,25 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// errUnexpectedArgument: a subcommand was given something that is no flag.
+// errUnexpectedArgument is returned if a subcommand without arguments is given one.
 var errUnexpectedArgument = errors.New("unexpected argument")
 
-// placementFlags are the flags that pick a profile and its addresses.
+// placementFlags are the flags that select a profile and the addresses of its back ends.
 type placementFlags struct {
 	profileName string
 	host        string
 	basePort    int
 }
 
+// registerFlags defines the flags.
 func (f *placementFlags) registerFlags(flags *flag.FlagSet) {
 	flags.StringVar(&f.profileName, "profile", profile.Small, "profile: "+strings.Join(profile.Names(), ", "))
 	flags.StringVar(&f.host, "host", profile.DefaultHost, "IP number of the back ends")
 	flags.IntVar(&f.basePort, "base-port", profile.DefaultBasePort, "port of the first back end; the others follow")
 }
 
-// loadProfile returns the profile and its configuration.
+// loadProfile returns the selected profile and its configuration, with the addresses of the back
+// ends.
 func (f *placementFlags) loadProfile() (profile.Profile, policy.Config, error) {
 	chosen, err := profile.Get(f.profileName)
 	if err != nil {
@@ -41,7 +43,8 @@
 	return chosen, config, err
 }
 
-// exitStatus prints an error and returns the command's exit status.
+// exitStatus prints the error, if any, prefixed with the program's name, and returns the exit
+// status: success, ExitUsageError for an unexpected argument, or ExitFailure.
 func exitStatus(err error) subcommands.ExitStatus {
 	if err == nil {
 		return subcommands.ExitSuccess
@@ -53,7 +56,7 @@
 	return subcommands.ExitFailure
 }
 
-// requireNoArguments refuses arguments that are no flags.
+// requireNoArguments returns errUnexpectedArgument if there are arguments besides flags.
 func requireNoArguments(flags *flag.FlagSet) error {
 	if flags.NArg() == 0 {
 		return nil
@@ -61,22 +64,22 @@
 	return fmt.Errorf("%w: %q", errUnexpectedArgument, flags.Arg(0))
 }
 
-// callOnce sends one call on a connection of its own.
+// callOnce sends one call on a new connection, which is closed afterwards.
 func callOnce(ctx context.Context, call httpcall.Call) (httpcall.Reply, error) {
 	transport := httpcall.NewTransport(nil, 1)
 	defer transport.CloseIdleConnections()
 	return httpcall.Send(ctx, transport, call)
 }
 
-// stringList is a flag that may be given several times.
+// stringList is a flag value that collects the values of a repeated flag.
 type stringList []string
 
-// String joins the values.
+// String returns the values joined with commas.
 func (l *stringList) String() string {
 	return strings.Join(*l, ",")
 }
 
-// Set adds a value.
+// Set appends a value.
 func (l *stringList) Set(value string) error {
 	*l = append(*l, value)
 	return nil
--- a/cmd/banksail-lab/experiment.go
+++ b/cmd/banksail-lab/experiment.go
@@ -17,7 +17,7 @@
 	outputFileMode      = 0o644
 )
 
-// experimentCommand runs an experiment file.
+// experimentCommand runs the simulations of an experiment file and prints their results.
 type experimentCommand struct {
 	outputDirectory string
 	parallel        int
@@ -90,6 +90,7 @@
 	return c.writeFiles(file, cells)
 }
 
+// writeFiles writes results.csv and the plots to the output directory, which it creates if needed.
 func (c *experimentCommand) writeFiles(file *experiment.File, cells []*experiment.Cell) error {
 	if err := os.MkdirAll(c.outputDirectory, outputDirectoryMode); err != nil {
 		return err
--- a/cmd/banksail-lab/fault.go
+++ b/cmd/banksail-lab/fault.go
@@ -22,9 +22,9 @@
 
 // Errors of the subcommand fault.
 var (
-	errInvalidSwitch = errors.New("a switch must be NAME=VALUE with a JSON value")
-	errNoTargets     = errors.New("no stand-in: give --address, or --server with a pattern that fits")
-	errFaultRejected = errors.New("refused")
+	errInvalidSwitch = errors.New("a fault switch must be NAME=VALUE, with a string or a JSON value")
+	errNoTargets     = errors.New("no stand-in selected: use --address, or --server with a pattern that matches a server ID")
+	errFaultRejected = errors.New("fault request rejected")
 )
 
 const (
@@ -32,7 +32,7 @@
 	maxFaultResponseBytes = 1 << 20
 )
 
-// faultCommand sets fault switches of running stand-ins.
+// faultCommand reads or sets the fault switches of running stand-ins.
 type faultCommand struct {
 	placement     placementFlags
 	addresses     stringList
@@ -40,13 +40,13 @@
 	resetFirst    bool
 }
 
-// Name returns the subcommand's name.
+// Name implements subcommands.Command.
 func (*faultCommand) Name() string { return "fault" }
 
-// Synopsis returns one line of help.
+// Synopsis implements subcommands.Command.
 func (*faultCommand) Synopsis() string { return "read or set fault switches of running stand-ins" }
 
-// Usage returns the help.
+// Usage implements subcommands.Command.
 func (*faultCommand) Usage() string {
 	return `fault [flags] [NAME=VALUE ...]:
   Set fault switches of running stand-ins, by address or, for back ends, by a
@@ -59,7 +59,7 @@
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags implements subcommands.Command.
 func (c *faultCommand) SetFlags(flags *flag.FlagSet) {
 	c.placement.registerFlags(flags)
 	flags.Var(&c.addresses, "address", "IP number and port of a stand-in; may be given several times")
@@ -67,7 +67,7 @@
 	flags.BoolVar(&c.resetFirst, "reset", false, "switch all faults off first")
 }
 
-// Execute runs the subcommand.
+// Execute implements subcommands.Command.
 func (c *faultCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return exitStatus(c.run(ctx, flags.Args()))
 }
@@ -90,7 +90,8 @@
 	return errors.Join(errs...)
 }
 
-// encodeSwitches turns NAME=VALUE arguments into a JSON document, nil for none.
+// encodeSwitches converts NAME=VALUE arguments to a JSON object, or nil if there are none. A value
+// that is not valid JSON is taken as a string.
 func encodeSwitches(arguments []string) ([]byte, error) {
 	if len(arguments) == 0 {
 		return nil, nil
@@ -113,7 +114,8 @@
 	return json.Marshal(switches)
 }
 
-// targets lists the addresses of the chosen stand-ins.
+// targets returns the addresses of the stand-ins selected with --address and --server, or
+// errNoTargets if there are none.
 func (c *faultCommand) targets() ([]string, error) {
 	targets := append([]string(nil), c.addresses...)
 	if c.serverPattern != "" {
@@ -133,6 +135,7 @@
 	return targets, nil
 }
 
+// matchServers returns the addresses of the servers whose IDs match the pattern, as in path.Match.
 func matchServers(config policy.Config, pattern string) ([]string, error) {
 	var addresses []string
 	for _, machine := range serverMachines(config) {
@@ -147,7 +150,8 @@
 	return addresses, nil
 }
 
-// apply resets, sets and prints the switches of one stand-in.
+// apply resets the fault switches of one stand-in if --reset is given, sets those in body, and
+// prints the resulting ones. With a nil body it sets none.
 func (c *faultCommand) apply(ctx context.Context, address string, body []byte) error {
 	if c.resetFirst {
 		if _, err := callFaults(ctx, address, http.MethodDelete, nil); err != nil {
@@ -166,6 +170,7 @@
 	return err
 }
 
+// callFaults sends a request to the fault API of a stand-in and returns the response body.
 func callFaults(ctx context.Context, address, method string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, faultTimeout)
 	defer cancel()
--- a/cmd/banksail-lab/flags_test.go
+++ b/cmd/banksail-lab/flags_test.go
@@ -14,7 +14,7 @@
 	}
 	for _, text := range []string{"", "n1", "=127.0.0.1:80", "n1=127.0.0.1", "n1=@z"} {
 		if _, err := parseNode(text); !errors.Is(err, errInvalidNode) {
-			t.Errorf("%q gave %v", text, err)
+			t.Errorf("node %q: got error %v, want errInvalidNode", text, err)
 		}
 	}
 }
@@ -27,7 +27,7 @@
 	}
 	for _, text := range []string{"freeze", "=1"} {
 		if _, err := encodeSwitches([]string{text}); !errors.Is(err, errInvalidSwitch) {
-			t.Errorf("%q gave %v", text, err)
+			t.Errorf("switch %q: got error %v, want errInvalidSwitch", text, err)
 		}
 	}
 }
@@ -43,6 +43,6 @@
 	}
 	command.serverPattern = "nothing"
 	if _, err := command.targets(); !errors.Is(err, errNoTargets) {
-		t.Errorf("error is %v", err)
+		t.Errorf("got error %v, want errNoTargets", err)
 	}
 }
--- a/cmd/banksail-lab/journal.go
+++ b/cmd/banksail-lab/journal.go
@@ -7,8 +7,8 @@
 	"github.com/banksail/banksail/lab/history"
 )
 
-// withJournal hands a journal that is written to the file to the function, or
-// nil if the path is empty.
+// withJournal calls use with a journal that writes to a new file at path, or with nil if path is
+// empty. It flushes the journal and closes the file afterwards, and returns all errors.
 func withJournal(path string, use func(*history.Journal) error) error {
 	if path == "" {
 		return use(nil)
@@ -21,7 +21,7 @@
 	return errors.Join(use(journal), journal.Flush(), file.Close())
 }
 
-// readJournals reads the journals of one run.
+// readJournals returns the entries of each journal file of a run.
 func readJournals(paths []string) ([][]history.Entry, error) {
 	var journals [][]history.Entry
 	for _, path := range paths {
--- a/cmd/banksail-lab/judge.go
+++ b/cmd/banksail-lab/judge.go
@@ -18,31 +18,32 @@
 
 // Errors of the subcommand judge.
 var (
-	errNoJournal          = errors.New("no journal given")
+	errNoJournal          = errors.New("no journal file given")
 	errViolations         = errors.New("invariants were violated")
-	errInvariantNotJudged = errors.New("an invariant had nothing to be judged by")
+	errInvariantNotJudged = errors.New("the journals contain nothing to check an invariant against")
 )
 
-// maxPrintedViolations bounds the violations that are printed.
+// maxPrintedViolations is the maximum number of violations that are printed.
 const maxPrintedViolations = 40
 
-// timingInvariants lists the invariants that a slow machine alone can violate.
+// timingInvariants are the invariants that can be violated just because the machine is slow. They
+// are skipped with --safety-only.
 var timingInvariants = []history.Invariant{history.LeavingServer, history.OneFinalAnswer, history.Recovery}
 
-// judgeCommand judges the record of a run of real processes.
+// judgeCommand checks the invariants against the journals of a run of real processes.
 type judgeCommand struct {
 	options    history.Options
 	safetyOnly bool
 	requireAll bool
 }
 
-// Name returns the subcommand's name.
+// Name implements subcommands.Command.
 func (*judgeCommand) Name() string { return "judge" }
 
-// Synopsis returns one line of help.
+// Synopsis implements subcommands.Command.
 func (*judgeCommand) Synopsis() string { return "judge a recorded run by the invariants" }
 
-// Usage returns the help.
+// Usage implements subcommands.Command.
 func (*judgeCommand) Usage() string {
 	return `judge [flags] JOURNAL ...:
   Join the journals of one run, written by load, observe, collect and whoever
@@ -54,7 +55,7 @@
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags implements subcommands.Command.
 func (c *judgeCommand) SetFlags(flags *flag.FlagSet) {
 	c.options = history.DefaultOptions()
 	flags.DurationVar(&c.options.AnswerAllowance, "answer-allowance", c.options.AnswerAllowance, "how long after its deadline a call may be answered")
@@ -66,7 +67,7 @@
 	flags.BoolVar(&c.requireAll, "require-all", false, "fail also when an invariant had nothing to be judged by")
 }
 
-// Execute runs the subcommand.
+// Execute implements subcommands.Command.
 func (c *judgeCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return exitStatus(c.run(os.Stdout, flags.Args()))
 }
@@ -95,7 +96,7 @@
 	return verdict.err()
 }
 
-// verdict is a report without what is left out.
+// verdict is a report without the violations of skipped invariants.
 type verdict struct {
 	report     history.Report
 	skipped    []history.Invariant
@@ -116,6 +117,7 @@
 	return result
 }
 
+// count returns the number of violations of an invariant.
 func (v verdict) count(invariant history.Invariant) int {
 	count := 0
 	for _, violation := range v.violations {
@@ -126,7 +128,8 @@
 	return count
 }
 
-// write prints what was judged and each violation.
+// write prints how many items each invariant was checked on and how often it was violated, the known
+// limits, and the violations, maxPrintedViolations at most.
 func (v verdict) write(writer io.Writer, joined *history.History) error {
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "INVARIANT\tJUDGED\tVIOLATIONS")
@@ -152,7 +155,7 @@
 	return err
 }
 
-// countRequests counts the requests, which may be sent more than once.
+// countRequests returns the number of distinct requests. A request may be sent in several calls.
 func countRequests(joined *history.History) int {
 	seen := make(map[string]bool)
 	for _, call := range joined.Calls {
@@ -161,7 +164,8 @@
 	return len(seen)
 }
 
-// err is nil for a run without violation.
+// err returns errViolations if there are violations and, with --require-all, errInvariantNotJudged
+// if an invariant that is not skipped had nothing to check.
 func (v verdict) err() error {
 	if len(v.violations) > 0 {
 		return fmt.Errorf("%w: %d violations", errViolations, len(v.violations))
--- a/cmd/banksail-lab/judge_test.go
+++ b/cmd/banksail-lab/judge_test.go
@@ -11,7 +11,7 @@
 	"github.com/banksail/banksail/lab/history"
 )
 
-// validJournal is a run in which one request that is not repeatable was refused
+// validJournal records a run without violations, in which one non-repeatable request was rejected
 // by a node and then answered by another.
 const validJournal = `{"event":{"kind":"node_started","subject":"n1","address":"10.0.0.1:80","at_ns":1000000001}}
 {"event":{"kind":"node_started","subject":"n2","address":"10.0.0.2:80","at_ns":1000000001}}
@@ -28,6 +28,7 @@
 {"in_force":{"node":"n1","revision":1,"at_ns":9000000000}}
 `
 
+// runJudge runs the command on a journal and returns its output and error.
 func runJudge(t *testing.T, command *judgeCommand, journal string) (string, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "run.jsonl")
@@ -39,6 +40,7 @@
 	return output.String(), err
 }
 
+// Each alteration of a valid journal is reported as a violation of the invariant that it breaks.
 func TestJudge(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -71,6 +73,7 @@
 	}
 }
 
+// With --safety-only an answer after its deadline is no violation.
 func TestJudgeSafetyOnlySkipsTimingInvariants(t *testing.T) {
 	late := strings.Replace(validJournal, `"at_ns":2120000000,"kind":"result"`, `"at_ns":8120000000,"kind":"result"`, 1)
 	command := &judgeCommand{options: history.DefaultOptions(), safetyOnly: true}
@@ -80,6 +83,7 @@
 	}
 }
 
+// With --require-all the command fails if the journal has nothing to check some invariant against.
 func TestJudgeRequireAllFailsIfNothingToJudge(t *testing.T) {
 	command := &judgeCommand{options: history.DefaultOptions(), requireAll: true}
 	if output, err := runJudge(t, command, validJournal); !errors.Is(err, errInvariantNotJudged) {
--- a/cmd/banksail-lab/load.go
+++ b/cmd/banksail-lab/load.go
@@ -16,13 +16,13 @@
 	"github.com/banksail/banksail/lab/profile"
 )
 
-// errNoMatchingQuery is returned when no query of the profile fits the flags.
-var errNoMatchingQuery = errors.New("no query of the profile's mix has the service and class")
+// errNoMatchingQuery is returned if no query in the profile's mix matches --service and --class.
+var errNoMatchingQuery = errors.New("no query in the profile's mix matches the service and class")
 
-// errWrongAnswers is returned when answers contradict the stand-ins' results.
+// errWrongAnswers is returned if answers differ from the results that the stand-ins hold.
 var errWrongAnswers = errors.New("wrong answers")
 
-// loadCommand sends queries to a node.
+// loadCommand sends queries to a node and checks the answers.
 type loadCommand struct {
 	options        load.Options
 	profileName    string
@@ -33,13 +33,13 @@
 	journal        string
 }
 
-// Name returns the subcommand's name.
+// Name implements subcommands.Command.
 func (*loadCommand) Name() string { return "load" }
 
-// Synopsis returns one line of help.
+// Synopsis implements subcommands.Command.
 func (*loadCommand) Synopsis() string { return "send queries to a node and sum up the answers" }
 
-// Usage returns the help.
+// Usage implements subcommands.Command.
 func (*loadCommand) Usage() string {
 	return `load [flags]:
   Send queries of a profile's mix to a node's caller API at a mean rate, check
@@ -51,7 +51,7 @@
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags implements subcommands.Command.
 func (c *loadCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&c.options.Address, "node", "127.0.0.1:20101", "IP number and port of the node's caller API")
 	flags.StringVar(&c.profileName, "profile", profile.Small, "profile: "+strings.Join(profile.Names(), ", "))
@@ -67,7 +67,7 @@
 	flags.StringVar(&c.journal, "journal", "", "file that gets every sending and its end, for the subcommand judge; needs --deadline-ms")
 }
 
-// Execute runs the subcommand.
+// Execute implements subcommands.Command.
 func (c *loadCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := requireNoArguments(flags); err != nil {
 		return exitStatus(err)
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// selectQueries keeps the kinds of queries that the flags name.
+// selectQueries returns the shares of the mix that match the flags --service and --class.
 func (c *loadCommand) selectQueries(mix []profile.Share) []profile.Share {
 	var chosen []profile.Share
 	for _, share := range mix {
--- a/cmd/banksail-lab/machines.go
+++ b/cmd/banksail-lab/machines.go
@@ -17,10 +17,10 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// errInvalidNode: a --node that is not ID=ADDRESS or ID=ADDRESS@ZONE.
+// errInvalidNode is returned if a --node is not of the form ID=IP:PORT or ID=IP:PORT@ZONE.
 var errInvalidNode = errors.New("--node must be ID=IP:PORT or ID=IP:PORT@ZONE")
 
-// machinesCommand serves the machine list.
+// machinesCommand serves an emulated machine list.
 type machinesCommand struct {
 	placement      placementFlags
 	address        string
@@ -28,13 +28,13 @@
 	withoutServers bool
 }
 
-// Name returns the subcommand's name.
+// Name implements subcommands.Command.
 func (*machinesCommand) Name() string { return "machines" }
 
-// Synopsis returns one line of help.
+// Synopsis implements subcommands.Command.
 func (*machinesCommand) Synopsis() string { return "serve the machine list" }
 
-// Usage returns the help.
+// Usage implements subcommands.Command.
 func (*machinesCommand) Usage() string {
 	return `machines [flags]:
   Serve the machine list, with the servers of a profile and the given nodes,
@@ -46,7 +46,7 @@
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags implements subcommands.Command.
 func (c *machinesCommand) SetFlags(flags *flag.FlagSet) {
 	c.placement.registerFlags(flags)
 	flags.StringVar(&c.address, "address", "127.0.0.1:20002", "IP number and port to listen on")
@@ -54,7 +54,7 @@
 	flags.BoolVar(&c.withoutServers, "no-servers", false, "leave the profile's servers out")
 }
 
-// Execute runs the subcommand.
+// Execute implements subcommands.Command.
 func (c *machinesCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := requireNoArguments(flags); err != nil {
 		return exitStatus(err)
@@ -73,6 +73,8 @@
 	return exitStatus(group.Wait())
 }
 
+// machines returns the nodes given with --node and, unless --no-servers is given, the profile's
+// servers.
 func (c *machinesCommand) machines() ([]machinelist.Machine, error) {
 	var machines []machinelist.Machine
 	for _, text := range c.nodes {
@@ -92,7 +94,7 @@
 	return append(machines, serverMachines(config)...), nil
 }
 
-// serverMachines lists the servers of a configuration.
+// serverMachines returns the servers of a configuration as live machines.
 func serverMachines(config policy.Config) []machinelist.Machine {
 	var machines []machinelist.Machine
 	for _, service := range config.Services {
@@ -108,6 +110,7 @@
 	return machines
 }
 
+// parseNode parses ID=IP:PORT or ID=IP:PORT@ZONE.
 func parseNode(text string) (machinelist.Machine, error) {
 	id, rest, ok := strings.Cut(text, "=")
 	if !ok || id == "" {
--- a/cmd/banksail-lab/main.go
+++ b/cmd/banksail-lab/main.go
@@ -1,5 +1,6 @@
-// Command banksail-lab runs stand-ins for the peers of a node, experiments and
-// traces.
+// Command banksail-lab is the test tool of banksail. It runs stand-ins for the systems that a node
+// talks to, sends load, checks recorded runs and soak runs against invariants, runs simulated
+// experiments, and records and replays traces.
 package main
 
 import (
@@ -23,6 +24,7 @@
 	os.Exit(int(status))
 }
 
+// register adds all subcommands to the commander.
 func register(commander *subcommands.Commander) {
 	commander.Register(commander.HelpCommand(), "")
 	commander.Register(commander.FlagsCommand(), "")
--- a/cmd/banksail-lab/observe.go
+++ b/cmd/banksail-lab/observe.go
@@ -29,26 +29,26 @@
 // Errors of the subcommand observe.
 var (
 	errInvalidNodeAddress = errors.New("--node must be ID=IP:PORT")
-	errNoNodes            = errors.New("no node: give --node")
+	errNoNodes            = errors.New("no node given: use --node")
 )
 
-// revisionPattern finds the revision in force in the text of a ready node.
+// revisionPattern matches the readiness response of a ready node, with its revision in force.
 var revisionPattern = regexp.MustCompile(`^ready at revision (\d+)\n?$`)
 
-// observeCommand records which revision nodes have in force.
+// observeCommand polls nodes for their revision in force and writes it to a journal.
 type observeCommand struct {
 	nodes      stringList
 	interval   time.Duration
 	outputPath string
 }
 
-// Name returns the subcommand's name.
+// Name implements subcommands.Command.
 func (*observeCommand) Name() string { return "observe" }
 
-// Synopsis returns one line of help.
+// Synopsis implements subcommands.Command.
 func (*observeCommand) Synopsis() string { return "record which revision nodes have in force" }
 
-// Usage returns the help.
+// Usage implements subcommands.Command.
 func (*observeCommand) Usage() string {
 	return `observe [flags]:
   Read again and again, until a signal, which revision each node has in force,
@@ -60,14 +60,14 @@
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags implements subcommands.Command.
 func (c *observeCommand) SetFlags(flags *flag.FlagSet) {
 	flags.Var(&c.nodes, "node", "a node as ID=IP:PORT with its operator address; may be given several times")
 	flags.DurationVar(&c.interval, "interval", 100*time.Millisecond, "time between two reads of a node")
 	flags.StringVar(&c.outputPath, "out", "revisions.jsonl", "journal to write")
 }
 
-// Execute runs the subcommand.
+// Execute implements subcommands.Command.
 func (c *observeCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := requireNoArguments(flags); err != nil {
 		return exitStatus(err)
@@ -95,13 +95,14 @@
 	})
 }
 
-// observer reads one node.
+// observer polls one node.
 type observer struct {
 	id, address string
 	client      *http.Client
 	journal     *history.Journal
 }
 
+// run polls the node at the given interval until ctx is done. Failed polls are ignored.
 func (o observer) run(ctx context.Context, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -117,7 +118,8 @@
 	}
 }
 
-// readRevision returns the revision in force, false when the node did not tell.
+// readRevision returns the node's revision in force, or false if the node did not respond or is not
+// ready.
 func (o observer) readRevision(ctx context.Context) (uint64, bool) {
 	target := url.URL{Scheme: "http", Host: o.address, Path: readyPath}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
--- a/cmd/banksail-lab/platform.go
+++ b/cmd/banksail-lab/platform.go
@@ -15,8 +15,8 @@
 	"github.com/banksail/banksail/platform/standin"
 )
 
-// platformCommand serves the users' platform: its store, and servers that keep
-// their entries there.
+// platformCommand emulates the users' platform: its store, and servers that register themselves
+// there.
 type platformCommand struct {
 	address  string
 	basePort int
@@ -24,15 +24,15 @@
 	zones    string
 }
 
-// Name returns the subcommand's name.
+// Name implements subcommands.Command.
 func (*platformCommand) Name() string { return "platform" }
 
-// Synopsis returns one line of help.
+// Synopsis implements subcommands.Command.
 func (*platformCommand) Synopsis() string {
 	return "serve the users' platform: its store and servers"
 }
 
-// Usage returns the help.
+// Usage implements subcommands.Command.
 func (*platformCommand) Usage() string {
 	return `platform [flags]:
   Serve the store of the users' platform, and servers that keep their entries in
@@ -44,7 +44,7 @@
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags implements subcommands.Command.
 func (c *platformCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&c.address, "address", "127.0.0.1:21500", "IP number and port of the store")
 	flags.IntVar(&c.basePort, "base-port", 21501, "port of the first server; the others follow")
@@ -52,7 +52,7 @@
 	flags.StringVar(&c.zones, "zones", "zone-a,zone-b", "zones, which a service's servers take in turn")
 }
 
-// Execute runs the subcommand.
+// Execute implements subcommands.Command.
 func (c *platformCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := requireNoArguments(flags); err != nil {
 		return exitStatus(err)
@@ -82,7 +82,8 @@
 	}
 }
 
-// startServers starts all services; their servers end with the process.
+// startServers starts the servers of all services given with --services, on consecutive ports. They
+// run until the process exits.
 func (c *platformCommand) startServers(store *standin.Store) error {
 	zones := strings.Split(c.zones, ",")
 	port := c.basePort
@@ -103,14 +104,15 @@
 	return nil
 }
 
-// errInvalidService is a service in --services that can't be read.
+// errInvalidService is returned if an entry of --services is invalid.
 var errInvalidService = errors.New("--services")
 
+// parseService parses NAME=COUNT.
 func parseService(entry string) (name string, count int, err error) {
 	name, number, given := strings.Cut(entry, "=")
 	count, err = strconv.Atoi(number)
 	if !given || name == "" || err != nil || count < 1 {
-		return "", 0, fmt.Errorf("%w: %q must be a name, =, and a number of servers", errInvalidService, entry)
+		return "", 0, fmt.Errorf("%w: %q must be NAME=COUNT with at least one server", errInvalidService, entry)
 	}
 	return name, count, nil
 }
--- a/cmd/banksail-lab/profile.go
+++ b/cmd/banksail-lab/profile.go
@@ -12,20 +12,20 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// profileCommand prints a profile's configuration.
+// profileCommand prints a profile's configuration, or an intent that sets it, as JSON.
 type profileCommand struct {
 	placement placementFlags
 	asIntent  bool
 	author    string
 }
 
-// Name returns the subcommand's name.
+// Name implements subcommands.Command.
 func (*profileCommand) Name() string { return "profile" }
 
-// Synopsis returns one line of help.
+// Synopsis implements subcommands.Command.
 func (*profileCommand) Synopsis() string { return "print the configuration of a profile" }
 
-// Usage returns the help.
+// Usage implements subcommands.Command.
 func (*profileCommand) Usage() string {
 	return `profile [flags]:
   Print a profile's configuration as JSON, with the addresses that the
@@ -37,14 +37,14 @@
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags implements subcommands.Command.
 func (c *profileCommand) SetFlags(flags *flag.FlagSet) {
 	c.placement.registerFlags(flags)
 	flags.BoolVar(&c.asIntent, "intent", false, "print an intent that replaces the whole configuration")
 	flags.StringVar(&c.author, "author", "banksail-lab", "author of the intent")
 }
 
-// Execute runs the subcommand.
+// Execute implements subcommands.Command.
 func (c *profileCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := requireNoArguments(flags); err != nil {
 		return exitStatus(err)
@@ -66,7 +66,8 @@
 	return exitStatus(encoder.Encode(document))
 }
 
-// hashID gives each server its own seed.
+// hashID returns a hash of a server's ID, which is added to the seed so that servers have different
+// seeds.
 func hashID(id string) uint64 {
 	return xxhash.Sum64String(id)
 }
--- a/cmd/banksail-lab/replay.go
+++ b/cmd/banksail-lab/replay.go
@@ -13,9 +13,10 @@
 	"github.com/banksail/banksail/lab/replay"
 )
 
-var errTraceMismatch = errors.New("the dispatcher differs from the trace")
+// errTraceMismatch is returned if a dispatcher's actions differ from those in the trace.
+var errTraceMismatch = errors.New("dispatcher actions differ from the trace")
 
-// recordCommand writes a trace.
+// recordCommand simulates a run and writes a trace of one node's dispatcher.
 type recordCommand struct {
 	selection  replay.Selection
 	durationMS float64
@@ -70,7 +71,7 @@
 	return unprefixedExitStatus(err)
 }
 
-// replayCommand drives a dispatcher with traces.
+// replayCommand feeds the events of traces to a dispatcher and compares its actions with the traces.
 type replayCommand struct{}
 
 // Name implements subcommands.Command.
@@ -113,6 +114,7 @@
 	return result
 }
 
+// replayFile replays one trace and returns errTraceMismatch on the first difference.
 func replayFile(path string) error {
 	in, err := os.Open(path)
 	if err != nil {
@@ -130,7 +132,8 @@
 	return nil
 }
 
-// unprefixedExitStatus prints an error, if there is one, and gives the exit status.
+// unprefixedExitStatus prints the error, if any, without the program's name, and returns the exit
+// status.
 func unprefixedExitStatus(err error) subcommands.ExitStatus {
 	if err == nil {
 		return subcommands.ExitSuccess
--- a/cmd/banksail-lab/soak.go
+++ b/cmd/banksail-lab/soak.go
@@ -19,23 +19,23 @@
 	"github.com/banksail/banksail/lab/soak"
 )
 
-// soakCommand runs the real node program as many processes, with faults from outside, and
-// judges what callers, servers and the operator saw.
+// soakCommand runs the real node program in several processes, injects faults from outside, and
+// checks invariants on what callers, servers and the operator observed.
 type soakCommand struct {
 	seeds, kinds, program, keepDirectory, regressionsPath string
 	duration                                              time.Duration
 	scheduleOnly                                          bool
 }
 
-// Name returns the subcommand's name.
+// Name implements subcommands.Command.
 func (*soakCommand) Name() string { return "soak" }
 
-// Synopsis returns one line of help.
+// Synopsis implements subcommands.Command.
 func (*soakCommand) Synopsis() string {
 	return "run real nodes under drawn faults and judge what callers and servers saw"
 }
 
-// Usage returns the help.
+// Usage implements subcommands.Command.
 func (*soakCommand) Usage() string {
 	return `soak [flags]:
   Start eight nodes as processes of their own, with stand-ins of the platform's
@@ -49,7 +49,7 @@
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags implements subcommands.Command.
 func (c *soakCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&c.seeds, "seed", "1", "seed of the schedule; several with commas between are played one after the other, and 5..9 are five")
 	flags.DurationVar(&c.duration, "for", time.Minute, "how long a seed plays")
@@ -60,7 +60,7 @@
 	flags.BoolVar(&c.scheduleOnly, "show", false, "print the schedules and play nothing")
 }
 
-// Execute runs the subcommand.
+// Execute implements subcommands.Command.
 func (c *soakCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := requireNoArguments(flags); err != nil {
 		return exitStatus(err)
@@ -93,14 +93,14 @@
 	return nil
 }
 
-// soakRun is one soak to play.
+// soakRun is one run: a seed, its duration and the kinds of faults to draw from, all if empty.
 type soakRun struct {
 	seed     uint64
 	duration time.Duration
 	kinds    []schedule.Kind
 }
 
-// runs lists what is to be played.
+// runs returns the runs in the file given with --regressions or, without it, one for each --seed.
 func (c *soakCommand) runs() (runs []soakRun, err error) {
 	if c.regressionsPath != "" {
 		return readRegressions(c.regressionsPath)
@@ -115,11 +115,11 @@
 	return runs, nil
 }
 
-// errInvalidRegressions is a line of regressions that can't be read.
+// errInvalidRegressions is returned if the file of regressions cannot be read or a line is invalid.
 var errInvalidRegressions = errors.New("--regressions")
 
-// readRegressions reads a file of seeds: seed, duration, kinds of faults and cause a line;
-// lines that begin with # are passed over.
+// readRegressions reads a file of runs. Each line has a seed, a duration, kinds of faults (- for
+// all) and a cause; empty lines and lines that begin with # are ignored.
 func readRegressions(path string) (runs []soakRun, err error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -131,7 +131,7 @@
 		}
 		fields := strings.Fields(line)
 		if len(fields) < 4 {
-			return nil, fmt.Errorf("%w: line %d: must be a seed, a duration, kinds and a cause", errInvalidRegressions, number+1)
+			return nil, fmt.Errorf("%w: line %d: must have a seed, a duration, kinds of faults and a cause", errInvalidRegressions, number+1)
 		}
 		regression := soakRun{}
 		if regression.seed, err = strconv.ParseUint(fields[0], 10, 63); err != nil {
@@ -148,7 +148,8 @@
 	return runs, nil
 }
 
-// parseKinds reads kinds of faults with commas between; the soak names one that is unknown.
+// parseKinds parses kinds of faults separated by commas. It accepts unknown kinds, which the soak
+// run reports.
 func parseKinds(text string) (kinds []schedule.Kind) {
 	for kind := range strings.SplitSeq(text, ",") {
 		if kind != "" {
@@ -158,7 +159,9 @@
 	return kinds
 }
 
-// runSoak plays one seed and prints what was found.
+// runSoak runs one soak, prints its report and returns the number of violations. The directory with
+// settings and logs is kept if there were violations or --keep is given, and deleted otherwise or if
+// the run could not be carried out.
 func (c *soakCommand) runSoak(ctx context.Context, writer io.Writer, plannedRun soakRun) (violations int, err error) {
 	directory, err := os.MkdirTemp(c.keepDirectory, fmt.Sprintf("soak-%d-", plannedRun.seed))
 	if err != nil {
@@ -185,7 +188,8 @@
 	return len(report.Violations), err
 }
 
-// writeSoakReport prints what a soak found.
+// writeSoakReport prints how often each invariant was checked and violated, the totals of the run,
+// and the violations, maxPrintedViolations at most.
 func writeSoakReport(writer io.Writer, report *soak.Report) error {
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "INVARIANT\tJUDGED\tVIOLATIONS")
@@ -209,13 +213,13 @@
 	return err
 }
 
-// errInvalidSeed is a seed that can't be read.
+// errInvalidSeed is returned if an entry of --seed is invalid or there are too many seeds.
 var errInvalidSeed = errors.New("--seed")
 
-// maxSeeds bounds the seeds of one call.
+// maxSeeds is the maximum number of seeds given with --seed.
 const maxSeeds = 1000
 
-// parseSeeds reads numbers and ranges with commas between.
+// parseSeeds parses seeds and ranges of seeds, as in "3,5..9", separated by commas.
 func parseSeeds(text string) (seeds []uint64, err error) {
 	for entry := range strings.SplitSeq(text, ",") {
 		first, last, isRange := strings.Cut(entry, "..")
@@ -225,7 +229,7 @@
 			until, err = strconv.ParseUint(last, 10, 63)
 		}
 		if err != nil || until < from || until-from+uint64(len(seeds)) >= maxSeeds {
-			return nil, fmt.Errorf("%w: %q must be a number, or two with .. between, and %d seeds at most", errInvalidSeed, entry, maxSeeds)
+			return nil, fmt.Errorf("%w: %q must be a seed or a range FIRST..LAST, with at most %d seeds in total", errInvalidSeed, entry, maxSeeds)
 		}
 		for seed := from; seed <= until; seed++ {
 			seeds = append(seeds, seed)
--- a/cmd/banksail-lab/soak_test.go
+++ b/cmd/banksail-lab/soak_test.go
@@ -17,7 +17,7 @@
 	}
 	for _, text := range []string{"", "x", "-1", "5..3", "1..", "0..5000"} {
 		if _, err := parseSeeds(text); !errors.Is(err, errInvalidSeed) {
-			t.Errorf("%q gave %v", text, err)
+			t.Errorf("seeds %q: got error %v, want errInvalidSeed", text, err)
 		}
 	}
 }
@@ -37,10 +37,10 @@
 	for text, field := range map[string]string{"7 30s": "kinds", "7 30s -": "cause", "x 30s - c": "seed", "7 x - c": "duration"} {
 		writeFile("7 30s - good\n" + text + "\n")
 		if _, err := readRegressions(path); !errors.Is(err, errInvalidRegressions) || !strings.Contains(err.Error(), field) || !strings.Contains(err.Error(), "line 2") {
-			t.Errorf("%q gave %v", text, err)
+			t.Errorf("line %q: got error %v, want errInvalidRegressions for line 2 that names the field", text, err)
 		}
 	}
 	if _, err := readRegressions(path + "-none"); !errors.Is(err, errInvalidRegressions) {
-		t.Errorf("a file that is not there gave %v", err)
+		t.Errorf("missing file: got error %v, want errInvalidRegressions", err)
 	}
 }
--- a/cmd/banksail-lab/store.go
+++ b/cmd/banksail-lab/store.go
@@ -12,19 +12,19 @@
 	"github.com/banksail/banksail/store"
 )
 
-// storeCommand serves a key-value service in memory.
+// storeCommand emulates the key-value service, in memory.
 type storeCommand struct {
 	address        string
 	callsPerSecond float64
 }
 
-// Name returns the subcommand's name.
+// Name implements subcommands.Command.
 func (*storeCommand) Name() string { return "store" }
 
-// Synopsis returns one line of help.
+// Synopsis implements subcommands.Command.
 func (*storeCommand) Synopsis() string { return "serve the key-value service" }
 
-// Usage returns the help.
+// Usage implements subcommands.Command.
 func (*storeCommand) Usage() string {
 	return `store [flags]:
   Serve the key-value service, in memory, until a signal.
@@ -34,13 +34,13 @@
 `
 }
 
-// SetFlags declares the flags.
+// SetFlags implements subcommands.Command.
 func (c *storeCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&c.address, "address", "127.0.0.1:20001", "IP number and port to listen on")
 	flags.Float64Var(&c.callsPerSecond, "rate", 0, "calls a second that are served; 0 means no bound")
 }
 
-// Execute runs the subcommand.
+// Execute implements subcommands.Command.
 func (c *storeCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := requireNoArguments(flags); err != nil {
 		return exitStatus(err)
