--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	testLimit = 2048
-	validBody = `{"request_id":"r-1","class":"urgent","deadline_ms":250,"minimum_coverage":0.5,"repeatable":true,"body":{"find":[1,2]}}`
+	maxTestBodyBytes = 2048
+	validBody        = `{"request_id":"r-1","class":"urgent","deadline_ms":250,"minimum_coverage":0.5,"repeatable":true,"body":{"find":[1,2]}}`
 )
 
 // nodeStub answers every request alike and keeps what it was asked.
 type nodeStub struct {
-	asked    []Request
+	requests []Request
 	result   Result
-	fault    error
+	err      error
 	stopping bool
 }
 
 func (n *nodeStub) Query(_ context.Context, request Request) (Result, error) {
-	n.asked = append(n.asked, request)
-	return n.result, n.fault
+	n.requests = append(n.requests, request)
+	return n.result, n.err
 }
 
 func (n *nodeStub) FindExplanation(requestID string) (telemetry.Explanation, bool) {
@@ -44,11 +44,11 @@
 func post(node *nodeStub, body string) *httptest.ResponseRecorder {
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodPost, "/v1/services/catalog/queries", strings.NewReader(body))
-	NewHandler(Options{Node: node, BodyBytes: testLimit}).ServeHTTP(recorder, request)
+	NewHandler(Options{Node: node, BodyBytes: maxTestBodyBytes}).ServeHTTP(recorder, request)
 	return recorder
 }
 
-func problemOf(t *testing.T, recorder *httptest.ResponseRecorder) Problem {
+func decodeProblem(t *testing.T, recorder *httptest.ResponseRecorder) Problem {
 	t.Helper()
 	var problem Problem
 	if err := json.Unmarshal(recorder.Body.Bytes(), &problem); err != nil {
@@ -63,7 +63,7 @@
 	return problem
 }
 
-func TestFaultyRequestsNameTheFieldAndSendNothing(t *testing.T) {
+func TestInvalidRequestsNameFieldAndReachNoNode(t *testing.T) {
 	replaced := func(old, replacement string) string { return strings.Replace(validBody, old, replacement, 1) }
 	tests := map[string]struct {
 		body   string
@@ -74,7 +74,7 @@
 		"empty":                       {body: "", field: "document"},
 		"a list":                      {body: "[]", field: "document"},
 		"two documents":               {body: validBody + validBody, field: "document"},
-		"over the limit":              {body: `"` + strings.Repeat("x", testLimit) + `"`, field: "document", status: http.StatusRequestEntityTooLarge},
+		"over the limit":              {body: `"` + strings.Repeat("x", maxTestBodyBytes) + `"`, field: "document", status: http.StatusRequestEntityTooLarge},
 		"nested too deep":             {body: replaced(`[1,2]`, strings.Repeat("[", 200)+strings.Repeat("]", 200)), field: "document"},
 		"unknown field":               {body: replaced(`"class"`, `"colour":1,"class"`), field: "colour"},
 		"name in another case":        {body: replaced(`"class"`, `"Class"`), field: "Class"},
@@ -100,29 +100,29 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			node := &nodeStub{}
-			problem := problemOf(t, post(node, test.body))
+			problem := decodeProblem(t, post(node, test.body))
 			if test.status == 0 {
 				test.status = http.StatusBadRequest
 			}
 			if problem.Status != test.status || problem.Field != test.field || problem.Execution != "not_run" {
 				t.Errorf("got %+v, expected status %d of field %q", problem, test.status, test.field)
 			}
-			if len(node.asked) != 0 {
-				t.Errorf("the node was asked %+v", node.asked)
+			if len(node.requests) != 0 {
+				t.Errorf("the node was asked %+v", node.requests)
 			}
 		})
 	}
 }
 
-func TestRequestReachesTheNodeWhole(t *testing.T) {
+func TestRequestIsPassedToNode(t *testing.T) {
 	node := &nodeStub{result: Result{Outcome: dispatch.Outcome{Execution: dispatch.ExecutionDone}}}
 	post(node, validBody)
 	expected := Request{
 		Service: "catalog", RequestID: "r-1", Class: "urgent", Deadline: 250 * time.Millisecond,
 		MinimumCoverage: 0.5, Repeatable: true, Body: json.RawMessage(`{"find":[1,2]}`),
 	}
-	if len(node.asked) != 1 || fmt.Sprint(node.asked[0]) != fmt.Sprint(expected) {
-		t.Errorf("asked %+v, expected %+v", node.asked, expected)
+	if len(node.requests) != 1 || fmt.Sprint(node.requests[0]) != fmt.Sprint(expected) {
+		t.Errorf("asked %+v, expected %+v", node.requests, expected)
 	}
 }
 
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestOutcomesAreWrittenAsProblems(t *testing.T) {
 	half := 0.5
 	tests := map[string]struct {
 		outcome  dispatch.Outcome
@@ -182,7 +182,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			recorder := post(&nodeStub{result: Result{Outcome: test.outcome}}, validBody)
-			problem := problemOf(t, recorder)
+			problem := decodeProblem(t, recorder)
 			test.expected.Type, test.expected.Title, test.expected.RequestID = problem.Type, problem.Title, "r-1"
 			got, _ := json.Marshal(problem)
 			expected, _ := json.Marshal(test.expected)
@@ -205,36 +205,36 @@
 	}
 }
 
-// deadlineWriter is a connection of which the deadlines are known.
-type deadlineWriter struct {
+// deadlineRecorder is a connection of which the deadlines are known.
+type deadlineRecorder struct {
 	*httptest.ResponseRecorder
 	write, read []time.Time
 }
 
-func (d *deadlineWriter) SetWriteDeadline(at time.Time) error {
+func (d *deadlineRecorder) SetWriteDeadline(at time.Time) error {
 	d.write = append(d.write, at)
 	return nil
 }
 
-func (d *deadlineWriter) SetReadDeadline(at time.Time) error {
+func (d *deadlineRecorder) SetReadDeadline(at time.Time) error {
 	d.read = append(d.read, at)
 	return nil
 }
 
-func TestCallersThatDoNotReadAreCutInTime(t *testing.T) {
+func TestResponsesHaveWriteDeadline(t *testing.T) {
 	for name, body := range map[string]string{"answer": validBody, "refusal": "{"} {
-		writer := &deadlineWriter{ResponseRecorder: httptest.NewRecorder()}
+		writer := &deadlineRecorder{ResponseRecorder: httptest.NewRecorder()}
 		node := &nodeStub{result: Result{Outcome: dispatch.Outcome{Execution: dispatch.ExecutionDone}}}
 		request := httptest.NewRequest(http.MethodPost, "/v1/services/catalog/queries", strings.NewReader(body))
-		NewHandler(Options{Node: node, BodyBytes: testLimit}).ServeHTTP(writer, request)
+		NewHandler(Options{Node: node, BodyBytes: maxTestBodyBytes}).ServeHTTP(writer, request)
 		if len(writer.write) != 1 || writer.write[0].IsZero() {
 			t.Errorf("%s: write deadlines %v", name, writer.write)
 		}
 	}
 }
 
-func TestExplanationAndUnknownPaths(t *testing.T) {
-	handler := NewHandler(Options{Node: &nodeStub{}, BodyBytes: testLimit})
+func TestExplanationsAndUnknownPaths(t *testing.T) {
+	handler := NewHandler(Options{Node: &nodeStub{}, BodyBytes: maxTestBodyBytes})
 	for path, status := range map[string]int{
 		"/v1/requests/r-1/explanation": http.StatusOK,
 		"/v1/requests/r-2/explanation": http.StatusNotFound,
@@ -247,7 +247,7 @@
 			t.Errorf("GET %s: %d, expected %d", path, recorder.Code, status)
 		}
 		if status != http.StatusOK {
-			problemOf(t, recorder)
+			decodeProblem(t, recorder)
 		}
 	}
 }
@@ -257,7 +257,7 @@
 	f.Add([]byte(`{"request_id":"r","class":"c","repeatable":false,"body":null,"deadline_ms":1e308}`))
 	f.Add([]byte(`{"request_id":"\u0000","body":{"a":{"a":{}}}}`))
 	f.Fuzz(func(t *testing.T, document []byte) {
-		request, err := parseRequest("catalog", bytes.NewReader(document), testLimit)
+		request, err := parseRequest("catalog", bytes.NewReader(document), maxTestBodyBytes)
 		if err != nil {
 			var fault *FieldError
 			if !errors.As(err, &fault) {
@@ -265,7 +265,7 @@
 			}
 			return
 		}
-		if len(document) > testLimit || !validRequestID(request.RequestID) || request.Class == "" || !json.Valid(request.Body) {
+		if len(document) > maxTestBodyBytes || !isValidRequestID(request.RequestID) || request.Class == "" || !json.Valid(request.Body) {
 			t.Errorf("%q was taken as %+v", document, request)
 		}
 		if request.Deadline < 0 || request.Deadline > MaximumDeadline || !(request.MinimumCoverage >= 0 && request.MinimumCoverage <= 1) {
--- a/caller/encode_test.go
+++ b/caller/encode_test.go
@@ -7,7 +7,7 @@
 	"github.com/banksail/banksail/coverage"
 )
 
-func TestAnswersAreEncodedAsByTheLibrary(t *testing.T) {
+func TestAnswerEncodingMatchesEncodingJSON(t *testing.T) {
 	parts := []Part{
 		{Range: coverage.Range{Start: 0, End: 10}, Body: json.RawMessage(`{"a":[1,"\u00e9<"]}`)},
 		{Range: coverage.Range{Start: 10, End: 1 << 63}, Body: json.RawMessage(`null`)},
@@ -33,9 +33,9 @@
 			if json.Unmarshal(got, &same) != nil || json.Unmarshal(expected, &library) != nil {
 				t.Fatalf("got %s", got)
 			}
-			gotAgain, _ := json.Marshal(same)
-			expectedAgain, _ := json.Marshal(library)
-			if string(gotAgain) != string(expectedAgain) {
+			gotCanonical, _ := json.Marshal(same)
+			expectedCanonical, _ := json.Marshal(library)
+			if string(gotCanonical) != string(expectedCanonical) {
 				t.Errorf("got %s, expected %s", got, expected)
 			}
 		})
--- a/caller/parse.go
+++ b/caller/parse.go
@@ -10,8 +10,8 @@
 	"github.com/banksail/banksail/internal/strictjson"
 )
 
-// maximumDepth bounds the nesting of a request's document.
-const maximumDepth = 128
+// maxDepth bounds the nesting of a request's document.
+const maxDepth = 128
 
 // documentField stands for the whole document where no single field is at fault.
 const documentField = "document"
@@ -24,28 +24,28 @@
 		return Request{}, err
 	}
 	request := Request{Service: service, Body: document.Body}
-	if err := request.takeIdentity(document); err != nil {
+	if err := request.setIdentity(document); err != nil {
 		return request, err
 	}
-	return request, request.takeConditions(document)
+	return request, request.setConditions(document)
 }
 
 func readDocument(body io.Reader, limit int64) (requestDocument, error) {
 	var document requestDocument
 	raw, err := strictjson.Read(body, limit)
 	if err == nil {
-		err = strictjson.Unmarshal(raw, strictjson.Limits{Bytes: limit, Depth: maximumDepth}, &document)
+		err = strictjson.Unmarshal(raw, strictjson.Limits{Bytes: limit, Depth: maxDepth}, &document)
 	} else if !errors.Is(err, strictjson.ErrTooLarge) {
 		return document, &FieldError{Field: documentField, Detail: "the body could not be read whole"}
 	}
 	if err != nil {
-		return document, documentFault(err, limit)
+		return document, documentError(err, limit)
 	}
 	return document, nil
 }
 
-// documentFault names the first faulty field.
-func documentFault(err error, limit int64) *FieldError {
+// documentError names the first faulty field.
+func documentError(err error, limit int64) *FieldError {
 	var fields *strictjson.FieldsError
 	switch {
 	case errors.As(err, &fields) && len(fields.Faults) > 0:
@@ -60,14 +60,14 @@
 			Status: http.StatusRequestEntityTooLarge, Reason: reasonBodyTooLarge,
 		}
 	case errors.Is(err, strictjson.ErrTooDeep):
-		return &FieldError{Field: documentField, Detail: fmt.Sprintf("objects and lists nest deeper than %d", maximumDepth)}
+		return &FieldError{Field: documentField, Detail: fmt.Sprintf("objects and lists nest deeper than %d", maxDepth)}
 	default:
 		return &FieldError{Field: documentField, Detail: "the body is not one JSON object"}
 	}
 }
 
-func (r *Request) takeIdentity(document requestDocument) error {
-	if !validRequestID(document.RequestID) {
+func (r *Request) setIdentity(document requestDocument) error {
+	if !isValidRequestID(document.RequestID) {
 		detail := fmt.Sprintf("must be 1 to %d printable ASCII characters without spaces", MaximumRequestIDLength)
 		return &FieldError{Field: "request_id", Detail: detail}
 	}
@@ -80,7 +80,7 @@
 	return nil
 }
 
-func (r *Request) takeConditions(document requestDocument) error {
+func (r *Request) setConditions(document requestDocument) error {
 	if document.DeadlineMillis != nil {
 		deadline, err := parseDeadline(*document.DeadlineMillis)
 		if err != nil {
@@ -103,7 +103,7 @@
 	return time.Duration(milliseconds * float64(time.Millisecond)), nil
 }
 
-func validRequestID(id string) bool {
+func isValidRequestID(id string) bool {
 	if id == "" || len(id) > MaximumRequestIDLength {
 		return false
 	}
--- a/caller/problem.go
+++ b/caller/problem.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// problemOfField turns a faulty field into a problem document.
-func problemOfField(requestID string, fault *FieldError) Problem {
+// fieldProblem turns a faulty field into a problem document.
+func fieldProblem(requestID string, fault *FieldError) Problem {
 	problem := Problem{
 		Title: "The request is not valid", Status: http.StatusBadRequest, Detail: fault.Detail,
 		Field: fault.Field, Execution: executionNotRun, Reason: reasonInvalidRequest, RequestID: requestID,
@@ -137,10 +137,10 @@
 	return problem
 }
 
-// problemOfOutcome turns a refusal or failure into a problem document.
-func problemOfOutcome(requestID string, outcome dispatch.Outcome) Problem {
+// outcomeProblem turns a refusal or failure into a problem document.
+func outcomeProblem(requestID string, outcome dispatch.Outcome) Problem {
 	problem := Problem{
-		Status:    statusOf(outcome),
+		Status:    httpStatus(outcome),
 		Execution: ExecutionName(outcome.Execution),
 		Reason:    string(outcome.Reason),
 		RequestID: requestID,
@@ -158,7 +158,7 @@
 	return problem
 }
 
-func statusOf(outcome dispatch.Outcome) int {
+func httpStatus(outcome dispatch.Outcome) int {
 	switch outcome.Reason {
 	case dispatch.ReasonUnknownClass:
 		return http.StatusBadRequest
@@ -187,21 +187,21 @@
 	}
 	header := writer.Header()
 	header.Set("Content-Type", ProblemMediaType)
-	boundWriting(writer)
+	setWriteDeadline(writer)
 	if problem.RetryAfterMilliseconds > 0 {
-		header.Set("Retry-After", wholeSeconds(problem.RetryAfterMilliseconds))
+		header.Set("Retry-After", formatSeconds(problem.RetryAfterMilliseconds))
 	}
 	writer.WriteHeader(problem.Status)
 	_, _ = writer.Write(document)
 }
 
-// boundWriting cuts a caller that does not read its response in time: it must
+// setWriteDeadline cuts a caller that does not read its response in time: it must
 // not hold up a planned stop.
-func boundWriting(writer http.ResponseWriter) {
+func setWriteDeadline(writer http.ResponseWriter) {
 	_ = http.NewResponseController(writer).SetWriteDeadline(time.Now().Add(writeTimeout))
 }
 
-// wholeSeconds rounds up, because Retry-After has no fractions.
-func wholeSeconds(milliseconds float64) string {
+// formatSeconds rounds up, because Retry-After has no fractions.
+func formatSeconds(milliseconds float64) string {
 	return strconv.Itoa(int(math.Ceil(milliseconds / float64(time.Second/time.Millisecond))))
 }
--- a/caller/service.go
+++ b/caller/service.go
@@ -32,60 +32,60 @@
 	BodyBytes int64
 }
 
-type service struct{ options Options }
+type apiHandler struct{ options Options }
 
 // NewHandler serves the API.
 func NewHandler(options Options) http.Handler {
-	api := &service{options: options}
+	api := &apiHandler{options: options}
 	web := new(restful.WebService)
 	web.Path("/")
-	web.Route(web.POST("/v1/services/{service}/queries").To(api.query))
-	web.Route(web.GET("/v1/requests/{id}/explanation").To(api.explain))
+	web.Route(web.POST("/v1/services/{service}/queries").To(api.handleQuery))
+	web.Route(web.GET("/v1/requests/{id}/explanation").To(api.handleExplanation))
 	container := restful.NewContainer()
 	container.Add(web)
-	container.ServiceErrorHandler(notRouted)
+	container.ServiceErrorHandler(writeNotFound)
 	return container
 }
 
-// notRouted answers requests for paths and methods that don't exist.
-func notRouted(fault restful.ServiceError, _ *restful.Request, response *restful.Response) {
+// writeNotFound answers requests for paths and methods that don't exist.
+func writeNotFound(fault restful.ServiceError, _ *restful.Request, response *restful.Response) {
 	writeProblem(response.ResponseWriter, Problem{
 		Title: "The API has no such path or method", Status: fault.Code,
 		Execution: executionNotRun, Reason: reasonNotFound,
 	})
 }
 
-func (s *service) query(request *restful.Request, response *restful.Response) {
+func (s *apiHandler) handleQuery(request *restful.Request, response *restful.Response) {
 	writer := response.ResponseWriter
 	parsed, err := parseRequest(request.PathParameter("service"), request.Request.Body, s.options.BodyBytes)
 	if err != nil {
-		s.refuse(writer, parsed.RequestID, err)
+		s.rejectRequest(writer, parsed.RequestID, err)
 		return
 	}
 	result, err := s.options.Node.Query(request.Request.Context(), parsed)
 	if err != nil {
-		s.refuse(writer, parsed.RequestID, err)
+		s.rejectRequest(writer, parsed.RequestID, err)
 		return
 	}
-	s.closeWhenStopping(writer)
+	s.closeConnectionIfStopping(writer)
 	if result.Outcome.Execution != dispatch.ExecutionDone {
-		writeProblem(writer, problemOfOutcome(parsed.RequestID, result.Outcome))
+		writeProblem(writer, outcomeProblem(parsed.RequestID, result.Outcome))
 		return
 	}
 	writeAnswer(writer, newAnswer(parsed, result))
 }
 
-func (s *service) refuse(writer http.ResponseWriter, requestID string, err error) {
-	s.closeWhenStopping(writer)
+func (s *apiHandler) rejectRequest(writer http.ResponseWriter, requestID string, err error) {
+	s.closeConnectionIfStopping(writer)
 	var fault *FieldError
 	if !errors.As(err, &fault) {
 		fault = &FieldError{Field: documentField, Detail: "the request can't be carried", Status: http.StatusInternalServerError}
 	}
-	writeProblem(writer, problemOfField(requestID, fault))
+	writeProblem(writer, fieldProblem(requestID, fault))
 }
 
-// closeWhenStopping ends keep-alive connections after their response.
-func (s *service) closeWhenStopping(writer http.ResponseWriter) {
+// closeConnectionIfStopping ends keep-alive connections after their response.
+func (s *apiHandler) closeConnectionIfStopping(writer http.ResponseWriter) {
 	if s.options.Node.IsStopping() {
 		writer.Header().Set("Connection", "close")
 	}
@@ -99,7 +99,7 @@
 		Coverage:  outcome.Coverage,
 		Complete:  outcome.Complete,
 		Reason:    string(outcome.Reason),
-		Missing:   missing(result.KeySpace, outcome.Parts),
+		Missing:   missingRanges(result.KeySpace, outcome.Parts),
 		Parts:     make([]Part, 0, len(outcome.Parts)),
 		Warnings:  []string{},
 	}
@@ -116,14 +116,14 @@
 	return answer
 }
 
-// missing lists the ranges of the key space that no part holds. Parts are
+// missingRanges lists the ranges of the key space that no part holds. Parts are
 // disjoint.
-func missing(keySpace coverage.Range, parts []dispatch.Part) []coverage.Range {
-	held := make([]coverage.Range, 0, len(parts))
+func missingRanges(keySpace coverage.Range, parts []dispatch.Part) []coverage.Range {
+	covered := make([]coverage.Range, 0, len(parts))
 	for _, part := range parts {
-		held = append(held, part.Range)
+		covered = append(covered, part.Range)
 	}
-	slices.SortFunc(held, func(a, b coverage.Range) int {
+	slices.SortFunc(covered, func(a, b coverage.Range) int {
 		if a.Start < b.Start {
 			return -1
 		}
@@ -131,7 +131,7 @@
 	})
 	gaps := []coverage.Range{}
 	next := keySpace.Start
-	for _, part := range held {
+	for _, part := range covered {
 		if part.Start > next {
 			gaps = append(gaps, coverage.Range{Start: next, End: part.Start})
 		}
@@ -150,11 +150,11 @@
 		return
 	}
 	writer.Header().Set("Content-Type", "application/json")
-	boundWriting(writer)
+	setWriteDeadline(writer)
 	_, _ = writer.Write(document)
 }
 
-func (s *service) explain(request *restful.Request, response *restful.Response) {
+func (s *apiHandler) handleExplanation(request *restful.Request, response *restful.Response) {
 	writer := response.ResponseWriter
 	explanation, found := s.options.Node.FindExplanation(request.PathParameter("id"))
 	if !found {
@@ -170,6 +170,6 @@
 		return
 	}
 	writer.Header().Set("Content-Type", "application/json")
-	boundWriting(writer)
+	setWriteDeadline(writer)
 	_, _ = writer.Write(document)
 }
