--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -22,7 +22,7 @@
 	validBody        = `{"request_id":"r-1","class":"urgent","deadline_ms":250,"minimum_coverage":0.5,"repeatable":true,"body":{"find":[1,2]}}`
 )
 
-// nodeStub answers every request alike and keeps what it was asked.
+// nodeStub is a Node that returns the same result for every request and records the requests.
 type nodeStub struct {
 	requests []Request
 	result   Result
@@ -55,10 +55,10 @@
 		t.Fatalf("%v in %s", err, recorder.Body)
 	}
 	if media := recorder.Header().Get("Content-Type"); media != ProblemMediaType {
-		t.Errorf("media type %q", media)
+		t.Errorf("got media type %q", media)
 	}
 	if problem.Status != recorder.Code || problem.Type == "" || problem.Title == "" {
-		t.Errorf("HTTP %d with problem %+v", recorder.Code, problem)
+		t.Errorf("got HTTP status %d with problem %+v", recorder.Code, problem)
 	}
 	return problem
 }
@@ -105,10 +105,10 @@
 				test.status = http.StatusBadRequest
 			}
 			if problem.Status != test.status || problem.Field != test.field || problem.Execution != "not_run" {
-				t.Errorf("got %+v, expected status %d of field %q", problem, test.status, test.field)
+				t.Errorf("got %+v, expected status %d and field %q", problem, test.status, test.field)
 			}
 			if len(node.requests) != 0 {
-				t.Errorf("the node was asked %+v", node.requests)
+				t.Errorf("the node received requests %+v", node.requests)
 			}
 		})
 	}
@@ -122,7 +122,7 @@
 		MinimumCoverage: 0.5, Repeatable: true, Body: json.RawMessage(`{"find":[1,2]}`),
 	}
 	if len(node.requests) != 1 || fmt.Sprint(node.requests[0]) != fmt.Sprint(expected) {
-		t.Errorf("asked %+v, expected %+v", node.requests, expected)
+		t.Errorf("the node received %+v, expected %+v", node.requests, expected)
 	}
 }
 
@@ -140,14 +140,14 @@
 	recorder := post(node, validBody)
 	var answer Answer
 	if err := json.Unmarshal(recorder.Body.Bytes(), &answer); err != nil || recorder.Code != http.StatusOK {
-		t.Fatalf("HTTP %d, %v", recorder.Code, err)
+		t.Fatalf("got HTTP status %d, error %v", recorder.Code, err)
 	}
 	missing := []coverage.Range{{Start: 0, End: 10}, {Start: 40, End: 60}, {Start: 80, End: 100}}
 	if fmt.Sprint(answer.Missing) != fmt.Sprint(missing) {
-		t.Errorf("missing %v, expected %v", answer.Missing, missing)
+		t.Errorf("got missing ranges %v, expected %v", answer.Missing, missing)
 	}
 	if answer.Complete || answer.Coverage != 0.5 || answer.Snapshot != 7 || len(answer.Warnings) != 1 || len(answer.Parts) != 2 {
-		t.Errorf("answer %+v", answer)
+		t.Errorf("unexpected answer %+v", answer)
 	}
 }
 
@@ -200,12 +200,12 @@
 	for _, stopping := range []bool{false, true} {
 		node := &nodeStub{stopping: stopping, result: Result{Outcome: dispatch.Outcome{Execution: dispatch.ExecutionDone}}}
 		if closes := post(node, validBody).Header().Get("Connection") == "close"; closes != stopping {
-			t.Errorf("stopping %t, connection closes %t", stopping, closes)
+			t.Errorf("stopping is %t, but Connection: close is %t", stopping, closes)
 		}
 	}
 }
 
-// deadlineRecorder is a connection of which the deadlines are known.
+// deadlineRecorder is a response recorder that records the deadlines that are set.
 type deadlineRecorder struct {
 	*httptest.ResponseRecorder
 	write, read []time.Time
@@ -228,7 +228,7 @@
 		request := httptest.NewRequest(http.MethodPost, "/v1/services/catalog/queries", strings.NewReader(body))
 		NewHandler(Options{Node: node, BodyBytes: maxTestBodyBytes}).ServeHTTP(writer, request)
 		if len(writer.write) != 1 || writer.write[0].IsZero() {
-			t.Errorf("%s: write deadlines %v", name, writer.write)
+			t.Errorf("%s: got write deadlines %v, expected one", name, writer.write)
 		}
 	}
 }
@@ -261,15 +261,15 @@
 		if err != nil {
 			var fault *FieldError
 			if !errors.As(err, &fault) {
-				t.Errorf("error %v is no *FieldError", err)
+				t.Errorf("error %v is not a *FieldError", err)
 			}
 			return
 		}
 		if len(document) > maxTestBodyBytes || !isValidRequestID(request.RequestID) || request.Class == "" || !json.Valid(request.Body) {
-			t.Errorf("%q was taken as %+v", document, request)
+			t.Errorf("%q was accepted as %+v", document, request)
 		}
 		if request.Deadline < 0 || request.Deadline > MaximumDeadline || !(request.MinimumCoverage >= 0 && request.MinimumCoverage <= 1) {
-			t.Errorf("%q was taken as %+v", document, request)
+			t.Errorf("%q was accepted as %+v", document, request)
 		}
 	})
 }
--- a/caller/encode.go
+++ b/caller/encode.go
@@ -6,15 +6,15 @@
 	"strconv"
 )
 
-// partOverhead is about what a part takes beside its body, in bytes.
+// partOverhead is the approximate size in bytes of an encoded part without its body.
 const partOverhead = 96
 
-// emptyParts is how encoding/json writes no parts.
+// emptyParts is the encoding of an empty list of parts by encoding/json.
 var emptyParts = []byte(`"parts":[]`)
 
-// encode writes the answer as encoding/json does, but copies the parts' bodies
-// as they are: they were checked when the servers' replies were read, and
-// encoding/json would read each byte of them again.
+// encode returns the JSON encoding of the answer. It copies the bodies of the parts unchanged:
+// they were validated when the servers' replies were read, and encoding/json would scan each byte
+// again.
 func (a Answer) encode() ([]byte, error) {
 	parts := a.Parts
 	a.Parts = []Part{}
@@ -22,8 +22,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// No earlier field holds free text but request_id, in which a quotation mark
-	// is escaped, so this is the field.
+	// The first match is the parts field: request_id is the only earlier field with free text,
+	// and quotation marks in it are escaped.
 	before, after, _ := bytes.Cut(envelope, emptyParts)
 	size := len(envelope)
 	for _, part := range parts {
--- a/caller/message.go
+++ b/caller/message.go
@@ -1,5 +1,5 @@
-// Package caller is the HTTP API towards callers: queries with their answers
-// and refusals, and the explanations of finished requests.
+// Package caller implements the HTTP API for callers: queries, and the explanations of finished
+// requests.
 package caller
 
 import (
@@ -10,34 +10,34 @@
 	"github.com/banksail/banksail/dispatch"
 )
 
-// Bounds of a request's fields.
+// Limits of a request's fields.
 const (
-	// MaximumRequestIDLength bounds request_id, in bytes.
+	// MaximumRequestIDLength is the maximum length of request_id in bytes.
 	MaximumRequestIDLength = 128
-	// MaximumDeadline bounds deadline_ms.
+	// MaximumDeadline is the maximum of deadline_ms.
 	MaximumDeadline = 10 * time.Minute
 )
 
-// Request is a caller's query as the node takes it.
+// Request is a validated query of a caller.
 type Request struct {
-	// Service names the service that is asked.
+	// Service is the name of the service to query.
 	Service string
-	// RequestID is the caller's own name for the request.
+	// RequestID is the request ID that the caller chose.
 	RequestID string
-	// Class names the priority class.
+	// Class is the name of the priority class.
 	Class string
-	// Deadline is the time that the caller waits; zero takes the class's.
+	// Deadline is how long the caller waits for the answer. Zero means the deadline of the class.
 	Deadline time.Duration
-	// MinimumCoverage is the least coverage that the caller accepts, from 0 to 1.
+	// MinimumCoverage is the minimum coverage that the caller accepts, from 0 to 1.
 	MinimumCoverage float64
-	// Repeatable says that the sub-requests may run more than once.
+	// Repeatable reports whether sub-requests may be executed more than once.
 	Repeatable bool
-	// Body is passed to the servers as it is.
+	// Body is sent to the servers unchanged.
 	Body json.RawMessage
 }
 
-// requestDocument is the JSON form of a Request. Fields without omitempty are
-// required; the pointer tells a missing deadline from zero.
+// requestDocument is the JSON form of a Request. Fields without omitempty are required.
+// DeadlineMillis is a pointer to distinguish a missing deadline from zero.
 type requestDocument struct {
 	RequestID       string          `json:"request_id"`
 	Class           string          `json:"class"`
@@ -47,36 +47,35 @@
 	Body            json.RawMessage `json:"body"`
 }
 
-// Answer is the JSON document of an answer, with HTTP status 200.
+// Answer is the JSON body of a response with HTTP status 200.
 type Answer struct {
 	RequestID string `json:"request_id"`
-	// Snapshot is the one index snapshot from which all parts come.
+	// Snapshot is the index snapshot that all parts were read from.
 	Snapshot uint64 `json:"snapshot"`
-	// Coverage is the true fraction of the key space that the parts hold.
+	// Coverage is the fraction of the key space that the parts cover.
 	Coverage float64 `json:"coverage"`
-	// Complete is true when the parts hold the whole key space.
+	// Complete reports whether the parts cover the whole key space.
 	Complete bool   `json:"complete"`
 	Reason   string `json:"reason"`
-	// Missing lists the key ranges that no part holds.
+	// Missing lists the key ranges that no part covers.
 	Missing []coverage.Range `json:"missing"`
-	// Parts lists the servers' results, sorted by range.
+	// Parts holds the results of the servers, sorted by key range.
 	Parts []Part `json:"parts"`
-	// Warnings tells what the caller should know besides.
+	// Warnings holds messages for the caller, such as that the answer is partial.
 	Warnings []string `json:"warnings"`
 }
 
-// Part is one server's result for a key range.
+// Part is the result of one server for a key range.
 type Part struct {
 	Range coverage.Range  `json:"range"`
 	Body  json.RawMessage `json:"body"`
 }
 
-// Result is the final answer to a Request.
+// Result is the final result of a Request.
 type Result struct {
 	Outcome dispatch.Outcome
-	// KeySpace is the service's whole key space.
+	// KeySpace is the entire key space of the service.
 	KeySpace coverage.Range
-	// Duplicate says that the outcome is that of an earlier request with the
-	// same request ID.
+	// Duplicate reports whether the outcome is that of an earlier request with the same ID.
 	Duplicate bool
 }
--- a/caller/parse.go
+++ b/caller/parse.go
@@ -10,14 +10,15 @@
 	"github.com/banksail/banksail/internal/strictjson"
 )
 
-// maxDepth bounds the nesting of a request's document.
+// maxDepth is the maximum nesting depth of a request's JSON document.
 const maxDepth = 128
 
-// documentField stands for the whole document where no single field is at fault.
+// documentField is the field name in errors that concern the whole document.
 const documentField = "document"
 
-// parseRequest reads and checks a request's JSON document. Every error is a
-// *FieldError. The request ID is returned as far as it is known.
+// parseRequest reads and validates a request's JSON document of at most limit bytes. Every error
+// is a *FieldError. On an error, the returned Request has the request ID if it was decoded and
+// valid.
 func parseRequest(service string, body io.Reader, limit int64) (Request, error) {
 	document, err := readDocument(body, limit)
 	if err != nil {
@@ -44,7 +45,7 @@
 	return document, nil
 }
 
-// documentError names the first faulty field.
+// documentError converts a decoding error to a *FieldError for the first invalid field.
 func documentError(err error, limit int64) *FieldError {
 	var fields *strictjson.FieldsError
 	switch {
--- a/caller/problem.go
+++ b/caller/problem.go
@@ -10,29 +10,27 @@
 	"github.com/banksail/banksail/dispatch"
 )
 
-// ProblemMediaType is the media type of RFC 9457.
+// ProblemMediaType is the media type of problem documents (RFC 9457).
 const ProblemMediaType = "application/problem+json"
 
-// Reasons of outcomes that a node gives to not-repeatable requests by itself.
+// Reasons of outcomes of non-repeatable requests that the node determines without a dispatcher.
 const (
-	// ReasonHeldElsewhere means that another node has claimed the request ID,
-	// and may have run the request.
+	// ReasonHeldElsewhere means that another node has claimed the request ID and may have
+	// executed the request.
 	ReasonHeldElsewhere dispatch.Reason = "held_elsewhere"
-	// ReasonResultEvicted means that the request ran to its end, but its
-	// result is no longer kept.
+	// ReasonResultEvicted means that the request was completed but its result is no longer kept.
 	ReasonResultEvicted dispatch.Reason = "result_forgotten"
-	// ReasonNoQuorum means that too few other nodes could record the claim of
-	// the request ID.
+	// ReasonNoQuorum means that too few other nodes recorded the claim of the request ID.
 	ReasonNoQuorum dispatch.Reason = "no_quorum"
 )
 
-// problemTypePrefix starts the type of every problem; the reason follows it.
+// problemTypePrefix is the prefix of a problem's type; the reason is appended to it.
 const problemTypePrefix = "https://banksail.dev/problems/"
 
-// writeTimeout bounds the writing of one response.
+// writeTimeout is the maximum time to write one response.
 const writeTimeout = 30 * time.Second
 
-// Names of executions in problem documents.
+// Names of executions in problem documents and logs.
 const (
 	executionNotRun  = "not_run"
 	executionUnknown = "unknown"
@@ -40,7 +38,7 @@
 	executionDone    = "done"
 )
 
-// Reasons of problems that never reach a dispatcher.
+// Reasons of requests that are rejected before they reach a dispatcher.
 const (
 	reasonInvalidRequest = "invalid_request"
 	reasonBodyTooLarge   = "body_too_large"
@@ -49,41 +47,42 @@
 	reasonNotFound       = "not_found"
 )
 
-// Problem is a refusal or failure, in the form of RFC 9457.
+// Problem is a problem document (RFC 9457), the body of responses to rejected and failed
+// requests.
 type Problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
-	// Field names the faulty field of the request.
+	// Field is the name of the request's invalid field.
 	Field string `json:"field,omitempty"`
 	// Execution is not_run, unknown or partial.
 	Execution string `json:"execution"`
 	Reason    string `json:"reason"`
 	RequestID string `json:"request_id,omitempty"`
-	// RetryAfterMilliseconds is when to come back; the Retry-After header says
-	// the same in whole seconds.
+	// RetryAfterMilliseconds is the time after which the caller may retry. The Retry-After header
+	// has the same time, rounded up to whole seconds.
 	RetryAfterMilliseconds float64 `json:"retry_after_ms,omitempty"`
-	// Coverage is the coverage reached, when the execution is partial.
+	// Coverage is the coverage reached. It is set if Execution is partial.
 	Coverage *float64 `json:"coverage,omitempty"`
 }
 
-// FieldError says that a field of the request is at fault; nothing was sent.
+// FieldError reports an invalid field of a request. Nothing was sent to servers.
 type FieldError struct {
-	// Field is the name in the JSON document, or service.
+	// Field is the name of the field in the JSON document, or "service" or "document".
 	Field string
-	// Detail is one sentence for the caller.
+	// Detail is a one-sentence message for the caller.
 	Detail string
-	// Status is the HTTP status; zero stands for 400.
+	// Status is the HTTP status. Zero means 400.
 	Status int
-	// Reason is a short name; empty stands for invalid_request.
+	// Reason is the reason in the problem document. Empty means invalid_request.
 	Reason string
 }
 
-// Error formats the fault.
+// Error implements error.
 func (e *FieldError) Error() string { return "caller: " + e.Field + ": " + e.Detail }
 
-// NewUnknownServiceError says that the configuration in force has no such service.
+// NewUnknownServiceError returns the error for a service that is not in the active configuration.
 func NewUnknownServiceError() *FieldError {
 	return &FieldError{
 		Field: "service", Detail: "the configuration has no such service",
@@ -91,7 +90,7 @@
 	}
 }
 
-// NewUnknownClassError says that the configuration in force has no such class.
+// NewUnknownClassError returns the error for a class that is not in the active configuration.
 func NewUnknownClassError() *FieldError {
 	return &FieldError{
 		Field: "class", Detail: "the configuration has no such class",
@@ -99,8 +98,8 @@
 	}
 }
 
-// NewReusedIDError says that a not-repeatable request has the ID of another one
-// with other content.
+// NewReusedIDError returns the error for a non-repeatable request that has the same ID as an
+// earlier request with different content.
 func NewReusedIDError() *FieldError {
 	return &FieldError{
 		Field: "request_id", Detail: "another request with this ID and other content ran within the window",
@@ -108,7 +107,7 @@
 	}
 }
 
-// ExecutionName is the name of an execution in documents and logs.
+// ExecutionName returns the name of an execution in problem documents and logs.
 func ExecutionName(execution dispatch.Execution) string {
 	switch execution {
 	case dispatch.ExecutionNotRun:
@@ -122,7 +121,7 @@
 	}
 }
 
-// fieldProblem turns a faulty field into a problem document.
+// fieldProblem converts a FieldError to a problem document.
 func fieldProblem(requestID string, fault *FieldError) Problem {
 	problem := Problem{
 		Title: "The request is not valid", Status: http.StatusBadRequest, Detail: fault.Detail,
@@ -137,7 +136,7 @@
 	return problem
 }
 
-// outcomeProblem turns a refusal or failure into a problem document.
+// outcomeProblem converts the outcome of a rejected or failed request to a problem document.
 func outcomeProblem(requestID string, outcome dispatch.Outcome) Problem {
 	problem := Problem{
 		Status:    httpStatus(outcome),
@@ -175,7 +174,8 @@
 	}
 }
 
-// writeProblem writes the document with its Retry-After header.
+// writeProblem writes a problem document as the response, with a Retry-After header if the
+// problem has a retry time.
 func writeProblem(writer http.ResponseWriter, problem Problem) {
 	if problem.Type == "" {
 		problem.Type = problemTypePrefix + problem.Reason
@@ -195,13 +195,13 @@
 	_, _ = writer.Write(document)
 }
 
-// setWriteDeadline cuts a caller that does not read its response in time: it must
-// not hold up a planned stop.
+// setWriteDeadline bounds the time to write the response, so that a caller that does not read it
+// cannot delay a graceful shutdown.
 func setWriteDeadline(writer http.ResponseWriter) {
 	_ = http.NewResponseController(writer).SetWriteDeadline(time.Now().Add(writeTimeout))
 }
 
-// formatSeconds rounds up, because Retry-After has no fractions.
+// formatSeconds returns a time in seconds, rounded up because Retry-After has no fractions.
 func formatSeconds(milliseconds float64) string {
 	return strconv.Itoa(int(math.Ceil(milliseconds / float64(time.Second/time.Millisecond))))
 }
--- a/caller/service.go
+++ b/caller/service.go
@@ -14,27 +14,27 @@
 	"github.com/banksail/banksail/telemetry"
 )
 
-// Node is what the API needs of the node.
+// Node executes the requests of the API.
 type Node interface {
-	// Query carries a request to its one final answer. The error, if any, is a
-	// *FieldError, and then nothing was sent. The query ends when ctx does.
+	// Query executes a request and returns its final result. It is cancelled with ctx. An error
+	// is a *FieldError and means that nothing was sent to servers.
 	Query(ctx context.Context, request Request) (Result, error)
-	// FindExplanation finds the explanation of a finished request.
+	// FindExplanation returns the explanation of a finished request, if it is still kept.
 	FindExplanation(requestID string) (telemetry.Explanation, bool)
-	// IsStopping says that the node is about to stop, so connections should close.
+	// IsStopping reports whether the node is shutting down, so that connections should be closed.
 	IsStopping() bool
 }
 
-// Options of the API.
+// Options configures the API.
 type Options struct {
 	Node Node
-	// BodyBytes bounds a request's document.
+	// BodyBytes is the maximum size of a request's document in bytes.
 	BodyBytes int64
 }
 
 type apiHandler struct{ options Options }
 
-// NewHandler serves the API.
+// NewHandler returns the HTTP handler of the API.
 func NewHandler(options Options) http.Handler {
 	api := &apiHandler{options: options}
 	web := new(restful.WebService)
@@ -47,7 +47,7 @@
 	return container
 }
 
-// writeNotFound answers requests for paths and methods that don't exist.
+// writeNotFound responds to requests for unknown paths and unsupported methods.
 func writeNotFound(fault restful.ServiceError, _ *restful.Request, response *restful.Response) {
 	writeProblem(response.ResponseWriter, Problem{
 		Title: "The API has no such path or method", Status: fault.Code,
@@ -84,7 +84,8 @@
 	writeProblem(writer, fieldProblem(requestID, fault))
 }
 
-// closeConnectionIfStopping ends keep-alive connections after their response.
+// closeConnectionIfStopping makes the server close the connection after the response if the node
+// is shutting down.
 func (s *apiHandler) closeConnectionIfStopping(writer http.ResponseWriter) {
 	if s.options.Node.IsStopping() {
 		writer.Header().Set("Connection", "close")
@@ -116,8 +117,8 @@
 	return answer
 }
 
-// missingRanges lists the ranges of the key space that no part holds. Parts are
-// disjoint.
+// missingRanges returns the ranges of the key space that no part covers, in order. The parts must
+// be disjoint.
 func missingRanges(keySpace coverage.Range, parts []dispatch.Part) []coverage.Range {
 	covered := make([]coverage.Range, 0, len(parts))
 	for _, part := range parts {
