--- a/backend/client.go
+++ b/backend/client.go
@@ -253,7 +253,7 @@
 
 // roundTrip sends one request and reads the complete reply.
 func (c *connection) roundTrip(ctx context.Context, call httpcall.Call) (httpcall.Reply, error) {
-	call.Limit = MaximumReplyBytes
+	call.MaxBodyBytes = MaximumReplyBytes
 	reply, err := httpcall.Send(ctx, c.transport, call)
 	if errors.Is(err, strictjson.ErrTooLarge) {
 		err = fmt.Errorf("%w: %w", ErrMalformed, err)
--- a/cmd/banksail-lab/collect.go
+++ b/cmd/banksail-lab/collect.go
@@ -150,7 +150,7 @@
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
 	var executions emulator.ExecutionHistory
-	reply, err := callOnce(ctx, httpcall.Call{Address: address, Path: emulator.ExecutionsPath, Limit: maxExecutionsBytes})
+	reply, err := callOnce(ctx, httpcall.Call{Address: address, Path: emulator.ExecutionsPath, MaxBodyBytes: maxExecutionsBytes})
 	if err != nil {
 		return executions, err
 	}
--- a/cmd/banksail-lab/fault.go
+++ b/cmd/banksail-lab/fault.go
@@ -175,7 +175,7 @@
 	ctx, cancel := context.WithTimeout(ctx, faultTimeout)
 	defer cancel()
 	reply, err := callOnce(ctx, httpcall.Call{
-		Method: method, Address: address, Path: emulator.FaultsPath, Body: body, Limit: maxFaultResponseBytes,
+		Method: method, Address: address, Path: emulator.FaultsPath, Body: body, MaxBodyBytes: maxFaultResponseBytes,
 	})
 	if err != nil {
 		return nil, err
--- a/discovery/follower.go
+++ b/discovery/follower.go
@@ -173,7 +173,7 @@
 // NewFollower returns a Follower with an empty view.
 func NewFollower(options FollowerOptions) *Follower {
 	if options.Elapsed == nil {
-		options.Elapsed = clock.Begin().Elapsed
+		options.Elapsed = clock.NewEpoch().Elapsed
 	}
 	options.PollInterval = cmp.Or(options.PollInterval, DefaultPollInterval)
 	options.ReadsPerSecond = cmp.Or(options.ReadsPerSecond, DefaultReadsPerSecond)
--- a/front/node.go
+++ b/front/node.go
@@ -437,7 +437,7 @@
 
 // logSuspension logs a warning if the machine was suspended since the last call.
 func (f *Front) logSuspension() {
-	total := clock.Suspended()
+	total := clock.SuspendedTime()
 	if missed := total - f.suspendedTotal; missed > 0 {
 		f.options.Logger.Warn().Dur("missed_ms", missed).Msg("the machine was suspended")
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -149,7 +149,7 @@
 		stop:       stop,
 
 		options:    options,
-		epoch:      clock.Begin(),
+		epoch:      clock.NewEpoch(),
 		client:     exchange.NewClient(options.Exchange),
 		router:     routing.New(0, options.Routing),
 		tableKnown: make(chan struct{}),
--- a/gateway/latency.go
+++ b/gateway/latency.go
@@ -22,7 +22,7 @@
 // measureCallerLatency returns the latency of a caller's connection, or the default if the kernel
 // has not measured it.
 func (g *Gateway) measureCallerLatency(conn *watchedConn) callerLatency {
-	mean, deviation, known := roundtrip.Of(conn.Conn)
+	mean, deviation, known := roundtrip.Estimate(conn.Conn)
 	if !known {
 		return g.defaultCallerLatency()
 	}
--- a/gossip/agent.go
+++ b/gossip/agent.go
@@ -58,7 +58,7 @@
 	}
 	a := &Agent{
 		options: options,
-		epoch:   clock.Begin(),
+		epoch:   clock.NewEpoch(),
 		self:    options.Self,
 		core:    newExchanger(membership.NewNodes(membershipOptions(self, options.Seed)), options.Seed|1<<63),
 		wake:    make(chan struct{}, 1),
--- a/internal/clock/boot.go
+++ b/internal/clock/boot.go
@@ -25,17 +25,17 @@
 	suspended time.Duration
 }
 
-// Begin returns the present as an epoch.
-func Begin() Epoch { return Epoch{at: time.Now(), suspended: Suspended()} }
+// NewEpoch returns the present as an epoch.
+func NewEpoch() Epoch { return Epoch{at: time.Now(), suspended: SuspendedTime()} }
 
 // Elapsed is the time since the epoch.
-func (e Epoch) Elapsed() time.Duration { return time.Since(e.at) + Suspended() - e.suspended }
+func (e Epoch) Elapsed() time.Duration { return time.Since(e.at) + SuspendedTime() - e.suspended }
 
 var machine = suspensions{read: readClocks}
 
-// Suspended is the time for which the machine has been suspended since this was first asked
+// SuspendedTime is the time for which the machine has been suspended since this was first asked
 // for. It never decreases.
-func Suspended() time.Duration { return machine.total() }
+func SuspendedTime() time.Duration { return machine.total() }
 
 // suspensions adds up what the steady clock has missed.
 type suspensions struct {
--- a/internal/clock/boot_test.go
+++ b/internal/clock/boot_test.go
@@ -36,7 +36,7 @@
 
 func TestEpochsCountTheSteadyClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		epoch := Begin()
+		epoch := NewEpoch()
 		time.Sleep(3 * time.Second)
 		if got := epoch.Elapsed(); got != 3*time.Second {
 			t.Errorf("%s elapsed", got)
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -61,8 +61,8 @@
 	Header http.Header
 	// Body is sent unless it is nil.
 	Body []byte
-	// Limit bounds the bytes of the reply's body.
-	Limit int64
+	// MaxBodyBytes bounds the bytes of the reply's body.
+	MaxBodyBytes int64
 	// HeaderTimeout bounds the time until the reply's header has come; zero leaves
 	// it to the context.
 	HeaderTimeout time.Duration
@@ -76,11 +76,11 @@
 	Body   []byte
 }
 
-// ErrSilent is Send's error when no header came within HeaderTimeout.
-var ErrSilent = errors.New("httpcall: no answer")
+// ErrHeaderTimeout is Send's error when no header came within HeaderTimeout.
+var ErrHeaderTimeout = errors.New("httpcall: no answer")
 
 // Send sends the request and reads its reply until the context ends. Its error
-// is the transport's, ErrSilent, or strictjson.ErrTooLarge for a body over the
+// is the transport's, ErrHeaderTimeout, or strictjson.ErrTooLarge for a body over the
 // limit.
 func Send(ctx context.Context, transport http.RoundTripper, call Call) (Reply, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -90,19 +90,19 @@
 		return Reply{}, err
 	}
 	if call.HeaderTimeout > 0 {
-		silence := time.AfterFunc(call.HeaderTimeout, func() { cancel(ErrSilent) })
+		silence := time.AfterFunc(call.HeaderTimeout, func() { cancel(ErrHeaderTimeout) })
 		defer silence.Stop()
 		transport = headerWatch{transport, silence}
 	}
 	response, err := transport.RoundTrip(request)
 	switch {
-	case err != nil && errors.Is(context.Cause(ctx), ErrSilent):
-		return Reply{}, ErrSilent
+	case err != nil && errors.Is(context.Cause(ctx), ErrHeaderTimeout):
+		return Reply{}, ErrHeaderTimeout
 	case err != nil:
 		return Reply{}, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := strictjson.Read(response.Body, call.Limit)
+	body, err := strictjson.Read(response.Body, call.MaxBodyBytes)
 	if err != nil {
 		return Reply{}, err
 	}
--- a/internal/httpcall/httpcall_test.go
+++ b/internal/httpcall/httpcall_test.go
@@ -27,7 +27,7 @@
 func TestSendCarriesTheWholeCall(t *testing.T) {
 	call := Call{
 		Method: http.MethodPut, Path: "/a%2Fb", Query: url.Values{"after": {"7"}},
-		Header: http.Header{"If-Match": {`"3"`}}, Body: []byte("value"), Limit: 2,
+		Header: http.Header{"If-Match": {`"3"`}}, Body: []byte("value"), MaxBodyBytes: 2,
 	}
 	reply, err := send(t, func(writer http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
@@ -49,7 +49,7 @@
 func TestSendBoundsTheReply(t *testing.T) {
 	_, err := send(t, func(writer http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(writer, "long")
-	}, Call{Limit: 3})
+	}, Call{MaxBodyBytes: 3})
 	if !errors.Is(err, strictjson.ErrTooLarge) {
 		t.Errorf("error is %v, want ErrTooLarge", err)
 	}
@@ -60,7 +60,7 @@
 	reply, err := send(t, func(writer http.ResponseWriter, request *http.Request) {
 		requests.Add(1)
 		http.Redirect(writer, request, "/elsewhere", http.StatusTemporaryRedirect)
-	}, Call{Limit: 1000})
+	}, Call{MaxBodyBytes: 1000})
 	if err != nil || reply.Code != http.StatusTemporaryRedirect || requests.Load() != 1 {
 		t.Errorf("reply is %+v, %v after %d requests", reply, err, requests.Load())
 	}
@@ -79,7 +79,7 @@
 	defer server.Close()
 	transport := NewTransport(nil, 1)
 	defer transport.CloseIdleConnections()
-	call := Call{Method: http.MethodPost, Address: server.Listener.Addr().String(), Path: "/", Body: []byte("{}"), Limit: 1}
+	call := Call{Method: http.MethodPost, Address: server.Listener.Addr().String(), Path: "/", Body: []byte("{}"), MaxBodyBytes: 1}
 	if _, err := Send(t.Context(), transport, call); err != nil {
 		t.Fatal(err)
 	}
@@ -114,10 +114,10 @@
 // longer is not.
 func TestHeaderTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		call := Call{Address: "x", Path: "/", Limit: 10, HeaderTimeout: time.Second}
+		call := Call{Address: "x", Path: "/", MaxBodyBytes: 10, HeaderTimeout: time.Second}
 		began := time.Now()
-		if _, err := Send(t.Context(), slowTransport{header: time.Minute}, call); !errors.Is(err, ErrSilent) || time.Since(began) != time.Second {
-			t.Errorf("got %v after %s, want ErrSilent", err, time.Since(began))
+		if _, err := Send(t.Context(), slowTransport{header: time.Minute}, call); !errors.Is(err, ErrHeaderTimeout) || time.Since(began) != time.Second {
+			t.Errorf("got %v after %s, want ErrHeaderTimeout", err, time.Since(began))
 		}
 		if _, err := Send(t.Context(), slowTransport{header: time.Second / 2, body: time.Minute}, call); err != nil {
 			t.Errorf("a long body: %v", err)
--- a/internal/roundtrip/roundtrip.go
+++ b/internal/roundtrip/roundtrip.go
@@ -10,17 +10,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// Teller is a connection that knows its own time, as those of a simulated network may.
-type Teller interface {
+// Reporter is a connection that knows its own time, as those of a simulated network may.
+type Reporter interface {
 	RoundTrip() (mean, deviation time.Duration)
 }
 
 // wrapper is a connection around another one.
 type wrapper interface{ NetConn() net.Conn }
 
-// Of returns the smoothed round trip of a connection and its mean deviation (TCP_INFO); known
+// Estimate returns the smoothed round trip of a connection and its mean deviation (TCP_INFO); known
 // is false where the connection tells none.
-func Of(conn net.Conn) (mean, deviation time.Duration, known bool) {
+func Estimate(conn net.Conn) (mean, deviation time.Duration, known bool) {
 	for {
 		outer, ok := conn.(wrapper)
 		if !ok {
@@ -29,7 +29,7 @@
 		conn = outer.NetConn()
 	}
 	switch conn := conn.(type) {
-	case Teller:
+	case Reporter:
 		mean, deviation = conn.RoundTrip()
 	case syscall.Conn:
 		mean, deviation = measured(conn)
--- a/internal/roundtrip/roundtrip_test.go
+++ b/internal/roundtrip/roundtrip_test.go
@@ -23,14 +23,14 @@
 
 func TestOf(t *testing.T) {
 	inner := told{mean: 9 * time.Millisecond, deviation: time.Millisecond}
-	mean, deviation, known := roundtrip.Of(wrapped{wrapped{inner}})
+	mean, deviation, known := roundtrip.Estimate(wrapped{wrapped{inner}})
 	if !known || mean != inner.mean || deviation != inner.deviation {
 		t.Errorf("told %s, %s, %t", mean, deviation, known)
 	}
-	if _, _, known := roundtrip.Of(wrapped{told{}}); known {
+	if _, _, known := roundtrip.Estimate(wrapped{told{}}); known {
 		t.Error("a connection that knows nothing is known")
 	}
-	if _, _, known := roundtrip.Of(nil); known {
+	if _, _, known := roundtrip.Estimate(nil); known {
 		t.Error("no connection is known")
 	}
 }
@@ -46,12 +46,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	mean, _, known := roundtrip.Of(wrapped{conn})
+	mean, _, known := roundtrip.Estimate(wrapped{conn})
 	if !known || mean > time.Second {
 		t.Errorf("a round trip of %s, %t", mean, known)
 	}
 	_ = conn.Close()
-	if _, _, known := roundtrip.Of(conn); known {
+	if _, _, known := roundtrip.Estimate(conn); known {
 		t.Error("a closed connection is known")
 	}
 }
--- a/internal/strictjson/read_test.go
+++ b/internal/strictjson/read_test.go
@@ -17,8 +17,8 @@
 	}{
 		{name: "document", text: `{"known":1}`},
 		{name: "white space after", text: "{\"known\":1}\n"},
-		{name: "missing field", text: "{}\n", want: ErrFields},
-		{name: "unknown field", text: `{"known":1,"x":1}`, want: ErrFields},
+		{name: "missing field", text: "{}\n", want: ErrInvalidFields},
+		{name: "unknown field", text: `{"known":1,"x":1}`, want: ErrInvalidFields},
 		{name: "second document", text: `{"known":1}{}`, want: ErrSyntax},
 		{name: "no JSON", text: `known`, want: ErrSyntax},
 		{name: "empty", text: ``, want: ErrSyntax},
@@ -47,7 +47,7 @@
 	if target.Name != "kept" || target.Number != 2 || target.Items != nil {
 		t.Fatalf("got %+v", target)
 	}
-	if err := Merge([]byte(`{"numbers":2}`), limits, &target); !errors.Is(err, ErrFields) {
+	if err := Merge([]byte(`{"numbers":2}`), limits, &target); !errors.Is(err, ErrInvalidFields) {
 		t.Fatalf("an unknown field gave %v", err)
 	}
 }
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -24,8 +24,8 @@
 	ErrTooDeep = errors.New("strictjson: document nested too deep")
 	// ErrSyntax: the bytes are not one JSON document.
 	ErrSyntax = errors.New("strictjson: not a JSON document")
-	// ErrFields: fields are faulty; see FieldsError.
-	ErrFields = errors.New("strictjson: faulty fields")
+	// ErrInvalidFields: fields are faulty; see FieldsError.
+	ErrInvalidFields = errors.New("strictjson: faulty fields")
 )
 
 // DefaultDepth bounds the nesting where Limits names no depth.
@@ -51,7 +51,7 @@
 	Problem string
 }
 
-// FieldsError lists faulty fields; it wraps ErrFields.
+// FieldsError lists faulty fields; it wraps ErrInvalidFields.
 type FieldsError struct{ Faults []Fault }
 
 // Error lists every fault on one line.
@@ -60,11 +60,11 @@
 	for _, fault := range e.Faults {
 		texts = append(texts, fault.Path+" "+fault.Problem)
 	}
-	return ErrFields.Error() + ": " + strings.Join(texts, "; ")
+	return ErrInvalidFields.Error() + ": " + strings.Join(texts, "; ")
 }
 
-// Unwrap makes errors.Is(err, ErrFields) true.
-func (e *FieldsError) Unwrap() error { return ErrFields }
+// Unwrap makes errors.Is(err, ErrInvalidFields) true.
+func (e *FieldsError) Unwrap() error { return ErrInvalidFields }
 
 // Read reads at most limit bytes; a longer input is ErrTooLarge.
 func Read(reader io.Reader, limit int64) ([]byte, error) {
--- a/internal/strictjson/strictjson_test.go
+++ b/internal/strictjson/strictjson_test.go
@@ -51,7 +51,7 @@
 		t.Run(name, func(t *testing.T) {
 			var target document
 			err := Unmarshal([]byte(test.input), limits, &target)
-			if !errors.Is(err, ErrFields) || !strings.Contains(err.Error(), test.fault) {
+			if !errors.Is(err, ErrInvalidFields) || !strings.Contains(err.Error(), test.fault) {
 				t.Fatalf("got %v, want %q", err, test.fault)
 			}
 		})
--- a/lab/load/sender.go
+++ b/lab/load/sender.go
@@ -161,12 +161,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), s.wait())
 	defer cancel()
 	reply, err := httpcall.Send(ctx, s.options.Transport, httpcall.Call{
-		Method:  http.MethodPost,
-		Address: address,
-		Path:    "/v1/services/" + url.PathEscape(share.Service) + "/queries",
-		Header:  http.Header{"Content-Type": {httpcall.JSON}},
-		Body:    body,
-		Limit:   maximumAnswerBytes,
+		Method:       http.MethodPost,
+		Address:      address,
+		Path:         "/v1/services/" + url.PathEscape(share.Service) + "/queries",
+		Header:       http.Header{"Content-Type": {httpcall.JSON}},
+		Body:         body,
+		MaxBodyBytes: maximumAnswerBytes,
 	})
 	return reply.Body, reply.Code, err
 }
--- a/machinelist/http.go
+++ b/machinelist/http.go
@@ -90,7 +90,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	reply, err := httpcall.Send(ctx, c.transport, httpcall.Call{
-		Address: c.address, Path: Path, Query: query, Limit: MaximumListBytes,
+		Address: c.address, Path: Path, Query: query, MaxBodyBytes: MaximumListBytes,
 	})
 	if err != nil {
 		return List{}, fmt.Errorf("%w: %w", ErrUnavailable, err)
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -68,11 +68,11 @@
 		ageField:        {strconv.FormatInt(request.MaxAge.Milliseconds(), 10)},
 	}
 	call := httpcall.Call{
-		Address: address,
-		Path:    path,
-		Query:   query,
-		Header:  http.Header{"Accept-Encoding": {compressed}},
-		Limit:   maxResponseBytes,
+		Address:      address,
+		Path:         path,
+		Query:        query,
+		Header:       http.Header{"Accept-Encoding": {compressed}},
+		MaxBodyBytes: maxResponseBytes,
 	}
 	reply, err := httpcall.Send(ctx, c.publicationTransport, call)
 	if err != nil {
--- a/store/http.go
+++ b/store/http.go
@@ -64,7 +64,7 @@
 	if err := ValidateKey(key); err != nil {
 		return Record{}, err
 	}
-	reply, err := c.do(ctx, httpcall.Call{Path: RecordsPath + key, Limit: MaximumValueBytes}, 0)
+	reply, err := c.do(ctx, httpcall.Call{Path: RecordsPath + key, MaxBodyBytes: MaximumValueBytes}, 0)
 	if err != nil {
 		return Record{}, readOnlyError(err)
 	}
@@ -79,7 +79,7 @@
 	query := url.Values{}
 	query.Set(AfterParameter, strconv.FormatUint(after, 10))
 	query.Set(WaitParameter, strconv.FormatInt(wait.Milliseconds(), 10))
-	reply, err := c.do(ctx, httpcall.Call{Path: RecordsPath + key, Query: query, Limit: MaximumValueBytes}, wait)
+	reply, err := c.do(ctx, httpcall.Call{Path: RecordsPath + key, Query: query, MaxBodyBytes: MaximumValueBytes}, wait)
 	if err != nil {
 		return Record{}, readOnlyError(err)
 	}
@@ -108,7 +108,7 @@
 		query.Set(LeaseParameter, string(lease))
 	}
 	reply, err := c.do(ctx, httpcall.Call{
-		Method: http.MethodPut, Path: RecordsPath + key, Query: query, Header: header, Body: value, Limit: MaximumLeaseBytes,
+		Method: http.MethodPut, Path: RecordsPath + key, Query: query, Header: header, Body: value, MaxBodyBytes: MaximumLeaseBytes,
 	}, 0)
 	if err != nil {
 		return Record{}, err
@@ -133,7 +133,7 @@
 	if err != nil {
 		return "", fmt.Errorf("store: encoding the grant request: %w", err)
 	}
-	reply, err := c.do(ctx, httpcall.Call{Method: http.MethodPost, Path: LeasesPath, Body: body, Limit: MaximumLeaseBytes}, 0)
+	reply, err := c.do(ctx, httpcall.Call{Method: http.MethodPost, Path: LeasesPath, Body: body, MaxBodyBytes: MaximumLeaseBytes}, 0)
 	if err != nil {
 		return "", err
 	}
@@ -155,7 +155,7 @@
 	if err := ValidateKey(string(lease)); err != nil {
 		return err
 	}
-	reply, err := c.do(ctx, httpcall.Call{Method: method, Path: LeasesPath + "/" + string(lease), Limit: MaximumLeaseBytes}, 0)
+	reply, err := c.do(ctx, httpcall.Call{Method: method, Path: LeasesPath + "/" + string(lease), MaxBodyBytes: MaximumLeaseBytes}, 0)
 	if err != nil {
 		return err
 	}
