--- a/cmd/banksail-lab/judge.go
+++ b/cmd/banksail-lab/judge.go
@@ -138,7 +138,7 @@
 			_, _ = fmt.Fprintf(table, "%s\tnot judged\t-\n", invariant)
 			continue
 		}
-		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\n", invariant, v.report.Judged[invariant], v.count(invariant))
+		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\n", invariant, v.report.Checked[invariant], v.count(invariant))
 	}
 	if err := table.Flush(); err != nil {
 		return err
@@ -146,7 +146,7 @@
 	_, err := fmt.Fprintf(writer, "%d calls of %d requests, %d answers, %d sub-requests, %d accepted revisions, %d confirmations, %d runs of nodes, over %v\n",
 		len(joined.Calls), countRequests(joined), len(joined.Answers), len(joined.Attempts), len(joined.Accepted),
 		len(joined.Confirmations), len(joined.Runs), joined.End)
-	for _, limit := range v.report.Limits {
+	for _, limit := range v.report.KnownLimitations {
 		_, _ = fmt.Fprintf(writer, "known limit: %s\n", limit)
 	}
 	for _, violation := range v.violations[:min(len(v.violations), maxPrintedViolations)] {
@@ -171,7 +171,7 @@
 		return fmt.Errorf("%w: %d violations", errViolations, len(v.violations))
 	}
 	for _, invariant := range history.Invariants() {
-		if v.requireAll && v.report.Judged[invariant] == 0 && !slices.Contains(v.skipped, invariant) {
+		if v.requireAll && v.report.Checked[invariant] == 0 && !slices.Contains(v.skipped, invariant) {
 			return fmt.Errorf("%w: %s", errInvariantNotJudged, invariant)
 		}
 	}
--- a/lab/history/answers.go
+++ b/lab/history/answers.go
@@ -110,7 +110,7 @@
 		if part.RequestID != call.RequestID {
 			c.violate(OwnAnswer, call.subject(), "the part %v by %s answers request %q", part.Range, part.Server, part.RequestID)
 		}
-		if !part.Whole {
+		if !part.ContentMatches {
 			c.violate(OwnAnswer, call.subject(), "the part %v by %s does not hold what the range holds", part.Range, part.Server)
 		}
 	}
@@ -194,7 +194,7 @@
 	found := Violation{Invariant: AtMostOnce, Subject: call.subject(), Evidence: fmt.Sprintf(
 		"%v ran twice: attempt %s at %s and attempt %s at %s", shared, other.AttemptID, other.Server, one.AttemptID, one.Server)}
 	if c.allNodesLost(min(one.ArrivedAt, other.ArrivedAt), max(one.ArrivedAt, other.ArrivedAt)) {
-		c.report.Limits = append(c.report.Limits, found)
+		c.report.KnownLimitations = append(c.report.KnownLimitations, found)
 		return
 	}
 	c.report.Violations = append(c.report.Violations, found)
@@ -213,8 +213,8 @@
 		case !knows:
 		case run.End == 0 || run.End > to:
 			return false
-		case !run.Killed && run.StopAsked != 0:
-			told = max(told, run.StopAsked)
+		case !run.Killed && run.StopRequestedAt != 0:
+			told = max(told, run.StopRequestedAt)
 		}
 	}
 	return true
--- a/lab/history/checker.go
+++ b/lab/history/checker.go
@@ -96,14 +96,14 @@
 
 // Report is the result of judging one history.
 type Report struct {
-	// Judged counts per invariant the items (answers, requests, servers, ...)
+	// Checked counts per invariant the items (answers, requests, servers, ...)
 	// that could have breached it. Zero means that nothing was shown.
-	Judged map[Invariant]int `json:"judged"`
+	Checked map[Invariant]int `json:"judged"`
 	// Violations are sorted by invariant and subject.
 	Violations []Violation `json:"violations"`
-	// Limits are breaches under failures that the design is known not to cover:
+	// KnownLimitations are breaches under failures that the design is known not to cover:
 	// a request that is not repeatable ran again once every node was lost.
-	Limits []Violation `json:"limits"`
+	KnownLimitations []Violation `json:"limits"`
 }
 
 // Check judges a history.
@@ -142,7 +142,7 @@
 	c := &checker{
 		history:   history,
 		options:   options,
-		report:    Report{Judged: make(map[Invariant]int)},
+		report:    Report{Checked: make(map[Invariant]int)},
 		calls:     make(map[CallID]Call),
 		answers:   make(map[CallID][]Answer),
 		byRequest: make(map[string][]Attempt),
@@ -160,7 +160,7 @@
 }
 
 // judged counts one item.
-func (c *checker) judged(invariant Invariant) { c.report.Judged[invariant]++ }
+func (c *checker) judged(invariant Invariant) { c.report.Checked[invariant]++ }
 
 func (c *checker) violate(invariant Invariant, subject, format string, arguments ...any) {
 	c.report.Violations = append(c.report.Violations, Violation{
--- a/lab/history/checker_test.go
+++ b/lab/history/checker_test.go
@@ -46,7 +46,7 @@
 			{Operator: "o2", PlanID: "p3", Result: ConfirmationConflict, At: 5 * second},
 		},
 		Leaving:   []ServerLeaving{{Server: "s9", At: 4 * second}},
-		Runs:      []NodeRun{{Node: "n1"}, {Node: "n2", StopAsked: 10 * second, End: 11 * second}},
+		Runs:      []NodeRun{{Node: "n1"}, {Node: "n2", StopRequestedAt: 10 * second, End: 11 * second}},
 		FaultsEnd: 12 * second,
 		End:       30 * second,
 	}
@@ -58,7 +58,7 @@
 }
 
 func part(keys coverage.Range, request string) Part {
-	return Part{Range: keys, Server: "s1", RequestID: request, Snapshot: 7, Whole: true}
+	return Part{Range: keys, Server: "s1", RequestID: request, Snapshot: 7, ContentMatches: true}
 }
 
 func ran(attempt, request string, part coverage.Range, at time.Duration) Attempt {
@@ -72,7 +72,7 @@
 		t.Error(violation)
 	}
 	for _, invariant := range Invariants() {
-		if report.Judged[invariant] == 0 {
+		if report.Checked[invariant] == 0 {
 			t.Errorf("%s: nothing was judged", invariant)
 		}
 	}
@@ -114,7 +114,7 @@
 		}, "r1"},
 		{"another's answer", OwnAnswer, func(h *History) { h.Answers[0].RequestID = "r2" }, "r1"},
 		{"another's part", OwnAnswer, func(h *History) { h.Answers[0].Parts[0].RequestID = "r2" }, "r1"},
-		{"a part that is not whole", OwnAnswer, func(h *History) { h.Answers[0].Parts[0].Whole = false }, "r1"},
+		{"a part that is not whole", OwnAnswer, func(h *History) { h.Answers[0].Parts[0].ContentMatches = false }, "r1"},
 		{"not run, but ran", NotRun, func(h *History) { h.Attempts[0].RequestID = "r3" }, "r3"},
 		{"not run, but ran later", NotRun, func(h *History) {
 			h.Attempts = append(h.Attempts, ran("a9", "r3", coverage.Range{Start: 0, End: 50}, 9*second))
@@ -141,7 +141,7 @@
 		}, "r4"},
 		{"revision never in force", Configuration, func(h *History) { h.InForce = h.InForce[:3] }, "n2"},
 		{"revision in force too late", Configuration, func(h *History) {
-			h.Runs[1].StopAsked, h.Runs[1].End = 0, 0
+			h.Runs[1].StopRequestedAt, h.Runs[1].End = 0, 0
 			h.InForce[3].At = 16 * second
 		}, "n2"},
 		{"revision reverted", Configuration, func(h *History) {
@@ -157,7 +157,7 @@
 		{"broken connection to a sound node", OneFinalAnswer, func(h *History) { h.Answers[0].Kind = AnswerBroken }, "r1"},
 		{"no answer from a parted node", OneFinalAnswer, func(h *History) {
 			h.Answers = h.Answers[1:]
-			h.Disturbances = []Disturbance{{Kind: Parted, Host: "n1", From: 0, To: 3 * second}}
+			h.Disturbances = []Disturbance{{Kind: Isolated, Host: "n1", From: 0, To: 3 * second}}
 		}, "r1"},
 		{"refusal long after the faults", Recovery, func(h *History) {
 			h.Answers[4] = Answer{Call: 5, At: 25 * second, Kind: AnswerRefusal, Execution: ExecutionUnknown}
@@ -169,7 +169,7 @@
 func (c corruption) breached() *History {
 	history := sound()
 	if c.name == "revision never in force" {
-		history.Runs[1].StopAsked, history.Runs[1].End = 0, 0
+		history.Runs[1].StopRequestedAt, history.Runs[1].End = 0, 0
 	}
 	c.corrupt(history)
 	return history
@@ -205,8 +205,8 @@
 		{"every node lost between", NodeRun{Node: "n2", End: 4 * second, Killed: true}, 0},
 		{"one node outlived it", NodeRun{Node: "n2"}, 1},
 		{"one node lost after it", NodeRun{Node: "n2", End: 9 * second, Killed: true}, 1},
-		{"one node told its successor", NodeRun{Node: "n2", StopAsked: 6 * second, End: 7 * second}, 1},
-		{"one node had nobody to tell", NodeRun{Node: "n2", StopAsked: 4 * second, End: 4500 * time.Millisecond}, 0},
+		{"one node told its successor", NodeRun{Node: "n2", StopRequestedAt: 6 * second, End: 7 * second}, 1},
+		{"one node had nobody to tell", NodeRun{Node: "n2", StopRequestedAt: 4 * second, End: 4500 * time.Millisecond}, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -220,8 +220,8 @@
 				},
 			}
 			report := Check(history, DefaultOptions())
-			if len(report.Violations) != test.violations || len(report.Limits) != 1-test.violations {
-				t.Fatalf("violations %v, limits %v", report.Violations, report.Limits)
+			if len(report.Violations) != test.violations || len(report.KnownLimitations) != 1-test.violations {
+				t.Fatalf("violations %v, limits %v", report.Violations, report.KnownLimitations)
 			}
 		})
 	}
--- a/lab/history/history.go
+++ b/lab/history/history.go
@@ -87,8 +87,8 @@
 	Server    string `json:"server"`
 	RequestID string `json:"request_id"`
 	Snapshot  uint64 `json:"snapshot"`
-	// Whole says that the body holds all that the range holds and no more.
-	Whole bool `json:"whole"`
+	// ContentMatches says that the body holds all that the range holds and no more.
+	ContentMatches bool `json:"whole"`
 }
 
 // Attempt is a sub-request that reached a server.
@@ -164,8 +164,8 @@
 type NodeRun struct {
 	Node  string        `json:"node"`
 	Start time.Duration `json:"start_ns"`
-	// StopAsked is when a planned stop began; zero if none did.
-	StopAsked time.Duration `json:"stop_asked_ns,omitempty"`
+	// StopRequestedAt is when a planned stop began; zero if none did.
+	StopRequestedAt time.Duration `json:"stop_asked_ns,omitempty"`
 	// End is when the process ended; zero if it still ran at the end.
 	End time.Duration `json:"end_ns,omitempty"`
 	// Killed says that the process was ended by a fault.
@@ -179,8 +179,8 @@
 const (
 	// Frozen nodes do nothing at all.
 	Frozen DisturbanceKind = "frozen"
-	// Parted nodes reach nobody but their callers, whom they must answer.
-	Parted DisturbanceKind = "parted"
+	// Isolated nodes reach nobody but their callers, whom they must answer.
+	Isolated DisturbanceKind = "parted"
 )
 
 // Disturbance is a time in which a node could not take part.
@@ -238,11 +238,11 @@
 // Answer records the end of a call at the present time.
 func (r *Recorder) Answer(answer Answer) {
 	answer.At = r.Now()
-	r.Edit(func(h *History) { h.Answers = append(h.Answers, answer) })
+	r.Update(func(h *History) { h.Answers = append(h.Answers, answer) })
 }
 
-// Edit changes the history under the recorder's lock.
-func (r *Recorder) Edit(change func(*History)) {
+// Update changes the history under the recorder's lock.
+func (r *Recorder) Update(change func(*History)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	change(&r.history)
--- a/lab/history/join.go
+++ b/lab/history/join.go
@@ -78,7 +78,7 @@
 		j.names[event.Address] = event.Subject
 		j.history.Runs = append(j.history.Runs, NodeRun{Node: event.Subject, Start: event.At})
 		return nil
-	case EventNodeStopAsked, EventNodeEnded, EventNodeKilled:
+	case EventNodeStopRequested, EventNodeEnded, EventNodeKilled:
 		return j.changeRun(event)
 	case EventNodeFrozen:
 		j.history.Disturbances = append(j.history.Disturbances, Disturbance{Kind: Frozen, Host: event.Subject, From: event.At})
@@ -106,8 +106,8 @@
 			continue
 		}
 		switch event.Kind {
-		case EventNodeStopAsked:
-			run.StopAsked = event.At
+		case EventNodeStopRequested:
+			run.StopRequestedAt = event.At
 		default:
 			run.End = event.At
 			run.Killed = event.Kind == EventNodeKilled
@@ -202,7 +202,7 @@
 	}
 	for index := range h.Runs {
 		run := &h.Runs[index]
-		times = append(times, &run.Start, &run.StopAsked, &run.End)
+		times = append(times, &run.Start, &run.StopRequestedAt, &run.End)
 	}
 	for index := range h.Disturbances {
 		times = append(times, &h.Disturbances[index].From, &h.Disturbances[index].To)
--- a/lab/history/journal.go
+++ b/lab/history/journal.go
@@ -44,15 +44,15 @@
 
 // Kinds of events.
 const (
-	EventNodeStarted    EventKind = "node_started"
-	EventNodeStopAsked  EventKind = "node_stop_asked"
-	EventNodeEnded      EventKind = "node_ended"
-	EventNodeKilled     EventKind = "node_killed"
-	EventNodeFrozen     EventKind = "node_frozen"
-	EventNodeThawed     EventKind = "node_thawed"
-	EventServerLeaving  EventKind = "server_leaving"
-	EventServerReturned EventKind = "server_returned"
-	EventFaultsEnded    EventKind = "faults_ended"
+	EventNodeStarted       EventKind = "node_started"
+	EventNodeStopRequested EventKind = "node_stop_asked"
+	EventNodeEnded         EventKind = "node_ended"
+	EventNodeKilled        EventKind = "node_killed"
+	EventNodeFrozen        EventKind = "node_frozen"
+	EventNodeThawed        EventKind = "node_thawed"
+	EventServerLeaving     EventKind = "server_leaving"
+	EventServerReturned    EventKind = "server_returned"
+	EventFaultsEnded       EventKind = "faults_ended"
 )
 
 // Event is something that happened to a node, to a server, or to the whole run.
--- a/lab/history/journal_test.go
+++ b/lab/history/journal_test.go
@@ -68,8 +68,8 @@
 	}
 	for _, run := range h.Runs {
 		events = append(events, Event{Kind: EventNodeStarted, Subject: run.Node, Address: addressOf(run.Node), At: run.Start})
-		if run.StopAsked != 0 {
-			add(EventNodeStopAsked, run.Node, run.StopAsked)
+		if run.StopRequestedAt != 0 {
+			add(EventNodeStopRequested, run.Node, run.StopRequestedAt)
 		}
 		if run.End != 0 {
 			add(EventNodeEnded, run.Node, run.End)
@@ -116,8 +116,8 @@
 	}
 	want := Check(sound(), DefaultOptions())
 	for _, invariant := range Invariants() {
-		if report.Judged[invariant] != want.Judged[invariant] {
-			t.Errorf("%s: judged %d, want %d", invariant, report.Judged[invariant], want.Judged[invariant])
+		if report.Checked[invariant] != want.Checked[invariant] {
+			t.Errorf("%s: judged %d, want %d", invariant, report.Checked[invariant], want.Checked[invariant])
 		}
 	}
 }
--- a/lab/history/parse.go
+++ b/lab/history/parse.go
@@ -15,8 +15,8 @@
 // errNoExecution: a refusal that does not tell of the execution.
 var errNoExecution = errors.New("history: no account of the execution")
 
-// FailedAnswer tells a connection that was never made from an answer that never came.
-func FailedAnswer(err error) Answer {
+// AnswerFromError tells a connection that was never made from an answer that never came.
+func AnswerFromError(err error) Answer {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return Answer{Kind: AnswerUnreachable, Detail: err.Error()}
@@ -32,7 +32,7 @@
 	}
 	var document caller.Answer
 	if err := json.Unmarshal(data, &document); err != nil {
-		return FailedAnswer(err)
+		return AnswerFromError(err)
 	}
 	answer := Answer{
 		Kind: AnswerResult, Execution: ExecutionDone, Reason: document.Reason,
@@ -48,10 +48,10 @@
 func parseProblem(status int, data []byte) Answer {
 	var problem caller.Problem
 	if err := json.Unmarshal(data, &problem); err != nil {
-		return FailedAnswer(err)
+		return AnswerFromError(err)
 	}
 	if problem.Execution == "" {
-		return FailedAnswer(fmt.Errorf("%w: HTTP status %d", errNoExecution, status))
+		return AnswerFromError(fmt.Errorf("%w: HTTP status %d", errNoExecution, status))
 	}
 	return Answer{
 		Kind: AnswerRefusal, Execution: Execution(problem.Execution),
@@ -70,6 +70,6 @@
 	if len(result.Items) > 0 {
 		parsed.Snapshot = result.Items[0].Snapshot
 	}
-	parsed.Whole = slices.Equal(result.Items, emulator.Items(part.Range, parsed.Snapshot, stride))
+	parsed.ContentMatches = slices.Equal(result.Items, emulator.Items(part.Range, parsed.Snapshot, stride))
 	return parsed
 }
--- a/lab/history/system.go
+++ b/lab/history/system.go
@@ -41,7 +41,7 @@
 // checkPlannedStops judges that calls in flight at a planned stop are answered.
 func (c *checker) checkPlannedStops() {
 	for _, run := range c.history.Runs {
-		if run.StopAsked == 0 || run.Killed {
+		if run.StopRequestedAt == 0 || run.Killed {
 			continue
 		}
 		for _, call := range c.history.Calls {
@@ -54,11 +54,11 @@
 
 // inFlight reports whether the node had the call when its stop was asked for.
 func (c *checker) inFlight(call Call, run NodeRun) bool {
-	if call.Abandoned || call.Node != run.Node || call.At < run.Start || call.At+c.options.InFlightMargin > run.StopAsked {
+	if call.Abandoned || call.Node != run.Node || call.At < run.Start || call.At+c.options.InFlightMargin > run.StopRequestedAt {
 		return false
 	}
 	for _, answer := range c.answers[call.ID] {
-		if answer.At < run.StopAsked {
+		if answer.At < run.StopRequestedAt {
 			return false
 		}
 	}
@@ -71,10 +71,10 @@
 		cut := answer.Kind == AnswerBroken || answer.Kind == AnswerUnreachable
 		if cut {
 			c.violate(PlannedStop, call.subject(), "in flight when the stop was asked for at %v; its connection ended at %v: %s",
-				run.StopAsked, answer.At, answer.Detail)
+				run.StopRequestedAt, answer.At, answer.Detail)
 		}
 		if answer.Reason == "stopping" && answer.Execution != ExecutionNotRun {
-			c.violate(PlannedStop, call.subject(), "cut by the stop at %v: execution %s", run.StopAsked, answer.Execution)
+			c.violate(PlannedStop, call.subject(), "cut by the stop at %v: execution %s", run.StopRequestedAt, answer.Execution)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 func (c *checker) checkSpread(run NodeRun, accepted Accepted, inForce []InForce) {
 	start := max(accepted.At, run.Start)
 	limit := c.undisturbedAfter(run.Node, start, c.options.ConfigurationBound) + c.options.ConfigurationBound
-	if limit > c.history.End || (run.End != 0 && run.End < limit) || (run.StopAsked != 0 && run.StopAsked < limit) {
+	if limit > c.history.End || (run.End != 0 && run.End < limit) || (run.StopRequestedAt != 0 && run.StopRequestedAt < limit) {
 		return
 	}
 	c.judged(Configuration)
@@ -230,7 +230,7 @@
 	if run.Killed && run.End <= limit {
 		return true
 	}
-	return run.StopAsked != 0 && call.At+c.options.InFlightMargin > run.StopAsked
+	return run.StopRequestedAt != 0 && call.At+c.options.InFlightMargin > run.StopRequestedAt
 }
 
 // checkRecovery judges calls that were sent once the recovery bound had passed:
@@ -242,7 +242,7 @@
 			continue
 		}
 		run, ok := c.ranAt(call.Node, call.At)
-		if !ok || run.StopAsked != 0 && run.StopAsked <= call.At+call.Deadline+c.options.AnswerAllowance {
+		if !ok || run.StopRequestedAt != 0 && run.StopRequestedAt <= call.At+call.Deadline+c.options.AnswerAllowance {
 			continue
 		}
 		c.judged(Recovery)
--- a/lab/load/sender.go
+++ b/lab/load/sender.go
@@ -138,7 +138,7 @@
 	}
 	var answer history.Answer
 	if err != nil {
-		answer = history.FailedAnswer(err)
+		answer = history.AnswerFromError(err)
 	} else {
 		answer = history.ParseAnswer(code, data, s.options.ItemStride)
 	}
--- a/lab/schedule/draw.go
+++ b/lab/schedule/draw.go
@@ -59,22 +59,22 @@
 // fault draws the hosts and times of one fault.
 func (d *drawer) fault(kind Kind) Fault {
 	fault := Fault{Kind: kind, At: d.between(d.options.From, d.options.To)}
-	fault.Until = fault.At + d.between(d.options.Shortest, d.options.Longest)
+	fault.Until = fault.At + d.between(d.options.MinDuration, d.options.MaxDuration)
 	switch kind {
 	case KillNode, LoseNode, FreezeNode, Isolate, PlannedStop:
 		fault.Target = d.pick(d.topology.Nodes)
-	case LeaseLapse:
+	case LeaseExpiry:
 		fault.Target = d.pick(d.topology.Nodes)
-		fault.Until = fault.At + d.options.LeaseTimeToLive + d.between(d.options.Shortest, d.options.Longest)
+		fault.Until = fault.At + d.options.LeaseTimeToLive + d.between(d.options.MinDuration, d.options.MaxDuration)
 	case Drain:
 		fault.Target = d.server()
-		fault.Until = fault.At + d.options.ShortestDrain + d.between(d.options.Shortest, d.options.Longest)
+		fault.Until = fault.At + d.options.MinDrainDuration + d.between(d.options.MinDuration, d.options.MaxDuration)
 	case KillServer, LoseServer, FreezeServer, CloseAfterRead, ConnectionLimit,
-		Shed, ColdStart, HealthLies, LoadLies, LateReplies, CrossedReplies:
+		Shed, ColdStart, FalseHealth, FalseLoad, LateReplies, CrossedReplies:
 		fault.Target = d.server()
-	case Cut, CutOneWay, ResetConnections, SlowLink:
+	case Partition, PartitionOneWay, ResetConnections, SlowLink:
 		fault.Target, fault.Peer = d.twoHosts()
-	case Straggle:
+	case SlowServer:
 		fault.Target = d.server()
 	case SlowGroup, FreezeGroup:
 		// Any member names its group.
@@ -87,8 +87,8 @@
 		fault.Target = d.topology.MachineList
 	}
 	switch kind {
-	case SlowLink, Straggle, SlowGroup, StoreSlow, LateReplies, ColdStart:
-		fault.Delay = d.between(d.options.LongestDelay/10, d.options.LongestDelay)
+	case SlowLink, SlowServer, SlowGroup, StoreSlow, LateReplies, ColdStart:
+		fault.Delay = d.between(d.options.MaxDelay/10, d.options.MaxDelay)
 	}
 	return fault
 }
--- a/lab/schedule/schedule.go
+++ b/lab/schedule/schedule.go
@@ -30,20 +30,20 @@
 	FreezeServer Kind = "freeze_server"
 	// FreezeGroup stops all servers of a group until Until.
 	FreezeGroup Kind = "freeze_group"
-	// LeaseLapse freezes a node for longer than a lease lives.
-	LeaseLapse Kind = "lease_lapse"
-	// Cut parts Target and Peer both ways, CutOneWay from Target to Peer only.
-	Cut       Kind = "cut"
-	CutOneWay Kind = "cut_one_way"
+	// LeaseExpiry freezes a node for longer than a lease lives.
+	LeaseExpiry Kind = "lease_lapse"
+	// Partition parts Target and Peer both ways, PartitionOneWay from Target to Peer only.
+	Partition       Kind = "cut"
+	PartitionOneWay Kind = "cut_one_way"
 	// Isolate parts a node from all but its caller.
 	Isolate Kind = "isolate"
 	// SlowLink delays what goes between Target and Peer by Delay.
 	SlowLink Kind = "slow_link"
 	// ResetConnections breaks all connections between Target and Peer.
 	ResetConnections Kind = "reset_connections"
-	// Straggle slows one server by Delay, SlowGroup all servers of a group.
-	Straggle  Kind = "straggle"
-	SlowGroup Kind = "slow_group"
+	// SlowServer slows one server by Delay, SlowGroup all servers of a group.
+	SlowServer Kind = "straggle"
+	SlowGroup  Kind = "slow_group"
 	// LateReplies holds replies back beyond the deadline, CrossedReplies gives
 	// replies to others' requests.
 	LateReplies    Kind = "late_replies"
@@ -57,9 +57,9 @@
 	ColdStart Kind = "cold_start"
 	// Drain makes a server leave; it comes back at Until.
 	Drain Kind = "drain"
-	// HealthLies and LoadLies make a server misreport itself.
-	HealthLies Kind = "health_lies"
-	LoadLies   Kind = "load_lies"
+	// FalseHealth and FalseLoad make a server misreport itself.
+	FalseHealth Kind = "health_lies"
+	FalseLoad   Kind = "load_lies"
 	// Repartition moves the bounds of the groups, SnapshotChange publishes a
 	// new index snapshot.
 	Repartition    Kind = "repartition"
@@ -89,10 +89,10 @@
 func Kinds() []Kind {
 	return []Kind{
 		KillNode, KillServer, LoseNode, LoseServer, RestartNodes, FreezeNode,
-		FreezeServer, FreezeGroup, LeaseLapse, Isolate,
-		Cut, CutOneWay, SlowLink, ResetConnections, Straggle, SlowGroup,
+		FreezeServer, FreezeGroup, LeaseExpiry, Isolate,
+		Partition, PartitionOneWay, SlowLink, ResetConnections, SlowServer, SlowGroup,
 		LateReplies, CrossedReplies, CloseAfterRead, ConnectionLimit, Shed,
-		ColdStart, Drain, HealthLies, LoadLies, Repartition, SnapshotChange,
+		ColdStart, Drain, FalseHealth, FalseLoad, Repartition, SnapshotChange,
 		StoreOutage, StoreSlow, StoreLostReply, StoreStale, StoreLimit, StoreFreeze, MachineListOutage,
 		MachineListLag, MachineListEmpty, OperatorRace, Overload, PlannedStop,
 	}
@@ -121,18 +121,18 @@
 
 // Modes of schedules.
 const (
-	// Alone: one fault.
-	Alone Mode = "alone"
+	// Single: one fault.
+	Single Mode = "alone"
 	// Pair: two faults of different kinds that overlap.
 	Pair Mode = "pair"
-	// Twice: the same kind two times.
-	Twice Mode = "twice"
+	// Repeated: the same kind twice.
+	Repeated Mode = "twice"
 	// Many: several faults of any kinds.
 	Many Mode = "many"
 )
 
 // Modes lists all modes.
-func Modes() []Mode { return []Mode{Alone, Pair, Twice, Many} }
+func Modes() []Mode { return []Mode{Single, Pair, Repeated, Many} }
 
 // Topology names the hosts that faults may hit.
 type Topology struct {
@@ -147,14 +147,14 @@
 type Options struct {
 	// From and To bound the start of faults.
 	From, To time.Duration
-	// Shortest and Longest bound their lengths.
-	Shortest, Longest time.Duration
-	// LeaseTimeToLive is the least length of a LeaseLapse.
+	// MinDuration and MaxDuration bound their lengths.
+	MinDuration, MaxDuration time.Duration
+	// LeaseTimeToLive is the least length of a LeaseExpiry.
 	LeaseTimeToLive time.Duration
-	// ShortestDrain is the least length of a Drain.
-	ShortestDrain time.Duration
-	// LongestDelay bounds Fault.Delay.
-	LongestDelay time.Duration
+	// MinDrainDuration is the least length of a Drain.
+	MinDrainDuration time.Duration
+	// MaxDelay bounds Fault.Delay.
+	MaxDelay time.Duration
 }
 
 // manyFaults bounds the number of faults in Many, above its least of three.
@@ -181,9 +181,9 @@
 	return slices.ContainsFunc(s.Faults, func(fault Fault) bool { return slices.Contains(kinds, fault.Kind) })
 }
 
-// Draw draws the schedule of a seed. Successive seeds go through all modes and
+// Generate draws the schedule of a seed. Successive seeds go through all modes and
 // kinds in turn, so that a run of seeds covers them evenly.
-func Draw(seed uint64, topology Topology, options Options) Schedule {
+func Generate(seed uint64, topology Topology, options Options) Schedule {
 	d := drawer{
 		random:   rand.New(rand.NewPCG(seed, uint64(len(topology.Nodes)))),
 		topology: topology, options: options,
@@ -194,10 +194,10 @@
 	first := d.fault(kind)
 	faults := []Fault{first}
 	switch mode {
-	case Alone:
+	case Single:
 	case Pair:
 		faults = append(faults, d.overlapping(d.otherKind(kind), first))
-	case Twice:
+	case Repeated:
 		faults = append(faults, d.fault(kind))
 	case Many:
 		for range 2 + d.random.IntN(manyFaults) {
--- a/lab/schedule/schedule_test.go
+++ b/lab/schedule/schedule_test.go
@@ -15,13 +15,13 @@
 
 var bounds = Options{
 	From: time.Second, To: 3 * time.Second,
-	Shortest: 100 * time.Millisecond, Longest: 2 * time.Second,
-	LeaseTimeToLive: 2 * time.Second, LongestDelay: time.Second,
+	MinDuration: 100 * time.Millisecond, MaxDuration: 2 * time.Second,
+	LeaseTimeToLive: 2 * time.Second, MaxDelay: time.Second,
 }
 
 func TestSameSeedSameSchedule(t *testing.T) {
 	for seed := range uint64(200) {
-		if one, other := Draw(seed, topology, bounds), Draw(seed, topology, bounds); !reflect.DeepEqual(one, other) {
+		if one, other := Generate(seed, topology, bounds), Generate(seed, topology, bounds); !reflect.DeepEqual(one, other) {
 			t.Fatalf("seed %d: %v and %v", seed, one, other)
 		}
 	}
@@ -34,25 +34,25 @@
 	}
 	seeds := uint64(len(Modes()) * len(Kinds()))
 	for seed := range seeds {
-		schedule := Draw(seed, topology, bounds)
+		schedule := Generate(seed, topology, bounds)
 		for _, fault := range schedule.Faults {
 			seen[schedule.Mode][fault.Kind]++
 		}
 	}
 	for _, kind := range Kinds() {
-		if seen[Alone][kind] != 1 || seen[Pair][kind] < 1 || seen[Twice][kind] != 2 || seen[Many][kind] < 1 {
+		if seen[Single][kind] != 1 || seen[Pair][kind] < 1 || seen[Repeated][kind] != 2 || seen[Many][kind] < 1 {
 			t.Errorf("%s: alone %d, pair %d, twice %d, many %d", kind,
-				seen[Alone][kind], seen[Pair][kind], seen[Twice][kind], seen[Many][kind])
+				seen[Single][kind], seen[Pair][kind], seen[Repeated][kind], seen[Many][kind])
 		}
 	}
 }
 
 func TestFaultsAreWellFormed(t *testing.T) {
 	for seed := range uint64(1000) {
-		schedule := Draw(seed, topology, bounds)
+		schedule := Generate(seed, topology, bounds)
 		var last time.Duration
 		for _, fault := range schedule.Faults {
-			if fault.At < last || fault.Until < fault.At+bounds.Shortest {
+			if fault.At < last || fault.Until < fault.At+bounds.MinDuration {
 				t.Errorf("seed %d: times of %v", seed, fault)
 			}
 			last = fault.At
--- a/lab/simulation/bugs_test.go
+++ b/lab/simulation/bugs_test.go
@@ -44,7 +44,7 @@
 		{"silent-resend", history.AtMostOnce, Hooks{Server: deliverTwice}, nil},
 		{"drain-ignored", history.LeavingServer, Hooks{Fault: leaveInSilence}, []schedule.Kind{schedule.Drain}},
 		{"stop-cuts", history.PlannedStop, Hooks{Stop: stopAtOnce}, []schedule.Kind{schedule.PlannedStop}},
-		{"configuration-not-spread", history.Configuration, Hooks{Fault: partForGood}, []schedule.Kind{schedule.Cut}},
+		{"configuration-not-spread", history.Configuration, Hooks{Fault: partForGood}, []schedule.Kind{schedule.Partition}},
 		{"late-answers", history.OneFinalAnswer, Hooks{Caller: delayAnswers}, nil},
 		{"group-never-back", history.Recovery, Hooks{Fault: loseGroupForGood}, []schedule.Kind{schedule.LoseServer}},
 	}
@@ -88,7 +88,7 @@
 
 func targetsOf(kind schedule.Kind) []string {
 	switch kind {
-	case schedule.PlannedStop, schedule.Cut:
+	case schedule.PlannedStop, schedule.Partition:
 		return []string{nodeIP(0)}
 	case schedule.CrossedReplies, schedule.CloseAfterRead:
 		var servers []string
@@ -289,7 +289,7 @@
 		}
 		cancel, _, _ := one.take()
 		now := s.recorder.Now()
-		one.editRun(func(run *history.NodeRun) { run.StopAsked, run.End = now, now })
+		one.editRun(func(run *history.NodeRun) { run.StopRequestedAt, run.End = now, now })
 		s.network.Kill(one.ip, network.KillReset)
 		cancel()
 	}
@@ -299,7 +299,7 @@
 // without a record of it.
 func partForGood(s *System, fault schedule.Fault) bool {
 	one := s.nodeAt(fault.Target)
-	if fault.Kind != schedule.Cut || one == nil {
+	if fault.Kind != schedule.Partition || one == nil {
 		return false
 	}
 	others := []string{storeIP}
--- a/lab/simulation/caller.go
+++ b/lab/simulation/caller.go
@@ -245,22 +245,22 @@
 		Body: json.RawMessage(`{"find":"x"}`),
 	})
 	if err != nil {
-		return history.FailedAnswer(err)
+		return history.AnswerFromError(err)
 	}
 	url := "http://" + address(host.ip, callerPort) + "/v1/services/" + call.Service + "/queries"
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(document))
 	if err != nil {
-		return history.FailedAnswer(err)
+		return history.AnswerFromError(err)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.client.Do(request)
 	if err != nil {
-		return history.FailedAnswer(err)
+		return history.AnswerFromError(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(response.Body, maximumAnswerBytes))
 	if err != nil {
-		return history.FailedAnswer(err)
+		return history.AnswerFromError(err)
 	}
 	return history.ParseAnswer(response.StatusCode, data, itemStride)
 }
--- a/lab/simulation/faults.go
+++ b/lab/simulation/faults.go
@@ -46,9 +46,9 @@
 	}
 	switch fault.Kind {
 	case schedule.KillNode, schedule.LoseNode, schedule.RestartNodes, schedule.FreezeNode,
-		schedule.LeaseLapse, schedule.Isolate, schedule.PlannedStop:
+		schedule.LeaseExpiry, schedule.Isolate, schedule.PlannedStop:
 		s.injectNode(fault)
-	case schedule.Cut, schedule.CutOneWay, schedule.SlowLink, schedule.ResetConnections:
+	case schedule.Partition, schedule.PartitionOneWay, schedule.SlowLink, schedule.ResetConnections:
 		s.injectLink(fault)
 	case schedule.StoreOutage, schedule.StoreSlow, schedule.StoreLostReply, schedule.StoreStale,
 		schedule.StoreLimit, schedule.StoreFreeze,
@@ -102,7 +102,7 @@
 	case schedule.PlannedStop:
 		s.stopNode(one, fault.Until)
 	case schedule.Isolate:
-		s.disturb(history.Parted, one.name, fault.At, fault.Until)
+		s.disturb(history.Isolated, one.name, fault.At, fault.Until)
 		s.isolate(one, s.network.Cut)
 		s.sleepUntil(fault.Until)
 		s.isolate(one, s.network.Heal)
@@ -180,11 +180,11 @@
 		s.sleepUntil(fault.Until)
 		s.network.Slow(fault.Target, fault.Peer, 0)
 		s.network.Slow(fault.Peer, fault.Target, 0)
-	case schedule.CutOneWay:
+	case schedule.PartitionOneWay:
 		s.network.Cut(fault.Target, fault.Peer)
 		s.sleepUntil(fault.Until)
 		s.network.Heal(fault.Target, fault.Peer)
-	case schedule.Cut:
+	case schedule.Partition:
 		s.network.Cut(fault.Target, fault.Peer)
 		s.network.Cut(fault.Peer, fault.Target)
 		s.sleepUntil(fault.Until)
@@ -366,7 +366,7 @@
 
 func switchOn(f *emulator.ServerFaults, fault schedule.Fault) {
 	switch fault.Kind {
-	case schedule.Straggle, schedule.SlowGroup:
+	case schedule.SlowServer, schedule.SlowGroup:
 		f.StraggleFactor = float64(fault.Delay) / float64(straggleBase)
 	case schedule.LateReplies:
 		f.ReplyDelayMilliseconds = milliseconds(fault.Delay)
@@ -376,16 +376,16 @@
 		f.CloseBeforeShare, f.CloseAfterShare = often, often
 	case schedule.Shed:
 		f.ShedShare = often
-	case schedule.HealthLies:
+	case schedule.FalseHealth:
 		f.HealthState = backend.HealthStarting
-	case schedule.LoadLies:
+	case schedule.FalseLoad:
 		f.LoadFactor, f.LoadLagMilliseconds = lyingLoadFactor, loadLag
 	}
 }
 
 func switchOff(f *emulator.ServerFaults, kind schedule.Kind) {
 	switch kind {
-	case schedule.Straggle, schedule.SlowGroup:
+	case schedule.SlowServer, schedule.SlowGroup:
 		f.StraggleFactor = 0
 	case schedule.LateReplies:
 		f.ReplyDelayMilliseconds = 0
@@ -395,9 +395,9 @@
 		f.CloseBeforeShare, f.CloseAfterShare = 0, 0
 	case schedule.Shed:
 		f.ShedShare = 0
-	case schedule.HealthLies:
+	case schedule.FalseHealth:
 		f.HealthState = ""
-	case schedule.LoadLies:
+	case schedule.FalseLoad:
 		f.LoadFactor, f.LoadLagMilliseconds = 0, 0
 	}
 }
--- a/lab/simulation/node.go
+++ b/lab/simulation/node.go
@@ -64,7 +64,7 @@
 	ended := make(chan struct{})
 	one.cancel, one.ended = cancel, ended
 	started := one.system.recorder.Now()
-	one.system.recorder.Edit(func(h *history.History) {
+	one.system.recorder.Update(func(h *history.History) {
 		h.Runs = append(h.Runs, history.NodeRun{Node: one.name, Start: started})
 	})
 	one.system.platform.list(machinelist.Machine{
@@ -152,7 +152,7 @@
 		return false
 	}
 	asked := one.system.recorder.Now()
-	one.editRun(func(run *history.NodeRun) { run.StopAsked = asked })
+	one.editRun(func(run *history.NodeRun) { run.StopRequestedAt = asked })
 	cancel()
 	<-ended
 	now := one.system.recorder.Now()
@@ -173,7 +173,7 @@
 
 // editRun changes the record of the latest run.
 func (one *nodeHost) editRun(change func(*history.NodeRun)) {
-	one.system.recorder.Edit(func(h *history.History) {
+	one.system.recorder.Update(func(h *history.History) {
 		for index := len(h.Runs) - 1; index >= 0; index-- {
 			if h.Runs[index].Node == one.name {
 				change(&h.Runs[index])
@@ -233,7 +233,7 @@
 		Revision uint64 `json:"revision"`
 	}
 	if json.Unmarshal(line, &entry) == nil && entry.Message == inForceMessage {
-		l.logs.recorder.Edit(func(h *history.History) {
+		l.logs.recorder.Update(func(h *history.History) {
 			h.InForce = append(h.InForce, history.InForce{Node: l.node, Revision: entry.Revision, At: now})
 		})
 	}
--- a/lab/simulation/operators.go
+++ b/lab/simulation/operators.go
@@ -149,7 +149,7 @@
 
 func (o *operators) record(host *nodeHost, plan policy.Plan, result history.ConfirmationResult, revision policy.Revision) {
 	at := o.system.recorder.Now()
-	o.system.recorder.Edit(func(h *history.History) {
+	o.system.recorder.Update(func(h *history.History) {
 		h.Confirmations = append(h.Confirmations, history.Confirmation{
 			Operator: "operator at " + host.name, PlanID: plan.ID, Result: result, Revision: uint64(revision), At: at,
 		})
--- a/lab/simulation/seeds_test.go
+++ b/lab/simulation/seeds_test.go
@@ -165,6 +165,6 @@
 	t.Logf("calls %d, attempts %d, accepted %d, in force %v", len(result.History.Calls),
 		len(result.History.Attempts), len(result.History.Accepted), result.History.InForce)
 	for _, invariant := range history.Invariants() {
-		t.Logf("%s: judged %d", invariant, result.Report.Judged[invariant])
+		t.Logf("%s: judged %d", invariant, result.Report.Checked[invariant])
 	}
 }
--- a/lab/simulation/server.go
+++ b/lab/simulation/server.go
@@ -156,7 +156,7 @@
 		return
 	}
 	now := one.system.recorder.Now()
-	one.system.recorder.Edit(func(h *history.History) {
+	one.system.recorder.Update(func(h *history.History) {
 		h.Leaving = append(h.Leaving, history.ServerLeaving{Server: one.name, At: since, Until: now})
 	})
 }
@@ -235,7 +235,7 @@
 	one.mutex.Lock()
 	arrived := one.arrivals[execution.AttemptID]
 	one.mutex.Unlock()
-	one.system.recorder.Edit(func(h *history.History) {
+	one.system.recorder.Update(func(h *history.History) {
 		h.Attempts = append(h.Attempts, history.Attempt{
 			Server: execution.Server, AttemptID: execution.AttemptID, RequestID: execution.RequestID,
 			Service: execution.Service, Snapshot: execution.Snapshot, Range: execution.Range,
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -145,16 +145,16 @@
 		recorder: history.NewRecorder(time.Now()),
 	}
 	s.logs = &logSink{recorder: s.recorder}
-	s.schedule = schedule.Draw(options.Seed, s.layout.topology(), schedule.Options{
+	s.schedule = schedule.Generate(options.Seed, s.layout.topology(), schedule.Options{
 		From: faultsFrom, To: faultsTo,
-		Shortest: 200 * time.Millisecond, Longest: 2500 * time.Millisecond,
-		LeaseTimeToLive: 3 * time.Second, LongestDelay: time.Second,
-		ShortestDrain: options.Checker.LeavingGrace + 2*time.Second,
+		MinDuration: 200 * time.Millisecond, MaxDuration: 2500 * time.Millisecond,
+		LeaseTimeToLive: 3 * time.Second, MaxDelay: time.Second,
+		MinDrainDuration: options.Checker.LeavingGrace + 2*time.Second,
 	})
 	if options.Faults != nil {
 		s.schedule.Faults = options.Faults
 	}
-	s.recorder.Edit(func(h *history.History) {
+	s.recorder.Update(func(h *history.History) {
 		h.KeySpaces = []history.KeySpace{{Service: searchService, Range: keySpace}, {Service: noticeService, Range: keySpace}}
 		h.FaultsEnd = max(s.schedule.End(), faultsTo)
 	})
@@ -241,7 +241,7 @@
 
 // disturb records a time in which a node could not take part.
 func (s *System) disturb(kind history.DisturbanceKind, host string, from, to time.Duration) {
-	s.recorder.Edit(func(h *history.History) {
+	s.recorder.Update(func(h *history.History) {
 		h.Disturbances = append(h.Disturbances, history.Disturbance{Kind: kind, Host: host, From: from, To: to})
 	})
 }
@@ -254,7 +254,7 @@
 			continue
 		}
 		at := s.recorder.Now()
-		s.recorder.Edit(func(h *history.History) {
+		s.recorder.Update(func(h *history.History) {
 			h.InForce = append(h.InForce, history.InForce{
 				Node: node.name, Revision: uint64(configuration.Revision),
 				Digest: digestOf(configuration.Config), At: at,
@@ -275,5 +275,5 @@
 	if count := len(record.RecentPlans); count > 0 {
 		accepted.PlanID = record.RecentPlans[count-1].ID
 	}
-	s.recorder.Edit(func(h *history.History) { h.Accepted = append(h.Accepted, accepted) })
+	s.recorder.Update(func(h *history.History) { h.Accepted = append(h.Accepted, accepted) })
 }
--- a/lab/simulation/summary.go
+++ b/lab/simulation/summary.go
@@ -47,10 +47,10 @@
 	defer s.mutex.Unlock()
 	s.histories++
 	s.modes[result.Schedule.Mode]++
-	s.limits += len(result.Report.Limits)
+	s.limits += len(result.Report.KnownLimitations)
 	s.calls += len(result.History.Calls)
 	s.attempts += len(result.History.Attempts)
-	for invariant, items := range result.Report.Judged {
+	for invariant, items := range result.Report.Checked {
 		s.items[invariant] += items
 		if items > 0 {
 			s.judged[invariant]++
@@ -73,7 +73,7 @@
 	if s.under[kind] == nil {
 		s.under[kind] = make(map[history.Invariant]int)
 	}
-	for invariant, items := range report.Judged {
+	for invariant, items := range report.Checked {
 		if items > 0 {
 			s.under[kind][invariant]++
 		}
--- a/lab/soak/callers.go
+++ b/lab/soak/callers.go
@@ -173,19 +173,19 @@
 	target := url.URL{Scheme: "http", Host: net.JoinHostPort(to.host, strconv.Itoa(callersPort)), Path: asked}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, target.String(), strings.NewReader(sent))
 	if err != nil {
-		return history.FailedAnswer(err)
+		return history.AnswerFromError(err)
 	}
 	request.Host = host
 	request.Header.Set(standin.AttemptIDHeader, id)
 	request.Header.Set(standin.TimeoutHeader, strconv.FormatInt(deadline.Milliseconds(), 10))
 	reply, err := client.Do(request)
 	if err != nil {
-		return history.FailedAnswer(err)
+		return history.AnswerFromError(err)
 	}
 	defer func() { _ = reply.Body.Close() }()
 	body, err := io.ReadAll(reply.Body)
 	if err != nil {
-		return history.FailedAnswer(err)
+		return history.AnswerFromError(err)
 	}
 	return parse(path, id, reply, body)
 }
@@ -209,7 +209,7 @@
 	answer.RequestID = reply.Header.Get(standin.AttemptIDHeader)
 	part := partOf(reply.Header.Get(standin.StampHeader))
 	part.Range = single
-	part.Whole = bytes.Equal(body, standin.Records(ledger))
+	part.ContentMatches = bytes.Equal(body, standin.Records(ledger))
 	answer.Parts, answer.Coverage, answer.Complete = []history.Part{part}, 1, true
 	return answer
 }
@@ -243,7 +243,7 @@
 	}
 	isWhole := bytes.Equal(body, greatest(records, topRecords))
 	for place := range answer.Parts {
-		answer.Parts[place].Whole = isWhole
+		answer.Parts[place].ContentMatches = isWhole
 	}
 	for shard, is := range covered {
 		if !is {
@@ -357,7 +357,7 @@
 
 func (p *prober) note(version int) {
 	seen := history.InForce{Node: p.node.name, Revision: uint64(version), At: p.fleet.recorder.Now()}
-	p.fleet.recorder.Edit(func(h *history.History) { h.InForce = append(h.InForce, seen) })
+	p.fleet.recorder.Update(func(h *history.History) { h.InForce = append(h.InForce, seen) })
 }
 
 // inForce asks for the route of a version; known is that the node told. Between two answers by a
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -106,7 +106,7 @@
 	default:
 		return fmt.Errorf("%w: %s of %q", ErrFault, fault.Kind, fault.Target)
 	}
-	f.disturbAll(history.Parted, from, f.recorder.Now())
+	f.disturbAll(history.Isolated, from, f.recorder.Now())
 	return nil
 }
 
@@ -121,7 +121,7 @@
 // harmNode carries out what hits one node.
 func (f *fleet) harmNode(fault schedule.Fault, n *node, wait func()) error {
 	from := f.recorder.Now()
-	defer func() { f.disturb(history.Parted, n.name, from, f.recorder.Now()) }()
+	defer func() { f.disturb(history.Isolated, n.name, from, f.recorder.Now()) }()
 	switch fault.Kind {
 	case schedule.KillNode:
 		n.kill()
@@ -213,7 +213,7 @@
 			return err
 		}
 	}
-	f.disturbAll(history.Parted, from, f.recorder.Now())
+	f.disturbAll(history.Isolated, from, f.recorder.Now())
 	return nil
 }
 
@@ -281,7 +281,7 @@
 		wait()
 		_ = clock.Sleep(context.Background(), drainBound-f.since(s))
 		return f.bringBack(s, func() {}, 0)
-	case schedule.Straggle:
+	case schedule.SlowServer:
 		s.Set(func() { s.ServiceTime += fault.Delay })
 		wait()
 		s.Set(func() { s.ServiceTime -= fault.Delay })
@@ -317,7 +317,7 @@
 	f.mutex.Lock()
 	s.drainedAt = f.recorder.Now()
 	f.mutex.Unlock()
-	f.recorder.Edit(func(h *history.History) {
+	f.recorder.Update(func(h *history.History) {
 		h.Leaving = append(h.Leaving, history.ServerLeaving{Server: s.ID, At: s.drainedAt})
 	})
 }
--- a/lab/soak/fleet.go
+++ b/lab/soak/fleet.go
@@ -325,7 +325,7 @@
 		config.Services = append(config.Services, standin.ServiceConfig{Name: name, HealthPath: standin.HealthPath, MaxConnections: connectionsEach})
 	}
 	f.store.PutConfig(config)
-	f.recorder.Edit(func(h *history.History) {
+	f.recorder.Update(func(h *history.History) {
 		h.Accepted = append(h.Accepted, history.Accepted{Revision: uint64(version), At: f.recorder.Now()})
 	})
 }
@@ -343,11 +343,11 @@
 // disturb notes that a node could not take part from one time to another, and for contactTime
 // after that. A frozen node doesn't answer callers either; a parted one must.
 func (f *fleet) disturb(kind history.DisturbanceKind, name string, from, to time.Duration) {
-	f.recorder.Edit(func(h *history.History) {
+	f.recorder.Update(func(h *history.History) {
 		if kind == history.Frozen {
 			h.Disturbances = append(h.Disturbances, history.Disturbance{Kind: kind, Host: name, From: from, To: to})
 		}
-		h.Disturbances = append(h.Disturbances, history.Disturbance{Kind: history.Parted, Host: name, From: from, To: to + contactTime})
+		h.Disturbances = append(h.Disturbances, history.Disturbance{Kind: history.Isolated, Host: name, From: from, To: to + contactTime})
 	})
 }
 
--- a/lab/soak/judge.go
+++ b/lab/soak/judge.go
@@ -159,7 +159,7 @@
 	options.AnswerAllowance, options.LeavingGrace = answerAllowance, drainBound
 	options.ConfigurationBound, options.RecoveryBound, options.InFlightMargin = applyBound, RecoveryBound, inFlight
 	report := history.Check(r.history, options)
-	j := &judge{record: r, judged: report.Judged, violations: report.Violations}
+	j := &judge{record: r, judged: report.Checked, violations: report.Violations}
 	j.denied()
 	j.budget()
 	j.exposure()
--- a/lab/soak/node.go
+++ b/lab/soak/node.go
@@ -147,7 +147,7 @@
 		return errors.Join(err, log.Close())
 	}
 	p.began = n.fleet.recorder.Now()
-	n.fleet.recorder.Edit(func(h *history.History) {
+	n.fleet.recorder.Update(func(h *history.History) {
 		p.run = len(h.Runs)
 		h.Runs = append(h.Runs, history.NodeRun{Node: n.name, Start: p.began})
 	})
@@ -166,7 +166,7 @@
 		n.process = nil
 	}
 	n.mutex.Unlock()
-	n.fleet.recorder.Edit(func(h *history.History) { h.Runs[p.run].End = n.fleet.recorder.Now() })
+	n.fleet.recorder.Update(func(h *history.History) { h.Runs[p.run].End = n.fleet.recorder.Now() })
 	code := p.command.ProcessState.ExitCode()
 	switch {
 	case !p.asked.Load():
@@ -179,7 +179,7 @@
 
 // wasStopped reports whether the process was asked to end as planned.
 func (n *node) wasStopped(p *process) (stopped bool) {
-	n.fleet.recorder.Edit(func(h *history.History) { stopped = h.Runs[p.run].StopAsked != 0 && !h.Runs[p.run].Killed })
+	n.fleet.recorder.Update(func(h *history.History) { stopped = h.Runs[p.run].StopRequestedAt != 0 && !h.Runs[p.run].Killed })
 	return stopped
 }
 
@@ -203,7 +203,7 @@
 	if p == nil {
 		return
 	}
-	n.fleet.recorder.Edit(func(h *history.History) { h.Runs[p.run].Killed = true })
+	n.fleet.recorder.Update(func(h *history.History) { h.Runs[p.run].Killed = true })
 	p.asked.Store(true)
 	_ = p.command.Process.Kill() // it may have ended just now
 	<-p.ended
@@ -216,7 +216,7 @@
 	if p == nil {
 		return
 	}
-	n.fleet.recorder.Edit(func(h *history.History) { h.Runs[p.run].StopAsked = n.fleet.recorder.Now() })
+	n.fleet.recorder.Update(func(h *history.History) { h.Runs[p.run].StopRequestedAt = n.fleet.recorder.Now() })
 	p.asked.Store(true)
 	_ = p.command.Process.Signal(syscall.SIGTERM)
 	select {
--- a/lab/soak/schedule.go
+++ b/lab/soak/schedule.go
@@ -73,7 +73,7 @@
 	return []schedule.Kind{
 		schedule.KillNode, schedule.FreezeNode, schedule.PlannedStop, schedule.RestartNodes, ChangeSettings, Misspell,
 		ReplaceNode, DarkZone, schedule.StoreOutage, schedule.StoreFreeze, schedule.StoreLostReply, StoreCut, StoreReset,
-		StoreRefuse, StoreForget, StoreDeaf, schedule.KillServer, schedule.Straggle, schedule.Shed, schedule.ColdStart,
+		StoreRefuse, StoreForget, StoreDeaf, schedule.KillServer, schedule.SlowServer, schedule.Shed, schedule.ColdStart,
 		schedule.Drain, SilentLink, ResetLink, SlowServerLink, OneWayLink, Drip, LoseAnswers, FailAnswers, CutAnswers, DoubleAnswers,
 		EndlessAnswers, ResetAnswers, ReuseAddress, Configure, ConfigureOften, Reshard, Evacuate,
 		DeadlyRequest, ReturnServer, OddEntries, StoreRestore,
@@ -233,7 +233,7 @@
 	case schedule.KillNode, schedule.FreezeNode, schedule.PlannedStop, ChangeSettings, Misspell, ReplaceNode,
 		StoreCut, StoreReset, StoreRefuse:
 		fault.Target = d.layout.Nodes[d.random.IntN(len(d.layout.Nodes))]
-	case schedule.KillServer, schedule.Straggle, schedule.Shed, schedule.ColdStart, schedule.Drain, SilentLink, ResetLink,
+	case schedule.KillServer, schedule.SlowServer, schedule.Shed, schedule.ColdStart, schedule.Drain, SilentLink, ResetLink,
 		SlowServerLink, OneWayLink, Drip, LoseAnswers, FailAnswers, CutAnswers, DoubleAnswers, EndlessAnswers, ResetAnswers,
 		ReuseAddress, ReturnServer:
 		fault.Target = d.layout.Servers[d.random.IntN(len(d.layout.Servers))]
@@ -248,7 +248,7 @@
 		fault.Delay = min(d.between(shortestCopyAge, longestCopyAge), end-fault.At)
 		fault.Until = min(fault.Until+fault.Delay, end)
 	}
-	if slices.Contains([]schedule.Kind{schedule.Straggle, SlowServerLink}, kind) {
+	if slices.Contains([]schedule.Kind{schedule.SlowServer, SlowServerLink}, kind) {
 		fault.Delay = d.between(50*time.Millisecond, 500*time.Millisecond)
 	}
 	return fault
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -107,7 +107,7 @@
 		faults.Go(func() { failed.add(f.play(ctx, fault)) })
 	}
 	faults.Wait()
-	f.recorder.Edit(func(h *history.History) { h.FaultsEnd = f.recorder.Now() })
+	f.recorder.Update(func(h *history.History) { h.FaultsEnd = f.recorder.Now() })
 	_ = waitUntil(ctx, f.recorder, max(drawn.Duration, f.recorder.Now()+tailTime))
 	cancel()
 	load.Wait()
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -259,14 +259,14 @@
 			for number := range exposureSlack + 10 {
 				r.arrivals = append(r.arrivals, target(11*time.Second+time.Duration(number)*time.Millisecond))
 			}
-			r.history.Disturbances = []history.Disturbance{{Kind: history.Parted, Host: "front-1", From: 9 * time.Second, To: 12 * time.Second}}
+			r.history.Disturbances = []history.Disturbance{{Kind: history.Isolated, Host: "front-1", From: 9 * time.Second, To: 12 * time.Second}}
 		}, ""},
 		"a bad version gets more than that of a node that was cut off before": {func(r *record) {
 			r.orders = []order{badOrder}
 			for number := range exposureSlack + 10 {
 				r.arrivals = append(r.arrivals, target(18*time.Second+time.Duration(number)*time.Millisecond))
 			}
-			r.history.Disturbances = []history.Disturbance{{Kind: history.Parted, Host: "front-1", From: 9 * time.Second, To: 12 * time.Second}}
+			r.history.Disturbances = []history.Disturbance{{Kind: history.Isolated, Host: "front-1", From: 9 * time.Second, To: 12 * time.Second}}
 		}, Exposure},
 		"a good version gets more than that": {func(r *record) {
 			good := badOrder
@@ -298,7 +298,7 @@
 		}, Evacuation},
 		"an evacuated zone gets requests of a node that was cut off": {func(r *record) {
 			r.evacuations = []evacuation{{zone: "zone-a", from: 20 * time.Second, until: 30 * time.Second}}
-			r.history.Disturbances = []history.Disturbance{{Kind: history.Parted, Host: "front-0", From: 19 * time.Second, To: 40 * time.Second}}
+			r.history.Disturbances = []history.Disturbance{{Kind: history.Isolated, Host: "front-0", From: 19 * time.Second, To: 40 * time.Second}}
 		}, ""},
 		"requests before the evacuation's bound": {func(r *record) {
 			r.evacuations = []evacuation{{zone: "zone-a", from: 20 * time.Second, until: 22 * time.Second}}
