--- a/cmd/banksailctl/command.go
+++ b/cmd/banksailctl/command.go
@@ -103,7 +103,7 @@
 	} else {
 		c.printProblem(problemErr.Problem)
 	}
-	if problemErr.Problem.AskAgain != "" {
+	if problemErr.Problem.OutcomeCommand != "" {
 		return exitOutcomeUnknown
 	}
 	return subcommands.ExitFailure
@@ -137,8 +137,8 @@
 	if problem.Conflict != nil {
 		c.printConflict(*problem.Conflict)
 	}
-	if problem.AskAgain != "" {
-		c.printError("ask again with: %s", problem.AskAgain)
+	if problem.OutcomeCommand != "" {
+		c.printError("ask again with: %s", problem.OutcomeCommand)
 	}
 }
 
--- a/cmd/banksailctl/command_test.go
+++ b/cmd/banksailctl/command_test.go
@@ -25,7 +25,7 @@
 // fixedExplanations has an explanation of the request "known" only.
 type fixedExplanations struct{}
 
-func (fixedExplanations) Explanation(id string) (json.RawMessage, bool) {
+func (fixedExplanations) FindExplanation(id string) (json.RawMessage, bool) {
 	document := `{"request_id":"known","node":"node-a","reason":"deadline","coverage":0.5,"steps":[{"at_ns":1000000,"what":"first send","attempt":7,"server":"s1","range":{"start":0,"end":9}}]}`
 	return json.RawMessage(document), id == "known"
 }
@@ -188,7 +188,7 @@
 	}
 	status, output, _ := env.run("confirm", "--json", "--node", strings.TrimPrefix(aborting.URL, "http://"), plan)
 	var problem operator.Problem
-	if err := json.Unmarshal([]byte(output), &problem); err != nil || status != exitOutcomeUnknown || problem.AskAgain == "" {
+	if err := json.Unmarshal([]byte(output), &problem); err != nil || status != exitOutcomeUnknown || problem.OutcomeCommand == "" {
 		t.Fatalf("status %d, output %q, %v", status, output, err)
 	}
 }
--- a/cmd/banksailctl/confirm.go
+++ b/cmd/banksailctl/confirm.go
@@ -69,13 +69,13 @@
 // reportUnknownOutcome reports that a confirmation got no response, so that the plan may have been
 // applied. It prints the command that queries the outcome and returns exitOutcomeUnknown.
 func (c *confirmCommand) reportUnknownOutcome(plan policy.Plan, err error) subcommands.ExitStatus {
-	askAgain := operator.AskAgainCommand(plan)
+	askAgain := operator.OutcomeCommandFor(plan)
 	if c.printsJSON {
 		c.printJSON(operator.Problem{
-			Title:    "The plan may be in effect",
-			Detail:   err.Error(),
-			Receipt:  &policy.Receipt{PlanID: plan.ID, Outcome: policy.OutcomeUnknown},
-			AskAgain: askAgain,
+			Title:          "The plan may be in effect",
+			Detail:         err.Error(),
+			Receipt:        &policy.Receipt{PlanID: plan.ID, Outcome: policy.OutcomeUnknown},
+			OutcomeCommand: askAgain,
 		})
 		return exitOutcomeUnknown
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -214,7 +214,7 @@
 	mux := http.NewServeMux()
 	container := restful.NewContainer()
 	container.Add(service.WebService())
-	mux.Handle(operator.Root+"/", container)
+	mux.Handle(operator.RootPath+"/", container)
 	n.addHealthEndpoints(mux)
 	return mux
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -63,8 +63,8 @@
 // operatorExplanations gives the operator API access to the explanations.
 type operatorExplanations struct{ node *Node }
 
-// Explanation returns the explanation of a finished request.
-func (o operatorExplanations) Explanation(requestID string) (json.RawMessage, bool) {
+// FindExplanation returns the explanation of a finished request.
+func (o operatorExplanations) FindExplanation(requestID string) (json.RawMessage, bool) {
 	explanation, found := o.node.FindExplanation(requestID)
 	if !found {
 		return nil, false
--- a/operator/client.go
+++ b/operator/client.go
@@ -108,7 +108,7 @@
 
 func (c *Client) call(ctx context.Context, method, path string, body, answer any) error {
 	call := httpcall.Call{
-		Method: method, Address: c.address, Path: Root + path, MaxBodyBytes: maximumAnswerBytes,
+		Method: method, Address: c.address, Path: RootPath + path, MaxBodyBytes: maximumAnswerBytes,
 		Header: http.Header{"Accept": {httpcall.JSON + ", " + ProblemContentType}},
 	}
 	if body != nil {
--- a/operator/problem.go
+++ b/operator/problem.go
@@ -32,8 +32,8 @@
 	Receipt *policy.Receipt `json:"receipt,omitempty"`
 	// Conflict tells what changed since the plan was made.
 	Conflict *Conflict `json:"conflict,omitempty"`
-	// AskAgain is the command that asks for the plan's outcome.
-	AskAgain string `json:"ask_again,omitempty"`
+	// OutcomeCommand is the command that asks for the plan's outcome.
+	OutcomeCommand string `json:"ask_again,omitempty"`
 }
 
 // Conflict tells what changed since a plan was made.
@@ -105,8 +105,8 @@
 	s.problem(response, problemFor(err))
 }
 
-// AskAgainCommand is the command line that asks whether a plan is in effect.
-func AskAgainCommand(plan policy.Plan) string {
+// OutcomeCommandFor is the command line that asks whether a plan is in effect.
+func OutcomeCommandFor(plan policy.Plan) string {
 	return fmt.Sprintf("banksailctl status --plan %s --base %d", plan.ID, plan.BaseRevision)
 }
 
@@ -115,7 +115,7 @@
 	problem := problemFor(err)
 	problem.Receipt = &receipt
 	if errors.Is(err, spread.ErrOutcomeUnknown) {
-		problem.AskAgain = AskAgainCommand(plan)
+		problem.OutcomeCommand = OutcomeCommandFor(plan)
 	}
 	s.problem(response, problem)
 }
--- a/operator/service.go
+++ b/operator/service.go
@@ -16,11 +16,11 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// Root is the path under which the API stands.
-const Root = "/v1/operator"
+// RootPath is the path under which the API stands.
+const RootPath = "/v1/operator"
 
-// Configurations plans and confirms; spread.Replicator implements it.
-type Configurations interface {
+// ConfigurationManager plans and confirms; spread.Replicator implements it.
+type ConfigurationManager interface {
 	// Plan works out what an intent would change.
 	Plan(ctx context.Context, intent policy.Intent) (policy.Plan, error)
 	// Confirm puts a plan into effect.
@@ -41,11 +41,11 @@
 	Nodes(ctx context.Context, revision policy.Revision) []Node
 }
 
-// Explanations looks up why a request was answered as it was.
-type Explanations interface {
-	// Explanation returns a JSON document; found is false when this node does
+// ExplanationFinder looks up why a request was answered as it was.
+type ExplanationFinder interface {
+	// FindExplanation returns a JSON document; found is false when this node does
 	// not know the request, or no longer.
-	Explanation(requestID string) (document json.RawMessage, found bool)
+	FindExplanation(requestID string) (document json.RawMessage, found bool)
 }
 
 // Node is one node's state.
@@ -66,9 +66,9 @@
 type Options struct {
 	// Self is the ID of the node that answers.
 	Self           string
-	Configurations Configurations
+	Configurations ConfigurationManager
 	Nodes          Nodes
-	Explanations   Explanations
+	Explanations   ExplanationFinder
 	Logger         zerolog.Logger
 }
 
@@ -81,7 +81,7 @@
 // WebService returns the routes for a container.
 func (s *Service) WebService() *restful.WebService {
 	service := new(restful.WebService)
-	service.Path(Root).Consumes(restful.MIME_JSON).Produces(restful.MIME_JSON)
+	service.Path(RootPath).Consumes(restful.MIME_JSON).Produces(restful.MIME_JSON)
 	service.Route(service.POST("/plans").To(s.plan))
 	service.Route(service.GET("/plans/{plan}").To(s.outcome))
 	service.Route(service.POST("/confirmations").To(s.confirm))
@@ -233,7 +233,7 @@
 func (s *Service) explanation(request *restful.Request, response *restful.Response) {
 	id := request.PathParameter("request")
 	if s.options.Explanations != nil {
-		if document, found := s.options.Explanations.Explanation(id); found {
+		if document, found := s.options.Explanations.FindExplanation(id); found {
 			s.write(response, document)
 			return
 		}
--- a/operator/service_test.go
+++ b/operator/service_test.go
@@ -24,7 +24,7 @@
 
 type fixedExplanations map[string]string
 
-func (e fixedExplanations) Explanation(id string) (json.RawMessage, bool) {
+func (e fixedExplanations) FindExplanation(id string) (json.RawMessage, bool) {
 	document, found := e[id]
 	return json.RawMessage(document), found
 }
@@ -170,7 +170,7 @@
 }
 
 // unknownConfigurations confirm nothing and know nothing.
-type unknownConfigurations struct{ Configurations }
+type unknownConfigurations struct{ ConfigurationManager }
 
 func (unknownConfigurations) Confirm(_ context.Context, plan policy.Plan) (policy.Receipt, error) {
 	return policy.Receipt{PlanID: plan.ID, Outcome: policy.OutcomeUnknown}, spread.ErrOutcomeUnknown
@@ -183,8 +183,8 @@
 	defer server.Close()
 	_, err := NewClient(strings.TrimPrefix(server.URL, "http://"), DefaultClientTimeout).Confirm(t.Context(), plan)
 	problem := wantProblem(t, err, TypeOutcomeUnknown, http.StatusGatewayTimeout)
-	if problem.AskAgain != "banksailctl status --plan "+plan.ID+" --base 0" {
-		t.Fatalf("got %q", problem.AskAgain)
+	if problem.OutcomeCommand != "banksailctl status --plan "+plan.ID+" --base 0" {
+		t.Fatalf("got %q", problem.OutcomeCommand)
 	}
 }
 
@@ -210,7 +210,7 @@
 	h := newHarness(t)
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			request, err := http.NewRequestWithContext(t.Context(), test.method, h.server.URL+Root+test.path, strings.NewReader(test.body))
+			request, err := http.NewRequestWithContext(t.Context(), test.method, h.server.URL+RootPath+test.path, strings.NewReader(test.body))
 			if err != nil {
 				t.Fatal(err)
 			}
