--- a/internal/delivery/tracker.go
+++ b/internal/delivery/tracker.go
@@ -67,8 +67,8 @@
 	return c.written
 }
 
-// use is one connection with its count when the request took it.
-type use struct {
+// connUse is one connection with its count when the request took it.
+type connUse struct {
 	conn  *countingConn
 	start uint64
 }
@@ -77,10 +77,10 @@
 type Tracker struct {
 	// mutex guards the fields below. Invariant: uses holds every connection
 	// handed to the request, in order, before a byte of it is written.
-	mutex  sync.Mutex
-	uses   []use
-	opaque bool
-	reused bool
+	mutex     sync.Mutex
+	uses      []connUse
+	untracked bool
+	reused    bool
 }
 
 // Track returns a context to send one request with, and its tracker.
@@ -96,10 +96,10 @@
 	t.reused = info.Reused
 	conn, ok := info.Conn.(*countingConn)
 	if !ok {
-		t.opaque = true
+		t.untracked = true
 		return
 	}
-	t.uses = append(t.uses, use{conn: conn, start: conn.count()})
+	t.uses = append(t.uses, connUse{conn: conn, start: conn.count()})
 }
 
 // Seal closes the request's connections and reports whether any byte of the
@@ -107,7 +107,7 @@
 func (t *Tracker) Seal() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	written := t.opaque
+	written := t.untracked
 	for _, used := range t.uses {
 		if used.conn.seal() != used.start {
 			written = true
--- a/internal/delivery/tracker_test.go
+++ b/internal/delivery/tracker_test.go
@@ -29,13 +29,13 @@
 	return tracker
 }
 
-func TestSealWithoutAConnection(t *testing.T) {
+func TestSealWithoutConnection(t *testing.T) {
 	if _, tracker := Track(t.Context()); tracker.Seal() {
 		t.Error("bytes were written without a connection")
 	}
 }
 
-func TestSealCountsFromTheRequestOn(t *testing.T) {
+func TestSealIgnoresEarlierRequests(t *testing.T) {
 	conn, far := newPair(t)
 	go io.Copy(io.Discard, far)
 	if _, err := conn.Write([]byte("an earlier request")); err != nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestSealSeesAWrite(t *testing.T) {
+func TestSealDetectsWrite(t *testing.T) {
 	conn, far := newPair(t)
 	go io.Copy(io.Discard, far)
 	tracker := trackOn(t, conn)
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestSealEndsAWriteInProgress(t *testing.T) {
+func TestSealInterruptsWriteInProgress(t *testing.T) {
 	conn, far := newPair(t)
 	tracker := trackOn(t, conn)
 	wrote := make(chan error, 1)
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestNothingIsWrittenAfterTheSeal(t *testing.T) {
+func TestNoWriteAfterSeal(t *testing.T) {
 	conn, _ := newPair(t)
 	tracker := trackOn(t, conn)
 	if tracker.Seal() {
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestUnknownConnectionsCountAsWritten(t *testing.T) {
+func TestUntrackedConnectionCountsAsWritten(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	defer near.Close()
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -90,9 +90,9 @@
 		return Reply{}, err
 	}
 	if call.HeaderTimeout > 0 {
-		silence := time.AfterFunc(call.HeaderTimeout, func() { cancel(ErrHeaderTimeout) })
-		defer silence.Stop()
-		transport = headerWatch{transport, silence}
+		headerTimer := time.AfterFunc(call.HeaderTimeout, func() { cancel(ErrHeaderTimeout) })
+		defer headerTimer.Stop()
+		transport = headerTimeoutTransport{transport, headerTimer}
 	}
 	response, err := transport.RoundTrip(request)
 	switch {
@@ -109,16 +109,16 @@
 	return Reply{Code: response.StatusCode, Header: response.Header, Body: body}, nil
 }
 
-// headerWatch stops a timer once a header has come.
-type headerWatch struct {
+// headerTimeoutTransport stops a timer once a header has come.
+type headerTimeoutTransport struct {
 	http.RoundTripper
-	silence *time.Timer
+	headerTimer *time.Timer
 }
 
 // RoundTrip implements http.RoundTripper.
-func (w headerWatch) RoundTrip(request *http.Request) (*http.Response, error) {
+func (w headerTimeoutTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	response, err := w.RoundTripper.RoundTrip(request)
-	w.silence.Stop()
+	w.headerTimer.Stop()
 	return response, err
 }
 
--- a/internal/httpcall/httpcall_test.go
+++ b/internal/httpcall/httpcall_test.go
@@ -24,7 +24,7 @@
 	return Send(t.Context(), transport, call)
 }
 
-func TestSendCarriesTheWholeCall(t *testing.T) {
+func TestSendTransmitsCall(t *testing.T) {
 	call := Call{
 		Method: http.MethodPut, Path: "/a%2Fb", Query: url.Values{"after": {"7"}},
 		Header: http.Header{"If-Match": {`"3"`}}, Body: []byte("value"), MaxBodyBytes: 2,
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestSendBoundsTheReply(t *testing.T) {
+func TestSendLimitsReplyBody(t *testing.T) {
 	_, err := send(t, func(writer http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(writer, "long")
 	}, Call{MaxBodyBytes: 3})
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestSendFollowsNoRedirect(t *testing.T) {
+func TestSendDoesNotFollowRedirects(t *testing.T) {
 	var requests atomic.Int64
 	reply, err := send(t, func(writer http.ResponseWriter, request *http.Request) {
 		requests.Add(1)
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestSendNeverSendsABodyTwice(t *testing.T) {
+func TestSendDoesNotResendBody(t *testing.T) {
 	var requests atomic.Int64
 	handler := func(writer http.ResponseWriter, request *http.Request) {
 		requests.Add(1)
--- a/internal/priority/queue.go
+++ b/internal/priority/queue.go
@@ -13,8 +13,8 @@
 // NewQueue returns an empty Queue. The item for which before is true goes
 // before the other one. If moved is not nil, it is told of the place of an item
 // whenever that changes; Remove takes that place.
-func NewQueue[T any](before func(item, other T) bool, moved func(item T, place int)) *Queue[T] {
-	return &Queue[T]{entries: entries[T]{before: before, moved: moved}}
+func NewQueue[T any](before func(item, other T) bool, onMove func(item T, index int)) *Queue[T] {
+	return &Queue[T]{entries: entries[T]{before: before, onMove: onMove}}
 }
 
 // Len returns the number of items.
@@ -28,27 +28,27 @@
 
 // Push adds an item.
 func (q *Queue[T]) Push(item T) {
-	place := len(q.entries.items)
+	index := len(q.entries.items)
 	q.entries.items = append(q.entries.items, item)
-	q.entries.tell(place)
-	heap.Fix(&q.entries, place)
+	q.entries.notifyMoved(index)
+	heap.Fix(&q.entries, index)
 }
 
 // Pop takes the first item out; the queue must not be empty.
 func (q *Queue[T]) Pop() T { return q.Remove(0) }
 
 // Remove takes out the item at a place, as moved told it.
-func (q *Queue[T]) Remove(place int) T {
+func (q *Queue[T]) Remove(index int) T {
 	last := len(q.entries.items) - 1
-	if place != last {
-		q.entries.Swap(place, last)
+	if index != last {
+		q.entries.Swap(index, last)
 	}
 	removed := q.entries.items[last]
 	var none T
 	q.entries.items[last] = none
 	q.entries.items = q.entries.items[:last]
-	if place != last {
-		heap.Fix(&q.entries, place)
+	if index != last {
+		heap.Fix(&q.entries, index)
 	}
 	return removed
 }
@@ -58,12 +58,12 @@
 type entries[T any] struct {
 	items  []T
 	before func(item, other T) bool
-	moved  func(item T, place int)
+	onMove func(item T, place int)
 }
 
-func (e *entries[T]) tell(place int) {
-	if e.moved != nil {
-		e.moved(e.items[place], place)
+func (e *entries[T]) notifyMoved(index int) {
+	if e.onMove != nil {
+		e.onMove(e.items[index], index)
 	}
 }
 
@@ -76,8 +76,8 @@
 // Swap implements heap.Interface.
 func (e *entries[T]) Swap(i, j int) {
 	e.items[i], e.items[j] = e.items[j], e.items[i]
-	e.tell(i)
-	e.tell(j)
+	e.notifyMoved(i)
+	e.notifyMoved(j)
 }
 
 // Push implements heap.Interface; heap.Fix does not call it.
--- a/internal/priority/queue_test.go
+++ b/internal/priority/queue_test.go
@@ -22,7 +22,7 @@
 	)
 }
 
-func TestItemsComeInOrder(t *testing.T) {
+func TestPopOrderAndRemove(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	properties.Property("pop gives the sorted items", prop.ForAll(func(keys []int) bool {
 		queue := NewQueue(cmp.Less[int], nil)
--- a/internal/roundtrip/roundtrip.go
+++ b/internal/roundtrip/roundtrip.go
@@ -32,13 +32,13 @@
 	case Reporter:
 		mean, deviation = conn.RoundTrip()
 	case syscall.Conn:
-		mean, deviation = measured(conn)
+		mean, deviation = kernelEstimate(conn)
 	}
 	return mean, deviation, mean > 0
 }
 
-// measured asks the kernel; zero is that it tells nothing.
-func measured(conn syscall.Conn) (mean, deviation time.Duration) {
+// kernelEstimate asks the kernel; zero is that it tells nothing.
+func kernelEstimate(conn syscall.Conn) (mean, deviation time.Duration) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return 0, 0 // the connection is closed: its answer goes nowhere
--- a/internal/roundtrip/roundtrip_test.go
+++ b/internal/roundtrip/roundtrip_test.go
@@ -8,26 +8,26 @@
 	"github.com/banksail/banksail/internal/roundtrip"
 )
 
-// told is a connection that knows its own round trip.
-type told struct {
+// reportingConn is a connection that knows its own round trip.
+type reportingConn struct {
 	net.Conn
 	mean, deviation time.Duration
 }
 
-func (t told) RoundTrip() (mean, deviation time.Duration) { return t.mean, t.deviation }
+func (t reportingConn) RoundTrip() (mean, deviation time.Duration) { return t.mean, t.deviation }
 
 // wrapped is a connection around another one.
 type wrapped struct{ net.Conn }
 
 func (w wrapped) NetConn() net.Conn { return w.Conn }
 
-func TestOf(t *testing.T) {
-	inner := told{mean: 9 * time.Millisecond, deviation: time.Millisecond}
+func TestEstimate(t *testing.T) {
+	inner := reportingConn{mean: 9 * time.Millisecond, deviation: time.Millisecond}
 	mean, deviation, known := roundtrip.Estimate(wrapped{wrapped{inner}})
 	if !known || mean != inner.mean || deviation != inner.deviation {
 		t.Errorf("told %s, %s, %t", mean, deviation, known)
 	}
-	if _, _, known := roundtrip.Estimate(wrapped{told{}}); known {
+	if _, _, known := roundtrip.Estimate(wrapped{reportingConn{}}); known {
 		t.Error("a connection that knows nothing is known")
 	}
 	if _, _, known := roundtrip.Estimate(nil); known {
@@ -36,7 +36,7 @@
 }
 
 // A connection over the kernel's loopback is measured, and is none once it is closed.
-func TestOfTheKernel(t *testing.T) {
+func TestEstimateFromKernel(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/strictjson/read_test.go
+++ b/internal/strictjson/read_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestMergeKeepsWhatTheDocumentLeavesOut(t *testing.T) {
+func TestMergeKeepsOmittedFields(t *testing.T) {
 	target := document{Name: "kept", Number: 1, Items: []inner{{Count: 1}}}
 	if err := Merge([]byte(`{"number":2,"items":null}`), limits, &target); err != nil {
 		t.Fatal(err)
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -91,17 +91,17 @@
 // Unmarshal decodes one whole document into target, which must be a pointer.
 // After an error target's content is undefined.
 func Unmarshal(data []byte, limits Limits, target any) error {
-	return unmarshal(data, limits, target, whole)
+	return unmarshal(data, limits, target, allFields)
 }
 
 // Merge decodes a document that need not name every field into target, which
 // must be a pointer. Fields that it does not name keep their values; a null
 // empties a list. After an error target's content is undefined.
 func Merge(data []byte, limits Limits, target any) error {
-	return unmarshal(data, limits, target, partial)
+	return unmarshal(data, limits, target, partialFields)
 }
 
-func unmarshal(data []byte, limits Limits, target any, extent extent) error {
+func unmarshal(data []byte, limits Limits, target any, fieldMode fieldMode) error {
 	if int64(len(data)) > limits.Bytes {
 		return fmt.Errorf("%w: over %d bytes", ErrTooLarge, limits.Bytes)
 	}
@@ -116,7 +116,7 @@
 	if errors.As(decodeError, &syntax) && !json.Valid(data) {
 		return fmt.Errorf("%w: %w", ErrSyntax, decodeError)
 	}
-	if err := check(data, target, extent); err != nil {
+	if err := check(data, target, fieldMode); err != nil {
 		return err
 	}
 	return unmarshalError(decodeError)
--- a/internal/strictjson/strictjson_test.go
+++ b/internal/strictjson/strictjson_test.go
@@ -26,7 +26,7 @@
 
 var limits = Limits{Bytes: 1000, Depth: 4}
 
-func TestUnmarshalNamesTheFaultyField(t *testing.T) {
+func TestUnmarshalReportsPathOfInvalidField(t *testing.T) {
 	cases := map[string]struct{ input, fault string }{
 		"unknown field":             {`{"name":"a","other":1}`, "other is not a known field"},
 		"unknown nested field":      {`{"name":"a","items":[{"count":1,"share":0},{"count":1,"share":0,"x":{}}]}`, "items[1].x is not a known field"},
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestUnmarshalBounds(t *testing.T) {
+func TestUnmarshalRejectsInvalidDocuments(t *testing.T) {
 	cases := map[string]struct {
 		input string
 		want  error
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestUnmarshalReadsWholeDocument(t *testing.T) {
+func TestUnmarshalReadsAllFields(t *testing.T) {
 	var target document
 	input := `{"name":"a","number":7,"flag":true,"items":[{"count":-1,"share":0.5}],"single":{"count":2,"share":1},
 		"raw":{"any":[1]},"at":"2026-12-02T07:00:00Z","strings":{"x":1}}`
--- a/internal/strictjson/structure.go
+++ b/internal/strictjson/structure.go
@@ -10,7 +10,7 @@
 // field is a field of a struct as JSON names it.
 type field struct {
 	name     string
-	kind     reflect.Type
+	typ      reflect.Type
 	required bool
 }
 
@@ -25,13 +25,13 @@
 var structures sync.Map
 
 // structureOf describes a struct type; embedded structs are not supported.
-func structureOf(kind reflect.Type) *structure {
-	if known, ok := structures.Load(kind); ok {
+func structureOf(typ reflect.Type) *structure {
+	if known, ok := structures.Load(typ); ok {
 		return known.(*structure)
 	}
-	described := &structure{positions: make(map[string]int, kind.NumField())}
-	for index := range kind.NumField() {
-		member := kind.Field(index)
+	described := &structure{positions: make(map[string]int, typ.NumField())}
+	for index := range typ.NumField() {
+		member := typ.Field(index)
 		name, options, _ := strings.Cut(member.Tag.Get("json"), ",")
 		if !member.IsExported() || name == "-" {
 			continue
@@ -41,10 +41,10 @@
 		}
 		described.positions[name] = len(described.fields)
 		described.fields = append(described.fields, field{
-			name: name, kind: resolve(member.Type), required: !strings.Contains(options, "omitempty"),
+			name: name, typ: resolve(member.Type), required: !strings.Contains(options, "omitempty"),
 		})
 	}
-	structures.Store(kind, described)
+	structures.Store(typ, described)
 	return described
 }
 
@@ -55,12 +55,12 @@
 
 // resolve returns the type that a pointer points to, and anyType for types
 // that read their JSON themselves.
-func resolve(kind reflect.Type) reflect.Type {
-	for kind.Kind() == reflect.Pointer {
-		kind = kind.Elem()
+func resolve(typ reflect.Type) reflect.Type {
+	for typ.Kind() == reflect.Pointer {
+		typ = typ.Elem()
 	}
-	if kind.Kind() == reflect.Interface || reflect.PointerTo(kind).Implements(unmarshalerType) {
+	if typ.Kind() == reflect.Interface || reflect.PointerTo(typ).Implements(unmarshalerType) {
 		return anyType
 	}
-	return kind
+	return typ
 }
--- a/internal/strictjson/walk.go
+++ b/internal/strictjson/walk.go
@@ -8,19 +8,19 @@
 	"strings"
 )
 
-// extent says which fields a document must name.
-type extent int
+// fieldMode says which fields a document must name.
+type fieldMode int
 
 const (
-	// whole documents name each field whose tag does not say omitempty.
-	whole extent = iota
-	// partial documents may leave fields out.
-	partial
+	// allFields documents name each field whose tag does not say omitempty.
+	allFields fieldMode = iota
+	// partialFields documents may leave fields out.
+	partialFields
 )
 
 // check walks a valid document beside the target's type.
-func check(data []byte, target any, extent extent) error {
-	walker := &walker{scanner: scanner{data: data}, extent: extent}
+func check(data []byte, target any, fieldMode fieldMode) error {
+	walker := &walker{scanner: scanner{data: data}, fieldMode: fieldMode}
 	walker.value(resolve(reflect.TypeOf(target).Elem()))
 	if len(walker.faults) > 0 {
 		return &FieldsError{Faults: walker.faults}
@@ -37,8 +37,8 @@
 
 // walker compares a document with a type. Kinds are types that resolve returned.
 type walker struct {
-	scanner scanner
-	extent  extent
+	scanner   scanner
+	fieldMode fieldMode
 	// path leads to the value being read.
 	path   []step
 	faults []Fault
@@ -56,8 +56,8 @@
 	}
 }
 
-// longestName bounds the bytes of a field's name that a fault's path shows.
-const longestName = 64
+// maximumNameBytes bounds the bytes of a field's name that a fault's path shows.
+const maximumNameBytes = 64
 
 func (w *walker) pathText() string {
 	text := &strings.Builder{}
@@ -69,7 +69,7 @@
 		if index > 0 {
 			text.WriteByte('.')
 		}
-		name := step.name[:min(len(step.name), longestName)]
+		name := step.name[:min(len(step.name), maximumNameBytes)]
 		text.WriteString(strings.ToValidUTF8(string(name), "?"))
 	}
 	return text.String()
@@ -80,51 +80,51 @@
 func (w *walker) leave() { w.path = w.path[:len(w.path)-1] }
 
 // value reads one value that should fit the type.
-func (w *walker) value(kind reflect.Type) {
-	if kind == anyType {
+func (w *walker) value(typ reflect.Type) {
+	if typ == anyType {
 		w.scanner.skip()
 		return
 	}
 	switch w.scanner.peek() {
 	case '{':
-		w.object(kind)
+		w.object(typ)
 	case '[':
-		w.list(kind)
+		w.list(typ)
 	case '"':
 		w.scanner.text()
-		w.require(kind.Kind() == reflect.String, "must not be a string")
+		w.require(typ.Kind() == reflect.String, "must not be a string")
 	case 't', 'f':
 		w.scanner.scalar()
-		w.require(kind.Kind() == reflect.Bool, "must not be a boolean")
+		w.require(typ.Kind() == reflect.Bool, "must not be a boolean")
 	case 'n':
 		w.scanner.scalar()
-		w.require(w.extent == partial && kind.Kind() == reflect.Slice, "must not be null")
+		w.require(w.fieldMode == partialFields && typ.Kind() == reflect.Slice, "must not be null")
 	default:
-		w.number(kind, string(w.scanner.scalar()))
+		w.number(typ, string(w.scanner.scalar()))
 	}
 }
 
-func (w *walker) number(kind reflect.Type, number string) {
+func (w *walker) number(typ reflect.Type, number string) {
 	var err error
-	switch kind.Kind() {
+	switch typ.Kind() {
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		_, err = strconv.ParseInt(number, 10, kind.Bits())
+		_, err = strconv.ParseInt(number, 10, typ.Bits())
 		w.require(err == nil, "must be a whole number within its bounds")
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		_, err = strconv.ParseUint(number, 10, kind.Bits())
+		_, err = strconv.ParseUint(number, 10, typ.Bits())
 		w.require(err == nil, "must be a whole number, not negative, within its bounds")
 	case reflect.Float32, reflect.Float64:
-		_, err = strconv.ParseFloat(number, kind.Bits())
+		_, err = strconv.ParseFloat(number, typ.Bits())
 		w.require(err == nil, "must be a number within its bounds")
 	default:
 		w.fault("must not be a number")
 	}
 }
 
-func (w *walker) list(kind reflect.Type) {
+func (w *walker) list(typ reflect.Type) {
 	element := anyType
-	if kind.Kind() == reflect.Slice || kind.Kind() == reflect.Array {
-		element = resolve(kind.Elem())
+	if typ.Kind() == reflect.Slice || typ.Kind() == reflect.Array {
+		element = resolve(typ.Elem())
 	} else {
 		w.fault("must not be a list")
 	}
@@ -136,12 +136,12 @@
 	}
 }
 
-func (w *walker) object(kind reflect.Type) {
-	switch kind.Kind() {
+func (w *walker) object(typ reflect.Type) {
+	switch typ.Kind() {
 	case reflect.Struct:
-		w.structure(structureOf(kind))
+		w.structure(structureOf(typ))
 	case reflect.Map:
-		w.mapping(resolve(kind.Elem()))
+		w.mapping(resolve(typ.Elem()))
 	default:
 		w.fault("must not be an object")
 		w.scanner.skip()
@@ -160,14 +160,14 @@
 		if known {
 			w.require(!seen[position], "is given twice")
 			seen[position] = true
-			w.value(described.fields[position].kind)
+			w.value(described.fields[position].typ)
 		} else {
 			unknown = w.unknown(unknown, name)
 		}
 		w.leave()
 	}
-	if w.extent == whole {
-		w.missing(described, seen)
+	if w.fieldMode == allFields {
+		w.reportMissing(described, seen)
 	}
 }
 
@@ -184,7 +184,7 @@
 	return append(others, name)
 }
 
-func (w *walker) missing(described *structure, seen []bool) {
+func (w *walker) reportMissing(described *structure, seen []bool) {
 	for position, field := range described.fields {
 		if field.required && !seen[position] {
 			w.enter(step{name: []byte(field.name)})
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -38,7 +38,7 @@
 }
 
 // Dial counts the connections that are opened; a nil dial means the operating system's TCP.
-func (m *Meter) Dial(what Purpose, dial httpcall.DialFunc) httpcall.DialFunc {
+func (m *Meter) Dial(purpose Purpose, dial httpcall.DialFunc) httpcall.DialFunc {
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
 	}
@@ -47,69 +47,69 @@
 		if err != nil {
 			return nil, err
 		}
-		return m.count(what, conn), nil
+		return m.wrapConn(purpose, conn), nil
 	}
 }
 
 // Listener counts the connections that are accepted.
-func (m *Meter) Listener(what Purpose, listener net.Listener) net.Listener {
-	return &countedListener{Listener: listener, meter: m, what: what}
+func (m *Meter) Listener(purpose Purpose, listener net.Listener) net.Listener {
+	return &countingListener{Listener: listener, meter: m, purpose: purpose}
 }
 
-func (m *Meter) count(what Purpose, conn net.Conn) net.Conn {
-	return &countedConn{
+func (m *Meter) wrapConn(purpose Purpose, conn net.Conn) net.Conn {
+	return &countingConn{
 		Conn:     conn,
-		received: m.bytes.WithLabelValues(string(what), "in"),
-		sent:     m.bytes.WithLabelValues(string(what), "out"),
+		received: m.bytes.WithLabelValues(string(purpose), "in"),
+		sent:     m.bytes.WithLabelValues(string(purpose), "out"),
 	}
 }
 
-type countedListener struct {
+type countingListener struct {
 	net.Listener
-	meter *Meter
-	what  Purpose
+	meter   *Meter
+	purpose Purpose
 }
 
 // Accept implements net.Listener.
-func (l *countedListener) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return l.meter.count(l.what, conn), nil
+	return l.meter.wrapConn(l.purpose, conn), nil
 }
 
-// countedConn counts what one connection carries.
-type countedConn struct {
+// countingConn counts what one connection carries.
+type countingConn struct {
 	net.Conn
 	received, sent prometheus.Counter
 }
 
 // Read implements net.Conn.
-func (c *countedConn) Read(buffer []byte) (int, error) {
+func (c *countingConn) Read(buffer []byte) (int, error) {
 	length, err := c.Conn.Read(buffer)
 	c.received.Add(float64(length))
 	return length, err
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(data []byte) (int, error) {
+func (c *countingConn) Write(data []byte) (int, error) {
 	length, err := c.Conn.Write(data)
 	c.sent.Add(float64(length))
 	return length, err
 }
 
 // NetConn is the connection that is counted.
-func (c *countedConn) NetConn() net.Conn { return c.Conn }
+func (c *countingConn) NetConn() net.Conn { return c.Conn }
 
-// errNoDescriptor: the connection is none of the operating system's.
-var errNoDescriptor = errors.New("traffic: the connection has no descriptor")
+// errNoSyscallConn: the connection is none of the operating system's.
+var errNoSyscallConn = errors.New("traffic: the connection has no descriptor")
 
 // SyscallConn implements syscall.Conn where the connection does.
-func (c *countedConn) SyscallConn() (syscall.RawConn, error) {
+func (c *countingConn) SyscallConn() (syscall.RawConn, error) {
 	inner, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return nil, errNoDescriptor
+		return nil, errNoSyscallConn
 	}
 	return inner.SyscallConn()
 }
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -11,7 +11,7 @@
 	"github.com/prometheus/client_golang/prometheus/testutil"
 )
 
-func TestBytesAreCountedByPurpose(t *testing.T) {
+func TestMeterCountsBytesByPurpose(t *testing.T) {
 	meter := NewMeter(prometheus.NewRegistry())
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,21 +41,21 @@
 	if err := errors.Join(conn.Close(), <-ended, listener.Close()); err != nil {
 		t.Fatal(err)
 	}
-	for _, what := range []Purpose{Callers, Servers} {
+	for _, purpose := range []Purpose{Callers, Servers} {
 		for _, direction := range []string{"in", "out"} {
-			if got := testutil.ToFloat64(meter.bytes.WithLabelValues(string(what), direction)); got != 12 {
-				t.Errorf("%s %s: %v bytes, want 12", what, direction, got)
+			if got := testutil.ToFloat64(meter.bytes.WithLabelValues(string(purpose), direction)); got != 12 {
+				t.Errorf("%s %s: %v bytes, want 12", purpose, direction, got)
 			}
 		}
 	}
 }
 
 // A connection that the meter counts keeps what exchange needs of the operating system's.
-func TestDescriptorIsReachable(t *testing.T) {
+func TestSyscallConnUnsupported(t *testing.T) {
 	meter := NewMeter(nil)
 	near, far := net.Pipe()
 	defer func() { _ = errors.Join(near.Close(), far.Close()) }()
-	if _, err := meter.count(Servers, near).(*countedConn).SyscallConn(); !errors.Is(err, errNoDescriptor) {
+	if _, err := meter.wrapConn(Servers, near).(*countingConn).SyscallConn(); !errors.Is(err, errNoSyscallConn) {
 		t.Errorf("a pipe has a descriptor: %v", err)
 	}
 }
--- a/internal/usertimeout/usertimeout.go
+++ b/internal/usertimeout/usertimeout.go
@@ -37,22 +37,22 @@
 	case Setter:
 		return conn.SetUserTimeout(limit)
 	case syscall.Conn:
-		return setOption(conn, limit)
+		return setSocketOption(conn, limit)
 	default:
 		return ErrUnsupported
 	}
 }
 
-func setOption(conn syscall.Conn, limit time.Duration) error {
+func setSocketOption(conn syscall.Conn, limit time.Duration) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return fmt.Errorf("usertimeout: %w", err)
 	}
-	var failure error
+	var optionErr error
 	err = raw.Control(func(descriptor uintptr) {
-		failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limit.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limit.Milliseconds()))
 	})
-	if err = errors.Join(err, failure); err != nil {
+	if err = errors.Join(err, optionErr); err != nil {
 		return fmt.Errorf("usertimeout: %w", err)
 	}
 	return nil
--- a/internal/usertimeout/usertimeout_test.go
+++ b/internal/usertimeout/usertimeout_test.go
@@ -17,7 +17,7 @@
 
 func (w wrapped) NetConn() net.Conn { return w.Conn }
 
-func TestOptionIsSet(t *testing.T) {
+func TestSetSocketOption(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestUnsupportedConnections(t *testing.T) {
+func TestSetUnsupportedConnection(t *testing.T) {
 	near, far := net.Pipe()
 	defer func() { _ = errors.Join(near.Close(), far.Close()) }()
 	if err := usertimeout.Set(near, time.Second); !errors.Is(err, usertimeout.ErrUnsupported) {
--- a/internal/validation/validation_test.go
+++ b/internal/validation/validation_test.go
@@ -7,7 +7,7 @@
 	"github.com/go-playground/validator/v10"
 )
 
-func TestPathNamesFieldsByTheirTags(t *testing.T) {
+func TestPathUsesTagNames(t *testing.T) {
 	type group struct {
 		Name string `json:"name,omitempty" validate:"required"`
 	}
