--- a/record/top_test.go
+++ b/record/top_test.go
@@ -10,7 +10,7 @@
 )
 
 // Top agrees with sorting all records, equal ones and remainders among them.
-func TestTopIsTheHeadOfAllRecordsSorted(t *testing.T) {
+func TestTopMatchesFullSort(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
 		var parts [][]byte
