--- a/record/top.go
+++ b/record/top.go
@@ -32,33 +32,33 @@
 // minHeap is a heap of the greatest records so far, the least of them first.
 type minHeap [][]byte
 
-func (l *minHeap) offer(record []byte, count int) {
-	if len(*l) < count {
-		heap.Push(l, record)
+func (h *minHeap) offer(record []byte, count int) {
+	if len(*h) < count {
+		heap.Push(h, record)
 		return
 	}
-	if count > 0 && bytes.Compare(record, (*l)[0]) > 0 {
-		(*l)[0] = record
-		heap.Fix(l, 0)
+	if count > 0 && bytes.Compare(record, (*h)[0]) > 0 {
+		(*h)[0] = record
+		heap.Fix(h, 0)
 	}
 }
 
 // Len implements heap.Interface.
-func (l minHeap) Len() int { return len(l) }
+func (h minHeap) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (l minHeap) Less(i, j int) bool { return bytes.Compare(l[i], l[j]) < 0 }
+func (h minHeap) Less(i, j int) bool { return bytes.Compare(h[i], h[j]) < 0 }
 
 // Swap implements heap.Interface.
-func (l minHeap) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
+func (h minHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (l *minHeap) Push(x any) { *l = append(*l, x.([]byte)) }
+func (h *minHeap) Push(x any) { *h = append(*h, x.([]byte)) }
 
 // Pop implements heap.Interface.
-func (l *minHeap) Pop() any {
-	old := *l
+func (h *minHeap) Pop() any {
+	old := *h
 	last := old[len(old)-1]
-	*l = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return last
 }
