--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -116,9 +116,9 @@
 }
 
 // RoundTrip implements http.RoundTripper.
-func (w headerTimeoutTransport) RoundTrip(request *http.Request) (*http.Response, error) {
-	response, err := w.RoundTripper.RoundTrip(request)
-	w.headerTimer.Stop()
+func (t headerTimeoutTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	response, err := t.RoundTripper.RoundTrip(request)
+	t.headerTimer.Stop()
 	return response, err
 }
 
--- a/internal/priority/queue.go
+++ b/internal/priority/queue.go
@@ -58,7 +58,7 @@
 type entries[T any] struct {
 	items  []T
 	before func(item, other T) bool
-	onMove func(item T, place int)
+	onMove func(item T, index int)
 }
 
 func (e *entries[T]) notifyMoved(index int) {
--- a/internal/priority/queue_test.go
+++ b/internal/priority/queue_test.go
@@ -12,13 +12,13 @@
 
 type entry struct {
 	key   int
-	place int
+	index int
 }
 
 func newEntryQueue() *Queue[*entry] {
 	return NewQueue(
 		func(item, other *entry) bool { return item.key < other.key },
-		func(item *entry, place int) { item.place = place },
+		func(item *entry, index int) { item.index = index },
 	)
 }
 
@@ -53,7 +53,7 @@
 			}
 		}
 		for _, one := range removed {
-			if queue.Remove(one.place) != one {
+			if queue.Remove(one.index) != one {
 				return false
 			}
 		}
--- a/internal/roundtrip/roundtrip_test.go
+++ b/internal/roundtrip/roundtrip_test.go
@@ -14,7 +14,7 @@
 	mean, deviation time.Duration
 }
 
-func (t reportingConn) RoundTrip() (mean, deviation time.Duration) { return t.mean, t.deviation }
+func (c reportingConn) RoundTrip() (mean, deviation time.Duration) { return c.mean, c.deviation }
 
 // wrapped is a connection around another one.
 type wrapped struct{ net.Conn }
