--- a/internal/clock/boot.go
+++ b/internal/clock/boot.go
@@ -8,50 +8,56 @@
 )
 
 const (
-	// minSuspension is the shortest time without the steady clock that is taken for a
-	// suspension; the two clocks are read one after the other, on a processor that is shared.
+	// minSuspension is the smallest gap between the clocks that counts as a suspension. The
+	// clocks are read one after the other and the thread may be preempted in between, so
+	// smaller gaps can be reading errors.
 	minSuspension = 50 * time.Millisecond
-	// readInterval is the time on the steady clock for which a reading counts: a reading takes
-	// some 0.3 µs, and a node asks for the time with each event.
+	// readInterval is how long a reading is reused, in monotonic time. A reading takes about
+	// 0.3 µs, and a node asks for the time on every event.
 	readInterval = time.Millisecond
-	// maxReadAttempts bounds the readings that are interrupted.
+	// maxReadAttempts limits the attempts to read both clocks without being preempted.
 	maxReadAttempts = 3
 )
 
-// Epoch is a moment from which time is counted on while the machine is suspended. The steady
-// clock stands still then, so that what it alone dates seems younger than it is.
+// Epoch is a starting point for measuring elapsed time, including time during which the machine
+// was suspended. The monotonic clock stops during a suspension, so ages that are computed from it
+// alone would be too low.
 type Epoch struct {
 	start            time.Time
 	suspendedAtStart time.Duration
 }
 
-// NewEpoch returns the present as an epoch.
+// NewEpoch returns an Epoch that starts now.
 func NewEpoch() Epoch { return Epoch{start: time.Now(), suspendedAtStart: SuspendedTime()} }
 
-// Elapsed is the time since the epoch.
+// Elapsed returns the time since the epoch, including suspensions.
 func (e Epoch) Elapsed() time.Duration {
 	return time.Since(e.start) + SuspendedTime() - e.suspendedAtStart
 }
 
 var machineSuspensions = suspensionCounter{read: readClocks}
 
-// SuspendedTime is the time for which the machine has been suspended since this was first asked
-// for. It never decreases.
+// SuspendedTime returns the total time for which the machine has been suspended since the first
+// call. It never decreases.
 func SuspendedTime() time.Duration { return machineSuspensions.total() }
 
-// suspensionCounter adds up what the steady clock has missed.
+// suspensionCounter sums up the time that the monotonic clock does not count.
 type suspensionCounter struct {
-	// read returns both clocks; ok is false when they could not be read together.
+	// read returns the monotonic and the boot-time clock. ok is false if they could not be
+	// read at nearly the same time.
 	read func() (monotonic, boot time.Duration, ok bool)
 
 	mutex sync.Mutex
 	// mutex guards the fields below.
 	initialized bool
-	readAt      time.Duration // on the steady clock
-	baseOffset  time.Duration // by which the other clock is ahead
+	readAt      time.Duration // monotonic time of the last reading, since processStart
+	baseOffset  time.Duration // boot time minus monotonic time, at the first reading or last suspension
 	suspended   time.Duration
 }
 
+// total returns the accumulated suspended time, and reads the clocks first if the last reading
+// is older than readInterval. If the clocks cannot be read, it returns the last total; the next
+// successful reading includes what was missed.
 func (s *suspensionCounter) total() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -74,10 +80,12 @@
 	return s.suspended
 }
 
-// processStart is any moment before all others.
+// processStart is an arbitrary reference time, earlier than any reading.
 var processStart = time.Now()
 
-// readClocks reads the clock that counts on in between two readings of the one that does not.
+// readClocks reads the boot-time clock, which keeps running during a suspension, between two
+// readings of the monotonic clock, which does not. It retries if the two readings of the monotonic
+// clock are too far apart.
 func readClocks() (monotonic, boot time.Duration, ok bool) {
 	for range maxReadAttempts {
 		before, err := readClock(unix.CLOCK_MONOTONIC)
--- a/internal/clock/boot_test.go
+++ b/internal/clock/boot_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// The machine is suspended for 10 s: the steady clock stands still, the other one goes on.
+// During a suspension the boot-time clock advances and the monotonic clock does not. A gap below
+// minSuspension is not counted; a suspension while the clocks cannot be read is counted later.
 func TestSuspendedTimeAccumulates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began, offset, readable := time.Now(), 3*time.Hour, true
@@ -39,7 +40,7 @@
 		epoch := NewEpoch()
 		time.Sleep(3 * time.Second)
 		if got := epoch.Elapsed(); got != 3*time.Second {
-			t.Errorf("%s elapsed", got)
+			t.Errorf("elapsed time is %s, want 3s", got)
 		}
 	})
 }
--- a/internal/clock/sleep.go
+++ b/internal/clock/sleep.go
@@ -1,4 +1,5 @@
-// Package clock holds waits that end with a context.
+// Package clock provides a sleep that can be cancelled by a context, and elapsed
+// time that includes suspensions of the machine.
 package clock
 
 import (
@@ -6,8 +7,8 @@
 	"time"
 )
 
-// Sleep waits for the duration. It returns the context's error when the
-// context ends first, or has ended already.
+// Sleep waits for the duration. It returns the context's error if the context
+// is done before then or already done.
 func Sleep(ctx context.Context, duration time.Duration) error {
 	if duration <= 0 {
 		return ctx.Err()
--- a/internal/clock/sleep_test.go
+++ b/internal/clock/sleep_test.go
@@ -31,7 +31,7 @@
 					t.Errorf("error is %v, want %v", err, test.want)
 				}
 				if elapsed := time.Since(start); elapsed != test.elapsed {
-					t.Errorf("took %v, want %v", elapsed, test.elapsed)
+					t.Errorf("Sleep took %v, want %v", elapsed, test.elapsed)
 				}
 			})
 		})
--- a/internal/delivery/tracker.go
+++ b/internal/delivery/tracker.go
@@ -1,10 +1,10 @@
-// Package delivery tells whether any byte of an HTTP request may have reached
-// its server.
+// Package delivery determines whether any byte of an HTTP request may have
+// reached its server.
 //
-// The connections that a wrapped Dial returns count the bytes written. A
-// Tracker, attached to one request's context, notes the connections that the
-// request used; Seal then closes them for further writes and reports whether
-// anything was written, so that the answer can't change afterwards.
+// Connections opened by a wrapped DialFunc count the bytes written. A Tracker,
+// attached to the context of one request, records the connections that the
+// request used. Seal closes them, blocks further writes and reports whether
+// anything was written, so that the result cannot change afterwards.
 package delivery
 
 import (
@@ -14,10 +14,10 @@
 	"sync"
 )
 
-// DialFunc opens a connection to an IP number and port.
+// DialFunc opens a connection to an IP address and port.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// WrapDial returns a DialFunc whose connections count what is written to them.
+// WrapDial returns a DialFunc whose connections count the bytes written to them.
 func WrapDial(dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		inner, err := dial(ctx, network, address)
@@ -28,18 +28,19 @@
 	}
 }
 
-// countingConn counts the bytes that its inner connection accepted.
+// countingConn counts the bytes that the underlying connection accepted.
 type countingConn struct {
 	net.Conn
 
 	// mutex guards the fields below and is held during a write. Invariant: once
-	// sealed is true, written never changes.
+	// sealed is set, written does not change.
 	mutex   sync.Mutex
 	written uint64
 	sealed  bool
 }
 
-// Write passes data on unless the connection is sealed.
+// Write writes to the underlying connection. It returns net.ErrClosed if the
+// connection is sealed.
 func (c *countingConn) Write(data []byte) (int, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -51,8 +52,8 @@
 	return count, err
 }
 
-// seal closes the connection, which ends a write in progress, and returns the
-// final count.
+// seal closes the connection, which interrupts a write in progress, and returns
+// the final number of bytes written.
 func (c *countingConn) seal() uint64 {
 	_ = c.Close()
 	c.mutex.Lock()
@@ -61,35 +62,40 @@
 	return c.written
 }
 
+// count returns the number of bytes written so far.
 func (c *countingConn) count() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.written
 }
 
-// connUse is one connection with its count when the request took it.
+// connUse is a connection that the request used, with the number of bytes that
+// had been written to it before.
 type connUse struct {
 	conn  *countingConn
 	start uint64
 }
 
-// Tracker notes the connections that one request used.
+// Tracker records the connections that one request used. Its methods are safe
+// for concurrent use.
 type Tracker struct {
 	// mutex guards the fields below. Invariant: uses holds every connection
-	// handed to the request, in order, before a byte of it is written.
+	// assigned to the request, in order, before any byte of the request is
+	// written to it. untracked is set if one of them does not count bytes.
 	mutex     sync.Mutex
 	uses      []connUse
 	untracked bool
 	reused    bool
 }
 
-// Track returns a context to send one request with, and its tracker.
+// Track returns a context for sending one request, and the request's Tracker.
 func Track(ctx context.Context) (context.Context, *Tracker) {
 	tracker := &Tracker{}
 	trace := &httptrace.ClientTrace{GotConn: tracker.gotConn}
 	return httptrace.WithClientTrace(ctx, trace), tracker
 }
 
+// gotConn implements the GotConn hook of httptrace.ClientTrace.
 func (t *Tracker) gotConn(info httptrace.GotConnInfo) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -103,7 +109,8 @@
 }
 
 // Seal closes the request's connections and reports whether any byte of the
-// request may have been written. Call it after the request failed.
+// request may have been written. It is called after the request has failed.
+// Connections that do not count bytes are reported as written to.
 func (t *Tracker) Seal() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -116,8 +123,8 @@
 	return written
 }
 
-// Reused reports whether the request's last connection had carried another
-// request before.
+// Reused reports whether the request's last connection had been used for an
+// earlier request.
 func (t *Tracker) Reused() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/delivery/tracker_test.go
+++ b/internal/delivery/tracker_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// newPair returns a counting connection and its other end.
+// newPair returns a counting connection and its remote end.
 func newPair(t *testing.T) (net.Conn, net.Conn) {
 	t.Helper()
 	near, far := net.Pipe()
@@ -22,6 +22,7 @@
 	return conn, far
 }
 
+// trackOn returns a Tracker whose request was assigned the connection.
 func trackOn(t *testing.T, conn net.Conn) *Tracker {
 	t.Helper()
 	ctx, tracker := Track(t.Context())
@@ -31,7 +32,7 @@
 
 func TestSealWithoutConnection(t *testing.T) {
 	if _, tracker := Track(t.Context()); tracker.Seal() {
-		t.Error("bytes were written without a connection")
+		t.Error("Seal reported a write without a connection")
 	}
 }
 
@@ -42,7 +43,7 @@
 		t.Fatal(err)
 	}
 	if trackOn(t, conn).Seal() {
-		t.Error("an earlier request's bytes count")
+		t.Error("Seal counted the bytes of an earlier request")
 	}
 }
 
@@ -54,7 +55,7 @@
 		t.Fatal(err)
 	}
 	if !tracker.Seal() {
-		t.Error("a written byte does not count")
+		t.Error("Seal did not report the written byte")
 	}
 }
 
@@ -70,10 +71,10 @@
 		t.Fatal(err)
 	}
 	if !tracker.Seal() {
-		t.Error("the part of a write that was read does not count")
+		t.Error("Seal did not report a partial write that the peer had read")
 	}
 	if err := <-wrote; err == nil {
-		t.Error("the write went on")
+		t.Error("the write in progress was not interrupted")
 	}
 }
 
@@ -81,13 +82,13 @@
 	conn, _ := newPair(t)
 	tracker := trackOn(t, conn)
 	if tracker.Seal() {
-		t.Error("bytes count that were not written")
+		t.Error("Seal reported a write although nothing was written")
 	}
 	if count, err := conn.Write([]byte("late")); count != 0 || !errors.Is(err, net.ErrClosed) {
-		t.Errorf("a late write gave %d, %v", count, err)
+		t.Errorf("write after Seal returned %d, %v, want 0 and net.ErrClosed", count, err)
 	}
 	if tracker.Seal() {
-		t.Error("the answer changed")
+		t.Error("the result of Seal changed after a late write")
 	}
 }
 
@@ -96,6 +97,6 @@
 	defer far.Close()
 	defer near.Close()
 	if !trackOn(t, near).Seal() {
-		t.Error("a connection that does not count was taken as not written to")
+		t.Error("Seal reported no write for a connection that does not count bytes")
 	}
 }
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -1,8 +1,9 @@
-// Package httpcall sends single HTTP requests and reads their whole replies.
+// Package httpcall sends single HTTP requests and reads their complete replies.
 //
-// No redirect is followed, and a request with a body is never sent twice:
-// net/http's transport would send it again on a kept connection that closed if
-// the body could be rewound, so it can't. The transport may repeat a GET.
+// Redirects are not followed, and a request with a body is never sent twice:
+// net/http's transport resends a request if a reused connection closes and the
+// body can be rewound, so the body is made non-rewindable. The transport may
+// still resend a GET.
 package httpcall
 
 import (
@@ -18,9 +19,9 @@
 	"github.com/banksail/banksail/internal/strictjson"
 )
 
-// Bounds of transports.
+// Limits of the transports.
 const (
-	// MaximumHeaderBytes bounds the header of a reply.
+	// MaximumHeaderBytes is the maximum size of a reply's header.
 	MaximumHeaderBytes = 64 << 10
 
 	idleTimeout = 90 * time.Second
@@ -29,11 +30,11 @@
 // JSON is the media type of JSON documents.
 const JSON = "application/json"
 
-// DialFunc opens a connection to an IP number and port.
+// DialFunc opens a connection to an IP address and port.
 type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewTransport returns a transport with a bounded number of connections per
-// address. A nil dial means the operating system's TCP.
+// NewTransport returns a transport that opens at most the given number of
+// connections per address. A nil dial uses TCP through net.Dialer.
 func NewTransport(dial DialFunc, connections int) *http.Transport {
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
@@ -48,27 +49,27 @@
 	}
 }
 
-// Call is one request.
+// Call describes one request.
 type Call struct {
 	// Method is the HTTP method; empty means GET.
 	Method string
 	// Address is the server's host and port.
 	Address string
-	// Path is the path as it stands in the URL, with its escapes.
+	// Path is the URL path in its escaped form.
 	Path  string
 	Query url.Values
-	// Header may be nil. The call does not change it.
+	// Header may be nil. Send does not modify it.
 	Header http.Header
-	// Body is sent unless it is nil.
+	// Body is the request body; nil means none.
 	Body []byte
-	// MaxBodyBytes bounds the bytes of the reply's body.
+	// MaxBodyBytes is the maximum size of the reply's body.
 	MaxBodyBytes int64
-	// HeaderTimeout bounds the time until the reply's header has come; zero leaves
-	// it to the context.
+	// HeaderTimeout limits the time until the reply's header is received. With
+	// zero, only the context limits it.
 	HeaderTimeout time.Duration
 }
 
-// Reply is the whole reply to a Call.
+// Reply is the complete reply to a Call.
 type Reply struct {
 	// Code is the HTTP status code.
 	Code   int
@@ -76,12 +77,13 @@
 	Body   []byte
 }
 
-// ErrHeaderTimeout is Send's error when no header came within HeaderTimeout.
-var ErrHeaderTimeout = errors.New("httpcall: no answer")
+// ErrHeaderTimeout is returned by Send if no header was received within
+// HeaderTimeout.
+var ErrHeaderTimeout = errors.New("httpcall: no response header within the time limit")
 
-// Send sends the request and reads its reply until the context ends. Its error
-// is the transport's, ErrHeaderTimeout, or strictjson.ErrTooLarge for a body over the
-// limit.
+// Send sends the request and reads the complete reply; the context limits both.
+// It returns the transport's error, ErrHeaderTimeout, or strictjson.ErrTooLarge
+// if the body exceeds MaxBodyBytes.
 func Send(ctx context.Context, transport http.RoundTripper, call Call) (Reply, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -109,7 +111,8 @@
 	return Reply{Code: response.StatusCode, Header: response.Header, Body: body}, nil
 }
 
-// headerTimeoutTransport stops a timer once a header has come.
+// headerTimeoutTransport stops headerTimer when the reply's header has been
+// received or the request has failed.
 type headerTimeoutTransport struct {
 	http.RoundTripper
 	headerTimer *time.Timer
@@ -122,6 +125,8 @@
 	return response, err
 }
 
+// newRequest builds the HTTP request. GetBody is cleared so that the transport
+// cannot resend a body.
 func newRequest(ctx context.Context, call Call) (*http.Request, error) {
 	target := "http://" + call.Address + call.Path
 	if len(call.Query) > 0 {
--- a/internal/httpcall/httpcall_test.go
+++ b/internal/httpcall/httpcall_test.go
@@ -14,6 +14,7 @@
 	"github.com/banksail/banksail/internal/strictjson"
 )
 
+// send sends the call to a test server that runs the handler.
 func send(t *testing.T, handler http.HandlerFunc, call Call) (Reply, error) {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -83,13 +84,13 @@
 	if _, err := Send(t.Context(), transport, call); err != nil {
 		t.Fatal(err)
 	}
-	// The kept connection closes after the server read the second request.
+	// The server closes the reused connection after it has read the second request.
 	if _, err := Send(t.Context(), transport, call); err == nil || requests.Load() != 2 {
 		t.Errorf("error %v after %d requests, want an error after 2", err, requests.Load())
 	}
 }
 
-// slowTransport gives a header and a body after their times.
+// slowTransport returns the header and the body after the given delays.
 type slowTransport struct{ header, body time.Duration }
 
 // RoundTrip implements http.RoundTripper.
@@ -110,8 +111,8 @@
 	return 0, io.EOF
 }
 
-// A reply whose header does not come in time is given up; one whose body takes
-// longer is not.
+// HeaderTimeout cancels a request whose header is late, but does not limit the
+// time for reading the body.
 func TestHeaderTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		call := Call{Address: "x", Path: "/", MaxBodyBytes: 10, HeaderTimeout: time.Second}
@@ -120,7 +121,7 @@
 			t.Errorf("got %v after %s, want ErrHeaderTimeout", err, time.Since(began))
 		}
 		if _, err := Send(t.Context(), slowTransport{header: time.Second / 2, body: time.Minute}, call); err != nil {
-			t.Errorf("a long body: %v", err)
+			t.Errorf("slow body: got error %v, want none", err)
 		}
 	})
 }
--- a/internal/priority/queue.go
+++ b/internal/priority/queue.go
@@ -1,18 +1,18 @@
-// Package priority holds a priority queue of any type, on container/heap.
+// Package priority provides a generic priority queue based on container/heap.
 package priority
 
 import "container/heap"
 
-// Queue gives its items in the order of their priority. Items of equal
-// priority come in no particular order, so that an order should break ties. A
-// Queue must not be used from several goroutines at once.
+// Queue returns its items in order of priority. Items of equal priority are
+// returned in no particular order, so the comparison should break ties. A Queue
+// is not safe for concurrent use.
 type Queue[T any] struct {
 	entries entries[T]
 }
 
-// NewQueue returns an empty Queue. The item for which before is true goes
-// before the other one. If moved is not nil, it is told of the place of an item
-// whenever that changes; Remove takes that place.
+// NewQueue returns an empty Queue. before reports whether item precedes other.
+// If onMove is not nil, it is called with the new index of an item whenever
+// that changes; Remove expects this index.
 func NewQueue[T any](before func(item, other T) bool, onMove func(item T, index int)) *Queue[T] {
 	return &Queue[T]{entries: entries[T]{before: before, onMove: onMove}}
 }
@@ -20,10 +20,10 @@
 // Len returns the number of items.
 func (q *Queue[T]) Len() int { return len(q.entries.items) }
 
-// First returns the first item without taking it out; the queue must not be empty.
+// First returns the first item without removing it; the queue must not be empty.
 func (q *Queue[T]) First() T { return q.entries.items[0] }
 
-// All returns the items in no particular order; the caller must not change them.
+// All returns the items in no particular order; the caller must not modify the slice.
 func (q *Queue[T]) All() []T { return q.entries.items }
 
 // Push adds an item.
@@ -34,10 +34,10 @@
 	heap.Fix(&q.entries, index)
 }
 
-// Pop takes the first item out; the queue must not be empty.
+// Pop removes and returns the first item; the queue must not be empty.
 func (q *Queue[T]) Pop() T { return q.Remove(0) }
 
-// Remove takes out the item at a place, as moved told it.
+// Remove removes and returns the item at the index last passed to onMove.
 func (q *Queue[T]) Remove(index int) T {
 	last := len(q.entries.items) - 1
 	if index != last {
@@ -53,14 +53,16 @@
 	return removed
 }
 
-// entries implements heap.Interface. Queue grows and shrinks items itself,
-// because Push and Pop would allocate for each item that is no pointer.
+// entries implements heap.Interface. Queue grows and shrinks items itself
+// instead of calling heap.Push and heap.Pop, which would allocate for each item
+// that is not a pointer.
 type entries[T any] struct {
 	items  []T
 	before func(item, other T) bool
 	onMove func(item T, index int)
 }
 
+// notifyMoved passes the index of the item there to onMove.
 func (e *entries[T]) notifyMoved(index int) {
 	if e.onMove != nil {
 		e.onMove(e.items[index], index)
--- a/internal/roundtrip/roundtrip_test.go
+++ b/internal/roundtrip/roundtrip_test.go
@@ -8,7 +8,7 @@
 	"github.com/banksail/banksail/internal/roundtrip"
 )
 
-// reportingConn is a connection that knows its own round trip.
+// reportingConn is a connection that reports its own round-trip time.
 type reportingConn struct {
 	net.Conn
 	mean, deviation time.Duration
@@ -16,7 +16,7 @@
 
 func (c reportingConn) RoundTrip() (mean, deviation time.Duration) { return c.mean, c.deviation }
 
-// wrapped is a connection around another one.
+// wrapped is a connection that wraps another one.
 type wrapped struct{ net.Conn }
 
 func (w wrapped) NetConn() net.Conn { return w.Conn }
@@ -25,17 +25,17 @@
 	inner := reportingConn{mean: 9 * time.Millisecond, deviation: time.Millisecond}
 	mean, deviation, known := roundtrip.Estimate(wrapped{wrapped{inner}})
 	if !known || mean != inner.mean || deviation != inner.deviation {
-		t.Errorf("told %s, %s, %t", mean, deviation, known)
+		t.Errorf("Estimate returned %s, %s, %t, want the values of the inner connection", mean, deviation, known)
 	}
 	if _, _, known := roundtrip.Estimate(wrapped{reportingConn{}}); known {
-		t.Error("a connection that knows nothing is known")
+		t.Error("got an estimate for a connection that reports none")
 	}
 	if _, _, known := roundtrip.Estimate(nil); known {
-		t.Error("no connection is known")
+		t.Error("got an estimate for a nil connection")
 	}
 }
 
-// A connection over the kernel's loopback is measured, and is none once it is closed.
+// The kernel provides an estimate for an open loopback connection, and none after it is closed.
 func TestEstimateFromKernel(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,10 +48,10 @@
 	}
 	mean, _, known := roundtrip.Estimate(wrapped{conn})
 	if !known || mean > time.Second {
-		t.Errorf("a round trip of %s, %t", mean, known)
+		t.Errorf("got a round-trip time of %s, %t, want at most 1s, true", mean, known)
 	}
 	_ = conn.Close()
 	if _, _, known := roundtrip.Estimate(conn); known {
-		t.Error("a closed connection is known")
+		t.Error("got an estimate for a closed connection")
 	}
 }
--- a/internal/strictjson/read_test.go
+++ b/internal/strictjson/read_test.go
@@ -48,12 +48,13 @@
 		t.Fatalf("got %+v", target)
 	}
 	if err := Merge([]byte(`{"numbers":2}`), limits, &target); !errors.Is(err, ErrInvalidFields) {
-		t.Fatalf("an unknown field gave %v", err)
+		t.Fatalf("Merge with an unknown field returned %v, want ErrInvalidFields", err)
 	}
 }
 
-// FuzzUnmarshal: no input panics, and what is accepted is also accepted by
-// encoding/json with its own check of unknown fields.
+// FuzzUnmarshal checks that no input causes a panic, and that an accepted input
+// gives the same result with encoding/json, which also accepts it with
+// DisallowUnknownFields.
 func FuzzUnmarshal(f *testing.F) {
 	for _, seed := range []string{
 		`{"name":"a"}`, `{"n\u0061me":"a","items":[{"count":1,"share":0.5}],"raw":{"a":["]"]},"strings":{"x":1}}`,
@@ -69,10 +70,10 @@
 		decoder := json.NewDecoder(bytes.NewReader(data))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(&reference); err != nil {
-			t.Fatalf("accepted %q, of which encoding/json says: %v", data, err)
+			t.Fatalf("accepted %q, which encoding/json rejects: %v", data, err)
 		}
 		if !reflect.DeepEqual(target, reference) {
-			t.Fatalf("read %+v, want %+v", target, reference)
+			t.Fatalf("decoded %+v, want %+v", target, reference)
 		}
 	})
 }
--- a/internal/strictjson/scan.go
+++ b/internal/strictjson/scan.go
@@ -2,14 +2,15 @@
 
 import "encoding/json"
 
-// scanner steps through a document that encoding/json found to be valid.
+// scanner reads a document that encoding/json has found to be syntactically
+// valid.
 type scanner struct {
 	data []byte
-	// next is the offset of the first byte that was not read.
+	// next is the offset of the first unread byte.
 	next int
 }
 
-// peek returns the next byte that is no white space, without reading it.
+// peek skips white space and returns the next byte without consuming it.
 func (s *scanner) peek() byte {
 	for {
 		switch s.data[s.next] {
@@ -21,8 +22,8 @@
 	}
 }
 
-// more reads up to the next element of an object or a list; it is false when
-// the closing bracket was read instead.
+// more advances to the next element of an object or a list. If there is none, it
+// consumes the closing bracket and returns false.
 func (s *scanner) more(closing byte) bool {
 	if s.peek() == ',' {
 		s.next++
@@ -34,14 +35,15 @@
 	return false
 }
 
-// text reads a string and returns it with its quotes.
+// text consumes a string and returns it including its quotes.
 func (s *scanner) text() []byte {
 	start := s.next
 	s.next = endOfString(s.data, start)
 	return s.data[start:s.next]
 }
 
-// name reads the name of a field and the colon after it.
+// name consumes the name of a field and the colon after it, and returns the
+// unquoted name.
 func (s *scanner) name() []byte {
 	s.peek()
 	text := s.text()
@@ -50,7 +52,7 @@
 	return unquote(text)
 }
 
-// scalar reads a number, a boolean or null.
+// scalar consumes a number, a boolean or null.
 func (s *scanner) scalar() []byte {
 	start := s.next
 	for s.next < len(s.data) {
@@ -63,7 +65,7 @@
 	return s.data[start:]
 }
 
-// skip reads one value of any type.
+// skip consumes one value of any type.
 func (s *scanner) skip() {
 	switch s.peek() {
 	case '"':
@@ -75,6 +77,7 @@
 	}
 }
 
+// skipNested consumes an object or a list with everything nested in it.
 func (s *scanner) skipNested() {
 	open := 0
 	for {
@@ -94,8 +97,8 @@
 	}
 }
 
-// endOfString returns the offset behind the string that begins at start, or
-// the document's end when the string has none.
+// endOfString returns the offset after the string that begins at start, or the
+// length of the document if the string is not terminated.
 func endOfString(data []byte, start int) int {
 	for at := start + 1; at < len(data); at++ {
 		switch data[at] {
@@ -108,7 +111,7 @@
 	return len(data)
 }
 
-// unquote returns what a valid string stands for.
+// unquote returns the value of a valid JSON string.
 func unquote(text []byte) []byte {
 	inner := text[1 : len(text)-1]
 	for _, character := range inner {
@@ -121,8 +124,8 @@
 	return inner
 }
 
-// depthExceeded returns the offset of the first bracket that opens a level
-// beyond depth. The document need not be valid.
+// depthExceeded returns the offset of the first bracket that exceeds the nesting
+// depth, and whether there is one. The document need not be valid.
 func depthExceeded(data []byte, depth int) (int, bool) {
 	open := 0
 	for at := 0; at < len(data); at++ {
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -1,11 +1,12 @@
-// Package strictjson reads JSON documents of bounded size and depth into Go
-// types, and names the path of every fault.
+// Package strictjson decodes JSON documents of limited size and depth into Go
+// types, and reports the path of each invalid field.
 //
-// It is stricter than encoding/json, which does the decoding: names match
-// exactly, no name may be given twice, unknown fields are faults, and so are nulls,
-// and missing fields unless their tag says omitempty. A missing field is thus
-// never read as a zero. Values whose type decodes itself, such as
-// json.RawMessage, are opaque: only their depth is checked.
+// Decoding is done by encoding/json, with stricter rules: field names match
+// exactly (including case) and must not repeat; unknown fields and nulls are
+// rejected, and so are missing fields unless their tag has omitempty. A missing
+// field is therefore never read as zero. Values of types that implement
+// json.Unmarshaler, such as json.RawMessage, are opaque: only their nesting depth
+// is checked.
 package strictjson
 
 import (
@@ -16,45 +17,45 @@
 	"strings"
 )
 
-// Errors of the package, wrapped with details.
+// Errors returned by the package, wrapped with details.
 var (
-	// ErrTooLarge: the document has more bytes than the limit.
+	// ErrTooLarge means that the document exceeds the size limit.
 	ErrTooLarge = errors.New("strictjson: document too large")
-	// ErrTooDeep: the document nests deeper than the limit.
+	// ErrTooDeep means that the document is nested more deeply than the limit.
 	ErrTooDeep = errors.New("strictjson: document nested too deep")
-	// ErrSyntax: the bytes are not one JSON document.
+	// ErrSyntax means that the input is not exactly one JSON document.
 	ErrSyntax = errors.New("strictjson: not a JSON document")
-	// ErrInvalidFields: fields are faulty; see FieldsError.
-	ErrInvalidFields = errors.New("strictjson: faulty fields")
+	// ErrInvalidFields means that fields are invalid; see FieldsError.
+	ErrInvalidFields = errors.New("strictjson: invalid fields")
 )
 
-// DefaultDepth bounds the nesting where Limits names no depth.
+// DefaultDepth is the maximum nesting depth if Limits.Depth is zero.
 const DefaultDepth = 128
 
-// Limits bounds what is read.
+// Limits restricts the documents that are accepted.
 type Limits struct {
-	// Bytes is the greatest size of the document.
+	// Bytes is the maximum size of the document.
 	Bytes int64
-	// Depth is the greatest number of objects and lists within each other;
-	// DefaultDepth when zero.
+	// Depth is the maximum nesting depth of objects and lists; zero means
+	// DefaultDepth.
 	Depth int
 }
 
-// maximumFaults bounds the faults that are reported of one document.
+// maximumFaults is the maximum number of faults reported for one document.
 const maximumFaults = 50
 
-// Fault is one faulty field.
+// Fault describes one invalid field.
 type Fault struct {
-	// Path leads to the field, such as changes[0].set_class.order.
+	// Path is the path of the field, such as changes[0].set_class.order.
 	Path string
-	// Problem says what is wrong with it.
+	// Problem describes what is wrong with the field.
 	Problem string
 }
 
-// FieldsError lists faulty fields; it wraps ErrInvalidFields.
+// FieldsError lists the invalid fields of a document; it wraps ErrInvalidFields.
 type FieldsError struct{ Faults []Fault }
 
-// Error lists every fault on one line.
+// Error returns all faults on one line.
 func (e *FieldsError) Error() string {
 	texts := make([]string, 0, len(e.Faults))
 	for _, fault := range e.Faults {
@@ -63,10 +64,11 @@
 	return ErrInvalidFields.Error() + ": " + strings.Join(texts, "; ")
 }
 
-// Unwrap makes errors.Is(err, ErrInvalidFields) true.
+// Unwrap returns ErrInvalidFields, for errors.Is.
 func (e *FieldsError) Unwrap() error { return ErrInvalidFields }
 
-// Read reads at most limit bytes; a longer input is ErrTooLarge.
+// Read reads the whole input. It returns ErrTooLarge if the input is longer than
+// limit bytes.
 func Read(reader io.Reader, limit int64) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(reader, limit+1))
 	if err != nil {
@@ -78,8 +80,8 @@
 	return data, nil
 }
 
-// Decode reads one whole document into target, which must be a pointer. It
-// returns the reader's own error, or one of the package's.
+// Decode reads one complete document into target, which must be a pointer. It
+// returns the reader's error or one of this package.
 func Decode(reader io.Reader, limits Limits, target any) error {
 	data, err := Read(reader, limits.Bytes)
 	if err != nil {
@@ -88,15 +90,15 @@
 	return Unmarshal(data, limits, target)
 }
 
-// Unmarshal decodes one whole document into target, which must be a pointer.
-// After an error target's content is undefined.
+// Unmarshal decodes one complete document into target, which must be a pointer.
+// After an error the content of target is undefined.
 func Unmarshal(data []byte, limits Limits, target any) error {
 	return unmarshal(data, limits, target, allFields)
 }
 
-// Merge decodes a document that need not name every field into target, which
-// must be a pointer. Fields that it does not name keep their values; a null
-// empties a list. After an error target's content is undefined.
+// Merge decodes a partial document into target, which must be a pointer. Omitted
+// fields keep their values. Null is allowed for lists only and sets them to nil.
+// After an error the content of target is undefined.
 func Merge(data []byte, limits Limits, target any) error {
 	return unmarshal(data, limits, target, partialFields)
 }
@@ -122,7 +124,8 @@
 	return unmarshalError(decodeError)
 }
 
-// unmarshalError turns an error of a type's own decoder into a fault.
+// unmarshalError converts an error returned by encoding/json, or by a type's own
+// decoder, to an error of this package.
 func unmarshalError(err error) error {
 	if err == nil {
 		return nil
--- a/internal/strictjson/structure.go
+++ b/internal/strictjson/structure.go
@@ -7,24 +7,25 @@
 	"sync"
 )
 
-// field is a field of a struct as JSON names it.
+// field describes a struct field by its JSON name.
 type field struct {
 	name     string
 	typ      reflect.Type
 	required bool
 }
 
-// structure is what the walker needs to know of a struct type.
+// structure describes the fields of a struct type for the walker.
 type structure struct {
 	fields []field
-	// positions gives the index in fields by name.
+	// positions maps a name to its index in fields.
 	positions map[string]int
 }
 
-// structures holds a *structure for each struct type that was met.
+// structures caches a *structure for each reflect.Type of a struct.
 var structures sync.Map
 
-// structureOf describes a struct type; embedded structs are not supported.
+// structureOf returns the description of a struct type. Embedded structs are not
+// supported.
 func structureOf(typ reflect.Type) *structure {
 	if known, ok := structures.Load(typ); ok {
 		return known.(*structure)
@@ -48,13 +49,13 @@
 	return described
 }
 
-// anyType is the type of values that are read, but not checked.
+// anyType stands for types whose values are skipped without a check.
 var anyType = reflect.TypeFor[any]()
 
 var unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 
-// resolve returns the type that a pointer points to, and anyType for types
-// that read their JSON themselves.
+// resolve dereferences pointer types. It returns anyType for interfaces and for
+// types that implement json.Unmarshaler.
 func resolve(typ reflect.Type) reflect.Type {
 	for typ.Kind() == reflect.Pointer {
 		typ = typ.Elem()
--- a/internal/strictjson/walk.go
+++ b/internal/strictjson/walk.go
@@ -8,17 +8,18 @@
 	"strings"
 )
 
-// fieldMode says which fields a document must name.
+// fieldMode determines which fields a document must contain.
 type fieldMode int
 
 const (
-	// allFields documents name each field whose tag does not say omitempty.
+	// allFields requires each field whose tag does not have omitempty.
 	allFields fieldMode = iota
-	// partialFields documents may leave fields out.
+	// partialFields allows any field to be omitted.
 	partialFields
 )
 
-// check walks a valid document beside the target's type.
+// check compares a syntactically valid document with the type of target and
+// returns a FieldsError if they do not match.
 func check(data []byte, target any, fieldMode fieldMode) error {
 	walker := &walker{scanner: scanner{data: data}, fieldMode: fieldMode}
 	walker.value(resolve(reflect.TypeOf(target).Elem()))
@@ -28,37 +29,42 @@
 	return nil
 }
 
-// step leads from a value to one within it: a field's name, or an index when
-// the name is nil.
+// step is one element of a path: the name of a field, or an index if name is
+// nil.
 type step struct {
 	name  []byte
 	index int
 }
 
-// walker compares a document with a type. Kinds are types that resolve returned.
+// walker compares a document with a type. The types passed to its methods are
+// those returned by resolve.
 type walker struct {
 	scanner   scanner
 	fieldMode fieldMode
-	// path leads to the value being read.
+	// path is the path of the value being read.
 	path   []step
 	faults []Fault
 }
 
+// fault records a fault at the current path, up to maximumFaults.
 func (w *walker) fault(problem string) {
 	if len(w.faults) < maximumFaults {
 		w.faults = append(w.faults, Fault{Path: w.pathText(), Problem: problem})
 	}
 }
 
+// require records a fault unless ok is true.
 func (w *walker) require(ok bool, problem string) {
 	if !ok {
 		w.fault(problem)
 	}
 }
 
-// maximumNameBytes bounds the bytes of a field's name that a fault's path shows.
+// maximumNameBytes is the length to which field names are truncated in the path
+// of a fault.
 const maximumNameBytes = 64
 
+// pathText returns the current path in the form of Fault.Path.
 func (w *walker) pathText() string {
 	text := &strings.Builder{}
 	for index, step := range w.path {
@@ -79,7 +85,7 @@
 
 func (w *walker) leave() { w.path = w.path[:len(w.path)-1] }
 
-// value reads one value that should fit the type.
+// value reads one value and checks that it matches the type.
 func (w *walker) value(typ reflect.Type) {
 	if typ == anyType {
 		w.scanner.skip()
@@ -104,6 +110,7 @@
 	}
 }
 
+// number checks that a number fits the type, including its range.
 func (w *walker) number(typ reflect.Type, number string) {
 	var err error
 	switch typ.Kind() {
@@ -121,6 +128,7 @@
 	}
 }
 
+// list reads a list and checks its elements.
 func (w *walker) list(typ reflect.Type) {
 	element := anyType
 	if typ.Kind() == reflect.Slice || typ.Kind() == reflect.Array {
@@ -136,6 +144,7 @@
 	}
 }
 
+// object reads an object and checks its fields.
 func (w *walker) object(typ reflect.Type) {
 	switch typ.Kind() {
 	case reflect.Struct:
@@ -148,7 +157,7 @@
 	}
 }
 
-// structure reads an object that stands for a struct.
+// structure reads an object that is decoded into a struct.
 func (w *walker) structure(described *structure) {
 	seen := make([]bool, len(described.fields))
 	var unknown [][]byte
@@ -171,7 +180,8 @@
 	}
 }
 
-// unknown reads the value of an unknown field and adds its name to the others.
+// unknown skips the value of an unknown field and returns others with its name
+// added. A repeated name is reported once; up to maximumFaults names are remembered.
 func (w *walker) unknown(others [][]byte, name []byte) [][]byte {
 	twice := slices.ContainsFunc(others, func(other []byte) bool { return string(other) == string(name) })
 	if !twice {
@@ -184,6 +194,7 @@
 	return append(others, name)
 }
 
+// reportMissing records a fault for each required field that was not seen.
 func (w *walker) reportMissing(described *structure, seen []bool) {
 	for position, field := range described.fields {
 		if field.required && !seen[position] {
@@ -194,7 +205,7 @@
 	}
 }
 
-// mapping reads an object that stands for a map.
+// mapping reads an object that is decoded into a map.
 func (w *walker) mapping(element reflect.Type) {
 	seen := map[string]bool{}
 	w.scanner.next++
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,4 +1,4 @@
-// Package traffic counts the bytes of connections by what they are for.
+// Package traffic counts the bytes sent and received on connections, by purpose.
 package traffic
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/banksail/banksail/internal/httpcall"
 )
 
-// Purpose tells what a connection is for.
+// Purpose is what a connection is used for; it is a label of the metric.
 type Purpose string
 
-// Purposes of a node's connections. Checks are readiness, directory and metrics.
+// Purposes of a node's connections. Checks covers the readiness, directory and metrics endpoints.
 const (
 	Callers Purpose = "callers"
 	Servers Purpose = "servers"
@@ -23,10 +23,10 @@
 	Checks  Purpose = "checks"
 )
 
-// Meter counts bytes. Its methods may be called from several goroutines.
+// Meter counts bytes per purpose and direction. Its methods are safe for concurrent use.
 type Meter struct{ bytes *prometheus.CounterVec }
 
-// NewMeter returns a meter; a nil registry takes no metrics.
+// NewMeter returns a Meter. With a nil registry its metric is not registered.
 func NewMeter(registry prometheus.Registerer) *Meter {
 	m := &Meter{bytes: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "banksail_connection_bytes_total", Help: "Bytes of connections, without those of TCP and IP, by what they are for.",
@@ -37,7 +37,8 @@
 	return m
 }
 
-// Dial counts the connections that are opened; a nil dial means the operating system's TCP.
+// Dial returns a dial function whose connections are counted. A nil dial uses TCP through
+// net.Dialer.
 func (m *Meter) Dial(purpose Purpose, dial httpcall.DialFunc) httpcall.DialFunc {
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
@@ -51,7 +52,7 @@
 	}
 }
 
-// Listener counts the connections that are accepted.
+// Listener returns a listener whose accepted connections are counted.
 func (m *Meter) Listener(purpose Purpose, listener net.Listener) net.Listener {
 	return &countingListener{Listener: listener, meter: m, purpose: purpose}
 }
@@ -64,6 +65,7 @@
 	}
 }
 
+// countingListener counts the bytes of the connections that it accepts.
 type countingListener struct {
 	net.Listener
 	meter   *Meter
@@ -79,7 +81,7 @@
 	return l.meter.wrapConn(l.purpose, conn), nil
 }
 
-// countingConn counts what one connection carries.
+// countingConn counts the bytes read from and written to a connection.
 type countingConn struct {
 	net.Conn
 	received, sent prometheus.Counter
@@ -99,13 +101,13 @@
 	return length, err
 }
 
-// NetConn is the connection that is counted.
+// NetConn returns the underlying connection.
 func (c *countingConn) NetConn() net.Conn { return c.Conn }
 
-// errNoSyscallConn: the connection is none of the operating system's.
-var errNoSyscallConn = errors.New("traffic: the connection has no descriptor")
+// errNoSyscallConn means that the underlying connection is not one of the operating system.
+var errNoSyscallConn = errors.New("traffic: the connection does not support SyscallConn")
 
-// SyscallConn implements syscall.Conn where the connection does.
+// SyscallConn implements syscall.Conn if the underlying connection does.
 func (c *countingConn) SyscallConn() (syscall.RawConn, error) {
 	inner, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -50,12 +50,13 @@
 	}
 }
 
-// A connection that the meter counts keeps what exchange needs of the operating system's.
+// A counted connection passes SyscallConn through, which package exchange needs. A pipe has no
+// descriptor, so the call fails.
 func TestSyscallConnUnsupported(t *testing.T) {
 	meter := NewMeter(nil)
 	near, far := net.Pipe()
 	defer func() { _ = errors.Join(near.Close(), far.Close()) }()
 	if _, err := meter.wrapConn(Servers, near).(*countingConn).SyscallConn(); !errors.Is(err, errNoSyscallConn) {
-		t.Errorf("a pipe has a descriptor: %v", err)
+		t.Errorf("SyscallConn of a pipe returned %v, want errNoSyscallConn", err)
 	}
 }
--- a/internal/usertimeout/usertimeout.go
+++ b/internal/usertimeout/usertimeout.go
@@ -1,6 +1,6 @@
-// Package usertimeout ends connections to machines that have fallen silent: a
-// connection whose sent bytes the peer leaves unacknowledged for too long fails, which a
-// slow peer, whose kernel acknowledges them, does not.
+// Package usertimeout makes connections to unresponsive machines fail. A connection fails if
+// the peer's kernel does not acknowledge sent bytes within a limit. A slow peer is not
+// affected, because its kernel still acknowledges them.
 package usertimeout
 
 import (
@@ -13,18 +13,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrUnsupported is returned for a connection that can't be bounded.
+// ErrUnsupported is returned for a connection that does not support the timeout.
 var ErrUnsupported = errors.New("usertimeout: not supported by the connection")
 
-// Setter is a connection that bounds its own silence, as those of a simulated network do.
+// Setter is implemented by connections that enforce the timeout themselves, such as those of a
+// simulated network.
 type Setter interface {
 	SetUserTimeout(limit time.Duration) error
 }
 
-// wrapper is a connection around another one.
+// wrapper is a connection that wraps another one.
 type wrapper interface{ NetConn() net.Conn }
 
-// Set bounds how long sent bytes may stay unacknowledged (TCP_USER_TIMEOUT).
+// Set limits how long sent bytes may remain unacknowledged before the connection fails
+// (TCP_USER_TIMEOUT, in whole milliseconds). It unwraps the connection through NetConn and returns
+// ErrUnsupported if the innermost connection has no such option.
 func Set(conn net.Conn, limit time.Duration) error {
 	for {
 		outer, ok := conn.(wrapper)
--- a/internal/usertimeout/usertimeout_test.go
+++ b/internal/usertimeout/usertimeout_test.go
@@ -12,7 +12,7 @@
 	"github.com/banksail/banksail/internal/usertimeout"
 )
 
-// wrapped is a connection around another one.
+// wrapped is a connection that wraps another one.
 type wrapped struct{ net.Conn }
 
 func (w wrapped) NetConn() net.Conn { return w.Conn }
@@ -39,7 +39,7 @@
 	if err := raw.Control(func(descriptor uintptr) {
 		got, err = unix.GetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 	}); err != nil || got != 700 {
-		t.Errorf("%d ms, %v", got, err)
+		t.Errorf("TCP_USER_TIMEOUT is %d ms (error %v), want 700 ms", got, err)
 	}
 }
 
--- a/internal/validation/validation.go
+++ b/internal/validation/validation.go
@@ -1,5 +1,5 @@
-// Package validation checks struct tags and names faulty fields as documents
-// name them, rather than as Go does.
+// Package validation validates structs by their tags. It names invalid fields as
+// they appear in the document rather than by their Go names.
 package validation
 
 import (
@@ -9,8 +9,8 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// New returns a validator that names each field by its tag of the given key,
-// such as json. It caches the tags and is safe for concurrent use.
+// New returns a validator that names each field by the struct tag with the given
+// key, such as json. It caches the tags and is safe for concurrent use.
 func New(tagKey string) *validator.Validate {
 	validate := validator.New(validator.WithRequiredStructEnabled())
 	validate.RegisterTagNameFunc(func(field reflect.StructField) string {
@@ -20,7 +20,7 @@
 	return validate
 }
 
-// Path returns the path of a faulty field within the checked struct, such as
+// Path returns the path of an invalid field within the validated struct, such as
 // groups[0].name.
 func Path(field validator.FieldError) string {
 	_, path, _ := strings.Cut(field.Namespace(), ".")
--- a/internal/validation/validation_test.go
+++ b/internal/validation/validation_test.go
@@ -17,6 +17,6 @@
 	err := New("json").Struct(document{Groups: []group{{Name: "a"}, {}}})
 	var invalid validator.ValidationErrors
 	if !errors.As(err, &invalid) || len(invalid) != 1 || Path(invalid[0]) != "groups[1].name" {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got %v, want one error at groups[1].name", err)
 	}
 }
