--- a/record/top.go
+++ b/record/top.go
@@ -1,6 +1,6 @@
-// Package record reduces the parts of an answer to the greatest records among
-// them. A part is a sequence of records of fixed size, in no order; bytes that
-// do not make a whole record are no record.
+// Package record merges the parts of an answer and keeps the greatest records. A
+// part is an unordered sequence of records of fixed size; trailing bytes that do
+// not form a complete record are ignored.
 package record
 
 import (
@@ -12,8 +12,9 @@
 // Size is the length of a record in bytes.
 const Size = 16
 
-// Top returns the count greatest records of all parts, the greatest first, as
-// compared byte by byte. Equal records all count. The result is a new slice.
+// Top returns the count greatest records of all parts, concatenated in descending
+// order. Records are compared byte by byte, and duplicates are kept. The result
+// does not share memory with the parts.
 func Top(parts [][]byte, count int) []byte {
 	minHeap := make(minHeap, 0, max(count, 0))
 	for _, part := range parts {
@@ -29,9 +30,12 @@
 	return body
 }
 
-// minHeap is a heap of the greatest records so far, the least of them first.
+// minHeap holds the greatest records so far, with the smallest of them at the
+// root.
 type minHeap [][]byte
 
+// offer adds the record if fewer than count are held, or replaces the smallest
+// one if the record is greater.
 func (h *minHeap) offer(record []byte, count int) {
 	if len(*h) < count {
 		heap.Push(h, record)
--- a/record/top_test.go
+++ b/record/top_test.go
@@ -9,7 +9,8 @@
 	"github.com/banksail/banksail/record"
 )
 
-// Top agrees with sorting all records, equal ones and remainders among them.
+// Top returns the same records as sorting all of them. The parts contain
+// duplicates and incomplete records at their end.
 func TestTopMatchesFullSort(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
@@ -18,7 +19,7 @@
 		for range random.IntN(6) {
 			part := make([]byte, random.IntN(20)*record.Size+random.IntN(record.Size))
 			for i := range part {
-				part[i] = byte(random.IntN(3)) // so that many are equal
+				part[i] = byte(random.IntN(3)) // few values, so that there are many duplicates
 			}
 			parts = append(parts, part)
 			for ; len(part) >= record.Size; part = part[record.Size:] {
