--- a/cmd/banksail-front/soak_test.go
+++ b/cmd/banksail-front/soak_test.go
@@ -17,9 +17,9 @@
 // run checks.
 func TestSoakDetectsLateConfiguration(t *testing.T) {
 	report, err := soak.Run(context.Background(), soak.Options{
-		Seed: 1, Duration: soak.ShortestDuration, Program: os.Args[0], Arguments: []string{"serve"},
+		Seed: 1, Duration: soak.MinDuration, Program: os.Args[0], Arguments: []string{"serve"},
 		Environment: []string{runMainVariable + "=1"}, Directory: t.TempDir(), Kinds: []schedule.Kind{soak.Configure},
-		ToldApplyBound: time.Minute,
+		NodeApplyBound: time.Minute,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/banksail-lab/soak.go
+++ b/cmd/banksail-lab/soak.go
@@ -75,7 +75,7 @@
 	}
 	violations := 0
 	for _, plannedRun := range runs {
-		if _, err := fmt.Fprint(writer, soak.Draw(plannedRun.seed, plannedRun.duration, soak.DefaultLayout(), plannedRun.kinds...)); err != nil {
+		if _, err := fmt.Fprint(writer, soak.Generate(plannedRun.seed, plannedRun.duration, soak.DefaultLayout(), plannedRun.kinds...)); err != nil {
 			return err
 		}
 		if c.scheduleOnly {
@@ -173,7 +173,7 @@
 	}
 	report, err := soak.Run(ctx, soak.Options{
 		Seed: plannedRun.seed, Duration: plannedRun.duration, Program: program, Arguments: []string{"serve"}, Kinds: plannedRun.kinds, Directory: directory,
-		Tell: func(format string, arguments ...any) { _, _ = fmt.Fprintf(writer, format+"\n", arguments...) },
+		ReportProgress: func(format string, arguments ...any) { _, _ = fmt.Fprintf(writer, format+"\n", arguments...) },
 	})
 	if err != nil {
 		return 0, errors.Join(err, os.RemoveAll(directory))
@@ -200,13 +200,13 @@
 				count++
 			}
 		}
-		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\n", invariant, report.Judged[invariant], count)
+		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\n", invariant, report.Checked[invariant], count)
 	}
 	if err := table.Flush(); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(writer, "seed %d: %d faults, %d requests, %d answered well, %d arrivals at servers, %d configurations, roll-out: %s, longest pause %s\n",
-		report.Schedule.Seed, len(report.Schedule.Faults), report.Requests, report.Good, report.Arrivals, report.Configurations, report.Rollout, report.Pause)
+		report.Schedule.Seed, len(report.Schedule.Faults), report.SentRequests, report.Succeeded, report.ReceivedRequests, report.Configurations, report.RolloutOutcome, report.LongestPause)
 	for _, violation := range report.Violations[:min(len(report.Violations), maxPrintedViolations)] {
 		_, _ = fmt.Fprintf(writer, "violation: %s\n", violation)
 	}
--- a/lab/soak/deadly.go
+++ b/lab/soak/deadly.go
@@ -80,7 +80,7 @@
 	f.mutex.Unlock()
 	err := f.bringBack(s, func() { time.Sleep(restartTime) }, 0)
 	if err != nil {
-		f.options.Tell("a server that ended under a request did not come back: %v", err)
+		f.options.ReportProgress("a server that ended under a request did not come back: %v", err)
 	}
 }
 
@@ -88,7 +88,7 @@
 // nothing disturbed.
 func (j *judge) repeats() {
 	for target, ends := range j.deadlyEnds {
-		j.judged[Repeats]++
+		j.judged[RepeatedCrashes]++
 		if len(ends) < endsKnown {
 			continue
 		}
@@ -99,7 +99,7 @@
 			}
 		}
 		if repeats > mostRepeats {
-			j.violate(Repeats, target, "servers got it %d times later than %s; %d ended", repeats, known, len(ends))
+			j.violate(RepeatedCrashes, target, "servers got it %d times later than %s; %d ended", repeats, known, len(ends))
 		}
 	}
 }
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -39,7 +39,7 @@
 	if clock.Sleep(ctx, fault.At-f.recorder.Now()) != nil {
 		return nil // the soak was interrupted
 	}
-	f.options.Tell("%8.3f s  %s", f.recorder.Now().Seconds(), fault)
+	f.options.ReportProgress("%8.3f s  %s", f.recorder.Now().Seconds(), fault)
 	from := f.recorder.Now()
 	wait := func() { _ = clock.Sleep(ctx, fault.Until-f.recorder.Now()) }
 	n, s := f.nodeNamed(fault.Target), f.serverNamed(fault.Target)
@@ -52,7 +52,7 @@
 	switch fault.Kind {
 	case schedule.RestartNodes:
 		return f.restartAll(wait)
-	case DarkZone:
+	case ZoneOutage:
 		f.darkenZone(fault.Target, wait)
 	case schedule.StoreOutage:
 		f.store.Set(func() { f.store.Down = true })
@@ -67,7 +67,7 @@
 		f.store.Set(func() { f.store.DropWriteResponses = true })
 		wait()
 		f.store.Set(func() { f.store.DropWriteResponses = false })
-	case StoreDeaf:
+	case StoreMuteWatches:
 		f.store.Set(func() { f.store.MuteWatches = true })
 		wait()
 		f.store.Set(func() { f.store.MuteWatches = false })
@@ -79,12 +79,12 @@
 		wait()
 		f.store.Restore(taken, operatorAfter)
 		f.store.Set(func() { f.store.Down = false })
-	case StoreForget:
+	case StoreDropHistory:
 		f.store.DropHistory()
 	case Configure:
 		f.configure()
 		return nil
-	case ConfigureOften:
+	case ConfigureBurst:
 		for f.recorder.Now() < fault.Until && ctx.Err() == nil {
 			f.configure()
 			_ = clock.Sleep(ctx, stormGap)
@@ -95,16 +95,16 @@
 	case Evacuate:
 		f.evacuate(fault.Target, wait)
 		return nil
-	case DeadlyRequest:
+	case CrashRequest:
 		f.sendDeadly(ctx, fault)
 		return nil
-	case OddEntries:
+	case InvalidEntries:
 		f.store.PutInvalidEntries()
 		wait()
 		f.store.RemoveInvalidEntries()
 		return nil
 	default:
-		return fmt.Errorf("%w: %s of %q", ErrFault, fault.Kind, fault.Target)
+		return fmt.Errorf("%w: %s of %q", ErrUnknownFault, fault.Kind, fault.Target)
 	}
 	f.disturbAll(history.Isolated, from, f.recorder.Now())
 	return nil
@@ -144,7 +144,7 @@
 			return err
 		}
 		n.signal(syscall.SIGHUP)
-	case Misspell:
+	case InvalidSettings:
 		if err := n.writeSettings(misspelt); err != nil {
 			return err
 		}
@@ -156,17 +156,17 @@
 		n.signal(syscall.SIGHUP)
 	case ReplaceNode:
 		return f.replace(n, wait)
-	case StoreCut, StoreReset:
-		n.store.set(linkState{silent: fault.Kind == StoreCut, reset: fault.Kind == StoreReset})
+	case SilentStoreLink, ResetStoreLink:
+		n.store.set(linkState{silent: fault.Kind == SilentStoreLink, reset: fault.Kind == ResetStoreLink})
 		wait()
 		n.store.set(linkState{reset: true}) // what a cut held up is lost
 		n.store.set(linkState{})
-	case StoreRefuse:
+	case StoreRejection:
 		n.door.status.Store(http.StatusServiceUnavailable)
 		wait()
 		n.door.status.Store(0)
 	default:
-		return fmt.Errorf("%w: %s of %q", ErrFault, fault.Kind, fault.Target)
+		return fmt.Errorf("%w: %s of %q", ErrUnknownFault, fault.Kind, fault.Target)
 	}
 	return nil
 }
@@ -249,7 +249,7 @@
 func (f *fleet) harmServer(fault schedule.Fault, s *server, wait func()) error {
 	state := linkState{
 		silent: fault.Kind == SilentLink, reset: fault.Kind == ResetLink, oneWay: fault.Kind == OneWayLink,
-		drip: fault.Kind == Drip, delay: 0,
+		drip: fault.Kind == TrickleLink, delay: 0,
 	}
 	if fault.Kind == SlowServerLink {
 		state.delay = fault.Delay
@@ -274,7 +274,7 @@
 		return f.bringBack(s, wait, warmup)
 	case ReuseAddress:
 		return f.reuse(s, wait)
-	case ReturnServer:
+	case RestartServer:
 		return f.returnServer(s, wait)
 	case schedule.Drain:
 		f.drain(s)
@@ -289,23 +289,23 @@
 		s.Set(func() { s.RejectRequests = true })
 		wait()
 		s.Set(func() { s.RejectRequests = false })
-	case LoseAnswers:
+	case DropResponses:
 		s.Set(func() { s.DropResponses = true })
 		wait()
 		s.Set(func() { s.DropResponses = false })
-	case FailAnswers:
+	case FailRequests:
 		s.Set(func() { s.FailRequests = true })
 		wait()
 		s.Set(func() { s.FailRequests = false })
 	default:
-		return fmt.Errorf("%w: %s of %q", ErrFault, fault.Kind, fault.Target)
+		return fmt.Errorf("%w: %s of %q", ErrUnknownFault, fault.Kind, fault.Target)
 	}
 	return nil
 }
 
 // oddities are the faults in which a server's answers are not proper.
 var oddities = map[schedule.Kind]standin.ResponseFault{
-	CutAnswers: standin.Truncated, DoubleAnswers: standin.SentTwice, EndlessAnswers: standin.EndedByClose, ResetAnswers: standin.EndedByReset,
+	TruncateResponses: standin.Truncated, DuplicateResponses: standin.SentTwice, OmitResponseLength: standin.EndedByClose, ResetResponses: standin.EndedByReset,
 }
 
 // since is how long ago a server began to drain.
--- a/lab/soak/judge.go
+++ b/lab/soak/judge.go
@@ -15,10 +15,10 @@
 
 // Invariants that package history doesn't know.
 const (
-	// OwnEnd: no process ends by itself, and a planned stop ends in time and well.
-	OwnEnd history.Invariant = "own_end"
+	// UnexpectedExit: no process ends by itself, and a planned stop ends in time and well.
+	UnexpectedExit history.Invariant = "own_end"
 	// Denied: no caller is told that a route is not there, which all configurations hold.
-	Denied history.Invariant = "denied"
+	RouteNotFound history.Invariant = "denied"
 	// Budget: sends beyond the first of each request stay within the budget of each service.
 	Budget history.Invariant = "budget"
 	// Exposure: a bad version gets no more than its part, and nothing after the bound.
@@ -28,14 +28,14 @@
 	// Evacuation: an evacuated zone gets nothing after the bound.
 	Evacuation history.Invariant = "evacuation"
 	// Repeats: a request that ends the servers that run it is not sent on and on.
-	Repeats history.Invariant = "repeats"
+	RepeatedCrashes history.Invariant = "repeats"
 	// Resources: processes give back descriptors and memory once the load has ended.
 	Resources history.Invariant = "resources"
 )
 
 // Invariants lists all that a soak judges, in the order of reports.
 func Invariants() []history.Invariant {
-	return append(history.Invariants(), OwnEnd, Denied, Budget, Exposure, RolloutEnd, Evacuation, Repeats, Resources)
+	return append(history.Invariants(), UnexpectedExit, RouteNotFound, Budget, Exposure, RolloutEnd, Evacuation, RepeatedCrashes, Resources)
 }
 
 // Violation is one breach with its evidence.
@@ -141,16 +141,16 @@
 // Report is what a soak saw and found.
 type Report struct {
 	Schedule   Schedule
-	Judged     map[history.Invariant]int
+	Checked    map[history.Invariant]int
 	Violations []Violation
-	// Requests and Good are what callers sent, and what was answered well.
-	Requests, Good int
-	// Arrivals are what came to servers, and Configurations what the operator wrote.
-	Arrivals, Configurations int
-	// Pause is the longest pause of the soak's own process.
-	Pause time.Duration
-	// Rollout is how the roll-out ended; empty is that there was none, or that it did not.
-	Rollout string
+	// SentRequests and Good are what callers sent, and what was answered well.
+	SentRequests, Succeeded int
+	// ReceivedRequests are what came to servers, and Configurations what the operator wrote.
+	ReceivedRequests, Configurations int
+	// LongestPause is the longest pause of the soak's own process.
+	LongestPause time.Duration
+	// RolloutOutcome is how the roll-out ended; empty is that there was none, or that it did not.
+	RolloutOutcome string
 }
 
 // judge judges all that was seen.
@@ -201,9 +201,9 @@
 		if strings.HasPrefix(call.Class, markerPrefix) {
 			continue
 		}
-		j.judged[Denied]++
+		j.judged[RouteNotFound]++
 		if answer.Reason == noRoute {
-			j.violate(Denied, call.RequestID, "%s at %s, sent at %s: no such route", call.Class, call.Node, call.At)
+			j.violate(RouteNotFound, call.RequestID, "%s at %s, sent at %s: no such route", call.Class, call.Node, call.At)
 		}
 	}
 }
@@ -247,7 +247,7 @@
 func (j *judge) exposure() {
 	for _, o := range j.orders {
 		j.ends(o)
-		if o.bad == Good {
+		if o.bad == NoDefect {
 			continue
 		}
 		j.judged[Exposure]++
@@ -281,7 +281,7 @@
 // the traffic that the soak draws.
 func (j *judge) ends(o order) {
 	j.judged[RolloutEnd]++
-	if o.ended == standin.RolloutCompleted && o.bad != Good && o.bad != FailsLoaded {
+	if o.ended == standin.RolloutCompleted && o.bad != NoDefect && o.bad != FailsUnderLoad {
 		j.violate(RolloutEnd, o.target, "a version that is bad (%s) was put in force at %s", o.bad, o.endedAt)
 	}
 	inTime := o.ended != "" && o.endedAt <= o.deadline
--- a/lab/soak/node.go
+++ b/lab/soak/node.go
@@ -108,7 +108,7 @@
 	settings := standin.NodeSettings{
 		NodeName: n.name, Zone: n.zone, Zones: n.fleet.layout.Zones, Host: n.host, Bootstrap: first, GraceSeconds: graceS, EnableRollouts: true,
 		CallerPort: callersPort, ReadyPort: readyPort, DirectoryPort: directoryPort, ControlPort: controlPort, InternalPort: gossipPort,
-		StoreAddress: n.store.address(), ApplyMS: n.fleet.options.ToldApplyBound.Milliseconds(),
+		StoreAddress: n.store.address(), ApplyMS: n.fleet.options.NodeApplyBound.Milliseconds(),
 	}
 	for number := range seedNodes {
 		settings.Seeds = append(settings.Seeds, fmt.Sprintf("%s:%d", hostOf(number), controlPort))
@@ -170,9 +170,9 @@
 	code := p.command.ProcessState.ExitCode()
 	switch {
 	case !p.asked.Load():
-		n.fleet.violate(OwnEnd, n.name, "ended by itself after %s: %v", n.fleet.recorder.Now()-p.began, err)
+		n.fleet.violate(UnexpectedExit, n.name, "ended by itself after %s: %v", n.fleet.recorder.Now()-p.began, err)
 	case n.wasStopped(p) && code != 0:
-		n.fleet.violate(OwnEnd, n.name, "a planned stop ended with exit code %d", code)
+		n.fleet.violate(UnexpectedExit, n.name, "a planned stop ended with exit code %d", code)
 	}
 	close(p.ended)
 }
@@ -222,7 +222,7 @@
 	select {
 	case <-p.ended:
 	case <-time.After(graceS * time.Second):
-		n.fleet.violate(OwnEnd, n.name, "a planned stop had not ended after %d s", graceS)
+		n.fleet.violate(UnexpectedExit, n.name, "a planned stop had not ended after %d s", graceS)
 		n.kill()
 	}
 }
--- a/lab/soak/operator.go
+++ b/lab/soak/operator.go
@@ -69,13 +69,13 @@
 
 // rollOut starts the target's servers, orders the roll-out, and does at its end what the
 // platform does.
-func (f *fleet) rollOut(ctx context.Context, drawn Order) error {
+func (f *fleet) rollOut(ctx context.Context, drawn RolloutOrder) error {
 	if drawn.Duration == 0 || clock.Sleep(ctx, drawn.At-f.recorder.Now()) != nil {
 		return nil
 	}
-	f.options.Tell("%8.3f s  roll-out to v2 within %s, bad: %q", f.recorder.Now().Seconds(), drawn.Duration, drawn.Bad)
+	f.options.ReportProgress("%8.3f s  roll-out to v2 within %s, bad: %q", f.recorder.Now().Seconds(), drawn.Duration, drawn.Defect)
 	f.mutex.Lock()
-	f.badness[targetVersion] = defectOf(drawn.Bad, time.Now().Add(drawn.Duration/4))
+	f.badness[targetVersion] = defectOf(drawn.Defect, time.Now().Add(drawn.Duration/4))
 	f.mutex.Unlock()
 	var targets []*server
 	for number := range targetServers {
@@ -85,7 +85,7 @@
 		}
 		targets = append(targets, s)
 	}
-	o := &order{target: targetVersion, bad: drawn.Bad, at: f.recorder.Now(), deadline: f.recorder.Now() + drawn.Duration}
+	o := &order{target: targetVersion, bad: drawn.Defect, at: f.recorder.Now(), deadline: f.recorder.Now() + drawn.Duration}
 	f.mutex.Lock()
 	f.orders = append(f.orders, o)
 	f.mutex.Unlock()
@@ -120,7 +120,7 @@
 		f.mutex.Lock()
 		o.ended, o.endedAt = status.State, f.recorder.Now()
 		f.mutex.Unlock()
-		f.options.Tell("%8.3f s  roll-out: %s", f.recorder.Now().Seconds(), status.State)
+		f.options.ReportProgress("%8.3f s  roll-out: %s", f.recorder.Now().Seconds(), status.State)
 		if status.State == standin.RolloutCompleted {
 			for _, s := range f.allServers() {
 				if s.Service == ledger && s.Version != targetVersion {
@@ -146,15 +146,15 @@
 	switch bad {
 	case FailsAlways:
 		return standin.Defect{FailEvery: 1}
-	case FailsAThird:
+	case FailsOneInThree:
 		return standin.Defect{FailEvery: 3}
-	case Slow:
+	case RespondsSlowly:
 		return standin.Defect{Slow: 6}
 	case FailsLater:
 		return standin.Defect{FailEvery: 2, StartsAt: later}
 	case FailsOnRoute:
 		return standin.Defect{FailEvery: 2, PathPrefix: enterPath}
-	case FailsLoaded:
+	case FailsUnderLoad:
 		return standin.Defect{FailEvery: 1, MinConcurrency: 2}
 	default:
 		return standin.Defect{}
--- a/lab/soak/schedule.go
+++ b/lab/soak/schedule.go
@@ -17,21 +17,21 @@
 const (
 	// ChangeSettings rewrites a node's settings file and signals it, Misspell writes one
 	// that can't be read first.
-	ChangeSettings schedule.Kind = "change_settings"
-	Misspell       schedule.Kind = "misspell_settings"
+	ChangeSettings  schedule.Kind = "change_settings"
+	InvalidSettings schedule.Kind = "misspell_settings"
 	// ReplaceNode ends a node for good without a word; another one, at another address,
 	// comes at Until.
 	ReplaceNode schedule.Kind = "replace_node"
-	// DarkZone freezes all nodes of a zone and silences all its servers.
-	DarkZone schedule.Kind = "dark_zone"
-	// StoreCut silences one node's link to the store, StoreReset breaks it off, StoreRefuse
+	// ZoneOutage freezes all nodes of a zone and silences all its servers.
+	ZoneOutage schedule.Kind = "dark_zone"
+	// SilentStoreLink silences one node's link to the store, ResetStoreLink breaks it off, StoreRejection
 	// has the store turn that node away.
-	StoreCut    schedule.Kind = "store_cut"
-	StoreReset  schedule.Kind = "store_reset"
-	StoreRefuse schedule.Kind = "store_refuse"
-	// StoreForget drops the store's history, StoreDeaf lets watches hear nothing.
-	StoreForget schedule.Kind = "store_forget"
-	StoreDeaf   schedule.Kind = "store_deaf"
+	SilentStoreLink schedule.Kind = "store_cut"
+	ResetStoreLink  schedule.Kind = "store_reset"
+	StoreRejection  schedule.Kind = "store_refuse"
+	// StoreDropHistory drops the store's history, StoreMuteWatches lets watches hear nothing.
+	StoreDropHistory schedule.Kind = "store_forget"
+	StoreMuteWatches schedule.Kind = "store_deaf"
 	// StoreRestore has the store come back at Until from a copy that is taken at At, after it was
 	// away from Delay later on.
 	StoreRestore schedule.Kind = "store_restore"
@@ -40,53 +40,53 @@
 	ResetLink      schedule.Kind = "reset_link"
 	SlowServerLink schedule.Kind = "slow_server_link"
 	OneWayLink     schedule.Kind = "one_way_link"
-	Drip           schedule.Kind = "drip"
-	// LoseAnswers has a server run requests and break off, FailAnswers has it fail them.
-	LoseAnswers schedule.Kind = "lose_answers"
-	FailAnswers schedule.Kind = "fail_answers"
-	// CutAnswers ends answers in the middle, DoubleAnswers sends each twice, EndlessAnswers
-	// sends them without a length, ResetAnswers does and breaks them off.
-	CutAnswers     schedule.Kind = "cut_answers"
-	DoubleAnswers  schedule.Kind = "double_answers"
-	EndlessAnswers schedule.Kind = "endless_answers"
-	ResetAnswers   schedule.Kind = "reset_answers"
+	TrickleLink    schedule.Kind = "drip"
+	// DropResponses has a server run requests and break off, FailRequests has it fail them.
+	DropResponses schedule.Kind = "lose_answers"
+	FailRequests  schedule.Kind = "fail_answers"
+	// TruncateResponses ends answers in the middle, DuplicateResponses sends each twice, OmitResponseLength
+	// sends them without a length, ResetResponses does and breaks them off.
+	TruncateResponses  schedule.Kind = "cut_answers"
+	DuplicateResponses schedule.Kind = "double_answers"
+	OmitResponseLength schedule.Kind = "endless_answers"
+	ResetResponses     schedule.Kind = "reset_answers"
 	// ReuseAddress ends a server; its address goes to a server of another service.
 	ReuseAddress schedule.Kind = "reuse_address"
-	// ReturnServer ends a server; it comes back under its ID and at its address.
-	ReturnServer schedule.Kind = "return_server"
-	// OddEntries writes entries that no server writes among those of the servers.
-	OddEntries schedule.Kind = "odd_entries"
-	// Configure writes a version of the configuration, ConfigureOften many in a row.
+	// RestartServer ends a server; it comes back under its ID and at its address.
+	RestartServer schedule.Kind = "return_server"
+	// InvalidEntries writes entries that no server writes among those of the servers.
+	InvalidEntries schedule.Kind = "odd_entries"
+	// Configure writes a version of the configuration, ConfigureBurst many in a row.
 	Configure      schedule.Kind = "configure"
-	ConfigureOften schedule.Kind = "configure_often"
+	ConfigureBurst schedule.Kind = "configure_often"
 	// Reshard moves searches to another set of shards.
 	Reshard schedule.Kind = "reshard"
 	// Evacuate empties a zone until Until.
 	Evacuate schedule.Kind = "evacuate"
-	// DeadlyRequest sends a request again and again, to one node after the other, under which
+	// CrashRequest sends a request again and again, to one node after the other, under which
 	// the servers end that run it.
-	DeadlyRequest schedule.Kind = "deadly_request"
+	CrashRequest schedule.Kind = "deadly_request"
 )
 
 // Kinds lists the faults that a soak draws from.
 func Kinds() []schedule.Kind {
 	return []schedule.Kind{
-		schedule.KillNode, schedule.FreezeNode, schedule.PlannedStop, schedule.RestartNodes, ChangeSettings, Misspell,
-		ReplaceNode, DarkZone, schedule.StoreOutage, schedule.StoreFreeze, schedule.StoreLostReply, StoreCut, StoreReset,
-		StoreRefuse, StoreForget, StoreDeaf, schedule.KillServer, schedule.SlowServer, schedule.Shed, schedule.ColdStart,
-		schedule.Drain, SilentLink, ResetLink, SlowServerLink, OneWayLink, Drip, LoseAnswers, FailAnswers, CutAnswers, DoubleAnswers,
-		EndlessAnswers, ResetAnswers, ReuseAddress, Configure, ConfigureOften, Reshard, Evacuate,
-		DeadlyRequest, ReturnServer, OddEntries, StoreRestore,
+		schedule.KillNode, schedule.FreezeNode, schedule.PlannedStop, schedule.RestartNodes, ChangeSettings, InvalidSettings,
+		ReplaceNode, ZoneOutage, schedule.StoreOutage, schedule.StoreFreeze, schedule.StoreLostReply, SilentStoreLink, ResetStoreLink,
+		StoreRejection, StoreDropHistory, StoreMuteWatches, schedule.KillServer, schedule.SlowServer, schedule.Shed, schedule.ColdStart,
+		schedule.Drain, SilentLink, ResetLink, SlowServerLink, OneWayLink, TrickleLink, DropResponses, FailRequests, TruncateResponses, DuplicateResponses,
+		OmitResponseLength, ResetResponses, ReuseAddress, Configure, ConfigureBurst, Reshard, Evacuate,
+		CrashRequest, RestartServer, InvalidEntries, StoreRestore,
 	}
 }
 
 // Order is a roll-out that a schedule holds.
-type Order struct {
+type RolloutOrder struct {
 	At time.Duration
 	// Duration is the time until its deadline.
 	Duration time.Duration
-	// Bad names how the version is bad; empty is good.
-	Bad Defect
+	// Defect names how the version is bad; empty is good.
+	Defect Defect
 	// Replaced says that another order, of the version that runs, takes its place midway.
 	Replaced bool
 }
@@ -96,32 +96,32 @@
 
 // How versions are bad.
 const (
-	Good         Defect = ""
-	FailsAlways  Defect = "fails_always"
-	FailsAThird  Defect = "fails_a_third"
-	Slow         Defect = "slow"
-	FailsLater   Defect = "fails_later"
-	FailsOnRoute Defect = "fails_on_one_route"
-	FailsLoaded  Defect = "fails_under_load"
+	NoDefect        Defect = ""
+	FailsAlways     Defect = "fails_always"
+	FailsOneInThree Defect = "fails_a_third"
+	RespondsSlowly  Defect = "slow"
+	FailsLater      Defect = "fails_later"
+	FailsOnRoute    Defect = "fails_on_one_route"
+	FailsUnderLoad  Defect = "fails_under_load"
 )
 
-var defects = []Defect{Good, FailsAlways, FailsAThird, Slow, FailsLater, FailsOnRoute, FailsLoaded}
+var defects = []Defect{NoDefect, FailsAlways, FailsOneInThree, RespondsSlowly, FailsLater, FailsOnRoute, FailsUnderLoad}
 
 // Schedule is what a seed brings about.
 type Schedule struct {
 	Seed     uint64
 	Duration time.Duration
 	Faults   []schedule.Fault
-	// Order is the roll-out; its Duration is zero if there is none.
-	Order Order
+	// Rollout is the roll-out; its Duration is zero if there is none.
+	Rollout RolloutOrder
 }
 
 // String prints the schedule, a line a fault.
 func (s Schedule) String() string {
 	var text strings.Builder
 	_, _ = fmt.Fprintf(&text, "seed %d, %s\n", s.Seed, s.Duration)
-	if s.Order.Duration > 0 {
-		_, _ = fmt.Fprintf(&text, "%s roll-out within %s, bad: %q, replaced: %t\n", s.Order.At, s.Order.Duration, s.Order.Bad, s.Order.Replaced)
+	if s.Rollout.Duration > 0 {
+		_, _ = fmt.Fprintf(&text, "%s roll-out within %s, bad: %q, replaced: %t\n", s.Rollout.At, s.Rollout.Duration, s.Rollout.Defect, s.Rollout.Replaced)
 	}
 	for _, fault := range s.Faults {
 		_, _ = fmt.Fprintln(&text, fault)
@@ -156,13 +156,13 @@
 	rolloutStream = 0x726f6c6c
 )
 
-// ShortestDuration is the least length of a soak: one fault must fit.
-const ShortestDuration = leadTime + tailTime + 2*time.Second
+// MinDuration is the least length of a soak: one fault must fit.
+const MinDuration = leadTime + tailTime + 2*time.Second
 
-// Draw draws the schedule of a seed over nodes and servers; the same arguments give the same
+// Generate draws the schedule of a seed over nodes and servers; the same arguments give the same
 // schedule. Whichever kinds are named are drawn; none is all, each by itself, so that a seed keeps
 // what it draws of the others when a kind is added.
-func Draw(seed uint64, duration time.Duration, layout Layout, kinds ...schedule.Kind) Schedule {
+func Generate(seed uint64, duration time.Duration, layout Layout, kinds ...schedule.Kind) Schedule {
 	if len(kinds) == 0 {
 		return drawEach(seed, duration, layout, Kinds())
 	}
@@ -170,7 +170,7 @@
 	d := drawer{random: random, layout: layout, until: duration - tailTime}
 	result := Schedule{Seed: seed, Duration: duration}
 	if random.Float64() < rolloutShare {
-		result.Order = d.order(duration)
+		result.Rollout = d.order(duration)
 	}
 	at := leadTime
 	for at < d.until {
@@ -185,7 +185,7 @@
 	result := Schedule{Seed: seed, Duration: duration}
 	orders := drawer{random: rand.New(rand.NewPCG(seed, rolloutStream)), layout: layout, until: duration - tailTime}
 	if orders.random.Float64() < rolloutShare {
-		result.Order = orders.order(duration)
+		result.Rollout = orders.order(duration)
 	}
 	for _, kind := range kinds {
 		d := drawer{random: rand.New(rand.NewPCG(seed, xxhash.Sum64String(string(kind)))), layout: layout, until: duration - tailTime}
@@ -215,12 +215,12 @@
 	return (low + time.Duration(d.random.Int64N(int64(high-low)))).Round(time.Millisecond)
 }
 
-func (d *drawer) order(duration time.Duration) Order {
+func (d *drawer) order(duration time.Duration) RolloutOrder {
 	room := duration - leadTime - time.Second
-	return Order{
+	return RolloutOrder{
 		At:       leadTime,
 		Duration: d.between(shortestOrder, min(longestOrder, room)),
-		Bad:      defects[d.random.IntN(len(defects))],
+		Defect:   defects[d.random.IntN(len(defects))],
 		Replaced: d.random.IntN(8) == 0,
 	}
 }
@@ -230,17 +230,17 @@
 	fault := schedule.Fault{Kind: kind, At: at.Round(time.Millisecond)}
 	fault.Until = min(fault.At+d.between(shortestFault, longestFault), max(d.until, fault.At+shortestFault))
 	switch kind {
-	case schedule.KillNode, schedule.FreezeNode, schedule.PlannedStop, ChangeSettings, Misspell, ReplaceNode,
-		StoreCut, StoreReset, StoreRefuse:
+	case schedule.KillNode, schedule.FreezeNode, schedule.PlannedStop, ChangeSettings, InvalidSettings, ReplaceNode,
+		SilentStoreLink, ResetStoreLink, StoreRejection:
 		fault.Target = d.layout.Nodes[d.random.IntN(len(d.layout.Nodes))]
 	case schedule.KillServer, schedule.SlowServer, schedule.Shed, schedule.ColdStart, schedule.Drain, SilentLink, ResetLink,
-		SlowServerLink, OneWayLink, Drip, LoseAnswers, FailAnswers, CutAnswers, DoubleAnswers, EndlessAnswers, ResetAnswers,
-		ReuseAddress, ReturnServer:
+		SlowServerLink, OneWayLink, TrickleLink, DropResponses, FailRequests, TruncateResponses, DuplicateResponses, OmitResponseLength, ResetResponses,
+		ReuseAddress, RestartServer:
 		fault.Target = d.layout.Servers[d.random.IntN(len(d.layout.Servers))]
-	case DeadlyRequest:
+	case CrashRequest:
 		fault.Target = paths[d.random.IntN(len(paths))]
 		fault.Until = max(d.until, fault.At+shortestFault) // what is judged begins after contactTime
-	case DarkZone, Evacuate:
+	case ZoneOutage, Evacuate:
 		fault.Target = d.layout.Zones[d.random.IntN(len(d.layout.Zones))]
 	}
 	if kind == StoreRestore {
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -17,10 +17,10 @@
 
 // Errors of a soak.
 var (
-	// ErrOptions is an option that can't be followed.
-	ErrOptions = errors.New("soak: invalid option")
-	// ErrFault is a fault that nobody knows how to bring about.
-	ErrFault = errors.New("soak: unknown fault")
+	// ErrInvalidOptions is an option that can't be followed.
+	ErrInvalidOptions = errors.New("soak: invalid option")
+	// ErrUnknownFault is a fault that nobody knows how to bring about.
+	ErrUnknownFault = errors.New("soak: unknown fault")
 )
 
 // Options say what a soak plays.
@@ -36,30 +36,30 @@
 	Kinds []schedule.Kind
 	// Directory is where settings and logs are written; it must be there.
 	Directory string
-	// ToldApplyBound is the bound of configurations that nodes are told, which is not the one
+	// NodeApplyBound is the bound of configurations that nodes are told, which is not the one
 	// that they are judged by; zero is the same.
-	ToldApplyBound time.Duration
-	// Tell takes lines on what goes on.
-	Tell func(format string, arguments ...any)
+	NodeApplyBound time.Duration
+	// ReportProgress takes lines on what goes on.
+	ReportProgress func(format string, arguments ...any)
 }
 
 func (o *Options) validate() error {
 	switch {
-	case o.Duration < ShortestDuration:
-		return fmt.Errorf("%w: duration: must be at least %s", ErrOptions, ShortestDuration)
+	case o.Duration < MinDuration:
+		return fmt.Errorf("%w: duration: must be at least %s", ErrInvalidOptions, MinDuration)
 	case o.Program == "":
-		return fmt.Errorf("%w: program: must not be empty", ErrOptions)
+		return fmt.Errorf("%w: program: must not be empty", ErrInvalidOptions)
 	}
 	for _, kind := range o.Kinds {
 		if !slices.Contains(Kinds(), kind) {
-			return fmt.Errorf("%w: kinds: %q is unknown", ErrOptions, kind)
+			return fmt.Errorf("%w: kinds: %q is unknown", ErrInvalidOptions, kind)
 		}
 	}
 	if info, err := os.Stat(o.Directory); err != nil || !info.IsDir() {
-		return fmt.Errorf("%w: directory: %q is none", ErrOptions, o.Directory)
+		return fmt.Errorf("%w: directory: %q is none", ErrInvalidOptions, o.Directory)
 	}
-	if o.Tell == nil {
-		o.Tell = func(string, ...any) {}
+	if o.ReportProgress == nil {
+		o.ReportProgress = func(string, ...any) {}
 	}
 	return nil
 }
@@ -79,7 +79,7 @@
 	if err := f.start(); err != nil {
 		return nil, err
 	}
-	drawn := Draw(options.Seed, options.Duration, f.layout, options.Kinds...)
+	drawn := Generate(options.Seed, options.Duration, f.layout, options.Kinds...)
 	if err := f.playAll(ctx, drawn); err != nil {
 		return nil, err
 	}
@@ -102,7 +102,7 @@
 			f.measure(&f.before)
 		}
 	})
-	faults.Go(func() { failed.add(f.rollOut(ctx, drawn.Order)) })
+	faults.Go(func() { failed.add(f.rollOut(ctx, drawn.Rollout)) })
 	for _, fault := range drawn.Faults {
 		faults.Go(func() { failed.add(f.play(ctx, fault)) })
 	}
@@ -123,17 +123,17 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	report := &Report{
-		Schedule: drawn, Judged: judged, Violations: append(violations, f.violations...), Requests: len(seen.history.Calls),
-		Arrivals: len(seen.arrivals), Configurations: len(seen.history.Accepted), Pause: f.longestPause,
+		Schedule: drawn, Checked: judged, Violations: append(violations, f.violations...), SentRequests: len(seen.history.Calls),
+		ReceivedRequests: len(seen.arrivals), Configurations: len(seen.history.Accepted), LongestPause: f.longestPause,
 	}
-	judged[OwnEnd], judged[Resources] = len(seen.history.Runs), judgedResources
+	judged[UnexpectedExit], judged[Resources] = len(seen.history.Runs), judgedResources
 	for _, answer := range seen.history.Answers {
 		if answer.Kind == history.AnswerResult {
-			report.Good++
+			report.Succeeded++
 		}
 	}
 	if len(seen.orders) > 0 {
-		report.Rollout = cmp.Or(seen.orders[0].ended, "no end")
+		report.RolloutOutcome = cmp.Or(seen.orders[0].ended, "no end")
 	}
 	return report
 }
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -64,7 +64,7 @@
 func playWith(t *testing.T, way string, kinds ...schedule.Kind) *Report {
 	t.Helper()
 	report, err := Run(context.Background(), Options{
-		Seed: 1, Duration: ShortestDuration, Program: os.Args[0], Environment: []string{asNode + "=" + way},
+		Seed: 1, Duration: MinDuration, Program: os.Args[0], Environment: []string{asNode + "=" + way},
 		Directory: t.TempDir(), Kinds: kinds,
 	})
 	if err != nil {
@@ -89,7 +89,7 @@
 			t.Parallel()
 			report := playWith(t, way, ChangeSettings)
 			if !slices.ContainsFunc(report.Violations, func(v Violation) bool {
-				return v.Invariant == OwnEnd && strings.Contains(v.Evidence, evidence)
+				return v.Invariant == UnexpectedExit && strings.Contains(v.Evidence, evidence)
 			}) {
 				t.Errorf("not found: %v", report.Violations)
 			}
@@ -106,11 +106,11 @@
 	layout := DefaultLayout()
 	drawn := make(map[schedule.Kind]bool)
 	for seed := range uint64(60) {
-		one, again := Draw(seed, time.Minute, layout), Draw(seed, time.Minute, layout)
+		one, again := Generate(seed, time.Minute, layout), Generate(seed, time.Minute, layout)
 		if one.String() != again.String() {
 			t.Fatalf("seed %d gives two schedules:\n%s\n%s", seed, one, again)
 		}
-		if one.String() == Draw(seed+1, time.Minute, layout).String() {
+		if one.String() == Generate(seed+1, time.Minute, layout).String() {
 			t.Errorf("seeds %d and %d give the same schedule", seed, seed+1)
 		}
 		for _, fault := range one.Faults {
@@ -129,7 +129,7 @@
 			t.Errorf("%s is never drawn", kind)
 		}
 	}
-	only := Draw(3, time.Minute, layout, Evacuate)
+	only := Generate(3, time.Minute, layout, Evacuate)
 	for _, fault := range only.Faults {
 		if fault.Kind != Evacuate {
 			t.Errorf("%s is drawn where only evacuations are asked for", fault.Kind)
@@ -142,10 +142,10 @@
 func TestSeedsKeepWhatTheyDraw(t *testing.T) {
 	layout, kinds := DefaultLayout(), Kinds()
 	for seed := range uint64(20) {
-		all := Draw(seed, time.Minute, layout)
+		all := Generate(seed, time.Minute, layout)
 		fewer := drawEach(seed, time.Minute, layout, kinds[:len(kinds)-3])
-		if all.Order != fewer.Order {
-			t.Errorf("seed %d: roll-outs %+v and %+v", seed, all.Order, fewer.Order)
+		if all.Rollout != fewer.Rollout {
+			t.Errorf("seed %d: roll-outs %+v and %+v", seed, all.Rollout, fewer.Rollout)
 		}
 		for _, kind := range kinds[:len(kinds)-3] {
 			if one, other := faultsOf(all, kind), faultsOf(fewer, kind); !slices.Equal(one, other) {
@@ -166,7 +166,7 @@
 
 // Seeds with kinds that are named draw what they drew when they found something.
 func TestNamedKindsKeepTheirSchedules(t *testing.T) {
-	drawn := Draw(9102, 40*time.Second, DefaultLayout(), DeadlyRequest, Configure, ConfigureOften)
+	drawn := Generate(9102, 40*time.Second, DefaultLayout(), CrashRequest, Configure, ConfigureBurst)
 	const known = `seed 9102, 40s
 5s roll-out within 21.933s, bad: "fails_later", replaced: false
 5s..8.947s configure_often   0s
@@ -186,7 +186,7 @@
 
 // Options that can't be followed get an error that names them.
 func TestOptions(t *testing.T) {
-	good := Options{Duration: ShortestDuration, Program: "x", Directory: t.TempDir()}
+	good := Options{Duration: MinDuration, Program: "x", Directory: t.TempDir()}
 	for field, spoil := range map[string]func(o *Options){
 		"duration":  func(o *Options) { o.Duration = time.Second },
 		"program":   func(o *Options) { o.Program = "" },
@@ -195,7 +195,7 @@
 	} {
 		spoilt := good
 		spoil(&spoilt)
-		if _, err := Run(context.Background(), spoilt); !errors.Is(err, ErrOptions) || !strings.Contains(err.Error(), field) {
+		if _, err := Run(context.Background(), spoilt); !errors.Is(err, ErrInvalidOptions) || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
@@ -233,7 +233,7 @@
 		"a denied request": {func(r *record) {
 			r.history.Calls = append(r.history.Calls, history.Call{ID: 1, RequestID: "x", Class: searchPath, Abandoned: true})
 			r.history.Answers = append(r.history.Answers, history.Answer{Call: 1, Kind: history.AnswerRefusal, Reason: noRoute})
-		}, Denied},
+		}, RouteNotFound},
 		"repeats over the budget": {func(r *record) {
 			for number := range budgetExtra + 5 {
 				repeated := r.arrivals[20]
@@ -270,7 +270,7 @@
 		}, Exposure},
 		"a good version gets more than that": {func(r *record) {
 			good := badOrder
-			good.bad, good.ended, good.endedAt = Good, standin.RolloutCompleted, 25*time.Second
+			good.bad, good.ended, good.endedAt = NoDefect, standin.RolloutCompleted, 25*time.Second
 			r.orders = []order{good}
 			for number := range exposureSlack + 10 {
 				r.arrivals = append(r.arrivals, target(11*time.Second+time.Duration(number)*time.Millisecond))
@@ -285,7 +285,7 @@
 		}, Exposure},
 		"a roll-out has no end": {func(r *record) {
 			good := badOrder
-			good.bad, good.ended = Good, ""
+			good.bad, good.ended = NoDefect, ""
 			r.orders = []order{good}
 		}, RolloutEnd},
 		"a bad version is put in force": {func(r *record) {
@@ -327,7 +327,7 @@
 func TestServersOfABadVersionComeBackAsBad(t *testing.T) {
 	f := &fleet{
 		layout: DefaultLayout(), store: standin.NewStore(), servers: make(map[string]*server),
-		badness:  map[string]standin.Defect{targetVersion: defectOf(Slow, time.Now())},
+		badness:  map[string]standin.Defect{targetVersion: defectOf(RespondsSlowly, time.Now())},
 		recorder: history.NewRecorder(time.Now()),
 	}
 	defer f.close()
