--- a/lab/history/answers.go
+++ b/lab/history/answers.go
@@ -32,11 +32,11 @@
 	}
 }
 
-// executionOf finds the execution that a part comes from: one of the same
+// findExecution finds the execution that a part comes from: one of the same
 // request and range at the server that the body names, on the answer's snapshot
 // if there is such a one.
-func (c *checker) executionOf(part Part, snapshot uint64) (found Attempt, ok bool) {
-	for _, attempt := range c.byRequest[part.RequestID] {
+func (c *checker) findExecution(part Part, snapshot uint64) (found Attempt, ok bool) {
+	for _, attempt := range c.attemptsByRequest[part.RequestID] {
 		if !attempt.Executed || attempt.Server != part.Server || !attempt.Range.Contains(part.Range) {
 			continue
 		}
@@ -49,15 +49,15 @@
 }
 
 func (c *checker) checkSnapshot(call Call, answer Answer) {
-	c.judged(OneSnapshot)
+	c.countChecked(OneSnapshot)
 	for _, part := range answer.Parts {
 		if part.Snapshot != 0 && part.Snapshot != answer.Snapshot {
-			c.violate(OneSnapshot, call.subject(), "answer says snapshot %d, the content of part %v by %s is of snapshot %d",
+			c.addViolation(OneSnapshot, call.subject(), "answer says snapshot %d, the content of part %v by %s is of snapshot %d",
 				answer.Snapshot, part.Range, part.Server, part.Snapshot)
 		}
-		execution, ok := c.executionOf(part, answer.Snapshot)
+		execution, ok := c.findExecution(part, answer.Snapshot)
 		if ok && execution.Snapshot != answer.Snapshot {
-			c.violate(OneSnapshot, call.subject(), "answer says snapshot %d, the part %v by %s at %s ran on snapshot %d",
+			c.addViolation(OneSnapshot, call.subject(), "answer says snapshot %d, the part %v by %s at %s ran on snapshot %d",
 				answer.Snapshot, part.Range, execution.AttemptID, execution.Server, execution.Snapshot)
 		}
 	}
@@ -70,11 +70,11 @@
 	if !ok {
 		return
 	}
-	c.judged(TrueCoverage)
+	c.countChecked(TrueCoverage)
 	var executed []coverage.Range
 	for _, part := range answer.Parts {
-		if _, ok := c.executionOf(part, answer.Snapshot); !ok {
-			c.violate(TrueCoverage, call.subject(), "no server ran %v for request %q, which the part by %q claims",
+		if _, ok := c.findExecution(part, answer.Snapshot); !ok {
+			c.addViolation(TrueCoverage, call.subject(), "no server ran %v for request %q, which the part by %q claims",
 				part.Range, part.RequestID, part.Server)
 			continue
 		}
@@ -84,34 +84,34 @@
 	}
 	trueCoverage := float64(unionSize(executed)) / float64(keySpace.Size())
 	if math.Abs(trueCoverage-answer.Coverage) > coverageTolerance {
-		c.violate(TrueCoverage, call.subject(), "reported coverage %v, true coverage %v", answer.Coverage, trueCoverage)
+		c.addViolation(TrueCoverage, call.subject(), "reported coverage %v, true coverage %v", answer.Coverage, trueCoverage)
 	}
 	if answer.Complete != (trueCoverage == 1) {
-		c.violate(TrueCoverage, call.subject(), "reported complete=%v at a true coverage of %v", answer.Complete, trueCoverage)
+		c.addViolation(TrueCoverage, call.subject(), "reported complete=%v at a true coverage of %v", answer.Complete, trueCoverage)
 	}
 	if missing := unionSize(answer.Missing); missing+unionSize(executed) != keySpace.Size() {
-		c.violate(TrueCoverage, call.subject(), "missing ranges hold %d keys, executed ones %d, of %d",
+		c.addViolation(TrueCoverage, call.subject(), "missing ranges hold %d keys, executed ones %d, of %d",
 			missing, unionSize(executed), keySpace.Size())
 	}
 	if trueCoverage+coverageTolerance < call.MinimumCoverage {
-		c.violate(TrueCoverage, call.subject(), "a result of coverage %v where the caller accepts %v", trueCoverage, call.MinimumCoverage)
+		c.addViolation(TrueCoverage, call.subject(), "a result of coverage %v where the caller accepts %v", trueCoverage, call.MinimumCoverage)
 	}
 }
 
 func (c *checker) checkOwnership(call Call, answer Answer) {
-	c.judged(OwnAnswer)
+	c.countChecked(OwnAnswer)
 	if answer.RequestID != call.RequestID {
-		c.violate(OwnAnswer, call.subject(), "the answer is to request %q", answer.RequestID)
+		c.addViolation(OwnAnswer, call.subject(), "the answer is to request %q", answer.RequestID)
 	}
 	if answer.Coverage > 0 && len(answer.Parts) == 0 {
-		c.violate(OwnAnswer, call.subject(), "coverage %v without a part", answer.Coverage)
+		c.addViolation(OwnAnswer, call.subject(), "coverage %v without a part", answer.Coverage)
 	}
 	for _, part := range answer.Parts {
 		if part.RequestID != call.RequestID {
-			c.violate(OwnAnswer, call.subject(), "the part %v by %s answers request %q", part.Range, part.Server, part.RequestID)
+			c.addViolation(OwnAnswer, call.subject(), "the part %v by %s answers request %q", part.Range, part.Server, part.RequestID)
 		}
 		if !part.ContentMatches {
-			c.violate(OwnAnswer, call.subject(), "the part %v by %s does not hold what the range holds", part.Range, part.Server)
+			c.addViolation(OwnAnswer, call.subject(), "the part %v by %s does not hold what the range holds", part.Range, part.Server)
 		}
 	}
 }
@@ -120,27 +120,27 @@
 // this call nor for an earlier one to the same process of the node; a call that
 // was sent later, or to another process, may run.
 func (c *checker) checkNotRun(call Call, answer Answer) {
-	c.judged(NotRun)
-	for _, attempt := range c.byRequest[call.RequestID] {
-		if attempt.Executed && !c.sentAgain(call, answer, attempt) {
-			c.violate(NotRun, call.subject(), "answered not run at %v, yet %s ran attempt %s for %v (arrived at %v)",
+	c.countChecked(NotRun)
+	for _, attempt := range c.attemptsByRequest[call.RequestID] {
+		if attempt.Executed && !c.mayBelongToLaterCall(call, answer, attempt) {
+			c.addViolation(NotRun, call.subject(), "answered not run at %v, yet %s ran attempt %s for %v (arrived at %v)",
 				answer.At, attempt.Server, attempt.AttemptID, attempt.Range, attempt.ArrivedAt)
 		}
 	}
 }
 
-// sentAgain reports whether the attempt may belong to a call of the same request
+// mayBelongToLaterCall reports whether the attempt may belong to a call of the same request
 // that reached the node once the answer was given. While the node was frozen,
 // answers and calls wait at it for any time.
-func (c *checker) sentAgain(call Call, answer Answer, attempt Attempt) bool {
+func (c *checker) mayBelongToLaterCall(call Call, answer Answer, attempt Attempt) bool {
 	for _, other := range c.history.Calls {
 		if other.RequestID != call.RequestID || other.ID == call.ID || c.answeredNotRun(other.ID) || other.At > attempt.ArrivedAt {
 			continue
 		}
-		if !c.sameProcess(call, other) {
+		if !c.sentToSameProcess(call, other) {
 			return true
 		}
-		after := other.At+c.options.InFlightMargin >= answer.At || c.frozen(call.Node, other.At, answer.At)
+		after := other.At+c.options.InFlightMargin >= answer.At || c.wasFrozen(call.Node, other.At, answer.At)
 		if after {
 			return true
 		}
@@ -148,10 +148,10 @@
 	return false
 }
 
-// sameProcess reports whether two calls went to the same run of the same node.
-func (c *checker) sameProcess(one, other Call) bool {
-	first, okFirst := c.ranAt(one.Node, one.At)
-	second, okSecond := c.ranAt(other.Node, other.At)
+// sentToSameProcess reports whether two calls went to the same run of the same node.
+func (c *checker) sentToSameProcess(one, other Call) bool {
+	first, okFirst := c.runAt(one.Node, one.At)
+	second, okSecond := c.runAt(other.Node, other.At)
 	return one.Node == other.Node && okFirst && okSecond && first.Start == second.Start
 }
 
@@ -172,21 +172,21 @@
 			continue
 		}
 		seen[call.RequestID] = true
-		executed := executedOnly(c.byRequest[call.RequestID])
+		executed := executedAttempts(c.attemptsByRequest[call.RequestID])
 		if len(executed) == 0 {
 			continue
 		}
-		c.judged(AtMostOnce)
+		c.countChecked(AtMostOnce)
 		for i, one := range executed {
 			for _, other := range executed[:i] {
-				c.checkPair(call, one, other)
+				c.checkDoubleExecution(call, one, other)
 			}
 		}
 	}
 }
 
-// checkPair judges two executions of one request.
-func (c *checker) checkPair(call Call, one, other Attempt) {
+// checkDoubleExecution judges two executions of one request.
+func (c *checker) checkDoubleExecution(call Call, one, other Attempt) {
 	shared, overlap := one.Range.Intersect(other.Range)
 	if !overlap {
 		return
@@ -205,30 +205,30 @@
 // planned tells those that run then, one that is killed tells nobody.
 func (c *checker) allNodesLost(from, to time.Duration) bool {
 	runs := slices.Clone(c.history.Runs)
-	slices.SortStableFunc(runs, func(a, b NodeRun) int { return cmp.Compare(a.endOr(to), b.endOr(to)) })
-	told := from
+	slices.SortStableFunc(runs, func(a, b NodeRun) int { return cmp.Compare(a.endOrAfter(to), b.endOrAfter(to)) })
+	lastHandover := from
 	for _, run := range runs {
-		knows := run.Start <= told && run.endOr(to) >= from
+		hadRecord := run.Start <= lastHandover && run.endOrAfter(to) >= from
 		switch {
-		case !knows:
+		case !hadRecord:
 		case run.End == 0 || run.End > to:
 			return false
 		case !run.Killed && run.StopRequestedAt != 0:
-			told = max(told, run.StopRequestedAt)
+			lastHandover = max(lastHandover, run.StopRequestedAt)
 		}
 	}
 	return true
 }
 
-// endOr is when the run ended, or just after the given time if it goes on.
-func (run NodeRun) endOr(to time.Duration) time.Duration {
+// endOrAfter is when the run ended, or just after the given time if it goes on.
+func (run NodeRun) endOrAfter(to time.Duration) time.Duration {
 	if run.End == 0 {
 		return to + 1
 	}
 	return run.End
 }
 
-func executedOnly(attempts []Attempt) []Attempt {
+func executedAttempts(attempts []Attempt) []Attempt {
 	var executed []Attempt
 	for _, attempt := range attempts {
 		if attempt.Executed {
--- a/lab/history/checker.go
+++ b/lab/history/checker.go
@@ -133,19 +133,19 @@
 	options Options
 	report  Report
 
-	calls     map[CallID]Call
-	answers   map[CallID][]Answer
-	byRequest map[string][]Attempt
+	calls             map[CallID]Call
+	answers           map[CallID][]Answer
+	attemptsByRequest map[string][]Attempt
 }
 
 func newChecker(history *History, options Options) *checker {
 	c := &checker{
-		history:   history,
-		options:   options,
-		report:    Report{Checked: make(map[Invariant]int)},
-		calls:     make(map[CallID]Call),
-		answers:   make(map[CallID][]Answer),
-		byRequest: make(map[string][]Attempt),
+		history:           history,
+		options:           options,
+		report:            Report{Checked: make(map[Invariant]int)},
+		calls:             make(map[CallID]Call),
+		answers:           make(map[CallID][]Answer),
+		attemptsByRequest: make(map[string][]Attempt),
 	}
 	for _, call := range history.Calls {
 		c.calls[call.ID] = call
@@ -154,15 +154,15 @@
 		c.answers[answer.Call] = append(c.answers[answer.Call], answer)
 	}
 	for _, attempt := range history.Attempts {
-		c.byRequest[attempt.RequestID] = append(c.byRequest[attempt.RequestID], attempt)
+		c.attemptsByRequest[attempt.RequestID] = append(c.attemptsByRequest[attempt.RequestID], attempt)
 	}
 	return c
 }
 
-// judged counts one item.
-func (c *checker) judged(invariant Invariant) { c.report.Checked[invariant]++ }
+// countChecked counts one item.
+func (c *checker) countChecked(invariant Invariant) { c.report.Checked[invariant]++ }
 
-func (c *checker) violate(invariant Invariant, subject, format string, arguments ...any) {
+func (c *checker) addViolation(invariant Invariant, subject, format string, arguments ...any) {
 	c.report.Violations = append(c.report.Violations, Violation{
 		Invariant: invariant, Subject: subject, Evidence: fmt.Sprintf(format, arguments...),
 	})
@@ -173,8 +173,8 @@
 	return fmt.Sprintf("request %s (call %d to %s)", call.RequestID, call.ID, call.Node)
 }
 
-// frozen reports whether the node was frozen at some time of the interval.
-func (c *checker) frozen(node string, from, to time.Duration) bool {
+// wasFrozen reports whether the node was frozen at some time of the interval.
+func (c *checker) wasFrozen(node string, from, to time.Duration) bool {
 	for _, disturbance := range c.history.Disturbances {
 		overlaps := disturbance.From <= to && disturbance.To >= from
 		if disturbance.Kind == Frozen && disturbance.Host == node && overlaps {
@@ -184,8 +184,8 @@
 	return false
 }
 
-// ranAt returns the run of a node that covers the time.
-func (c *checker) ranAt(node string, at time.Duration) (NodeRun, bool) {
+// runAt returns the run of a node that covers the time.
+func (c *checker) runAt(node string, at time.Duration) (NodeRun, bool) {
 	for _, run := range c.history.Runs {
 		if run.Node == node && run.Start <= at && (run.End == 0 || run.End >= at) {
 			return run, true
--- a/lab/history/checker_test.go
+++ b/lab/history/checker_test.go
@@ -10,9 +10,9 @@
 
 const second = time.Second
 
-// sound returns a history that breaches nothing and in which each invariant has
+// validHistory returns a history that breaches nothing and in which each invariant has
 // something to judge.
-func sound() *History {
+func validHistory() *History {
 	low, high := coverage.Range{Start: 0, End: 50}, coverage.Range{Start: 50, End: 100}
 	return &History{
 		KeySpaces: []KeySpace{{Service: "search", Range: coverage.Range{Start: 0, End: 100}}},
@@ -24,17 +24,17 @@
 			{ID: 5, RequestID: "r5", Node: "n1", Service: "search", Repeatable: true, Deadline: second, At: 25 * second},
 		},
 		Answers: []Answer{
-			result(1, "r1", 1100*time.Millisecond, part(low, "r1"), part(high, "r1")),
-			result(2, "r2", 2100*time.Millisecond, part(low, "r2"), part(high, "r2")),
+			resultAnswer(1, "r1", 1100*time.Millisecond, completePart(low, "r1"), completePart(high, "r1")),
+			resultAnswer(2, "r2", 2100*time.Millisecond, completePart(low, "r2"), completePart(high, "r2")),
 			{Call: 3, At: 3 * second, Kind: AnswerRefusal, Execution: ExecutionNotRun, RequestID: "r3"},
-			result(4, "r4", 10200*time.Millisecond, part(low, "r4"), part(high, "r4")),
-			result(5, "r5", 25500*time.Millisecond, part(low, "r5"), part(high, "r5")),
+			resultAnswer(4, "r4", 10200*time.Millisecond, completePart(low, "r4"), completePart(high, "r4")),
+			resultAnswer(5, "r5", 25500*time.Millisecond, completePart(low, "r5"), completePart(high, "r5")),
 		},
 		Attempts: []Attempt{
-			ran("a1", "r1", low, 1*second), ran("a2", "r1", high, 1*second),
-			ran("a3", "r2", low, 2*second), ran("a4", "r2", high, 2*second),
-			ran("a5", "r4", low, 10*second), ran("a6", "r4", high, 10*second),
-			ran("a7", "r5", low, 25*second), ran("a8", "r5", high, 25*second),
+			executedAttempt("a1", "r1", low, 1*second), executedAttempt("a2", "r1", high, 1*second),
+			executedAttempt("a3", "r2", low, 2*second), executedAttempt("a4", "r2", high, 2*second),
+			executedAttempt("a5", "r4", low, 10*second), executedAttempt("a6", "r4", high, 10*second),
+			executedAttempt("a7", "r5", low, 25*second), executedAttempt("a8", "r5", high, 25*second),
 		},
 		Accepted: []Accepted{{Revision: 1, Digest: "x", PlanID: "p1"}, {Revision: 2, Digest: "y", PlanID: "p2", At: 5 * second}},
 		InForce: []InForce{
@@ -52,22 +52,22 @@
 	}
 }
 
-func result(call CallID, requestID string, at time.Duration, parts ...Part) Answer {
+func resultAnswer(call CallID, requestID string, at time.Duration, parts ...Part) Answer {
 	return Answer{Call: call, At: at, Kind: AnswerResult, Execution: ExecutionDone, RequestID: requestID,
 		Snapshot: 7, Coverage: 1, Complete: true, Parts: parts}
 }
 
-func part(keys coverage.Range, request string) Part {
+func completePart(keys coverage.Range, request string) Part {
 	return Part{Range: keys, Server: "s1", RequestID: request, Snapshot: 7, ContentMatches: true}
 }
 
-func ran(attempt, request string, part coverage.Range, at time.Duration) Attempt {
+func executedAttempt(attempt, request string, part coverage.Range, at time.Duration) Attempt {
 	return Attempt{Server: "s1", AttemptID: attempt, RequestID: request, Service: "search",
 		Snapshot: 7, Range: part, SentAt: at, ArrivedAt: at, Executed: true}
 }
 
-func TestSoundHistoryPassesAndIsJudged(t *testing.T) {
-	report := Check(sound(), DefaultOptions())
+func TestValidHistoryPassesAllChecks(t *testing.T) {
+	report := Check(validHistory(), DefaultOptions())
 	for _, violation := range report.Violations {
 		t.Error(violation)
 	}
@@ -117,19 +117,19 @@
 		{"a part that is not whole", OwnAnswer, func(h *History) { h.Answers[0].Parts[0].ContentMatches = false }, "r1"},
 		{"not run, but ran", NotRun, func(h *History) { h.Attempts[0].RequestID = "r3" }, "r3"},
 		{"not run, but ran later", NotRun, func(h *History) {
-			h.Attempts = append(h.Attempts, ran("a9", "r3", coverage.Range{Start: 0, End: 50}, 9*second))
+			h.Attempts = append(h.Attempts, executedAttempt("a9", "r3", coverage.Range{Start: 0, End: 50}, 9*second))
 		}, "r3"},
 		{"not run, but an earlier call ran", NotRun, func(h *History) {
 			h.Calls = append(h.Calls, Call{ID: 6, RequestID: "r2", Node: "n1", Service: "search", Deadline: second, At: 2050 * time.Millisecond})
 			h.Answers = append(h.Answers, Answer{Call: 6, At: 2080 * time.Millisecond, Kind: AnswerRefusal, Execution: ExecutionNotRun, RequestID: "r2"})
 		}, "r2"},
 		{"not run, but ran before another node was asked", NotRun, func(h *History) {
-			h.Attempts = append(h.Attempts, ran("a9", "r3", coverage.Range{Start: 0, End: 50}, 3*second))
+			h.Attempts = append(h.Attempts, executedAttempt("a9", "r3", coverage.Range{Start: 0, End: 50}, 3*second))
 			h.Calls = append(h.Calls, Call{ID: 6, RequestID: "r3", Node: "n2", Service: "search", Deadline: second, At: 4 * second})
 			h.Answers = append(h.Answers, Answer{Call: 6, At: 4 * second, Kind: AnswerRefusal, Execution: ExecutionUnknown, RequestID: "r3"})
 		}, "r3"},
 		{"ran twice", AtMostOnce, func(h *History) {
-			h.Attempts = append(h.Attempts, ran("a9", "r2", coverage.Range{Start: 0, End: 50}, 2*second))
+			h.Attempts = append(h.Attempts, executedAttempt("a9", "r2", coverage.Range{Start: 0, End: 50}, 2*second))
 		}, "r2"},
 		{"the same attempt delivered twice", AtMostOnce, func(h *History) { h.Attempts = append(h.Attempts, h.Attempts[2]) }, "r2"},
 		{"work to a leaving server", LeavingServer, func(h *History) { h.Leaving[0].Server = "s1" }, "s1"},
@@ -165,9 +165,9 @@
 	}
 }
 
-// breached returns the sound history with the corruption.
-func (c corruption) breached() *History {
-	history := sound()
+// corruptedHistory returns the sound history with the corruption.
+func (c corruption) corruptedHistory() *History {
+	history := validHistory()
 	if c.name == "revision never in force" {
 		history.Runs[1].StopRequestedAt, history.Runs[1].End = 0, 0
 	}
@@ -175,8 +175,8 @@
 	return history
 }
 
-// caught reports whether the violation is among those found.
-func (c corruption) caught(report Report) bool {
+// isDetectedIn reports whether the violation is among those found.
+func (c corruption) isDetectedIn(report Report) bool {
 	for _, violation := range report.Violations {
 		if violation.Invariant == c.invariant && strings.Contains(violation.Subject, c.subject) {
 			return true
@@ -188,15 +188,15 @@
 func TestCheckerCatches(t *testing.T) {
 	for _, test := range corruptions() {
 		t.Run(test.name, func(t *testing.T) {
-			report := Check(test.breached(), DefaultOptions())
-			if !test.caught(report) {
+			report := Check(test.corruptedHistory(), DefaultOptions())
+			if !test.isDetectedIn(report) {
 				t.Fatalf("not caught; violations: %v", report.Violations)
 			}
 		})
 	}
 }
 
-func TestRunAgainOnceEveryNodeWasLost(t *testing.T) {
+func TestDoubleExecutionAfterAllNodesLost(t *testing.T) {
 	tests := []struct {
 		name       string
 		second     NodeRun
@@ -213,7 +213,7 @@
 			low := coverage.Range{Start: 0, End: 50}
 			history := &History{
 				Calls:    []Call{{ID: 1, RequestID: "r", Node: "n1", Service: "search"}},
-				Attempts: []Attempt{ran("a", "r", low, 1*second), ran("b", "r", low, 8*second)},
+				Attempts: []Attempt{executedAttempt("a", "r", low, 1*second), executedAttempt("b", "r", low, 8*second)},
 				Runs: []NodeRun{
 					{Node: "n1", End: 3 * second, Killed: true}, test.second,
 					{Node: "n1", Start: 5 * second},
@@ -227,7 +227,7 @@
 	}
 }
 
-func TestCheckerExcuses(t *testing.T) {
+func TestCheckerAcceptsPermittedDeviations(t *testing.T) {
 	unanswered := func(h *History) { h.Answers = h.Answers[1:] }
 	tests := []struct {
 		name  string
@@ -254,15 +254,15 @@
 		{"not run, and sent again", func(h *History) {
 			h.Calls = append(h.Calls, Call{ID: 6, RequestID: "r3", Node: "n1", Service: "search", Deadline: second, At: 4 * second})
 			low, high := coverage.Range{Start: 0, End: 50}, coverage.Range{Start: 50, End: 100}
-			h.Attempts = append(h.Attempts, ran("b1", "r3", low, 4*second), ran("b2", "r3", high, 4*second))
-			h.Answers = append(h.Answers, result(6, "r3", 4100*time.Millisecond, part(low, "r3"), part(high, "r3")))
+			h.Attempts = append(h.Attempts, executedAttempt("b1", "r3", low, 4*second), executedAttempt("b2", "r3", high, 4*second))
+			h.Answers = append(h.Answers, resultAnswer(6, "r3", 4100*time.Millisecond, completePart(low, "r3"), completePart(high, "r3")))
 		}},
 		{"not run, told late by a frozen node, and sent again", func(h *History) {
 			low, high := coverage.Range{Start: 0, End: 50}, coverage.Range{Start: 50, End: 100}
 			h.Calls = append(h.Calls, Call{ID: 6, RequestID: "r3", Node: "n1", Service: "search", Deadline: second, At: 3100 * time.Millisecond})
-			h.Attempts = append(h.Attempts, ran("b1", "r3", low, 4*second), ran("b2", "r3", high, 4*second))
+			h.Attempts = append(h.Attempts, executedAttempt("b1", "r3", low, 4*second), executedAttempt("b2", "r3", high, 4*second))
 			h.Answers[2].At = 3800 * time.Millisecond
-			h.Answers = append(h.Answers, result(6, "r3", 4*second, part(low, "r3"), part(high, "r3")))
+			h.Answers = append(h.Answers, resultAnswer(6, "r3", 4*second, completePart(low, "r3"), completePart(high, "r3")))
 			h.Disturbances = []Disturbance{{Kind: Frozen, Host: "n1", From: 3050 * time.Millisecond, To: 3800 * time.Millisecond}}
 		}},
 		{"server that came back", func(h *History) {
@@ -272,7 +272,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			history := sound()
+			history := validHistory()
 			test.alter(history)
 			for _, violation := range Check(history, DefaultOptions()).Violations {
 				t.Error(violation)
--- a/lab/history/join.go
+++ b/lab/history/join.go
@@ -9,14 +9,14 @@
 // Join makes one history of the journals of one run. Its times count from the
 // earliest time in them.
 func Join(journals ...[]Entry) (*History, error) {
-	j := &joiner{history: &History{}, names: make(map[string]string)}
+	j := &joiner{history: &History{}, nodeByAddress: make(map[string]string)}
 	for _, entries := range journals {
 		j.addJournal(entries)
 	}
 	if err := j.applyEvents(); err != nil {
 		return nil, err
 	}
-	j.nameNodes()
+	j.resolveNodeNames()
 	j.rebase()
 	return j.history, nil
 }
@@ -27,8 +27,8 @@
 	events  []Event
 	// lastCall is the highest ID given to a call of the journals before.
 	lastCall CallID
-	// names holds the nodes' names by caller address.
-	names map[string]string
+	// nodeByAddress holds the nodes' names by caller address.
+	nodeByAddress map[string]string
 }
 
 // addJournal adds the entries of one journal, whose call IDs are its own.
@@ -75,7 +75,7 @@
 func (j *joiner) apply(event Event) error {
 	switch event.Kind {
 	case EventNodeStarted:
-		j.names[event.Address] = event.Subject
+		j.nodeByAddress[event.Address] = event.Subject
 		j.history.Runs = append(j.history.Runs, NodeRun{Node: event.Subject, Start: event.At})
 		return nil
 	case EventNodeStopRequested, EventNodeEnded, EventNodeKilled:
@@ -114,7 +114,7 @@
 		}
 		return nil
 	}
-	return errNoBeginning
+	return errNoMatchingStart
 }
 
 func (j *joiner) endDisturbance(event Event) error {
@@ -125,7 +125,7 @@
 			return nil
 		}
 	}
-	return errNoBeginning
+	return errNoMatchingStart
 }
 
 func (j *joiner) endLeaving(event Event) error {
@@ -136,14 +136,14 @@
 			return nil
 		}
 	}
-	return errNoBeginning
+	return errNoMatchingStart
 }
 
-// nameNodes replaces the addresses in calls by the nodes' names.
-func (j *joiner) nameNodes() {
+// resolveNodeNames replaces the addresses in calls by the nodes' names.
+func (j *joiner) resolveNodeNames() {
 	for index := range j.history.Calls {
 		call := &j.history.Calls[index]
-		if name, ok := j.names[call.Node]; ok {
+		if name, ok := j.nodeByAddress[call.Node]; ok {
 			call.Node = name
 		}
 	}
@@ -151,7 +151,7 @@
 
 // rebase makes times count from the earliest one, and sets the end to the latest.
 func (j *joiner) rebase() {
-	times := j.times()
+	times := j.timestamps()
 	var earliest, latest time.Duration
 	for _, at := range times {
 		if *at != 0 && (earliest == 0 || *at < earliest) {
@@ -175,8 +175,8 @@
 	}
 }
 
-// times points to every time in the history.
-func (j *joiner) times() []*time.Duration {
+// timestamps points to every time in the history.
+func (j *joiner) timestamps() []*time.Duration {
 	h := j.history
 	times := []*time.Duration{&h.FaultsEnd}
 	for index := range h.Calls {
--- a/lab/history/journal.go
+++ b/lab/history/journal.go
@@ -21,8 +21,8 @@
 
 // Causes of ErrInvalidJournal among events.
 var (
-	errUnknownEvent = errors.New("unknown kind of event")
-	errNoBeginning  = errors.New("nothing before it that it could end")
+	errUnknownEvent    = errors.New("unknown kind of event")
+	errNoMatchingStart = errors.New("nothing before it that it could end")
 )
 
 // Entry is one line of a journal, a file of JSON lines that one of several
@@ -139,8 +139,8 @@
 		if err := strictjson.Unmarshal(lines.Bytes(), strictjson.Limits{Bytes: maximumLineBytes}, &entry); err != nil {
 			return nil, fmt.Errorf("%w: line %d: %w", ErrInvalidJournal, len(entries)+1, err)
 		}
-		if entry.fields() != 1 {
-			return nil, fmt.Errorf("%w: line %d: %d fields are set", ErrInvalidJournal, len(entries)+1, entry.fields())
+		if entry.countFields() != 1 {
+			return nil, fmt.Errorf("%w: line %d: %d fields are set", ErrInvalidJournal, len(entries)+1, entry.countFields())
 		}
 		entries = append(entries, entry)
 	}
@@ -150,8 +150,8 @@
 	return entries, nil
 }
 
-// fields counts the fields that are set.
-func (e Entry) fields() int {
+// countFields counts the fields that are set.
+func (e Entry) countFields() int {
 	count := 0
 	for _, set := range []bool{
 		e.KeySpace != nil, e.Call != nil, e.Answer != nil, e.Attempt != nil,
--- a/lab/history/journal_test.go
+++ b/lab/history/journal_test.go
@@ -11,9 +11,9 @@
 // epoch is the start of the test's histories, since the Unix epoch.
 const epoch = 1_796_000_000 * second
 
-// journalsOf writes a history as the processes of a real run do: one journal per
+// splitIntoJournals writes a history as the processes of a real run do: one journal per
 // caller, each numbering its own calls, and one for all else.
-func journalsOf(t *testing.T, h *History) [][]Entry {
+func splitIntoJournals(t *testing.T, h *History) [][]Entry {
 	t.Helper()
 	callers := map[string]*[]Entry{"n1": {}, "n2": {}}
 	nodes := make(map[CallID]string)
@@ -28,15 +28,15 @@
 		*callers[nodes[answer.Call]] = append(*callers[nodes[answer.Call]], Entry{Answer: &answer})
 	}
 	var journals [][]Entry
-	for _, entries := range [][]Entry{*callers["n1"], *callers["n2"], othersOf(h), eventsOf(h)} {
-		journals = append(journals, throughBytes(t, entries))
+	for _, entries := range [][]Entry{*callers["n1"], *callers["n2"], recordEntries(h), eventEntries(h)} {
+		journals = append(journals, writeAndRead(t, entries))
 	}
 	return journals
 }
 
 func addressOf(node string) string { return "10.0.0." + node[1:] + ":80" }
 
-func othersOf(h *History) []Entry {
+func recordEntries(h *History) []Entry {
 	var entries []Entry
 	for _, keySpace := range h.KeySpaces {
 		entries = append(entries, Entry{KeySpace: &keySpace})
@@ -61,7 +61,7 @@
 	return entries
 }
 
-func eventsOf(h *History) []Entry {
+func eventEntries(h *History) []Entry {
 	events := []Event{{Kind: EventFaultsEnded, At: h.FaultsEnd}}
 	add := func(kind EventKind, subject string, at time.Duration) {
 		events = append(events, Event{Kind: kind, Subject: subject, At: at})
@@ -88,7 +88,7 @@
 	return append(entries, Entry{InForce: &last})
 }
 
-func throughBytes(t *testing.T, entries []Entry) []Entry {
+func writeAndRead(t *testing.T, entries []Entry) []Entry {
 	t.Helper()
 	var buffer bytes.Buffer
 	journal := NewJournal(&buffer)
@@ -105,8 +105,8 @@
 	return read
 }
 
-func TestJoinedJournalsAreJudgedLikeTheHistory(t *testing.T) {
-	joined, err := Join(journalsOf(t, sound())...)
+func TestJoinedJournalsPassLikeOriginalHistory(t *testing.T) {
+	joined, err := Join(splitIntoJournals(t, validHistory())...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 	if len(report.Violations) != 0 {
 		t.Errorf("violations: %v", report.Violations)
 	}
-	want := Check(sound(), DefaultOptions())
+	want := Check(validHistory(), DefaultOptions())
 	for _, invariant := range Invariants() {
 		if report.Checked[invariant] != want.Checked[invariant] {
 			t.Errorf("%s: judged %d, want %d", invariant, report.Checked[invariant], want.Checked[invariant])
@@ -125,18 +125,18 @@
 func TestJoinedJournalsShowEachViolation(t *testing.T) {
 	for _, test := range corruptions() {
 		t.Run(test.name, func(t *testing.T) {
-			joined, err := Join(journalsOf(t, test.breached())...)
+			joined, err := Join(splitIntoJournals(t, test.corruptedHistory())...)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if report := Check(joined, DefaultOptions()); !test.caught(report) {
+			if report := Check(joined, DefaultOptions()); !test.isDetectedIn(report) {
 				t.Fatalf("not caught; violations: %v", report.Violations)
 			}
 		})
 	}
 }
 
-func TestEventsBecomeRunsAndDisturbances(t *testing.T) {
+func TestJoinConvertsEventsToRunsAndDisturbances(t *testing.T) {
 	var entries []Entry
 	for index, event := range []Event{
 		{Kind: EventNodeStarted, Subject: "n1", Address: "10.0.0.1:80"},
@@ -172,7 +172,7 @@
 	}
 }
 
-func TestInvalidJournals(t *testing.T) {
+func TestInvalidJournalsAreRejected(t *testing.T) {
 	tests := []struct{ name, text string }{
 		{"no JSON", "call"},
 		{"unknown field", `{"cal":{}}`},
--- a/lab/history/parse.go
+++ b/lab/history/parse.go
@@ -12,8 +12,8 @@
 	"github.com/banksail/banksail/lab/emulator"
 )
 
-// errNoExecution: a refusal that does not tell of the execution.
-var errNoExecution = errors.New("history: no account of the execution")
+// errMissingExecution: a refusal that does not tell of the execution.
+var errMissingExecution = errors.New("history: no account of the execution")
 
 // AnswerFromError tells a connection that was never made from an answer that never came.
 func AnswerFromError(err error) Answer {
@@ -51,7 +51,7 @@
 		return AnswerFromError(err)
 	}
 	if problem.Execution == "" {
-		return AnswerFromError(fmt.Errorf("%w: HTTP status %d", errNoExecution, status))
+		return AnswerFromError(fmt.Errorf("%w: HTTP status %d", errMissingExecution, status))
 	}
 	return Answer{
 		Kind: AnswerRefusal, Execution: Execution(problem.Execution),
--- a/lab/history/system.go
+++ b/lab/history/system.go
@@ -17,16 +17,16 @@
 		if c.history.End < limit || (leaving.Until != 0 && leaving.Until < limit) {
 			continue
 		}
-		c.judged(LeavingServer)
+		c.countChecked(LeavingServer)
 		for _, attempt := range c.history.Attempts {
 			if attempt.Server == leaving.Server {
-				c.checkNewWork(leaving, attempt, nodes[attempt.RequestID])
+				c.checkAttemptAfterLeaving(leaving, attempt, nodes[attempt.RequestID])
 			}
 		}
 	}
 }
 
-func (c *checker) checkNewWork(leaving ServerLeaving, attempt Attempt, node string) {
+func (c *checker) checkAttemptAfterLeaving(leaving ServerLeaving, attempt Attempt, node string) {
 	if leaving.Until != 0 && attempt.ArrivedAt >= leaving.Until {
 		return
 	}
@@ -34,7 +34,7 @@
 	if attempt.SentAt <= limit {
 		return
 	}
-	c.violate(LeavingServer, "server "+leaving.Server, "began to leave at %v; attempt %s of request %s was sent at %v and arrived at %v",
+	c.addViolation(LeavingServer, "server "+leaving.Server, "began to leave at %v; attempt %s of request %s was sent at %v and arrived at %v",
 		leaving.At, attempt.AttemptID, attempt.RequestID, attempt.SentAt, attempt.ArrivedAt)
 }
 
@@ -46,7 +46,7 @@
 		}
 		for _, call := range c.history.Calls {
 			if c.inFlight(call, run) {
-				c.checkCallInStop(call, run)
+				c.checkInFlightCall(call, run)
 			}
 		}
 	}
@@ -62,19 +62,19 @@
 			return false
 		}
 	}
-	return !c.frozen(call.Node, call.At, call.At+call.Deadline)
+	return !c.wasFrozen(call.Node, call.At, call.At+call.Deadline)
 }
 
-func (c *checker) checkCallInStop(call Call, run NodeRun) {
-	c.judged(PlannedStop)
+func (c *checker) checkInFlightCall(call Call, run NodeRun) {
+	c.countChecked(PlannedStop)
 	for _, answer := range c.answers[call.ID] {
 		cut := answer.Kind == AnswerBroken || answer.Kind == AnswerUnreachable
 		if cut {
-			c.violate(PlannedStop, call.subject(), "in flight when the stop was asked for at %v; its connection ended at %v: %s",
+			c.addViolation(PlannedStop, call.subject(), "in flight when the stop was asked for at %v; its connection ended at %v: %s",
 				run.StopRequestedAt, answer.At, answer.Detail)
 		}
 		if answer.Reason == "stopping" && answer.Execution != ExecutionNotRun {
-			c.violate(PlannedStop, call.subject(), "cut by the stop at %v: execution %s", run.StopRequestedAt, answer.Execution)
+			c.addViolation(PlannedStop, call.subject(), "cut by the stop at %v: execution %s", run.StopRequestedAt, answer.Execution)
 		}
 	}
 }
@@ -82,15 +82,15 @@
 // checkConfigurations judges what each run of each node had in force.
 func (c *checker) checkConfigurations() {
 	for _, run := range c.history.Runs {
-		inForce := c.inForceDuring(run)
-		c.checkOrder(run, inForce)
+		inForce := c.revisionsDuring(run)
+		c.checkRevisionOrder(run, inForce)
 		for _, accepted := range c.history.Accepted {
-			c.checkSpread(run, accepted, inForce)
+			c.checkPropagation(run, accepted, inForce)
 		}
 	}
 }
 
-func (c *checker) inForceDuring(run NodeRun) []InForce {
+func (c *checker) revisionsDuring(run NodeRun) []InForce {
 	var inForce []InForce
 	for _, entry := range c.history.InForce {
 		if entry.Node == run.Node && entry.At >= run.Start && (run.End == 0 || entry.At <= run.End) {
@@ -100,18 +100,18 @@
 	return inForce
 }
 
-// checkOrder judges that a node only took accepted revisions, each higher than
+// checkRevisionOrder judges that a node only took accepted revisions, each higher than
 // the one before.
-func (c *checker) checkOrder(run NodeRun, inForce []InForce) {
+func (c *checker) checkRevisionOrder(run NodeRun, inForce []InForce) {
 	var last uint64
 	for _, entry := range inForce {
-		c.judged(Configuration)
+		c.countChecked(Configuration)
 		if entry.Revision < last {
-			c.violate(Configuration, "node "+run.Node, "reverted from revision %d to %d at %v", last, entry.Revision, entry.At)
+			c.addViolation(Configuration, "node "+run.Node, "reverted from revision %d to %d at %v", last, entry.Revision, entry.At)
 		}
 		last = max(last, entry.Revision)
 		if !c.wasAccepted(entry) {
-			c.violate(Configuration, "node "+run.Node, "put revision %d (%s) in force at %v, which was not accepted", entry.Revision, entry.Digest, entry.At)
+			c.addViolation(Configuration, "node "+run.Node, "put revision %d (%s) in force at %v, which was not accepted", entry.Revision, entry.Digest, entry.At)
 		}
 	}
 }
@@ -125,15 +125,15 @@
 	return false
 }
 
-// checkSpread judges that the run had the accepted revision, or a later one, in
+// checkPropagation judges that the run had the accepted revision, or a later one, in
 // force within the bound, and never a lower one afterwards.
-func (c *checker) checkSpread(run NodeRun, accepted Accepted, inForce []InForce) {
+func (c *checker) checkPropagation(run NodeRun, accepted Accepted, inForce []InForce) {
 	start := max(accepted.At, run.Start)
 	limit := c.undisturbedAfter(run.Node, start, c.options.ConfigurationBound) + c.options.ConfigurationBound
 	if limit > c.history.End || (run.End != 0 && run.End < limit) || (run.StopRequestedAt != 0 && run.StopRequestedAt < limit) {
 		return
 	}
-	c.judged(Configuration)
+	c.countChecked(Configuration)
 	var reached uint64
 	for _, entry := range inForce {
 		if entry.At <= limit {
@@ -141,7 +141,7 @@
 		}
 	}
 	if reached < accepted.Revision {
-		c.violate(Configuration, "node "+run.Node, "revision %d was accepted at %v; at %v the node (started at %v) had revision %d in force",
+		c.addViolation(Configuration, "node "+run.Node, "revision %d was accepted at %v; at %v the node (started at %v) had revision %d in force",
 			accepted.Revision, accepted.At, limit, run.Start, reached)
 	}
 }
@@ -172,21 +172,21 @@
 		}
 	}
 	for _, confirmation := range c.history.Confirmations {
-		c.judged(Configuration)
+		c.countChecked(Configuration)
 		accepted := acceptances[confirmation.PlanID]
 		subject := fmt.Sprintf("plan %s of %s", confirmation.PlanID, confirmation.Operator)
 		switch confirmation.Result {
 		case ConfirmationApplied:
 			if len(accepted) == 0 || accepted[0].Revision != confirmation.Revision {
-				c.violate(Configuration, subject, "told applied as revision %d; the store accepted %v", confirmation.Revision, accepted)
+				c.addViolation(Configuration, subject, "told applied as revision %d; the store accepted %v", confirmation.Revision, accepted)
 			}
 		case ConfirmationConflict, ConfirmationFailed:
 			if len(accepted) != 0 {
-				c.violate(Configuration, subject, "told %s; the store accepted %v", confirmation.Result, accepted)
+				c.addViolation(Configuration, subject, "told %s; the store accepted %v", confirmation.Result, accepted)
 			}
 		}
 		if len(accepted) > 1 {
-			c.violate(Configuration, subject, "was applied %d times: %v", len(accepted), accepted)
+			c.addViolation(Configuration, subject, "was applied %d times: %v", len(accepted), accepted)
 		}
 	}
 }
@@ -200,22 +200,22 @@
 		}
 		answers := c.answers[call.ID]
 		if len(answers) > 1 {
-			c.violate(OneFinalAnswer, call.subject(), "got %d answers", len(answers))
+			c.addViolation(OneFinalAnswer, call.subject(), "got %d answers", len(answers))
 		}
 		if call.Abandoned || c.excused(call, limit) {
 			continue
 		}
-		c.judged(OneFinalAnswer)
+		c.countChecked(OneFinalAnswer)
 		if len(answers) == 0 {
-			c.violate(OneFinalAnswer, call.subject(), "sent at %v, no answer by %v", call.At, limit)
+			c.addViolation(OneFinalAnswer, call.subject(), "sent at %v, no answer by %v", call.At, limit)
 			continue
 		}
 		answer := answers[0]
 		if answer.At > limit {
-			c.violate(OneFinalAnswer, call.subject(), "deadline %v after %v; answered at %v", call.Deadline, call.At, answer.At)
+			c.addViolation(OneFinalAnswer, call.subject(), "deadline %v after %v; answered at %v", call.Deadline, call.At, answer.At)
 		}
 		if answer.Kind == AnswerBroken || answer.Kind == AnswerUnreachable {
-			c.violate(OneFinalAnswer, call.subject(), "sent at %v to a running node, %s at %v: %s", call.At, answer.Kind, answer.At, answer.Detail)
+			c.addViolation(OneFinalAnswer, call.subject(), "sent at %v to a running node, %s at %v: %s", call.At, answer.Kind, answer.At, answer.Detail)
 		}
 	}
 }
@@ -223,8 +223,8 @@
 // excused reports whether the node could not be expected to answer: it was not
 // running all the while, was stopping already, or was cut off or frozen.
 func (c *checker) excused(call Call, limit time.Duration) bool {
-	run, ok := c.ranAt(call.Node, call.At)
-	if !ok || c.frozen(call.Node, call.At, limit) {
+	run, ok := c.runAt(call.Node, call.At)
+	if !ok || c.wasFrozen(call.Node, call.At, limit) {
 		return true
 	}
 	if run.Killed && run.End <= limit {
@@ -236,23 +236,23 @@
 // checkRecovery judges calls that were sent once the recovery bound had passed:
 // a repeatable one must get a complete result.
 func (c *checker) checkRecovery() {
-	whole := c.history.FaultsEnd + c.options.RecoveryBound
+	recoveredBy := c.history.FaultsEnd + c.options.RecoveryBound
 	for _, call := range c.history.Calls {
-		if call.At < whole || call.Abandoned || !call.Repeatable || call.At+call.Deadline+c.options.AnswerAllowance > c.history.End {
+		if call.At < recoveredBy || call.Abandoned || !call.Repeatable || call.At+call.Deadline+c.options.AnswerAllowance > c.history.End {
 			continue
 		}
-		run, ok := c.ranAt(call.Node, call.At)
+		run, ok := c.runAt(call.Node, call.At)
 		if !ok || run.StopRequestedAt != 0 && run.StopRequestedAt <= call.At+call.Deadline+c.options.AnswerAllowance {
 			continue
 		}
-		c.judged(Recovery)
+		c.countChecked(Recovery)
 		answers := c.answers[call.ID]
 		if len(answers) == 0 {
-			c.violate(Recovery, call.subject(), "sent %v after the last fault, no answer", call.At-c.history.FaultsEnd)
+			c.addViolation(Recovery, call.subject(), "sent %v after the last fault, no answer", call.At-c.history.FaultsEnd)
 			continue
 		}
 		if answer := answers[0]; answer.Kind != AnswerResult || !answer.Complete {
-			c.violate(Recovery, call.subject(), "sent %v after the last fault, got %s (%s, %s) with coverage %v",
+			c.addViolation(Recovery, call.subject(), "sent %v after the last fault, got %s (%s, %s) with coverage %v",
 				call.At-c.history.FaultsEnd, answer.Kind, answer.Execution, answer.Reason, answer.Coverage)
 		}
 	}
--- a/lab/schedule/schedule.go
+++ b/lab/schedule/schedule.go
@@ -157,8 +157,8 @@
 	MaxDelay time.Duration
 }
 
-// manyFaults bounds the number of faults in Many, above its least of three.
-const manyFaults = 3
+// extraFaultChoices bounds the number of faults in Many, above its least of three.
+const extraFaultChoices = 3
 
 // Schedule is a seed's faults, ordered by their start.
 type Schedule struct {
@@ -184,24 +184,24 @@
 // Generate draws the schedule of a seed. Successive seeds go through all modes and
 // kinds in turn, so that a run of seeds covers them evenly.
 func Generate(seed uint64, topology Topology, options Options) Schedule {
-	d := drawer{
+	d := generator{
 		random:   rand.New(rand.NewPCG(seed, uint64(len(topology.Nodes)))),
 		topology: topology, options: options,
 	}
 	modes, kinds := Modes(), Kinds()
 	mode := modes[seed%uint64(len(modes))]
 	kind := kinds[seed/uint64(len(modes))%uint64(len(kinds))]
-	first := d.fault(kind)
+	first := d.randomFault(kind)
 	faults := []Fault{first}
 	switch mode {
 	case Single:
 	case Pair:
-		faults = append(faults, d.overlapping(d.otherKind(kind), first))
+		faults = append(faults, d.overlappingFault(d.otherKind(kind), first))
 	case Repeated:
-		faults = append(faults, d.fault(kind))
+		faults = append(faults, d.randomFault(kind))
 	case Many:
-		for range 2 + d.random.IntN(manyFaults) {
-			faults = append(faults, d.fault(kinds[d.random.IntN(len(kinds))]))
+		for range 2 + d.random.IntN(extraFaultChoices) {
+			faults = append(faults, d.randomFault(kinds[d.random.IntN(len(kinds))]))
 		}
 	}
 	sort.SliceStable(faults, func(i, j int) bool { return faults[i].At < faults[j].At })
--- a/lab/schedule/schedule_test.go
+++ b/lab/schedule/schedule_test.go
@@ -19,7 +19,7 @@
 	LeaseTimeToLive: 2 * time.Second, MaxDelay: time.Second,
 }
 
-func TestSameSeedSameSchedule(t *testing.T) {
+func TestSameSeedGivesSameSchedule(t *testing.T) {
 	for seed := range uint64(200) {
 		if one, other := Generate(seed, topology, bounds), Generate(seed, topology, bounds); !reflect.DeepEqual(one, other) {
 			t.Fatalf("seed %d: %v and %v", seed, one, other)
