--- a/lab/history/answers.go
+++ b/lab/history/answers.go
@@ -11,10 +11,10 @@
 	"github.com/banksail/banksail/coverage"
 )
 
-// coverageTolerance bounds the rounding of a reported coverage.
+// coverageTolerance is the largest rounding error accepted in a reported coverage.
 const coverageTolerance = 1e-9
 
-// checkAnswers judges what callers were told of their requests.
+// checkAnswers checks the results and the "not run" refusals that callers received.
 func (c *checker) checkAnswers() {
 	for _, answer := range c.history.Answers {
 		call, ok := c.calls[answer.Call]
@@ -32,9 +32,9 @@
 	}
 }
 
-// findExecution finds the execution that a part comes from: one of the same
-// request and range at the server that the body names, on the answer's snapshot
-// if there is such a one.
+// findExecution returns the executed attempt that produced a part: one of the
+// same request, at the server named in the part's body, whose range contains the
+// part's. It prefers an attempt on the given snapshot.
 func (c *checker) findExecution(part Part, snapshot uint64) (found Attempt, ok bool) {
 	for _, attempt := range c.attemptsByRequest[part.RequestID] {
 		if !attempt.Executed || attempt.Server != part.Server || !attempt.Range.Contains(part.Range) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// checkCoverage compares the reported coverage with the ranges that were really
-// executed, counting no key twice.
+// checkCoverage compares the reported coverage with the ranges that servers
+// executed. Keys in overlapping parts are counted once.
 func (c *checker) checkCoverage(call Call, answer Answer) {
 	keySpace, ok := c.keySpace(call.Service)
 	if !ok {
@@ -116,9 +116,9 @@
 	}
 }
 
-// checkNotRun judges that a request answered "not run" was not run, neither for
-// this call nor for an earlier one to the same process of the node; a call that
-// was sent later, or to another process, may run.
+// checkNotRun checks that no server executed a request answered "not run", for
+// this call or for an earlier one to the same node process. A call sent later, or
+// to another process, may be executed.
 func (c *checker) checkNotRun(call Call, answer Answer) {
 	c.countChecked(NotRun)
 	for _, attempt := range c.attemptsByRequest[call.RequestID] {
@@ -129,9 +129,10 @@
 	}
 }
 
-// mayBelongToLaterCall reports whether the attempt may belong to a call of the same request
-// that reached the node once the answer was given. While the node was frozen,
-// answers and calls wait at it for any time.
+// mayBelongToLaterCall reports whether the attempt may belong to another call of
+// the same request that went to another process, or that reached the node after
+// the answer was given. Answers and calls can be delayed for any time at a frozen
+// node, so a call counts as later if the node was frozen between it and the answer.
 func (c *checker) mayBelongToLaterCall(call Call, answer Answer, attempt Attempt) bool {
 	for _, other := range c.history.Calls {
 		if other.RequestID != call.RequestID || other.ID == call.ID || c.answeredNotRun(other.ID) || other.At > attempt.ArrivedAt {
@@ -148,7 +149,8 @@
 	return false
 }
 
-// sentToSameProcess reports whether two calls went to the same run of the same node.
+// sentToSameProcess reports whether two calls were sent to the same run of the
+// same node.
 func (c *checker) sentToSameProcess(one, other Call) bool {
 	first, okFirst := c.runAt(one.Node, one.At)
 	second, okSecond := c.runAt(other.Node, other.At)
@@ -164,7 +166,7 @@
 	return false
 }
 
-// checkExecutions judges that requests which are not repeatable ran once.
+// checkExecutions checks that no key of a non-repeatable request was executed twice.
 func (c *checker) checkExecutions() {
 	seen := make(map[string]bool)
 	for _, call := range c.history.Calls {
@@ -185,7 +187,8 @@
 	}
 }
 
-// checkDoubleExecution judges two executions of one request.
+// checkDoubleExecution reports two executions of one request whose ranges overlap:
+// as a known limitation if all nodes were lost in between, else as a violation.
 func (c *checker) checkDoubleExecution(call Call, one, other Attempt) {
 	shared, overlap := one.Range.Intersect(other.Range)
 	if !overlap {
@@ -200,9 +203,10 @@
 	c.report.Violations = append(c.report.Violations, found)
 }
 
-// allNodesLost reports whether no process is left at the later time that could
-// know what ran at the earlier one. Nodes keep nothing; a process that ends as
-// planned tells those that run then, one that is killed tells nobody.
+// allNodesLost reports whether no node process alive at time to can know what was
+// executed at time from. Nodes do not persist executions: a process that stops as
+// planned hands its record over to the processes running at that time, a killed
+// process hands over nothing.
 func (c *checker) allNodesLost(from, to time.Duration) bool {
 	runs := slices.Clone(c.history.Runs)
 	slices.SortStableFunc(runs, func(a, b NodeRun) int { return cmp.Compare(a.endOrAfter(to), b.endOrAfter(to)) })
@@ -220,7 +224,7 @@
 	return true
 }
 
-// endOrAfter is when the run ended, or just after the given time if it goes on.
+// endOrAfter returns the end of the run, or 1 ns after to if the run has not ended.
 func (run NodeRun) endOrAfter(to time.Duration) time.Duration {
 	if run.End == 0 {
 		return to + 1
@@ -247,8 +251,8 @@
 	return coverage.Range{}, false
 }
 
-// unionSize counts the keys in the union of ranges. It stands apart from the
-// coverage package's union, which it judges.
+// unionSize returns the number of keys in the union of ranges. It does not use
+// the coverage package's union, because the checker verifies that code.
 func unionSize(ranges []coverage.Range) uint64 {
 	sorted := append([]coverage.Range(nil), ranges...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].Start < sorted[j].Start })
--- a/lab/history/checker.go
+++ b/lab/history/checker.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// Invariant names what the Checker judges.
+// Invariant is the name of a property that Check verifies.
 type Invariant string
 
-// The invariants, in the order of reports.
+// The invariants, in the order in which they are reported.
 const (
-	// OneSnapshot: every answer comes from one index snapshot.
+	// OneSnapshot: all parts of an answer come from one index snapshot.
 	OneSnapshot Invariant = "one_snapshot"
-	// TrueCoverage: the coverage that an answer reports is true.
+	// TrueCoverage: the coverage reported in an answer matches what was executed.
 	TrueCoverage Invariant = "true_coverage"
-	// OwnAnswer: each caller gets the whole answer to its own request.
+	// OwnAnswer: each caller gets the complete answer to its own request.
 	OwnAnswer Invariant = "own_answer"
-	// NotRun: a request answered "not run" ran on no server.
+	// NotRun: a request answered "not run" was executed by no server.
 	NotRun Invariant = "not_run"
-	// AtMostOnce: a request that is not repeatable runs at most once.
+	// AtMostOnce: a non-repeatable request is executed at most once.
 	AtMostOnce Invariant = "at_most_once"
-	// LeavingServer: a leaving server gets no new work after a few seconds.
+	// LeavingServer: a leaving server gets no new requests after LeavingGrace.
 	LeavingServer Invariant = "leaving_server"
-	// PlannedStop: a planned stop cuts no request in flight.
+	// PlannedStop: a planned stop interrupts no request in flight.
 	PlannedStop Invariant = "planned_stop"
-	// Configuration: an accepted configuration is in force everywhere within
-	// seconds and never reverts.
+	// Configuration: an accepted configuration is in force at all nodes within
+	// ConfigurationBound and is never reverted.
 	Configuration Invariant = "configuration"
 	// OneFinalAnswer: each call gets exactly one final answer by its deadline.
 	OneFinalAnswer Invariant = "one_final_answer"
-	// Recovery: after the faults the system is whole again within a stated time.
+	// Recovery: within RecoveryBound after the last fault, the system gives
+	// complete answers again.
 	Recovery Invariant = "recovery"
 )
 
-// Invariants lists all that the Checker judges.
+// Invariants returns all invariants in the order in which they are reported.
 func Invariants() []Invariant {
 	return []Invariant{
 		OneSnapshot, TrueCoverage, OwnAnswer, NotRun, AtMostOnce,
@@ -42,25 +43,26 @@
 	}
 }
 
-// Options are the allowances of the Checker.
+// Options holds the time limits and tolerances that Check applies.
 type Options struct {
-	// AnswerAllowance is how long after its deadline a call may be answered.
+	// AnswerAllowance is how long after its deadline a call may still be answered.
 	AnswerAllowance time.Duration
-	// LeavingGrace is how long after it began to leave a server may get new work.
+	// LeavingGrace is how long a server may get new requests after it began to
+	// leave.
 	LeavingGrace time.Duration
-	// ConfigurationBound is the time within which an accepted configuration is
-	// in force at every node that can hear of it.
+	// ConfigurationBound is the time within which an accepted configuration must
+	// be in force at every node that can receive it.
 	ConfigurationBound time.Duration
 	// RecoveryBound is the time after the last fault within which the system
-	// is whole again.
+	// must have recovered.
 	RecoveryBound time.Duration
-	// InFlightMargin is how long before a planned stop a call must have been
-	// sent to count as in flight at the node, and how long an answer may be
-	// under way.
+	// InFlightMargin is the time allowed for a message between caller and node:
+	// a call counts as in flight at a planned stop only if it was sent at least
+	// this long before, and an answer may reach the caller this much later.
 	InFlightMargin time.Duration
 }
 
-// Default allowances.
+// Defaults of Options.
 const (
 	DefaultAnswerAllowance    = 250 * time.Millisecond
 	DefaultLeavingGrace       = 3 * time.Second
@@ -69,7 +71,7 @@
 	DefaultInFlightMargin     = 10 * time.Millisecond
 )
 
-// DefaultOptions returns the default allowances.
+// DefaultOptions returns the default time limits and tolerances.
 func DefaultOptions() Options {
 	return Options{
 		AnswerAllowance:    DefaultAnswerAllowance,
@@ -80,12 +82,12 @@
 	}
 }
 
-// Violation is one breach of an invariant with its evidence.
+// Violation is one violation of an invariant.
 type Violation struct {
 	Invariant Invariant `json:"invariant"`
-	// Subject names the request, server or node.
+	// Subject names the request, server, node or plan concerned.
 	Subject string `json:"subject"`
-	// Evidence tells what was found, in one line.
+	// Evidence describes the observations in one line.
 	Evidence string `json:"evidence"`
 }
 
@@ -94,19 +96,19 @@
 	return fmt.Sprintf("%s: %s: %s", v.Invariant, v.Subject, v.Evidence)
 }
 
-// Report is the result of judging one history.
+// Report is the result of Check.
 type Report struct {
-	// Checked counts per invariant the items (answers, requests, servers, ...)
-	// that could have breached it. Zero means that nothing was shown.
+	// Checked counts, per invariant, the items (answers, requests, servers, ...)
+	// that could have violated it. Zero means that the invariant was not exercised.
 	Checked map[Invariant]int `json:"judged"`
 	// Violations are sorted by invariant and subject.
 	Violations []Violation `json:"violations"`
-	// KnownLimitations are breaches under failures that the design is known not to cover:
-	// a request that is not repeatable ran again once every node was lost.
+	// KnownLimitations are violations under failures that the design does not
+	// cover: a non-repeatable request was executed again after all nodes were lost.
 	KnownLimitations []Violation `json:"limits"`
 }
 
-// Check judges a history.
+// Check verifies all invariants on a history.
 func Check(history *History, options Options) Report {
 	c := newChecker(history, options)
 	c.checkAnswers()
@@ -127,7 +129,8 @@
 	return c.report
 }
 
-// checker holds the indexes over one history.
+// checker verifies one history. It indexes calls by ID, answers by call and
+// attempts by request ID.
 type checker struct {
 	history *History
 	options Options
@@ -159,7 +162,7 @@
 	return c
 }
 
-// countChecked counts one item.
+// countChecked counts one item that was checked for the invariant.
 func (c *checker) countChecked(invariant Invariant) { c.report.Checked[invariant]++ }
 
 func (c *checker) addViolation(invariant Invariant, subject, format string, arguments ...any) {
@@ -168,12 +171,12 @@
 	})
 }
 
-// subject names a call.
+// subject describes the call in violations.
 func (call Call) subject() string {
 	return fmt.Sprintf("request %s (call %d to %s)", call.RequestID, call.ID, call.Node)
 }
 
-// wasFrozen reports whether the node was frozen at some time of the interval.
+// wasFrozen reports whether the node was frozen at any time between from and to.
 func (c *checker) wasFrozen(node string, from, to time.Duration) bool {
 	for _, disturbance := range c.history.Disturbances {
 		overlaps := disturbance.From <= to && disturbance.To >= from
@@ -184,7 +187,7 @@
 	return false
 }
 
-// runAt returns the run of a node that covers the time.
+// runAt returns the run of the node that was in progress at the given time.
 func (c *checker) runAt(node string, at time.Duration) (NodeRun, bool) {
 	for _, run := range c.history.Runs {
 		if run.Node == node && run.Start <= at && (run.End == 0 || run.End >= at) {
--- a/lab/history/checker_test.go
+++ b/lab/history/checker_test.go
@@ -10,8 +10,7 @@
 
 const second = time.Second
 
-// validHistory returns a history that breaches nothing and in which each invariant has
-// something to judge.
+// validHistory returns a history without violations that exercises every invariant.
 func validHistory() *History {
 	low, high := coverage.Range{Start: 0, End: 50}, coverage.Range{Start: 50, End: 100}
 	return &History{
@@ -73,17 +72,17 @@
 	}
 	for _, invariant := range Invariants() {
 		if report.Checked[invariant] == 0 {
-			t.Errorf("%s: nothing was judged", invariant)
+			t.Errorf("%s: no item was checked", invariant)
 		}
 	}
 }
 
-// corruption is a change of the sound history that breaches an invariant.
+// corruption changes the valid history so that it violates an invariant.
 type corruption struct {
 	name      string
 	invariant Invariant
 	corrupt   func(h *History)
-	// subject must occur in the violation.
+	// subject is a substring of the expected violation's subject.
 	subject string
 }
 
@@ -165,7 +164,7 @@
 	}
 }
 
-// corruptedHistory returns the sound history with the corruption.
+// corruptedHistory returns the valid history with the corruption applied.
 func (c corruption) corruptedHistory() *History {
 	history := validHistory()
 	if c.name == "revision never in force" {
@@ -175,7 +174,8 @@
 	return history
 }
 
-// isDetectedIn reports whether the violation is among those found.
+// isDetectedIn reports whether the report has the violation that the corruption
+// causes.
 func (c corruption) isDetectedIn(report Report) bool {
 	for _, violation := range report.Violations {
 		if violation.Invariant == c.invariant && strings.Contains(violation.Subject, c.subject) {
@@ -190,7 +190,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			report := Check(test.corruptedHistory(), DefaultOptions())
 			if !test.isDetectedIn(report) {
-				t.Fatalf("not caught; violations: %v", report.Violations)
+				t.Fatalf("corruption not detected; violations: %v", report.Violations)
 			}
 		})
 	}
@@ -221,7 +221,7 @@
 			}
 			report := Check(history, DefaultOptions())
 			if len(report.Violations) != test.violations || len(report.KnownLimitations) != 1-test.violations {
-				t.Fatalf("violations %v, limits %v", report.Violations, report.KnownLimitations)
+				t.Fatalf("violations %v, known limitations %v", report.Violations, report.KnownLimitations)
 			}
 		})
 	}
--- a/lab/history/history.go
+++ b/lab/history/history.go
@@ -1,8 +1,8 @@
-// Package history records what callers asked and got, what servers ran, and
-// which configurations were accepted and in force, and judges the record
-// against the invariants that must hold under any failure.
+// Package history records callers' requests and answers, the sub-requests that
+// servers executed, and the configurations that were accepted and in force. Check
+// verifies the record against the invariants that must hold under any failure.
 //
-// Times are durations since an epoch that the recorder picks.
+// Times are durations since an epoch chosen by the recorder.
 package history
 
 import (
@@ -12,48 +12,48 @@
 	"github.com/banksail/banksail/coverage"
 )
 
-// CallID numbers one sending of a request by a caller.
+// CallID identifies a Call within a history or journal.
 type CallID uint64
 
-// Call is one sending of a request by a caller to a node.
+// Call is one transmission of a request from a caller to a node. A request that is
+// retried has several calls.
 type Call struct {
 	ID CallID `json:"id"`
-	// RequestID is the caller's name for the request; a request that is sent
-	// again keeps it.
+	// RequestID is assigned by the caller. All calls of a request share it.
 	RequestID  string        `json:"request_id"`
 	Node       string        `json:"node"`
 	Service    string        `json:"service"`
 	Class      string        `json:"class"`
 	Repeatable bool          `json:"repeatable"`
 	Deadline   time.Duration `json:"deadline_ns"`
-	// MinimumCoverage is the least coverage that the caller accepts; answers
-	// below it must be refusals.
+	// MinimumCoverage is the lowest coverage, from 0 to 1, that the caller
+	// accepts. The node must refuse the request if it can't reach it.
 	MinimumCoverage float64 `json:"minimum_coverage"`
-	// Abandoned says that the caller gave up before the deadline.
+	// Abandoned is set if the caller cancelled the call before its deadline.
 	Abandoned bool          `json:"abandoned,omitempty"`
 	At        time.Duration `json:"at_ns"`
 }
 
-// AnswerKind tells how a call ended for its caller.
+// AnswerKind is how a call ended for its caller.
 type AnswerKind string
 
 // Kinds of answers.
 const (
-	// AnswerResult holds parts.
+	// AnswerResult is a result with parts.
 	AnswerResult AnswerKind = "result"
 	// AnswerRefusal is a problem document.
 	AnswerRefusal AnswerKind = "refusal"
 	// AnswerBroken means that the connection ended without an answer, or that
-	// the answer could not be understood.
+	// the answer could not be parsed.
 	AnswerBroken AnswerKind = "broken"
 	// AnswerUnreachable means that no connection to the node could be opened.
 	AnswerUnreachable AnswerKind = "unreachable"
 )
 
-// Execution is what an answer says of the request's execution.
+// Execution is the node's statement on whether the request was executed.
 type Execution string
 
-// What answers say.
+// Values of Execution.
 const (
 	ExecutionDone    Execution = "done"
 	ExecutionNotRun  Execution = "not_run"
@@ -61,7 +61,7 @@
 	ExecutionPartial Execution = "partial"
 )
 
-// Answer is the end of a call.
+// Answer is the outcome of a call as its caller saw it.
 type Answer struct {
 	Call      CallID           `json:"call"`
 	At        time.Duration    `json:"at_ns"`
@@ -74,24 +74,24 @@
 	Complete  bool             `json:"complete,omitempty"`
 	Parts     []Part           `json:"parts,omitempty"`
 	Missing   []coverage.Range `json:"missing,omitempty"`
-	// Detail is the error or text behind a broken answer or a refusal.
+	// Detail is the error of a broken answer or the title of a refusal.
 	Detail string `json:"detail,omitempty"`
 }
 
-// Part is one part of an answer, with the server's own account in its body.
+// Part is one server's part of an answer.
 type Part struct {
-	// Range is what the node says that the part covers.
+	// Range is the key range that the part covers according to the node.
 	Range coverage.Range `json:"range"`
-	// Server, RequestID and Snapshot are what the body says. Snapshot is zero
-	// when the body holds nothing from which it could be read.
+	// Server, RequestID and Snapshot are read from the server's response body.
+	// Snapshot is zero if the body has no items.
 	Server    string `json:"server"`
 	RequestID string `json:"request_id"`
 	Snapshot  uint64 `json:"snapshot"`
-	// ContentMatches says that the body holds all that the range holds and no more.
+	// ContentMatches is set if the body holds exactly the items of the range.
 	ContentMatches bool `json:"whole"`
 }
 
-// Attempt is a sub-request that reached a server.
+// Attempt is a sub-request that arrived at a server.
 type Attempt struct {
 	Server    string         `json:"server"`
 	AttemptID string         `json:"attempt_id"`
@@ -99,23 +99,23 @@
 	Service   string         `json:"service"`
 	Snapshot  uint64         `json:"snapshot"`
 	Range     coverage.Range `json:"range"`
-	// SentAt is when the node decided to send, as far as is known; ArrivedAt is
-	// when the server read it.
+	// SentAt is when the node decided to send the attempt, as far as known.
+	// ArrivedAt is when the server read it.
 	SentAt    time.Duration `json:"sent_at_ns"`
 	ArrivedAt time.Duration `json:"arrived_at_ns"`
-	// Executed says that the server ran it, wholly or in part.
+	// Executed is set if the server executed it, completely or in part.
 	Executed bool `json:"executed"`
-	// Status is the server's reply.
+	// Status is the status of the server's response.
 	Status string `json:"status,omitempty"`
 }
 
-// KeySpace tells the whole key space of a service.
+// KeySpace is the key space of a service.
 type KeySpace struct {
 	Service string         `json:"service"`
 	Range   coverage.Range `json:"range"`
 }
 
-// Accepted is a configuration that the store took.
+// Accepted is a configuration revision that the store accepted.
 type Accepted struct {
 	Revision uint64        `json:"revision"`
 	Digest   string        `json:"digest"`
@@ -123,7 +123,7 @@
 	At       time.Duration `json:"at_ns"`
 }
 
-// InForce is a configuration that a node put in force.
+// InForce is the observation that a configuration was in force at a node.
 type InForce struct {
 	Node     string `json:"node"`
 	Revision uint64 `json:"revision"`
@@ -132,7 +132,7 @@
 	At     time.Duration `json:"at_ns"`
 }
 
-// ConfirmationResult is what an operator was told of a confirmation.
+// ConfirmationResult is the outcome of a confirmation reported to its operator.
 type ConfirmationResult string
 
 // Results of confirmations.
@@ -143,7 +143,7 @@
 	ConfirmationFailed   ConfirmationResult = "not_applied"
 )
 
-// Confirmation is an operator's confirmation of a plan and its result.
+// Confirmation is an operator's confirmation of a plan, with its outcome.
 type Confirmation struct {
 	Operator string             `json:"operator"`
 	PlanID   string             `json:"plan_id"`
@@ -152,11 +152,12 @@
 	At       time.Duration      `json:"at_ns"`
 }
 
-// ServerLeaving says that a server began to leave, visibly to nodes.
+// ServerLeaving is a period in which a server was leaving and announced this to
+// nodes.
 type ServerLeaving struct {
 	Server string        `json:"server"`
 	At     time.Duration `json:"at_ns"`
-	// Until is when the server came back; zero if it didn't.
+	// Until is when the server returned; zero if it did not.
 	Until time.Duration `json:"until_ns,omitempty"`
 }
 
@@ -164,26 +165,28 @@
 type NodeRun struct {
 	Node  string        `json:"node"`
 	Start time.Duration `json:"start_ns"`
-	// StopRequestedAt is when a planned stop began; zero if none did.
+	// StopRequestedAt is when a planned stop began; zero if there was none.
 	StopRequestedAt time.Duration `json:"stop_asked_ns,omitempty"`
-	// End is when the process ended; zero if it still ran at the end.
+	// End is when the process ended; zero if it was still running when
+	// recording ended.
 	End time.Duration `json:"end_ns,omitempty"`
-	// Killed says that the process was ended by a fault.
+	// Killed is set if an injected fault ended the process.
 	Killed bool `json:"killed,omitempty"`
 }
 
-// DisturbanceKind tells what a disturbed node can't do.
+// DisturbanceKind is how a node is impaired during a Disturbance.
 type DisturbanceKind string
 
 // Kinds of disturbances.
 const (
-	// Frozen nodes do nothing at all.
+	// Frozen means that the node's process is suspended.
 	Frozen DisturbanceKind = "frozen"
-	// Isolated nodes reach nobody but their callers, whom they must answer.
+	// Isolated means that the node reaches only its callers, which it must
+	// still answer.
 	Isolated DisturbanceKind = "parted"
 )
 
-// Disturbance is a time in which a node could not take part.
+// Disturbance is a period in which a node was frozen or isolated.
 type Disturbance struct {
 	Kind DisturbanceKind `json:"kind"`
 	Host string          `json:"host"`
@@ -191,7 +194,7 @@
 	To   time.Duration   `json:"to_ns"`
 }
 
-// History is one run's record.
+// History is the record of one run.
 type History struct {
 	KeySpaces     []KeySpace      `json:"key_spaces"`
 	Calls         []Call          `json:"calls"`
@@ -209,7 +212,7 @@
 	End time.Duration `json:"end_ns"`
 }
 
-// Recorder collects a History from several goroutines.
+// Recorder builds a History in memory. It is safe for concurrent use.
 type Recorder struct {
 	epoch time.Time
 	// mutex guards history and lastCall.
@@ -218,13 +221,13 @@
 	lastCall CallID
 }
 
-// NewRecorder starts a record whose times count from epoch.
+// NewRecorder returns a Recorder whose times count from epoch.
 func NewRecorder(epoch time.Time) *Recorder { return &Recorder{epoch: epoch} }
 
-// Now is the time since the epoch.
+// Now returns the time since the epoch.
 func (r *Recorder) Now() time.Duration { return time.Since(r.epoch) }
 
-// Call records a call, giving it its ID and time.
+// Call records a call with the next ID and the current time, and returns the ID.
 func (r *Recorder) Call(call Call) CallID {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -235,20 +238,21 @@
 	return call.ID
 }
 
-// Answer records the end of a call at the present time.
+// Answer records the answer to a call with the current time.
 func (r *Recorder) Answer(answer Answer) {
 	answer.At = r.Now()
 	r.Update(func(h *History) { h.Answers = append(h.Answers, answer) })
 }
 
-// Update changes the history under the recorder's lock.
+// Update calls change with the history while holding the recorder's lock.
 func (r *Recorder) Update(change func(*History)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	change(&r.history)
 }
 
-// Finish returns the history; recording must have ended.
+// Finish sets the end of the history to the current time and returns the history.
+// The recorder must not be used afterwards.
 func (r *Recorder) Finish() *History {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/lab/history/join.go
+++ b/lab/history/join.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Join makes one history of the journals of one run. Its times count from the
-// earliest time in them.
+// Join merges the journals of one run into a history whose times count from the
+// earliest time in the journals. It returns ErrInvalidJournal for an event of
+// unknown kind and for one that ends something that has not begun.
 func Join(journals ...[]Entry) (*History, error) {
 	j := &joiner{history: &History{}, nodeByAddress: make(map[string]string)}
 	for _, entries := range journals {
@@ -21,17 +22,18 @@
 	return j.history, nil
 }
 
-// joiner builds a history.
+// joiner builds a history from journals.
 type joiner struct {
 	history *History
 	events  []Event
-	// lastCall is the highest ID given to a call of the journals before.
+	// lastCall is the highest call ID assigned so far.
 	lastCall CallID
-	// nodeByAddress holds the nodes' names by caller address.
+	// nodeByAddress maps caller addresses to node names.
 	nodeByAddress map[string]string
 }
 
-// addJournal adds the entries of one journal, whose call IDs are its own.
+// addJournal adds the entries of one journal. Call IDs are unique only within a
+// journal, so they are offset by the highest ID assigned before.
 func (j *joiner) addJournal(entries []Entry) {
 	base := j.lastCall
 	for _, entry := range entries {
@@ -61,7 +63,8 @@
 	}
 }
 
-// applyEvents turns events into runs, disturbances and leaving servers.
+// applyEvents converts events, in order of time, to runs, disturbances and
+// leaving servers.
 func (j *joiner) applyEvents() error {
 	sort.SliceStable(j.events, func(one, other int) bool { return j.events[one].At < j.events[other].At })
 	for _, event := range j.events {
@@ -98,7 +101,7 @@
 	}
 }
 
-// changeRun applies an event to the run of its node that has not ended.
+// changeRun applies an event to the current run of its node.
 func (j *joiner) changeRun(event Event) error {
 	for index := range j.history.Runs {
 		run := &j.history.Runs[index]
@@ -139,7 +142,7 @@
 	return errNoMatchingStart
 }
 
-// resolveNodeNames replaces the addresses in calls by the nodes' names.
+// resolveNodeNames replaces node addresses in calls by node names.
 func (j *joiner) resolveNodeNames() {
 	for index := range j.history.Calls {
 		call := &j.history.Calls[index]
@@ -149,7 +152,8 @@
 	}
 }
 
-// rebase makes times count from the earliest one, and sets the end to the latest.
+// rebase makes all times relative to the earliest one, sets the end of the history
+// to the latest one, and ends open disturbances there.
 func (j *joiner) rebase() {
 	times := j.timestamps()
 	var earliest, latest time.Duration
@@ -159,7 +163,7 @@
 		}
 		latest = max(latest, *at)
 	}
-	// Zero stands for "not" in the history, so that the earliest time is 1 ns.
+	// Zero means "not set" in a history, so the earliest time becomes 1 ns.
 	earliest--
 	j.history.End = latest
 	for _, at := range append(times, &j.history.End) {
@@ -175,7 +179,7 @@
 	}
 }
 
-// timestamps points to every time in the history.
+// timestamps returns pointers to all times in the history.
 func (j *joiner) timestamps() []*time.Duration {
 	h := j.history
 	times := []*time.Duration{&h.FaultsEnd}
--- a/lab/history/journal.go
+++ b/lab/history/journal.go
@@ -12,22 +12,22 @@
 	"github.com/banksail/banksail/internal/strictjson"
 )
 
-// maximumLineBytes bounds one line of a journal.
+// maximumLineBytes is the maximum length of a journal line.
 const maximumLineBytes = 4 << 20
 
-// ErrInvalidJournal is returned for a journal that can't be read or joined; the
-// text tells where.
+// ErrInvalidJournal is returned for a journal that can't be read or joined. The
+// error text names the line or event.
 var ErrInvalidJournal = errors.New("history: invalid journal")
 
-// Causes of ErrInvalidJournal among events.
+// Causes of ErrInvalidJournal in events.
 var (
-	errUnknownEvent    = errors.New("unknown kind of event")
-	errNoMatchingStart = errors.New("nothing before it that it could end")
+	errUnknownEvent    = errors.New("unknown event kind")
+	errNoMatchingStart = errors.New("no earlier event that it ends")
 )
 
-// Entry is one line of a journal, a file of JSON lines that one of several
-// processes wrote; exactly one field is set. Its times count from the Unix
-// epoch, so that journals of one machine can be joined.
+// Entry is one line of a journal, a file of JSON lines written by one process of
+// a run. Exactly one field is set. Times count from the Unix epoch, so that
+// journals of several processes on one machine can be joined.
 type Entry struct {
 	KeySpace     *KeySpace     `json:"key_space,omitempty"`
 	Call         *Call         `json:"call,omitempty"`
@@ -39,7 +39,7 @@
 	Event        *Event        `json:"event,omitempty"`
 }
 
-// EventKind tells what happened to a process.
+// EventKind is the kind of an Event.
 type EventKind string
 
 // Kinds of events.
@@ -55,37 +55,39 @@
 	EventFaultsEnded       EventKind = "faults_ended"
 )
 
-// Event is something that happened to a node, to a server, or to the whole run.
+// Event is a change in the state of a node, a server or the whole run.
 type Event struct {
 	Kind EventKind `json:"kind"`
-	// Subject names the node or server.
+	// Subject names the node or server; empty for events of the whole run.
 	Subject string `json:"subject,omitempty"`
-	// Address is the caller address of a started node. Calls to the address
-	// are calls to the node.
+	// Address is the caller address of a started node. Join attributes calls to
+	// this address to the node.
 	Address string        `json:"address,omitempty"`
 	At      time.Duration `json:"at_ns"`
 }
 
-// Journal writes entries; it may be used by several goroutines.
+// Journal writes entries. It is safe for concurrent use.
 type Journal struct {
-	// mutex guards the fields below. Invariant: the buffer holds whole lines.
+	// mutex guards the fields below. Invariant: only complete lines are appended
+	// to the buffer.
 	mutex  sync.Mutex
 	buffer *bufio.Writer
 	calls  CallID
-	// failure is the first error of the writer.
+	// failure is the first error from encoding or writing an entry.
 	failure error
 }
 
-// NewJournal starts a journal.
+// NewJournal returns a Journal that writes to writer.
 func NewJournal(writer io.Writer) *Journal {
 	return &Journal{buffer: bufio.NewWriter(writer)}
 }
 
-// Now is the time since the Unix epoch by the wall clock, which all processes
-// of a machine share; clocks that each process anchors for itself drift apart.
+// Now returns the time since the Unix epoch by the wall clock, which all processes
+// of a machine share. Monotonic clocks that each process anchors at its own start
+// would drift apart.
 func (j *Journal) Now() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// Call writes a call, giving it its ID and time.
+// Call writes a call with the next ID and the current time, and returns the ID.
 func (j *Journal) Call(call Call) CallID {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -96,7 +98,7 @@
 	return call.ID
 }
 
-// Answer writes the end of a call at the present time.
+// Answer writes the answer to a call with the current time.
 func (j *Journal) Answer(answer Answer) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -104,14 +106,14 @@
 	j.write(Entry{Answer: &answer})
 }
 
-// Write writes an entry with the time that it states.
+// Write writes an entry without changing its time.
 func (j *Journal) Write(entry Entry) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	j.write(entry)
 }
 
-// write writes a line. The lock is held.
+// write appends an entry as a JSON line. The caller must hold the mutex.
 func (j *Journal) write(entry Entry) {
 	line, err := json.Marshal(entry)
 	if err == nil {
@@ -122,14 +124,16 @@
 	}
 }
 
-// Flush hands all lines to the writer and returns the first error met.
+// Flush writes buffered lines to the writer. It returns the first error of this
+// and all earlier writes.
 func (j *Journal) Flush() error {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	return errors.Join(j.failure, j.buffer.Flush())
 }
 
-// ReadJournal reads the entries of a journal.
+// ReadJournal reads all entries of a journal. It returns ErrInvalidJournal if a
+// line is malformed, too long, or does not set exactly one field.
 func ReadJournal(reader io.Reader) ([]Entry, error) {
 	lines := bufio.NewScanner(reader)
 	lines.Buffer(nil, maximumLineBytes)
@@ -150,7 +154,7 @@
 	return entries, nil
 }
 
-// countFields counts the fields that are set.
+// countFields returns the number of fields that are set.
 func (e Entry) countFields() int {
 	count := 0
 	for _, set := range []bool{
--- a/lab/history/journal_test.go
+++ b/lab/history/journal_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// epoch is the start of the test's histories, since the Unix epoch.
+// epoch is the start of the test histories as a duration since the Unix epoch.
 const epoch = 1_796_000_000 * second
 
-// splitIntoJournals writes a history as the processes of a real run do: one journal per
-// caller, each numbering its own calls, and one for all else.
+// splitIntoJournals splits a history into journals as the processes of a real run
+// write them: one per caller, one for the other records and one for the events.
 func splitIntoJournals(t *testing.T, h *History) [][]Entry {
 	t.Helper()
 	callers := map[string]*[]Entry{"n1": {}, "n2": {}}
@@ -83,7 +83,8 @@
 		event.At += epoch
 		entries = append(entries, Entry{Event: &event})
 	}
-	// Nothing else tells when the run ended.
+	// The latest time in the journals defines the end of the run, so that an entry
+	// with that time is needed.
 	last := InForce{Node: "nobody", At: epoch + h.End}
 	return append(entries, Entry{InForce: &last})
 }
@@ -117,7 +118,7 @@
 	want := Check(validHistory(), DefaultOptions())
 	for _, invariant := range Invariants() {
 		if report.Checked[invariant] != want.Checked[invariant] {
-			t.Errorf("%s: judged %d, want %d", invariant, report.Checked[invariant], want.Checked[invariant])
+			t.Errorf("%s: checked %d items, want %d", invariant, report.Checked[invariant], want.Checked[invariant])
 		}
 	}
 }
@@ -130,7 +131,7 @@
 				t.Fatal(err)
 			}
 			if report := Check(joined, DefaultOptions()); !test.isDetectedIn(report) {
-				t.Fatalf("not caught; violations: %v", report.Violations)
+				t.Fatalf("corruption not detected; violations: %v", report.Violations)
 			}
 		})
 	}
@@ -188,7 +189,7 @@
 				_, err = Join(entries)
 			}
 			if !errors.Is(err, ErrInvalidJournal) {
-				t.Errorf("error is %v", err)
+				t.Errorf("got error %v, want ErrInvalidJournal", err)
 			}
 		})
 	}
--- a/lab/history/parse.go
+++ b/lab/history/parse.go
@@ -12,10 +12,12 @@
 	"github.com/banksail/banksail/lab/emulator"
 )
 
-// errMissingExecution: a refusal that does not tell of the execution.
-var errMissingExecution = errors.New("history: no account of the execution")
+// errMissingExecution is the cause of a broken answer whose problem document does
+// not state whether the request was executed.
+var errMissingExecution = errors.New("history: problem document without execution")
 
-// AnswerFromError tells a connection that was never made from an answer that never came.
+// AnswerFromError returns the answer for a call that failed with err:
+// AnswerUnreachable if no connection could be opened, else AnswerBroken.
 func AnswerFromError(err error) Answer {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
@@ -24,8 +26,8 @@
 	return Answer{Kind: AnswerBroken, Detail: err.Error()}
 }
 
-// ParseAnswer reads a node's answer to a query whose back ends are the emulator's,
-// with their item stride.
+// ParseAnswer parses a node's HTTP response to a query. The servers behind the node
+// must be emulators; stride is their item stride, used to verify the parts' content.
 func ParseAnswer(status int, data []byte, stride uint64) Answer {
 	if status != http.StatusOK {
 		return parseProblem(status, data)
@@ -59,7 +61,8 @@
 	}
 }
 
-// parsePart compares a part with what the emulator holds for its range.
+// parsePart parses a part's body and compares its items with those that the
+// emulator generates for the part's range.
 func parsePart(part caller.Part, stride uint64) Part {
 	parsed := Part{Range: part.Range}
 	var result emulator.Result
--- a/lab/history/system.go
+++ b/lab/history/system.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// checkLeaving judges that leaving servers get no new work after the grace. A
-// node that was frozen meanwhile gets the grace anew.
+// checkLeaving checks that leaving servers get no new requests after
+// LeavingGrace. The grace restarts for a node after each disturbance within it.
 func (c *checker) checkLeaving() {
 	nodes := make(map[string]string)
 	for _, call := range c.history.Calls {
@@ -38,7 +38,7 @@
 		leaving.At, attempt.AttemptID, attempt.RequestID, attempt.SentAt, attempt.ArrivedAt)
 }
 
-// checkPlannedStops judges that calls in flight at a planned stop are answered.
+// checkPlannedStops checks that a planned stop interrupts no call in flight.
 func (c *checker) checkPlannedStops() {
 	for _, run := range c.history.Runs {
 		if run.StopRequestedAt == 0 || run.Killed {
@@ -52,7 +52,8 @@
 	}
 }
 
-// inFlight reports whether the node had the call when its stop was asked for.
+// inFlight reports whether the node was processing the call when its stop was
+// requested. Calls to a node that was frozen before their deadline don't count.
 func (c *checker) inFlight(call Call, run NodeRun) bool {
 	if call.Abandoned || call.Node != run.Node || call.At < run.Start || call.At+c.options.InFlightMargin > run.StopRequestedAt {
 		return false
@@ -79,7 +80,7 @@
 	}
 }
 
-// checkConfigurations judges what each run of each node had in force.
+// checkConfigurations checks the configurations in force during each node run.
 func (c *checker) checkConfigurations() {
 	for _, run := range c.history.Runs {
 		inForce := c.revisionsDuring(run)
@@ -100,8 +101,8 @@
 	return inForce
 }
 
-// checkRevisionOrder judges that a node only took accepted revisions, each higher than
-// the one before.
+// checkRevisionOrder checks that a node put only accepted revisions in force and
+// never went back to a lower one.
 func (c *checker) checkRevisionOrder(run NodeRun, inForce []InForce) {
 	var last uint64
 	for _, entry := range inForce {
@@ -125,8 +126,9 @@
 	return false
 }
 
-// checkPropagation judges that the run had the accepted revision, or a later one, in
-// force within the bound, and never a lower one afterwards.
+// checkPropagation checks that the run put the accepted revision, or a later one,
+// in force within ConfigurationBound. The bound restarts after each disturbance
+// of the node within it; checkRevisionOrder detects later reversions.
 func (c *checker) checkPropagation(run NodeRun, accepted Accepted, inForce []InForce) {
 	start := max(accepted.At, run.Start)
 	limit := c.undisturbedAfter(run.Node, start, c.options.ConfigurationBound) + c.options.ConfigurationBound
@@ -146,8 +148,8 @@
 	}
 }
 
-// undisturbedAfter returns the earliest time from start on from which the node
-// stays undisturbed for the given bound.
+// undisturbedAfter returns the earliest time, not before start, that is followed
+// by a period of length bound without a disturbance of the node.
 func (c *checker) undisturbedAfter(node string, start, bound time.Duration) time.Duration {
 	for moved := true; moved; {
 		moved = false
@@ -163,7 +165,8 @@
 	return start
 }
 
-// checkConfirmations judges what operators were told against what was accepted.
+// checkConfirmations compares the results that operators received for their plans
+// with the configurations that the store accepted.
 func (c *checker) checkConfirmations() {
 	acceptances := make(map[string][]Accepted)
 	for _, accepted := range c.history.Accepted {
@@ -191,7 +194,8 @@
 	}
 }
 
-// checkLiveness judges that each call was answered once, by its deadline.
+// checkLiveness checks that each call got exactly one answer, at most
+// AnswerAllowance after its deadline.
 func (c *checker) checkLiveness() {
 	for _, call := range c.history.Calls {
 		limit := call.At + call.Deadline + c.options.AnswerAllowance
@@ -220,8 +224,9 @@
 	}
 }
 
-// excused reports whether the node could not be expected to answer: it was not
-// running all the while, was stopping already, or was cut off or frozen.
+// excused reports whether no answer can be expected from the node: it was not
+// running when the call was sent, was killed or frozen before the limit, or was
+// asked to stop before the call was sent or within InFlightMargin after it.
 func (c *checker) excused(call Call, limit time.Duration) bool {
 	run, ok := c.runAt(call.Node, call.At)
 	if !ok || c.wasFrozen(call.Node, call.At, limit) {
@@ -233,8 +238,9 @@
 	return run.StopRequestedAt != 0 && call.At+c.options.InFlightMargin > run.StopRequestedAt
 }
 
-// checkRecovery judges calls that were sent once the recovery bound had passed:
-// a repeatable one must get a complete result.
+// checkRecovery checks that repeatable calls sent after RecoveryBound has passed
+// get a complete result. Calls to a node that is not running, or that is asked to
+// stop before the answer is due, don't count.
 func (c *checker) checkRecovery() {
 	recoveredBy := c.history.FaultsEnd + c.options.RecoveryBound
 	for _, call := range c.history.Calls {
