--- a/operator/client.go
+++ b/operator/client.go
@@ -27,8 +27,8 @@
 const (
 	// DefaultClientTimeout bounds one request; it is longer than a confirmation takes.
 	DefaultClientTimeout = 15 * time.Second
-	maximumAnswerBytes   = 32 << 20
-	clientConnections    = 2
+	maxResponseBytes     = 32 << 20
+	maxClientConnections = 2
 )
 
 // ProblemError is a problem document that a node answered.
@@ -49,7 +49,7 @@
 // NewClient makes a client for a node's operator listener, given as host and
 // port; the timeout bounds each request.
 func NewClient(address string, timeout time.Duration) *Client {
-	return &Client{address: address, timeout: timeout, transport: httpcall.NewTransport(nil, clientConnections)}
+	return &Client{address: address, timeout: timeout, transport: httpcall.NewTransport(nil, maxClientConnections)}
 }
 
 // SetTransport replaces how the client reaches the node; it must be called
@@ -108,7 +108,7 @@
 
 func (c *Client) call(ctx context.Context, method, path string, body, answer any) error {
 	call := httpcall.Call{
-		Method: method, Address: c.address, Path: RootPath + path, MaxBodyBytes: maximumAnswerBytes,
+		Method: method, Address: c.address, Path: RootPath + path, MaxBodyBytes: maxResponseBytes,
 		Header: http.Header{"Accept": {httpcall.JSON + ", " + ProblemContentType}},
 	}
 	if body != nil {
@@ -126,7 +126,7 @@
 		return sendError(err)
 	}
 	if reply.Code != http.StatusOK {
-		return answeredProblem(reply)
+		return problemError(reply)
 	}
 	if err := json.Unmarshal(reply.Body, answer); err != nil {
 		return fmt.Errorf("%w: %w", ErrNoAnswer, err)
@@ -143,7 +143,7 @@
 	return fmt.Errorf("%w: %w", ErrNoAnswer, err)
 }
 
-func answeredProblem(reply httpcall.Reply) error {
+func problemError(reply httpcall.Reply) error {
 	var problem Problem
 	if err := json.Unmarshal(reply.Body, &problem); err != nil || problem.Title == "" {
 		return fmt.Errorf("%w: HTTP status %d", ErrNoAnswer, reply.Code)
--- a/operator/problem.go
+++ b/operator/problem.go
@@ -66,43 +66,43 @@
 	var conflict *policy.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		problem.set(TypeConflict, "The configuration changed since the plan was made", http.StatusConflict)
+		problem.setType(TypeConflict, "The configuration changed since the plan was made", http.StatusConflict)
 		problem.Conflict = &Conflict{Base: conflict.Base, Current: conflict.Current, Between: conflict.Between, Truncated: conflict.Truncated}
 	case errors.As(err, &invalid):
-		problem.set(TypeInvalid, "A field is not valid", http.StatusBadRequest)
+		problem.setType(TypeInvalid, "A field is not valid", http.StatusBadRequest)
 		problem.Field = invalid.Faults[0].Field
 		problem.Faults = invalid.Faults
 	case errors.Is(err, policy.ErrTooLarge):
-		problem.set(TypeTooLarge, "The document is too large", http.StatusRequestEntityTooLarge)
+		problem.setType(TypeTooLarge, "The document is too large", http.StatusRequestEntityTooLarge)
 	case errors.Is(err, policy.ErrPlanAltered):
-		problem.set(TypePlanAltered, "The plan was altered", http.StatusBadRequest)
+		problem.setType(TypePlanAltered, "The plan was altered", http.StatusBadRequest)
 		problem.Field = "digest"
 	case errors.Is(err, policy.ErrMalformed), errors.Is(err, policy.ErrUnsupportedFormat):
-		problem.set(TypeMalformed, "The document can't be read", http.StatusBadRequest)
+		problem.setType(TypeMalformed, "The document can't be read", http.StatusBadRequest)
 	case errors.Is(err, spread.ErrOutcomeUnknown):
-		problem.set(TypeOutcomeUnknown, "The plan may be in effect", http.StatusGatewayTimeout)
+		problem.setType(TypeOutcomeUnknown, "The plan may be in effect", http.StatusGatewayTimeout)
 	case errors.Is(err, spread.ErrStoreUnavailable), errors.Is(err, spread.ErrStoreBehind):
-		problem.set(TypeStoreUnavailable, "The store can't be used now; nothing changed", http.StatusServiceUnavailable)
+		problem.setType(TypeStoreUnavailable, "The store can't be used now; nothing changed", http.StatusServiceUnavailable)
 	default:
-		problem.set(TypeInternal, "The request failed; nothing changed", http.StatusInternalServerError)
+		problem.setType(TypeInternal, "The request failed; nothing changed", http.StatusInternalServerError)
 	}
 	return problem
 }
 
-func (p *Problem) set(kind, title string, status int) {
+func (p *Problem) setType(kind, title string, status int) {
 	p.Type = problemType(kind)
 	p.Title = title
 	p.Status = status
 }
 
-func noConfiguration() Problem {
+func noConfigurationProblem() Problem {
 	problem := Problem{Detail: "this node knows no configuration yet"}
-	problem.set(TypeNoConfiguration, "No configuration", http.StatusNotFound)
+	problem.setType(TypeNoConfiguration, "No configuration", http.StatusNotFound)
 	return problem
 }
 
-func (s *Service) fail(response *restful.Response, err error) {
-	s.problem(response, problemFor(err))
+func (s *Service) writeError(response *restful.Response, err error) {
+	s.writeProblem(response, problemFor(err))
 }
 
 // OutcomeCommandFor is the command line that asks whether a plan is in effect.
@@ -110,19 +110,19 @@
 	return fmt.Sprintf("banksailctl status --plan %s --base %d", plan.ID, plan.BaseRevision)
 }
 
-// failReceipt answers a confirmation that was not applied, or whose outcome is unknown.
-func (s *Service) failReceipt(response *restful.Response, receipt policy.Receipt, plan policy.Plan, err error) {
+// writeConfirmError answers a confirmation that was not applied, or whose outcome is unknown.
+func (s *Service) writeConfirmError(response *restful.Response, receipt policy.Receipt, plan policy.Plan, err error) {
 	problem := problemFor(err)
 	problem.Receipt = &receipt
 	if errors.Is(err, spread.ErrOutcomeUnknown) {
 		problem.OutcomeCommand = OutcomeCommandFor(plan)
 	}
-	s.problem(response, problem)
+	s.writeProblem(response, problem)
 }
 
-func (s *Service) problem(response *restful.Response, problem Problem) {
+func (s *Service) writeProblem(response *restful.Response, problem Problem) {
 	if problem.Status == http.StatusServiceUnavailable || problem.Status == http.StatusGatewayTimeout {
 		response.Header().Set("Retry-After", strconv.Itoa(retryAfterSeconds))
 	}
-	s.writeAs(response, problem.Status, ProblemContentType, problem)
+	s.writeDocument(response, problem.Status, ProblemContentType, problem)
 }
--- a/operator/service.go
+++ b/operator/service.go
@@ -82,13 +82,13 @@
 func (s *Service) WebService() *restful.WebService {
 	service := new(restful.WebService)
 	service.Path(RootPath).Consumes(restful.MIME_JSON).Produces(restful.MIME_JSON)
-	service.Route(service.POST("/plans").To(s.plan))
-	service.Route(service.GET("/plans/{plan}").To(s.outcome))
-	service.Route(service.POST("/confirmations").To(s.confirm))
-	service.Route(service.GET("/configuration").To(s.configuration))
-	service.Route(service.GET("/history").To(s.history))
-	service.Route(service.GET("/status").To(s.status))
-	service.Route(service.GET("/explanations/{request}").To(s.explanation))
+	service.Route(service.POST("/plans").To(s.handlePlan))
+	service.Route(service.GET("/plans/{plan}").To(s.handleOutcome))
+	service.Route(service.POST("/confirmations").To(s.handleConfirm))
+	service.Route(service.GET("/configuration").To(s.handleConfiguration))
+	service.Route(service.GET("/history").To(s.handleHistory))
+	service.Route(service.GET("/status").To(s.handleStatus))
+	service.Route(service.GET("/explanations/{request}").To(s.handleExplanation))
 	return service
 }
 
@@ -126,83 +126,83 @@
 	Nodes []Node `json:"nodes"`
 }
 
-func (s *Service) plan(request *restful.Request, response *restful.Response) {
-	data, ok := s.body(request, response, policy.MaximumIntentBytes)
+func (s *Service) handlePlan(request *restful.Request, response *restful.Response) {
+	data, ok := s.readBody(request, response, policy.MaximumIntentBytes)
 	if !ok {
 		return
 	}
 	intent, err := policy.DecodeIntent(data)
 	if err != nil {
-		s.fail(response, err)
+		s.writeError(response, err)
 		return
 	}
 	plan, err := s.options.Configurations.Plan(request.Request.Context(), intent)
 	if err != nil {
-		s.fail(response, err)
+		s.writeError(response, err)
 		return
 	}
-	s.write(response, plan)
+	s.writeJSON(response, plan)
 }
 
-func (s *Service) confirm(request *restful.Request, response *restful.Response) {
-	data, ok := s.body(request, response, policy.MaximumPlanBytes)
+func (s *Service) handleConfirm(request *restful.Request, response *restful.Response) {
+	data, ok := s.readBody(request, response, policy.MaximumPlanBytes)
 	if !ok {
 		return
 	}
 	plan, err := policy.DecodePlan(data)
 	if err != nil {
-		s.fail(response, err)
+		s.writeError(response, err)
 		return
 	}
 	receipt, err := s.options.Configurations.Confirm(request.Request.Context(), plan)
 	if err != nil {
-		s.failReceipt(response, receipt, plan, err)
+		s.writeConfirmError(response, receipt, plan, err)
 		return
 	}
-	s.write(response, receipt)
+	s.writeJSON(response, receipt)
 }
 
-func (s *Service) outcome(request *restful.Request, response *restful.Response) {
+func (s *Service) handleOutcome(request *restful.Request, response *restful.Response) {
 	base, err := strconv.ParseUint(request.QueryParameter("base"), 10, 64)
 	if err != nil {
-		s.fail(response, &policy.ValidationError{Faults: []policy.Fault{{Field: "base", Problem: "must be the plan's base revision"}}})
+		s.writeError(response, &policy.ValidationError{Faults: []policy.Fault{{Field: "base", Problem: "must be the plan's base revision"}}})
 		return
 	}
 	receipt, err := s.options.Configurations.Outcome(request.Request.Context(), request.PathParameter("plan"), policy.Revision(base))
 	if err != nil {
-		s.fail(response, err)
+		s.writeError(response, err)
 		return
 	}
-	s.write(response, receipt)
+	s.writeJSON(response, receipt)
 }
 
-func (s *Service) configuration(_ *restful.Request, response *restful.Response) {
+func (s *Service) handleConfiguration(_ *restful.Request, response *restful.Response) {
 	revision, config, ok := s.options.Configurations.Current()
 	if !ok {
-		s.problem(response, noConfiguration())
+		s.writeProblem(response, noConfigurationProblem())
 		return
 	}
-	s.write(response, Configuration{Revision: revision, Config: config})
+	s.writeJSON(response, Configuration{Revision: revision, Config: config})
 }
 
-func (s *Service) history(_ *restful.Request, response *restful.Response) {
+func (s *Service) handleHistory(_ *restful.Request, response *restful.Response) {
 	revision, _, _ := s.options.Configurations.Current()
-	s.write(response, History{Revision: revision, Entries: s.options.Configurations.History()})
+	s.writeJSON(response, History{Revision: revision, Entries: s.options.Configurations.History()})
 }
 
-func (s *Service) status(request *restful.Request, response *restful.Response) {
+func (s *Service) handleStatus(request *restful.Request, response *restful.Response) {
 	revision, _, _ := s.options.Configurations.Current()
 	status := Status{Node: s.options.Self, Revision: revision, Behind: []string{}, Nodes: []Node{}}
 	if s.options.Nodes != nil {
 		status.Nodes = append(status.Nodes, s.options.Nodes.Nodes(request.Request.Context(), revision)...)
 	}
-	status.setRevision(s.options.Self, revision)
-	status.count()
-	s.write(response, status)
+	status.setNodeRevision(s.options.Self, revision)
+	status.updateTotals()
+	s.writeJSON(response, status)
 }
 
-// setRevision corrects a node's revision, of which membership learns with a delay.
-func (s *Status) setRevision(id string, revision policy.Revision) {
+// setNodeRevision corrects a node's revision, of which membership learns with a delay.
+func (s *Status) setNodeRevision(id string, revision policy.Revision) {
 	for index := range s.Nodes {
 		if s.Nodes[index].ID == id {
 			s.Nodes[index].Revision = revision
@@ -210,8 +210,8 @@
 	}
 }
 
-// count works out the totals from Nodes.
-func (s *Status) count() {
+// updateTotals works out the totals from Nodes.
+func (s *Status) updateTotals() {
 	for _, node := range s.Nodes {
 		if node.State == StateLive {
 			s.Revision = max(s.Revision, node.Revision)
@@ -230,15 +230,15 @@
 	}
 }
 
-func (s *Service) explanation(request *restful.Request, response *restful.Response) {
+func (s *Service) handleExplanation(request *restful.Request, response *restful.Response) {
 	id := request.PathParameter("request")
 	if s.options.Explanations != nil {
 		if document, found := s.options.Explanations.FindExplanation(id); found {
-			s.write(response, document)
+			s.writeJSON(response, document)
 			return
 		}
 	}
-	s.problem(response, Problem{
+	s.writeProblem(response, Problem{
 		Type:   problemType("not_found"),
 		Title:  "The request is not known here",
 		Status: http.StatusNotFound,
@@ -247,26 +247,26 @@
 	})
 }
 
-// body reads a request's body; it answers itself when the body is too large.
-func (s *Service) body(request *restful.Request, response *restful.Response, limit int64) ([]byte, bool) {
+// readBody reads a request's body; it answers itself when the body is too large.
+func (s *Service) readBody(request *restful.Request, response *restful.Response, limit int64) ([]byte, bool) {
 	data, err := io.ReadAll(http.MaxBytesReader(response.ResponseWriter, request.Request.Body, limit))
 	if err == nil {
 		return data, true
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		s.fail(response, policy.ErrTooLarge)
+		s.writeError(response, policy.ErrTooLarge)
 		return nil, false
 	}
-	s.fail(response, policy.ErrMalformed)
+	s.writeError(response, policy.ErrMalformed)
 	return nil, false
 }
 
-func (s *Service) write(response *restful.Response, value any) {
-	s.writeAs(response, http.StatusOK, restful.MIME_JSON, value)
+func (s *Service) writeJSON(response *restful.Response, value any) {
+	s.writeDocument(response, http.StatusOK, restful.MIME_JSON, value)
 }
 
-func (s *Service) writeAs(response *restful.Response, status int, contentType string, value any) {
+func (s *Service) writeDocument(response *restful.Response, status int, contentType string, value any) {
 	response.Header().Set(restful.HEADER_ContentType, contentType)
 	response.WriteHeader(status)
 	encoder := json.NewEncoder(response)
--- a/operator/service_test.go
+++ b/operator/service_test.go
@@ -31,30 +31,30 @@
 
 // harness is a node's operator API over a replicator and the store's twin.
 type harness struct {
-	store  *store.Memory
-	keeper *spread.Replicator
-	server *httptest.Server
-	client *Client
+	store      *store.Memory
+	replicator *spread.Replicator
+	server     *httptest.Server
+	client     *Client
 }
 
 func newHarness(t *testing.T) *harness {
 	t.Helper()
-	return newHarnessWithin(t, spread.DefaultConfirmTimeout)
+	return newHarnessWithTimeout(t, spread.DefaultConfirmTimeout)
 }
 
-// newHarnessWithin bounds the time in which a confirmation tries.
-func newHarnessWithin(t *testing.T, confirm time.Duration) *harness {
+// newHarnessWithTimeout bounds the time in which a confirmation tries.
+func newHarnessWithTimeout(t *testing.T, confirmTimeout time.Duration) *harness {
 	t.Helper()
 	h := &harness{store: store.NewMemory(store.MemoryOptions{})}
-	h.keeper = spread.NewReplicator(spread.ReplicatorOptions{
+	h.replicator = spread.NewReplicator(spread.ReplicatorOptions{
 		Core:           spread.CoreOptions{Self: "node-a"},
 		Store:          h.store,
 		Logger:         zerolog.Nop(),
-		ConfirmTimeout: confirm,
+		ConfirmTimeout: confirmTimeout,
 	})
 	service := NewService(Options{
 		Self:           "node-a",
-		Configurations: h.keeper,
+		Configurations: h.replicator,
 		Nodes: fixedNodes{
 			{ID: "node-a", Zone: "z1", State: StateLive},
 			{ID: "node-b", Zone: "z2", State: StateLive, Revision: 1},
@@ -84,23 +84,23 @@
 	return plan
 }
 
-func wantProblem(t *testing.T, err error, kind string, status int) Problem {
+func requireProblem(t *testing.T, err error, kind string, status int) Problem {
 	t.Helper()
-	var answered *ProblemError
-	if !errors.As(err, &answered) {
+	var problemErr *ProblemError
+	if !errors.As(err, &problemErr) {
 		t.Fatalf("got %v", err)
 	}
-	if answered.Problem.Type != problemType(kind) || answered.Problem.Status != status {
-		t.Fatalf("got %+v", answered.Problem)
+	if problemErr.Problem.Type != problemType(kind) || problemErr.Problem.Status != status {
+		t.Fatalf("got %+v", problemErr.Problem)
 	}
-	return answered.Problem
+	return problemErr.Problem
 }
 
-func TestPlanConfirmAndRead(t *testing.T) {
+func TestPlanConfirmAndReadConfiguration(t *testing.T) {
 	h := newHarness(t)
 	ctx := t.Context()
 	_, err := h.client.Configuration(ctx)
-	wantProblem(t, err, TypeNoConfiguration, http.StatusNotFound)
+	requireProblem(t, err, TypeNoConfiguration, http.StatusNotFound)
 
 	plan := h.mustPlan(t, 100)
 	receipt, err := h.client.Confirm(ctx, plan)
@@ -119,17 +119,17 @@
 	if err != nil || len(history.Entries) != 1 || history.Entries[0].Author != "ann" {
 		t.Fatalf("got %+v, %v", history, err)
 	}
-	asked, err := h.client.Outcome(ctx, plan.ID, plan.BaseRevision)
-	if err != nil || asked.Outcome != policy.OutcomeApplied {
-		t.Fatalf("got %+v, %v", asked, err)
+	outcome, err := h.client.Outcome(ctx, plan.ID, plan.BaseRevision)
+	if err != nil || outcome.Outcome != policy.OutcomeApplied {
+		t.Fatalf("got %+v, %v", outcome, err)
 	}
-	asked, err = h.client.Outcome(ctx, "another", 0)
-	if err != nil || asked.Outcome != policy.OutcomeNotApplied {
-		t.Fatalf("got %+v, %v", asked, err)
+	outcome, err = h.client.Outcome(ctx, "another", 0)
+	if err != nil || outcome.Outcome != policy.OutcomeNotApplied {
+		t.Fatalf("got %+v, %v", outcome, err)
 	}
 }
 
-func TestStatusNamesTheNodesBehind(t *testing.T) {
+func TestStatusListsNodesBehind(t *testing.T) {
 	h := newHarness(t)
 	if _, err := h.client.Confirm(t.Context(), h.mustPlan(t, 100)); err != nil {
 		t.Fatal(err)
@@ -143,14 +143,14 @@
 	}
 }
 
-func TestConflictTellsWhatChangedInBetween(t *testing.T) {
+func TestConflictListsInterveningChanges(t *testing.T) {
 	h := newHarness(t)
 	first, second := h.mustPlan(t, 100), h.mustPlan(t, 200)
 	if _, err := h.client.Confirm(t.Context(), first); err != nil {
 		t.Fatal(err)
 	}
 	_, err := h.client.Confirm(t.Context(), second)
-	problem := wantProblem(t, err, TypeConflict, http.StatusConflict)
+	problem := requireProblem(t, err, TypeConflict, http.StatusConflict)
 	if problem.Conflict == nil || len(problem.Conflict.Between) != 1 || problem.Conflict.Between[0].PlanID != first.ID {
 		t.Fatalf("got %+v", problem)
 	}
@@ -159,14 +159,14 @@
 	}
 }
 
-func TestStoreOutage(t *testing.T) {
-	h := newHarnessWithin(t, time.Millisecond)
+func TestStoreOutageIsReportedAsProblem(t *testing.T) {
+	h := newHarnessWithTimeout(t, time.Millisecond)
 	plan := h.mustPlan(t, 100)
 	h.store.SetFaults(store.MemoryFaults{Down: true})
 	_, err := h.client.Confirm(t.Context(), plan)
-	wantProblem(t, err, TypeStoreUnavailable, http.StatusServiceUnavailable)
+	requireProblem(t, err, TypeStoreUnavailable, http.StatusServiceUnavailable)
 	_, err = h.client.Plan(t.Context(), classIntent(50))
-	wantProblem(t, err, TypeStoreUnavailable, http.StatusServiceUnavailable)
+	requireProblem(t, err, TypeStoreUnavailable, http.StatusServiceUnavailable)
 }
 
 // unknownConfigurations confirm nothing and know nothing.
@@ -176,19 +176,19 @@
 	return policy.Receipt{PlanID: plan.ID, Outcome: policy.OutcomeUnknown}, spread.ErrOutcomeUnknown
 }
 
-func TestUnknownOutcomeNamesTheCommandThatAsksAgain(t *testing.T) {
+func TestUnknownOutcomeNamesOutcomeCommand(t *testing.T) {
 	h := newHarness(t)
 	plan := h.mustPlan(t, 100)
 	server := httptest.NewServer(NewService(Options{Configurations: unknownConfigurations{}, Logger: zerolog.Nop()}).Handler())
 	defer server.Close()
 	_, err := NewClient(strings.TrimPrefix(server.URL, "http://"), DefaultClientTimeout).Confirm(t.Context(), plan)
-	problem := wantProblem(t, err, TypeOutcomeUnknown, http.StatusGatewayTimeout)
+	problem := requireProblem(t, err, TypeOutcomeUnknown, http.StatusGatewayTimeout)
 	if problem.OutcomeCommand != "banksailctl status --plan "+plan.ID+" --base 0" {
 		t.Fatalf("got %q", problem.OutcomeCommand)
 	}
 }
 
-func TestBadRequestsNameTheField(t *testing.T) {
+func TestInvalidRequestsNameField(t *testing.T) {
 	class := `{"name":"a","order":0,"longest_wait_ms":0,"deadline_ms":1,"minimum_coverage":0,"hedge_share":0,"headroom":0}`
 	cases := map[string]struct {
 		method, path, body string
@@ -240,12 +240,12 @@
 	}
 }
 
-func TestClientTellsUnreachableFromNoAnswer(t *testing.T) {
+func TestClientDistinguishesUnreachableFromNoAnswer(t *testing.T) {
 	h := newHarness(t)
 	plan := h.mustPlan(t, 100)
-	cut := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
-	defer cut.Close()
-	if _, err := NewClient(strings.TrimPrefix(cut.URL, "http://"), DefaultClientTimeout).Confirm(t.Context(), plan); !errors.Is(err, ErrNoAnswer) {
+	aborting := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
+	defer aborting.Close()
+	if _, err := NewClient(strings.TrimPrefix(aborting.URL, "http://"), DefaultClientTimeout).Confirm(t.Context(), plan); !errors.Is(err, ErrNoAnswer) {
 		t.Fatalf("got %v", err)
 	}
 	closed := httptest.NewServer(http.NotFoundHandler())
