--- a/cmd/banksail-lab/collect.go
+++ b/cmd/banksail-lab/collect.go
@@ -131,8 +131,8 @@
 	if err != nil {
 		return err
 	}
-	if executions.Forgotten > 0 {
-		return fmt.Errorf("%w: %d executions were evicted", errHistoryIncomplete, executions.Forgotten)
+	if executions.Dropped > 0 {
+		return fmt.Errorf("%w: %d executions were evicted", errHistoryIncomplete, executions.Dropped)
 	}
 	for _, execution := range executions.Executions {
 		arrived := time.Duration(execution.ArrivedUnixNanoseconds)
--- a/cmd/banksail-lab/machines.go
+++ b/cmd/banksail-lab/machines.go
@@ -65,7 +65,7 @@
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	server := emulator.NewMachineListServer(machines...)
-	server.StartAt(uint64(time.Now().UnixMilli()))
+	server.RaiseInitialVersion(uint64(time.Now().UnixMilli()))
 	if err := serveUntilDone(ctx, group, c.address, server); err != nil {
 		return exitStatus(err)
 	}
--- a/lab/emulator/execution.go
+++ b/lab/emulator/execution.go
@@ -37,8 +37,8 @@
 // ExecutionHistory is the reply to a GET of ExecutionsPath.
 type ExecutionHistory struct {
 	Server string `json:"server"`
-	// Forgotten counts the entries that no longer fit.
-	Forgotten  int         `json:"forgotten"`
+	// Dropped counts the entries that no longer fit.
+	Dropped    int         `json:"forgotten"`
 	Executions []Execution `json:"executions"`
 }
 
@@ -90,7 +90,7 @@
 func (r *recorder) history() ExecutionHistory {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	history := ExecutionHistory{Server: r.server, Forgotten: r.forgotten, Executions: []Execution{}}
+	history := ExecutionHistory{Server: r.server, Dropped: r.forgotten, Executions: []Execution{}}
 	for _, entry := range r.entries {
 		history.Executions = append(history.Executions, *entry)
 	}
--- a/lab/emulator/faults.go
+++ b/lab/emulator/faults.go
@@ -40,8 +40,8 @@
 	CloseAfterShare float64 `json:"close_after_share" validate:"min=0,max=1"`
 	// TruncateShare cuts the reply in its middle.
 	TruncateShare float64 `json:"truncate_share" validate:"min=0,max=1"`
-	// CrossShare answers with the reply to another attempt.
-	CrossShare float64 `json:"cross_share" validate:"min=0,max=1"`
+	// SwappedReplyShare answers with the reply to another attempt.
+	SwappedReplyShare float64 `json:"cross_share" validate:"min=0,max=1"`
 	// WrongSnapshotShare executes on another snapshot than the one asked, and
 	// says so.
 	WrongSnapshotShare float64 `json:"wrong_snapshot_share" validate:"min=0,max=1"`
--- a/lab/emulator/machines.go
+++ b/lab/emulator/machines.go
@@ -24,8 +24,8 @@
 	Down bool `json:"down"`
 	// LagMilliseconds makes what reads show that old.
 	LagMilliseconds float64 `json:"lag_ms" validate:"min=0,max=600000"`
-	// KeepGone goes on naming machines as live after they were removed.
-	KeepGone bool `json:"keep_gone"`
+	// KeepRemoved goes on naming machines as live after they were removed.
+	KeepRemoved bool `json:"keep_gone"`
 	// Empty answers with no machines.
 	Empty bool `json:"empty"`
 }
@@ -38,7 +38,7 @@
 
 	// mutex guards the fields below. Invariant: versions are in order, each
 	// newer than the one before; the last one shows machines, but for those that
-	// the KeepGone fault keeps; changed is closed and replaced with each change
+	// the KeepRemoved fault keeps; changed is closed and replaced with each change
 	// of versions or faults.
 	mutex    sync.Mutex
 	machines []machinelist.Machine
@@ -75,9 +75,9 @@
 	return server
 }
 
-// StartAt raises the version of the first list, so that watchers of an earlier
+// RaiseInitialVersion raises the version of the first list, so that watchers of an earlier
 // process see this one's list as newer.
-func (s *MachineListServer) StartAt(version uint64) {
+func (s *MachineListServer) RaiseInitialVersion(version uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if first := &s.versions[0]; len(s.versions) == 1 {
@@ -97,7 +97,7 @@
 func (s *MachineListServer) SetFaults(faults MachineListFaults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	released := s.faults.KeepGone && !faults.KeepGone
+	released := s.faults.KeepRemoved && !faults.KeepRemoved
 	s.faults = faults
 	if released {
 		s.advance(s.machines)
@@ -115,7 +115,7 @@
 }
 
 // Remove takes a machine out; it reports whether the list had it. With the
-// KeepGone fault the list goes on naming it until the fault is switched off.
+// KeepRemoved fault the list goes on naming it until the fault is switched off.
 func (s *MachineListServer) Remove(id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -124,7 +124,7 @@
 		return false
 	}
 	s.machines = kept
-	if !s.faults.KeepGone {
+	if !s.faults.KeepRemoved {
 		s.advance(kept)
 	}
 	return true
--- a/lab/emulator/machines_test.go
+++ b/lab/emulator/machines_test.go
@@ -47,7 +47,7 @@
 func TestMachineListFaults(t *testing.T) {
 	server := emulator.NewMachineListServer(machine("a"))
 	conn := startMachineList(t, server)
-	server.SetFaults(emulator.MachineListFaults{KeepGone: true})
+	server.SetFaults(emulator.MachineListFaults{KeepRemoved: true})
 	server.Remove("a")
 	if list, err := conn.Get(t.Context()); err != nil || len(list.Machines) != 1 {
 		t.Errorf("list that keeps the gone is %+v, %v", list, err)
--- a/lab/emulator/query.go
+++ b/lab/emulator/query.go
@@ -180,7 +180,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	other := a.server.exchangeLast(reply)
-	if other != nil && a.server.chance(a.faults.CrossShare) {
+	if other != nil && a.server.chance(a.faults.SwappedReplyShare) {
 		reply = other
 	}
 	if a.server.chance(a.faults.TruncateShare) {
--- a/lab/emulator/server_test.go
+++ b/lab/emulator/server_test.go
@@ -167,7 +167,7 @@
 
 func TestServerCrossesReplies(t *testing.T) {
 	server := newServer(t, emulator.ServerOptions{})
-	server.SetFaults(emulator.ServerFaults{CrossShare: 1})
+	server.SetFaults(emulator.ServerFaults{SwappedReplyShare: 1})
 	ask(t.Context(), t, server, newQuery("a1"))
 	if reply := ask(t.Context(), t, server, newQuery("a2")); reply.AttemptID != "a1" {
 		t.Errorf("the reply is for %q, want the one before", reply.AttemptID)
--- a/lab/simulation/faults.go
+++ b/lab/simulation/faults.go
@@ -371,7 +371,7 @@
 	case schedule.LateReplies:
 		f.ReplyDelayMilliseconds = milliseconds(fault.Delay)
 	case schedule.CrossedReplies:
-		f.CrossShare, f.WrongSnapshotShare, f.TruncateShare, f.ErrorShare = often, sometimes, sometimes, sometimes
+		f.SwappedReplyShare, f.WrongSnapshotShare, f.TruncateShare, f.ErrorShare = often, sometimes, sometimes, sometimes
 	case schedule.CloseAfterRead:
 		f.CloseBeforeShare, f.CloseAfterShare = often, often
 	case schedule.Shed:
@@ -390,7 +390,7 @@
 	case schedule.LateReplies:
 		f.ReplyDelayMilliseconds = 0
 	case schedule.CrossedReplies:
-		f.CrossShare, f.WrongSnapshotShare, f.TruncateShare, f.ErrorShare = 0, 0, 0, 0
+		f.SwappedReplyShare, f.WrongSnapshotShare, f.TruncateShare, f.ErrorShare = 0, 0, 0, 0
 	case schedule.CloseAfterRead:
 		f.CloseBeforeShare, f.CloseAfterShare = 0, 0
 	case schedule.Shed:
