--- a/lab/schedule/draw.go
+++ b/lab/schedule/draw.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// generator draws faults.
+// generator generates random faults.
 type generator struct {
 	random   *rand.Rand
 	topology Topology
 	options  Options
 }
 
-// randomDuration draws a duration from [low, high].
+// randomDuration returns a duration from the closed interval [low, high].
 func (d *generator) randomDuration(low, high time.Duration) time.Duration {
 	if high <= low {
 		return low
@@ -36,7 +36,7 @@
 	return d.topology.Groups[d.random.IntN(len(d.topology.Groups))]
 }
 
-// otherKind draws a kind that differs from the given one.
+// otherKind returns a random kind other than the given one.
 func (d *generator) otherKind(kind Kind) Kind {
 	kinds := Kinds()
 	for {
@@ -47,7 +47,7 @@
 	}
 }
 
-// overlappingFault draws a fault that starts while the first one lasts.
+// overlappingFault returns a random fault that starts while the first one is active.
 func (d *generator) overlappingFault(kind Kind, first Fault) Fault {
 	fault := d.randomFault(kind)
 	length := fault.Until - fault.At
@@ -56,7 +56,7 @@
 	return fault
 }
 
-// randomFault draws the hosts and times of one fault.
+// randomFault returns a fault of the given kind with random hosts, times and delay.
 func (d *generator) randomFault(kind Kind) Fault {
 	fault := Fault{Kind: kind, At: d.randomDuration(d.options.From, d.options.To)}
 	fault.Until = fault.At + d.randomDuration(d.options.MinDuration, d.options.MaxDuration)
@@ -77,7 +77,7 @@
 	case SlowServer:
 		fault.Target = d.randomServer()
 	case SlowGroup, FreezeGroup:
-		// Any member names its group.
+		// The target is any server of the group.
 		fault.Target = d.randomServer()
 	case OperatorRace:
 		fault.Target, fault.Peer = d.randomHost(d.topology.Nodes), d.randomHost(d.topology.Nodes)
@@ -93,8 +93,8 @@
 	return fault
 }
 
-// randomLink draws a node and a host that it talks to; for one-way faults either
-// may come first.
+// randomLink returns a random node and a host that it communicates with, in random
+// order: the order is the direction of one-way faults.
 func (d *generator) randomLink() (from, to string) {
 	node := d.randomHost(d.topology.Nodes)
 	other := d.randomServer()
--- a/lab/schedule/schedule.go
+++ b/lab/schedule/schedule.go
@@ -1,7 +1,7 @@
-// Package schedule draws fault schedules from seeds.
+// Package schedule generates fault schedules from seeds.
 //
-// A schedule is data: whoever runs it carries the faults out. The same seed and
-// topology always give the same schedule.
+// A schedule only describes faults; its user injects them. The same seed, topology
+// and options always give the same schedule.
 package schedule
 
 import (
@@ -12,56 +12,62 @@
 	"time"
 )
 
-// Kind names a fault.
+// Kind is a kind of fault.
 type Kind string
 
 // Kinds of faults.
 const (
-	// KillNode and KillServer end a process, which starts anew, empty, at Until.
+	// KillNode and KillServer kill a process, which restarts without state at
+	// Until.
 	KillNode   Kind = "kill_node"
 	KillServer Kind = "kill_server"
-	// LoseNode and LoseServer end a machine without a word until Until.
+	// LoseNode and LoseServer take a machine offline until Until, without
+	// closing its connections.
 	LoseNode   Kind = "lose_node"
 	LoseServer Kind = "lose_server"
-	// RestartNodes ends all nodes at once; they start anew at Until.
+	// RestartNodes kills all nodes at once; they restart at Until.
 	RestartNodes Kind = "restart_nodes"
-	// FreezeNode and FreezeServer stop a process until Until.
+	// FreezeNode and FreezeServer suspend a process until Until.
 	FreezeNode   Kind = "freeze_node"
 	FreezeServer Kind = "freeze_server"
-	// FreezeGroup stops all servers of a group until Until.
+	// FreezeGroup suspends all servers of a group until Until.
 	FreezeGroup Kind = "freeze_group"
-	// LeaseExpiry freezes a node for longer than a lease lives.
+	// LeaseExpiry suspends a node for longer than the lease time to live.
 	LeaseExpiry Kind = "lease_lapse"
-	// Partition parts Target and Peer both ways, PartitionOneWay from Target to Peer only.
+	// Partition drops traffic between Target and Peer in both directions,
+	// PartitionOneWay only from Target to Peer.
 	Partition       Kind = "cut"
 	PartitionOneWay Kind = "cut_one_way"
-	// Isolate parts a node from all but its caller.
+	// Isolate partitions a node from all hosts except its callers.
 	Isolate Kind = "isolate"
-	// SlowLink delays what goes between Target and Peer by Delay.
+	// SlowLink delays traffic between Target and Peer by Delay.
 	SlowLink Kind = "slow_link"
-	// ResetConnections breaks all connections between Target and Peer.
+	// ResetConnections resets all connections between Target and Peer.
 	ResetConnections Kind = "reset_connections"
-	// SlowServer slows one server by Delay, SlowGroup all servers of a group.
+	// SlowServer delays the work of one server by Delay, SlowGroup that of all
+	// servers of a group.
 	SlowServer Kind = "straggle"
 	SlowGroup  Kind = "slow_group"
-	// LateReplies holds replies back beyond the deadline, CrossedReplies gives
-	// replies to others' requests.
+	// LateReplies delays a server's replies past the deadline, CrossedReplies
+	// makes it send replies that belong to other requests.
 	LateReplies    Kind = "late_replies"
 	CrossedReplies Kind = "crossed_replies"
-	// CloseAfterRead closes a server's connections once a request was read.
+	// CloseAfterRead makes a server close the connection after it has read a
+	// request.
 	CloseAfterRead Kind = "close_after_read"
-	// ConnectionLimit makes a server refuse more than a few connections.
+	// ConnectionLimit makes a server accept only a few connections.
 	ConnectionLimit Kind = "connection_limit"
-	// Shed makes a server refuse work; ColdStart restarts it slow.
+	// Shed makes a server refuse requests; ColdStart restarts it with slow
+	// responses.
 	Shed      Kind = "shed"
 	ColdStart Kind = "cold_start"
-	// Drain makes a server leave; it comes back at Until.
+	// Drain drains a server, which returns at Until.
 	Drain Kind = "drain"
-	// FalseHealth and FalseLoad make a server misreport itself.
+	// FalseHealth and FalseLoad make a server report a false health or load.
 	FalseHealth Kind = "health_lies"
 	FalseLoad   Kind = "load_lies"
-	// Repartition moves the bounds of the groups, SnapshotChange publishes a
-	// new index snapshot.
+	// Repartition moves the key range boundaries between groups, SnapshotChange
+	// publishes a new index snapshot.
 	Repartition    Kind = "repartition"
 	SnapshotChange Kind = "snapshot_change"
 	// Faults of the store.
@@ -69,23 +75,24 @@
 	StoreSlow      Kind = "store_slow"
 	StoreLostReply Kind = "store_lost_reply"
 	StoreStale     Kind = "store_stale"
-	// StoreLimit makes the store refuse most calls for their rate, StoreFreeze
-	// makes it hang.
+	// StoreLimit makes the store reject most calls by a rate limit, StoreFreeze
+	// suspends it.
 	StoreLimit  Kind = "store_limit"
 	StoreFreeze Kind = "store_freeze"
 	// Faults of the machine list.
 	MachineListOutage Kind = "machine_list_outage"
 	MachineListLag    Kind = "machine_list_lag"
 	MachineListEmpty  Kind = "machine_list_empty"
-	// OperatorRace has two operators confirm plans from the same base.
+	// OperatorRace has two operators confirm plans based on the same revision.
 	OperatorRace Kind = "operator_race"
-	// Overload has the callers of all nodes send far more than usual.
+	// Overload makes the callers of all nodes send far more requests than usual.
 	Overload Kind = "overload"
-	// PlannedStop stops a node as its platform would; it starts anew at Until.
+	// PlannedStop stops a node gracefully, as its platform would; it restarts at
+	// Until.
 	PlannedStop Kind = "planned_stop"
 )
 
-// Kinds lists all kinds of faults.
+// Kinds returns all kinds of faults.
 func Kinds() []Kind {
 	return []Kind{
 		KillNode, KillServer, LoseNode, LoseServer, RestartNodes, FreezeNode,
@@ -98,15 +105,15 @@
 	}
 }
 
-// Fault is one fault of a schedule.
+// Fault is one fault of a schedule. Its times count from the start of the run.
 type Fault struct {
 	Kind Kind `json:"kind"`
-	// Target and Peer name hosts; which of them are set depends on the kind.
+	// Target and Peer are host names. Which of them are set depends on the kind.
 	Target string `json:"target,omitempty"`
 	Peer   string `json:"peer,omitempty"`
-	// Delay is the size of faults that slow something.
+	// Delay is the added latency; set only for kinds that slow something down.
 	Delay time.Duration `json:"delay_ns,omitempty"`
-	// At and Until bound the fault.
+	// At is when the fault starts and Until when it ends.
 	At    time.Duration `json:"at_ns"`
 	Until time.Duration `json:"until_ns"`
 }
@@ -116,7 +123,7 @@
 	return fmt.Sprintf("%v..%v %s %s %s %v", f.At, f.Until, f.Kind, f.Target, f.Peer, f.Delay)
 }
 
-// Mode tells how faults are combined.
+// Mode is how the faults of a schedule are combined.
 type Mode string
 
 // Modes of schedules.
@@ -127,14 +134,14 @@
 	Pair Mode = "pair"
 	// Repeated: the same kind twice.
 	Repeated Mode = "twice"
-	// Many: several faults of any kinds.
+	// Many: three to five faults of random kinds.
 	Many Mode = "many"
 )
 
-// Modes lists all modes.
+// Modes returns all modes.
 func Modes() []Mode { return []Mode{Single, Pair, Repeated, Many} }
 
-// Topology names the hosts that faults may hit.
+// Topology holds the names of the hosts that faults may target.
 type Topology struct {
 	Nodes []string
 	// Groups lists the servers of each group.
@@ -143,31 +150,34 @@
 	MachineList string
 }
 
-// Options bound a schedule's times.
+// Options limits the times of a schedule.
 type Options struct {
-	// From and To bound the start of faults.
+	// From and To are the earliest and latest start of a fault. Only the second
+	// fault of a Pair may start later, while the first one is active.
 	From, To time.Duration
-	// MinDuration and MaxDuration bound their lengths.
+	// MinDuration and MaxDuration limit the duration of faults. For LeaseExpiry
+	// and Drain this is the time beyond their own minimum.
 	MinDuration, MaxDuration time.Duration
-	// LeaseTimeToLive is the least length of a LeaseExpiry.
+	// LeaseTimeToLive is the minimum duration of a LeaseExpiry.
 	LeaseTimeToLive time.Duration
-	// MinDrainDuration is the least length of a Drain.
+	// MinDrainDuration is the minimum duration of a Drain.
 	MinDrainDuration time.Duration
-	// MaxDelay bounds Fault.Delay.
+	// MaxDelay is the maximum of Fault.Delay; the minimum is a tenth of it.
 	MaxDelay time.Duration
 }
 
-// extraFaultChoices bounds the number of faults in Many, above its least of three.
+// extraFaultChoices is the number of possible fault counts in Many, which start at
+// three.
 const extraFaultChoices = 3
 
-// Schedule is a seed's faults, ordered by their start.
+// Schedule holds the faults generated from a seed, ordered by start time.
 type Schedule struct {
 	Seed   uint64  `json:"seed"`
 	Mode   Mode    `json:"mode"`
 	Faults []Fault `json:"faults"`
 }
 
-// End is when the last fault ends.
+// End returns the time at which the last fault ends.
 func (s Schedule) End() time.Duration {
 	var end time.Duration
 	for _, fault := range s.Faults {
@@ -176,13 +186,13 @@
 	return end
 }
 
-// Has reports whether one of the schedule's faults is of one of the kinds.
+// Has reports whether the schedule has a fault of any of the given kinds.
 func (s Schedule) Has(kinds ...Kind) bool {
 	return slices.ContainsFunc(s.Faults, func(fault Fault) bool { return slices.Contains(kinds, fault.Kind) })
 }
 
-// Generate draws the schedule of a seed. Successive seeds go through all modes and
-// kinds in turn, so that a run of seeds covers them evenly.
+// Generate returns the schedule for a seed. Successive seeds cycle through all
+// modes and kinds, so that a range of seeds covers them evenly.
 func Generate(seed uint64, topology Topology, options Options) Schedule {
 	d := generator{
 		random:   rand.New(rand.NewPCG(seed, uint64(len(topology.Nodes)))),
--- a/lab/schedule/schedule_test.go
+++ b/lab/schedule/schedule_test.go
@@ -22,7 +22,7 @@
 func TestSameSeedGivesSameSchedule(t *testing.T) {
 	for seed := range uint64(200) {
 		if one, other := Generate(seed, topology, bounds), Generate(seed, topology, bounds); !reflect.DeepEqual(one, other) {
-			t.Fatalf("seed %d: %v and %v", seed, one, other)
+			t.Fatalf("seed %d gave two schedules: %v and %v", seed, one, other)
 		}
 	}
 }
@@ -53,19 +53,19 @@
 		var last time.Duration
 		for _, fault := range schedule.Faults {
 			if fault.At < last || fault.Until < fault.At+bounds.MinDuration {
-				t.Errorf("seed %d: times of %v", seed, fault)
+				t.Errorf("seed %d: invalid order or duration of %v", seed, fault)
 			}
 			last = fault.At
 			needsHost := !slices.Contains([]Kind{Repartition, SnapshotChange, Overload, RestartNodes}, fault.Kind)
 			if needsHost && fault.Target == "" {
-				t.Errorf("seed %d: no target in %v", seed, fault)
+				t.Errorf("seed %d: missing target in %v", seed, fault)
 			}
 			if fault.Peer != "" && fault.Peer == fault.Target && fault.Kind != OperatorRace {
-				t.Errorf("seed %d: a host parted from itself in %v", seed, fault)
+				t.Errorf("seed %d: target and peer are the same host in %v", seed, fault)
 			}
 		}
 		if schedule.Mode == Pair && schedule.Faults[1].At > schedule.Faults[0].Until {
-			t.Errorf("seed %d: the pair does not overlap", seed)
+			t.Errorf("seed %d: the two faults of a pair do not overlap", seed)
 		}
 	}
 }
