--- a/lab/schedule/schedule.go
+++ b/lab/schedule/schedule.go
@@ -194,24 +194,24 @@
 // Generate returns the schedule for a seed. Successive seeds cycle through all
 // modes and kinds, so that a range of seeds covers them evenly.
 func Generate(seed uint64, topology Topology, options Options) Schedule {
-	d := generator{
+	g := generator{
 		random:   rand.New(rand.NewPCG(seed, uint64(len(topology.Nodes)))),
 		topology: topology, options: options,
 	}
 	modes, kinds := Modes(), Kinds()
 	mode := modes[seed%uint64(len(modes))]
 	kind := kinds[seed/uint64(len(modes))%uint64(len(kinds))]
-	first := d.randomFault(kind)
+	first := g.randomFault(kind)
 	faults := []Fault{first}
 	switch mode {
 	case Single:
 	case Pair:
-		faults = append(faults, d.overlappingFault(d.otherKind(kind), first))
+		faults = append(faults, g.overlappingFault(g.otherKind(kind), first))
 	case Repeated:
-		faults = append(faults, d.randomFault(kind))
+		faults = append(faults, g.randomFault(kind))
 	case Many:
-		for range 2 + d.random.IntN(extraFaultChoices) {
-			faults = append(faults, d.randomFault(kinds[d.random.IntN(len(kinds))]))
+		for range 2 + g.random.IntN(extraFaultChoices) {
+			faults = append(faults, g.randomFault(kinds[g.random.IntN(len(kinds))]))
 		}
 	}
 	sort.SliceStable(faults, func(i, j int) bool { return faults[i].At < faults[j].At })
