--- a/cmd/banksail-lab/load.go
+++ b/cmd/banksail-lab/load.go
@@ -59,7 +59,7 @@
 	flags.StringVar(&c.class, "class", "", "send only queries of this class; all of the profile when empty")
 	flags.Float64Var(&c.options.Rate, "rate", load.DefaultRate, "mean number of queries a second")
 	flags.DurationVar(&c.options.Duration, "duration", load.DefaultDuration, "how long to send")
-	flags.IntVar(&c.options.InFlight, "in-flight", load.DefaultInFlight, "bound of the queries not yet answered")
+	flags.IntVar(&c.options.MaxInFlight, "in-flight", load.DefaultMaxInFlight, "bound of the queries not yet answered")
 	flags.Float64Var(&c.deadlineMS, "deadline-ms", 0, "deadline of each query; 0 leaves it to the class")
 	flags.Float64Var(&c.options.MinimumCoverage, "minimum-coverage", 0, "minimum coverage of each query, from 0 to 1; 0 leaves it to the class")
 	flags.Uint64Var(&c.options.Seed, "seed", 1, "seed of the arrivals")
@@ -106,8 +106,8 @@
 }
 
 // selectQueries returns the shares of the mix that match the flags --service and --class.
-func (c *loadCommand) selectQueries(mix []profile.Share) []profile.Share {
-	var chosen []profile.Share
+func (c *loadCommand) selectQueries(mix []profile.QueryKind) []profile.QueryKind {
+	var chosen []profile.QueryKind
 	for _, share := range mix {
 		if c.service != "" && share.Service != c.service {
 			continue
--- a/lab/load/generator.go
+++ b/lab/load/generator.go
@@ -34,7 +34,7 @@
 		sender:  newSender(options),
 		report:  newReport(options.Mix),
 		random:  rand.New(rand.NewPCG(options.Seed, seedStream)),
-		permits: make(chan struct{}, options.InFlight),
+		permits: make(chan struct{}, options.MaxInFlight),
 		prefix:  uuid.NewString(),
 	}
 	start := time.Now()
@@ -78,7 +78,7 @@
 }
 
 // draw picks a kind of query by its share.
-func (g *generator) draw() profile.Share {
+func (g *generator) draw() profile.QueryKind {
 	sum := 0.0
 	for _, share := range g.options.Mix {
 		sum += share.Fraction
@@ -94,7 +94,7 @@
 }
 
 // start sends a query in the background unless too many are in flight.
-func (g *generator) start(share profile.Share) {
+func (g *generator) start(share profile.QueryKind) {
 	select {
 	case g.permits <- struct{}{}:
 	default:
@@ -111,7 +111,7 @@
 }
 
 // drawRetries draws the further sendings of a query that has no answer.
-func (g *generator) drawRetries(share profile.Share) []retry {
+func (g *generator) drawRetries(share profile.QueryKind) []retry {
 	if share.Repeatable || len(g.options.RetryAddresses) == 0 {
 		return nil
 	}
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -97,8 +97,8 @@
 func TestRunCountsAnswersAndRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		report, err := Run(t.Context(), Options{
-			Address: "10.0.0.1:80", Rate: 1000, Duration: 2 * time.Second, InFlight: 100, Transport: stubNode{t: t},
-			Mix: []profile.Share{
+			Address: "10.0.0.1:80", Rate: 1000, Duration: 2 * time.Second, MaxInFlight: 100, Transport: stubNode{t: t},
+			Mix: []profile.QueryKind{
 				{Service: "s", Class: profile.Urgent, Fraction: 1},
 				{Service: "s", Class: profile.Batch, Fraction: 1},
 			},
@@ -106,7 +106,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		urgent, batch := report.Lines()[0], report.Lines()[1]
+		urgent, batch := report.Stats()[0], report.Stats()[1]
 		if urgent.Answered < 900 || urgent.Answered != urgent.Sent || urgent.Wrong != 0 || urgent.quantile(100) > 5.01 {
 			t.Errorf("urgent line is %+v", urgent)
 		}
@@ -121,7 +121,7 @@
 }
 
 func TestOptionsAreValidated(t *testing.T) {
-	valid := Options{Address: "127.0.0.1:1", Mix: []profile.Share{{Fraction: 1}}}.withDefaults()
+	valid := Options{Address: "127.0.0.1:1", Mix: []profile.QueryKind{{Fraction: 1}}}.withDefaults()
 	cases := []struct {
 		name   string
 		change func(*Options)
@@ -129,10 +129,10 @@
 		{"no address", func(o *Options) { o.Address = "" }},
 		{"no mix", func(o *Options) { o.Mix = nil }},
 		{"journal without deadline", func(o *Options) { o.Journal = history.NewJournal(io.Discard) }},
-		{"weightless share", func(o *Options) { o.Mix = []profile.Share{{}} }},
+		{"weightless share", func(o *Options) { o.Mix = []profile.QueryKind{{}} }},
 		{"negative rate", func(o *Options) { o.Rate = -1 }},
 		{"long duration", func(o *Options) { o.Duration = 2 * time.Hour }},
-		{"no flight", func(o *Options) { o.InFlight = -1 }},
+		{"no flight", func(o *Options) { o.MaxInFlight = -1 }},
 		{"coverage over one", func(o *Options) { o.MinimumCoverage = 1.1 }},
 	}
 	if err := valid.Validate(); err != nil {
@@ -181,9 +181,9 @@
 		journal := history.NewJournal(&written)
 		report, err := Run(t.Context(), Options{
 			Address: "10.0.0.1:80", RetryAddresses: []string{"10.0.0.1:80", "10.0.0.2:80"}, Journal: journal,
-			Rate: 100, Duration: time.Second, InFlight: 100, Deadline: time.Second,
+			Rate: 100, Duration: time.Second, MaxInFlight: 100, Deadline: time.Second,
 			Transport: &failingNode{stubNode: stubNode{t: t}, seen: make(map[string]bool)},
-			Mix: []profile.Share{
+			Mix: []profile.QueryKind{
 				{Service: "once", Class: profile.Normal, Fraction: 1},
 				{Service: "any", Class: profile.Urgent, Fraction: 1, Repeatable: true},
 			},
@@ -191,7 +191,7 @@
 		if err != nil || journal.Flush() != nil {
 			t.Fatal(err)
 		}
-		once, repeatable := report.Lines()[0], report.Lines()[1]
+		once, repeatable := report.Stats()[0], report.Stats()[1]
 		if once.Sent == 0 || once.Answered != once.Sent || repeatable.Failed != repeatable.Sent {
 			t.Errorf("once %+v, repeatable %+v", once, repeatable)
 		}
--- a/lab/load/options.go
+++ b/lab/load/options.go
@@ -28,9 +28,9 @@
 
 // Defaults of Options.
 const (
-	DefaultRate     = 50
-	DefaultDuration = 10 * time.Second
-	DefaultInFlight = 256
+	DefaultRate        = 50
+	DefaultDuration    = 10 * time.Second
+	DefaultMaxInFlight = 256
 )
 
 // Options configures a run. Zero fields get defaults.
@@ -38,15 +38,15 @@
 	// Address is the IP number and port of a node's caller API.
 	Address string
 	// Mix lists the kinds of queries with their shares.
-	Mix []profile.Share
+	Mix []profile.QueryKind
 	// Rate is the mean number of queries a second; arrivals are Poisson and
 	// don't wait for answers.
 	Rate float64
 	// Duration is how long queries are sent.
 	Duration time.Duration
-	// InFlight bounds the queries sent and not answered; further arrivals are
+	// MaxInFlight bounds the queries sent and not answered; further arrivals are
 	// counted as skipped.
-	InFlight int
+	MaxInFlight int
 	// Deadline is what each query states; zero leaves it to the class.
 	Deadline time.Duration
 	// MinimumCoverage is what each query asks.
@@ -62,24 +62,24 @@
 	// Journal gets every sending and its end, unless nil. Queries must then
 	// state a deadline.
 	Journal *history.Journal
-	// Transport sends the queries; the default is net/http's, bounded as InFlight.
+	// Transport sends the queries; the default is net/http's, bounded as MaxInFlight.
 	Transport http.RoundTripper
 }
 
 func (o Options) withDefaults() Options {
 	o.Rate = cmp.Or(o.Rate, DefaultRate)
 	o.Duration = cmp.Or(o.Duration, DefaultDuration)
-	o.InFlight = cmp.Or(o.InFlight, DefaultInFlight)
+	o.MaxInFlight = cmp.Or(o.MaxInFlight, DefaultMaxInFlight)
 	o.ItemStride = cmp.Or(o.ItemStride, emulator.DefaultItemStride)
 	if o.Transport == nil {
-		o.Transport = httpcall.NewTransport(nil, o.InFlight)
+		o.Transport = httpcall.NewTransport(nil, o.MaxInFlight)
 	}
 	return o
 }
 
 // Validate returns ErrInvalidOptions, naming the option.
 func (o Options) Validate() error {
-	weightless := func(share profile.Share) bool { return !(share.Fraction > 0) }
+	weightless := func(share profile.QueryKind) bool { return !(share.Fraction > 0) }
 	switch {
 	case o.Address == "":
 		return fmt.Errorf("%w: address is missing", ErrInvalidOptions)
@@ -91,7 +91,7 @@
 		return fmt.Errorf("%w: rate must be over 0 and at most %d", ErrInvalidOptions, MaximumRate)
 	case o.Duration <= 0 || o.Duration > MaximumDuration:
 		return fmt.Errorf("%w: duration must be over 0 and at most %v", ErrInvalidOptions, MaximumDuration)
-	case o.InFlight < 1 || o.InFlight > MaximumInFlight:
+	case o.MaxInFlight < 1 || o.MaxInFlight > MaximumInFlight:
 		return fmt.Errorf("%w: in-flight bound must be from 1 to %d", ErrInvalidOptions, MaximumInFlight)
 	case o.Journal != nil && o.Deadline == 0:
 		return fmt.Errorf("%w: a journal needs a stated deadline", ErrInvalidOptions)
--- a/lab/load/report.go
+++ b/lab/load/report.go
@@ -27,11 +27,11 @@
 
 	// mutex guards lines while the run goes on.
 	mutex sync.Mutex
-	lines []*Line
+	lines []*ClassStats
 }
 
-// Line sums up the queries of one service and class.
-type Line struct {
+// ClassStats sums up the queries of one service and class.
+type ClassStats struct {
 	Service string
 	Class   string
 	// Sent counts the queries sent; Skipped those that the in-flight bound held
@@ -47,16 +47,16 @@
 	Failed int
 	// Refused counts refusals by execution and reason.
 	Refused map[string]int
-	// CoverageSum adds up the answers' coverage; CoverageLeast is the lowest.
-	CoverageSum   float64
-	CoverageLeast float64
+	// CoverageSum adds up the answers' coverage; MinCoverage is the lowest.
+	CoverageSum float64
+	MinCoverage float64
 	// Latency holds the answers' latencies in microseconds.
 	Latency *hdrhistogram.Histogram
-	// FirstProblem is the first wrong answer or failure.
-	FirstProblem error
+	// FirstError is the first wrong answer or failure.
+	FirstError error
 }
 
-func newReport(mix []profile.Share) *Report {
+func newReport(mix []profile.QueryKind) *Report {
 	report := &Report{}
 	for _, share := range mix {
 		report.line(share)
@@ -64,8 +64,8 @@
 	return report
 }
 
-// Lines returns the lines in the order of the mix. Call it after the run.
-func (r *Report) Lines() []*Line {
+// Stats returns the lines in the order of the mix. Call it after the run.
+func (r *Report) Stats() []*ClassStats {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return slices.Clone(r.lines)
@@ -74,34 +74,34 @@
 // Wrong counts the wrong answers of all lines.
 func (r *Report) Wrong() int {
 	count := 0
-	for _, line := range r.Lines() {
+	for _, line := range r.Stats() {
 		count += line.Wrong
 	}
 	return count
 }
 
 // line returns the line of a kind of query.
-func (r *Report) line(share profile.Share) *Line {
+func (r *Report) line(share profile.QueryKind) *ClassStats {
 	for _, known := range r.lines {
 		if known.Service == share.Service && known.Class == share.Class {
 			return known
 		}
 	}
-	added := &Line{
-		Service: share.Service, Class: share.Class, Refused: make(map[string]int), CoverageLeast: 1,
+	added := &ClassStats{
+		Service: share.Service, Class: share.Class, Refused: make(map[string]int), MinCoverage: 1,
 		Latency: hdrhistogram.New(lowestMicroseconds, highestMicroseconds, significantDigits),
 	}
 	r.lines = append(r.lines, added)
 	return added
 }
 
-func (r *Report) skip(share profile.Share) {
+func (r *Report) skip(share profile.QueryKind) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.line(share).Skipped++
 }
 
-func (r *Report) add(share profile.Share, result outcome) {
+func (r *Report) add(share profile.QueryKind, result outcome) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	line := r.line(share)
@@ -117,7 +117,7 @@
 	}
 }
 
-func (l *Line) addAnswer(result outcome) {
+func (l *ClassStats) addAnswer(result outcome) {
 	l.Answered++
 	if !result.answer.Complete {
 		l.Partial++
@@ -128,15 +128,15 @@
 	}
 	if result.answer.Coverage != nil {
 		l.CoverageSum += *result.answer.Coverage
-		l.CoverageLeast = min(l.CoverageLeast, *result.answer.Coverage)
+		l.MinCoverage = min(l.MinCoverage, *result.answer.Coverage)
 	}
 	// The histogram's range holds every latency that the time-outs allow.
 	_ = l.Latency.RecordValue(max(lowestMicroseconds, result.latency.Microseconds()))
 }
 
-func (l *Line) note(problem error) {
-	if l.FirstProblem == nil {
-		l.FirstProblem = problem
+func (l *ClassStats) note(problem error) {
+	if l.FirstError == nil {
+		l.FirstError = problem
 	}
 }
 
@@ -148,7 +148,7 @@
 	if _, err := io.WriteString(table, heading); err != nil {
 		return err
 	}
-	lines := r.Lines()
+	lines := r.Stats()
 	for _, line := range lines {
 		if err := line.writeRow(table); err != nil {
 			return err
@@ -166,7 +166,7 @@
 	return err
 }
 
-func (l *Line) writeRow(writer io.Writer) error {
+func (l *ClassStats) writeRow(writer io.Writer) error {
 	refused := 0
 	for _, count := range l.Refused {
 		refused += count
@@ -182,25 +182,25 @@
 	}
 	_, err = fmt.Fprintf(writer, "%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.4f\t%.4f\t\n",
 		l.quantile(50), l.quantile(90), l.quantile(99), l.quantile(99.9), l.quantile(100),
-		l.CoverageSum/float64(l.Answered), l.CoverageLeast)
+		l.CoverageSum/float64(l.Answered), l.MinCoverage)
 	return err
 }
 
 // quantile is in milliseconds.
-func (l *Line) quantile(percent float64) float64 {
+func (l *ClassStats) quantile(percent float64) float64 {
 	return float64(l.Latency.ValueAtQuantile(percent)) / float64(time.Millisecond/time.Microsecond)
 }
 
 // writeNotes lists the refusals and the first problem.
-func (l *Line) writeNotes(writer io.Writer) error {
+func (l *ClassStats) writeNotes(writer io.Writer) error {
 	for _, kind := range slices.Sorted(maps.Keys(l.Refused)) {
 		if _, err := fmt.Fprintf(writer, "%s %s: refused %d as %s\n", l.Service, l.Class, l.Refused[kind], kind); err != nil {
 			return err
 		}
 	}
-	if l.FirstProblem == nil {
+	if l.FirstError == nil {
 		return nil
 	}
-	_, err := fmt.Fprintf(writer, "%s %s: first problem: %v\n", l.Service, l.Class, l.FirstProblem)
+	_, err := fmt.Fprintf(writer, "%s %s: first problem: %v\n", l.Service, l.Class, l.FirstError)
 	return err
 }
--- a/lab/load/sender.go
+++ b/lab/load/sender.go
@@ -90,7 +90,7 @@
 
 // sendUntilAnswered asks, and asks again as planned while there is no answer.
 // The outcome is that of the last sending.
-func (s *sender) sendUntilAnswered(share profile.Share, requestID string, retries []retry) outcome {
+func (s *sender) sendUntilAnswered(share profile.QueryKind, requestID string, retries []retry) outcome {
 	result := s.send(share, requestID, s.options.Address)
 	for _, next := range retries {
 		if result.answer != nil {
@@ -103,7 +103,7 @@
 }
 
 // send asks once and waits for the answer.
-func (s *sender) send(share profile.Share, requestID, address string) outcome {
+func (s *sender) send(share profile.QueryKind, requestID, address string) outcome {
 	call := s.begin(share, requestID, address)
 	start := time.Now()
 	data, code, err := s.post(share, requestID, address)
@@ -121,7 +121,7 @@
 }
 
 // begin writes a sending to the journal.
-func (s *sender) begin(share profile.Share, requestID, address string) history.CallID {
+func (s *sender) begin(share profile.QueryKind, requestID, address string) history.CallID {
 	if s.options.Journal == nil {
 		return 0
 	}
@@ -146,7 +146,7 @@
 	s.options.Journal.Answer(answer)
 }
 
-func (s *sender) post(share profile.Share, requestID, address string) ([]byte, int, error) {
+func (s *sender) post(share profile.QueryKind, requestID, address string) ([]byte, int, error) {
 	body, err := json.Marshal(query{
 		RequestID:       requestID,
 		Class:           share.Class,
--- a/lab/profile/deployments.go
+++ b/lab/profile/deployments.go
@@ -68,7 +68,7 @@
 			{Service: MemberLedger, Groups: 1, ServersPerGroup: 20, Slots: 2, Connections: 110, ServiceTime: logNormal(20, 1)},
 			{Service: StainLog, Groups: 1, ServersPerGroup: 10, Slots: 2, Connections: 110, ServiceTime: logNormal(10, 1)},
 		},
-		Mix: []Share{
+		Mix: []QueryKind{
 			{Service: RouteDesk, Class: Urgent, Fraction: 0.2, Repeatable: true},
 			{Service: HotelPortal, Class: Normal, Fraction: 0.4, Repeatable: true},
 			{Service: MemberLedger, Class: Batch, Fraction: 0.3, Repeatable: true},
@@ -95,7 +95,7 @@
 			{Service: NoticeTool, Groups: 1, ServersPerGroup: 5, Slots: 3, Connections: 110, ServiceTime: logNormal(10, 1)},
 			{Service: Mailroom, Groups: 1, ServersPerGroup: 3, Slots: 3, Connections: 110, ServiceTime: logNormal(10, 1)},
 		},
-		Mix: []Share{
+		Mix: []QueryKind{
 			{Service: SolicitationSearch, Class: Sweep, Fraction: 0.6, Repeatable: true},
 			{Service: SolicitationSearch, Class: Check, Fraction: 0.2, Repeatable: true},
 			{Service: NoticeTool, Class: Records, Fraction: 0.1, Repeatable: false},
@@ -120,7 +120,7 @@
 			{Service: Catalog, Groups: 8, ServersPerGroup: 2, Slots: 5, Connections: 70, ServiceTime: exponential(4)},
 			{Service: MemberLedger, Groups: 1, ServersPerGroup: 2, Slots: 2, Connections: 110, ServiceTime: logNormal(10, 1)},
 		},
-		Mix: []Share{
+		Mix: []QueryKind{
 			{Service: Catalog, Class: Urgent, Fraction: 0.3, Repeatable: true},
 			{Service: Catalog, Class: Normal, Fraction: 0.5, Repeatable: true},
 			{Service: MemberLedger, Class: Batch, Fraction: 0.2, Repeatable: false},
--- a/lab/profile/profile.go
+++ b/lab/profile/profile.go
@@ -45,7 +45,7 @@
 	Network Network
 	Classes []policy.Class
 	Tiers   []Tier
-	Mix     []Share
+	Mix     []QueryKind
 }
 
 // Network holds the delays of a deployment, one way.
@@ -66,8 +66,8 @@
 	ServiceTime     emulator.Distribution
 }
 
-// Share is one kind of query in the mix.
-type Share struct {
+// QueryKind is one kind of query in the mix.
+type QueryKind struct {
 	Service string
 	Class   string
 	// Fraction is the share of all queries.
