--- a/cmd/banksail-front/providers.go
+++ b/cmd/banksail-front/providers.go
@@ -34,7 +34,7 @@
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "banksail_log_lines_dropped_total", Help: "Lines over the log's ceiling, or for which the output had no room.",
-	}, func() float64 { return float64(output.Dropped()) }))
+	}, func() float64 { return float64(output.DroppedLines()) }))
 	return registry
 }
 
--- a/cmd/banksail-front/serve.go
+++ b/cmd/banksail-front/serve.go
@@ -75,7 +75,7 @@
 // on SIGHUP and when the settings file changes; after a failed reload the last valid settings
 // remain in force.
 func (d *daemon) run(ctx context.Context) error {
-	defer d.output.CloseWithin(logFlushTimeout)
+	defer d.output.CloseWithTimeout(logFlushTimeout)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	hangups := make(chan os.Signal, 1)
--- a/cmd/banksailctl/story.go
+++ b/cmd/banksailctl/story.go
@@ -33,7 +33,7 @@
 		defer func() { _ = file.Close() }()
 		logs = append(logs, file)
 	}
-	lines, unreadable, err := telemetry.ReadStory(id, logs...)
+	lines, unreadable, err := telemetry.ReadRequestLog(id, logs...)
 	if err != nil {
 		return e.reportFailure(err)
 	}
@@ -50,15 +50,15 @@
 }
 
 // printStoryLine prints one log line and a table of the request's attempts, if the line has any.
-func (e *explainCommand) printStoryLine(line telemetry.StoryLine) {
+func (e *explainCommand) printStoryLine(line telemetry.RequestLogLine) {
 	e.print("%s %s: %s\n", line.Time.Format("15:04:05"), line.Node, line.Message)
 	if line.Result == "" {
 		e.print("  status %d, because %s\n", line.Status, line.Reason)
 		return
 	}
-	e.print("  route %s, table %d: %s after %.1f ms, because %s\n", line.Route, line.Version, line.Result, line.Took, line.Reason)
+	e.print("  route %s, table %d: %s after %.1f ms, because %s\n", line.Route, line.Version, line.Result, line.ElapsedMillis, line.Reason)
 	e.print("  %d shards missing; %d sends, of them %d hedges and %d retries; what was believed of servers was %.0f ms old\n",
-		line.Missing, line.Sends, line.Hedges, line.Retries, line.BeliefAge)
+		line.Missing, line.Sends, line.Hedges, line.Retries, line.ViewAgeMillis)
 	if len(line.Attempts) == 0 {
 		return
 	}
@@ -66,15 +66,15 @@
 	_, _ = fmt.Fprintln(table, "  SENT\tENDED\tKIND\tSERVICE\tSERVER\tEND\tSLOWNESS\tIN FLIGHT")
 	for _, attempt := range line.Attempts {
 		_, _ = fmt.Fprintf(table, "  %.1f ms\t%s\t%s\t%s\t%s\t%s\t%.2f\t%d\n",
-			attempt.Sent, endTimeText(attempt), attempt.Kind, attempt.Service, attempt.Server, attempt.End, attempt.Slowness, attempt.InFlight)
+			attempt.SentMillis, endTimeText(attempt), attempt.Kind, attempt.Service, attempt.Server, attempt.Outcome, attempt.Slowness, attempt.InFlight)
 	}
 	_ = table.Flush()
 }
 
 // endTimeText returns the time at which the attempt ended, or "" if it has not ended.
-func endTimeText(attempt telemetry.StoryAttempt) string {
-	if attempt.Ended == 0 {
+func endTimeText(attempt telemetry.LoggedAttempt) string {
+	if attempt.EndedMillis == 0 {
 		return ""
 	}
-	return fmt.Sprintf("%.1f ms", attempt.Ended)
+	return fmt.Sprintf("%.1f ms", attempt.EndedMillis)
 }
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -7,7 +7,7 @@
 
 // registerControlMetrics registers the metrics of configuration and membership.
 func (n *Node) registerControlMetrics() {
-	n.metrics.Watch("members_live", "Nodes that membership knows as live, this one included.", n.countLiveNodes)
+	n.metrics.RegisterGauge("members_live", "Nodes that membership knows as live, this one included.", n.countLiveNodes)
 	totals := []struct {
 		name, help string
 		read       func(spread.Counters) uint64
@@ -24,7 +24,7 @@
 		{"confirmations_unknown_total", "Confirmations whose outcome stayed unknown.", func(c spread.Counters) uint64 { return c.UnknownOutcomes }},
 	}
 	for _, total := range totals {
-		n.metrics.WatchTotal(total.name, total.help, func() uint64 { return total.read(n.replicator.Counters()) })
+		n.metrics.RegisterCounter(total.name, total.help, func() uint64 { return total.read(n.replicator.Counters()) })
 	}
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -130,7 +130,7 @@
 	n.connectPeers()
 	n.registerControlMetrics()
 	if options.ProcessMetrics {
-		n.metrics.WatchProcess()
+		n.metrics.RegisterProcessMetrics()
 	}
 	return n, nil
 }
--- a/node/query.go
+++ b/node/query.go
@@ -24,10 +24,10 @@
 		n.heldQueries.Add(-1)
 		return n.rejectOverload(request), nil
 	}
-	n.metrics.Held.Inc()
+	n.metrics.HeldQueries.Inc()
 	defer func() {
 		n.heldQueries.Add(-1)
-		n.metrics.Held.Dec()
+		n.metrics.HeldQueries.Dec()
 	}()
 	current := n.activeConfig.Load()
 	if current == nil {
--- a/telemetry/bounded.go
+++ b/telemetry/bounded.go
@@ -56,17 +56,17 @@
 	return w.waiting.Write(line)
 }
 
-// Dropped counts the lines that were not written.
-func (w *BoundedWriter) Dropped() uint64 { return w.dropped.Load() }
+// DroppedLines counts the lines that were not written.
+func (w *BoundedWriter) DroppedLines() uint64 { return w.dropped.Load() }
 
 // Close writes what waits; it blocks as long as the output does.
 func (w *BoundedWriter) Close() error { return w.waiting.Close() }
 
-// CloseWithin writes what waits, for the time given at most; whole is whether all was
+// CloseWithTimeout writes what waits, for the time given at most; whole is whether all was
 // written. An output that blocks must not hold up the end of a process, and without the
 // writing its last lines, which tell why it ended, are lost: one of four stops under load
 // went without its last line.
-func (w *BoundedWriter) CloseWithin(limit time.Duration) (whole bool) {
+func (w *BoundedWriter) CloseWithTimeout(limit time.Duration) (whole bool) {
 	closed := make(chan error, 1)
 	go func() { closed <- w.Close() }()
 	timer := time.NewTimer(limit)
--- a/telemetry/bounded_test.go
+++ b/telemetry/bounded_test.go
@@ -67,8 +67,8 @@
 		}
 		_ = writer.Close()
 		got := strings.Count(output.text(), "line\n")
-		if got < 10 || got > 100 || uint64(got)+writer.Dropped() != written {
-			t.Errorf("%s: %d lines are written, %d dropped", name, got, writer.Dropped())
+		if got < 10 || got > 100 || uint64(got)+writer.DroppedLines() != written {
+			t.Errorf("%s: %d lines are written, %d dropped", name, got, writer.DroppedLines())
 		}
 	}
 }
@@ -82,13 +82,13 @@
 	for range 100 {
 		_, _ = writer.Write([]byte("line\n"))
 	}
-	if whole := writer.CloseWithin(time.Minute); !whole || strings.Count(output.text(), "line\n") != 100 {
+	if whole := writer.CloseWithTimeout(time.Minute); !whole || strings.Count(output.text(), "line\n") != 100 {
 		t.Errorf("whole %t, %d lines", whole, strings.Count(output.text(), "line\n"))
 	}
 	reader, blocked := io.Pipe()
 	writer = telemetry.NewBoundedWriter(blocked, 1000, 1_000_000)
 	_, _ = writer.Write([]byte("line\n"))
-	if writer.CloseWithin(limit) {
+	if writer.CloseWithTimeout(limit) {
 		t.Error("an output that nobody reads has taken all")
 	}
 	_ = reader.Close()
--- a/telemetry/logger.go
+++ b/telemetry/logger.go
@@ -10,8 +10,8 @@
 	"github.com/rs/zerolog"
 )
 
-// ErrLevel is returned for a log level that does not exist.
-var ErrLevel = errors.New("telemetry: unknown log level")
+// ErrUnknownLevel is returned for a log level that does not exist.
+var ErrUnknownLevel = errors.New("telemetry: unknown log level")
 
 // Names of the fields that log lines share.
 const (
@@ -37,7 +37,7 @@
 func NewLogger(output io.Writer, level, node string) (zerolog.Logger, error) {
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil || parsed == zerolog.NoLevel {
-		return zerolog.Nop(), fmt.Errorf("%w: %q", ErrLevel, level)
+		return zerolog.Nop(), fmt.Errorf("%w: %q", ErrUnknownLevel, level)
 	}
 	return zerolog.New(output).Level(parsed).With().Str(FieldNode, node).Logger().Hook(stamp{}), nil
 }
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -36,8 +36,8 @@
 	Forwards *prometheus.CounterVec
 	// ForwardsServed counts the sub-requests taken from other nodes, by outcome.
 	ForwardsServed *prometheus.CounterVec
-	// Held is the number of queries that the node holds, queued or running.
-	Held prometheus.Gauge
+	// HeldQueries is the number of queries that the node holds, queued or running.
+	HeldQueries prometheus.Gauge
 	// Revision is the revision of the configuration in force.
 	Revision prometheus.Gauge
 	// Duplicates counts not-repeatable requests that were answered from the
@@ -57,14 +57,14 @@
 		Failures:       newCounters("send_failures_total", "Sub-requests without a well-formed reply.", "service"),
 		Forwards:       newCounters("forwards_total", "Sub-requests given to owners of connections.", "outcome"),
 		ForwardsServed: newCounters("forwards_served_total", "Sub-requests taken from other nodes.", "outcome"),
-		Held:           newGauge("queries_held", "Queries that are queued or running."),
+		HeldQueries:    newGauge("queries_held", "Queries that are queued or running."),
 		Revision:       newGauge("configuration_revision", "Revision of the configuration in force."),
 		Duplicates:     prometheus.NewCounter(options("duplicates_total", "Not-repeatable requests answered from an earlier outcome.")),
 		registry:       prometheus.NewRegistry(),
 	}
 	metrics.registry.MustRegister(
 		metrics.Queries, metrics.Latency, metrics.Coverage, metrics.Sends,
-		metrics.Failures, metrics.Held, metrics.Revision, metrics.Duplicates,
+		metrics.Failures, metrics.HeldQueries, metrics.Revision, metrics.Duplicates,
 		metrics.Forwards, metrics.ForwardsServed,
 	)
 	return metrics
@@ -75,22 +75,22 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{Registry: m.registry})
 }
 
-// Watch adds a gauge that is read whenever the metrics are.
-func (m *Metrics) Watch(name, help string, read func() float64) {
+// RegisterGauge adds a gauge that is read whenever the metrics are.
+func (m *Metrics) RegisterGauge(name, help string, read func() float64) {
 	gauge := prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}
 	m.registry.MustRegister(prometheus.NewGaugeFunc(gauge, read))
 }
 
-// WatchTotal adds a counter that is kept elsewhere and read whenever the
+// RegisterCounter adds a counter that is kept elsewhere and read whenever the
 // metrics are.
-func (m *Metrics) WatchTotal(name, help string, read func() uint64) {
+func (m *Metrics) RegisterCounter(name, help string, read func() uint64) {
 	counter := func() float64 { return float64(read()) }
 	m.registry.MustRegister(prometheus.NewCounterFunc(options(name, help), counter))
 }
 
-// WatchProcess adds the process's and the Go runtime's own metrics; only one
+// RegisterProcessMetrics adds the process's and the Go runtime's own metrics; only one
 // node of a process may have them.
-func (m *Metrics) WatchProcess() {
+func (m *Metrics) RegisterProcessMetrics() {
 	m.registry.MustRegister(
 		collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
--- a/telemetry/process_test.go
+++ b/telemetry/process_test.go
@@ -11,7 +11,7 @@
 
 func TestProcessMetricsAreAddedOnce(t *testing.T) {
 	metrics := telemetry.NewMetrics()
-	metrics.WatchProcess()
+	metrics.RegisterProcessMetrics()
 	recorder := httptest.NewRecorder()
 	metrics.Handler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	if count := strings.Count(recorder.Body.String(), "\nprocess_cpu_seconds_total "); count != 1 {
--- a/telemetry/story.go
+++ b/telemetry/story.go
@@ -11,46 +11,46 @@
 	"time"
 )
 
-// StoryLine is one line of a log that tells of a request.
-type StoryLine struct {
+// RequestLogLine is one line of a log that tells of a request.
+type RequestLogLine struct {
 	Time    time.Time `json:"time"`
 	Node    string    `json:"node"`
 	Message string    `json:"message"`
 
-	RequestID string         `json:"request_id"`
-	Route     string         `json:"route"`
-	Result    string         `json:"result"`
-	Status    int            `json:"status"`
-	Reason    string         `json:"reason"`
-	Version   uint64         `json:"version"`
-	BeliefAge float64        `json:"belief_age_ms"`
-	Missing   int            `json:"missing"`
-	Sends     int            `json:"sends"`
-	Hedges    int            `json:"hedges"`
-	Retries   int            `json:"retries"`
-	Took      float64        `json:"took_ms"`
-	Attempts  []StoryAttempt `json:"attempts"`
+	RequestID     string          `json:"request_id"`
+	Route         string          `json:"route"`
+	Result        string          `json:"result"`
+	Status        int             `json:"status"`
+	Reason        string          `json:"reason"`
+	Version       uint64          `json:"version"`
+	ViewAgeMillis float64         `json:"belief_age_ms"`
+	Missing       int             `json:"missing"`
+	Sends         int             `json:"sends"`
+	Hedges        int             `json:"hedges"`
+	Retries       int             `json:"retries"`
+	ElapsedMillis float64         `json:"took_ms"`
+	Attempts      []LoggedAttempt `json:"attempts"`
 }
 
-// StoryAttempt is one attempt of a request, as its line tells it.
-type StoryAttempt struct {
-	Kind     string  `json:"kind"`
-	Service  string  `json:"service"`
-	Server   string  `json:"server"`
-	Sent     float64 `json:"sent_ms"`
-	Ended    float64 `json:"ended_ms"`
-	End      string  `json:"end"`
-	Slowness float64 `json:"slowness"`
-	InFlight int     `json:"in_flight"`
+// LoggedAttempt is one attempt of a request, as its line tells it.
+type LoggedAttempt struct {
+	Kind        string  `json:"kind"`
+	Service     string  `json:"service"`
+	Server      string  `json:"server"`
+	SentMillis  float64 `json:"sent_ms"`
+	EndedMillis float64 `json:"ended_ms"`
+	Outcome     string  `json:"end"`
+	Slowness    float64 `json:"slowness"`
+	InFlight    int     `json:"in_flight"`
 }
 
 // longestLine bounds a line; a longer one is passed over.
 const longestLine = 1 << 20
 
-// ReadStory gathers the lines that tell of the request, in order of time. Text
+// ReadRequestLog gathers the lines that tell of the request, in order of time. Text
 // before a line's JSON is passed over, and so are lines that are cut or are not
 // JSON, of which it returns the number.
-func ReadStory(requestID string, logs ...io.Reader) (lines []StoryLine, unreadable int, err error) {
+func ReadRequestLog(requestID string, logs ...io.Reader) (lines []RequestLogLine, unreadable int, err error) {
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
 		scanner.Buffer(make([]byte, 0, 64<<10), longestLine)
@@ -67,14 +67,14 @@
 			return nil, unreadable, fmt.Errorf("telemetry: reading a log: %w", err)
 		}
 	}
-	slices.SortStableFunc(lines, func(a, b StoryLine) int {
+	slices.SortStableFunc(lines, func(a, b RequestLogLine) int {
 		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.Node, b.Node))
 	})
 	return lines, unreadable, nil
 }
 
 // parseStoryLine reads one line; told says that it tells of the request.
-func parseStoryLine(text []byte, requestID string) (line StoryLine, told, ok bool) {
+func parseStoryLine(text []byte, requestID string) (line RequestLogLine, told, ok bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
 		return line, false, true // is no line of ours
--- a/telemetry/story_test.go
+++ b/telemetry/story_test.go
@@ -14,7 +14,7 @@
 no line of ours
 {"node":"node-1","request_id":"a","resu`)
 	second := strings.NewReader(`{"node":"node-2","request_id":"a","status":503,"time":"2026-01-01T00:00:01Z","message":"request rejected"}` + "\n")
-	lines, unreadable, err := telemetry.ReadStory("a", first, second)
+	lines, unreadable, err := telemetry.ReadRequestLog("a", first, second)
 	if err != nil || unreadable != 1 || len(lines) != 2 {
 		t.Fatalf("%v, %d unreadable, %v", lines, unreadable, err)
 	}
@@ -35,7 +35,7 @@
 	if strings.Count(output.String(), "\n") != 1 || strings.ContainsAny(output.String(), "\r\x1b") {
 		t.Errorf("%q", output.String())
 	}
-	lines, _, err := telemetry.ReadStory("a", &output)
+	lines, _, err := telemetry.ReadRequestLog("a", &output)
 	if err != nil || len(lines) != 0 {
 		t.Errorf("forged: %v %v", lines, err)
 	}
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -76,7 +76,7 @@
 		t.Errorf("log %s", text)
 	}
 	for _, level := range []string{"", "loud"} {
-		if _, err := NewLogger(&output, level, "node-1"); !errors.Is(err, ErrLevel) {
+		if _, err := NewLogger(&output, level, "node-1"); !errors.Is(err, ErrUnknownLevel) {
 			t.Errorf("level %q: %v", level, err)
 		}
 	}
@@ -98,7 +98,7 @@
 func TestNodesHaveMetricsOfTheirOwn(t *testing.T) {
 	first, second := NewMetrics(), NewMetrics()
 	first.Revision.Set(7)
-	second.Watch("members_live", "Nodes that membership knows as live.", func() float64 { return 3 })
+	second.RegisterGauge("members_live", "Nodes that membership knows as live.", func() float64 { return 3 })
 	for metrics, expected := range map[*Metrics]string{
 		first: "banksail_configuration_revision 7", second: "banksail_members_live 3",
 	} {
