--- a/lab/load/check.go
+++ b/lab/load/check.go
@@ -48,21 +48,21 @@
 	if read.Coverage == nil {
 		return fmt.Errorf("%w: coverage is missing", errWrongAnswer)
 	}
-	held, missing := uint64(0), uint64(0)
+	answered, missing := uint64(0), uint64(0)
 	end := uint64(0)
 	for _, one := range read.Parts {
 		if one.Range.Start < end {
 			return fmt.Errorf("%w: part %s overlaps the one before", errWrongAnswer, one.Range)
 		}
 		end = one.Range.End
-		held += one.Range.Size()
+		answered += one.Range.Size()
 	}
 	for _, gap := range read.Missing {
 		missing += gap.Size()
 	}
 	fraction := 0.0
-	if held+missing > 0 {
-		fraction = float64(held) / float64(held+missing)
+	if answered+missing > 0 {
+		fraction = float64(answered) / float64(answered+missing)
 	}
 	if math.Abs(fraction-*read.Coverage) > coverageTolerance {
 		return fmt.Errorf("%w: coverage is stated as %g and is %g", errWrongAnswer, *read.Coverage, fraction)
--- a/lab/load/generator.go
+++ b/lab/load/generator.go
@@ -30,12 +30,12 @@
 		return nil, err
 	}
 	generator := &generator{
-		options: options,
-		sender:  newSender(options),
-		report:  newReport(options.Mix),
-		random:  rand.New(rand.NewPCG(options.Seed, seedStream)),
-		permits: make(chan struct{}, options.MaxInFlight),
-		prefix:  uuid.NewString(),
+		options:         options,
+		sender:          newSender(options),
+		report:          newReport(options.Mix),
+		random:          rand.New(rand.NewPCG(options.Seed, seedStream)),
+		permits:         make(chan struct{}, options.MaxInFlight),
+		requestIDPrefix: uuid.NewString(),
 	}
 	start := time.Now()
 	generator.sendAll(ctx)
@@ -47,14 +47,14 @@
 
 // generator draws arrivals and starts queries.
 type generator struct {
-	options Options
-	sender  *sender
-	report  *Report
-	random  *rand.Rand
-	permits chan struct{}
-	pending sync.WaitGroup
-	prefix  string
-	count   int
+	options         Options
+	sender          *sender
+	report          *Report
+	random          *rand.Rand
+	permits         chan struct{}
+	pending         sync.WaitGroup
+	requestIDPrefix string
+	lastRequest     int
 }
 
 // sendAll follows the drawn arrival times, so that late answers don't thin the
@@ -64,62 +64,62 @@
 	defer cancel()
 	next := time.Now()
 	for {
-		next = next.Add(g.gap())
+		next = next.Add(g.nextInterval())
 		if clock.Sleep(ctx, time.Until(next)) != nil {
 			return
 		}
-		g.start(g.draw())
+		g.startQuery(g.pickKind())
 	}
 }
 
-// gap draws the time to the next arrival.
-func (g *generator) gap() time.Duration {
+// nextInterval draws the time to the next arrival.
+func (g *generator) nextInterval() time.Duration {
 	return time.Duration(g.random.ExpFloat64() / g.options.Rate * float64(time.Second))
 }
 
-// draw picks a kind of query by its share.
-func (g *generator) draw() profile.QueryKind {
+// pickKind picks a kind of query by its share.
+func (g *generator) pickKind() profile.QueryKind {
 	sum := 0.0
-	for _, share := range g.options.Mix {
-		sum += share.Fraction
+	for _, kind := range g.options.Mix {
+		sum += kind.Fraction
 	}
 	left := g.random.Float64() * sum
-	for _, share := range g.options.Mix {
-		left -= share.Fraction
+	for _, kind := range g.options.Mix {
+		left -= kind.Fraction
 		if left < 0 {
-			return share
+			return kind
 		}
 	}
 	return g.options.Mix[len(g.options.Mix)-1]
 }
 
-// start sends a query in the background unless too many are in flight.
-func (g *generator) start(share profile.QueryKind) {
+// startQuery sends a query in the background unless too many are in flight.
+func (g *generator) startQuery(kind profile.QueryKind) {
 	select {
 	case g.permits <- struct{}{}:
 	default:
-		g.report.skip(share)
+		g.report.countSkipped(kind)
 		return
 	}
-	g.count++
-	requestID := g.prefix + "-" + strconv.Itoa(g.count)
-	retries := g.drawRetries(share)
+	g.lastRequest++
+	requestID := g.requestIDPrefix + "-" + strconv.Itoa(g.lastRequest)
+	retries := g.planRetries(kind)
 	g.pending.Go(func() {
 		defer func() { <-g.permits }()
-		g.report.add(share, g.sender.sendUntilAnswered(share, requestID, retries))
+		g.report.addOutcome(kind, g.sender.sendWithRetries(kind, requestID, retries))
 	})
 }
 
-// drawRetries draws the further sendings of a query that has no answer.
-func (g *generator) drawRetries(share profile.QueryKind) []retry {
-	if share.Repeatable || len(g.options.RetryAddresses) == 0 {
+// planRetries draws the further sendings of a query that has no answer.
+func (g *generator) planRetries(kind profile.QueryKind) []retry {
+	if kind.Repeatable || len(g.options.RetryAddresses) == 0 {
 		return nil
 	}
 	retries := make([]retry, 0, maximumRetries)
 	for range maximumRetries {
 		retries = append(retries, retry{
 			address: g.options.RetryAddresses[g.random.IntN(len(g.options.RetryAddresses))],
-			after:   time.Duration(g.random.Int64N(int64(maximumRetryDelay))),
+			delay:   time.Duration(g.random.Int64N(int64(maximumRetryDelay))),
 		})
 	}
 	return retries
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -107,7 +107,7 @@
 			t.Fatal(err)
 		}
 		urgent, batch := report.Stats()[0], report.Stats()[1]
-		if urgent.Answered < 900 || urgent.Answered != urgent.Sent || urgent.Wrong != 0 || urgent.quantile(100) > 5.01 {
+		if urgent.Answered < 900 || urgent.Answered != urgent.Sent || urgent.Wrong != 0 || urgent.latencyMillis(100) > 5.01 {
 			t.Errorf("urgent line is %+v", urgent)
 		}
 		if batch.Sent < 900 || batch.Refused["not_run/overload"] != batch.Sent {
@@ -147,15 +147,15 @@
 	}
 }
 
-// failingNode loses the first sending of every request after reading it and
+// droppingNode loses the first sending of every request after reading it and
 // answers the others.
-type failingNode struct {
+type droppingNode struct {
 	stubNode
 	mutex sync.Mutex
 	seen  map[string]bool
 }
 
-func (n *failingNode) RoundTrip(request *http.Request) (*http.Response, error) {
+func (n *droppingNode) RoundTrip(request *http.Request) (*http.Response, error) {
 	data, err := io.ReadAll(request.Body)
 	if err != nil {
 		return nil, err
@@ -175,14 +175,14 @@
 	return n.stubNode.RoundTrip(request)
 }
 
-func TestUnansweredIsSentAgainAndWrittenToTheJournal(t *testing.T) {
+func TestUnansweredQueriesAreRetriedAndJournaled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var written bytes.Buffer
 		journal := history.NewJournal(&written)
 		report, err := Run(t.Context(), Options{
 			Address: "10.0.0.1:80", RetryAddresses: []string{"10.0.0.1:80", "10.0.0.2:80"}, Journal: journal,
 			Rate: 100, Duration: time.Second, MaxInFlight: 100, Deadline: time.Second,
-			Transport: &failingNode{stubNode: stubNode{t: t}, seen: make(map[string]bool)},
+			Transport: &droppingNode{stubNode: stubNode{t: t}, seen: make(map[string]bool)},
 			Mix: []profile.QueryKind{
 				{Service: "once", Class: profile.Normal, Fraction: 1},
 				{Service: "any", Class: profile.Urgent, Fraction: 1, Repeatable: true},
--- a/lab/load/options.go
+++ b/lab/load/options.go
@@ -79,13 +79,13 @@
 
 // Validate returns ErrInvalidOptions, naming the option.
 func (o Options) Validate() error {
-	weightless := func(share profile.QueryKind) bool { return !(share.Fraction > 0) }
+	hasNoWeight := func(kind profile.QueryKind) bool { return !(kind.Fraction > 0) }
 	switch {
 	case o.Address == "":
 		return fmt.Errorf("%w: address is missing", ErrInvalidOptions)
 	case len(o.Mix) == 0:
 		return fmt.Errorf("%w: the mix is empty", ErrInvalidOptions)
-	case slices.ContainsFunc(o.Mix, weightless):
+	case slices.ContainsFunc(o.Mix, hasNoWeight):
 		return fmt.Errorf("%w: a share of the mix is not positive", ErrInvalidOptions)
 	case !(o.Rate > 0 && o.Rate <= MaximumRate):
 		return fmt.Errorf("%w: rate must be over 0 and at most %d", ErrInvalidOptions, MaximumRate)
--- a/lab/load/report.go
+++ b/lab/load/report.go
@@ -27,7 +27,7 @@
 
 	// mutex guards lines while the run goes on.
 	mutex sync.Mutex
-	lines []*ClassStats
+	stats []*ClassStats
 }
 
 // ClassStats sums up the queries of one service and class.
@@ -58,8 +58,8 @@
 
 func newReport(mix []profile.QueryKind) *Report {
 	report := &Report{}
-	for _, share := range mix {
-		report.line(share)
+	for _, kind := range mix {
+		report.statsOf(kind)
 	}
 	return report
 }
@@ -68,75 +68,75 @@
 func (r *Report) Stats() []*ClassStats {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return slices.Clone(r.lines)
+	return slices.Clone(r.stats)
 }
 
 // Wrong counts the wrong answers of all lines.
 func (r *Report) Wrong() int {
 	count := 0
-	for _, line := range r.Stats() {
-		count += line.Wrong
+	for _, class := range r.Stats() {
+		count += class.Wrong
 	}
 	return count
 }
 
-// line returns the line of a kind of query.
-func (r *Report) line(share profile.QueryKind) *ClassStats {
-	for _, known := range r.lines {
-		if known.Service == share.Service && known.Class == share.Class {
+// statsOf returns the line of a kind of query.
+func (r *Report) statsOf(kind profile.QueryKind) *ClassStats {
+	for _, known := range r.stats {
+		if known.Service == kind.Service && known.Class == kind.Class {
 			return known
 		}
 	}
 	added := &ClassStats{
-		Service: share.Service, Class: share.Class, Refused: make(map[string]int), MinCoverage: 1,
+		Service: kind.Service, Class: kind.Class, Refused: make(map[string]int), MinCoverage: 1,
 		Latency: hdrhistogram.New(lowestMicroseconds, highestMicroseconds, significantDigits),
 	}
-	r.lines = append(r.lines, added)
+	r.stats = append(r.stats, added)
 	return added
 }
 
-func (r *Report) skip(share profile.QueryKind) {
+func (r *Report) countSkipped(kind profile.QueryKind) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.line(share).Skipped++
+	r.statsOf(kind).Skipped++
 }
 
-func (r *Report) add(share profile.QueryKind, result outcome) {
+func (r *Report) addOutcome(kind profile.QueryKind, result outcome) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	line := r.line(share)
-	line.Sent++
+	class := r.statsOf(kind)
+	class.Sent++
 	switch {
 	case result.answer != nil:
-		line.addAnswer(result)
+		class.addAnswer(result)
 	case result.refusal != nil:
-		line.Refused[result.refusal.Execution+"/"+result.refusal.Reason]++
+		class.Refused[result.refusal.Execution+"/"+result.refusal.Reason]++
 	default:
-		line.Failed++
-		line.note(result.failure)
+		class.Failed++
+		class.recordError(result.failure)
 	}
 }
 
-func (l *ClassStats) addAnswer(result outcome) {
-	l.Answered++
+func (s *ClassStats) addAnswer(result outcome) {
+	s.Answered++
 	if !result.answer.Complete {
-		l.Partial++
+		s.Partial++
 	}
-	if result.wrong != nil {
-		l.Wrong++
-		l.note(result.wrong)
+	if result.answerError != nil {
+		s.Wrong++
+		s.recordError(result.answerError)
 	}
 	if result.answer.Coverage != nil {
-		l.CoverageSum += *result.answer.Coverage
-		l.MinCoverage = min(l.MinCoverage, *result.answer.Coverage)
+		s.CoverageSum += *result.answer.Coverage
+		s.MinCoverage = min(s.MinCoverage, *result.answer.Coverage)
 	}
 	// The histogram's range holds every latency that the time-outs allow.
-	_ = l.Latency.RecordValue(max(lowestMicroseconds, result.latency.Microseconds()))
+	_ = s.Latency.RecordValue(max(lowestMicroseconds, result.latency.Microseconds()))
 }
 
-func (l *ClassStats) note(problem error) {
-	if l.FirstError == nil {
-		l.FirstError = problem
+func (s *ClassStats) recordError(problem error) {
+	if s.FirstError == nil {
+		s.FirstError = problem
 	}
 }
 
@@ -148,17 +148,17 @@
 	if _, err := io.WriteString(table, heading); err != nil {
 		return err
 	}
-	lines := r.Stats()
-	for _, line := range lines {
-		if err := line.writeRow(table); err != nil {
+	classes := r.Stats()
+	for _, class := range classes {
+		if err := class.writeRow(table); err != nil {
 			return err
 		}
 	}
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	for _, line := range lines {
-		if err := line.writeNotes(writer); err != nil {
+	for _, class := range classes {
+		if err := class.writeDetails(writer); err != nil {
 			return err
 		}
 	}
@@ -166,41 +166,41 @@
 	return err
 }
 
-func (l *ClassStats) writeRow(writer io.Writer) error {
+func (s *ClassStats) writeRow(writer io.Writer) error {
 	refused := 0
-	for _, count := range l.Refused {
+	for _, count := range s.Refused {
 		refused += count
 	}
 	_, err := fmt.Fprintf(writer, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t",
-		l.Service, l.Class, l.Sent, l.Skipped, l.Answered, l.Partial, l.Wrong, l.Failed, refused)
+		s.Service, s.Class, s.Sent, s.Skipped, s.Answered, s.Partial, s.Wrong, s.Failed, refused)
 	if err != nil {
 		return err
 	}
-	if l.Answered == 0 {
+	if s.Answered == 0 {
 		_, err = io.WriteString(writer, "-\t-\t-\t-\t-\t-\t-\t\n")
 		return err
 	}
 	_, err = fmt.Fprintf(writer, "%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.4f\t%.4f\t\n",
-		l.quantile(50), l.quantile(90), l.quantile(99), l.quantile(99.9), l.quantile(100),
-		l.CoverageSum/float64(l.Answered), l.MinCoverage)
+		s.latencyMillis(50), s.latencyMillis(90), s.latencyMillis(99), s.latencyMillis(99.9), s.latencyMillis(100),
+		s.CoverageSum/float64(s.Answered), s.MinCoverage)
 	return err
 }
 
-// quantile is in milliseconds.
-func (l *ClassStats) quantile(percent float64) float64 {
-	return float64(l.Latency.ValueAtQuantile(percent)) / float64(time.Millisecond/time.Microsecond)
+// latencyMillis is in milliseconds.
+func (s *ClassStats) latencyMillis(percent float64) float64 {
+	return float64(s.Latency.ValueAtQuantile(percent)) / float64(time.Millisecond/time.Microsecond)
 }
 
-// writeNotes lists the refusals and the first problem.
-func (l *ClassStats) writeNotes(writer io.Writer) error {
-	for _, kind := range slices.Sorted(maps.Keys(l.Refused)) {
-		if _, err := fmt.Fprintf(writer, "%s %s: refused %d as %s\n", l.Service, l.Class, l.Refused[kind], kind); err != nil {
+// writeDetails lists the refusals and the first problem.
+func (s *ClassStats) writeDetails(writer io.Writer) error {
+	for _, kind := range slices.Sorted(maps.Keys(s.Refused)) {
+		if _, err := fmt.Fprintf(writer, "%s %s: refused %d as %s\n", s.Service, s.Class, s.Refused[kind], kind); err != nil {
 			return err
 		}
 	}
-	if l.FirstError == nil {
+	if s.FirstError == nil {
 		return nil
 	}
-	_, err := fmt.Fprintf(writer, "%s %s: first problem: %v\n", l.Service, l.Class, l.FirstError)
+	_, err := fmt.Fprintf(writer, "%s %s: first problem: %v\n", s.Service, s.Class, s.FirstError)
 	return err
 }
--- a/lab/load/sender.go
+++ b/lab/load/sender.go
@@ -16,8 +16,8 @@
 
 const (
 	maximumAnswerBytes = 64 << 20
-	// unstatedDeadline bounds the wait for a query that states no deadline.
-	unstatedDeadline = 2 * time.Minute
+	// defaultAnswerTimeout bounds the wait for a query that states no deadline.
+	defaultAnswerTimeout = 2 * time.Minute
 	// deadlineAllowance is the time past its deadline that an answer may take.
 	deadlineAllowance = 5 * time.Second
 )
@@ -62,8 +62,8 @@
 	refusal *refusal
 	// failure is set when neither came.
 	failure error
-	// wrong tells what is wrong with the answer.
-	wrong error
+	// answerError tells what is wrong with the answer.
+	answerError error
 }
 
 // sender sends queries to one node.
@@ -84,55 +84,55 @@
 // retry is one further sending of a query.
 type retry struct {
 	address string
-	// after is the time to wait before it.
-	after time.Duration
+	// delay is the time to wait before it.
+	delay time.Duration
 }
 
-// sendUntilAnswered asks, and asks again as planned while there is no answer.
+// sendWithRetries asks, and asks again as planned while there is no answer.
 // The outcome is that of the last sending.
-func (s *sender) sendUntilAnswered(share profile.QueryKind, requestID string, retries []retry) outcome {
-	result := s.send(share, requestID, s.options.Address)
+func (s *sender) sendWithRetries(kind profile.QueryKind, requestID string, retries []retry) outcome {
+	result := s.send(kind, requestID, s.options.Address)
 	for _, next := range retries {
 		if result.answer != nil {
 			break
 		}
-		time.Sleep(next.after)
-		result = s.send(share, requestID, next.address)
+		time.Sleep(next.delay)
+		result = s.send(kind, requestID, next.address)
 	}
 	return result
 }
 
 // send asks once and waits for the answer.
-func (s *sender) send(share profile.QueryKind, requestID, address string) outcome {
-	call := s.begin(share, requestID, address)
+func (s *sender) send(kind profile.QueryKind, requestID, address string) outcome {
+	call := s.journalCall(kind, requestID, address)
 	start := time.Now()
-	data, code, err := s.post(share, requestID, address)
+	data, code, err := s.postQuery(kind, requestID, address)
 	result := outcome{latency: time.Since(start)}
-	s.end(call, data, code, err)
+	s.journalAnswer(call, data, code, err)
 	switch {
 	case err != nil:
 		result.failure = err
 	case code == http.StatusOK:
-		s.readAnswer(&result, data, requestID)
+		s.parseAnswer(&result, data, requestID)
 	default:
-		readRefusal(&result, data, code)
+		parseRefusal(&result, data, code)
 	}
 	return result
 }
 
-// begin writes a sending to the journal.
-func (s *sender) begin(share profile.QueryKind, requestID, address string) history.CallID {
+// journalCall writes a sending to the journal.
+func (s *sender) journalCall(kind profile.QueryKind, requestID, address string) history.CallID {
 	if s.options.Journal == nil {
 		return 0
 	}
 	return s.options.Journal.Call(history.Call{
-		RequestID: requestID, Node: address, Service: share.Service, Class: share.Class,
-		Repeatable: share.Repeatable, Deadline: s.options.Deadline, MinimumCoverage: s.options.MinimumCoverage,
+		RequestID: requestID, Node: address, Service: kind.Service, Class: kind.Class,
+		Repeatable: kind.Repeatable, Deadline: s.options.Deadline, MinimumCoverage: s.options.MinimumCoverage,
 	})
 }
 
-// end writes what became of a sending to the journal.
-func (s *sender) end(call history.CallID, data []byte, code int, err error) {
+// journalAnswer writes what became of a sending to the journal.
+func (s *sender) journalAnswer(call history.CallID, data []byte, code int, err error) {
 	if s.options.Journal == nil {
 		return
 	}
@@ -146,24 +146,24 @@
 	s.options.Journal.Answer(answer)
 }
 
-func (s *sender) post(share profile.QueryKind, requestID, address string) ([]byte, int, error) {
+func (s *sender) postQuery(kind profile.QueryKind, requestID, address string) ([]byte, int, error) {
 	body, err := json.Marshal(query{
 		RequestID:       requestID,
-		Class:           share.Class,
+		Class:           kind.Class,
 		DeadlineMillis:  s.options.Deadline.Seconds() * float64(time.Second/time.Millisecond),
 		MinimumCoverage: s.options.MinimumCoverage,
-		Repeatable:      share.Repeatable,
+		Repeatable:      kind.Repeatable,
 		Body:            json.RawMessage(`{"match":"load"}`),
 	})
 	if err != nil {
 		return nil, 0, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), s.wait())
+	ctx, cancel := context.WithTimeout(context.Background(), s.answerTimeout())
 	defer cancel()
 	reply, err := httpcall.Send(ctx, s.options.Transport, httpcall.Call{
 		Method:       http.MethodPost,
 		Address:      address,
-		Path:         "/v1/services/" + url.PathEscape(share.Service) + "/queries",
+		Path:         "/v1/services/" + url.PathEscape(kind.Service) + "/queries",
 		Header:       http.Header{"Content-Type": {httpcall.JSON}},
 		Body:         body,
 		MaxBodyBytes: maximumAnswerBytes,
@@ -171,24 +171,24 @@
 	return reply.Body, reply.Code, err
 }
 
-func (s *sender) wait() time.Duration {
+func (s *sender) answerTimeout() time.Duration {
 	if s.options.Deadline == 0 {
-		return unstatedDeadline
+		return defaultAnswerTimeout
 	}
 	return s.options.Deadline + deadlineAllowance
 }
 
-func (s *sender) readAnswer(result *outcome, data []byte, requestID string) {
+func (s *sender) parseAnswer(result *outcome, data []byte, requestID string) {
 	read := &answer{}
 	if err := json.Unmarshal(data, read); err != nil {
 		result.failure = fmt.Errorf("reading the answer: %w", err)
 		return
 	}
 	result.answer = read
-	result.wrong = checkAnswer(read, requestID, s.options.ItemStride)
+	result.answerError = checkAnswer(read, requestID, s.options.ItemStride)
 }
 
-func readRefusal(result *outcome, data []byte, code int) {
+func parseRefusal(result *outcome, data []byte, code int) {
 	read := &refusal{}
 	if err := json.Unmarshal(data, read); err != nil || read.Execution == "" {
 		result.failure = fmt.Errorf("HTTP status %d without a problem document", code)
--- a/lab/profile/deployments.go
+++ b/lab/profile/deployments.go
@@ -31,9 +31,9 @@
 	Records = "records"
 )
 
-// sharedNetwork has the delays that both firms state: new connections cost
+// newNetwork has the delays that both firms state: new connections cost
 // about 1 ms and zones are about 1 ms apart.
-func sharedNetwork(client time.Duration) Network {
+func newNetwork(client time.Duration) Network {
 	return Network{
 		SameZone:      100 * time.Microsecond,
 		BetweenZones:  time.Millisecond,
@@ -56,7 +56,7 @@
 	return Profile{
 		Name:    BlueMahoe,
 		Zones:   []string{"kingston-a", "kingston-b", "kingston-c", "kingston-d"},
-		Network: sharedNetwork(time.Millisecond),
+		Network: newNetwork(time.Millisecond),
 		Classes: []policy.Class{
 			{Name: Urgent, Order: 0, LongestWait: 50, Deadline: 250, MinimumCoverage: 0.85, HedgeShare: 0.25, Headroom: 0.2},
 			{Name: Normal, Order: 10, LongestWait: 200, Deadline: 1000, MinimumCoverage: 0.85, HedgeShare: 0, Headroom: 0.1},
@@ -83,7 +83,7 @@
 	return Profile{
 		Name:    Thibodeau,
 		Zones:   []string{"new-england-a", "new-england-b", "new-england-c"},
-		Network: sharedNetwork(3 * time.Millisecond),
+		Network: newNetwork(3 * time.Millisecond),
 		Classes: []policy.Class{
 			{Name: Check, Order: 0, LongestWait: 50, Deadline: 250, MinimumCoverage: 0.85, HedgeShare: 0.2, Headroom: 0.2},
 			{Name: Sweep, Order: 10, LongestWait: 500, Deadline: 2000, MinimumCoverage: 0.95, HedgeShare: 0, Headroom: 0.1},
@@ -110,7 +110,7 @@
 	return Profile{
 		Name:    Small,
 		Zones:   []string{"zone-a", "zone-b"},
-		Network: sharedNetwork(time.Millisecond),
+		Network: newNetwork(time.Millisecond),
 		Classes: []policy.Class{
 			{Name: Urgent, Order: 0, LongestWait: 50, Deadline: 500, MinimumCoverage: 0.85, HedgeShare: 0.25, Headroom: 0.2},
 			{Name: Normal, Order: 10, LongestWait: 200, Deadline: 1000, MinimumCoverage: 0.85, HedgeShare: 0, Headroom: 0.1},
--- a/lab/profile/profile.go
+++ b/lab/profile/profile.go
@@ -115,7 +115,7 @@
 	config := policy.Config{Classes: slices.Clone(p.Classes)}
 	port := placement.BasePort
 	for _, tier := range p.Tiers {
-		config.Services = append(config.Services, p.service(tier, placement.Host, port))
+		config.Services = append(config.Services, p.buildService(tier, placement.Host, port))
 		port += tier.Groups * tier.ServersPerGroup
 	}
 	return config, nil
@@ -139,13 +139,13 @@
 	return p.Tiers[index], true
 }
 
-func (p Profile) service(tier Tier, host string, port int) policy.Service {
+func (p Profile) buildService(tier Tier, host string, port int) policy.Service {
 	space := coverage.Range{Start: 0, End: keySpaceEnd}
 	service := policy.Service{Name: tier.Service, KeySpace: space}
 	for index := range tier.Groups {
 		group := policy.Group{
 			Name:  fmt.Sprintf("g%02d", index),
-			Range: part(space, index, tier.Groups),
+			Range: splitRange(space, index, tier.Groups),
 		}
 		for replica := range tier.ServersPerGroup {
 			group.Servers = append(group.Servers, policy.Server{
@@ -162,8 +162,8 @@
 	return service
 }
 
-// part is one of count near-equal parts of a range.
-func part(whole coverage.Range, index, count int) coverage.Range {
+// splitRange is one of count near-equal parts of a range.
+func splitRange(whole coverage.Range, index, count int) coverage.Range {
 	size := whole.Size()
 	return coverage.Range{
 		Start: whole.Start + size*uint64(index)/uint64(count),
--- a/lab/profile/profile_test.go
+++ b/lab/profile/profile_test.go
@@ -11,7 +11,7 @@
 	"github.com/banksail/banksail/policy"
 )
 
-func configOf(t *testing.T, name string) (profile.Profile, policy.Config) {
+func getConfig(t *testing.T, name string) (profile.Profile, policy.Config) {
 	t.Helper()
 	chosen, err := profile.Get(name)
 	if err != nil {
@@ -27,7 +27,7 @@
 func TestProfilesAreValidConfigurations(t *testing.T) {
 	for _, name := range profile.Names() {
 		t.Run(name, func(t *testing.T) {
-			chosen, config := configOf(t, name)
+			chosen, config := getConfig(t, name)
 			if err := validator.New(validator.WithRequiredStructEnabled()).Struct(config); err != nil {
 				t.Error(err)
 			}
@@ -61,9 +61,9 @@
 	}
 }
 
-func TestMixesNameWhatTheProfilesHold(t *testing.T) {
+func TestMixesReferToExistingServicesAndClasses(t *testing.T) {
 	for _, name := range profile.Names() {
-		chosen, config := configOf(t, name)
+		chosen, config := getConfig(t, name)
 		classes := make(map[string]bool)
 		for _, class := range config.Classes {
 			classes[class.Name] = true
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestProfilesHaveTodaysSizes(t *testing.T) {
+func TestProfileSizes(t *testing.T) {
 	cases := []struct {
 		profile, service                             string
 		groups, servers, slots, connections, regions int
@@ -96,7 +96,7 @@
 		{profile.Thibodeau, profile.Mailroom, 1, 3, 3, 110, 3},
 	}
 	for _, test := range cases {
-		chosen, _ := configOf(t, test.profile)
+		chosen, _ := getConfig(t, test.profile)
 		tier, ok := chosen.Tier(test.service)
 		same := tier.Groups == test.groups && tier.ServersPerGroup == test.servers &&
 			tier.Slots == test.slots && tier.Connections == test.connections
@@ -106,11 +106,11 @@
 	}
 }
 
-func TestUnknownProfileAndPorts(t *testing.T) {
+func TestUnknownProfileAndInvalidPortsAreRejected(t *testing.T) {
 	if _, err := profile.Get("other"); !errors.Is(err, profile.ErrUnknownProfile) {
 		t.Errorf("error is %v", err)
 	}
-	chosen, _ := configOf(t, profile.BlueMahoe)
+	chosen, _ := getConfig(t, profile.BlueMahoe)
 	for _, port := range []int{-1, 65530} {
 		if _, err := chosen.Config(profile.Placement{BasePort: port}); !errors.Is(err, profile.ErrInvalidPorts) {
 			t.Errorf("base port %d gave %v", port, err)
