--- a/lab/profile/deployments.go
+++ b/lab/profile/deployments.go
@@ -7,7 +7,7 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// Services of the profiles.
+// Names of services in the profiles.
 const (
 	RouteDesk          = "route-desk"
 	HotelPortal        = "hotel-portal"
@@ -20,8 +20,8 @@
 	Catalog            = "catalog"
 )
 
-// Classes of the profiles, first served first. Those that take partial answers
-// take one without one of eight groups.
+// Names of priority classes in the profiles, highest priority first. Classes that
+// accept partial answers accept those that lack one of eight groups.
 const (
 	Urgent  = "urgent"
 	Normal  = "normal"
@@ -31,8 +31,8 @@
 	Records = "records"
 )
 
-// newNetwork has the delays that both firms state: new connections cost
-// about 1 ms and zones are about 1 ms apart.
+// newNetwork returns the delays that both modelled companies report: about 1 ms for
+// a new connection and about 1 ms between zones. client is the delay to clients.
 func newNetwork(client time.Duration) Network {
 	return Network{
 		SameZone:      100 * time.Microsecond,
@@ -50,8 +50,8 @@
 	return emulator.Distribution{Kind: emulator.LogNormal, Mean: mean, Shape: shape, Maximum: 100 * mean}
 }
 
-// blueMahoe is the laundry cooperative at today's sizes: urgent lookups of
-// drivers go before the hotels' and those before billing.
+// blueMahoe returns the profile of a laundry cooperative. Urgent lookups by drivers
+// take priority over lookups by hotels, and those over billing.
 func blueMahoe() Profile {
 	return Profile{
 		Name:    BlueMahoe,
@@ -77,8 +77,8 @@
 	}
 }
 
-// thibodeau is the tender search at today's sizes: sweeps weigh coverage, the
-// deadline check on the same pool weighs the tail.
+// thibodeau returns the profile of a tender search. Sweeps need high coverage;
+// the deadline check on the same servers needs low tail latency.
 func thibodeau() Profile {
 	return Profile{
 		Name:    Thibodeau,
@@ -105,7 +105,8 @@
 	}
 }
 
-// small is for demonstrations: one sharded service and one pool on one machine.
+// small returns a profile for demonstrations on one machine: one sharded service
+// and one unsharded pool of servers.
 func small() Profile {
 	return Profile{
 		Name:    Small,
--- a/lab/profile/profile.go
+++ b/lab/profile/profile.go
@@ -1,6 +1,5 @@
-// Package profile describes the deployments that banksail is measured on: the
-// services with their servers, the priority classes, the network's delays and
-// the mix of queries.
+// Package profile describes the deployments on which banksail is measured: services
+// and their servers, priority classes, network delays and the mix of queries.
 package profile
 
 import (
@@ -16,10 +15,11 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// ErrUnknownProfile is returned when no profile has the name.
+// ErrUnknownProfile is returned by Get if no profile has the given name.
 var ErrUnknownProfile = errors.New("profile: unknown profile")
 
-// ErrInvalidPorts is returned when the profile's servers don't fit in the ports above the base.
+// ErrInvalidPorts is returned by Profile.Config if the base port is invalid or too
+// high for consecutive ports for all servers.
 var ErrInvalidPorts = errors.New("profile: invalid base port")
 
 // Names of the profiles.
@@ -29,7 +29,7 @@
 	Thibodeau = "thibodeau"
 )
 
-// Defaults of addresses.
+// Default addresses of servers, and limits of key spaces and ports.
 const (
 	DefaultHost     = "127.0.0.1"
 	DefaultBasePort = 21000
@@ -38,7 +38,7 @@
 	maximumPort = 65535
 )
 
-// Profile is one deployment.
+// Profile describes one deployment.
 type Profile struct {
 	Name    string
 	Zones   []string
@@ -48,7 +48,7 @@
 	Mix     []QueryKind
 }
 
-// Network holds the delays of a deployment, one way.
+// Network holds the one-way network delays of a deployment.
 type Network struct {
 	SameZone      time.Duration
 	BetweenZones  time.Duration
@@ -56,7 +56,7 @@
 	NewConnection time.Duration
 }
 
-// Tier is a service as a number of equal groups of equal servers.
+// Tier describes a service made of identical groups of identical servers.
 type Tier struct {
 	Service         string
 	Groups          int
@@ -70,24 +70,24 @@
 type QueryKind struct {
 	Service string
 	Class   string
-	// Fraction is the share of all queries.
+	// Fraction is the proportion of all queries, from 0 to 1.
 	Fraction   float64
 	Repeatable bool
 }
 
-// Placement gives the addresses of a profile's servers: consecutive ports from
-// a base, in the order of the configuration.
+// Placement determines the addresses of a profile's servers: consecutive ports
+// from BasePort on, in the order of the configuration. Zero fields get defaults.
 type Placement struct {
 	Host     string
 	BasePort int
 }
 
-// Names lists the profiles.
+// Names returns the names of all profiles.
 func Names() []string {
 	return []string{Small, BlueMahoe, Thibodeau}
 }
 
-// Get returns a profile by its name.
+// Get returns the profile with the given name, or ErrUnknownProfile.
 func Get(name string) (Profile, error) {
 	switch name {
 	case Small:
@@ -101,7 +101,8 @@
 	}
 }
 
-// Config returns the profile's configuration with the placement's addresses.
+// Config returns the profile's configuration with server addresses from the
+// placement, or ErrInvalidPorts.
 func (p Profile) Config(placement Placement) (policy.Config, error) {
 	if placement.Host == "" {
 		placement.Host = DefaultHost
@@ -121,7 +122,7 @@
 	return config, nil
 }
 
-// ServerCount is the number of servers of all services.
+// ServerCount returns the total number of servers of all services.
 func (p Profile) ServerCount() int {
 	count := 0
 	for _, tier := range p.Tiers {
@@ -130,7 +131,7 @@
 	return count
 }
 
-// Tier returns the tier of a service.
+// Tier returns the tier of a service, and whether the profile has one.
 func (p Profile) Tier(service string) (Tier, bool) {
 	index := slices.IndexFunc(p.Tiers, func(tier Tier) bool { return tier.Service == service })
 	if index < 0 {
@@ -162,7 +163,8 @@
 	return service
 }
 
-// splitRange is one of count near-equal parts of a range.
+// splitRange returns the part with the given index, from 0, of a range split into
+// count parts of nearly equal size.
 func splitRange(whole coverage.Range, index, count int) coverage.Range {
 	size := whole.Size()
 	return coverage.Range{
--- a/lab/profile/profile_test.go
+++ b/lab/profile/profile_test.go
@@ -69,14 +69,14 @@
 			classes[class.Name] = true
 		}
 		sum := 0.0
-		for _, share := range chosen.Mix {
-			sum += share.Fraction
-			if _, ok := chosen.Tier(share.Service); !ok || !classes[share.Class] {
-				t.Errorf("%s: the mix names %s, %s", name, share.Service, share.Class)
+		for _, kind := range chosen.Mix {
+			sum += kind.Fraction
+			if _, ok := chosen.Tier(kind.Service); !ok || !classes[kind.Class] {
+				t.Errorf("%s: the mix has unknown service %q or class %q", name, kind.Service, kind.Class)
 			}
 		}
 		if math.Abs(sum-1) > 1e-9 {
-			t.Errorf("%s: the shares sum to %g", name, sum)
+			t.Errorf("%s: the fractions of the mix sum to %g, want 1", name, sum)
 		}
 	}
 }
@@ -108,12 +108,12 @@
 
 func TestUnknownProfileAndInvalidPortsAreRejected(t *testing.T) {
 	if _, err := profile.Get("other"); !errors.Is(err, profile.ErrUnknownProfile) {
-		t.Errorf("error is %v", err)
+		t.Errorf("got error %v, want ErrUnknownProfile", err)
 	}
 	chosen, _ := getConfig(t, profile.BlueMahoe)
 	for _, port := range []int{-1, 65530} {
 		if _, err := chosen.Config(profile.Placement{BasePort: port}); !errors.Is(err, profile.ErrInvalidPorts) {
-			t.Errorf("base port %d gave %v", port, err)
+			t.Errorf("base port %d: got error %v, want ErrInvalidPorts", port, err)
 		}
 	}
 }
