--- a/lab/emulator/distribution_test.go
+++ b/lab/emulator/distribution_test.go
@@ -9,7 +9,7 @@
 	"github.com/banksail/banksail/lab/emulator"
 )
 
-func TestDistributionsKeepTheirMean(t *testing.T) {
+func TestDistributionMeans(t *testing.T) {
 	cases := []emulator.Distribution{
 		{Kind: emulator.Fixed, Mean: 10},
 		{Kind: emulator.Exponential, Mean: 10},
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestDistributionsThatCannotBeSampled(t *testing.T) {
+func TestInvalidDistributionsAreRejected(t *testing.T) {
 	cases := []emulator.Distribution{
 		{},
 		{Kind: "uniform", Mean: 1},
--- a/lab/emulator/execution.go
+++ b/lab/emulator/execution.go
@@ -52,9 +52,9 @@
 
 	// mutex guards the fields below and what entries point to. Invariant:
 	// entries holds the newest executions in the order in which they arrived.
-	mutex     sync.Mutex
-	entries   []*Execution
-	forgotten int
+	mutex   sync.Mutex
+	entries []*Execution
+	dropped int
 }
 
 // begin adds a sub-request, so that one cut short is in the history too.
@@ -67,7 +67,7 @@
 	if len(r.entries) > maximumExecutions {
 		excess := len(r.entries) - maximumExecutions/2
 		r.entries = append([]*Execution(nil), r.entries[excess:]...)
-		r.forgotten += excess
+		r.dropped += excess
 	}
 	return entry
 }
@@ -90,7 +90,7 @@
 func (r *recorder) history() ExecutionHistory {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	history := ExecutionHistory{Server: r.server, Dropped: r.forgotten, Executions: []Execution{}}
+	history := ExecutionHistory{Server: r.server, Dropped: r.dropped, Executions: []Execution{}}
 	for _, entry := range r.entries {
 		history.Executions = append(history.Executions, *entry)
 	}
--- a/lab/emulator/faults.go
+++ b/lab/emulator/faults.go
@@ -114,7 +114,7 @@
 
 // merge sets the switches that the body names and leaves the others.
 func (h faultsHandler[F]) merge(request *http.Request) error {
-	faults, err := copyOf(h.get())
+	faults, err := deepCopy(h.get())
 	if err != nil {
 		return err
 	}
@@ -132,8 +132,8 @@
 	return nil
 }
 
-// copyOf copies switches with their lists, which decoding would overwrite.
-func copyOf[F any](faults F) (F, error) {
+// deepCopy copies switches with their lists, which decoding would overwrite.
+func deepCopy[F any](faults F) (F, error) {
 	var copied F
 	data, err := json.Marshal(faults)
 	if err == nil {
--- a/lab/emulator/listener.go
+++ b/lab/emulator/listener.go
@@ -10,18 +10,18 @@
 // delays, from those above it, which may only carry the fault switches.
 type limitedListener struct {
 	net.Listener
-	limit int
-	setup time.Duration
-	// above takes the connections above the limit.
-	above *channelListener
+	limit      int
+	setupDelay time.Duration
+	// overflow takes the connections above the limit.
+	overflow *channelListener
 
 	// mutex guards open, the number of connections within the limit.
 	mutex sync.Mutex
 	open  int
 }
 
-func newLimitedListener(inner net.Listener, limit int, setup time.Duration) *limitedListener {
-	return &limitedListener{Listener: inner, limit: limit, setup: setup, above: newChannelListener(inner.Addr())}
+func newLimitedListener(inner net.Listener, limit int, setupDelay time.Duration) *limitedListener {
+	return &limitedListener{Listener: inner, limit: limit, setupDelay: setupDelay, overflow: newChannelListener(inner.Addr())}
 }
 
 // Accept returns the next connection within the limit.
@@ -29,17 +29,17 @@
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
-			_ = l.above.Close()
+			_ = l.overflow.Close()
 			return nil, err
 		}
-		if l.enter() {
+		if l.tryReserve() {
 			return &limitedConn{Conn: conn, listener: l}, nil
 		}
-		l.above.hand(conn)
+		l.overflow.enqueueConn(conn)
 	}
 }
 
-func (l *limitedListener) enter() bool {
+func (l *limitedListener) tryReserve() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.limit > 0 && l.open >= l.limit {
@@ -49,7 +49,7 @@
 	return true
 }
 
-func (l *limitedListener) leave() {
+func (l *limitedListener) releaseConn() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.open--
@@ -58,16 +58,16 @@
 // limitedConn is one accepted connection.
 type limitedConn struct {
 	net.Conn
-	listener *limitedListener
-	first    sync.Once
-	closed   sync.Once
+	listener  *limitedListener
+	firstRead sync.Once
+	closeOnce sync.Once
 }
 
 // Read delays the first read by the setup time.
 func (c *limitedConn) Read(buffer []byte) (int, error) {
-	c.first.Do(func() {
-		if c.listener.setup > 0 {
-			time.Sleep(c.listener.setup)
+	c.firstRead.Do(func() {
+		if c.listener.setupDelay > 0 {
+			time.Sleep(c.listener.setupDelay)
 		}
 	})
 	return c.Conn.Read(buffer)
@@ -75,27 +75,27 @@
 
 // Close frees the connection's place.
 func (c *limitedConn) Close() error {
-	c.closed.Do(c.listener.leave)
+	c.closeOnce.Do(c.listener.releaseConn)
 	return c.Conn.Close()
 }
 
 // channelListener accepts the connections that it is handed.
 type channelListener struct {
-	address net.Addr
-	conns   chan net.Conn
-	ended   chan struct{}
-	once    sync.Once
+	address   net.Addr
+	conns     chan net.Conn
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
-// pendingBound is the number of connections that wait to be accepted; further
+// maxPendingConns is the number of connections that wait to be accepted; further
 // ones are closed.
-const pendingBound = 16
+const maxPendingConns = 16
 
 func newChannelListener(address net.Addr) *channelListener {
-	return &channelListener{address: address, conns: make(chan net.Conn, pendingBound), ended: make(chan struct{})}
+	return &channelListener{address: address, conns: make(chan net.Conn, maxPendingConns), done: make(chan struct{})}
 }
 
-func (l *channelListener) hand(conn net.Conn) {
+func (l *channelListener) enqueueConn(conn net.Conn) {
 	select {
 	case l.conns <- conn:
 	default:
@@ -108,14 +108,14 @@
 	select {
 	case conn := <-l.conns:
 		return conn, nil
-	case <-l.ended:
+	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close ends Accept.
 func (l *channelListener) Close() error {
-	l.once.Do(func() { close(l.ended) })
+	l.closeOnce.Do(func() { close(l.done) })
 	return nil
 }
 
--- a/lab/emulator/listener_test.go
+++ b/lab/emulator/listener_test.go
@@ -12,7 +12,7 @@
 	"github.com/banksail/banksail/lab/emulator"
 )
 
-func TestFullAndFrozenServerCanBeSwitched(t *testing.T) {
+func TestFaultsCanBeSetOnFullAndFrozenServer(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestDrainEndsWhatRunsAndRefusesTheRest(t *testing.T) {
+func TestDrainCompletesInFlightAndRefusesNewQueries(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/lab/emulator/load.go
+++ b/lab/emulator/load.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// before returns the newest load that is not younger than the given time; a
+// latestAt returns the newest load that is not younger than the given time; a
 // server without one was idle.
-func (h *loadHistory) before(at time.Time) backend.Load {
+func (h *loadHistory) latestAt(at time.Time) backend.Load {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for index := len(h.samples) - 1; index >= 0; index-- {
@@ -52,7 +52,7 @@
 	load := backend.Load{InFlight: running, Queued: queued}
 	s.loads.add(now, load)
 	if faults.LoadLagMilliseconds > 0 {
-		load = s.loads.before(now.Add(-durationOf(faults.LoadLagMilliseconds)))
+		load = s.loads.latestAt(now.Add(-durationOf(faults.LoadLagMilliseconds)))
 	}
 	if faults.LoadFactor > 0 {
 		load.InFlight = int(float64(load.InFlight) * faults.LoadFactor)
@@ -63,14 +63,14 @@
 }
 
 func (s *Server) serveLoad(writer http.ResponseWriter, request *http.Request) {
-	if _, err := s.thawedContext(request.Context()); err != nil {
+	if _, err := s.waitUntilThawed(request.Context()); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(writer, http.StatusOK, s.reportedLoad(s.Faults()))
 }
 
 func (s *Server) serveHealth(writer http.ResponseWriter, request *http.Request) {
-	if _, err := s.thawedContext(request.Context()); err != nil {
+	if _, err := s.waitUntilThawed(request.Context()); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	faults := s.Faults()
@@ -87,7 +87,7 @@
 	switch {
 	case faults.HealthState != "":
 		return faults.HealthState
-	case s.drainingAt(at):
+	case s.wasDrainingAt(at):
 		return backend.HealthDraining
 	case at.Sub(s.started) < s.options.ColdStart:
 		return backend.HealthStarting
@@ -105,23 +105,23 @@
 // maximumDrainChanges bounds what is kept for lagging reports.
 const maximumDrainChanges = 256
 
-// noteDraining keeps a change of the Draining fault; mutex is held.
-func (s *Server) noteDraining(draining bool) {
+// recordDrainChange keeps a change of the Draining fault; mutex is held.
+func (s *Server) recordDrainChange(draining bool) {
 	if draining == s.faults.Draining {
 		return
 	}
-	s.drains = append(s.drains, drainChange{at: time.Now(), draining: draining})
-	if excess := len(s.drains) - maximumDrainChanges; excess > 0 {
-		s.drains = append([]drainChange(nil), s.drains[excess:]...)
+	s.drainChanges = append(s.drainChanges, drainChange{at: time.Now(), draining: draining})
+	if excess := len(s.drainChanges) - maximumDrainChanges; excess > 0 {
+		s.drainChanges = append([]drainChange(nil), s.drainChanges[excess:]...)
 	}
 }
 
-// drainingAt reports whether the server drained at a time.
-func (s *Server) drainingAt(at time.Time) bool {
+// wasDrainingAt reports whether the server drained at a time.
+func (s *Server) wasDrainingAt(at time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	draining := false
-	for _, change := range s.drains {
+	for _, change := range s.drainChanges {
 		if change.at.After(at) {
 			break
 		}
--- a/lab/emulator/machines.go
+++ b/lab/emulator/machines.go
@@ -97,10 +97,10 @@
 func (s *MachineListServer) SetFaults(faults MachineListFaults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	released := s.faults.KeepRemoved && !faults.KeepRemoved
+	keepCleared := s.faults.KeepRemoved && !faults.KeepRemoved
 	s.faults = faults
-	if released {
-		s.advance(s.machines)
+	if keepCleared {
+		s.appendVersion(s.machines)
 		return
 	}
 	s.notify()
@@ -111,7 +111,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.machines = machinelist.Upsert(s.machines, machine)
-	s.advance(machinelist.Upsert(s.newest().Machines, machine))
+	s.appendVersion(machinelist.Upsert(s.latest().Machines, machine))
 }
 
 // Remove takes a machine out; it reports whether the list had it. With the
@@ -125,18 +125,18 @@
 	}
 	s.machines = kept
 	if !s.faults.KeepRemoved {
-		s.advance(kept)
+		s.appendVersion(kept)
 	}
 	return true
 }
 
-func (s *MachineListServer) newest() machinelist.List {
+func (s *MachineListServer) latest() machinelist.List {
 	return s.versions[len(s.versions)-1].list
 }
 
-// advance appends a version; mutex is held.
-func (s *MachineListServer) advance(machines []machinelist.Machine) {
-	list := machinelist.List{Version: s.newest().Version + 1, Machines: slices.Clone(machines)}
+// appendVersion appends a version; mutex is held.
+func (s *MachineListServer) appendVersion(machines []machinelist.Machine) {
+	list := machinelist.List{Version: s.latest().Version + 1, Machines: slices.Clone(machines)}
 	s.versions = append(s.versions, listVersion{since: time.Now(), list: list})
 	if excess := len(s.versions) - maximumVersions; excess > 0 {
 		s.versions = slices.Clone(s.versions[excess:])
@@ -149,9 +149,9 @@
 	s.changed = make(chan struct{})
 }
 
-// visible is what a read shows now: the list, the channel that tells of a
+// visibleList is what a read shows now: the list, the channel that tells of a
 // change, and the time until a lagging change shows; zero when none waits.
-func (s *MachineListServer) visible() (machinelist.List, <-chan struct{}, time.Duration, error) {
+func (s *MachineListServer) visibleList() (machinelist.List, <-chan struct{}, time.Duration, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.faults.Down {
@@ -193,7 +193,7 @@
 func (s *MachineListServer) readList(request *http.Request) (machinelist.List, error) {
 	query := request.URL.Query()
 	if !query.Has(machinelist.AfterParameter) {
-		list, _, _, err := s.visible()
+		list, _, _, err := s.visibleList()
 		return list, err
 	}
 	after, wait, err := parseWatch(query, machinelist.AfterParameter, machinelist.WaitParameter, machinelist.MaximumWait)
@@ -205,33 +205,33 @@
 
 // watch waits until a version greater than after shows, at most wait.
 func (s *MachineListServer) watch(ctx context.Context, after uint64, wait time.Duration) (machinelist.List, error) {
-	ended := time.NewTimer(wait)
-	defer ended.Stop()
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
 	for {
-		list, changed, next, err := s.visible()
+		list, changed, next, err := s.visibleList()
 		if err != nil || list.Version > after {
 			return list, err
 		}
-		if err := awaitChange(ctx, changed, next, ended.C); err != nil {
+		if err := awaitChange(ctx, changed, next, timeout.C); err != nil {
 			return machinelist.List{}, err
 		}
 	}
 }
 
 // awaitChange returns nil when it is time to look again.
-func awaitChange(ctx context.Context, changed <-chan struct{}, next time.Duration, ended <-chan time.Time) error {
-	var lagged <-chan time.Time
+func awaitChange(ctx context.Context, changed <-chan struct{}, next time.Duration, timeout <-chan time.Time) error {
+	var lagElapsed <-chan time.Time
 	if next > 0 {
 		timer := time.NewTimer(next)
 		defer timer.Stop()
-		lagged = timer.C
+		lagElapsed = timer.C
 	}
 	select {
 	case <-changed:
 		return nil
-	case <-lagged:
+	case <-lagElapsed:
 		return nil
-	case <-ended:
+	case <-timeout:
 		return machinelist.ErrUnchanged
 	case <-ctx.Done():
 		return ctx.Err()
@@ -257,7 +257,7 @@
 		return machine, fmt.Errorf("%w: %w", errInvalidRequest, err)
 	}
 	if machine.ID != request.PathValue("id") {
-		return machine, invalid("id", "is not the one in the path")
+		return machine, invalidField("id", "is not the one in the path")
 	}
 	return machine, nil
 }
--- a/lab/emulator/machines_test.go
+++ b/lab/emulator/machines_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestMachineListLags(t *testing.T) {
+func TestMachineListLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := emulator.NewMachineListServer()
 		server.SetFaults(emulator.MachineListFaults{LagMilliseconds: 1000})
--- a/lab/emulator/query.go
+++ b/lab/emulator/query.go
@@ -27,27 +27,27 @@
 		return
 	}
 	received := &attempt{server: s, query: query, entry: s.recorder.begin(newExecution(s.options.ID, query))}
-	reply, outcome := received.run(request.Context())
+	reply, outcome := received.handle(request.Context())
 	s.recorder.end(received.entry, outcome)
-	received.deliver(request.Context(), writer, reply)
+	received.sendReply(request.Context(), writer, reply)
 }
 
 func validateQuery(query *backend.Request) error {
 	switch {
 	case query.AttemptID == "":
-		return invalid("attempt_id", "is missing")
+		return invalidField("attempt_id", "is missing")
 	case query.RequestID == "":
-		return invalid("request_id", "is missing")
+		return invalidField("request_id", "is missing")
 	case query.Service == "":
-		return invalid("service", "is missing")
+		return invalidField("service", "is missing")
 	case query.Class == "":
-		return invalid("class", "is missing")
+		return invalidField("class", "is missing")
 	case query.Snapshot == 0:
-		return invalid("snapshot", "is missing")
+		return invalidField("snapshot", "is missing")
 	case query.Range.Validate() != nil:
-		return invalid("range", "is empty or missing")
+		return invalidField("range", "is empty or missing")
 	case query.RemainingMilliseconds <= 0:
-		return invalid("remaining_ms", "must be positive")
+		return invalidField("remaining_ms", "must be positive")
 	}
 	return nil
 }
@@ -75,46 +75,46 @@
 	entry  *Execution
 }
 
-// run decides and executes. It returns the reply, nil when the connection is
+// handle decides and executes. It returns the reply, nil when the connection is
 // to close without one, and the outcome for the history.
-func (a *attempt) run(caller context.Context) (*backend.Reply, string) {
-	caller, err := a.server.thawedContext(caller)
+func (a *attempt) handle(caller context.Context) (*backend.Reply, string) {
+	caller, err := a.server.waitUntilThawed(caller)
 	if err != nil {
 		return nil, "ended while frozen"
 	}
 	ctx, cancel := context.WithTimeout(caller, durationOf(a.query.RemainingMilliseconds))
 	defer cancel()
 	a.faults = a.server.Faults()
-	if a.server.chance(a.faults.CloseBeforeShare) {
+	if a.server.drawFault(a.faults.CloseBeforeShare) {
 		return nil, "closed before execution"
 	}
-	if refusal := a.refuse(); refusal != nil {
+	if refusal := a.checkRefusal(); refusal != nil {
 		return refusal, string(refusal.Status)
 	}
 	err = a.server.slots.acquire(ctx)
-	if errors.Is(err, errShed) {
-		return a.shed(), string(backend.StatusShed)
+	if errors.Is(err, errQueueFull) {
+		return a.shedReply(), string(backend.StatusShed)
 	}
 	if err != nil {
-		return a.shed(), "ended in the queue"
+		return a.shedReply(), "ended in the queue"
 	}
 	defer a.server.slots.release()
 	return a.execute(ctx)
 }
 
-// refuse returns the reply to a request that the server won't execute.
-func (a *attempt) refuse() *backend.Reply {
+// checkRefusal returns the reply to a request that the server won't execute.
+func (a *attempt) checkRefusal() *backend.Reply {
 	switch {
 	case a.faults.Draining:
-		return a.reply(backend.StatusDraining)
+		return a.newReply(backend.StatusDraining)
 	case a.server.options.Service != "" && a.query.Service != a.server.options.Service:
-		return a.reply(backend.StatusNotOwner)
-	case !a.server.holds(a.faults, a.query.Range):
-		return a.reply(backend.StatusNotOwner)
+		return a.newReply(backend.StatusNotOwner)
+	case !a.server.holdsRange(a.faults, a.query.Range):
+		return a.newReply(backend.StatusNotOwner)
 	case !slices.Contains(a.server.snapshots(a.faults), a.query.Snapshot):
-		return a.reply(backend.StatusUnknownSnapshot)
-	case a.server.chance(a.faults.ShedShare):
-		return a.shed()
+		return a.newReply(backend.StatusUnknownSnapshot)
+	case a.server.drawFault(a.faults.ShedShare):
+		return a.shedReply()
 	}
 	return nil
 }
@@ -125,25 +125,25 @@
 	if err := clock.Sleep(ctx, a.server.serviceTime(a.faults)); err != nil {
 		return nil, "ended during execution"
 	}
-	if _, err := a.server.thawedContext(ctx); err != nil {
+	if _, err := a.server.waitUntilThawed(ctx); err != nil {
 		return nil, "ended while frozen during execution"
 	}
 	a.server.recorder.update(a.entry, func(entry *Execution) { entry.Completed = true })
-	if a.server.chance(a.faults.ErrorShare) {
-		return a.reply(backend.StatusError), string(backend.StatusError)
+	if a.server.drawFault(a.faults.ErrorShare) {
+		return a.newReply(backend.StatusError), string(backend.StatusError)
 	}
-	if a.server.chance(a.faults.CloseAfterShare) {
+	if a.server.drawFault(a.faults.CloseAfterShare) {
 		return nil, "closed after execution"
 	}
-	return a.done(), string(backend.StatusDone)
+	return a.doneReply(), string(backend.StatusDone)
 }
 
-func (a *attempt) done() *backend.Reply {
+func (a *attempt) doneReply() *backend.Reply {
 	snapshot := a.query.Snapshot
-	if a.server.chance(a.faults.WrongSnapshotShare) {
+	if a.server.drawFault(a.faults.WrongSnapshotShare) {
 		snapshot++
 	}
-	reply := a.reply(backend.StatusDone)
+	reply := a.newReply(backend.StatusDone)
 	keys := a.query.Range
 	reply.Snapshot = &snapshot
 	reply.Range = &keys
@@ -155,13 +155,13 @@
 	return reply
 }
 
-func (a *attempt) shed() *backend.Reply {
-	reply := a.reply(backend.StatusShed)
+func (a *attempt) shedReply() *backend.Reply {
+	reply := a.newReply(backend.StatusShed)
 	reply.RetryAfterMilliseconds = float64(retryAfter) / float64(time.Millisecond)
 	return reply
 }
 
-func (a *attempt) reply(status backend.Status) *backend.Reply {
+func (a *attempt) newReply(status backend.Status) *backend.Reply {
 	return &backend.Reply{
 		AttemptID: a.query.AttemptID,
 		Status:    status,
@@ -171,30 +171,30 @@
 	}
 }
 
-// deliver sends the reply under the faults that act on it.
-func (a *attempt) deliver(ctx context.Context, writer http.ResponseWriter, reply *backend.Reply) {
+// sendReply sends the reply under the faults that act on it.
+func (a *attempt) sendReply(ctx context.Context, writer http.ResponseWriter, reply *backend.Reply) {
 	if reply == nil {
 		panic(http.ErrAbortHandler)
 	}
 	if err := clock.Sleep(ctx, durationOf(a.faults.ReplyDelayMilliseconds)); err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	other := a.server.exchangeLast(reply)
-	if other != nil && a.server.chance(a.faults.SwappedReplyShare) {
+	other := a.server.swapLastReply(reply)
+	if other != nil && a.server.drawFault(a.faults.SwappedReplyShare) {
 		reply = other
 	}
-	if a.server.chance(a.faults.TruncateShare) {
+	if a.server.drawFault(a.faults.TruncateShare) {
 		truncate(writer, reply)
 	}
 	a.server.respond(writer, reply)
 }
 
-// exchangeLast remembers the newest reply and returns the one before it.
-func (s *Server) exchangeLast(reply *backend.Reply) *backend.Reply {
+// swapLastReply remembers the newest reply and returns the one before it.
+func (s *Server) swapLastReply(reply *backend.Reply) *backend.Reply {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	last := s.last
-	s.last = reply
+	last := s.lastReply
+	s.lastReply = reply
 	return last
 }
 
--- a/lab/emulator/server.go
+++ b/lab/emulator/server.go
@@ -81,12 +81,12 @@
 
 	// mutex guards the fields below. Invariant: thawed is closed whenever
 	// faults.Freeze is off; drains holds the changes of faults.Draining in order.
-	mutex  sync.Mutex
-	random *rand.Rand
-	faults ServerFaults
-	thawed chan struct{}
-	drains []drainChange
-	last   *backend.Reply
+	mutex        sync.Mutex
+	random       *rand.Rand
+	faults       ServerFaults
+	thawed       chan struct{}
+	drainChanges []drainChange
+	lastReply    *backend.Reply
 }
 
 // NewServer returns a back end. It fails on a distribution that can't be sampled.
@@ -101,7 +101,7 @@
 		endpoint: newEndpoint(),
 		options:  options,
 		started:  time.Now(),
-		slots:    &slots{size: options.Slots, bound: max(0, options.QueueBound)},
+		slots:    &slots{size: options.Slots, queueLimit: max(0, options.QueueBound)},
 		recorder: &recorder{server: options.ID, callback: options.OnExecution},
 		random:   rand.New(rand.NewPCG(options.Seed, seedStream)),
 		thawed:   thawed,
@@ -137,9 +137,9 @@
 func (s *Server) Serve(listener net.Listener) error {
 	limited := newLimitedListener(listener, s.options.Connections, s.options.ConnectionSetup)
 	control := make(chan error, 1)
-	go func() { control <- s.servers.serveControl(http.HandlerFunc(s.serveControl), limited.above) }()
+	go func() { control <- s.servers.serveControl(http.HandlerFunc(s.serveControl), limited.overflow) }()
 	err := s.servers.serve(s, limited)
-	_ = limited.above.Close()
+	_ = limited.overflow.Close()
 	return errors.Join(err, ignoreClosed(<-control))
 }
 
@@ -188,7 +188,7 @@
 	if !faults.Freeze && s.faults.Freeze {
 		close(s.thawed)
 	}
-	s.noteDraining(faults.Draining)
+	s.recordDrainChange(faults.Draining)
 	s.faults = faults
 }
 
@@ -197,8 +197,8 @@
 	return s.recorder.history().Executions
 }
 
-// chance draws whether a fault of the given share happens.
-func (s *Server) chance(share float64) bool {
+// drawFault draws whether a fault of the given share happens.
+func (s *Server) drawFault(share float64) bool {
 	if share <= 0 {
 		return false
 	}
@@ -236,7 +236,7 @@
 	return s.options.Snapshots
 }
 
-func (s *Server) holds(faults ServerFaults, keys coverage.Range) bool {
+func (s *Server) holdsRange(faults ServerFaults, keys coverage.Range) bool {
 	ranges := s.options.Ranges
 	if len(faults.Ranges) > 0 {
 		ranges = faults.Ranges
@@ -247,10 +247,10 @@
 	return slices.ContainsFunc(ranges, func(held coverage.Range) bool { return held.Contains(keys) })
 }
 
-// thawedContext waits until the server is not frozen. A frozen process does
+// waitUntilThawed waits until the server is not frozen. A frozen process does
 // not see its callers go, so what arrived while it was frozen runs afterwards
 // under a context that only the server's end cancels.
-func (s *Server) thawedContext(ctx context.Context) (context.Context, error) {
+func (s *Server) waitUntilThawed(ctx context.Context) (context.Context, error) {
 	s.mutex.Lock()
 	thawed := s.thawed
 	s.mutex.Unlock()
@@ -274,6 +274,6 @@
 // errInvalidRequest: a sub-request that does not follow the protocol.
 var errInvalidRequest = errors.New("emulator: invalid request")
 
-func invalid(field, problem string) error {
+func invalidField(field, problem string) error {
 	return fmt.Errorf("%w: %s: %s", errInvalidRequest, field, problem)
 }
--- a/lab/emulator/server_test.go
+++ b/lab/emulator/server_test.go
@@ -18,12 +18,12 @@
 	"github.com/banksail/banksail/lab/emulator"
 )
 
-var wholeRange = coverage.Range{Start: 0, End: 4096}
+var fullRange = coverage.Range{Start: 0, End: 4096}
 
 func newQuery(attempt string) *backend.Request {
 	return &backend.Request{
 		AttemptID: attempt, RequestID: "request-1", Service: "catalog", Class: "urgent", Snapshot: 1,
-		Range: wholeRange, RemainingMilliseconds: 1000, Body: json.RawMessage(`{"match":"x"}`),
+		Range: fullRange, RemainingMilliseconds: 1000, Body: json.RawMessage(`{"match":"x"}`),
 	}
 }
 
@@ -53,8 +53,8 @@
 	return recorder, true
 }
 
-// ask sends a query; the reply is nil when the connection was cut.
-func ask(ctx context.Context, t *testing.T, server *emulator.Server, query *backend.Request) *backend.Reply {
+// sendQuery sends a query; the reply is nil when the connection was cut.
+func sendQuery(ctx context.Context, t *testing.T, server *emulator.Server, query *backend.Request) *backend.Reply {
 	t.Helper()
 	body, err := json.Marshal(query)
 	if err != nil {
@@ -88,8 +88,8 @@
 	server := newServer(t, emulator.ServerOptions{Snapshots: []uint64{1, 2}})
 	query := newQuery("a1")
 	query.Snapshot = 2
-	reply := ask(t.Context(), t, server, query)
-	if reply.Status != backend.StatusDone || *reply.Snapshot != 2 || *reply.Range != wholeRange {
+	reply := sendQuery(t.Context(), t, server, query)
+	if reply.Status != backend.StatusDone || *reply.Snapshot != 2 || *reply.Range != fullRange {
 		t.Fatalf("reply is %+v", reply)
 	}
 	result := emulator.Result{}
@@ -126,7 +126,7 @@
 			if test.change != nil {
 				test.change(query)
 			}
-			if reply := ask(t.Context(), t, server, query); reply.Status != test.want {
+			if reply := sendQuery(t.Context(), t, server, query); reply.Status != test.want {
 				t.Errorf("status is %q, want %q", reply.Status, test.want)
 			}
 			for _, execution := range server.Executions() {
@@ -154,7 +154,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			server := newServer(t, emulator.ServerOptions{})
 			server.SetFaults(test.faults)
-			reply := ask(t.Context(), t, server, newQuery("a1"))
+			reply := sendQuery(t.Context(), t, server, newQuery("a1"))
 			if test.want == "" && reply != nil || test.want != "" && reply.Status != test.want {
 				t.Errorf("reply is %+v, want status %q", reply, test.want)
 			}
@@ -165,11 +165,11 @@
 	}
 }
 
-func TestServerCrossesReplies(t *testing.T) {
+func TestServerSwapsReplies(t *testing.T) {
 	server := newServer(t, emulator.ServerOptions{})
 	server.SetFaults(emulator.ServerFaults{SwappedReplyShare: 1})
-	ask(t.Context(), t, server, newQuery("a1"))
-	if reply := ask(t.Context(), t, server, newQuery("a2")); reply.AttemptID != "a1" {
+	sendQuery(t.Context(), t, server, newQuery("a1"))
+	if reply := sendQuery(t.Context(), t, server, newQuery("a2")); reply.AttemptID != "a1" {
 		t.Errorf("the reply is for %q, want the one before", reply.AttemptID)
 	}
 }
@@ -182,31 +182,31 @@
 		start := time.Now()
 		for _, attempt := range []string{"runs", "waits"} {
 			go func() {
-				ask(t.Context(), t, server, newQuery(attempt))
+				sendQuery(t.Context(), t, server, newQuery(attempt))
 			}()
 			synctest.Wait()
 		}
-		if reply := ask(t.Context(), t, server, newQuery("shed")); reply.Status != backend.StatusShed {
+		if reply := sendQuery(t.Context(), t, server, newQuery("shed")); reply.Status != backend.StatusShed {
 			t.Errorf("status is %q, want shed", reply.Status)
 		}
 		time.Sleep(20 * time.Millisecond)
 		synctest.Wait()
-		reply := ask(t.Context(), t, server, newQuery("later"))
+		reply := sendQuery(t.Context(), t, server, newQuery("later"))
 		if reply.Status != backend.StatusDone || time.Since(start) != 30*time.Millisecond {
 			t.Errorf("status is %q after %v, want done after 30ms", reply.Status, time.Since(start))
 		}
 	})
 }
 
-func TestServerStopsWorkWhoseCallerHasGone(t *testing.T) {
+func TestServerCancelsWorkOfDisconnectedCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newServer(t, emulator.ServerOptions{
 			Slots: 1, ServiceTime: emulator.Distribution{Kind: emulator.Fixed, Mean: 1000},
 		})
 		ctx, cancel := context.WithCancel(t.Context())
-		go ask(ctx, t, server, newQuery("runs"))
+		go sendQuery(ctx, t, server, newQuery("runs"))
 		synctest.Wait()
-		go ask(ctx, t, server, newQuery("waits"))
+		go sendQuery(ctx, t, server, newQuery("waits"))
 		synctest.Wait()
 		cancel()
 		synctest.Wait()
@@ -217,12 +217,12 @@
 	})
 }
 
-func TestFrozenServerRunsAfterwardsWhatArrived(t *testing.T) {
+func TestFrozenServerExecutesPendingQueriesAfterThaw(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newServer(t, emulator.ServerOptions{})
 		server.SetFaults(emulator.ServerFaults{Freeze: true})
 		ctx, cancel := context.WithCancel(t.Context())
-		go ask(ctx, t, server, newQuery("a1"))
+		go sendQuery(ctx, t, server, newQuery("a1"))
 		synctest.Wait()
 		cancel()
 		synctest.Wait()
@@ -243,35 +243,35 @@
 			ServiceTime: emulator.Distribution{Kind: emulator.Fixed, Mean: 10},
 			ColdStart:   time.Second, ColdFactor: 5,
 		})
-		took := func() time.Duration {
+		measure := func() time.Duration {
 			start := time.Now()
-			ask(t.Context(), t, server, newQuery("a1"))
+			sendQuery(t.Context(), t, server, newQuery("a1"))
 			return time.Since(start)
 		}
-		if first := took(); first != 50*time.Millisecond {
+		if first := measure(); first != 50*time.Millisecond {
 			t.Errorf("the first request took %v, want 50ms", first)
 		}
 		time.Sleep(time.Second)
-		if later := took(); later != 10*time.Millisecond {
+		if later := measure(); later != 10*time.Millisecond {
 			t.Errorf("a later request took %v, want 10ms", later)
 		}
 	})
 }
 
-func TestServerLoadLagsAndLies(t *testing.T) {
+func TestServerReportsDelayedAndScaledLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newServer(t, emulator.ServerOptions{ServiceTime: emulator.Distribution{Kind: emulator.Fixed, Mean: 10}})
 		server.SetFaults(emulator.ServerFaults{LoadLagMilliseconds: 1000, LoadFactor: 3})
-		first := ask(t.Context(), t, server, newQuery("a1"))
+		first := sendQuery(t.Context(), t, server, newQuery("a1"))
 		time.Sleep(2 * time.Second)
-		second := ask(t.Context(), t, server, newQuery("a2"))
+		second := sendQuery(t.Context(), t, server, newQuery("a2"))
 		if first.Load.InFlight != 0 || second.Load.InFlight != 3 {
 			t.Errorf("loads are %+v and %+v, want 0 and three times 1", first.Load, second.Load)
 		}
 	})
 }
 
-func TestServerHealthLagsAndLies(t *testing.T) {
+func TestServerReportsDelayedAndOverriddenHealth(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newServer(t, emulator.ServerOptions{ColdStart: time.Second})
 		check := func(want backend.HealthState) {
@@ -338,7 +338,7 @@
 	}
 }
 
-func TestRefusedFaultsChangeNothing(t *testing.T) {
+func TestRejectedFaultsChangeNothing(t *testing.T) {
 	server := newServer(t, emulator.ServerOptions{})
 	setFaults(t, server, `{"snapshots":[1,2]}`)
 	if code, _ := setFaults(t, server, `{"snapshots":[9,0]}`); code != http.StatusBadRequest {
--- a/lab/emulator/servers.go
+++ b/lab/emulator/servers.go
@@ -56,18 +56,18 @@
 	mutex   sync.Mutex
 	closed  bool
 	servers []*http.Server
-	// unused holds the connections that have not carried a request yet.
-	unused map[net.Conn]struct{}
+	// newConns holds the connections that have not carried a request yet.
+	newConns map[net.Conn]struct{}
 }
 
 func newHTTPServers() *httpServers {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &httpServers{ctx: ctx, cancel: cancel, unused: make(map[net.Conn]struct{})}
+	return &httpServers{ctx: ctx, cancel: cancel, newConns: make(map[net.Conn]struct{})}
 }
 
 // serve serves the listener until close; it returns nil then.
 func (h *httpServers) serve(handler http.Handler, listener net.Listener) error {
-	return h.run(&http.Server{
+	return h.serveWith(&http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
@@ -82,11 +82,11 @@
 		ReadTimeout:       controlTimeout,
 	}
 	server.SetKeepAlivesEnabled(false)
-	return h.run(server, listener)
+	return h.serveWith(server, listener)
 }
 
-func (h *httpServers) run(server *http.Server, listener net.Listener) error {
-	server.ConnState = h.noteState
+func (h *httpServers) serveWith(server *http.Server, listener net.Listener) error {
+	server.ConnState = h.trackConnState
 	if !h.add(server) {
 		return listener.Close()
 	}
@@ -107,14 +107,14 @@
 	return true
 }
 
-func (h *httpServers) noteState(conn net.Conn, state http.ConnState) {
+func (h *httpServers) trackConnState(conn net.Conn, state http.ConnState) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if state == http.StateNew {
-		h.unused[conn] = struct{}{}
+		h.newConns[conn] = struct{}{}
 		return
 	}
-	delete(h.unused, conn)
+	delete(h.newConns, conn)
 }
 
 // shutdown closes the listeners and waits for the requests in flight. It closes
@@ -128,7 +128,7 @@
 	for _, server := range servers {
 		go func() { ended <- server.Shutdown(ctx) }()
 	}
-	h.closeUnused()
+	h.closeNewConns()
 	var problems []error
 	for range servers {
 		problems = append(problems, <-ended)
@@ -136,10 +136,10 @@
 	return errors.Join(problems...)
 }
 
-func (h *httpServers) closeUnused() {
+func (h *httpServers) closeNewConns() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	for conn := range h.unused {
+	for conn := range h.newConns {
 		_ = conn.Close()
 	}
 }
--- a/lab/emulator/slots.go
+++ b/lab/emulator/slots.go
@@ -6,22 +6,22 @@
 	"sync"
 )
 
-// errShed: the server's queue is full.
-var errShed = errors.New("emulator: queue is full")
+// errQueueFull: the server's queue is full.
+var errQueueFull = errors.New("emulator: queue is full")
 
 // slots runs a bounded number of requests at once and queues a bounded number
 // in arrival order.
 type slots struct {
 	// mutex guards the fields below. Invariant: a request waits only while all
 	// slots are taken.
-	mutex   sync.Mutex
-	size    int
-	bound   int
-	running int
-	waiting []chan struct{}
+	mutex      sync.Mutex
+	size       int
+	queueLimit int
+	running    int
+	waiting    []chan struct{}
 }
 
-// acquire waits for a slot; the error is errShed or the context's.
+// acquire waits for a slot; the error is errQueueFull or the context's.
 func (s *slots) acquire(ctx context.Context) error {
 	granted, err := s.enqueue()
 	if err != nil || granted == nil {
@@ -32,7 +32,7 @@
 		return nil
 	case <-ctx.Done():
 	}
-	if !s.leave(granted) {
+	if !s.leaveQueue(granted) {
 		s.release()
 	}
 	return ctx.Err()
@@ -46,16 +46,16 @@
 		s.running++
 		return nil, nil
 	}
-	if len(s.waiting) >= s.bound {
-		return nil, errShed
+	if len(s.waiting) >= s.queueLimit {
+		return nil, errQueueFull
 	}
 	granted := make(chan struct{})
 	s.waiting = append(s.waiting, granted)
 	return granted, nil
 }
 
-// leave gives a place in the queue up; it is false when its slot was granted.
-func (s *slots) leave(granted chan struct{}) bool {
+// leaveQueue gives a place in the queue up; it is false when its slot was granted.
+func (s *slots) leaveQueue(granted chan struct{}) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for index, waiting := range s.waiting {
--- a/lab/emulator/store.go
+++ b/lab/emulator/store.go
@@ -64,18 +64,18 @@
 func parseWatch(query url.Values, afterName, waitName string, bound time.Duration) (uint64, time.Duration, error) {
 	after, err := strconv.ParseUint(query.Get(afterName), 10, 64)
 	if err != nil {
-		return 0, 0, invalid(afterName, "is no number")
+		return 0, 0, invalidField(afterName, "is no number")
 	}
 	count, err := strconv.ParseInt(query.Get(waitName), 10, 64)
 	if err != nil || count < 0 || count > bound.Milliseconds() {
-		return 0, 0, invalid(waitName, fmt.Sprintf("must be from 0 to %d", bound.Milliseconds()))
+		return 0, 0, invalidField(waitName, fmt.Sprintf("must be from 0 to %d", bound.Milliseconds()))
 	}
 	return after, time.Duration(count) * time.Millisecond, nil
 }
 
 func (s *StoreServer) putRecord(writer http.ResponseWriter, request *http.Request) {
 	key := request.PathValue("key")
-	base, err := parseBase(request.Header)
+	base, err := parseBaseRevision(request.Header)
 	if err == nil {
 		err = store.ValidateKey(key)
 	}
@@ -98,19 +98,19 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
-// parseBase reads the revision that a swap is based on; zero creates.
-func parseBase(header http.Header) (uint64, error) {
+// parseBaseRevision reads the revision that a swap is based on; zero creates.
+func parseBaseRevision(header http.Header) (uint64, error) {
 	match := header.Get("If-Match")
 	none := header.Get("If-None-Match")
 	switch {
 	case match == "" && none == "*":
 		return 0, nil
 	case match == "" || none != "":
-		return 0, invalid("If-Match", "give either a revision here or * in If-None-Match")
+		return 0, invalidField("If-Match", "give either a revision here or * in If-None-Match")
 	}
 	base, err := store.ParseETag(match)
 	if err != nil {
-		return 0, invalid("If-Match", err.Error())
+		return 0, invalidField("If-Match", err.Error())
 	}
 	return base, nil
 }
@@ -136,7 +136,7 @@
 func validateTimeToLive(grant store.GrantRequest) error {
 	bound := store.MaximumTimeToLive.Milliseconds()
 	if grant.TimeToLiveMilliseconds <= 0 || grant.TimeToLiveMilliseconds > float64(bound) {
-		return invalid("ttl_ms", fmt.Sprintf("must be over 0 and at most %d", bound))
+		return invalidField("ttl_ms", fmt.Sprintf("must be over 0 and at most %d", bound))
 	}
 	return nil
 }
