--- a/lab/emulator/distribution.go
+++ b/lab/emulator/distribution.go
@@ -10,13 +10,14 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// ErrInvalidDistribution is returned for a distribution that can't be sampled.
+// ErrInvalidDistribution is returned for a distribution that cannot be sampled:
+// an unknown kind, a shape outside the kind's domain or a negative time.
 var ErrInvalidDistribution = errors.New("emulator: invalid distribution")
 
-// DistributionKind names a family of service times.
+// DistributionKind is a family of probability distributions of service times.
 type DistributionKind string
 
-// Kinds of distributions.
+// Supported values of DistributionKind.
 const (
 	Fixed       DistributionKind = "fixed"
 	Exponential DistributionKind = "exponential"
@@ -24,19 +25,20 @@
 	Pareto      DistributionKind = "pareto"
 )
 
-// Distribution describes service times.
+// Distribution is a probability distribution of service times.
 type Distribution struct {
 	Kind DistributionKind `json:"kind" validate:"oneof=fixed exponential lognormal pareto"`
-	// Mean is the mean service time.
+	// Mean is the mean service time before Maximum is applied.
 	Mean policy.Milliseconds `json:"mean_ms" validate:"min=0,max=600000"`
 	// Shape is the standard deviation of the logarithm for lognormal, and the
 	// tail index, greater than one, for pareto; other kinds ignore it.
 	Shape float64 `json:"shape,omitempty" validate:"min=0,max=100"`
-	// Maximum cuts longer times off; zero means no bound.
+	// Maximum caps each sample; zero means no cap.
 	Maximum policy.Milliseconds `json:"max_ms,omitempty" validate:"min=0,max=600000"`
 }
 
-// Validate returns ErrInvalidDistribution when the distribution can't be sampled.
+// Validate returns an error that wraps ErrInvalidDistribution if the
+// distribution cannot be sampled.
 func (d Distribution) Validate() error {
 	switch d.Kind {
 	case Fixed, Exponential:
@@ -57,7 +59,7 @@
 	return nil
 }
 
-// Sample draws one service time.
+// Sample draws one service time, capped at Maximum.
 func (d Distribution) Sample(random *rand.Rand) time.Duration {
 	value := float64(d.Mean) * d.unit(random)
 	if d.Maximum > 0 {
@@ -66,7 +68,7 @@
 	return policy.Milliseconds(value).Duration()
 }
 
-// unit draws from the kind's distribution scaled to a mean of one.
+// unit draws a sample from the distribution scaled to a mean of one.
 func (d Distribution) unit(random *rand.Rand) float64 {
 	switch d.Kind {
 	case Exponential:
--- a/lab/emulator/distribution_test.go
+++ b/lab/emulator/distribution_test.go
@@ -42,7 +42,7 @@
 	}
 	for _, distribution := range cases {
 		if distribution.Validate() == nil {
-			t.Errorf("%+v was taken", distribution)
+			t.Errorf("Validate accepted %+v", distribution)
 		}
 	}
 }
--- a/lab/emulator/execution.go
+++ b/lab/emulator/execution.go
@@ -7,14 +7,15 @@
 	"github.com/banksail/banksail/coverage"
 )
 
-// ExecutionsPath is where a back end's execution history is read (GET).
+// ExecutionsPath is the HTTP path of a back end's execution history (GET).
 const ExecutionsPath = "/v1/executions"
 
-// maximumExecutions bounds the history that a server keeps for reading; the
-// oldest entries go first. The callback sees all.
+// maximumExecutions bounds the entries of a server's execution history. When it
+// is exceeded, the older half is evicted. ServerOptions.OnExecution is called
+// for every execution regardless.
 const maximumExecutions = 100_000
 
-// Execution is one sub-request that a server received.
+// Execution is the record of one sub-request that a server received.
 type Execution struct {
 	Server     string         `json:"server"`
 	AttemptID  string         `json:"attempt_id"`
@@ -24,40 +25,43 @@
 	Snapshot   uint64         `json:"snapshot"`
 	Range      coverage.Range `json:"range"`
 	Repeatable bool           `json:"repeatable"`
-	// Executed says whether the server began to run the sub-request.
+	// Executed is true once the server has started executing the sub-request.
 	Executed bool `json:"executed"`
-	// Completed says whether it ran to its end.
+	// Completed is true once the execution has run for its full service time.
 	Completed bool `json:"completed"`
-	// Outcome tells what became of it, for readers.
+	// Outcome describes the result for human readers: a backend.Status, the
+	// fault or cancellation that ended the sub-request, or "running".
 	Outcome string `json:"outcome"`
-	// ArrivedUnixNanoseconds is when the server had read it, by its wall clock.
+	// ArrivedUnixNanoseconds is the server's wall-clock time, in nanoseconds
+	// since the Unix epoch, at which it had read the sub-request.
 	ArrivedUnixNanoseconds int64 `json:"arrived_unix_ns"`
 }
 
 // ExecutionHistory is the reply to a GET of ExecutionsPath.
 type ExecutionHistory struct {
 	Server string `json:"server"`
-	// Dropped counts the entries that no longer fit.
+	// Dropped is the number of entries evicted because the history was full.
 	Dropped    int         `json:"forgotten"`
 	Executions []Execution `json:"executions"`
 }
 
-// outcomeRunning is the outcome of a sub-request that did not end yet.
+// outcomeRunning is the outcome of a sub-request that is still in progress.
 const outcomeRunning = "running"
 
-// recorder keeps a server's execution history.
+// recorder keeps a server's execution history and serves it over HTTP.
 type recorder struct {
 	server   string
 	callback func(Execution)
 
-	// mutex guards the fields below and what entries point to. Invariant:
-	// entries holds the newest executions in the order in which they arrived.
+	// mutex guards the fields below and the executions that entries point to.
+	// Invariant: entries holds the most recent executions in order of arrival.
 	mutex   sync.Mutex
 	entries []*Execution
 	dropped int
 }
 
-// begin adds a sub-request, so that one cut short is in the history too.
+// begin adds a sub-request to the history on arrival, so that the history also
+// contains those that are interrupted. It returns the entry for update and end.
 func (r *recorder) begin(execution Execution) *Execution {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -72,14 +76,14 @@
 	return entry
 }
 
-// update changes an entry.
+// update applies change to an entry under the recorder's lock.
 func (r *recorder) update(entry *Execution, change func(*Execution)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	change(entry)
 }
 
-// end closes an entry and reports it.
+// end sets the final outcome of an entry and passes it to the callback.
 func (r *recorder) end(entry *Execution, outcome string) {
 	r.update(entry, func(changed *Execution) { changed.Outcome = outcome })
 	if r.callback != nil {
--- a/lab/emulator/items.go
+++ b/lab/emulator/items.go
@@ -6,29 +6,29 @@
 	"github.com/banksail/banksail/coverage"
 )
 
-// DefaultItemStride is the distance of the keys that hold an item.
+// DefaultItemStride is the default distance between keys that hold an item.
 const DefaultItemStride = 1024
 
-// maximumItems bounds the items of one result.
+// maximumItems bounds the number of items in one result.
 const maximumItems = 4096
 
-// Item is one entry of a result. Its snapshot lets a checker see that all
-// parts of an answer come from one snapshot.
+// Item is one entry of a Result. It carries its snapshot so that a checker can
+// verify that all parts of an answer come from the same snapshot.
 type Item struct {
 	Key      uint64 `json:"key"`
 	Snapshot uint64 `json:"snapshot"`
 }
 
-// Result is the body of a reply to a query.
+// Result is the body of a successful reply to a query.
 type Result struct {
 	RequestID string `json:"request_id"`
 	Server    string `json:"server"`
 	Items     []Item `json:"items"`
 }
 
-// Items lists what a range holds in a snapshot: an item at each multiple of
-// the stride. The union of the items of adjacent ranges is the items of their
-// union.
+// Items returns the items of a key range in a snapshot: one at each multiple of
+// the stride, at most maximumItems. The items of adjacent ranges together are
+// the items of their union.
 func Items(keys coverage.Range, snapshot, stride uint64) []Item {
 	items := []Item{}
 	first := keys.Start + (stride-keys.Start%stride)%stride
--- a/lab/emulator/listener.go
+++ b/lab/emulator/listener.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// limitedListener parts the connections within a limit, whose first read it
-// delays, from those above it, which may only carry the fault switches.
+// limitedListener accepts connections up to a limit and delays the first read of
+// each by setupDelay. Connections above the limit go to overflow, where only
+// fault settings and the execution history are served.
 type limitedListener struct {
 	net.Listener
 	limit      int
 	setupDelay time.Duration
-	// overflow takes the connections above the limit.
+	// overflow receives the connections above the limit.
 	overflow *channelListener
 
-	// mutex guards open, the number of connections within the limit.
+	// mutex guards open, the number of open connections within the limit.
 	mutex sync.Mutex
 	open  int
 }
@@ -24,7 +25,8 @@
 	return &limitedListener{Listener: inner, limit: limit, setupDelay: setupDelay, overflow: newChannelListener(inner.Addr())}
 }
 
-// Accept returns the next connection within the limit.
+// Accept waits for the next connection within the limit. It passes connections
+// above the limit to overflow, and closes overflow on error.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -55,7 +57,7 @@
 	l.open--
 }
 
-// limitedConn is one accepted connection.
+// limitedConn is a connection that counts towards its listener's limit.
 type limitedConn struct {
 	net.Conn
 	listener  *limitedListener
@@ -63,7 +65,8 @@
 	closeOnce sync.Once
 }
 
-// Read delays the first read by the setup time.
+// Read reads from the connection; the first call sleeps for the listener's
+// setupDelay.
 func (c *limitedConn) Read(buffer []byte) (int, error) {
 	c.firstRead.Do(func() {
 		if c.listener.setupDelay > 0 {
@@ -73,13 +76,13 @@
 	return c.Conn.Read(buffer)
 }
 
-// Close frees the connection's place.
+// Close closes the connection and releases its share of the limit once.
 func (c *limitedConn) Close() error {
 	c.closeOnce.Do(c.listener.releaseConn)
 	return c.Conn.Close()
 }
 
-// channelListener accepts the connections that it is handed.
+// channelListener is a net.Listener whose connections come from enqueueConn.
 type channelListener struct {
 	address   net.Addr
 	conns     chan net.Conn
@@ -87,8 +90,8 @@
 	closeOnce sync.Once
 }
 
-// maxPendingConns is the number of connections that wait to be accepted; further
-// ones are closed.
+// maxPendingConns bounds the connections that wait for channelListener.Accept;
+// further ones are closed.
 const maxPendingConns = 16
 
 func newChannelListener(address net.Addr) *channelListener {
@@ -103,7 +106,7 @@
 	}
 }
 
-// Accept returns the next connection.
+// Accept waits for the next connection; it returns net.ErrClosed after Close.
 func (l *channelListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.conns:
@@ -113,13 +116,13 @@
 	}
 }
 
-// Close ends Accept.
+// Close makes Accept return net.ErrClosed.
 func (l *channelListener) Close() error {
 	l.closeOnce.Do(func() { close(l.done) })
 	return nil
 }
 
-// Addr is the address of the listener that hands connections over.
+// Addr returns the address of the listener that accepted the connections.
 func (l *channelListener) Addr() net.Addr {
 	return l.address
 }
--- a/lab/emulator/listener_test.go
+++ b/lab/emulator/listener_test.go
@@ -37,7 +37,7 @@
 	}
 	other := backend.NewClient(backend.ClientOptions{})
 	if _, err := other.Health(t.Context(), address); err == nil {
-		t.Error("a connection above the limit was served")
+		t.Error("health was served on a connection above the limit")
 	}
 	response, err := http.Post("http://"+address+emulator.FaultsPath, "application/json", strings.NewReader(`{"freeze":false}`))
 	if err != nil {
@@ -45,7 +45,7 @@
 	}
 	response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		t.Errorf("code is %d", response.StatusCode)
+		t.Errorf("HTTP status is %d, want 200", response.StatusCode)
 	}
 	if err := <-first; err != nil {
 		t.Error(err)
@@ -88,7 +88,7 @@
 		t.Error(err)
 	}
 	if err := <-running; err != nil {
-		t.Errorf("the running sub-request: %v", err)
+		t.Errorf("in-flight sub-request failed: %v", err)
 	}
 	if err := <-served; err != nil {
 		t.Error(err)
--- a/lab/emulator/load.go
+++ b/lab/emulator/load.go
@@ -8,12 +8,12 @@
 	"github.com/banksail/banksail/backend"
 )
 
-// maximumLoadSamples bounds what is kept for lagging reports.
+// maximumLoadSamples bounds the samples kept for delayed load reports.
 const maximumLoadSamples = 4096
 
-// loadHistory keeps earlier loads, so that reports can lag.
+// loadHistory keeps past load samples, from which delayed reports are served.
 type loadHistory struct {
-	// mutex guards samples, which are in the order of their times.
+	// mutex guards samples, which are ordered by time.
 	mutex   sync.Mutex
 	samples []loadSample
 }
@@ -32,8 +32,8 @@
 	}
 }
 
-// latestAt returns the newest load that is not younger than the given time; a
-// server without one was idle.
+// latestAt returns the most recent load sampled at or before the given time, or
+// the zero load, that of an idle server, if there is none.
 func (h *loadHistory) latestAt(at time.Time) backend.Load {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -45,7 +45,8 @@
 	return backend.Load{}
 }
 
-// reportedLoad is the server's account of its load, with lag and lie.
+// reportedLoad returns the load that the server reports: the current one, changed
+// by the load faults. It records the current load for delayed reports.
 func (s *Server) reportedLoad(faults ServerFaults) *backend.Load {
 	running, queued := s.slots.counts()
 	now := time.Now()
@@ -81,7 +82,8 @@
 	})
 }
 
-// healthState is the server's account of its health, with lag and lie.
+// healthState returns the state that the server reports, changed by the health
+// faults.
 func (s *Server) healthState(faults ServerFaults) backend.HealthState {
 	at := time.Now().Add(-durationOf(faults.HealthLagMilliseconds))
 	switch {
@@ -96,16 +98,17 @@
 	}
 }
 
-// drainChange is a switch of the Draining fault.
+// drainChange is a change of ServerFaults.Draining.
 type drainChange struct {
 	at       time.Time
 	draining bool
 }
 
-// maximumDrainChanges bounds what is kept for lagging reports.
+// maximumDrainChanges bounds the changes kept for delayed health reports.
 const maximumDrainChanges = 256
 
-// recordDrainChange keeps a change of the Draining fault; mutex is held.
+// recordDrainChange records the time at which ServerFaults.Draining changes. It
+// does nothing if the value is unchanged. The caller holds mutex.
 func (s *Server) recordDrainChange(draining bool) {
 	if draining == s.faults.Draining {
 		return
@@ -116,7 +119,7 @@
 	}
 }
 
-// wasDrainingAt reports whether the server drained at a time.
+// wasDrainingAt reports whether the server was draining at the given time.
 func (s *Server) wasDrainingAt(at time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/lab/emulator/machines.go
+++ b/lab/emulator/machines.go
@@ -18,28 +18,29 @@
 
 const maximumMachineBytes = 4 << 10
 
-// MachineListFaults switches faults of a machine list. The zero value has none.
+// MachineListFaults selects the faults that a MachineListServer injects. The zero
+// value injects none.
 type MachineListFaults struct {
 	// Down makes reads fail with 503.
 	Down bool `json:"down"`
-	// LagMilliseconds makes what reads show that old.
+	// LagMilliseconds is the age of the list that reads return.
 	LagMilliseconds float64 `json:"lag_ms" validate:"min=0,max=600000"`
-	// KeepRemoved goes on naming machines as live after they were removed.
+	// KeepRemoved keeps listing machines as live after their removal.
 	KeepRemoved bool `json:"keep_gone"`
-	// Empty answers with no machines.
+	// Empty makes reads return a list without machines.
 	Empty bool `json:"empty"`
 }
 
-// MachineListServer is the machine list's stand-in. PUT and DELETE of
-// /v1/machines/{id} change it.
+// MachineListServer emulates the machine list. Machines are changed by PUT and
+// DELETE of /v1/machines/{id}.
 type MachineListServer struct {
 	endpoint
 	validate *validator.Validate
 
-	// mutex guards the fields below. Invariant: versions are in order, each
-	// newer than the one before; the last one shows machines, but for those that
-	// the KeepRemoved fault keeps; changed is closed and replaced with each change
-	// of versions or faults.
+	// mutex guards the fields below. Invariants: versions are ordered by version
+	// number; the last one lists the same machines as machines, plus those that
+	// KeepRemoved retains; changed is closed and replaced whenever versions or
+	// faults change.
 	mutex    sync.Mutex
 	machines []machinelist.Machine
 	versions []listVersion
@@ -47,16 +48,17 @@
 	changed  chan struct{}
 }
 
-// listVersion is the list as it was from a time on.
+// listVersion is a version of the list and the time from which it applied.
 type listVersion struct {
 	since time.Time
 	list  machinelist.List
 }
 
-// maximumVersions bounds the old versions kept for lagging reads.
+// maximumVersions bounds the versions kept for delayed reads.
 const maximumVersions = 1024
 
-// NewMachineListServer returns a list of the given machines.
+// NewMachineListServer returns a server whose list has version 1 and holds the
+// given machines.
 func NewMachineListServer(machines ...machinelist.Machine) *MachineListServer {
 	if machines == nil {
 		machines = []machinelist.Machine{}
@@ -75,8 +77,9 @@
 	return server
 }
 
-// RaiseInitialVersion raises the version of the first list, so that watchers of an earlier
-// process see this one's list as newer.
+// RaiseInitialVersion raises the version of the initial list to at least the
+// given one, so that clients which watched a previous process see this list as
+// newer. It has no effect once the list has changed.
 func (s *MachineListServer) RaiseInitialVersion(version uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -86,14 +89,15 @@
 	s.notify()
 }
 
-// Faults returns the fault switches.
+// Faults returns the fault settings.
 func (s *MachineListServer) Faults() MachineListFaults {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.faults
 }
 
-// SetFaults replaces the fault switches.
+// SetFaults replaces the fault settings. Clearing KeepRemoved publishes a version
+// without the removed machines.
 func (s *MachineListServer) SetFaults(faults MachineListFaults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -106,7 +110,7 @@
 	s.notify()
 }
 
-// Upsert adds a machine or replaces the one with its ID.
+// Upsert adds a machine or replaces the one with the same ID.
 func (s *MachineListServer) Upsert(machine machinelist.Machine) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -114,8 +118,8 @@
 	s.appendVersion(machinelist.Upsert(s.latest().Machines, machine))
 }
 
-// Remove takes a machine out; it reports whether the list had it. With the
-// KeepRemoved fault the list goes on naming it until the fault is switched off.
+// Remove removes a machine and reports whether it was registered. While
+// KeepRemoved is set, the published list still contains the machine.
 func (s *MachineListServer) Remove(id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -134,7 +138,8 @@
 	return s.versions[len(s.versions)-1].list
 }
 
-// appendVersion appends a version; mutex is held.
+// appendVersion publishes a list of the given machines under the next version
+// number. The caller holds mutex.
 func (s *MachineListServer) appendVersion(machines []machinelist.Machine) {
 	list := machinelist.List{Version: s.latest().Version + 1, Machines: slices.Clone(machines)}
 	s.versions = append(s.versions, listVersion{since: time.Now(), list: list})
@@ -149,8 +154,10 @@
 	s.changed = make(chan struct{})
 }
 
-// visibleList is what a read shows now: the list, the channel that tells of a
-// change, and the time until a lagging change shows; zero when none waits.
+// visibleList returns the list that a read returns now, a channel that is closed
+// on the next change, and the time until a version delayed by LagMilliseconds
+// becomes visible, zero if there is none. It returns machinelist.ErrUnavailable
+// while the list is down.
 func (s *MachineListServer) visibleList() (machinelist.List, <-chan struct{}, time.Duration, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -203,7 +210,8 @@
 	return s.watch(request.Context(), after, wait)
 }
 
-// watch waits until a version greater than after shows, at most wait.
+// watch returns the list once a version greater than after is visible. It returns
+// machinelist.ErrUnchanged if there is none within the given wait.
 func (s *MachineListServer) watch(ctx context.Context, after uint64, wait time.Duration) (machinelist.List, error) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
@@ -218,7 +226,9 @@
 	}
 }
 
-// awaitChange returns nil when it is time to look again.
+// awaitChange returns nil when the visible list may have changed: on a signal of
+// changed, or after next if that is positive. It returns
+// machinelist.ErrUnchanged on time-out and the context's error on cancellation.
 func awaitChange(ctx context.Context, changed <-chan struct{}, next time.Duration, timeout <-chan time.Time) error {
 	var lagElapsed <-chan time.Time
 	if next > 0 {
--- a/lab/emulator/machines_test.go
+++ b/lab/emulator/machines_test.go
@@ -32,12 +32,12 @@
 	conn := startMachineList(t, server)
 	list, err := conn.Get(t.Context())
 	if err != nil || len(list.Machines) != 1 {
-		t.Fatalf("list is %+v, %v", list, err)
+		t.Fatalf("list is %+v, %v, want 1 machine", list, err)
 	}
 	server.Upsert(machine("b"))
 	list, err = conn.Watch(t.Context(), list.Version, time.Minute)
 	if err != nil || len(list.Machines) != 2 {
-		t.Errorf("list is %+v, %v", list, err)
+		t.Errorf("watch returned %+v, %v, want 2 machines", list, err)
 	}
 	if _, err := conn.Watch(t.Context(), list.Version, 0); !errors.Is(err, machinelist.ErrUnchanged) {
 		t.Errorf("error is %v, want ErrUnchanged", err)
@@ -50,11 +50,11 @@
 	server.SetFaults(emulator.MachineListFaults{KeepRemoved: true})
 	server.Remove("a")
 	if list, err := conn.Get(t.Context()); err != nil || len(list.Machines) != 1 {
-		t.Errorf("list that keeps the gone is %+v, %v", list, err)
+		t.Errorf("list with KeepRemoved is %+v, %v, want the removed machine", list, err)
 	}
 	server.SetFaults(emulator.MachineListFaults{})
 	if list, err := conn.Get(t.Context()); err != nil || len(list.Machines) != 0 {
-		t.Errorf("list afterwards is %+v, %v", list, err)
+		t.Errorf("list after KeepRemoved is cleared is %+v, %v, want no machines", list, err)
 	}
 	server.SetFaults(emulator.MachineListFaults{Down: true})
 	if _, err := conn.Get(t.Context()); !errors.Is(err, machinelist.ErrUnavailable) {
@@ -71,7 +71,7 @@
 		request := httptest.NewRequestWithContext(context.Background(), http.MethodGet, machinelist.Path+"?after=1&wait_ms=5000", nil)
 		recorder, ok := serveInMemory(server, request)
 		if !ok || recorder.Code != http.StatusOK || time.Since(start) != time.Second {
-			t.Errorf("code %d after %v, want 200 after 1s", recorder.Code, time.Since(start))
+			t.Errorf("HTTP status is %d after %v, want 200 after 1s", recorder.Code, time.Since(start))
 		}
 	})
 }
@@ -94,7 +94,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			recorder, ok := serveInMemory(server, httptest.NewRequest(test.method, test.path, strings.NewReader(test.body)))
 			if !ok || recorder.Code != test.want {
-				t.Errorf("code is %d, want %d: %s", recorder.Code, test.want, recorder.Body)
+				t.Errorf("HTTP status is %d, want %d: %s", recorder.Code, test.want, recorder.Body)
 			}
 		})
 	}
--- a/lab/emulator/query.go
+++ b/lab/emulator/query.go
@@ -15,7 +15,9 @@
 
 const maximumQueryBytes = 4 << 20
 
-// serveQuery receives one sub-request.
+// serveQuery handles one sub-request: it decodes and validates the request,
+// executes it and sends the reply. Only valid requests enter the execution
+// history.
 func (s *Server) serveQuery(writer http.ResponseWriter, request *http.Request) {
 	query := &backend.Request{}
 	err := strictjson.Decode(request.Body, strictjson.Limits{Bytes: maximumQueryBytes}, query)
@@ -67,7 +69,7 @@
 	}
 }
 
-// attempt carries one sub-request through the server.
+// attempt is the state of one sub-request while the server handles it.
 type attempt struct {
 	server *Server
 	query  *backend.Request
@@ -75,8 +77,9 @@
 	entry  *Execution
 }
 
-// handle decides and executes. It returns the reply, nil when the connection is
-// to close without one, and the outcome for the history.
+// handle refuses, queues or executes the request. It returns the reply, or nil
+// if the connection is to be closed without one, and the outcome for the
+// execution history.
 func (a *attempt) handle(caller context.Context) (*backend.Reply, string) {
 	caller, err := a.server.waitUntilThawed(caller)
 	if err != nil {
@@ -102,7 +105,8 @@
 	return a.execute(ctx)
 }
 
-// checkRefusal returns the reply to a request that the server won't execute.
+// checkRefusal returns the reply to a request that the server refuses to execute,
+// or nil if it accepts the request.
 func (a *attempt) checkRefusal() *backend.Reply {
 	switch {
 	case a.faults.Draining:
@@ -119,7 +123,9 @@
 	return nil
 }
 
-// execute holds a slot for the service time.
+// execute runs the request for its service time; the caller holds a slot. It
+// returns the reply, or nil if the connection is to be closed without one, and
+// the outcome for the execution history.
 func (a *attempt) execute(ctx context.Context) (*backend.Reply, string) {
 	a.server.recorder.update(a.entry, func(entry *Execution) { entry.Executed = true })
 	if err := clock.Sleep(ctx, a.server.serviceTime(a.faults)); err != nil {
@@ -171,7 +177,8 @@
 	}
 }
 
-// sendReply sends the reply under the faults that act on it.
+// sendReply sends the reply, subject to the faults that delay, swap or truncate
+// replies. A nil reply closes the connection.
 func (a *attempt) sendReply(ctx context.Context, writer http.ResponseWriter, reply *backend.Reply) {
 	if reply == nil {
 		panic(http.ErrAbortHandler)
@@ -189,7 +196,8 @@
 	a.server.respond(writer, reply)
 }
 
-// swapLastReply remembers the newest reply and returns the one before it.
+// swapLastReply stores the reply as the most recent one and returns the previous
+// one, nil if there is none.
 func (s *Server) swapLastReply(reply *backend.Reply) *backend.Reply {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -202,7 +210,7 @@
 	writeJSON(writer, reply.Status.HTTPCode(), reply)
 }
 
-// truncate sends half of the reply and cuts the connection.
+// truncate sends half of the reply and closes the connection.
 func truncate(writer http.ResponseWriter, reply *backend.Reply) {
 	data, err := json.Marshal(reply)
 	if err == nil {
--- a/lab/emulator/respond.go
+++ b/lab/emulator/respond.go
@@ -8,7 +8,7 @@
 
 var errMethodNotAllowed = errors.New("emulator: method not allowed")
 
-// problem is the body of an error reply, after RFC 9457.
+// problem is the body of an error response: problem details as in RFC 9457.
 type problem struct {
 	Title  string `json:"title"`
 	Status int    `json:"status"`
@@ -25,7 +25,8 @@
 	writeBody(writer, code, value)
 }
 
-// writeBody writes a whole reply; a client that has gone is no error.
+// writeBody writes the status code and the value as JSON. Write errors are
+// ignored, since they mean that the client has disconnected.
 func writeBody(writer http.ResponseWriter, code int, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
--- a/lab/emulator/server.go
+++ b/lab/emulator/server.go
@@ -1,7 +1,7 @@
-// Package emulator holds stand-ins for the peers of a node: back ends, the
-// key-value service and the machine list. Each serves the peer's protocol,
-// in-process or on a listener, and has fault switches that can be set while it
-// runs.
+// Package emulator emulates the services that a node depends on: back ends, the
+// key-value service and the machine list. Each emulated service implements the
+// real one's HTTP protocol, in-process or on a listener, and injects faults that
+// can be changed at run time.
 package emulator
 
 import (
@@ -22,7 +22,7 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// Defaults of ServerOptions.
+// Default values of ServerOptions.
 const (
 	DefaultSlots       = 4
 	DefaultQueueBound  = 16
@@ -30,47 +30,50 @@
 	DefaultSnapshot    = 1
 )
 
-// retryAfter is what shed replies ask a client to wait.
+// retryAfter is the back-off that shed replies ask of a client.
 const retryAfter = 20 * time.Millisecond
 
-// ServerOptions configures a back end. Zero fields get defaults.
+// ServerOptions configures a Server. Zero fields get default values.
 type ServerOptions struct {
-	// ID identifies the server in histories.
+	// ID identifies the server in execution histories and results.
 	ID string
-	// Service is the one that the server answers for; empty answers for all.
+	// Service is the only service that the server answers for; empty means all.
 	Service string
-	// Ranges lists the key ranges that the server holds; empty holds all.
+	// Ranges lists the key ranges that the server holds; empty means all keys.
 	Ranges []coverage.Range
 	// Snapshots lists the snapshots that the server holds.
 	Snapshots []uint64
-	// Slots is the number of requests that run at once.
+	// Slots is the number of requests executed concurrently.
 	Slots int
-	// QueueBound is the number of requests that wait; further ones are shed.
-	// A negative one means no queue.
+	// QueueBound is the maximum number of queued requests; further ones are shed.
+	// A negative value means no queue.
 	QueueBound int
-	// Connections is the number of open connections; further ones are closed
-	// at once. It holds for Serve.
+	// Connections is the maximum number of open connections; further ones may
+	// only access fault settings and the execution history and are otherwise
+	// closed. It applies to Serve only.
 	Connections int
-	// ConnectionSetup delays the first byte read of each connection. It holds
-	// for Serve.
+	// ConnectionSetup delays the first read on each connection. It applies to
+	// Serve only.
 	ConnectionSetup time.Duration
-	// ServiceTime describes how long requests run; the zero value takes no time.
+	// ServiceTime is the distribution of execution times; with the zero value
+	// requests take no time.
 	ServiceTime Distribution
-	// ColdStart is the time after the start during which the server is slow:
-	// service times fall from ColdFactor times the usual to the usual.
+	// ColdStart is the duration of the warm-up after the start, during which the
+	// multiplier of service times falls linearly from ColdFactor to one.
 	ColdStart  time.Duration
 	ColdFactor float64
-	// ItemStride is the distance of the keys that hold an item.
+	// ItemStride is the distance between keys that hold an item.
 	ItemStride uint64
-	// Incarnation tells this run of the server from earlier ones.
+	// Incarnation distinguishes this run of the server from earlier ones.
 	Incarnation string
-	// Seed makes service times and faults repeatable.
+	// Seed seeds the random numbers that determine service times and faults.
 	Seed uint64
-	// OnExecution is called for each sub-request, after it ended.
+	// OnExecution is called for each sub-request once its outcome is known, before
+	// the reply is sent.
 	OnExecution func(Execution)
 }
 
-// Server is a back end's stand-in.
+// Server emulates a back end.
 type Server struct {
 	endpoint
 	options  ServerOptions
@@ -79,8 +82,9 @@
 	recorder *recorder
 	loads    loadHistory
 
-	// mutex guards the fields below. Invariant: thawed is closed whenever
-	// faults.Freeze is off; drains holds the changes of faults.Draining in order.
+	// mutex guards the fields below. Invariants: thawed is closed if and only if
+	// faults.Freeze is off; drainChanges holds the most recent changes of
+	// faults.Draining in order of time.
 	mutex        sync.Mutex
 	random       *rand.Rand
 	faults       ServerFaults
@@ -89,7 +93,8 @@
 	lastReply    *backend.Reply
 }
 
-// NewServer returns a back end. It fails on a distribution that can't be sampled.
+// NewServer returns a server with the given options. It returns
+// ErrInvalidDistribution if ServiceTime cannot be sampled.
 func NewServer(options ServerOptions) (*Server, error) {
 	options = withServerDefaults(options)
 	if err := options.ServiceTime.Validate(); err != nil {
@@ -114,7 +119,8 @@
 	return server, nil
 }
 
-// seedStream parts the emulator's random numbers from other users of a seed.
+// seedStream is the second word of the PCG seed. It keeps the emulator's random
+// numbers independent of those that other packages derive from the same seed.
 const seedStream = 0x656d756c61746f72
 
 func withServerDefaults(options ServerOptions) ServerOptions {
@@ -131,9 +137,10 @@
 	return options
 }
 
-// Serve serves connections of the listener until the server is closed. Those
-// above the connection limit are cut, unless they read or set fault switches or
-// read the execution history: a full or frozen server can still be switched.
+// Serve serves connections of the listener until the server is closed.
+// Connections above the limit are closed unless they access the fault settings
+// or the execution history, so that the faults of a full or frozen server can
+// still be changed.
 func (s *Server) Serve(listener net.Listener) error {
 	limited := newLimitedListener(listener, s.options.Connections, s.options.ConnectionSetup)
 	control := make(chan error, 1)
@@ -143,7 +150,8 @@
 	return errors.Join(err, ignoreClosed(<-control))
 }
 
-// serveControl serves a connection above the limit.
+// serveControl handles a request on a connection above the limit. It aborts all
+// requests other than those for the fault settings and the execution history.
 func (s *Server) serveControl(writer http.ResponseWriter, request *http.Request) {
 	if request.URL.Path != FaultsPath && request.URL.Path != ExecutionsPath {
 		panic(http.ErrAbortHandler)
@@ -158,9 +166,10 @@
 	return err
 }
 
-// Drain stops the server as planned: it says that it leaves and refuses new
-// sub-requests for the notice time, then closes its listeners and waits for
-// what runs. It returns the context's error when that ends first.
+// Drain shuts the server down gracefully: for the notice period it reports that
+// it is draining and refuses new sub-requests; then it closes its listeners and
+// waits for in-flight requests. It returns the context's error if the context is
+// done first.
 func (s *Server) Drain(ctx context.Context, notice time.Duration) error {
 	faults := s.Faults()
 	faults.Draining = true
@@ -171,14 +180,14 @@
 	return s.servers.shutdown(ctx)
 }
 
-// Faults returns the fault switches.
+// Faults returns the fault settings.
 func (s *Server) Faults() ServerFaults {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.faults
 }
 
-// SetFaults replaces the fault switches.
+// SetFaults replaces the fault settings.
 func (s *Server) SetFaults(faults ServerFaults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -192,12 +201,12 @@
 	s.faults = faults
 }
 
-// Executions returns the execution history.
+// Executions returns the execution history in order of arrival.
 func (s *Server) Executions() []Execution {
 	return s.recorder.history().Executions
 }
 
-// drawFault draws whether a fault of the given share happens.
+// drawFault decides at random whether a fault with the given probability occurs.
 func (s *Server) drawFault(share float64) bool {
 	if share <= 0 {
 		return false
@@ -207,7 +216,8 @@
 	return s.random.Float64() < share
 }
 
-// serviceTime draws how long a request runs.
+// serviceTime draws the execution time of a request, including the effects of
+// straggling and of the cold start.
 func (s *Server) serviceTime(faults ServerFaults) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -219,7 +229,8 @@
 	return time.Duration(drawn * s.coldFactor())
 }
 
-// coldFactor falls from ColdFactor to one during the cold start.
+// coldFactor returns the current multiplier of service times, which falls
+// linearly from ColdFactor to one during the cold start.
 func (s *Server) coldFactor() float64 {
 	age := time.Since(s.started)
 	if age >= s.options.ColdStart {
@@ -247,9 +258,11 @@
 	return slices.ContainsFunc(ranges, func(held coverage.Range) bool { return held.Contains(keys) })
 }
 
-// waitUntilThawed waits until the server is not frozen. A frozen process does
-// not see its callers go, so what arrived while it was frozen runs afterwards
-// under a context that only the server's end cancels.
+// waitUntilThawed blocks while the server is frozen and returns the context to
+// continue with. A frozen process does not notice that its clients disconnect, so
+// a request that was blocked continues under a context that is cancelled only
+// when the server is closed. It returns that context's error if the server is
+// closed while frozen.
 func (s *Server) waitUntilThawed(ctx context.Context) (context.Context, error) {
 	s.mutex.Lock()
 	thawed := s.thawed
@@ -271,7 +284,7 @@
 	return policy.Milliseconds(milliseconds).Duration()
 }
 
-// errInvalidRequest: a sub-request that does not follow the protocol.
+// errInvalidRequest is returned for requests that violate the protocol.
 var errInvalidRequest = errors.New("emulator: invalid request")
 
 func invalidField(field, problem string) error {
--- a/lab/emulator/server_test.go
+++ b/lab/emulator/server_test.go
@@ -38,7 +38,8 @@
 	return server
 }
 
-// serveInMemory calls a handler; ok is false when it cut the connection.
+// serveInMemory calls a handler with the request; ok is false if the handler
+// aborted the connection.
 func serveInMemory(handler http.Handler, request *http.Request) (recorder *httptest.ResponseRecorder, ok bool) {
 	recorder = httptest.NewRecorder()
 	defer func() {
@@ -53,7 +54,8 @@
 	return recorder, true
 }
 
-// sendQuery sends a query; the reply is nil when the connection was cut.
+// sendQuery sends a query to the server; the reply is nil if the server aborted
+// the connection.
 func sendQuery(ctx context.Context, t *testing.T, server *emulator.Server, query *backend.Request) *backend.Reply {
 	t.Helper()
 	body, err := json.Marshal(query)
@@ -72,7 +74,7 @@
 		return nil
 	}
 	if recorder.Code != reply.Status.HTTPCode() {
-		t.Errorf("status %q under HTTP status %d", reply.Status, recorder.Code)
+		t.Errorf("reply status is %q with HTTP status %d", reply.Status, recorder.Code)
 	}
 	return reply
 }
@@ -131,7 +133,7 @@
 			}
 			for _, execution := range server.Executions() {
 				if execution.Executed {
-					t.Errorf("the history says %+v", execution)
+					t.Errorf("refused request was executed: %+v", execution)
 				}
 			}
 		})
@@ -170,7 +172,7 @@
 	server.SetFaults(emulator.ServerFaults{SwappedReplyShare: 1})
 	sendQuery(t.Context(), t, server, newQuery("a1"))
 	if reply := sendQuery(t.Context(), t, server, newQuery("a2")); reply.AttemptID != "a1" {
-		t.Errorf("the reply is for %q, want the one before", reply.AttemptID)
+		t.Errorf("reply is for attempt %q, want a1", reply.AttemptID)
 	}
 }
 
@@ -227,12 +229,12 @@
 		cancel()
 		synctest.Wait()
 		if server.Executions()[0].Executed {
-			t.Error("a frozen server executed")
+			t.Error("the frozen server executed the query")
 		}
 		server.SetFaults(emulator.ServerFaults{})
 		synctest.Wait()
 		if !server.Executions()[0].Executed {
-			t.Error("the thawed server did not execute")
+			t.Error("the server did not execute the query after the thaw")
 		}
 	})
 }
@@ -266,7 +268,7 @@
 		time.Sleep(2 * time.Second)
 		second := sendQuery(t.Context(), t, server, newQuery("a2"))
 		if first.Load.InFlight != 0 || second.Load.InFlight != 3 {
-			t.Errorf("loads are %+v and %+v, want 0 and three times 1", first.Load, second.Load)
+			t.Errorf("loads are %+v and %+v, want 0 and 3 in flight", first.Load, second.Load)
 		}
 	})
 }
@@ -319,7 +321,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			code, body := setFaults(t, handlers[test.handler], test.body)
 			if code != http.StatusBadRequest || !strings.Contains(body, test.field) {
-				t.Errorf("code %d, body %s, want 400 naming %s", code, body, test.field)
+				t.Errorf("HTTP status is %d with body %s, want 400 naming %s", code, body, test.field)
 			}
 		})
 	}
@@ -330,7 +332,7 @@
 	setFaults(t, server, `{"shed_share":0.5}`)
 	setFaults(t, server, `{"draining":true}`)
 	if faults := server.Faults(); faults.ShedShare != 0.5 || !faults.Draining {
-		t.Errorf("faults are %+v", faults)
+		t.Errorf("faults after two merges are %+v, want both fields set", faults)
 	}
 	serveInMemory(server, httptest.NewRequest(http.MethodDelete, emulator.FaultsPath, nil))
 	if faults := server.Faults(); !reflect.DeepEqual(faults, emulator.ServerFaults{}) {
@@ -342,10 +344,10 @@
 	server := newServer(t, emulator.ServerOptions{})
 	setFaults(t, server, `{"snapshots":[1,2]}`)
 	if code, _ := setFaults(t, server, `{"snapshots":[9,0]}`); code != http.StatusBadRequest {
-		t.Errorf("code is %d", code)
+		t.Errorf("HTTP status is %d, want 400", code)
 	}
 	if snapshots := server.Faults().Snapshots; !reflect.DeepEqual(snapshots, []uint64{1, 2}) {
-		t.Errorf("snapshots are %v after a refusal", snapshots)
+		t.Errorf("snapshots are %v after the rejected change, want [1 2]", snapshots)
 	}
 }
 
@@ -361,11 +363,11 @@
 		defer server.Close()
 		code, reply := setFaults(t, server, string(body))
 		if code != http.StatusOK && code != http.StatusBadRequest {
-			t.Fatalf("code %d: %s", code, reply)
+			t.Fatalf("HTTP status is %d: %s", code, reply)
 		}
 		changed := !reflect.DeepEqual(server.Faults(), emulator.ServerFaults{})
 		if code == http.StatusBadRequest && changed {
-			t.Fatalf("a refused body changed the switches: %+v", server.Faults())
+			t.Fatalf("a rejected body changed the faults: %+v", server.Faults())
 		}
 	})
 }
@@ -382,7 +384,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		request := httptest.NewRequest(http.MethodPost, backend.QueryPath, bytes.NewReader(body))
 		if recorder, ok := serveInMemory(server, request); ok && recorder.Code >= 500 {
-			t.Fatalf("code %d: %s", recorder.Code, recorder.Body)
+			t.Fatalf("HTTP status is %d: %s", recorder.Code, recorder.Body)
 		}
 	})
 }
--- a/lab/emulator/servers.go
+++ b/lab/emulator/servers.go
@@ -10,16 +10,17 @@
 	"time"
 )
 
-// Timeouts of the stand-ins' HTTP servers.
+// Timeouts of the emulated services' HTTP servers.
 const (
 	readHeaderTimeout = 10 * time.Second
 	idleTimeout       = 2 * time.Minute
-	// controlTimeout bounds the reading of a request above the connection limit.
+	// controlTimeout bounds the time for reading a request on a connection above
+	// the connection limit.
 	controlTimeout = 200 * time.Millisecond
 )
 
-// endpoint is what the stand-ins have in common: the routes of their protocol
-// and fault switches, served in-process or on listeners.
+// endpoint is the common part of the emulated services: the routes of their
+// protocol and of their fault settings, served in-process or on listeners.
 type endpoint struct {
 	mux     *http.ServeMux
 	servers *httpServers
@@ -29,34 +30,35 @@
 	return endpoint{mux: http.NewServeMux(), servers: newHTTPServers()}
 }
 
-// ServeHTTP serves the stand-in's protocol and the fault switches.
+// ServeHTTP handles requests of the emulated protocol and for the fault settings.
 func (e endpoint) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	e.mux.ServeHTTP(writer, request)
 }
 
-// Serve serves connections of the listener until the stand-in is closed; it
-// returns nil then.
+// Serve serves connections of the listener until the service is closed, and then
+// returns nil.
 func (e endpoint) Serve(listener net.Listener) error {
 	return e.servers.serve(e.mux, listener)
 }
 
-// Close ends Serve, cuts its connections and ends what a fault holds back.
+// Close stops Serve, closes all its connections and cancels requests that a
+// fault suspends.
 func (e endpoint) Close() error {
 	return e.servers.close()
 }
 
-// httpServers owns the HTTP servers of a stand-in.
+// httpServers owns the HTTP servers of an emulated service, one per listener.
 type httpServers struct {
-	// ctx ends with the stand-in.
+	// ctx is cancelled when the service is closed.
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	// mutex guards the fields below. Invariant: after closed is set, no server
-	// is added.
+	// mutex guards the fields below. Invariant: no server is added once closed is
+	// set.
 	mutex   sync.Mutex
 	closed  bool
 	servers []*http.Server
-	// newConns holds the connections that have not carried a request yet.
+	// newConns holds the connections on which no request has arrived yet.
 	newConns map[net.Conn]struct{}
 }
 
@@ -65,7 +67,7 @@
 	return &httpServers{ctx: ctx, cancel: cancel, newConns: make(map[net.Conn]struct{})}
 }
 
-// serve serves the listener until close; it returns nil then.
+// serve serves the listener until close or shutdown, and then returns nil.
 func (h *httpServers) serve(handler http.Handler, listener net.Listener) error {
 	return h.serveWith(&http.Server{
 		Handler:           handler,
@@ -74,7 +76,8 @@
 	}, listener)
 }
 
-// serveControl serves connections of one request each, which must come at once.
+// serveControl is like serve, but each connection serves only one request, which
+// must arrive within controlTimeout.
 func (h *httpServers) serveControl(handler http.Handler, listener net.Listener) error {
 	server := &http.Server{
 		Handler:           handler,
@@ -117,8 +120,9 @@
 	delete(h.newConns, conn)
 }
 
-// shutdown closes the listeners and waits for the requests in flight. It closes
-// the connections that carried none yet, for which net/http would wait.
+// shutdown closes the listeners and waits for in-flight requests. It also closes
+// connections on which no request has arrived yet, since http.Server.Shutdown
+// would wait for them.
 func (h *httpServers) shutdown(ctx context.Context) error {
 	h.mutex.Lock()
 	h.closed = true
--- a/lab/emulator/slots.go
+++ b/lab/emulator/slots.go
@@ -6,14 +6,14 @@
 	"sync"
 )
 
-// errQueueFull: the server's queue is full.
+// errQueueFull is returned by slots.acquire if the queue is full.
 var errQueueFull = errors.New("emulator: queue is full")
 
-// slots runs a bounded number of requests at once and queues a bounded number
-// in arrival order.
+// slots is a semaphore with a bounded FIFO queue: it limits the requests that run
+// concurrently and those that wait for a slot.
 type slots struct {
-	// mutex guards the fields below. Invariant: a request waits only while all
-	// slots are taken.
+	// mutex guards the fields below. Invariant: requests wait only while all
+	// slots are in use.
 	mutex      sync.Mutex
 	size       int
 	queueLimit int
@@ -21,7 +21,8 @@
 	waiting    []chan struct{}
 }
 
-// acquire waits for a slot; the error is errQueueFull or the context's.
+// acquire waits for a slot. It returns errQueueFull if the queue is full, or the
+// context's error; after nil the caller must call release.
 func (s *slots) acquire(ctx context.Context) error {
 	granted, err := s.enqueue()
 	if err != nil || granted == nil {
@@ -38,7 +39,8 @@
 	return ctx.Err()
 }
 
-// enqueue takes a free slot, for which it returns nil, or a place in the queue.
+// enqueue acquires a free slot and returns nil, or joins the queue and returns a
+// channel that is closed when a slot is granted.
 func (s *slots) enqueue() (chan struct{}, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -54,7 +56,8 @@
 	return granted, nil
 }
 
-// leaveQueue gives a place in the queue up; it is false when its slot was granted.
+// leaveQueue removes a waiter from the queue. It returns false if the waiter has
+// already been granted a slot.
 func (s *slots) leaveQueue(granted chan struct{}) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -67,7 +70,7 @@
 	return false
 }
 
-// release frees a slot or hands it to the first in the queue.
+// release frees a slot or grants it to the first waiter in the queue.
 func (s *slots) release() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/lab/emulator/store.go
+++ b/lab/emulator/store.go
@@ -13,14 +13,15 @@
 	"github.com/banksail/banksail/store"
 )
 
-// StoreServer is the key-value service's stand-in.
+// StoreServer emulates the key-value service.
 type StoreServer struct {
 	endpoint
 	memory *store.Memory
 }
 
-// NewStoreServer serves a Memory, whose faults show as the protocol's: an
-// outage as 503, a lost reply as a cut connection.
+// NewStoreServer returns a server for the records and leases of a Memory. The
+// faults of the Memory appear as failures of the protocol: an outage as HTTP
+// status 503, a lost reply as a closed connection.
 func NewStoreServer(memory *store.Memory) *StoreServer {
 	server := &StoreServer{endpoint: newEndpoint(), memory: memory}
 	server.mux.HandleFunc("GET "+store.RecordsPath+"{key...}", server.getRecord)
@@ -48,7 +49,8 @@
 	_, _ = writer.Write(record.Value)
 }
 
-// readRecord reads at once, or waits when the query names a revision.
+// readRecord reads a record. If the query names a revision, it waits for a newer
+// one.
 func (s *StoreServer) readRecord(ctx context.Context, key string, query url.Values) (store.Record, error) {
 	if !query.Has(store.AfterParameter) {
 		return s.memory.Get(ctx, key)
@@ -60,7 +62,8 @@
 	return s.memory.Watch(ctx, key, after, wait)
 }
 
-// parseWatch reads the parameters of a long poll.
+// parseWatch parses the parameters of a long poll: the revision or version after
+// which to watch and the time to wait, in milliseconds, at most bound.
 func parseWatch(query url.Values, afterName, waitName string, bound time.Duration) (uint64, time.Duration, error) {
 	after, err := strconv.ParseUint(query.Get(afterName), 10, 64)
 	if err != nil {
@@ -98,7 +101,8 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
-// parseBaseRevision reads the revision that a swap is based on; zero creates.
+// parseBaseRevision returns the revision on which a compare-and-swap is based,
+// from If-Match, or zero to create a record, from If-None-Match: *.
 func parseBaseRevision(header http.Header) (uint64, error) {
 	match := header.Get("If-Match")
 	none := header.Get("If-None-Match")
@@ -159,8 +163,8 @@
 	writer.WriteHeader(http.StatusNoContent)
 }
 
-// writeStoreError answers with the status that carries the error. A lost reply
-// cuts the connection.
+// writeStoreError responds with the HTTP status that represents the error. A lost
+// reply or a cancelled request closes the connection without a response.
 func writeStoreError(writer http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, store.ErrOutcomeUnknown), errors.Is(err, context.Canceled):
