--- a/lab/load/check.go
+++ b/lab/load/check.go
@@ -10,14 +10,16 @@
 	"github.com/banksail/banksail/lab/emulator"
 )
 
-// errWrongAnswer: an answer that the stand-ins' results contradict.
+// errWrongAnswer is returned for an answer that contradicts the data of the
+// emulated servers or itself.
 var errWrongAnswer = errors.New("load: wrong answer")
 
-// coverageTolerance allows for rounding in a stated coverage.
+// coverageTolerance is the largest rounding error accepted in a reported coverage.
 const coverageTolerance = 1e-9
 
-// checkAnswer compares an answer with what the stand-ins hold: one snapshot,
-// this request's results, whole parts and the true coverage.
+// checkAnswer verifies an answer against the data of the emulated servers: all parts
+// must come from one snapshot, belong to this request and contain all items of
+// their range, and the reported coverage must be correct.
 func checkAnswer(read *answer, requestID string, stride uint64) error {
 	if read.RequestID != requestID {
 		return fmt.Errorf("%w: it is for request %q", errWrongAnswer, read.RequestID)
--- a/lab/load/generator.go
+++ b/lab/load/generator.go
@@ -13,17 +13,19 @@
 	"github.com/banksail/banksail/lab/profile"
 )
 
-// seedStream parts the generator's random numbers from other users of a seed.
+// seedStream selects a random number stream that differs from those of other users
+// of the same seed.
 const seedStream = 0x6c6f6164
 
-// Further sendings of a query that is not repeatable.
+// Limits of the retries of a non-repeatable query.
 const (
 	maximumRetries    = 3
 	maximumRetryDelay = 500 * time.Millisecond
 )
 
-// Run sends queries until the duration or the context ends, waits for the
-// answers and returns the report.
+// Run sends queries until options.Duration has passed or the context is done, waits
+// for the answers and returns the report. It returns ErrInvalidOptions for invalid
+// options.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	options = options.withDefaults()
 	if err := options.Validate(); err != nil {
@@ -45,7 +47,8 @@
 	return generator.report, nil
 }
 
-// generator draws arrivals and starts queries.
+// generator generates random arrivals and starts queries. permits limits the
+// queries in flight, pending waits for them.
 type generator struct {
 	options         Options
 	sender          *sender
@@ -57,8 +60,8 @@
 	lastRequest     int
 }
 
-// sendAll follows the drawn arrival times, so that late answers don't thin the
-// load.
+// sendAll starts queries until the context is done. It follows the generated arrival
+// times without waiting for answers, so that slow answers don't reduce the load.
 func (g *generator) sendAll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, g.options.Duration)
 	defer cancel()
@@ -72,12 +75,12 @@
 	}
 }
 
-// nextInterval draws the time to the next arrival.
+// nextInterval returns an exponentially distributed time to the next arrival.
 func (g *generator) nextInterval() time.Duration {
 	return time.Duration(g.random.ExpFloat64() / g.options.Rate * float64(time.Second))
 }
 
-// pickKind picks a kind of query by its share.
+// pickKind returns a random kind of query, weighted by Fraction.
 func (g *generator) pickKind() profile.QueryKind {
 	sum := 0.0
 	for _, kind := range g.options.Mix {
@@ -93,7 +96,8 @@
 	return g.options.Mix[len(g.options.Mix)-1]
 }
 
-// startQuery sends a query in the background unless too many are in flight.
+// startQuery sends a query in the background. If MaxInFlight queries are in flight,
+// it counts the query as skipped instead.
 func (g *generator) startQuery(kind profile.QueryKind) {
 	select {
 	case g.permits <- struct{}{}:
@@ -110,7 +114,8 @@
 	})
 }
 
-// planRetries draws the further sendings of a query that has no answer.
+// planRetries returns the retries, with random addresses and delays, to make while a
+// query has no answer. Repeatable queries get none.
 func (g *generator) planRetries(kind profile.QueryKind) []retry {
 	if kind.Repeatable || len(g.options.RetryAddresses) == 0 {
 		return nil
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -65,13 +65,14 @@
 			test.change(read)
 			err := checkAnswer(read, "r", stride)
 			if test.right != (err == nil) || err != nil && !errors.Is(err, errWrongAnswer) {
-				t.Errorf("error is %v, want right %v", err, test.right)
+				t.Errorf("got error %v, want a correct answer: %v", err, test.right)
 			}
 		})
 	}
 }
 
-// stubNode answers in memory: whole answers, but a refusal of the batch class.
+// stubNode is an in-memory transport. It returns complete answers after 5 ms, and
+// refusals for the batch class.
 type stubNode struct{ t *testing.T }
 
 func (n stubNode) RoundTrip(request *http.Request) (*http.Response, error) {
@@ -108,14 +109,14 @@
 		}
 		urgent, batch := report.Stats()[0], report.Stats()[1]
 		if urgent.Answered < 900 || urgent.Answered != urgent.Sent || urgent.Wrong != 0 || urgent.latencyMillis(100) > 5.01 {
-			t.Errorf("urgent line is %+v", urgent)
+			t.Errorf("unexpected results of class urgent: %+v", urgent)
 		}
 		if batch.Sent < 900 || batch.Refused["not_run/overload"] != batch.Sent {
-			t.Errorf("batch line is %+v", batch)
+			t.Errorf("unexpected results of class batch: %+v", batch)
 		}
 		text := bytes.Buffer{}
 		if err := report.WriteTable(&text); err != nil || !strings.Contains(text.String(), "not_run/overload") {
-			t.Errorf("table is %q, %v", text.String(), err)
+			t.Errorf("got table %q and error %v", text.String(), err)
 		}
 	})
 }
@@ -142,13 +143,13 @@
 		options := valid
 		test.change(&options)
 		if err := options.Validate(); !errors.Is(err, ErrInvalidOptions) {
-			t.Errorf("%s: error is %v", test.name, err)
+			t.Errorf("%s: got error %v, want ErrInvalidOptions", test.name, err)
 		}
 	}
 }
 
-// droppingNode loses the first sending of every request after reading it and
-// answers the others.
+// droppingNode reads the first call of every request and then fails it; it answers
+// later calls.
 type droppingNode struct {
 	stubNode
 	mutex sync.Mutex
@@ -193,7 +194,7 @@
 		}
 		once, repeatable := report.Stats()[0], report.Stats()[1]
 		if once.Sent == 0 || once.Answered != once.Sent || repeatable.Failed != repeatable.Sent {
-			t.Errorf("once %+v, repeatable %+v", once, repeatable)
+			t.Errorf("unexpected results: non-repeatable %+v, repeatable %+v", once, repeatable)
 		}
 		entries, err := history.ReadJournal(&written)
 		if err != nil {
@@ -210,10 +211,10 @@
 			}
 		}
 		if kinds[history.AnswerResult] != once.Sent || kinds[history.AnswerBroken] != once.Sent+repeatable.Sent {
-			t.Errorf("ends in the journal: %v", kinds)
+			t.Errorf("unexpected answer kinds in the journal: %v", kinds)
 		}
 		if nodes["10.0.0.2:80"] == 0 || nodes["10.0.0.1:80"] <= once.Sent {
-			t.Errorf("sendings by node: %v", nodes)
+			t.Errorf("unexpected calls by node in the journal: %v", nodes)
 		}
 	})
 }
--- a/lab/load/report.go
+++ b/lab/load/report.go
@@ -14,45 +14,45 @@
 	"github.com/banksail/banksail/lab/profile"
 )
 
-// Bounds of the latency histograms, in microseconds.
+// Range of the latency histograms in microseconds, and their precision.
 const (
 	lowestMicroseconds  = 1
 	highestMicroseconds = int64(time.Hour / time.Microsecond)
 	significantDigits   = 3
 )
 
-// Report sums a run up.
+// Report holds the results of a run.
 type Report struct {
 	Elapsed time.Duration
 
-	// mutex guards lines while the run goes on.
+	// mutex guards stats and what its elements hold.
 	mutex sync.Mutex
 	stats []*ClassStats
 }
 
-// ClassStats sums up the queries of one service and class.
+// ClassStats holds the results of the queries of one service and class.
 type ClassStats struct {
 	Service string
 	Class   string
-	// Sent counts the queries sent; Skipped those that the in-flight bound held
-	// back.
+	// Sent counts the queries sent, Skipped those not sent because MaxInFlight
+	// queries were in flight.
 	Sent    int
 	Skipped int
-	// Answered counts the answers, Partial those of them that are not complete
-	// and Wrong those that the stand-ins' results contradict.
+	// Answered counts the answers. Partial counts those that are not complete and
+	// Wrong those that failed verification.
 	Answered int
 	Partial  int
 	Wrong    int
-	// Failed counts the queries without answer or refusal.
+	// Failed counts the queries that got neither an answer nor a refusal.
 	Failed int
-	// Refused counts refusals by execution and reason.
+	// Refused counts refusals by "execution/reason".
 	Refused map[string]int
-	// CoverageSum adds up the answers' coverage; MinCoverage is the lowest.
+	// CoverageSum is the sum of the answers' coverage, MinCoverage the lowest.
 	CoverageSum float64
 	MinCoverage float64
 	// Latency holds the answers' latencies in microseconds.
 	Latency *hdrhistogram.Histogram
-	// FirstError is the first wrong answer or failure.
+	// FirstError is the error of the first wrong answer or failed query.
 	FirstError error
 }
 
@@ -64,14 +64,15 @@
 	return report
 }
 
-// Stats returns the lines in the order of the mix. Call it after the run.
+// Stats returns the results in the order of the mix. Its elements must not be read
+// before the run has ended.
 func (r *Report) Stats() []*ClassStats {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return slices.Clone(r.stats)
 }
 
-// Wrong counts the wrong answers of all lines.
+// Wrong returns the total number of wrong answers.
 func (r *Report) Wrong() int {
 	count := 0
 	for _, class := range r.Stats() {
@@ -80,7 +81,8 @@
 	return count
 }
 
-// statsOf returns the line of a kind of query.
+// statsOf returns the results of a kind of query and adds them if missing. The
+// caller must hold the mutex unless the report is not shared yet.
 func (r *Report) statsOf(kind profile.QueryKind) *ClassStats {
 	for _, known := range r.stats {
 		if known.Service == kind.Service && known.Class == kind.Class {
@@ -130,7 +132,7 @@
 		s.CoverageSum += *result.answer.Coverage
 		s.MinCoverage = min(s.MinCoverage, *result.answer.Coverage)
 	}
-	// The histogram's range holds every latency that the time-outs allow.
+	// RecordValue can't fail: the histogram's range exceeds the request timeouts.
 	_ = s.Latency.RecordValue(max(lowestMicroseconds, result.latency.Microseconds()))
 }
 
@@ -140,7 +142,8 @@
 	}
 }
 
-// WriteTable writes the report as text.
+// WriteTable writes the report as a text table, followed by the refusals and the
+// first error per class.
 func (r *Report) WriteTable(writer io.Writer) error {
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', tabwriter.AlignRight)
 	const heading = "service\tclass\tsent\tskipped\tanswered\tpartial\twrong\tfailed\trefused\t" +
@@ -186,12 +189,12 @@
 	return err
 }
 
-// latencyMillis is in milliseconds.
+// latencyMillis returns a percentile of the latency in milliseconds.
 func (s *ClassStats) latencyMillis(percent float64) float64 {
 	return float64(s.Latency.ValueAtQuantile(percent)) / float64(time.Millisecond/time.Microsecond)
 }
 
-// writeDetails lists the refusals and the first problem.
+// writeDetails writes the refusals and the first error.
 func (s *ClassStats) writeDetails(writer io.Writer) error {
 	for _, kind := range slices.Sorted(maps.Keys(s.Refused)) {
 		if _, err := fmt.Fprintf(writer, "%s %s: refused %d as %s\n", s.Service, s.Class, s.Refused[kind], kind); err != nil {
--- a/lab/load/sender.go
+++ b/lab/load/sender.go
@@ -16,13 +16,14 @@
 
 const (
 	maximumAnswerBytes = 64 << 20
-	// defaultAnswerTimeout bounds the wait for a query that states no deadline.
+	// defaultAnswerTimeout is the timeout of a query that states no deadline.
 	defaultAnswerTimeout = 2 * time.Minute
-	// deadlineAllowance is the time past its deadline that an answer may take.
+	// deadlineAllowance is how long the sender waits for an answer after the
+	// query's deadline.
 	deadlineAllowance = 5 * time.Second
 )
 
-// query is the body of a query to the caller API.
+// query is the request body of a query to the caller API.
 type query struct {
 	RequestID       string          `json:"request_id"`
 	Class           string          `json:"class"`
@@ -32,7 +33,7 @@
 	Body            json.RawMessage `json:"body"`
 }
 
-// answer is what the generator reads of an answer; other fields are left out.
+// answer holds the fields of an answer that the generator needs.
 type answer struct {
 	RequestID string           `json:"request_id"`
 	Snapshot  uint64           `json:"snapshot"`
@@ -47,26 +48,26 @@
 	Body  json.RawMessage `json:"body"`
 }
 
-// refusal is what the generator reads of a refusal.
+// refusal holds the fields of a refusal's problem document that the generator needs.
 type refusal struct {
 	Execution string `json:"execution"`
 	Reason    string `json:"reason"`
 }
 
-// outcome is what became of one query.
+// outcome is the outcome of one query.
 type outcome struct {
 	latency time.Duration
-	// answer is nil unless the node answered.
+	// answer is set if the node answered.
 	answer *answer
-	// refusal is nil unless the node refused.
+	// refusal is set if the node refused the query.
 	refusal *refusal
-	// failure is set when neither came.
+	// failure is set if the node neither answered nor refused.
 	failure error
-	// answerError tells what is wrong with the answer.
+	// answerError is the error found when verifying the answer.
 	answerError error
 }
 
-// sender sends queries to one node.
+// sender sends queries to nodes and records them in the journal.
 type sender struct {
 	options Options
 }
@@ -81,15 +82,15 @@
 	}
 }
 
-// retry is one further sending of a query.
+// retry is one planned retry of a query.
 type retry struct {
 	address string
-	// delay is the time to wait before it.
+	// delay is the time to wait before the retry.
 	delay time.Duration
 }
 
-// sendWithRetries asks, and asks again as planned while there is no answer.
-// The outcome is that of the last sending.
+// sendWithRetries sends a query and, until it is answered, makes the planned
+// retries. It returns the outcome of the last attempt.
 func (s *sender) sendWithRetries(kind profile.QueryKind, requestID string, retries []retry) outcome {
 	result := s.send(kind, requestID, s.options.Address)
 	for _, next := range retries {
@@ -102,7 +103,7 @@
 	return result
 }
 
-// send asks once and waits for the answer.
+// send sends a query once and waits for the answer.
 func (s *sender) send(kind profile.QueryKind, requestID, address string) outcome {
 	call := s.journalCall(kind, requestID, address)
 	start := time.Now()
@@ -120,7 +121,7 @@
 	return result
 }
 
-// journalCall writes a sending to the journal.
+// journalCall writes a call to the journal, if there is one.
 func (s *sender) journalCall(kind profile.QueryKind, requestID, address string) history.CallID {
 	if s.options.Journal == nil {
 		return 0
@@ -131,7 +132,7 @@
 	})
 }
 
-// journalAnswer writes what became of a sending to the journal.
+// journalAnswer writes the outcome of a call to the journal, if there is one.
 func (s *sender) journalAnswer(call history.CallID, data []byte, code int, err error) {
 	if s.options.Journal == nil {
 		return
