--- a/lab/network/conn.go
+++ b/lab/network/conn.go
@@ -312,7 +312,7 @@
 	case c.closed:
 		return opError(operation, c.remote, net.ErrClosed)
 	case c.process.killed:
-		return ErrDead
+		return ErrProcessKilled
 	case c.process.host.frozen:
 		return nil
 	case !deadline.IsZero() && !deadline.After(time.Now()):
--- a/lab/network/datagram.go
+++ b/lab/network/datagram.go
@@ -31,7 +31,7 @@
 // ListenPacket opens a socket for datagrams on a port of the host.
 func (p *Process) ListenPacket(network, address string) (net.PacketConn, error) {
 	if network != "udp" && network != "udp4" {
-		return nil, fmt.Errorf("%w: network %q", ErrAddress, network)
+		return nil, fmt.Errorf("%w: network %q", ErrInvalidAddress, network)
 	}
 	ip, port, err := splitAddress(address, p.host.ip)
 	if err != nil {
@@ -45,7 +45,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if p.killed {
-		return nil, ErrDead
+		return nil, ErrProcessKilled
 	}
 	if _, taken := p.sockets[port]; taken {
 		return nil, opError("listen", local, syscall.EADDRINUSE)
@@ -82,7 +82,7 @@
 func (s *socket) WriteTo(data []byte, address net.Addr) (int, error) {
 	to, ok := address.(*net.UDPAddr)
 	if !ok {
-		return 0, fmt.Errorf("%w: %v", ErrAddress, address)
+		return 0, fmt.Errorf("%w: %v", ErrInvalidAddress, address)
 	}
 	n := s.process.network
 	n.mutex.Lock()
--- a/lab/network/network.go
+++ b/lab/network/network.go
@@ -22,10 +22,10 @@
 var (
 	// ErrRunning is returned when a host already runs a process.
 	ErrRunning = errors.New("network: host already runs a process")
-	// ErrDead is returned to a process whose host was killed.
-	ErrDead = errors.New("network: process was killed")
-	// ErrAddress is returned for an address that is not an IP number and port.
-	ErrAddress = errors.New("network: bad address")
+	// ErrProcessKilled is returned to a process whose host was killed.
+	ErrProcessKilled = errors.New("network: process was killed")
+	// ErrInvalidAddress is returned for an address that is not an IP number and port.
+	ErrInvalidAddress = errors.New("network: bad address")
 )
 
 // Defaults of Options.
@@ -207,8 +207,8 @@
 	n.link(from, to).extra = extra
 }
 
-// Reset breaks every connection between two hosts.
-func (n *Network) Reset(one, other string) {
+// ResetConnections breaks every connection between two hosts.
+func (n *Network) ResetConnections(one, other string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for s := range n.streams {
@@ -218,9 +218,9 @@
 	}
 }
 
-// Silence lets nothing more through on the connections between two hosts that are open
+// BlackholeConnections lets nothing more through on the connections between two hosts that are open
 // now, in either direction; new ones work.
-func (n *Network) Silence(one, other string) {
+func (n *Network) BlackholeConnections(one, other string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for s := range n.streams {
--- a/lab/network/network_test.go
+++ b/lab/network/network_test.go
@@ -69,7 +69,7 @@
 		{name: "sender vanished", during: os.ErrDeadlineExceeded, after: os.ErrDeadlineExceeded,
 			fault: func(n *Network) { n.Kill(hostA, KillVanish) }, mend: func(*Network) {}},
 		{name: "reset between", during: syscall.ECONNRESET, after: syscall.ECONNRESET,
-			fault: func(n *Network) { n.Reset(hostB, hostA) }, mend: func(*Network) {}},
+			fault: func(n *Network) { n.ResetConnections(hostB, hostA) }, mend: func(*Network) {}},
 		{name: "sender frozen, then thawed", during: os.ErrDeadlineExceeded,
 			fault: func(n *Network) { n.Freeze(hostA) }, mend: func(n *Network) { n.Thaw(hostA) }},
 	}
@@ -116,7 +116,7 @@
 		n := New(Options{})
 		_, far := pair(t, n)
 		n.Freeze(hostB)
-		time.AfterFunc(time.Second, func() { n.Reset(hostA, hostB) })
+		time.AfterFunc(time.Second, func() { n.ResetConnections(hostA, hostB) })
 		time.AfterFunc(2*time.Second, func() { n.Thaw(hostB) })
 		if _, err := far.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 			t.Fatalf("read: %v", err)
@@ -237,10 +237,10 @@
 		}
 		old.Listen(":80")
 		n.Kill(hostA, KillReset)
-		if _, err := old.Listen(":81"); !errors.Is(err, ErrDead) {
+		if _, err := old.Listen(":81"); !errors.Is(err, ErrProcessKilled) {
 			t.Fatalf("listen: %v", err)
 		}
-		if _, err := old.DialContext(t.Context(), "tcp", hostB+":80"); !errors.Is(err, ErrDead) {
+		if _, err := old.DialContext(t.Context(), "tcp", hostB+":80"); !errors.Is(err, ErrProcessKilled) {
 			t.Fatalf("dial: %v", err)
 		}
 		fresh, err := n.Start(hostA)
--- a/lab/network/process.go
+++ b/lab/network/process.go
@@ -31,8 +31,8 @@
 	dead      chan struct{}
 }
 
-// Dead is closed when the process is killed.
-func (p *Process) Dead() <-chan struct{} { return p.dead }
+// Done is closed when the process is killed.
+func (p *Process) Done() <-chan struct{} { return p.dead }
 
 // Listen accepts connections on a port of the host; port 0 picks a free one.
 func (p *Process) Listen(address string) (net.Listener, error) {
@@ -47,7 +47,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if p.killed {
-		return nil, ErrDead
+		return nil, ErrProcessKilled
 	}
 	if port == 0 {
 		port = p.host.ephemeralPort()
@@ -64,7 +64,7 @@
 // ends while the way there or back is cut or the other machine has vanished.
 func (p *Process) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	if network != "tcp" && network != "tcp4" {
-		return nil, fmt.Errorf("%w: network %q", ErrAddress, network)
+		return nil, fmt.Errorf("%w: network %q", ErrInvalidAddress, network)
 	}
 	ip, port, err := splitAddress(address, "")
 	if err != nil {
@@ -100,7 +100,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if p.killed {
-		return 0, nil, ErrDead
+		return 0, nil, ErrProcessKilled
 	}
 	target := n.host(ip)
 	there, back := n.link(p.host.ip, ip), n.link(ip, p.host.ip)
@@ -120,7 +120,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if p.killed {
-		return nil, ErrDead
+		return nil, ErrProcessKilled
 	}
 	target := n.host(ip)
 	if target.vanished || n.link(p.host.ip, ip).cut || n.link(ip, p.host.ip).cut {
@@ -214,17 +214,17 @@
 func splitAddress(address, defaultIP string) (ip string, port int, err error) {
 	text, portText, err := net.SplitHostPort(address)
 	if err != nil {
-		return "", 0, fmt.Errorf("%w: %w", ErrAddress, err)
+		return "", 0, fmt.Errorf("%w: %w", ErrInvalidAddress, err)
 	}
 	port, err = strconv.Atoi(portText)
 	if err != nil || port < 0 || port > 65535 {
-		return "", 0, fmt.Errorf("%w: port %q", ErrAddress, portText)
+		return "", 0, fmt.Errorf("%w: port %q", ErrInvalidAddress, portText)
 	}
 	if text == "" && defaultIP != "" {
 		return defaultIP, port, nil
 	}
 	if _, err := netip.ParseAddr(text); err != nil {
-		return "", 0, fmt.Errorf("%w: %w", ErrAddress, err)
+		return "", 0, fmt.Errorf("%w: %w", ErrInvalidAddress, err)
 	}
 	return text, port, nil
 }
--- a/lab/simulation/faults.go
+++ b/lab/simulation/faults.go
@@ -122,7 +122,7 @@
 	s.sleepUntil(at)
 	for _, caller := range s.callers {
 		// A call on a connection of the former process would not reach the new one.
-		s.network.Reset(callerIP(caller.node.index), one.ip)
+		s.network.ResetConnections(callerIP(caller.node.index), one.ip)
 	}
 	_ = one.start()
 }
@@ -173,7 +173,7 @@
 func (s *System) injectLink(fault schedule.Fault) {
 	switch fault.Kind {
 	case schedule.ResetConnections:
-		s.network.Reset(fault.Target, fault.Peer)
+		s.network.ResetConnections(fault.Target, fault.Peer)
 	case schedule.SlowLink:
 		s.network.Slow(fault.Target, fault.Peer, fault.Delay)
 		s.network.Slow(fault.Peer, fault.Target, fault.Delay)
--- a/lab/simulation/node.go
+++ b/lab/simulation/node.go
@@ -222,7 +222,7 @@
 // Write takes one line. Lines of a dead process count no more.
 func (l *nodeLog) Write(line []byte) (int, error) {
 	select {
-	case <-l.process.Dead():
+	case <-l.process.Done():
 		return len(line), nil
 	default:
 	}
