--- a/telemetry/bounded.go
+++ b/telemetry/bounded.go
@@ -15,15 +15,15 @@
 	// a burst of one second may go beyond them.
 	DefaultLinesPerSecond = 200
 	DefaultBytesPerSecond = 100_000
-	// boundedLines is the number of lines that wait for the output.
-	boundedLines = 512
+	// maxBufferedLines is the number of lines that wait for the output.
+	maxBufferedLines = 512
 )
 
 // BoundedWriter writes lines in the background, within a ceiling of lines and
 // bytes a second. A line over the ceiling is dropped and counted; so is one for
 // which there is no room because the output blocks. Write never blocks.
 type BoundedWriter struct {
-	waiting diode.Writer
+	buffer  diode.Writer
 	lines   *rate.Limiter
 	bytes   *rate.Limiter
 	dropped atomic.Uint64
@@ -42,7 +42,7 @@
 		lines: rate.NewLimiter(rate.Limit(linesPerSecond), linesPerSecond),
 		bytes: rate.NewLimiter(rate.Limit(bytesPerSecond), bytesPerSecond),
 	}
-	w.waiting = diode.NewWriter(output, boundedLines, 0, func(missed int) { w.dropped.Add(uint64(missed)) })
+	w.buffer = diode.NewWriter(output, maxBufferedLines, 0, func(missed int) { w.dropped.Add(uint64(missed)) })
 	return w
 }
 
@@ -53,20 +53,20 @@
 		w.dropped.Add(1)
 		return len(line), nil
 	}
-	return w.waiting.Write(line)
+	return w.buffer.Write(line)
 }
 
 // DroppedLines counts the lines that were not written.
 func (w *BoundedWriter) DroppedLines() uint64 { return w.dropped.Load() }
 
 // Close writes what waits; it blocks as long as the output does.
-func (w *BoundedWriter) Close() error { return w.waiting.Close() }
+func (w *BoundedWriter) Close() error { return w.buffer.Close() }
 
-// CloseWithTimeout writes what waits, for the time given at most; whole is whether all was
+// CloseWithTimeout writes what waits, for the time given at most; flushed is whether all was
 // written. An output that blocks must not hold up the end of a process, and without the
 // writing its last lines, which tell why it ended, are lost: one of four stops under load
 // went without its last line.
-func (w *BoundedWriter) CloseWithTimeout(limit time.Duration) (whole bool) {
+func (w *BoundedWriter) CloseWithTimeout(limit time.Duration) (flushed bool) {
 	closed := make(chan error, 1)
 	go func() { closed <- w.Close() }()
 	timer := time.NewTimer(limit)
--- a/telemetry/bounded_test.go
+++ b/telemetry/bounded_test.go
@@ -12,7 +12,7 @@
 )
 
 // An output that nobody reads costs lines, never the time of a writer.
-func TestBlockedOutputBlocksNoWriter(t *testing.T) {
+func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
 	reader, output := io.Pipe()
 	writer := telemetry.NewBoundedWriter(output, 1_000_000, 1_000_000_000)
 	finished := make(chan struct{})
@@ -54,7 +54,7 @@
 	return b.buffer.String()
 }
 
-func TestLinesOverTheCeilingAreDroppedAndCounted(t *testing.T) {
+func TestLinesOverLimitAreDroppedAndCounted(t *testing.T) {
 	for name, test := range map[string]struct{ lines, bytes int }{
 		"lines": {lines: 10, bytes: 1_000_000},
 		"bytes": {lines: 1_000_000, bytes: 50},
@@ -75,15 +75,15 @@
 
 // What was written last is in the output once the writer is closed; an output that blocks
 // holds the end up no longer than it may.
-func TestLastLinesAreWritten(t *testing.T) {
+func TestCloseWithTimeoutWritesBufferedLines(t *testing.T) {
 	const limit = 20 * time.Millisecond
 	output := new(lockedBuffer)
 	writer := telemetry.NewBoundedWriter(output, 1000, 1_000_000)
 	for range 100 {
 		_, _ = writer.Write([]byte("line\n"))
 	}
-	if whole := writer.CloseWithTimeout(time.Minute); !whole || strings.Count(output.text(), "line\n") != 100 {
-		t.Errorf("whole %t, %d lines", whole, strings.Count(output.text(), "line\n"))
+	if flushed := writer.CloseWithTimeout(time.Minute); !flushed || strings.Count(output.text(), "line\n") != 100 {
+		t.Errorf("flushed is %t, got %d lines, expected 100", flushed, strings.Count(output.text(), "line\n"))
 	}
 	reader, blocked := io.Pipe()
 	writer = telemetry.NewBoundedWriter(blocked, 1000, 1_000_000)
--- a/telemetry/explanations.go
+++ b/telemetry/explanations.go
@@ -29,8 +29,8 @@
 
 // Sizes by which explanations are counted; they are close to what Go takes.
 const (
-	explanationBytes = 512
-	stepBytes        = int(unsafe.Sizeof(dispatch.Step{}))
+	explanationOverhead = 512
+	stepBytes           = int(unsafe.Sizeof(dispatch.Step{}))
 )
 
 // ExplanationsOptions bounds Explanations.
@@ -48,7 +48,7 @@
 	mutex sync.Mutex
 	// mutex guards the fields below. Invariants: ring holds count explanations
 	// from first on, the oldest first, and bytes is what they take; byRequest
-	// maps each of their request IDs to the place of the newest with that ID.
+	// maps each of their request IDs to the index of the newest with that ID.
 	ring      []Explanation
 	first     int
 	count     int
@@ -77,40 +77,40 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.count == len(e.ring) {
-		e.forgetOldest()
+		e.evictOldest()
 	}
-	place := (e.first + e.count) % len(e.ring)
-	e.ring[place] = explanation
-	e.byRequest[explanation.RequestID] = place
+	index := (e.first + e.count) % len(e.ring)
+	e.ring[index] = explanation
+	e.byRequest[explanation.RequestID] = index
 	e.count++
-	e.bytes += sizeOf(explanation)
+	e.bytes += estimateSize(explanation)
 	for e.bytes > e.options.Bytes && e.count > 1 {
-		e.forgetOldest()
+		e.evictOldest()
 	}
 }
 
-func (e *Explanations) forgetOldest() {
+func (e *Explanations) evictOldest() {
 	oldest := e.ring[e.first]
 	if e.byRequest[oldest.RequestID] == e.first {
 		delete(e.byRequest, oldest.RequestID)
 	}
-	e.bytes -= sizeOf(oldest)
+	e.bytes -= estimateSize(oldest)
 	e.ring[e.first] = Explanation{}
 	e.first = (e.first + 1) % len(e.ring)
 	e.count--
 }
 
-func sizeOf(explanation Explanation) int {
-	return explanationBytes + stepBytes*len(explanation.Steps)
+func estimateSize(explanation Explanation) int {
+	return explanationOverhead + stepBytes*len(explanation.Steps)
 }
 
 // Find returns the newest explanation of a request.
 func (e *Explanations) Find(requestID string) (Explanation, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	place, found := e.byRequest[requestID]
+	index, found := e.byRequest[requestID]
 	if !found {
 		return Explanation{}, false
 	}
-	return e.ring[place], true
+	return e.ring[index], true
 }
--- a/telemetry/logger.go
+++ b/telemetry/logger.go
@@ -25,11 +25,11 @@
 // told apart by milliseconds.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// stamp puts the time on each line.
-type stamp struct{}
+// timestampHook puts the time on each line.
+type timestampHook struct{}
 
 // Run implements zerolog.Hook.
-func (stamp) Run(line *zerolog.Event, _ zerolog.Level, _ string) {
+func (timestampHook) Run(line *zerolog.Event, _ zerolog.Level, _ string) {
 	line.Str(zerolog.TimestampFieldName, zerolog.TimestampFunc().Format(timeFormat))
 }
 
@@ -39,5 +39,5 @@
 	if err != nil || parsed == zerolog.NoLevel {
 		return zerolog.Nop(), fmt.Errorf("%w: %q", ErrUnknownLevel, level)
 	}
-	return zerolog.New(output).Level(parsed).With().Str(FieldNode, node).Logger().Hook(stamp{}), nil
+	return zerolog.New(output).Level(parsed).With().Str(FieldNode, node).Logger().Hook(timestampHook{}), nil
 }
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -50,16 +50,16 @@
 // NewMetrics creates a node's metrics.
 func NewMetrics() *Metrics {
 	metrics := &Metrics{
-		Queries:        newCounters("queries_total", "Finished queries.", "service", "class", "execution", "reason"),
-		Latency:        newHistograms("query_seconds", "Time from a query's arrival to its final answer.", latencyBuckets),
-		Coverage:       newHistograms("answer_coverage", "Fraction of the key space that answers hold.", coverageBuckets),
-		Sends:          newCounters("sends_total", "Sub-requests sent to servers.", "service", "kind"),
-		Failures:       newCounters("send_failures_total", "Sub-requests without a well-formed reply.", "service"),
-		Forwards:       newCounters("forwards_total", "Sub-requests given to owners of connections.", "outcome"),
-		ForwardsServed: newCounters("forwards_served_total", "Sub-requests taken from other nodes.", "outcome"),
+		Queries:        newCounterVec("queries_total", "Finished queries.", "service", "class", "execution", "reason"),
+		Latency:        newHistogramVec("query_seconds", "Time from a query's arrival to its final answer.", latencyBuckets),
+		Coverage:       newHistogramVec("answer_coverage", "Fraction of the key space that answers hold.", coverageBuckets),
+		Sends:          newCounterVec("sends_total", "Sub-requests sent to servers.", "service", "kind"),
+		Failures:       newCounterVec("send_failures_total", "Sub-requests without a well-formed reply.", "service"),
+		Forwards:       newCounterVec("forwards_total", "Sub-requests given to owners of connections.", "outcome"),
+		ForwardsServed: newCounterVec("forwards_served_total", "Sub-requests taken from other nodes.", "outcome"),
 		HeldQueries:    newGauge("queries_held", "Queries that are queued or running."),
 		Revision:       newGauge("configuration_revision", "Revision of the configuration in force."),
-		Duplicates:     prometheus.NewCounter(options("duplicates_total", "Not-repeatable requests answered from an earlier outcome.")),
+		Duplicates:     prometheus.NewCounter(counterOptions("duplicates_total", "Not-repeatable requests answered from an earlier outcome.")),
 		registry:       prometheus.NewRegistry(),
 	}
 	metrics.registry.MustRegister(
@@ -85,7 +85,7 @@
 // metrics are.
 func (m *Metrics) RegisterCounter(name, help string, read func() uint64) {
 	counter := func() float64 { return float64(read()) }
-	m.registry.MustRegister(prometheus.NewCounterFunc(options(name, help), counter))
+	m.registry.MustRegister(prometheus.NewCounterFunc(counterOptions(name, help), counter))
 }
 
 // RegisterProcessMetrics adds the process's and the Go runtime's own metrics; only one
@@ -97,19 +97,19 @@
 	)
 }
 
-func options(name, help string) prometheus.CounterOpts {
+func counterOptions(name, help string) prometheus.CounterOpts {
 	return prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}
 }
 
-func newCounters(name, help string, labels ...string) *prometheus.CounterVec {
-	return prometheus.NewCounterVec(options(name, help), labels)
+func newCounterVec(name, help string, labels ...string) *prometheus.CounterVec {
+	return prometheus.NewCounterVec(counterOptions(name, help), labels)
 }
 
 func newGauge(name, help string) prometheus.Gauge {
 	return prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help})
 }
 
-func newHistograms(name, help string, buckets []float64) *prometheus.HistogramVec {
+func newHistogramVec(name, help string, buckets []float64) *prometheus.HistogramVec {
 	return prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Namespace: namespace, Name: name, Help: help, Buckets: buckets,
 	}, []string{"service", "class"})
--- a/telemetry/story.go
+++ b/telemetry/request_log.go
@@ -44,8 +44,8 @@
 	InFlight    int     `json:"in_flight"`
 }
 
-// longestLine bounds a line; a longer one is passed over.
-const longestLine = 1 << 20
+// maxLineBytes bounds a line; a longer one is passed over.
+const maxLineBytes = 1 << 20
 
 // ReadRequestLog gathers the lines that tell of the request, in order of time. Text
 // before a line's JSON is passed over, and so are lines that are cut or are not
@@ -53,13 +53,13 @@
 func ReadRequestLog(requestID string, logs ...io.Reader) (lines []RequestLogLine, unreadable int, err error) {
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
-		scanner.Buffer(make([]byte, 0, 64<<10), longestLine)
+		scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 		for scanner.Scan() {
-			line, told, ok := parseStoryLine(scanner.Bytes(), requestID)
+			line, matches, ok := parseRequestLogLine(scanner.Bytes(), requestID)
 			switch {
 			case !ok:
 				unreadable++
-			case told:
+			case matches:
 				lines = append(lines, line)
 			}
 		}
@@ -73,8 +73,8 @@
 	return lines, unreadable, nil
 }
 
-// parseStoryLine reads one line; told says that it tells of the request.
-func parseStoryLine(text []byte, requestID string) (line RequestLogLine, told, ok bool) {
+// parseRequestLogLine reads one line; matches says that it tells of the request.
+func parseRequestLogLine(text []byte, requestID string) (line RequestLogLine, matches, ok bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
 		return line, false, true // is no line of ours
--- a/telemetry/story_test.go
+++ b/telemetry/request_log_test.go
@@ -8,7 +8,7 @@
 	"github.com/banksail/banksail/telemetry"
 )
 
-func TestStoryInOrderOfTime(t *testing.T) {
+func TestRequestLogIsSortedByTime(t *testing.T) {
 	first := strings.NewReader(`   1.5 node-1 {"node":"node-1","request_id":"a","result":"failed","time":"2026-01-01T00:00:02Z","message":"request answered"}
 {"node":"node-1","request_id":"b","time":"2026-01-01T00:00:01Z","message":"request answered"}
 no line of ours
@@ -24,7 +24,7 @@
 }
 
 // What callers send can't make a line of its own.
-func TestNamesFromCallersStayInTheirField(t *testing.T) {
+func TestCallersCannotForgeLogLines(t *testing.T) {
 	var output bytes.Buffer
 	logger, err := telemetry.NewLogger(&output, "info", "node-1")
 	if err != nil {
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -12,7 +12,7 @@
 	"github.com/banksail/banksail/dispatch"
 )
 
-func TestExplanationsKeepTheLatest(t *testing.T) {
+func TestExplanationsKeepLatest(t *testing.T) {
 	const capacity, count = 4, 10
 	explanations := NewExplanations(ExplanationsOptions{Requests: capacity})
 	for index := range count {
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestExplanationsStayWithinTheirBytes(t *testing.T) {
+func TestExplanationsStayWithinByteLimit(t *testing.T) {
 	const limit, steps, count = 64 << 10, 256, 100
 	explanations := NewExplanations(ExplanationsOptions{Bytes: limit})
 	for index := range count {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestExplanationOfRepeatedRequestIsTheNewest(t *testing.T) {
+func TestExplanationOfRepeatedRequestIsNewest(t *testing.T) {
 	explanations := NewExplanations(ExplanationsOptions{Requests: 2})
 	explanations.Add(Explanation{RequestID: "r", Reason: "first"})
 	explanations.Add(Explanation{RequestID: "r", Reason: "second"})
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestLoggerObeysItsLevel(t *testing.T) {
+func TestLoggerAppliesLevel(t *testing.T) {
 	var output bytes.Buffer
 	logger, err := NewLogger(&output, "warn", "node-1")
 	if err != nil {
@@ -83,7 +83,7 @@
 }
 
 // A bound of seconds can't be judged by lines that tell whole seconds.
-func TestLinesTellMilliseconds(t *testing.T) {
+func TestLogTimesHaveMilliseconds(t *testing.T) {
 	var output bytes.Buffer
 	logger, err := NewLogger(&output, "info", "node-1")
 	if err != nil {
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestNodesHaveMetricsOfTheirOwn(t *testing.T) {
+func TestNodesHaveSeparateMetrics(t *testing.T) {
 	first, second := NewMetrics(), NewMetrics()
 	first.Revision.Set(7)
 	second.RegisterGauge("members_live", "Nodes that membership knows as live.", func() float64 { return 3 })
