--- a/telemetry/bounded.go
+++ b/telemetry/bounded.go
@@ -9,19 +9,19 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds of a BoundedWriter.
+// Defaults and limits of a BoundedWriter.
 const (
-	// DefaultLinesPerSecond and DefaultBytesPerSecond are the ceilings of a log;
-	// a burst of one second may go beyond them.
+	// DefaultLinesPerSecond and DefaultBytesPerSecond are the default rate limits of a log. A
+	// burst of up to one second's worth is allowed.
 	DefaultLinesPerSecond = 200
 	DefaultBytesPerSecond = 100_000
-	// maxBufferedLines is the number of lines that wait for the output.
+	// maxBufferedLines is the number of lines that are buffered for the output.
 	maxBufferedLines = 512
 )
 
-// BoundedWriter writes lines in the background, within a ceiling of lines and
-// bytes a second. A line over the ceiling is dropped and counted; so is one for
-// which there is no room because the output blocks. Write never blocks.
+// BoundedWriter writes lines in the background, with rate limits on lines and bytes per second.
+// Lines over a limit are dropped and counted, and so are lines that do not fit in the buffer
+// because the output blocks. Write never blocks.
 type BoundedWriter struct {
 	buffer  diode.Writer
 	lines   *rate.Limiter
@@ -29,8 +29,8 @@
 	dropped atomic.Uint64
 }
 
-// NewBoundedWriter returns a writer to the output; a ceiling that is not
-// positive stands for its default.
+// NewBoundedWriter returns a writer to the output. A rate limit that is not positive is replaced
+// by its default.
 func NewBoundedWriter(output io.Writer, linesPerSecond, bytesPerSecond int) *BoundedWriter {
 	if linesPerSecond <= 0 {
 		linesPerSecond = DefaultLinesPerSecond
@@ -46,7 +46,7 @@
 	return w
 }
 
-// Write implements io.Writer; it takes one line and always succeeds.
+// Write implements io.Writer. It expects exactly one line and always succeeds.
 func (w *BoundedWriter) Write(line []byte) (int, error) {
 	now := time.Now()
 	if !w.lines.AllowN(now, 1) || !w.bytes.AllowN(now, len(line)) {
@@ -56,16 +56,16 @@
 	return w.buffer.Write(line)
 }
 
-// DroppedLines counts the lines that were not written.
+// DroppedLines returns the number of lines that were dropped.
 func (w *BoundedWriter) DroppedLines() uint64 { return w.dropped.Load() }
 
-// Close writes what waits; it blocks as long as the output does.
+// Close writes the buffered lines. It blocks as long as the output does.
 func (w *BoundedWriter) Close() error { return w.buffer.Close() }
 
-// CloseWithTimeout writes what waits, for the time given at most; flushed is whether all was
-// written. An output that blocks must not hold up the end of a process, and without the
-// writing its last lines, which tell why it ended, are lost: one of four stops under load
-// went without its last line.
+// CloseWithTimeout writes the buffered lines, and gives up after the limit. Flushed reports
+// whether all were written. An output that blocks must not delay the exit of the process, but
+// without this flush the last lines, which say why the process exited, are lost: under load, one
+// of four shutdowns was missing its last line.
 func (w *BoundedWriter) CloseWithTimeout(limit time.Duration) (flushed bool) {
 	closed := make(chan error, 1)
 	go func() { closed <- w.Close() }()
--- a/telemetry/bounded_test.go
+++ b/telemetry/bounded_test.go
@@ -11,7 +11,7 @@
 	"github.com/banksail/banksail/telemetry"
 )
 
-// An output that nobody reads costs lines, never the time of a writer.
+// If the output is not read, lines are dropped but writers do not block.
 func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
 	reader, output := io.Pipe()
 	writer := telemetry.NewBoundedWriter(output, 1_000_000, 1_000_000_000)
@@ -21,14 +21,14 @@
 		defer close(finished)
 		for range lines {
 			if count, err := writer.Write([]byte("line\n")); count != 5 || err != nil {
-				t.Errorf("%d, %v", count, err)
+				t.Errorf("Write returned %d, %v", count, err)
 			}
 		}
 	}()
 	select {
 	case <-finished:
 	case <-time.After(30 * time.Second):
-		t.Fatal("a writer waits for the output")
+		t.Fatal("Write blocked on the output")
 	}
 	if err := reader.Close(); err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 	_ = writer.Close()
 }
 
-// lockedBuffer may be read while it is written.
+// lockedBuffer is a buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mutex  sync.Mutex
 	buffer bytes.Buffer
@@ -68,13 +68,12 @@
 		_ = writer.Close()
 		got := strings.Count(output.text(), "line\n")
 		if got < 10 || got > 100 || uint64(got)+writer.DroppedLines() != written {
-			t.Errorf("%s: %d lines are written, %d dropped", name, got, writer.DroppedLines())
+			t.Errorf("%s: %d lines were written and %d dropped", name, got, writer.DroppedLines())
 		}
 	}
 }
 
-// What was written last is in the output once the writer is closed; an output that blocks
-// holds the end up no longer than it may.
+// CloseWithTimeout writes all buffered lines, and returns at the limit if the output blocks.
 func TestCloseWithTimeoutWritesBufferedLines(t *testing.T) {
 	const limit = 20 * time.Millisecond
 	output := new(lockedBuffer)
@@ -89,7 +88,7 @@
 	writer = telemetry.NewBoundedWriter(blocked, 1000, 1_000_000)
 	_, _ = writer.Write([]byte("line\n"))
 	if writer.CloseWithTimeout(limit) {
-		t.Error("an output that nobody reads has taken all")
+		t.Error("CloseWithTimeout reported success on a blocked output")
 	}
 	_ = reader.Close()
 }
--- a/telemetry/explanations.go
+++ b/telemetry/explanations.go
@@ -7,7 +7,7 @@
 	"github.com/banksail/banksail/dispatch"
 )
 
-// Explanation tells why a request got the answer it got.
+// Explanation describes how a request was executed and why it got its answer.
 type Explanation struct {
 	RequestID string `json:"request_id"`
 	Node      string `json:"node"`
@@ -16,39 +16,40 @@
 	Execution string `json:"execution"`
 	Reason    string `json:"reason"`
 	Snapshot  uint64 `json:"snapshot"`
-	// Coverage is the true fraction of the key space that the answer held.
+	// Coverage is the fraction of the key space that the answer covered.
 	Coverage float64         `json:"coverage"`
 	Steps    []dispatch.Step `json:"steps"`
 }
 
-// Bounds of Explanations, used where an option is zero.
+// Default limits of Explanations, used for options that are not positive.
 const (
 	DefaultExplanations     = 4096
 	DefaultExplanationBytes = 8 << 20
 )
 
-// Sizes by which explanations are counted; they are close to what Go takes.
+// Estimated sizes of an explanation without steps and of a step, in bytes. They are close to the
+// memory that Go uses.
 const (
 	explanationOverhead = 512
 	stepBytes           = int(unsafe.Sizeof(dispatch.Step{}))
 )
 
-// ExplanationsOptions bounds Explanations.
+// ExplanationsOptions limits the explanations that are kept.
 type ExplanationsOptions struct {
-	// Requests is the greatest number of explanations.
+	// Requests is the maximum number of explanations.
 	Requests int
-	// Bytes bounds what they take together.
+	// Bytes is the maximum total size of the explanations in bytes, as estimated.
 	Bytes int
 }
 
-// Explanations keeps the explanations of the most recent requests.
+// Explanations keeps the explanations of the most recent requests. It is safe for concurrent use.
 type Explanations struct {
 	options ExplanationsOptions
 
 	mutex sync.Mutex
-	// mutex guards the fields below. Invariants: ring holds count explanations
-	// from first on, the oldest first, and bytes is what they take; byRequest
-	// maps each of their request IDs to the index of the newest with that ID.
+	// mutex guards the fields below. Invariants: ring holds count explanations starting at first,
+	// oldest first, and bytes is their total estimated size; byRequest maps each of their request
+	// IDs to the index in ring of the newest explanation with that ID.
 	ring      []Explanation
 	first     int
 	count     int
@@ -56,7 +57,7 @@
 	byRequest map[string]int
 }
 
-// NewExplanations keeps none yet.
+// NewExplanations returns an empty set of explanations.
 func NewExplanations(options ExplanationsOptions) *Explanations {
 	if options.Requests <= 0 {
 		options.Requests = DefaultExplanations
@@ -71,8 +72,8 @@
 	}
 }
 
-// Add keeps an explanation and forgets the oldest ones beyond the bounds. The
-// newest stays even if it alone is beyond them.
+// Add adds an explanation and evicts the oldest ones over the limits. The newest is kept even if
+// it alone exceeds the byte limit.
 func (e *Explanations) Add(explanation Explanation) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -104,7 +105,7 @@
 	return explanationOverhead + stepBytes*len(explanation.Steps)
 }
 
-// Find returns the newest explanation of a request.
+// Find returns the newest explanation of a request, if one is kept.
 func (e *Explanations) Find(requestID string) (Explanation, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/telemetry/logger.go
+++ b/telemetry/logger.go
@@ -1,5 +1,5 @@
-// Package telemetry holds what a node tells about itself: its log, its metrics
-// and the explanations of finished requests. None of them ever holds a body.
+// Package telemetry implements a node's log, its metrics and the explanations of finished
+// requests. None of them ever contains the body of a request or an answer.
 package telemetry
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/rs/zerolog"
 )
 
-// ErrUnknownLevel is returned for a log level that does not exist.
+// ErrUnknownLevel is wrapped by the error for an unknown log level.
 var ErrUnknownLevel = errors.New("telemetry: unknown log level")
 
-// Names of the fields that log lines share.
+// Names of common fields of log lines.
 const (
 	FieldNode      = "node"
 	FieldRequestID = "request_id"
@@ -21,11 +21,11 @@
 	FieldClass     = "class"
 )
 
-// timeFormat gives the times of log lines: most bounds are a few seconds, and what breaks them is
-// told apart by milliseconds.
+// timeFormat is the format of times in log lines. It includes milliseconds, because most limits
+// are a few seconds and whole seconds cannot show whether one was exceeded.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// timestampHook puts the time on each line.
+// timestampHook adds the time to each line.
 type timestampHook struct{}
 
 // Run implements zerolog.Hook.
@@ -33,7 +33,8 @@
 	line.Str(zerolog.TimestampFieldName, zerolog.TimestampFunc().Format(timeFormat))
 }
 
-// NewLogger writes JSON lines of the given level and above.
+// NewLogger returns a logger that writes lines of JSON at the given level and above. Its error
+// wraps ErrUnknownLevel.
 func NewLogger(output io.Writer, level, node string) (zerolog.Logger, error) {
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil || parsed == zerolog.NoLevel {
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -8,18 +8,18 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// namespace prefixes the names of all metrics.
+// namespace is the prefix of all metric names.
 const namespace = "banksail"
 
-// latencyBuckets are the bounds of latency histograms, in seconds.
+// latencyBuckets are the bucket bounds of latency histograms in seconds.
 var latencyBuckets = []float64{
 	0.001, 0.002, 0.005, 0.010, 0.020, 0.050, 0.100, 0.200, 0.500, 1, 2, 5, 10, 30,
 }
 
-// coverageBuckets are the bounds of coverage histograms.
+// coverageBuckets are the bucket bounds of coverage histograms.
 var coverageBuckets = []float64{0, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.999, 1}
 
-// Metrics are one node's metrics, in a registry of their own.
+// Metrics holds the metrics of one node, in a separate registry.
 type Metrics struct {
 	// Queries counts finished queries by service, class, execution and reason.
 	Queries *prometheus.CounterVec
@@ -32,22 +32,22 @@
 	Sends *prometheus.CounterVec
 	// Failures counts sub-requests without a well-formed reply, by service.
 	Failures *prometheus.CounterVec
-	// Forwards counts the sub-requests that were given to owners, by outcome.
+	// Forwards counts the sub-requests forwarded to owners of connections, by outcome.
 	Forwards *prometheus.CounterVec
-	// ForwardsServed counts the sub-requests taken from other nodes, by outcome.
+	// ForwardsServed counts the sub-requests received from other nodes, by outcome.
 	ForwardsServed *prometheus.CounterVec
-	// HeldQueries is the number of queries that the node holds, queued or running.
+	// HeldQueries is the number of queries in the node, queued or running.
 	HeldQueries prometheus.Gauge
-	// Revision is the revision of the configuration in force.
+	// Revision is the revision of the active configuration.
 	Revision prometheus.Gauge
-	// Duplicates counts not-repeatable requests that were answered from the
-	// outcome of an earlier one.
+	// Duplicates counts the non-repeatable requests that were answered with the outcome of an
+	// earlier request.
 	Duplicates prometheus.Counter
 
 	registry *prometheus.Registry
 }
 
-// NewMetrics creates a node's metrics.
+// NewMetrics returns the metrics of a node.
 func NewMetrics() *Metrics {
 	metrics := &Metrics{
 		Queries:        newCounterVec("queries_total", "Finished queries.", "service", "class", "execution", "reason"),
@@ -70,26 +70,25 @@
 	return metrics
 }
 
-// Handler serves the metrics in Prometheus' text format.
+// Handler returns an HTTP handler that serves the metrics in the Prometheus text format.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{Registry: m.registry})
 }
 
-// RegisterGauge adds a gauge that is read whenever the metrics are.
+// RegisterGauge registers a gauge whose value is read on each scrape.
 func (m *Metrics) RegisterGauge(name, help string, read func() float64) {
 	gauge := prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}
 	m.registry.MustRegister(prometheus.NewGaugeFunc(gauge, read))
 }
 
-// RegisterCounter adds a counter that is kept elsewhere and read whenever the
-// metrics are.
+// RegisterCounter registers a counter whose value is kept elsewhere and read on each scrape.
 func (m *Metrics) RegisterCounter(name, help string, read func() uint64) {
 	counter := func() float64 { return float64(read()) }
 	m.registry.MustRegister(prometheus.NewCounterFunc(counterOptions(name, help), counter))
 }
 
-// RegisterProcessMetrics adds the process's and the Go runtime's own metrics; only one
-// node of a process may have them.
+// RegisterProcessMetrics registers the metrics of the process and of the Go runtime. Call it for
+// only one node of a process.
 func (m *Metrics) RegisterProcessMetrics() {
 	m.registry.MustRegister(
 		collectors.NewGoCollector(),
--- a/telemetry/process_test.go
+++ b/telemetry/process_test.go
@@ -15,6 +15,6 @@
 	recorder := httptest.NewRecorder()
 	metrics.Handler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	if count := strings.Count(recorder.Body.String(), "\nprocess_cpu_seconds_total "); count != 1 {
-		t.Errorf("process_cpu_seconds_total stands %d times, want once:\n%s", count, recorder.Body.String())
+		t.Errorf("process_cpu_seconds_total occurs %d times, want once:\n%s", count, recorder.Body.String())
 	}
 }
--- a/telemetry/request_log.go
+++ b/telemetry/request_log.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// RequestLogLine is one line of a log that tells of a request.
+// RequestLogLine is a log line about a request. Durations are in milliseconds.
 type RequestLogLine struct {
 	Time    time.Time `json:"time"`
 	Node    string    `json:"node"`
@@ -32,7 +32,7 @@
 	Attempts      []LoggedAttempt `json:"attempts"`
 }
 
-// LoggedAttempt is one attempt of a request, as its line tells it.
+// LoggedAttempt is one attempt of a request in a RequestLogLine.
 type LoggedAttempt struct {
 	Kind        string  `json:"kind"`
 	Service     string  `json:"service"`
@@ -44,12 +44,13 @@
 	InFlight    int     `json:"in_flight"`
 }
 
-// maxLineBytes bounds a line; a longer one is passed over.
+// maxLineBytes is the maximum length of a line in bytes. A longer line ends ReadRequestLog with an
+// error.
 const maxLineBytes = 1 << 20
 
-// ReadRequestLog gathers the lines that tell of the request, in order of time. Text
-// before a line's JSON is passed over, and so are lines that are cut or are not
-// JSON, of which it returns the number.
+// ReadRequestLog returns the log lines about a request, sorted by time. It skips text before a
+// line's JSON and lines without JSON. Unreadable is the number of lines with truncated or
+// malformed JSON that contain the request ID.
 func ReadRequestLog(requestID string, logs ...io.Reader) (lines []RequestLogLine, unreadable int, err error) {
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
@@ -73,11 +74,12 @@
 	return lines, unreadable, nil
 }
 
-// parseRequestLogLine reads one line; matches says that it tells of the request.
+// parseRequestLogLine parses one line. Matches reports whether the line is about the request. It
+// returns ok = false if the line contains the request ID but its JSON is malformed.
 func parseRequestLogLine(text []byte, requestID string) (line RequestLogLine, matches, ok bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
-		return line, false, true // is no line of ours
+		return line, false, true // not a log line of a node
 	}
 	if json.Unmarshal(text[start:], &line) != nil {
 		return line, false, !bytes.Contains(text, []byte(requestID))
--- a/telemetry/request_log_test.go
+++ b/telemetry/request_log_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// What callers send can't make a line of its own.
+// Text from a caller cannot forge a log line of its own.
 func TestCallersCannotForgeLogLines(t *testing.T) {
 	var output bytes.Buffer
 	logger, err := telemetry.NewLogger(&output, "info", "node-1")
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -25,7 +25,7 @@
 		}
 	}
 	if len(explanations.byRequest) != capacity {
-		t.Errorf("the index holds %d entries", len(explanations.byRequest))
+		t.Errorf("byRequest has %d entries", len(explanations.byRequest))
 	}
 }
 
@@ -60,7 +60,7 @@
 	}
 	explanations.Add(Explanation{RequestID: "third"})
 	if _, found := explanations.Find("r"); found {
-		t.Error("an explanation was found whose place is taken")
+		t.Error("found an explanation that was evicted")
 	}
 }
 
@@ -82,7 +82,7 @@
 	}
 }
 
-// A bound of seconds can't be judged by lines that tell whole seconds.
+// Log times need milliseconds: limits of a few seconds cannot be checked with whole seconds.
 func TestLogTimesHaveMilliseconds(t *testing.T) {
 	var output bytes.Buffer
 	logger, err := NewLogger(&output, "info", "node-1")
