--- a/cmd/banksail-lab/replay.go
+++ b/cmd/banksail-lab/replay.go
@@ -51,7 +51,7 @@
 	flags.StringVar(&c.selection.Policy, "policy", experiment.KindBanksail, "policy of the file, of kind banksail")
 	flags.Uint64Var(&c.selection.Seed, "seed", 1, "seed of the run")
 	flags.IntVar(&c.selection.Node, "node", 0, "index of the node")
-	flags.StringVar(&c.selection.About, "about", "", "what the trace shows, for its readers")
+	flags.StringVar(&c.selection.Description, "about", "", "what the trace shows, for its readers")
 	flags.Float64Var(&c.durationMS, "duration-ms", 0, "how long queries arrive, in place of the file's time")
 }
 
@@ -66,7 +66,7 @@
 		if c.durationMS > 0 {
 			file.DurationMS = c.durationMS
 		}
-		err = replay.Make(os.Stdout, file, c.selection)
+		err = replay.WriteTrace(os.Stdout, file, c.selection)
 	}
 	return unprefixedExitStatus(err)
 }
--- a/lab/replay/record.go
+++ b/lab/replay/record.go
@@ -14,14 +14,14 @@
 // Selection names the run and the node of which a trace is made.
 type Selection struct {
 	experiment.Selection
-	Seed  uint64
-	Node  int
-	About string
+	Seed        uint64
+	Node        int
+	Description string
 }
 
-// Make runs one simulation of the experiment file and writes a trace of what one
+// WriteTrace runs one simulation of the experiment file and writes a trace of what one
 // node's dispatcher was told and decided.
-func Make(out io.Writer, file *experiment.File, selection Selection) error {
+func WriteTrace(out io.Writer, file *experiment.File, selection Selection) error {
 	chosen, err := file.Select(selection.Selection)
 	if err != nil {
 		return err
@@ -32,12 +32,12 @@
 	decided.New = func(node cluster.Node) cluster.Machine {
 		if node.Index == selection.Node {
 			writer.line(Header{
-				Format:  Format,
-				Version: Version,
-				About:   selection.About,
-				Seed:    node.Seed,
-				Zone:    node.Zone,
-				Options: chosen.Options,
+				Format:      Format,
+				Version:     Version,
+				Description: selection.Description,
+				Seed:        node.Seed,
+				Zone:        node.Zone,
+				Options:     chosen.Options,
 			})
 		}
 		return makeMachine(node)
--- a/lab/replay/replay.go
+++ b/lab/replay/replay.go
@@ -25,18 +25,18 @@
 type Difference struct {
 	Line int
 	At   time.Duration
-	// Stated and Done are the JSON texts of the actions.
-	Stated, Done []byte
+	// Expected and Done are the JSON texts of the actions.
+	Expected, Actual []byte
 }
 
 // String tells the line, and the texts from where they differ.
 func (d *Difference) String() string {
 	from := 0
-	for from < min(len(d.Stated), len(d.Done)) && d.Stated[from] == d.Done[from] {
+	for from < min(len(d.Expected), len(d.Actual)) && d.Expected[from] == d.Actual[from] {
 		from++
 	}
 	return fmt.Sprintf("line %d, at %v, byte %d of the actions\n  stated: %s\n  done:   %s",
-		d.Line, d.At, from, excerpt(d.Stated, from), excerpt(d.Done, from))
+		d.Line, d.At, from, excerpt(d.Expected, from), excerpt(d.Actual, from))
 }
 
 const excerptBytes = 160
@@ -74,7 +74,7 @@
 			return report, err
 		}
 		if stated := compact(record.Actions); !bytes.Equal(stated, done) {
-			report.Difference = &Difference{Line: reader.Line(), At: record.At, Stated: stated, Done: done}
+			report.Difference = &Difference{Line: reader.Line(), At: record.At, Expected: stated, Actual: done}
 			return report, nil
 		}
 	}
--- a/lab/replay/replay_test.go
+++ b/lab/replay/replay_test.go
@@ -72,10 +72,10 @@
 				Workload: workload.Name, Fault: faults.Name, Policy: experiment.KindBanksail,
 			}}
 			var first, second bytes.Buffer
-			if err := replay.Make(&first, file, selection); err != nil {
+			if err := replay.WriteTrace(&first, file, selection); err != nil {
 				t.Fatal(err)
 			}
-			if err := replay.Make(&second, file, selection); err != nil {
+			if err := replay.WriteTrace(&second, file, selection); err != nil {
 				t.Fatal(err)
 			}
 			if !bytes.Equal(first.Bytes(), second.Bytes()) {
--- a/lab/replay/trace.go
+++ b/lab/replay/trace.go
@@ -47,8 +47,8 @@
 type Header struct {
 	Format  string `json:"format"`
 	Version int    `json:"version"`
-	// About tells readers what the trace shows.
-	About string `json:"about,omitempty"`
+	// Description tells readers what the trace shows.
+	Description string `json:"about,omitempty"`
 	// Seed, Zone and Options set up the dispatcher.
 	Seed    uint64            `json:"seed"`
 	Zone    string            `json:"zone"`
