--- a/machinelist/conn_test.go
+++ b/machinelist/conn_test.go
@@ -12,7 +12,7 @@
 
 const validList = `{"version":3,"machines":[{"id":"a","address":"127.0.0.1:80","zone":"z","role":"node","state":"live","incarnation":"1"}]}`
 
-func TestReplies(t *testing.T) {
+func TestGetValidatesReplies(t *testing.T) {
 	cases := []struct {
 		name string
 		code int
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestWatchThatGoesBackIsMalformed(t *testing.T) {
+func TestWatchRejectsOldVersion(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(writer, validList)
 	}))
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestStatic(t *testing.T) {
+func TestStaticGetAndWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		static := NewStatic(Machine{ID: "a"})
 		go func() {
--- a/machinelist/http.go
+++ b/machinelist/http.go
@@ -33,11 +33,11 @@
 const (
 	DefaultTimeout = 5 * time.Second
 
-	connections = 2
+	maxConnections = 2
 )
 
-// listLimits bounds the JSON document of a reply.
-var listLimits = strictjson.Limits{Bytes: MaximumListBytes}
+// responseLimits bounds the JSON document of a reply.
+var responseLimits = strictjson.Limits{Bytes: MaximumListBytes}
 
 // HTTPOptions configures a connection over HTTP. Zero fields get defaults.
 type HTTPOptions struct {
@@ -62,7 +62,7 @@
 	return &httpConn{
 		address:   options.Address,
 		timeout:   options.Timeout,
-		transport: httpcall.NewTransport(options.Dial, connections),
+		transport: httpcall.NewTransport(options.Dial, maxConnections),
 		validate:  validation.New("json"),
 	}
 }
@@ -110,7 +110,7 @@
 		return List{}, fmt.Errorf("%w: HTTP status %d", ErrMalformed, code)
 	}
 	list := List{}
-	if err := strictjson.Unmarshal(data, listLimits, &list); err != nil {
+	if err := strictjson.Unmarshal(data, responseLimits, &list); err != nil {
 		return List{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if err := c.validate.Struct(list); err != nil {
--- a/machinelist/static.go
+++ b/machinelist/static.go
@@ -32,7 +32,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.machines = slices.Clone(machines)
-	s.advance()
+	s.publishChange()
 }
 
 // Upsert adds a machine or replaces the one with its ID.
@@ -40,7 +40,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.machines = Upsert(s.machines, machine)
-	s.advance()
+	s.publishChange()
 }
 
 // Remove takes a machine out; it reports whether the list had it.
@@ -50,7 +50,7 @@
 	kept, found := Remove(s.machines, id)
 	if found {
 		s.machines = kept
-		s.advance()
+		s.publishChange()
 	}
 	return found
 }
@@ -101,8 +101,8 @@
 	return List{Version: s.version, Machines: slices.Clone(s.machines)}, s.changed, nil
 }
 
-// advance makes a change known; mutex is held.
-func (s *Static) advance() {
+// publishChange makes a change known; mutex is held.
+func (s *Static) publishChange() {
 	s.version++
 	close(s.changed)
 	s.changed = make(chan struct{})
