--- a/machinelist/conn_test.go
+++ b/machinelist/conn_test.go
@@ -65,7 +65,7 @@
 		}()
 		list, err := static.Watch(t.Context(), 1, time.Minute)
 		if err != nil || len(list.Machines) != 2 {
-			t.Errorf("list is %+v, %v", list, err)
+			t.Errorf("got list %+v, error %v, want two machines", list, err)
 		}
 		if _, err := static.Watch(t.Context(), list.Version, time.Minute); !errors.Is(err, ErrUnchanged) {
 			t.Errorf("error is %v, want ErrUnchanged", err)
@@ -85,7 +85,7 @@
 	f.Fuzz(func(t *testing.T, code int, data []byte) {
 		list, err := conn.decode(data, code)
 		if err == nil && (code != http.StatusOK || list.Machines == nil) {
-			t.Fatalf("took %+v under code %d", list, code)
+			t.Fatalf("accepted %+v with HTTP status %d", list, code)
 		}
 	})
 }
--- a/machinelist/http.go
+++ b/machinelist/http.go
@@ -17,35 +17,36 @@
 	"github.com/banksail/banksail/internal/validation"
 )
 
-// The HTTP protocol of the machine list.
+// Paths, parameters and limits of the machine list's HTTP protocol.
 const (
 	Path           = "/v1/machines"
 	AfterParameter = "after"
 	WaitParameter  = "wait_ms"
 
-	// MaximumListBytes bounds what is read of one reply.
+	// MaximumListBytes is the maximum size of a reply in bytes.
 	MaximumListBytes = 16 << 20
-	// MaximumWait bounds one long poll.
+	// MaximumWait is the maximum wait time of a long poll.
 	MaximumWait = time.Minute
 )
 
-// Defaults of HTTPOptions.
+// Defaults of HTTPOptions, and the connection limit.
 const (
 	DefaultTimeout = 5 * time.Second
 
 	maxConnections = 2
 )
 
-// responseLimits bounds the JSON document of a reply.
+// responseLimits are the limits of a reply's JSON document.
 var responseLimits = strictjson.Limits{Bytes: MaximumListBytes}
 
-// HTTPOptions configures a connection over HTTP. Zero fields get defaults.
+// HTTPOptions configures an HTTP client of the machine list. Zero fields are replaced by
+// defaults.
 type HTTPOptions struct {
-	// Address is the machine list's IP number and port.
+	// Address is the IP address and port of the machine list.
 	Address string
-	// Dial opens connections; the default is the operating system's TCP.
+	// Dial opens connections. The default is a TCP connection of the operating system.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Timeout bounds each call, for a watch in addition to its wait.
+	// Timeout is the timeout of each call. A watch may take its wait time in addition.
 	Timeout time.Duration
 }
 
@@ -56,7 +57,7 @@
 	validate  *validator.Validate
 }
 
-// NewHTTP returns a connection to the machine list at an address.
+// NewHTTP returns a Conn that reads the machine list over HTTP.
 func NewHTTP(options HTTPOptions) Conn {
 	options.Timeout = cmp.Or(options.Timeout, DefaultTimeout)
 	return &httpConn{
@@ -81,7 +82,7 @@
 		return List{}, err
 	}
 	if list.Version <= after {
-		return List{}, fmt.Errorf("%w: watch after version %d gave %d", ErrMalformed, after, list.Version)
+		return List{}, fmt.Errorf("%w: watch after version %d returned version %d", ErrMalformed, after, list.Version)
 	}
 	return list, nil
 }
@@ -98,7 +99,7 @@
 	return c.decode(reply.Body, reply.Code)
 }
 
-// decode checks a whole reply.
+// decode validates a complete reply and returns its list.
 func (c *httpConn) decode(data []byte, code int) (List, error) {
 	switch code {
 	case http.StatusOK:
--- a/machinelist/static.go
+++ b/machinelist/static.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Static is an in-memory machine list that its owner changes. Its methods may
-// be called from several goroutines.
+// Static is an in-memory machine list that is changed through its methods. It is safe for
+// concurrent use.
 type Static struct {
-	// mutex guards the fields below. Invariant: version grows and changed is
-	// closed and replaced with each change.
+	// mutex guards the fields below. Invariant: each change of the machines increments version,
+	// and each change of the machines or of down closes and replaces changed.
 	mutex    sync.Mutex
 	version  uint64
 	machines []Machine
@@ -22,12 +22,12 @@
 
 var _ Conn = (*Static)(nil)
 
-// NewStatic returns a list of the given machines at version 1.
+// NewStatic returns a list of the given machines with version 1.
 func NewStatic(machines ...Machine) *Static {
 	return &Static{version: 1, machines: slices.Clone(machines), changed: make(chan struct{})}
 }
 
-// Set replaces the machines.
+// Set replaces all machines.
 func (s *Static) Set(machines ...Machine) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -35,7 +35,7 @@
 	s.publishChange()
 }
 
-// Upsert adds a machine or replaces the one with its ID.
+// Upsert adds a machine or replaces the one with the same ID.
 func (s *Static) Upsert(machine Machine) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -43,7 +43,7 @@
 	s.publishChange()
 }
 
-// Remove takes a machine out; it reports whether the list had it.
+// Remove removes a machine and reports whether it was in the list.
 func (s *Static) Remove(id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -55,7 +55,7 @@
 	return found
 }
 
-// SetDown makes reads fail with ErrUnavailable until it is called with false.
+// SetDown makes reads fail with ErrUnavailable while down is true.
 func (s *Static) SetDown(down bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -64,13 +64,14 @@
 	s.changed = make(chan struct{})
 }
 
-// Get reads the list.
+// Get returns the current list.
 func (s *Static) Get(context.Context) (List, error) {
 	list, _, err := s.read()
 	return list, err
 }
 
-// Watch waits until the list's version is greater than after, at most wait.
+// Watch returns the list as soon as its version is greater than after. It returns ErrUnchanged if
+// that does not happen within wait.
 func (s *Static) Watch(ctx context.Context, after uint64, wait time.Duration) (List, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -96,12 +97,12 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.down {
-		return List{}, nil, fmt.Errorf("%w: switched down", ErrUnavailable)
+		return List{}, nil, fmt.Errorf("%w: list is set to be down", ErrUnavailable)
 	}
 	return List{Version: s.version, Machines: slices.Clone(s.machines)}, s.changed, nil
 }
 
-// publishChange makes a change known; mutex is held.
+// publishChange increments the version and wakes the watches. The caller holds the mutex.
 func (s *Static) publishChange() {
 	s.version++
 	close(s.changed)
