--- a/lab/replay/record.go
+++ b/lab/replay/record.go
@@ -27,11 +27,11 @@
 		return err
 	}
 	writer := &writer{out: bufio.NewWriter(out), node: selection.Node}
-	decided := chosen.Policy
-	makeMachine := decided.New
-	decided.New = func(node cluster.Node) cluster.Machine {
+	tracedPolicy := chosen.Policy
+	newMachine := tracedPolicy.New
+	tracedPolicy.New = func(node cluster.Node) cluster.Machine {
 		if node.Index == selection.Node {
-			writer.line(Header{
+			writer.writeLine(Header{
 				Format:      Format,
 				Version:     Version,
 				Description: selection.Description,
@@ -40,9 +40,9 @@
 				Options:     chosen.Options,
 			})
 		}
-		return makeMachine(node)
+		return newMachine(node)
 	}
-	cluster.Run(chosen.Scenario, decided, selection.Seed, writer.observe)
+	cluster.Run(chosen.Scenario, tracedPolicy, selection.Seed, writer.writeRecord)
 	if writer.err != nil {
 		return writer.err
 	}
@@ -56,7 +56,7 @@
 	err  error
 }
 
-func (w *writer) observe(node int, now time.Duration, event dispatch.Event, actions []dispatch.Action) {
+func (w *writer) writeRecord(node int, now time.Duration, event dispatch.Event, actions []dispatch.Action) {
 	if node != w.node || w.err != nil {
 		return
 	}
@@ -67,10 +67,10 @@
 	if record.Actions, w.err = encodeActions(actions); w.err != nil {
 		return
 	}
-	w.line(record)
+	w.writeLine(record)
 }
 
-func (w *writer) line(value any) {
+func (w *writer) writeLine(value any) {
 	text, err := json.Marshal(value)
 	if err == nil {
 		_, err = w.out.Write(append(text, '\n'))
--- a/lab/replay/replay.go
+++ b/lab/replay/replay.go
@@ -68,19 +68,19 @@
 		}
 		actions := dispatcher.Step(record.At, event)
 		report.Records++
-		count(report.Outcomes, actions)
-		done, err := encodeActions(actions)
+		countOutcomes(report.Outcomes, actions)
+		actual, err := encodeActions(actions)
 		if err != nil {
 			return report, err
 		}
-		if stated := compact(record.Actions); !bytes.Equal(stated, done) {
-			report.Difference = &Difference{Line: reader.Line(), At: record.At, Expected: stated, Actual: done}
+		if expected := compactJSON(record.Actions); !bytes.Equal(expected, actual) {
+			report.Difference = &Difference{Line: reader.Line(), At: record.At, Expected: expected, Actual: actual}
 			return report, nil
 		}
 	}
 }
 
-func count(outcomes map[dispatch.Reason]int, actions []dispatch.Action) {
+func countOutcomes(outcomes map[dispatch.Reason]int, actions []dispatch.Action) {
 	for _, action := range actions {
 		if finish, ok := action.(dispatch.Finish); ok {
 			outcomes[finish.Outcome.Reason]++
@@ -88,8 +88,8 @@
 	}
 }
 
-// compact drops white space, so that a trace may be edited by hand.
-func compact(text json.RawMessage) []byte {
+// compactJSON drops white space, so that a trace may be edited by hand.
+func compactJSON(text json.RawMessage) []byte {
 	var out bytes.Buffer
 	if err := json.Compact(&out, text); err != nil {
 		return text
--- a/lab/replay/replay_test.go
+++ b/lab/replay/replay_test.go
@@ -12,7 +12,7 @@
 	"github.com/banksail/banksail/lab/replay"
 )
 
-func traces(t testing.TB) []string {
+func tracePaths(t testing.TB) []string {
 	t.Helper()
 	paths, err := filepath.Glob("testdata/*.jsonl")
 	if err != nil || len(paths) == 0 {
@@ -21,8 +21,8 @@
 	return paths
 }
 
-func TestRecordedTracesReplayAlike(t *testing.T) {
-	for _, path := range traces(t) {
+func TestRecordedTracesReplayWithoutDifference(t *testing.T) {
+	for _, path := range tracePaths(t) {
 		t.Run(filepath.Base(path), func(t *testing.T) {
 			text, err := os.ReadFile(path)
 			if err != nil {
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestAChangedOutcomeIsFound(t *testing.T) {
+func TestChangedOutcomeIsDetected(t *testing.T) {
 	text, err := os.ReadFile("testdata/overload-none.jsonl")
 	if err != nil {
 		t.Fatal(err)
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestARecordedRunReplaysAlike(t *testing.T) {
+func TestRecordingIsReproducibleAndReplays(t *testing.T) {
 	file, err := experiment.Load("testdata/experiment.yaml")
 	if err != nil {
 		t.Fatal(err)
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestInvalidTracesAreRefused(t *testing.T) {
+func TestInvalidTracesAreRejected(t *testing.T) {
 	const header = `{"format":"banksail-trace","version":1,"seed":1,"zone":"a","options":{}}`
 	tests := []struct {
 		name, text string
@@ -117,7 +117,7 @@
 }
 
 func FuzzReader(f *testing.F) {
-	for _, path := range traces(f) {
+	for _, path := range tracePaths(f) {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			f.Fatal(err)
--- a/lab/replay/trace.go
+++ b/lab/replay/trace.go
@@ -108,23 +108,23 @@
 // Value returns the one event; it fails when there is none, or more than one.
 func (e Event) Value() (dispatch.Event, error) {
 	var set []dispatch.Event
-	add(&set, e.Arrived)
-	add(&set, e.CallerGone)
-	add(&set, e.Replied)
-	add(&set, e.Failed)
-	add(&set, e.Woken)
-	add(&set, e.Configured)
-	add(&set, e.ServerChanged)
-	add(&set, e.Observed)
-	add(&set, e.NodesChanged)
-	add(&set, e.Stopping)
+	appendIfSet(&set, e.Arrived)
+	appendIfSet(&set, e.CallerGone)
+	appendIfSet(&set, e.Replied)
+	appendIfSet(&set, e.Failed)
+	appendIfSet(&set, e.Woken)
+	appendIfSet(&set, e.Configured)
+	appendIfSet(&set, e.ServerChanged)
+	appendIfSet(&set, e.Observed)
+	appendIfSet(&set, e.NodesChanged)
+	appendIfSet(&set, e.Stopping)
 	if len(set) != 1 {
 		return nil, fmt.Errorf("%w: %d events in a record, not 1", ErrInvalidTrace, len(set))
 	}
 	return set[0], nil
 }
 
-func add[T dispatch.Event](set *[]dispatch.Event, event *T) {
+func appendIfSet[T dispatch.Event](set *[]dispatch.Event, event *T) {
 	if event != nil {
 		*set = append(*set, *event)
 	}
@@ -160,11 +160,11 @@
 
 // Reader reads a trace.
 type Reader struct {
-	header  Header
-	lines   *bufio.Scanner
-	line    int
-	records int
-	latest  time.Duration
+	header   Header
+	lines    *bufio.Scanner
+	line     int
+	records  int
+	lastTime time.Duration
 }
 
 // NewReader reads the header.
@@ -172,7 +172,7 @@
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, MaximumLineBytes)
 	reader := &Reader{lines: lines}
-	if err := reader.next(&reader.header); err != nil {
+	if err := reader.decodeLine(&reader.header); err != nil {
 		if errors.Is(err, io.EOF) {
 			return nil, fmt.Errorf("%w: it is empty", ErrInvalidTrace)
 		}
@@ -196,21 +196,21 @@
 // Next reads the next record; it returns io.EOF after the last.
 func (r *Reader) Next() (Record, error) {
 	var record Record
-	if err := r.next(&record); err != nil {
+	if err := r.decodeLine(&record); err != nil {
 		return Record{}, err
 	}
 	r.records++
 	switch {
 	case r.records > MaximumRecords:
 		return Record{}, fmt.Errorf("%w: more than %d records", ErrInvalidTrace, MaximumRecords)
-	case record.At < r.latest:
+	case record.At < r.lastTime:
 		return Record{}, fmt.Errorf("%w: line %d: at_ns goes back", ErrInvalidTrace, r.line)
 	}
-	r.latest = record.At
+	r.lastTime = record.At
 	return record, nil
 }
 
-func (r *Reader) next(value any) error {
+func (r *Reader) decodeLine(value any) error {
 	if !r.lines.Scan() {
 		if err := r.lines.Err(); err != nil {
 			return fmt.Errorf("%w: line %d: %w", ErrInvalidTrace, r.line+1, err)
