--- a/lab/replay/record.go
+++ b/lab/replay/record.go
@@ -11,7 +11,8 @@
 	"github.com/banksail/banksail/lab/experiment/cluster"
 )
 
-// Selection names the run and the node of which a trace is made.
+// Selection selects the simulated run and the node to record. Description is copied to
+// the trace's header.
 type Selection struct {
 	experiment.Selection
 	Seed        uint64
@@ -19,8 +20,8 @@
 	Description string
 }
 
-// WriteTrace runs one simulation of the experiment file and writes a trace of what one
-// node's dispatcher was told and decided.
+// WriteTrace runs one simulation of the experiment file and writes a trace of the events
+// and actions of one node's dispatcher.
 func WriteTrace(out io.Writer, file *experiment.File, selection Selection) error {
 	chosen, err := file.Select(selection.Selection)
 	if err != nil {
@@ -49,7 +50,7 @@
 	return writer.out.Flush()
 }
 
-// writer writes the lines of one node and keeps the first error.
+// writer writes the trace of one node and keeps the first error.
 type writer struct {
 	out  *bufio.Writer
 	node int
--- a/lab/replay/replay.go
+++ b/lab/replay/replay.go
@@ -11,25 +11,28 @@
 	"github.com/banksail/banksail/dispatch"
 )
 
-// Report tells how a replay went.
+// Report is the result of a replay.
 type Report struct {
-	// Records is the number of records that were replayed.
+	// Records is the number of records replayed.
 	Records int
 	// Outcomes counts the final answers by reason.
 	Outcomes map[dispatch.Reason]int
-	// Difference is the first one; nil when there is none.
+	// Difference is the first difference, nil if there is none.
 	Difference *Difference
 }
 
-// Difference is a record for which the dispatcher did not do what the trace states.
+// Difference is a record for which the dispatcher's actions differ from those in the
+// trace.
 type Difference struct {
 	Line int
 	At   time.Duration
-	// Expected and Done are the JSON texts of the actions.
+	// Expected holds the actions in the trace and Actual those of the dispatcher,
+	// both as JSON.
 	Expected, Actual []byte
 }
 
-// String tells the line, and the texts from where they differ.
+// String formats the line number, the time, and both texts from the first byte that
+// differs.
 func (d *Difference) String() string {
 	from := 0
 	for from < min(len(d.Expected), len(d.Actual)) && d.Expected[from] == d.Actual[from] {
@@ -45,7 +48,9 @@
 	return text[from:min(from+excerptBytes, len(text))]
 }
 
-// Run drives a dispatcher with a trace and stops at the first difference.
+// Run feeds a trace's events to a new dispatcher and compares its actions with those in
+// the trace. It stops at the first difference, which is not an error. It returns
+// ErrInvalidTrace or ErrUnsupportedVersion if it can't read the trace.
 func Run(in io.Reader) (Report, error) {
 	report := Report{Outcomes: make(map[dispatch.Reason]int)}
 	reader, err := NewReader(in)
@@ -88,7 +93,8 @@
 	}
 }
 
-// compactJSON drops white space, so that a trace may be edited by hand.
+// compactJSON removes insignificant white space, so that traces edited by hand can be
+// compared. It returns invalid JSON unchanged.
 func compactJSON(text json.RawMessage) []byte {
 	var out bytes.Buffer
 	if err := json.Compact(&out, text); err != nil {
--- a/lab/replay/replay_test.go
+++ b/lab/replay/replay_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	paths, err := filepath.Glob("testdata/*.jsonl")
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("no traces: %v", err)
+		t.Fatalf("no trace files in testdata: %v", err)
 	}
 	return paths
 }
@@ -36,7 +36,7 @@
 				t.Fatal(report.Difference)
 			}
 			if len(report.Outcomes) == 0 {
-				t.Error("the trace states no outcome")
+				t.Error("the trace has no final answer")
 			}
 		})
 	}
@@ -53,11 +53,11 @@
 		t.Fatal(err)
 	}
 	if report.Difference == nil {
-		t.Fatal("the change was not found")
+		t.Fatal("the changed outcome was not detected")
 	}
 	shown := report.Difference.String()
 	if !strings.Contains(shown, "deadline") || !strings.Contains(shown, "complete") {
-		t.Errorf("the difference is not shown: %s", shown)
+		t.Errorf("the report does not show both outcomes: %s", shown)
 	}
 }
 
@@ -79,11 +79,11 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(first.Bytes(), second.Bytes()) {
-				t.Errorf("%s/%s: two recordings of a seed differ", workload.Name, faults.Name)
+				t.Errorf("%s/%s: two recordings with the same seed differ", workload.Name, faults.Name)
 			}
 			report, err := replay.Run(&first)
 			if err != nil || report.Difference != nil {
-				t.Errorf("%s/%s: %v %v", workload.Name, faults.Name, err, report.Difference)
+				t.Errorf("%s/%s: replay failed: error %v, difference %v", workload.Name, faults.Name, err, report.Difference)
 			}
 		}
 	}
@@ -110,7 +110,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			_, err := replay.Run(strings.NewReader(test.text))
 			if !errors.Is(err, test.want) {
-				t.Errorf("error %v, want %v", err, test.want)
+				t.Errorf("got error %v, want %v", err, test.want)
 			}
 		})
 	}
--- a/lab/replay/testdata/record.sh
+++ b/lab/replay/testdata/record.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Records the traces anew. Do so only when a change of decisions is meant.
+# Records the traces again. Run it only after an intended change of the dispatcher's
+# decisions.
 set -eu
 cd "$(dirname "$0")"
 record() {
--- a/lab/replay/trace.go
+++ b/lab/replay/trace.go
@@ -1,11 +1,11 @@
-// Package replay records what one node's dispatcher was told and what it
-// decided, and drives a dispatcher with the record to see whether it still
-// decides the same, byte for byte.
+// Package replay records the events and actions of one node's dispatcher in a trace, and
+// replays a trace to verify that a dispatcher still takes the same actions, byte for
+// byte.
 //
-// A trace is a text of JSON lines. The first is the Header; each of the others
-// is a Record: one event (an arrival, a reply after its service time, a failure,
-// a change of configuration or of a server's state) and the actions that the
-// dispatcher gave, which are the stated outcomes.
+// A trace is a file of JSON lines. The first line is the Header. Every other line is a
+// Record: one event (an arrival, a reply after its service time, a failure, a change of
+// configuration or of a server's state) and the actions that the dispatcher returned for
+// it, which are the actions expected in a replay.
 package replay
 
 import (
@@ -23,23 +23,24 @@
 
 // Errors of traces.
 var (
-	// ErrInvalidTrace is returned for a text that is not a trace; it names the line.
+	// ErrInvalidTrace is returned for input that is not a valid trace. The error
+	// text names the line where there is one.
 	ErrInvalidTrace = errors.New("replay: invalid trace")
-	// ErrUnsupportedVersion is returned for a trace of another version.
+	// ErrUnsupportedVersion is returned for a trace of a version other than Version.
 	ErrUnsupportedVersion = errors.New("replay: unsupported version")
 )
 
-// Format and Version stand in the header of each trace.
+// Format and Version identify the trace format in the header of each trace.
 const (
 	Format  = "banksail-trace"
 	Version = 1
 )
 
-// Bounds of what is read.
+// Limits of the input.
 const (
-	// MaximumLineBytes bounds one line.
+	// MaximumLineBytes is the maximum length of a line.
 	MaximumLineBytes = 1 << 20
-	// MaximumRecords bounds the records of one trace.
+	// MaximumRecords is the maximum number of records in a trace.
 	MaximumRecords = 1 << 20
 )
 
@@ -47,24 +48,24 @@
 type Header struct {
 	Format  string `json:"format"`
 	Version int    `json:"version"`
-	// Description tells readers what the trace shows.
+	// Description describes the trace for human readers.
 	Description string `json:"about,omitempty"`
-	// Seed, Zone and Options set up the dispatcher.
+	// Seed, Zone and Options configure the dispatcher.
 	Seed    uint64            `json:"seed"`
 	Zone    string            `json:"zone"`
 	Options experiment.Tuning `json:"options"`
 }
 
-// Record is one event and what the dispatcher did about it.
+// Record is one event and the actions that the dispatcher returned for it.
 type Record struct {
-	// At is the time of the event, in nanoseconds since the start.
+	// At is the time of the event since the start of the run.
 	At    time.Duration `json:"at_ns"`
 	Event Event         `json:"event"`
-	// Actions is the JSON text of a list of Action.
+	// Actions is a JSON array of Action.
 	Actions json.RawMessage `json:"actions"`
 }
 
-// Event holds one event of a dispatcher; exactly one field is set.
+// Event is one event passed to a dispatcher. Exactly one field is set.
 type Event struct {
 	Arrived       *dispatch.QueryArrived   `json:"arrived,omitempty"`
 	CallerGone    *dispatch.CallerGone     `json:"caller_gone,omitempty"`
@@ -78,7 +79,7 @@
 	Stopping      *dispatch.Stopping       `json:"stopping,omitempty"`
 }
 
-// wrapEvent puts an event of a dispatcher into its field.
+// wrapEvent converts a dispatcher's event to an Event.
 func wrapEvent(event dispatch.Event) (Event, error) {
 	switch typed := event.(type) {
 	case dispatch.QueryArrived:
@@ -105,7 +106,8 @@
 	return Event{}, fmt.Errorf("%w: unknown event %T", ErrInvalidTrace, event)
 }
 
-// Value returns the one event; it fails when there is none, or more than one.
+// Value returns the dispatcher's event, or ErrInvalidTrace unless exactly one field is
+// set.
 func (e Event) Value() (dispatch.Event, error) {
 	var set []dispatch.Event
 	appendIfSet(&set, e.Arrived)
@@ -119,7 +121,7 @@
 	appendIfSet(&set, e.NodesChanged)
 	appendIfSet(&set, e.Stopping)
 	if len(set) != 1 {
-		return nil, fmt.Errorf("%w: %d events in a record, not 1", ErrInvalidTrace, len(set))
+		return nil, fmt.Errorf("%w: %d events in a record, want 1", ErrInvalidTrace, len(set))
 	}
 	return set[0], nil
 }
@@ -130,7 +132,7 @@
 	}
 }
 
-// Action holds one action of a dispatcher; exactly one field is set.
+// Action is one action returned by a dispatcher. Exactly one field is set.
 type Action struct {
 	Send   *dispatch.Send     `json:"send,omitempty"`
 	Cancel *dispatch.Cancel   `json:"cancel,omitempty"`
@@ -138,7 +140,7 @@
 	Wake   *dispatch.SetTimer `json:"wake,omitempty"`
 }
 
-// encodeActions returns the JSON text of what the dispatcher did.
+// encodeActions encodes a dispatcher's actions as a JSON array of Action.
 func encodeActions(actions []dispatch.Action) (json.RawMessage, error) {
 	wrapped := make([]Action, 0, len(actions))
 	for _, action := range actions {
@@ -158,7 +160,7 @@
 	return json.Marshal(wrapped)
 }
 
-// Reader reads a trace.
+// Reader reads a trace. It must not be used concurrently.
 type Reader struct {
 	header   Header
 	lines    *bufio.Scanner
@@ -167,14 +169,15 @@
 	lastTime time.Duration
 }
 
-// NewReader reads the header.
+// NewReader reads and checks the header and returns a Reader for the records. It returns
+// ErrInvalidTrace or ErrUnsupportedVersion.
 func NewReader(in io.Reader) (*Reader, error) {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, MaximumLineBytes)
 	reader := &Reader{lines: lines}
 	if err := reader.decodeLine(&reader.header); err != nil {
 		if errors.Is(err, io.EOF) {
-			return nil, fmt.Errorf("%w: it is empty", ErrInvalidTrace)
+			return nil, fmt.Errorf("%w: no header line", ErrInvalidTrace)
 		}
 		return nil, err
 	}
@@ -182,18 +185,19 @@
 		return nil, fmt.Errorf("%w: line 1: format %q", ErrInvalidTrace, reader.header.Format)
 	}
 	if reader.header.Version != Version {
-		return nil, fmt.Errorf("%w: %d; this reads %d", ErrUnsupportedVersion, reader.header.Version, Version)
+		return nil, fmt.Errorf("%w: %d, want %d", ErrUnsupportedVersion, reader.header.Version, Version)
 	}
 	return reader, nil
 }
 
-// Header is the trace's first line.
+// Header returns the trace's header.
 func (r *Reader) Header() Header { return r.header }
 
-// Line is the number of the line read last, from 1.
+// Line returns the number of the last line read, counted from 1.
 func (r *Reader) Line() int { return r.line }
 
-// Next reads the next record; it returns io.EOF after the last.
+// Next returns the next record, or io.EOF after the last one. It returns ErrInvalidTrace
+// for a malformed line, too many records, or a time before that of the previous record.
 func (r *Reader) Next() (Record, error) {
 	var record Record
 	if err := r.decodeLine(&record); err != nil {
@@ -204,7 +208,7 @@
 	case r.records > MaximumRecords:
 		return Record{}, fmt.Errorf("%w: more than %d records", ErrInvalidTrace, MaximumRecords)
 	case record.At < r.lastTime:
-		return Record{}, fmt.Errorf("%w: line %d: at_ns goes back", ErrInvalidTrace, r.line)
+		return Record{}, fmt.Errorf("%w: line %d: at_ns is less than in the previous record", ErrInvalidTrace, r.line)
 	}
 	r.lastTime = record.At
 	return record, nil
@@ -224,7 +228,7 @@
 		return fmt.Errorf("%w: line %d: %w", ErrInvalidTrace, r.line, err)
 	}
 	if decoder.More() {
-		return fmt.Errorf("%w: line %d: more than one value", ErrInvalidTrace, r.line)
+		return fmt.Errorf("%w: line %d: more than one JSON value", ErrInvalidTrace, r.line)
 	}
 	return nil
 }
