--- a/lab/network/conn.go
+++ b/lab/network/conn.go
@@ -23,40 +23,40 @@
 	from, to *Process
 	segments []segment
 	buffered int
-	// ended is set once no byte can follow: the sender closed or died.
-	ended bool
-	// abandoned is set when the receiver closed or died: bytes are dropped.
-	abandoned bool
-	broken    bool
-	// silent says that nothing more gets through.
-	silent bool
+	// writeClosed is set once no byte can follow: the sender closed or died.
+	writeClosed bool
+	// readClosed is set when the receiver closed or died: bytes are dropped.
+	readClosed bool
+	broken     bool
+	// blackholed says that nothing more gets through.
+	blackholed bool
 	// reverse is the connection's other direction.
 	reverse *stream
-	// unheard says that data was sent to a machine that has vanished; refused,
+	// sentToVanished says that data was sent to a machine that has vanished; refused,
 	// that the process which took its place has answered with a reset.
-	unheard     bool
-	refused     bool
-	lastArrival time.Time
-	jitter      *rand.Rand
-	changed     chan struct{}
+	sentToVanished bool
+	resetSent      bool
+	lastArrival    time.Time
+	jitter         *rand.Rand
+	changed        chan struct{}
 }
 
 // segment is data on its way, or the end of the stream.
 type segment struct {
 	arrival time.Time
 	data    []byte
-	end     error
-	// held says that the sender was frozen: the segment leaves when it continues.
-	held bool
+	endErr  error
+	// heldUntilThaw says that the sender was frozen: the segment leaves when it continues.
+	heldUntilThaw bool
 }
 
 // newConnection makes the two ends of a connection. The lock is held.
 func (n *Network) newConnection(dialer, acceptor *Process, local, remote net.Addr) (near, far *conn) {
-	n.opened++
-	there, back := n.newStream(dialer, acceptor), n.newStream(acceptor, dialer)
-	there.reverse, back.reverse = back, there
-	near = &conn{process: dialer, local: local, remote: remote, in: back, out: there}
-	far = &conn{process: acceptor, local: remote, remote: local, in: there, out: back}
+	n.connectionCount++
+	outbound, inbound := n.newStream(dialer, acceptor), n.newStream(acceptor, dialer)
+	outbound.reverse, inbound.reverse = inbound, outbound
+	near = &conn{process: dialer, local: local, remote: remote, in: inbound, out: outbound}
+	far = &conn{process: acceptor, local: remote, remote: local, in: outbound, out: inbound}
 	return near, far
 }
 
@@ -64,7 +64,7 @@
 	seed := hashOf(from.host.ip, to.host.ip)
 	s := &stream{
 		network: n, from: from, to: to,
-		jitter:  rand.New(rand.NewPCG(n.options.Seed^seed, n.opened)),
+		jitter:  rand.New(rand.NewPCG(n.options.Seed^seed, n.connectionCount)),
 		changed: make(chan struct{}),
 	}
 	n.streams[s] = struct{}{}
@@ -76,15 +76,15 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *stream) joins(one, other string) bool {
+func (s *stream) connects(one, other string) bool {
 	from, to := s.from.host.ip, s.to.host.ip
 	return from == one && to == other || from == other && to == one
 }
 
 // push puts a segment on its way. The lock is held.
-func (s *stream) push(data []byte, end error) {
+func (s *stream) push(data []byte, endErr error) {
 	state := s.network.link(s.from.host.ip, s.to.host.ip)
-	delay := state.delay + state.extra
+	delay := state.delay + state.extraDelay
 	delay += time.Duration(s.jitter.Int64N(int64(delay)/jitterShare + 1))
 	arrival := time.Now().Add(delay)
 	if arrival.Before(s.lastArrival) {
@@ -92,7 +92,7 @@
 	}
 	s.lastArrival = arrival
 	s.segments = append(s.segments, segment{
-		arrival: arrival, data: data, end: end, held: s.from.host.frozen,
+		arrival: arrival, data: data, endErr: endErr, heldUntilThaw: s.from.host.frozen,
 	})
 	s.buffered += len(data)
 	s.wake()
@@ -100,24 +100,24 @@
 
 // end puts the end of the stream on its way, once; a nil reason is a machine
 // that vanished, of which nothing is heard. The lock is held.
-func (s *stream) end(reason error) {
-	if s.ended {
+func (s *stream) closeWrite(reason error) {
+	if s.writeClosed {
 		return
 	}
-	s.ended = true
+	s.writeClosed = true
 	if !s.broken && reason != nil {
 		s.push(nil, reason)
 	}
-	s.forget()
+	s.removeIfClosed()
 }
 
-// abandon drops what is sent from now on. The lock is held.
-func (s *stream) abandon() {
-	s.abandoned = true
+// closeRead drops what is sent from now on. The lock is held.
+func (s *stream) closeRead() {
+	s.readClosed = true
 	s.segments = nil
 	s.buffered = 0
 	s.wake()
-	s.forget()
+	s.removeIfClosed()
 }
 
 // reset breaks the stream at once, for both ends. The lock is held.
@@ -126,41 +126,41 @@
 	s.wake()
 }
 
-// forget lets go of a stream that nobody reads or writes any more. The lock is held.
-func (s *stream) forget() {
-	if s.ended && s.abandoned {
+// removeIfClosed lets go of a stream that nobody reads or writes any more. The lock is held.
+func (s *stream) removeIfClosed() {
+	if s.writeClosed && s.readClosed {
 		delete(s.network.streams, s)
 	}
 }
 
-// endpointDied ends the stream as the death of one of its processes does. The
+// handleProcessKilled ends the stream as the death of one of its processes does. The
 // lock is held.
-func (s *stream) endpointDied(process *Process, mode KillMode) {
+func (s *stream) handleProcessKilled(process *Process, mode KillMode) {
 	if s.from == process {
 		if mode == KillReset {
-			s.end(syscall.ECONNRESET)
+			s.closeWrite(syscall.ECONNRESET)
 		} else {
-			s.end(nil)
+			s.closeWrite(nil)
 		}
 		s.wake()
 	}
 	if s.to == process {
-		s.abandon()
+		s.closeRead()
 	}
 }
 
-// refuse answers what was sent to a vanished machine once another process runs
+// resetAfterRestart answers what was sent to a vanished machine once another process runs
 // there, which knows nothing of the connection. The lock is held.
-func (s *stream) refuse() {
-	if s.unheard && !s.refused && !s.to.host.vanished {
-		s.refused = true
+func (s *stream) resetAfterRestart() {
+	if s.sentToVanished && !s.resetSent && !s.to.host.vanished {
+		s.resetSent = true
 		s.reverse.push(nil, syscall.ECONNRESET)
 	}
 }
 
-// passable reports whether the link lets the segment through. The lock is held.
-func (s *stream) passable(next segment) bool {
-	if s.silent || next.held && s.from.host.frozen {
+// canDeliver reports whether the link lets the segment through. The lock is held.
+func (s *stream) canDeliver(next segment) bool {
+	if s.blackholed || next.heldUntilThaw && s.from.host.frozen {
 		return false
 	}
 	return !s.network.link(s.from.host.ip, s.to.host.ip).cut
@@ -172,10 +172,10 @@
 		return nil
 	}
 	last := s.segments[len(s.segments)-1]
-	if last.end == nil || last.arrival.After(now) || !s.passable(last) {
+	if last.endErr == nil || last.arrival.After(now) || !s.canDeliver(last) {
 		return nil
 	}
-	return last.end
+	return last.endErr
 }
 
 // conn implements net.Conn. Its deadlines and closed are guarded by the
@@ -197,7 +197,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for {
-		if err := c.unusable("read", c.in, c.readDeadline); err != nil {
+		if err := c.operationError("read", c.in, c.readDeadline); err != nil {
 			return 0, err
 		}
 		if c.process.host.frozen {
@@ -205,25 +205,25 @@
 			continue
 		}
 		until := c.readDeadline
-		if len(c.in.segments) > 0 && c.in.passable(c.in.segments[0]) {
+		if len(c.in.segments) > 0 && c.in.canDeliver(c.in.segments[0]) {
 			head := c.in.segments[0]
 			if !head.arrival.After(time.Now()) {
-				return c.take(buffer)
+				return c.readFirstSegment(buffer)
 			}
-			until = earlier(until, head.arrival)
+			until = earlierDeadline(until, head.arrival)
 		}
 		n.await(c.in.changed, until)
 	}
 }
 
-// take reads from the first segment, which has arrived. The lock is held.
-func (c *conn) take(buffer []byte) (int, error) {
+// readFirstSegment reads from the first segment, which has arrived. The lock is held.
+func (c *conn) readFirstSegment(buffer []byte) (int, error) {
 	head := &c.in.segments[0]
-	if errors.Is(head.end, io.EOF) {
+	if errors.Is(head.endErr, io.EOF) {
 		return 0, io.EOF
 	}
-	if head.end != nil {
-		return 0, opError("read", c.remote, head.end)
+	if head.endErr != nil {
+		return 0, opError("read", c.remote, head.endErr)
 	}
 	count := copy(buffer, head.data)
 	head.data = head.data[count:]
@@ -242,26 +242,26 @@
 	defer n.mutex.Unlock()
 	written := 0
 	for written < len(data) {
-		if err := c.unusable("write", c.out, c.writeDeadline); err != nil {
+		if err := c.operationError("write", c.out, c.writeDeadline); err != nil {
 			return written, err
 		}
 		if c.in.arrivedEnd(time.Now()) != nil {
 			return written, opError("write", c.remote, syscall.EPIPE)
 		}
 		if c.process.host.frozen || c.out.buffered >= bufferLimit {
-			n.await(c.out.changed, c.limitWhileFrozen(c.writeDeadline))
+			n.await(c.out.changed, c.effectiveDeadline(c.writeDeadline))
 			continue
 		}
 		count := min(len(data)-written, bufferLimit-c.out.buffered)
 		if c.out.to.killed {
-			c.out.unheard = true
-			c.out.refuse()
+			c.out.sentToVanished = true
+			c.out.resetAfterRestart()
 		}
-		if !c.out.abandoned {
+		if !c.out.readClosed {
 			c.out.push(append([]byte(nil), data[written:written+count]...), nil)
 		}
 		written += count
-		c.boundSilence()
+		c.startUserTimeout()
 	}
 	return written, nil
 }
@@ -275,39 +275,39 @@
 	return nil
 }
 
-// boundSilence looks later whether data that does not get through still does not. The
+// startUserTimeout looks later whether data that does not get through still does not. The
 // lock is held.
-func (c *conn) boundSilence() {
-	if c.userTimeout == 0 || c.out.delivers() {
+func (c *conn) startUserTimeout() {
+	if c.userTimeout == 0 || c.out.isDelivering() {
 		return
 	}
 	time.AfterFunc(c.userTimeout, func() {
 		n := c.process.network
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
-		if !c.closed && !c.out.delivers() {
+		if !c.closed && !c.out.isDelivering() {
 			c.out.reset()
 			c.in.reset()
 		}
 	})
 }
 
-// delivers reports whether what is sent gets through. The lock is held.
-func (s *stream) delivers() bool {
-	return !s.silent && !s.to.host.vanished && !s.network.link(s.from.host.ip, s.to.host.ip).cut
+// isDelivering reports whether what is sent gets through. The lock is held.
+func (s *stream) isDelivering() bool {
+	return !s.blackholed && !s.to.host.vanished && !s.network.link(s.from.host.ip, s.to.host.ip).cut
 }
 
-// limitWhileFrozen is no limit while the process is frozen: its deadlines pass
+// effectiveDeadline is no limit while the process is frozen: its deadlines pass
 // unnoticed until it continues. The lock is held.
-func (c *conn) limitWhileFrozen(deadline time.Time) time.Time {
+func (c *conn) effectiveDeadline(deadline time.Time) time.Time {
 	if c.process.host.frozen {
 		return time.Time{}
 	}
 	return deadline
 }
 
-// unusable returns why an operation can't go on. The lock is held.
-func (c *conn) unusable(operation string, s *stream, deadline time.Time) error {
+// operationError returns why an operation can't go on. The lock is held.
+func (c *conn) operationError(operation string, s *stream, deadline time.Time) error {
 	switch {
 	case c.closed:
 		return opError(operation, c.remote, net.ErrClosed)
@@ -332,9 +332,9 @@
 		return opError("close", c.remote, net.ErrClosed)
 	}
 	c.closed = true
-	c.out.end(io.EOF)
+	c.out.closeWrite(io.EOF)
 	c.out.wake()
-	c.in.abandon()
+	c.in.closeRead()
 	return nil
 }
 
@@ -372,7 +372,7 @@
 	return nil
 }
 
-func earlier(one, other time.Time) time.Time {
+func earlierDeadline(one, other time.Time) time.Time {
 	if one.IsZero() || other.Before(one) {
 		return other
 	}
--- a/lab/network/datagram.go
+++ b/lab/network/datagram.go
@@ -16,7 +16,7 @@
 type socket struct {
 	process *Process
 	address *net.UDPAddr
-	waiting []datagram
+	pending []datagram
 	closed  bool
 	changed chan struct{}
 }
@@ -65,13 +65,13 @@
 		switch {
 		case s.closed:
 			return 0, nil, opError("read", s.address, net.ErrClosed)
-		case s.process.host.frozen || len(s.waiting) == 0:
-		case !s.waiting[0].arrival.After(time.Now()):
-			next := s.waiting[0]
-			s.waiting = slices.Delete(s.waiting, 0, 1)
+		case s.process.host.frozen || len(s.pending) == 0:
+		case !s.pending[0].arrival.After(time.Now()):
+			next := s.pending[0]
+			s.pending = slices.Delete(s.pending, 0, 1)
 			return copy(buffer, next.data), next.from, nil
 		default:
-			until = s.waiting[0].arrival
+			until = s.pending[0].arrival
 		}
 		n.await(s.changed, until)
 	}
@@ -91,28 +91,28 @@
 		return 0, opError("write", s.address, net.ErrClosed)
 	}
 	target := n.host(to.IP.String())
-	way := n.link(s.process.host.ip, target.ip)
-	if s.process.host.frozen || way.cut || target.process == nil {
+	state := n.link(s.process.host.ip, target.ip)
+	if s.process.host.frozen || state.cut || target.process == nil {
 		return len(data), nil
 	}
-	if taker := target.process.sockets[to.Port]; taker != nil {
-		taker.take(datagram{arrival: time.Now().Add(way.delay + way.extra), from: s.address, data: slices.Clone(data)})
+	if receiver := target.process.sockets[to.Port]; receiver != nil {
+		receiver.enqueue(datagram{arrival: time.Now().Add(state.delay + state.extraDelay), from: s.address, data: slices.Clone(data)})
 	}
 	return len(data), nil
 }
 
-// take adds a datagram that is on its way. The lock is held.
-func (s *socket) take(next datagram) {
-	if len(s.waiting) >= datagramBacklog {
+// enqueue adds a datagram that is on its way. The lock is held.
+func (s *socket) enqueue(next datagram) {
+	if len(s.pending) >= datagramBacklog {
 		return
 	}
-	place, _ := slices.BinarySearchFunc(s.waiting, next, func(a, b datagram) int {
+	index, _ := slices.BinarySearchFunc(s.pending, next, func(a, b datagram) int {
 		if a.arrival.After(b.arrival) {
 			return 1
 		}
 		return -1 // those of the same time stay in the order in which they were sent
 	})
-	s.waiting = slices.Insert(s.waiting, place, next)
+	s.pending = slices.Insert(s.pending, index, next)
 	s.wake()
 }
 
@@ -124,15 +124,15 @@
 	if s.closed {
 		return opError("close", s.address, net.ErrClosed)
 	}
-	s.shut()
+	s.closeLocked()
 	delete(s.process.sockets, s.address.Port)
 	return nil
 }
 
-// shut ends the socket. The lock is held.
-func (s *socket) shut() {
+// closeLocked ends the socket. The lock is held.
+func (s *socket) closeLocked() {
 	s.closed = true
-	s.waiting = nil
+	s.pending = nil
 	s.wake()
 }
 
--- a/lab/network/datagram_test.go
+++ b/lab/network/datagram_test.go
@@ -27,15 +27,15 @@
 func TestDatagrams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(Options{Seed: 1, MinimumDelay: 5 * time.Millisecond, MaximumDelay: 5 * time.Millisecond})
-		one, other := openSocket(t, n, "10.0.0.1"), openSocket(t, n, "10.0.0.2")
+		sender, receiver := openSocket(t, n, "10.0.0.1"), openSocket(t, n, "10.0.0.2")
 		received := make(chan string, 10)
-		ended := make(chan error, 1)
+		readErr := make(chan error, 1)
 		go func() {
 			buffer := make([]byte, 100)
 			for {
-				length, from, err := other.ReadFrom(buffer)
+				length, from, err := receiver.ReadFrom(buffer)
 				if err != nil {
-					ended <- err
+					readErr <- err
 					return
 				}
 				received <- fmt.Sprintf("%s from %s", buffer[:length], from)
@@ -43,14 +43,14 @@
 		}()
 		send := func(text, to string) {
 			t.Helper()
-			if _, err := one.WriteTo([]byte(text), &net.UDPAddr{IP: net.ParseIP(to), Port: 7000}); err != nil {
+			if _, err := sender.WriteTo([]byte(text), &net.UDPAddr{IP: net.ParseIP(to), Port: 7000}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		began := time.Now()
+		start := time.Now()
 		send("first", "10.0.0.2")
-		if got := <-received; got != "first from 10.0.0.1:7000" || time.Since(began) != 5*time.Millisecond {
-			t.Errorf("received %q after %s", got, time.Since(began))
+		if got := <-received; got != "first from 10.0.0.1:7000" || time.Since(start) != 5*time.Millisecond {
+			t.Errorf("received %q after %s", got, time.Since(start))
 		}
 		send("nobody", "10.0.0.3")
 		n.Cut("10.0.0.1", "10.0.0.2")
@@ -68,7 +68,7 @@
 		}
 		n.Kill("10.0.0.2", KillVanish)
 		send("dead", "10.0.0.2")
-		if err := <-ended; !errors.Is(err, net.ErrClosed) {
+		if err := <-readErr; !errors.Is(err, net.ErrClosed) {
 			t.Errorf("the socket of a dead process ended with %v", err)
 		}
 		n.Close()
--- a/lab/network/limit.go
+++ b/lab/network/limit.go
@@ -25,14 +25,14 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.take() {
+		if l.tryAcquire() {
 			return &limitedConn{Conn: accepted, listener: l}, nil
 		}
 		_ = accepted.Close()
 	}
 }
 
-func (l *limitListener) take() bool {
+func (l *limitListener) tryAcquire() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.free == 0 {
@@ -50,12 +50,12 @@
 
 type limitedConn struct {
 	net.Conn
-	listener *limitListener
-	once     sync.Once
+	listener  *limitListener
+	closeOnce sync.Once
 }
 
 // Close closes the connection and frees its place.
 func (c *limitedConn) Close() error {
-	c.once.Do(c.listener.release)
+	c.closeOnce.Do(c.listener.release)
 	return c.Conn.Close()
 }
--- a/lab/network/network.go
+++ b/lab/network/network.go
@@ -54,8 +54,8 @@
 	hosts   map[string]*host
 	links   map[link]*linkState
 	streams map[*stream]struct{}
-	// opened counts connections and seeds their jitter.
-	opened uint64
+	// connectionCount counts connections and seeds their jitter.
+	connectionCount uint64
 }
 
 // link is one direction between two hosts.
@@ -63,9 +63,9 @@
 
 // linkState is the condition of one direction.
 type linkState struct {
-	cut   bool
-	delay time.Duration
-	extra time.Duration
+	cut        bool
+	delay      time.Duration
+	extraDelay time.Duration
 }
 
 // host is one IP number.
@@ -116,13 +116,13 @@
 	}
 	h.frozen = false
 	h.vanished = false
-	h.process = &Process{network: n, host: h, listeners: make(map[int]*listener), sockets: make(map[int]*socket), dead: make(chan struct{})}
+	h.process = &Process{network: n, host: h, listeners: make(map[int]*listener), sockets: make(map[int]*socket), done: make(chan struct{})}
 	for s := range n.streams {
 		if s.to.host == h {
-			s.refuse()
+			s.resetAfterRestart()
 		}
 	}
-	n.wakeHost(h)
+	n.wakeHostWaiters(h)
 	return h.process, nil
 }
 
@@ -156,17 +156,17 @@
 	h.frozen = false
 	h.vanished = mode == KillVanish
 	process.killed = true
-	close(process.dead)
+	close(process.done)
 	for _, l := range process.listeners {
-		l.shut()
+		l.closeLocked()
 	}
 	for _, s := range process.sockets {
-		s.shut()
+		s.closeLocked()
 	}
 	for s := range n.streams {
-		s.endpointDied(process, mode)
+		s.handleProcessKilled(process, mode)
 	}
-	n.wakeHost(h)
+	n.wakeHostWaiters(h)
 }
 
 // Freeze stops the host's process: it neither sends nor receives until Thaw.
@@ -182,7 +182,7 @@
 	defer n.mutex.Unlock()
 	h := n.host(ip)
 	h.frozen = frozen
-	n.wakeHost(h)
+	n.wakeHostWaiters(h)
 }
 
 // Cut stops what one host sends to another. What is sent meanwhile arrives
@@ -196,15 +196,15 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.link(from, to).cut = cut
-	n.wakeHost(n.host(from))
-	n.wakeHost(n.host(to))
+	n.wakeHostWaiters(n.host(from))
+	n.wakeHostWaiters(n.host(to))
 }
 
 // Slow adds a delay to what one host sends to another; zero ends it.
 func (n *Network) Slow(from, to string, extra time.Duration) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.link(from, to).extra = extra
+	n.link(from, to).extraDelay = extra
 }
 
 // ResetConnections breaks every connection between two hosts.
@@ -212,7 +212,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for s := range n.streams {
-		if s.joins(one, other) {
+		if s.connects(one, other) {
 			s.reset()
 		}
 	}
@@ -224,8 +224,8 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for s := range n.streams {
-		if s.joins(one, other) {
-			s.silent = true
+		if s.connects(one, other) {
+			s.blackholed = true
 		}
 	}
 }
@@ -254,8 +254,8 @@
 	return state
 }
 
-// wakeHost wakes all that waits on the host's condition. The lock is held.
-func (n *Network) wakeHost(h *host) {
+// wakeHostWaiters wakes all that waits on the host's condition. The lock is held.
+func (n *Network) wakeHostWaiters(h *host) {
 	close(h.changed)
 	h.changed = make(chan struct{})
 	for s := range n.streams {
--- a/lab/network/network_test.go
+++ b/lab/network/network_test.go
@@ -19,8 +19,8 @@
 	hostB = "10.0.0.2"
 )
 
-// pair opens a connection from A to B and returns both ends.
-func pair(t *testing.T, n *Network) (near, far net.Conn) {
+// openConnection opens a connection from A to B and returns both ends.
+func openConnection(t *testing.T, n *Network) (near, far net.Conn) {
 	t.Helper()
 	a, errA := n.Start(hostA)
 	b, errB := n.Start(hostB)
@@ -42,7 +42,7 @@
 	return near, far
 }
 
-func readOne(c net.Conn, wait time.Duration) (string, error) {
+func readWithTimeout(c net.Conn, wait time.Duration) (string, error) {
 	c.SetReadDeadline(time.Now().Add(wait))
 	buffer := make([]byte, 64)
 	count, err := c.Read(buffer)
@@ -51,42 +51,42 @@
 
 func TestConnectionUnderFaults(t *testing.T) {
 	tests := []struct {
-		name  string
-		fault func(n *Network)
-		mend  func(n *Network)
+		name   string
+		fault  func(n *Network)
+		repair func(n *Network)
 		// during and after are the errors of B's read while the fault lasts and
 		// after its end; nil means that the data arrived.
 		during, after error
 	}{
 		{name: "no fault", fault: func(*Network) {}},
 		{name: "way there cut, then healed", during: os.ErrDeadlineExceeded,
-			fault: func(n *Network) { n.Cut(hostA, hostB) }, mend: func(n *Network) { n.Heal(hostA, hostB) }},
+			fault: func(n *Network) { n.Cut(hostA, hostB) }, repair: func(n *Network) { n.Heal(hostA, hostB) }},
 		{name: "way back cut", fault: func(n *Network) { n.Cut(hostB, hostA) }},
 		{name: "slow link", during: os.ErrDeadlineExceeded,
-			fault: func(n *Network) { n.Slow(hostA, hostB, 5*time.Second) }, mend: func(*Network) {}},
+			fault: func(n *Network) { n.Slow(hostA, hostB, 5*time.Second) }, repair: func(*Network) {}},
 		{name: "sender killed", during: syscall.ECONNRESET, after: syscall.ECONNRESET,
-			fault: func(n *Network) { n.Kill(hostA, KillReset) }, mend: func(*Network) {}},
+			fault: func(n *Network) { n.Kill(hostA, KillReset) }, repair: func(*Network) {}},
 		{name: "sender vanished", during: os.ErrDeadlineExceeded, after: os.ErrDeadlineExceeded,
-			fault: func(n *Network) { n.Kill(hostA, KillVanish) }, mend: func(*Network) {}},
+			fault: func(n *Network) { n.Kill(hostA, KillVanish) }, repair: func(*Network) {}},
 		{name: "reset between", during: syscall.ECONNRESET, after: syscall.ECONNRESET,
-			fault: func(n *Network) { n.ResetConnections(hostB, hostA) }, mend: func(*Network) {}},
+			fault: func(n *Network) { n.ResetConnections(hostB, hostA) }, repair: func(*Network) {}},
 		{name: "sender frozen, then thawed", during: os.ErrDeadlineExceeded,
-			fault: func(n *Network) { n.Freeze(hostA) }, mend: func(n *Network) { n.Thaw(hostA) }},
+			fault: func(n *Network) { n.Freeze(hostA) }, repair: func(n *Network) { n.Thaw(hostA) }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n := New(Options{Seed: 1})
-				near, far := pair(t, n)
+				near, far := openConnection(t, n)
 				test.fault(n)
 				go near.Write([]byte("hello"))
-				_, err := readOne(far, time.Second)
+				_, err := readWithTimeout(far, time.Second)
 				if !errors.Is(err, test.during) {
 					t.Fatalf("during the fault: %v, want %v", err, test.during)
 				}
-				if test.mend != nil {
-					test.mend(n)
-					if _, err := readOne(far, 10*time.Second); !errors.Is(err, test.after) {
+				if test.repair != nil {
+					test.repair(n)
+					if _, err := readWithTimeout(far, 10*time.Second); !errors.Is(err, test.after) {
 						t.Fatalf("after the fault: %v, want %v", err, test.after)
 					}
 				}
@@ -100,11 +100,11 @@
 func TestFrozenReaderNoticesDeadlineOnlyAfterThaw(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(Options{})
-		_, far := pair(t, n)
+		_, far := openConnection(t, n)
 		n.Freeze(hostB)
 		start := time.Now()
 		time.AfterFunc(3*time.Second, func() { n.Thaw(hostB) })
-		_, err := readOne(far, time.Second)
+		_, err := readWithTimeout(far, time.Second)
 		if !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(start) != 3*time.Second {
 			t.Fatalf("read ended with %v after %v", err, time.Since(start))
 		}
@@ -114,7 +114,7 @@
 func TestFrozenReaderNoticesResetAfterThaw(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(Options{})
-		_, far := pair(t, n)
+		_, far := openConnection(t, n)
 		n.Freeze(hostB)
 		time.AfterFunc(time.Second, func() { n.ResetConnections(hostA, hostB) })
 		time.AfterFunc(2*time.Second, func() { n.Thaw(hostB) })
@@ -127,7 +127,7 @@
 func TestWriteAfterPeerClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(Options{})
-		near, far := pair(t, n)
+		near, far := openConnection(t, n)
 		far.Close()
 		if _, err := near.Write([]byte("x")); err != nil {
 			t.Fatalf("the end has not arrived yet: %v", err)
@@ -142,7 +142,7 @@
 	})
 }
 
-func TestVanishedMachineResetsOldConnectionsOnceItIsBack(t *testing.T) {
+func TestRestartedMachineResetsOldConnections(t *testing.T) {
 	tests := []struct {
 		name       string
 		writeAfter time.Duration
@@ -154,11 +154,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n := New(Options{})
-				near, _ := pair(t, n)
+				near, _ := openConnection(t, n)
 				n.Kill(hostB, KillVanish)
 				time.AfterFunc(time.Second, func() { n.Start(hostB) })
 				time.AfterFunc(test.writeAfter, func() { near.Write([]byte("x")) })
-				if _, err := readOne(near, 5*time.Second); !errors.Is(err, syscall.ECONNRESET) {
+				if _, err := readWithTimeout(near, 5*time.Second); !errors.Is(err, syscall.ECONNRESET) {
 					t.Fatalf("read: %v", err)
 				}
 			})
@@ -169,7 +169,7 @@
 func TestFullBufferBlocksWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(Options{})
-		near, far := pair(t, n)
+		near, far := openConnection(t, n)
 		data := bytes.Repeat([]byte("x"), 3*bufferLimit)
 		near.SetWriteDeadline(time.Now().Add(time.Second))
 		count, err := near.Write(data)
@@ -191,26 +191,26 @@
 func TestDial(t *testing.T) {
 	tests := []struct {
 		name   string
-		before func(n *Network)
-		later  func(n *Network)
+		setUp  func(n *Network)
+		repair func(n *Network)
 		err    error
 	}{
-		{name: "nobody listens", before: func(n *Network) { n.Start(hostB) }, err: syscall.ECONNREFUSED},
-		{name: "no process", before: func(*Network) {}, err: syscall.ECONNREFUSED},
-		{name: "vanished", before: func(n *Network) { n.Start(hostB); n.Kill(hostB, KillVanish) }, err: os.ErrDeadlineExceeded},
-		{name: "cut back", before: func(n *Network) { listenB(n); n.Cut(hostB, hostA) }, err: os.ErrDeadlineExceeded},
-		{name: "cut there, healed", before: func(n *Network) { listenB(n); n.Cut(hostA, hostB) },
-			later: func(n *Network) { n.Heal(hostA, hostB) }},
-		{name: "frozen host still completes the handshake", before: func(n *Network) { listenB(n); n.Freeze(hostB) }},
+		{name: "nobody listens", setUp: func(n *Network) { n.Start(hostB) }, err: syscall.ECONNREFUSED},
+		{name: "no process", setUp: func(*Network) {}, err: syscall.ECONNREFUSED},
+		{name: "vanished", setUp: func(n *Network) { n.Start(hostB); n.Kill(hostB, KillVanish) }, err: os.ErrDeadlineExceeded},
+		{name: "cut back", setUp: func(n *Network) { listenB(n); n.Cut(hostB, hostA) }, err: os.ErrDeadlineExceeded},
+		{name: "cut there, healed", setUp: func(n *Network) { listenB(n); n.Cut(hostA, hostB) },
+			repair: func(n *Network) { n.Heal(hostA, hostB) }},
+		{name: "frozen host still completes the handshake", setUp: func(n *Network) { listenB(n); n.Freeze(hostB) }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n := New(Options{})
 				a, _ := n.Start(hostA)
-				test.before(n)
-				if test.later != nil {
-					time.AfterFunc(time.Second, func() { test.later(n) })
+				test.setUp(n)
+				if test.repair != nil {
+					time.AfterFunc(time.Second, func() { test.repair(n) })
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 				defer cancel()
@@ -228,7 +228,7 @@
 	b.Listen(hostB + ":80")
 }
 
-func TestKilledProcessSendsNothingAndHostStartsAnew(t *testing.T) {
+func TestKilledProcessFailsAndHostRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(Options{})
 		old, _ := n.Start(hostA)
@@ -243,17 +243,17 @@
 		if _, err := old.DialContext(t.Context(), "tcp", hostB+":80"); !errors.Is(err, ErrProcessKilled) {
 			t.Fatalf("dial: %v", err)
 		}
-		fresh, err := n.Start(hostA)
+		restarted, err := n.Start(hostA)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := fresh.Listen(":80"); err != nil {
+		if _, err := restarted.Listen(":80"); err != nil {
 			t.Fatalf("listen anew: %v", err)
 		}
 	})
 }
 
-func TestHTTPOverTheNetwork(t *testing.T) {
+func TestHTTPOverNetwork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(Options{Seed: 7})
 		a, _ := n.Start(hostA)
--- a/lab/network/process.go
+++ b/lab/network/process.go
@@ -28,11 +28,11 @@
 	killed    bool
 	listeners map[int]*listener
 	sockets   map[int]*socket
-	dead      chan struct{}
+	done      chan struct{}
 }
 
 // Done is closed when the process is killed.
-func (p *Process) Done() <-chan struct{} { return p.dead }
+func (p *Process) Done() <-chan struct{} { return p.done }
 
 // Listen accepts connections on a port of the host; port 0 picks a free one.
 func (p *Process) Listen(address string) (net.Listener, error) {
@@ -76,7 +76,7 @@
 			return nil, err
 		}
 		if delay == 0 {
-			err = wait(ctx, changed)
+			err = waitForChange(ctx, changed)
 		} else {
 			err = clock.Sleep(ctx, delay)
 		}
@@ -103,14 +103,14 @@
 		return 0, nil, ErrProcessKilled
 	}
 	target := n.host(ip)
-	there, back := n.link(p.host.ip, ip), n.link(ip, p.host.ip)
+	outbound, inbound := n.link(p.host.ip, ip), n.link(ip, p.host.ip)
 	switch {
 	case p.host.frozen:
 		return 0, p.host.changed, nil
-	case target.vanished || there.cut || back.cut:
+	case target.vanished || outbound.cut || inbound.cut:
 		return 0, target.changed, nil
 	}
-	return there.delay + there.extra + back.delay + back.extra, nil, nil
+	return outbound.delay + outbound.extraDelay + inbound.delay + inbound.extraDelay, nil, nil
 }
 
 // connect joins the process to a listener; nil without an error means that the
@@ -131,12 +131,12 @@
 		return nil, opError("dial", remote, syscall.ECONNREFUSED)
 	}
 	l, ok := target.process.listeners[port]
-	if !ok || len(l.waiting) >= backlog {
+	if !ok || len(l.pending) >= backlog {
 		return nil, opError("dial", remote, syscall.ECONNREFUSED)
 	}
 	local := tcpAddress(p.host.ip, p.host.ephemeralPort())
 	near, far := n.newConnection(p, target.process, local, remote)
-	l.waiting = append(l.waiting, far)
+	l.pending = append(l.pending, far)
 	l.wake()
 	return near, nil
 }
@@ -155,7 +155,7 @@
 type listener struct {
 	process *Process
 	address *net.TCPAddr
-	waiting []*conn
+	pending []*conn
 	closed  bool
 	changed chan struct{}
 }
@@ -169,9 +169,9 @@
 		switch {
 		case l.closed:
 			return nil, opError("accept", l.address, net.ErrClosed)
-		case len(l.waiting) > 0 && !l.process.host.frozen:
-			next := l.waiting[0]
-			l.waiting = l.waiting[1:]
+		case len(l.pending) > 0 && !l.process.host.frozen:
+			next := l.pending[0]
+			l.pending = l.pending[1:]
 			return next, nil
 		}
 		n.await(l.changed, time.Time{})
@@ -186,7 +186,7 @@
 	if l.closed {
 		return opError("close", l.address, net.ErrClosed)
 	}
-	l.shut()
+	l.closeLocked()
 	delete(l.process.listeners, l.address.Port)
 	return nil
 }
@@ -194,14 +194,14 @@
 // Addr returns the address that the listener accepts on.
 func (l *listener) Addr() net.Addr { return l.address }
 
-// shut ends the listener. The lock is held.
-func (l *listener) shut() {
+// closeLocked ends the listener. The lock is held.
+func (l *listener) closeLocked() {
 	l.closed = true
-	for _, c := range l.waiting {
+	for _, c := range l.pending {
 		c.in.reset()
 		c.out.reset()
 	}
-	l.waiting = nil
+	l.pending = nil
 	l.wake()
 }
 
@@ -212,7 +212,7 @@
 }
 
 func splitAddress(address, defaultIP string) (ip string, port int, err error) {
-	text, portText, err := net.SplitHostPort(address)
+	ipText, portText, err := net.SplitHostPort(address)
 	if err != nil {
 		return "", 0, fmt.Errorf("%w: %w", ErrInvalidAddress, err)
 	}
@@ -220,13 +220,13 @@
 	if err != nil || port < 0 || port > 65535 {
 		return "", 0, fmt.Errorf("%w: port %q", ErrInvalidAddress, portText)
 	}
-	if text == "" && defaultIP != "" {
+	if ipText == "" && defaultIP != "" {
 		return defaultIP, port, nil
 	}
-	if _, err := netip.ParseAddr(text); err != nil {
+	if _, err := netip.ParseAddr(ipText); err != nil {
 		return "", 0, fmt.Errorf("%w: %w", ErrInvalidAddress, err)
 	}
-	return text, port, nil
+	return ipText, port, nil
 }
 
 func tcpAddress(ip string, port int) *net.TCPAddr {
@@ -235,17 +235,17 @@
 
 // opError wraps an error as the net package does.
 func opError(operation string, address net.Addr, err error) error {
-	var number syscall.Errno
+	var errno syscall.Errno
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
 		err = os.ErrDeadlineExceeded
-	case errors.As(err, &number):
+	case errors.As(err, &errno):
 		err = os.NewSyscallError(operation, err)
 	}
 	return &net.OpError{Op: operation, Net: "tcp", Addr: address, Err: err}
 }
 
-func wait(ctx context.Context, changed <-chan struct{}) error {
+func waitForChange(ctx context.Context, changed <-chan struct{}) error {
 	select {
 	case <-changed:
 		return nil
