--- a/lab/network/conn.go
+++ b/lab/network/conn.go
@@ -10,30 +10,35 @@
 	"time"
 )
 
-// bufferLimit bounds the bytes that one direction of a connection holds.
+// bufferLimit bounds the bytes in transit in one direction of a connection; Write
+// blocks when it is reached.
 const bufferLimit = 256 << 10
 
-// jitterShare is the part of a link's delay by which single segments vary.
+// jitterShare determines the jitter: each segment is delayed further by a random
+// time of up to 1/jitterShare of the link's delay.
 const jitterShare = 4
 
 // stream is one direction of a connection. Its fields are guarded by the
-// network's mutex. Invariant: segments are ordered by their arrival times.
+// network's mutex. Invariant: segments are ordered by arrival time.
 type stream struct {
 	network  *Network
 	from, to *Process
 	segments []segment
 	buffered int
-	// writeClosed is set once no byte can follow: the sender closed or died.
+	// writeClosed is set once the sender has closed the connection or was killed:
+	// no further bytes follow.
 	writeClosed bool
-	// readClosed is set when the receiver closed or died: bytes are dropped.
+	// readClosed is set once the receiver has closed the connection or was killed:
+	// incoming bytes are dropped.
 	readClosed bool
 	broken     bool
-	// blackholed says that nothing more gets through.
+	// blackholed is set if the stream no longer delivers segments.
 	blackholed bool
-	// reverse is the connection's other direction.
+	// reverse is the other direction of the connection.
 	reverse *stream
-	// sentToVanished says that data was sent to a machine that has vanished; refused,
-	// that the process which took its place has answered with a reset.
+	// sentToVanished is set once data was sent to a process that was killed.
+	// resetSent is set once the process that runs on the receiver's host afterwards
+	// has answered that data with a reset.
 	sentToVanished bool
 	resetSent      bool
 	lastArrival    time.Time
@@ -41,16 +46,18 @@
 	changed        chan struct{}
 }
 
-// segment is data on its way, or the end of the stream.
+// segment is data in transit, or the end of the stream if endErr is set: io.EOF or
+// ECONNRESET.
 type segment struct {
 	arrival time.Time
 	data    []byte
 	endErr  error
-	// heldUntilThaw says that the sender was frozen: the segment leaves when it continues.
+	// heldUntilThaw is set if the sender's host was frozen when the segment was
+	// sent: the segment is not delivered until the thaw.
 	heldUntilThaw bool
 }
 
-// newConnection makes the two ends of a connection. The lock is held.
+// newConnection creates the two ends of a connection. The caller holds the lock.
 func (n *Network) newConnection(dialer, acceptor *Process, local, remote net.Addr) (near, far *conn) {
 	n.connectionCount++
 	outbound, inbound := n.newStream(dialer, acceptor), n.newStream(acceptor, dialer)
@@ -81,7 +88,8 @@
 	return from == one && to == other || from == other && to == one
 }
 
-// push puts a segment on its way. The lock is held.
+// push appends a segment with data, or with the end of the stream, that arrives
+// after the link's delay plus jitter. The caller holds the lock.
 func (s *stream) push(data []byte, endErr error) {
 	state := s.network.link(s.from.host.ip, s.to.host.ip)
 	delay := state.delay + state.extraDelay
@@ -98,8 +106,9 @@
 	s.wake()
 }
 
-// end puts the end of the stream on its way, once; a nil reason is a machine
-// that vanished, of which nothing is heard. The lock is held.
+// closeWrite sends the end of the stream, unless it was closed for writing before.
+// A nil reason means that the machine has vanished, so that the receiver gets no
+// notification. The caller holds the lock.
 func (s *stream) closeWrite(reason error) {
 	if s.writeClosed {
 		return
@@ -111,7 +120,8 @@
 	s.removeIfClosed()
 }
 
-// closeRead drops what is sent from now on. The lock is held.
+// closeRead discards the data in transit and all data sent from now on. The caller
+// holds the lock.
 func (s *stream) closeRead() {
 	s.readClosed = true
 	s.segments = nil
@@ -120,21 +130,22 @@
 	s.removeIfClosed()
 }
 
-// reset breaks the stream at once, for both ends. The lock is held.
+// reset breaks the stream immediately for both ends. The caller holds the lock.
 func (s *stream) reset() {
 	s.broken = true
 	s.wake()
 }
 
-// removeIfClosed lets go of a stream that nobody reads or writes any more. The lock is held.
+// removeIfClosed removes the stream from the network once it is closed for both
+// reading and writing. The caller holds the lock.
 func (s *stream) removeIfClosed() {
 	if s.writeClosed && s.readClosed {
 		delete(s.network.streams, s)
 	}
 }
 
-// handleProcessKilled ends the stream as the death of one of its processes does. The
-// lock is held.
+// handleProcessKilled closes the stream on the side of the killed process. The
+// caller holds the lock.
 func (s *stream) handleProcessKilled(process *Process, mode KillMode) {
 	if s.from == process {
 		if mode == KillReset {
@@ -149,8 +160,9 @@
 	}
 }
 
-// resetAfterRestart answers what was sent to a vanished machine once another process runs
-// there, which knows nothing of the connection. The lock is held.
+// resetAfterRestart answers data that was sent to a killed process with a reset,
+// unless its machine has vanished. After a vanished machine is back, the process
+// that runs there does not know the connection. The caller holds the lock.
 func (s *stream) resetAfterRestart() {
 	if s.sentToVanished && !s.resetSent && !s.to.host.vanished {
 		s.resetSent = true
@@ -158,7 +170,8 @@
 	}
 }
 
-// canDeliver reports whether the link lets the segment through. The lock is held.
+// canDeliver reports whether the segment can reach the receiver at present. The
+// caller holds the lock.
 func (s *stream) canDeliver(next segment) bool {
 	if s.blackholed || next.heldUntilThaw && s.from.host.frozen {
 		return false
@@ -166,7 +179,8 @@
 	return !s.network.link(s.from.host.ip, s.to.host.ip).cut
 }
 
-// arrivedEnd returns why the stream ended if its end has arrived. The lock is held.
+// arrivedEnd returns the error that ended the stream if the end has arrived, and
+// nil otherwise. The caller holds the lock.
 func (s *stream) arrivedEnd(now time.Time) error {
 	if len(s.segments) == 0 {
 		return nil
@@ -178,15 +192,16 @@
 	return last.endErr
 }
 
-// conn implements net.Conn. Its deadlines and closed are guarded by the
-// network's mutex.
+// conn implements net.Conn. Its deadlines, userTimeout and closed are guarded by
+// the network's mutex.
 type conn struct {
 	process       *Process
 	local, remote net.Addr
 	in, out       *stream
 	readDeadline  time.Time
 	writeDeadline time.Time
-	// userTimeout is how long sent data may be held up; zero is for ever.
+	// userTimeout is the maximum time for which sent data may stay undelivered;
+	// zero means no limit.
 	userTimeout time.Duration
 	closed      bool
 }
@@ -216,7 +231,8 @@
 	}
 }
 
-// readFirstSegment reads from the first segment, which has arrived. The lock is held.
+// readFirstSegment reads from the first segment, which must have arrived. The
+// caller holds the lock.
 func (c *conn) readFirstSegment(buffer []byte) (int, error) {
 	head := &c.in.segments[0]
 	if errors.Is(head.endErr, io.EOF) {
@@ -235,7 +251,8 @@
 	return count, nil
 }
 
-// Write puts data on its way, waiting while the direction's buffer is full.
+// Write sends data. It blocks while the process is frozen or the stream's buffer
+// is full.
 func (c *conn) Write(data []byte) (int, error) {
 	n := c.process.network
 	n.mutex.Lock()
@@ -266,7 +283,8 @@
 	return written, nil
 }
 
-// SetUserTimeout breaks the connection when sent data is held up for so long.
+// SetUserTimeout sets the time after which the connection is reset if sent data
+// cannot be delivered, like TCP_USER_TIMEOUT; zero means no limit.
 func (c *conn) SetUserTimeout(limit time.Duration) error {
 	n := c.process.network
 	n.mutex.Lock()
@@ -275,8 +293,9 @@
 	return nil
 }
 
-// startUserTimeout looks later whether data that does not get through still does not. The
-// lock is held.
+// startUserTimeout starts the user time-out if data cannot be delivered at present.
+// The connection is reset if data cannot be delivered when the time-out expires
+// either. The caller holds the lock.
 func (c *conn) startUserTimeout() {
 	if c.userTimeout == 0 || c.out.isDelivering() {
 		return
@@ -292,13 +311,15 @@
 	})
 }
 
-// isDelivering reports whether what is sent gets through. The lock is held.
+// isDelivering reports whether sent data reaches the receiver's host at present.
+// The caller holds the lock.
 func (s *stream) isDelivering() bool {
 	return !s.blackholed && !s.to.host.vanished && !s.network.link(s.from.host.ip, s.to.host.ip).cut
 }
 
-// effectiveDeadline is no limit while the process is frozen: its deadlines pass
-// unnoticed until it continues. The lock is held.
+// effectiveDeadline returns the deadline, or zero while the process is frozen,
+// since a frozen process does not notice expired deadlines until it is thawed. The
+// caller holds the lock.
 func (c *conn) effectiveDeadline(deadline time.Time) time.Time {
 	if c.process.host.frozen {
 		return time.Time{}
@@ -306,7 +327,9 @@
 	return deadline
 }
 
-// operationError returns why an operation can't go on. The lock is held.
+// operationError returns the error that prevents an operation, or nil if it may
+// proceed. While the process is frozen, deadlines and resets go unnoticed. The
+// caller holds the lock.
 func (c *conn) operationError(operation string, s *stream, deadline time.Time) error {
 	switch {
 	case c.closed:
@@ -323,7 +346,7 @@
 	return nil
 }
 
-// Close ends both directions.
+// Close closes both directions; the peer reads io.EOF after the data in transit.
 func (c *conn) Close() error {
 	n := c.process.network
 	n.mutex.Lock()
@@ -338,23 +361,23 @@
 	return nil
 }
 
-// LocalAddr returns the address of this end.
+// LocalAddr returns the address of the local end.
 func (c *conn) LocalAddr() net.Addr { return c.local }
 
-// RemoteAddr returns the address of the other end.
+// RemoteAddr returns the address of the remote end.
 func (c *conn) RemoteAddr() net.Addr { return c.remote }
 
-// SetDeadline sets both deadlines; zero means none.
+// SetDeadline sets the read and write deadlines; zero means none.
 func (c *conn) SetDeadline(deadline time.Time) error {
 	return c.setDeadlines(func() { c.readDeadline, c.writeDeadline = deadline, deadline })
 }
 
-// SetReadDeadline bounds Read; zero means no bound.
+// SetReadDeadline sets the deadline of Read; zero means none.
 func (c *conn) SetReadDeadline(deadline time.Time) error {
 	return c.setDeadlines(func() { c.readDeadline = deadline })
 }
 
-// SetWriteDeadline bounds Write; zero means no bound.
+// SetWriteDeadline sets the deadline of Write; zero means none.
 func (c *conn) SetWriteDeadline(deadline time.Time) error {
 	return c.setDeadlines(func() { c.writeDeadline = deadline })
 }
@@ -372,6 +395,8 @@
 	return nil
 }
 
+// earlierDeadline returns the earlier of two times; a zero first argument means no
+// deadline.
 func earlierDeadline(one, other time.Time) time.Time {
 	if one.IsZero() || other.Before(one) {
 		return other
--- a/lab/network/datagram.go
+++ b/lab/network/datagram.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
-// datagramBacklog bounds the datagrams that wait at a socket; more are lost.
+// datagramBacklog bounds the datagrams queued at a socket; further ones are
+// dropped.
 const datagramBacklog = 1024
 
-// socket takes and sends datagrams; it implements net.PacketConn. Its fields are
-// guarded by the network's mutex. Invariant: waiting is ordered by arrival.
+// socket is a datagram socket; it implements net.PacketConn. Its fields are
+// guarded by the network's mutex. Invariant: pending is ordered by arrival time.
 type socket struct {
 	process *Process
 	address *net.UDPAddr
@@ -21,14 +22,14 @@
 	changed chan struct{}
 }
 
-// datagram is a message on its way.
+// datagram is a datagram in transit or queued at a socket.
 type datagram struct {
 	arrival time.Time
 	from    net.Addr
 	data    []byte
 }
 
-// ListenPacket opens a socket for datagrams on a port of the host.
+// ListenPacket opens a datagram socket on a port of the host.
 func (p *Process) ListenPacket(network, address string) (net.PacketConn, error) {
 	if network != "udp" && network != "udp4" {
 		return nil, fmt.Errorf("%w: network %q", ErrInvalidAddress, network)
@@ -55,7 +56,7 @@
 	return s, nil
 }
 
-// ReadFrom waits for the next datagram.
+// ReadFrom waits for the next datagram. It blocks while the process is frozen.
 func (s *socket) ReadFrom(buffer []byte) (int, net.Addr, error) {
 	n := s.process.network
 	n.mutex.Lock()
@@ -77,8 +78,8 @@
 	}
 }
 
-// WriteTo sends a datagram. It is lost, without an error, when the way is cut, and
-// when nobody takes it; a frozen process sends nothing.
+// WriteTo sends a datagram. The datagram is lost without an error if the sender is
+// frozen, the link is cut or no socket is open at the address.
 func (s *socket) WriteTo(data []byte, address net.Addr) (int, error) {
 	to, ok := address.(*net.UDPAddr)
 	if !ok {
@@ -101,7 +102,8 @@
 	return len(data), nil
 }
 
-// enqueue adds a datagram that is on its way. The lock is held.
+// enqueue adds a datagram in transit in order of arrival, or drops it if the queue
+// is full. The caller holds the lock.
 func (s *socket) enqueue(next datagram) {
 	if len(s.pending) >= datagramBacklog {
 		return
@@ -110,13 +112,13 @@
 		if a.arrival.After(b.arrival) {
 			return 1
 		}
-		return -1 // those of the same time stay in the order in which they were sent
+		return -1 // datagrams with equal arrival times stay in sending order
 	})
 	s.pending = slices.Insert(s.pending, index, next)
 	s.wake()
 }
 
-// Close ends the socket.
+// Close closes the socket and discards its queued datagrams.
 func (s *socket) Close() error {
 	n := s.process.network
 	n.mutex.Lock()
@@ -129,27 +131,27 @@
 	return nil
 }
 
-// closeLocked ends the socket. The lock is held.
+// closeLocked closes the socket. The caller holds the lock.
 func (s *socket) closeLocked() {
 	s.closed = true
 	s.pending = nil
 	s.wake()
 }
 
-// wake wakes ReadFrom. The lock is held.
+// wake wakes blocked calls of ReadFrom. The caller holds the lock.
 func (s *socket) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// LocalAddr returns the address that the socket was opened on.
+// LocalAddr returns the address on which the socket was opened.
 func (s *socket) LocalAddr() net.Addr { return s.address }
 
-// SetDeadline is not supported: nobody who uses the sockets needs it.
+// SetDeadline returns ENOTSUP: no user of the sockets needs deadlines.
 func (s *socket) SetDeadline(time.Time) error { return syscall.ENOTSUP }
 
-// SetReadDeadline is not supported either.
+// SetReadDeadline returns ENOTSUP, like SetDeadline.
 func (s *socket) SetReadDeadline(time.Time) error { return syscall.ENOTSUP }
 
-// SetWriteDeadline is not supported either: writing never waits.
+// SetWriteDeadline returns ENOTSUP: WriteTo never blocks.
 func (s *socket) SetWriteDeadline(time.Time) error { return syscall.ENOTSUP }
--- a/lab/network/datagram_test.go
+++ b/lab/network/datagram_test.go
@@ -22,8 +22,8 @@
 	return socket
 }
 
-// Datagrams arrive after the link's delay, and are lost on links that are cut, at hosts
-// without a process and at frozen senders.
+// Datagrams arrive after the link's delay. They are lost if the link is cut, the
+// receiver's host runs no process or the sender is frozen.
 func TestDatagrams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(Options{Seed: 1, MinimumDelay: 5 * time.Millisecond, MaximumDelay: 5 * time.Millisecond})
@@ -69,7 +69,7 @@
 		n.Kill("10.0.0.2", KillVanish)
 		send("dead", "10.0.0.2")
 		if err := <-readErr; !errors.Is(err, net.ErrClosed) {
-			t.Errorf("the socket of a dead process ended with %v", err)
+			t.Errorf("read on the socket of a killed process returned %v, want net.ErrClosed", err)
 		}
 		n.Close()
 	})
--- a/lab/network/limit.go
+++ b/lab/network/limit.go
@@ -5,20 +5,20 @@
 	"sync"
 )
 
-// LimitListener closes, as soon as it is accepted, every connection beyond the
-// limit of those that are open.
+// LimitListener returns a listener that accepts connections from inner and
+// immediately closes those that exceed the limit of concurrently open ones.
 func LimitListener(inner net.Listener, limit int) net.Listener {
 	return &limitListener{Listener: inner, free: limit}
 }
 
 type limitListener struct {
 	net.Listener
-	// mutex guards free, the number of connections that may still be opened.
+	// mutex guards free, the number of further connections that may be opened.
 	mutex sync.Mutex
 	free  int
 }
 
-// Accept waits for the next connection within the limit.
+// Accept waits for the next connection within the limit and closes those above it.
 func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		accepted, err := l.Listener.Accept()
@@ -54,7 +54,7 @@
 	closeOnce sync.Once
 }
 
-// Close closes the connection and frees its place.
+// Close closes the connection and releases its share of the limit once.
 func (c *limitedConn) Close() error {
 	c.closeOnce.Do(c.listener.release)
 	return c.Conn.Close()
--- a/lab/network/network.go
+++ b/lab/network/network.go
@@ -1,12 +1,13 @@
-// Package network is an in-memory network between simulated hosts.
+// Package network simulates a network between hosts in memory.
 //
-// Each process that runs on a host gets a Process, which opens listeners and
-// connections as the operating system would, and sockets for datagrams. Connections are
-// byte streams with deadlines; each link has a delay drawn from the network's seed. Links can be
-// cut one way, slowed and reset; hosts can be frozen, thawed and killed.
+// A Process is one run of a program on a host; it opens listeners, connections
+// and datagram sockets as an operating system would. Connections are byte streams
+// with deadlines. The delay of each link is derived from the network's seed.
+// Links can be cut in one direction or slowed down, connections reset or
+// blackholed, and hosts frozen, thawed and killed.
 //
-// All waiting is on channels and timers, so the package runs on the virtual
-// clock of testing/synctest; a Network must then be made inside the bubble.
+// All waiting is on channels and timers, so the package runs on the virtual clock
+// of testing/synctest; a Network must then be created inside the bubble.
 package network
 
 import (
@@ -18,78 +19,82 @@
 	"time"
 )
 
-// Errors of the network's controls.
+// Errors returned by the network and its processes.
 var (
-	// ErrRunning is returned when a host already runs a process.
+	// ErrRunning is returned by Start if the host already runs a process.
 	ErrRunning = errors.New("network: host already runs a process")
-	// ErrProcessKilled is returned to a process whose host was killed.
+	// ErrProcessKilled is returned by operations of a process that was killed.
 	ErrProcessKilled = errors.New("network: process was killed")
-	// ErrInvalidAddress is returned for an address that is not an IP number and port.
-	ErrInvalidAddress = errors.New("network: bad address")
+	// ErrInvalidAddress is returned for an address that is not an IP address and
+	// port, and for an unsupported network name.
+	ErrInvalidAddress = errors.New("network: invalid address")
 )
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultMinimumDelay = 200 * time.Microsecond
 	DefaultMaximumDelay = 2 * time.Millisecond
 )
 
-// Options sets up a Network. The zero value has usable defaults.
+// Options configures a Network. Zero fields get default values.
 type Options struct {
-	// Seed determines every link's delay.
+	// Seed determines the delays of links and the jitter of connections.
 	Seed uint64
-	// MinimumDelay and MaximumDelay bound the one-way delay of a link.
+	// MinimumDelay and MaximumDelay bound the one-way delay of a link, jitter
+	// excluded.
 	MinimumDelay time.Duration
 	MaximumDelay time.Duration
 }
 
-// Network joins hosts. Its methods may be called from several goroutines.
+// Network connects simulated hosts. It is safe for concurrent use.
 type Network struct {
 	options Options
 
-	// mutex guards all that follows and the state of every process, listener
-	// and stream. Invariant: a stream or listener whose state changed has had
-	// its waiters woken before the lock is released.
+	// mutex guards the fields below and the state of all processes, listeners,
+	// sockets and streams. Invariant: waiters on a listener, socket or stream are
+	// woken before the lock is released if its state has changed.
 	mutex   sync.Mutex
 	hosts   map[string]*host
 	links   map[link]*linkState
 	streams map[*stream]struct{}
-	// connectionCount counts connections and seeds their jitter.
+	// connectionCount is the number of connections opened so far; it is part of the
+	// seed of a connection's jitter.
 	connectionCount uint64
 }
 
-// link is one direction between two hosts.
+// link identifies one direction between two hosts, given by their IP addresses.
 type link struct{ from, to string }
 
-// linkState is the condition of one direction.
+// linkState is the state of one direction of a link.
 type linkState struct {
 	cut        bool
 	delay      time.Duration
 	extraDelay time.Duration
 }
 
-// host is one IP number.
+// host is the state of one IP address.
 type host struct {
 	ip       string
 	frozen   bool
 	vanished bool
 	process  *Process
 	nextPort int
-	// changed is closed and replaced when the host's condition changes.
+	// changed is closed and replaced when the host's state or that of one of its
+	// links changes.
 	changed chan struct{}
 }
 
-// KillMode tells what the peers of a killed host see.
+// KillMode determines what the peers of a killed host observe.
 type KillMode int
 
 const (
-	// KillReset ends the process; its kernel resets the connections.
+	// KillReset ends the process only; its kernel resets the connections.
 	KillReset KillMode = iota
-	// KillVanish ends the machine; its peers hear nothing more.
+	// KillVanish ends the whole machine; its peers receive nothing more from it.
 	KillVanish
 )
 
-// New makes a network without hosts.
+// New returns a network without hosts.
 func New(options Options) *Network {
 	if options.MinimumDelay <= 0 {
 		options.MinimumDelay = DefaultMinimumDelay
@@ -105,8 +110,9 @@
 	}
 }
 
-// Start runs a new process on the host with the given IP number. A host runs
-// one process at a time; ErrRunning otherwise.
+// Start starts a new process on the host with the given IP address. It returns
+// ErrRunning if the host already runs a process. If the machine had vanished, the
+// new process resets the old connections on which peers have sent data.
 func (n *Network) Start(ip string) (*Process, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -126,15 +132,15 @@
 	return h.process, nil
 }
 
-// Kill ends the host's process: its listeners and connections are gone, and
-// whatever its goroutines still try to send goes nowhere.
+// Kill ends the host's process: its listeners, sockets and connections are
+// closed, and anything its goroutines still try to send is discarded.
 func (n *Network) Kill(ip string, mode KillMode) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.kill(n.host(ip), mode)
 }
 
-// Close kills every process and ends every connection.
+// Close kills all processes and resets all connections.
 func (n *Network) Close() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -146,7 +152,7 @@
 	}
 }
 
-// kill ends a host's process. The lock is held.
+// kill ends a host's process. The caller holds the lock.
 func (n *Network) kill(h *host, mode KillMode) {
 	process := h.process
 	if process == nil {
@@ -169,12 +175,12 @@
 	n.wakeHostWaiters(h)
 }
 
-// Freeze stops the host's process: it neither sends nor receives until Thaw.
-// Its connections stay, and its kernel still accepts new ones. The process's
-// own timers go on, and what they do takes effect at Thaw.
+// Freeze suspends the host's process: it neither sends nor receives until Thaw.
+// Its connections stay open, and its kernel still accepts new ones. The process's
+// own timers keep running, and their effects become visible after Thaw.
 func (n *Network) Freeze(ip string) { n.setFrozen(ip, true) }
 
-// Thaw lets a frozen process continue.
+// Thaw resumes a frozen process.
 func (n *Network) Thaw(ip string) { n.setFrozen(ip, false) }
 
 func (n *Network) setFrozen(ip string, frozen bool) {
@@ -185,11 +191,12 @@
 	n.wakeHostWaiters(h)
 }
 
-// Cut stops what one host sends to another. What is sent meanwhile arrives
-// after Heal, as a transport that sends again would have it.
+// Cut interrupts traffic from one host to another. Data sent meanwhile on
+// connections arrives after Heal, as with a transport that retransmits; datagrams
+// are lost.
 func (n *Network) Cut(from, to string) { n.setCut(from, to, true) }
 
-// Heal ends a Cut.
+// Heal reverts Cut.
 func (n *Network) Heal(from, to string) { n.setCut(from, to, false) }
 
 func (n *Network) setCut(from, to string, cut bool) {
@@ -200,14 +207,14 @@
 	n.wakeHostWaiters(n.host(to))
 }
 
-// Slow adds a delay to what one host sends to another; zero ends it.
+// Slow adds an extra delay to traffic from one host to another; zero removes it.
 func (n *Network) Slow(from, to string, extra time.Duration) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.link(from, to).extraDelay = extra
 }
 
-// ResetConnections breaks every connection between two hosts.
+// ResetConnections resets all connections between two hosts.
 func (n *Network) ResetConnections(one, other string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -218,8 +225,8 @@
 	}
 }
 
-// BlackholeConnections lets nothing more through on the connections between two hosts that are open
-// now, in either direction; new ones work.
+// BlackholeConnections drops, in both directions, all further data on the
+// connections currently open between two hosts. New connections are unaffected.
 func (n *Network) BlackholeConnections(one, other string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -230,7 +237,8 @@
 	}
 }
 
-// host returns the state of an IP number. The lock is held.
+// host returns the state of an IP address, which it creates if necessary. The
+// caller holds the lock.
 func (n *Network) host(ip string) *host {
 	h, ok := n.hosts[ip]
 	if !ok {
@@ -240,8 +248,9 @@
 	return h
 }
 
-// link returns the state of one direction, with a delay that depends only on
-// the seed and the two hosts. The lock is held.
+// link returns the state of one direction of a link, which it creates if
+// necessary. The delay depends only on the seed and the two hosts. The caller holds
+// the lock.
 func (n *Network) link(from, to string) *linkState {
 	key := link{from, to}
 	state, ok := n.links[key]
@@ -254,7 +263,8 @@
 	return state
 }
 
-// wakeHostWaiters wakes all that waits on the host's condition. The lock is held.
+// wakeHostWaiters wakes all waiters that depend on the host's state: those on its
+// streams, listeners and sockets, and pending dials. The caller holds the lock.
 func (n *Network) wakeHostWaiters(h *host) {
 	close(h.changed)
 	h.changed = make(chan struct{})
@@ -274,8 +284,9 @@
 	}
 }
 
-// await releases the lock until changed is closed or the time until has come;
-// a zero until means no time limit. The lock is held before and after.
+// await releases the lock until changed is closed or the time until is reached; a
+// zero until means no time limit. The caller holds the lock, and holds it again
+// when await returns.
 func (n *Network) await(changed <-chan struct{}, until time.Time) {
 	n.mutex.Unlock()
 	defer n.mutex.Lock()
@@ -294,7 +305,7 @@
 func hashOf(texts ...string) uint64 {
 	hash := fnv.New64a()
 	for _, text := range texts {
-		// Writing to a hash never fails.
+		// Writing to a hash.Hash never returns an error.
 		_, _ = hash.Write([]byte(text))
 		_, _ = hash.Write([]byte{0})
 	}
--- a/lab/network/network_test.go
+++ b/lab/network/network_test.go
@@ -54,8 +54,8 @@
 		name   string
 		fault  func(n *Network)
 		repair func(n *Network)
-		// during and after are the errors of B's read while the fault lasts and
-		// after its end; nil means that the data arrived.
+		// during and after are the errors that B's read returns while the fault
+		// lasts and after repair; nil means that the data arrived.
 		during, after error
 	}{
 		{name: "no fault", fault: func(*Network) {}},
@@ -106,7 +106,7 @@
 		time.AfterFunc(3*time.Second, func() { n.Thaw(hostB) })
 		_, err := readWithTimeout(far, time.Second)
 		if !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(start) != 3*time.Second {
-			t.Fatalf("read ended with %v after %v", err, time.Since(start))
+			t.Fatalf("read returned %v after %v, want a deadline error after 3s", err, time.Since(start))
 		}
 	})
 }
@@ -130,11 +130,11 @@
 		near, far := openConnection(t, n)
 		far.Close()
 		if _, err := near.Write([]byte("x")); err != nil {
-			t.Fatalf("the end has not arrived yet: %v", err)
+			t.Fatalf("write before the close has arrived: %v", err)
 		}
 		time.Sleep(time.Second)
 		if _, err := near.Write([]byte("x")); !errors.Is(err, syscall.EPIPE) {
-			t.Fatalf("the end has arrived: %v", err)
+			t.Fatalf("write after the close has arrived: %v, want EPIPE", err)
 		}
 		if _, err := near.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 			t.Fatalf("read: %v", err)
@@ -174,7 +174,7 @@
 		near.SetWriteDeadline(time.Now().Add(time.Second))
 		count, err := near.Write(data)
 		if count != bufferLimit || !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatalf("wrote %d, %v", count, err)
+			t.Fatalf("wrote %d bytes with error %v", count, err)
 		}
 		near.SetWriteDeadline(time.Time{})
 		go func() {
@@ -183,7 +183,7 @@
 		}()
 		got, err := io.ReadAll(far)
 		if err != nil || len(got) != len(data) {
-			t.Fatalf("read %d, %v", len(got), err)
+			t.Fatalf("read %d bytes with error %v", len(got), err)
 		}
 	})
 }
@@ -216,7 +216,7 @@
 				defer cancel()
 				_, err := a.DialContext(ctx, "tcp", hostB+":80")
 				if !errors.Is(err, test.err) {
-					t.Fatalf("got %v, want %v", err, test.err)
+					t.Fatalf("dial returned %v, want %v", err, test.err)
 				}
 			})
 		})
@@ -233,22 +233,22 @@
 		n := New(Options{})
 		old, _ := n.Start(hostA)
 		if _, err := n.Start(hostA); !errors.Is(err, ErrRunning) {
-			t.Fatalf("second start: %v", err)
+			t.Fatalf("second start: %v, want ErrRunning", err)
 		}
 		old.Listen(":80")
 		n.Kill(hostA, KillReset)
 		if _, err := old.Listen(":81"); !errors.Is(err, ErrProcessKilled) {
-			t.Fatalf("listen: %v", err)
+			t.Fatalf("listen: %v, want ErrProcessKilled", err)
 		}
 		if _, err := old.DialContext(t.Context(), "tcp", hostB+":80"); !errors.Is(err, ErrProcessKilled) {
-			t.Fatalf("dial: %v", err)
+			t.Fatalf("dial: %v, want ErrProcessKilled", err)
 		}
 		restarted, err := n.Start(hostA)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := restarted.Listen(":80"); err != nil {
-			t.Fatalf("listen anew: %v", err)
+			t.Fatalf("listen after the restart: %v", err)
 		}
 	})
 }
@@ -273,7 +273,7 @@
 			body, _ := io.ReadAll(response.Body)
 			response.Body.Close()
 			if string(body) != "echo" {
-				t.Fatalf("got %q", body)
+				t.Fatalf("response body is %q, want echo", body)
 			}
 		}
 		transport.CloseIdleConnections()
--- a/lab/network/process.go
+++ b/lab/network/process.go
@@ -16,7 +16,7 @@
 
 const (
 	firstEphemeralPort = 49152
-	// backlog bounds the connections that wait to be accepted.
+	// backlog bounds the connections that wait for Accept; further ones are refused.
 	backlog = 1024
 )
 
@@ -31,10 +31,11 @@
 	done      chan struct{}
 }
 
-// Done is closed when the process is killed.
+// Done returns a channel that is closed when the process is killed.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Listen accepts connections on a port of the host; port 0 picks a free one.
+// Listen listens for connections on a port of the host; port 0 selects an
+// ephemeral port.
 func (p *Process) Listen(address string) (net.Listener, error) {
 	ip, port, err := splitAddress(address, p.host.ip)
 	if err != nil {
@@ -60,8 +61,9 @@
 	return l, nil
 }
 
-// DialContext connects to an IP number and port. It hangs until the context
-// ends while the way there or back is cut or the other machine has vanished.
+// DialContext connects to an IP address and port. While the link is cut in either
+// direction, the remote machine has vanished or the calling process is frozen, it
+// blocks until the context is done.
 func (p *Process) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	if network != "tcp" && network != "tcp4" {
 		return nil, fmt.Errorf("%w: network %q", ErrInvalidAddress, network)
@@ -93,8 +95,9 @@
 	}
 }
 
-// route returns the time that a connection to the host takes to open, or zero
-// and a channel that is closed when that may have become possible.
+// route returns the time that it takes to open a connection to the host. If that is
+// impossible at present, it returns zero and a channel that is closed when the
+// state has changed.
 func (p *Process) route(ip string) (time.Duration, <-chan struct{}, error) {
 	n := p.network
 	n.mutex.Lock()
@@ -113,8 +116,8 @@
 	return outbound.delay + outbound.extraDelay + inbound.delay + inbound.extraDelay, nil, nil
 }
 
-// connect joins the process to a listener; nil without an error means that the
-// way has been cut meanwhile.
+// connect connects the process to a listener. It returns nil without an error if
+// the link was cut or the remote machine vanished since route was called.
 func (p *Process) connect(ip string, port int) (net.Conn, error) {
 	n := p.network
 	n.mutex.Lock()
@@ -141,7 +144,7 @@
 	return near, nil
 }
 
-// ephemeralPort picks the next port. The lock is held.
+// ephemeralPort returns the next ephemeral port. The caller holds the lock.
 func (h *host) ephemeralPort() int {
 	port := h.nextPort
 	h.nextPort++
@@ -160,7 +163,7 @@
 	changed chan struct{}
 }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection. It blocks while the process is frozen.
 func (l *listener) Accept() (net.Conn, error) {
 	n := l.process.network
 	n.mutex.Lock()
@@ -178,7 +181,7 @@
 	}
 }
 
-// Close stops accepting; connections that wait to be accepted are reset.
+// Close closes the listener and resets the connections that wait for Accept.
 func (l *listener) Close() error {
 	n := l.process.network
 	n.mutex.Lock()
@@ -191,10 +194,10 @@
 	return nil
 }
 
-// Addr returns the address that the listener accepts on.
+// Addr returns the address on which the listener accepts connections.
 func (l *listener) Addr() net.Addr { return l.address }
 
-// closeLocked ends the listener. The lock is held.
+// closeLocked closes the listener. The caller holds the lock.
 func (l *listener) closeLocked() {
 	l.closed = true
 	for _, c := range l.pending {
@@ -205,7 +208,7 @@
 	l.wake()
 }
 
-// wake wakes Accept. The lock is held.
+// wake wakes blocked calls of Accept. The caller holds the lock.
 func (l *listener) wake() {
 	close(l.changed)
 	l.changed = make(chan struct{})
@@ -233,7 +236,7 @@
 	return &net.TCPAddr{IP: net.ParseIP(ip), Port: port}
 }
 
-// opError wraps an error as the net package does.
+// opError wraps an error in a net.OpError as the net package does.
 func opError(operation string, address net.Addr, err error) error {
 	var errno syscall.Errno
 	switch {
