--- a/lab/soak/judge.go
+++ b/lab/soak/checker.go
@@ -52,28 +52,28 @@
 	budgetWindow  = 10 * time.Second
 	exposureShare = 0.1
 	exposureSlack = 50
-	// lateBad is the bad answer after which a version gets nothing once rollbackBound is over.
-	lateBad = 50
+	// rollbackResponses is the bad answer after which a version gets nothing once rollbackBound is over.
+	rollbackResponses = 50
 	// RecoveryBound is within which the system is whole again after the last fault.
 	RecoveryBound = 12 * time.Second
 	// answerAllowance is how long after its deadline a request may be answered: a bound of
 	// the platform's rules.
 	answerAllowance = 500 * time.Millisecond
-	// inFlight is how long a request or an answer may be under way on a busy machine.
-	inFlight = 200 * time.Millisecond
+	// inFlightMargin is how long a request or an answer may be under way on a busy machine.
+	inFlightMargin = 200 * time.Millisecond
 )
 
 // record is all that a soak saw.
 type record struct {
 	history     *history.History
 	evacuations []evacuation
-	orders      []order
+	rollouts    []rollout
 	// arrivals are what came to servers, in order.
 	arrivals []arrival
 	// bad are when the target of the orders gave bad answers.
 	bad []time.Duration
-	// deadlyEnds are when servers ended under requests, by their target.
-	deadlyEnds map[string][]time.Duration
+	// crashTimes are when servers ended under requests, by their target.
+	crashTimes map[string][]time.Duration
 }
 
 // arrival is a request that came to a server.
@@ -88,10 +88,10 @@
 func (f *fleet) record(epoch time.Time) *record {
 	r := &record{history: f.recorder.Finish()}
 	f.mutex.Lock()
-	r.deadlyEnds = maps.Clone(f.deadlyEnds)
+	r.crashTimes = maps.Clone(f.crashTimes)
 	r.evacuations = slices.Clone(f.evacuations)
-	for _, o := range f.orders {
-		r.orders = append(r.orders, *o)
+	for _, o := range f.rollouts {
+		r.rollouts = append(r.rollouts, *o)
 	}
 	f.mutex.Unlock()
 	nodes := make(map[string]string)
@@ -104,31 +104,31 @@
 	slices.SortStableFunc(r.arrivals, func(a, b arrival) int { return int(a.at - b.at) })
 	slices.Sort(r.bad)
 	r.history.KeySpaces = []history.KeySpace{
-		{Service: searchService, Range: coverage.Range{End: shardCount}}, {Service: singleService, Range: single},
+		{Service: searchService, Range: coverage.Range{End: shardCount}}, {Service: singleService, Range: singleRange},
 	}
 	return r
 }
 
 // addServer adds what a server saw.
 func (r *record) addServer(s *server, nodes map[string]string, epoch time.Time) {
-	covered := single
+	covered := singleRange
 	if s.set > 0 {
-		covered = rangeOf(s.shard)
+		covered = shardRange(s.shard)
 	}
 	s.Set(func() {
-		ran := make(map[string]int)
-		for _, one := range s.Executions {
-			ran[one.ID]++
+		executions := make(map[string]int)
+		for _, execution := range s.Executions {
+			executions[execution.ID]++
 		}
-		for place, one := range s.Received {
-			executed := ran[one.ID] > 0
-			ran[one.ID]--
-			at := one.At.Sub(epoch)
+		for index, received := range s.Received {
+			executed := executions[received.ID] > 0
+			executions[received.ID]--
+			at := received.At.Sub(epoch)
 			r.arrivals = append(r.arrivals, arrival{
-				at: at, request: one.ID, server: s.ID, service: s.Service, zone: s.Zone, version: s.Version, caller: nodes[one.ID], executed: executed, target: one.Target,
+				at: at, request: received.ID, server: s.ID, service: s.Service, zone: s.Zone, version: s.Version, caller: nodes[received.ID], executed: executed, target: received.Target,
 			})
 			r.history.Attempts = append(r.history.Attempts, history.Attempt{
-				Server: s.ID, AttemptID: fmt.Sprintf("%s/%d", s.ID, place), RequestID: one.ID, Service: s.Service,
+				Server: s.ID, AttemptID: fmt.Sprintf("%s/%d", s.ID, index), RequestID: received.ID, Service: s.Service,
 				Snapshot: uint64(s.set), Range: covered, SentAt: at, ArrivedAt: at, Executed: executed,
 			})
 		}
@@ -154,65 +154,65 @@
 }
 
 // judge judges all that was seen.
-func (r *record) judge() (judged map[history.Invariant]int, violations []Violation) {
+func (r *record) check() (checked map[history.Invariant]int, violations []Violation) {
 	options := history.DefaultOptions()
 	options.AnswerAllowance, options.LeavingGrace = answerAllowance, drainBound
-	options.ConfigurationBound, options.RecoveryBound, options.InFlightMargin = applyBound, RecoveryBound, inFlight
+	options.ConfigurationBound, options.RecoveryBound, options.InFlightMargin = applyBound, RecoveryBound, inFlightMargin
 	report := history.Check(r.history, options)
-	j := &judge{record: r, judged: report.Checked, violations: report.Violations}
-	j.denied()
-	j.budget()
-	j.exposure()
-	j.evacuation()
-	j.repeats()
-	return j.judged, j.violations
+	c := &checker{record: r, checked: report.Checked, violations: report.Violations}
+	c.checkRoutesFound()
+	c.checkBudget()
+	c.checkRollouts()
+	c.checkEvacuations()
+	c.checkRepeatedCrashes()
+	return c.checked, c.violations
 }
 
-// judge judges what package history doesn't.
-type judge struct {
+// checker judges what package history doesn't.
+type checker struct {
 	*record
-	judged     map[history.Invariant]int
+	checked    map[history.Invariant]int
 	violations []Violation
 }
 
-func (j *judge) violate(invariant history.Invariant, subject, format string, arguments ...any) {
-	j.violations = append(j.violations, Violation{Invariant: invariant, Subject: subject, Evidence: fmt.Sprintf(format, arguments...)})
+func (c *checker) addViolation(invariant history.Invariant, subject, format string, arguments ...any) {
+	c.violations = append(c.violations, Violation{Invariant: invariant, Subject: subject, Evidence: fmt.Sprintf(format, arguments...)})
 }
 
-// calm reports whether nothing disturbed a node from one time to another.
-func (r *record) calm(node string, from, to time.Duration) bool {
+// wasUndisturbed reports whether nothing disturbed a node from one time to another.
+func (r *record) wasUndisturbed(node string, from, to time.Duration) bool {
 	return !slices.ContainsFunc(r.history.Disturbances, func(d history.Disturbance) bool {
 		return d.Host == node && d.From <= to && d.To >= from
 	})
 }
 
-// quiet reports the same for all nodes.
-func (r *record) quiet(from, to time.Duration) bool {
+// wereAllUndisturbed reports the same for all nodes.
+func (r *record) wereAllUndisturbed(from, to time.Duration) bool {
 	return !slices.ContainsFunc(r.history.Disturbances, func(d history.Disturbance) bool { return d.From <= to && d.To >= from })
 }
 
-func (j *judge) denied() {
+func (c *checker) checkRoutesFound() {
 	calls := make(map[history.CallID]history.Call)
-	for _, call := range j.history.Calls {
+	for _, call := range c.history.Calls {
 		calls[call.ID] = call
 	}
-	for _, answer := range j.history.Answers {
+	for _, answer := range c.history.Answers {
 		call := calls[answer.Call]
 		if strings.HasPrefix(call.Class, markerPrefix) {
 			continue
 		}
-		j.judged[RouteNotFound]++
-		if answer.Reason == noRoute {
-			j.violate(RouteNotFound, call.RequestID, "%s at %s, sent at %s: no such route", call.Class, call.Node, call.At)
+		c.checked[RouteNotFound]++
+		if answer.Reason == reasonNoRoute {
+			c.addViolation(RouteNotFound, call.RequestID, "%s at %s, sent at %s: no such route", call.Class, call.Node, call.At)
 		}
 	}
 }
 
-// budget judges each service's sends beyond the first, over all nodes, in each window.
-func (j *judge) budget() {
+// checkBudget judges each service's sends beyond the first, over all nodes, in each window.
+func (c *checker) checkBudget() {
 	firsts, extras := make(map[string][]time.Duration), make(map[string][]time.Duration)
 	seen := make(map[[2]string]bool)
-	for _, a := range j.arrivals {
+	for _, a := range c.arrivals {
 		key := [2]string{a.request, a.service}
 		if seen[key] {
 			extras[a.service] = append(extras[a.service], a.at)
@@ -222,99 +222,99 @@
 		seen[key] = true
 	}
 	for service, times := range firsts {
-		j.judged[Budget] += len(times)
-		for place, at := range extras[service] {
-			since, _ := slices.BinarySearch(extras[service][:place+1], at-budgetWindow)
-			spent := place + 1 - since
-			requests := max(within(times, at-budgetWindow, at), within(times, at-budgetWindow*3/2, at-budgetWindow/2), within(times, at-2*budgetWindow, at-budgetWindow))
-			if float64(spent) > budgetRatio*float64(requests)+budgetExtra {
-				j.violate(Budget, service, "%d extra sends in the window up to %s, %d requests", spent, at, requests)
+		c.checked[Budget] += len(times)
+		for index, at := range extras[service] {
+			windowStart, _ := slices.BinarySearch(extras[service][:index+1], at-budgetWindow)
+			extraCount := index + 1 - windowStart
+			requests := max(countWithin(times, at-budgetWindow, at), countWithin(times, at-budgetWindow*3/2, at-budgetWindow/2), countWithin(times, at-2*budgetWindow, at-budgetWindow))
+			if float64(extraCount) > budgetRatio*float64(requests)+budgetExtra {
+				c.addViolation(Budget, service, "%d extra sends in the window up to %s, %d requests", extraCount, at, requests)
 				break
 			}
 		}
 	}
 }
 
-// within counts the times of a sorted list after one and up to another.
-func within(times []time.Duration, after, until time.Duration) int {
+// countWithin counts the times of a sorted list after one and up to another.
+func countWithin(times []time.Duration, after, until time.Duration) int {
 	first, _ := slices.BinarySearch(times, after)
 	last, _ := slices.BinarySearch(times, until)
 	return last - first
 }
 
-// exposure judges what versions of the roll-outs got from nodes that nothing disturbed, and how
+// checkRollouts judges what versions of the roll-outs got from nodes that nothing disturbed, and how
 // they ended. While the store is away a node may know a version's servers and not yet its order.
-func (j *judge) exposure() {
-	for _, o := range j.orders {
-		j.ends(o)
+func (c *checker) checkRollouts() {
+	for _, o := range c.rollouts {
+		c.checkRolloutEnd(o)
 		if o.bad == NoDefect {
 			continue
 		}
-		j.judged[Exposure]++
+		c.checked[Exposure]++
 		until := o.deadline
 		if o.replacedAt > 0 {
 			until = o.replacedAt
 		}
-		all, given := 0, 0
+		total, targetCount := 0, 0
 		var last arrival
-		for _, a := range j.arrivals {
-			if a.service != ledger || a.at < o.at || a.at > until {
+		for _, a := range c.arrivals {
+			if a.service != ledgerService || a.at < o.at || a.at > until {
 				continue
 			}
-			all++
+			total++
 			if a.version != o.target {
 				continue
 			}
 			last = a
-			if a.caller == "" || j.calm(a.caller, a.at-contactTime, a.at) {
-				given++
+			if a.caller == "" || c.wasUndisturbed(a.caller, a.at-reconnectTime, a.at) {
+				targetCount++
 			}
 		}
-		if float64(given) > exposureShare*float64(all)+exposureSlack {
-			j.violate(Exposure, o.target, "a version that is bad (%s) got %d of %d requests", o.bad, given, all)
+		if float64(targetCount) > exposureShare*float64(total)+exposureSlack {
+			c.addViolation(Exposure, o.target, "a version that is bad (%s) got %d of %d requests", o.bad, targetCount, total)
 		}
-		j.late(o, last)
+		c.checkRollback(o, last)
 	}
 }
 
-// ends judges how a roll-out ended. Whether one that is bad under load gets any depends on
+// checkRolloutEnd judges how a roll-out ended. Whether one that is bad under load gets any depends on
 // the traffic that the soak draws.
-func (j *judge) ends(o order) {
-	j.judged[RolloutEnd]++
+func (c *checker) checkRolloutEnd(o rollout) {
+	c.checked[RolloutEnd]++
 	if o.ended == standin.RolloutCompleted && o.bad != NoDefect && o.bad != FailsUnderLoad {
-		j.violate(RolloutEnd, o.target, "a version that is bad (%s) was put in force at %s", o.bad, o.endedAt)
+		c.addViolation(RolloutEnd, o.target, "a version that is bad (%s) was put in force at %s", o.bad, o.endedAt)
 	}
-	inTime := o.ended != "" && o.endedAt <= o.deadline
-	if o.replacedAt == 0 && !inTime && j.quiet(o.deadline-contactTime, o.deadline) {
-		j.violate(RolloutEnd, o.target, "no end by %s: %s at %s", o.deadline, cmp.Or(o.ended, "none"), o.endedAt)
+	endedInTime := o.ended != "" && o.endedAt <= o.deadline
+	if o.replacedAt == 0 && !endedInTime && c.wereAllUndisturbed(o.deadline-reconnectTime, o.deadline) {
+		c.addViolation(RolloutEnd, o.target, "no end by %s: %s at %s", o.deadline, cmp.Or(o.ended, "none"), o.endedAt)
 	}
 }
 
-// late judges that a bad version got nothing once the bound after its bad answers was over.
-func (j *judge) late(o order, last arrival) {
-	if len(j.bad) < lateBad {
+// checkRollback judges that a bad version got nothing once the bound after its bad answers was over.
+func (c *checker) checkRollback(o rollout, last arrival) {
+	if len(c.bad) < rollbackResponses {
 		return
 	}
-	limit := j.bad[lateBad-1] + rollbackBound
-	if last.at > limit && j.calm(last.caller, j.bad[lateBad-1]-contactTime, last.at) {
-		j.violate(Exposure, o.target, "bad answer %d was at %s, the last request came at %s", lateBad, j.bad[lateBad-1], last.at)
+	limit := c.bad[rollbackResponses-1] + rollbackBound
+	if last.at > limit && c.wasUndisturbed(last.caller, c.bad[rollbackResponses-1]-reconnectTime, last.at) {
+		c.addViolation(Exposure, o.target, "bad answer %d was at %s, the last request came at %s", rollbackResponses, c.bad[rollbackResponses-1], last.at)
 	}
 }
 
-// evacuation judges that evacuated zones get nothing.
-func (j *judge) evacuation() {
-	for _, e := range j.evacuations {
-		j.judged[Evacuation]++
+// checkEvacuations judges that evacuated zones get nothing.
+func (c *checker) checkEvacuations() {
+	for _, e := range c.evacuations {
+		c.checked[Evacuation]++
 		until := e.until
 		if until == 0 {
-			until = j.history.End
+			until = c.history.End
 		}
-		for _, a := range j.arrivals {
+		for _, a := range c.arrivals {
 			if a.zone != e.zone || a.at < e.from+evacuateBound || a.at > until {
 				continue
 			}
-			if a.caller == "" || j.calm(a.caller, e.from, a.at) {
-				j.violate(Evacuation, a.server, "zone %s was to be empty from %s; request %s of %s came at %s", e.zone, e.from, a.request, a.caller, a.at)
+			if a.caller == "" || c.wasUndisturbed(a.caller, e.from, a.at) {
+				c.addViolation(Evacuation, a.server, "zone %s was to be empty from %s; request %s of %s came at %s", e.zone, e.from, a.request, a.caller, a.at)
 				break
 			}
 		}
--- a/lab/soak/fleet.go
+++ b/lab/soak/fleet.go
@@ -26,8 +26,8 @@
 	store     *standin.Store
 	recorder  *history.Recorder
 	requests  atomic.Int64
-	// before are the resources that processes held before the first fault.
-	before resources
+	// initialResources are the resources that processes held before the first fault.
+	initialResources resources
 
 	mutex sync.Mutex
 	// mutex guards the fields below.
@@ -35,21 +35,21 @@
 	servers     map[string]*server
 	violations  []Violation
 	evacuations []evacuation
-	orders      []*order
-	closing     []func()
+	rollouts    []*rollout
+	closers     []func()
 	version     int // of the configuration
 	// set is that of the shards that searches go to, of sets; replaced nodes and returned
 	// servers are counted.
-	set, sets, replaced, returned int
-	longestPause                  time.Duration
-	// badness is how versions are bad, also on servers that come in the place of others.
-	badness map[string]standin.Defect
-	// deadly are the targets of requests under which servers end.
-	deadly []string
-	// deadlyEnds are when servers ended under such requests, by their target.
-	deadlyEnds map[string][]time.Duration
-	// watch starts to probe a node that has come later.
-	watch func(n *node)
+	set, setCount, replacedNodes, restartedServers int
+	longestPause                                   time.Duration
+	// defects is how versions are bad, also on servers that come in the place of others.
+	defects map[string]standin.Defect
+	// crashTargets are the targets of requests under which servers end.
+	crashTargets []string
+	// crashTimes are when servers ended under such requests, by their target.
+	crashTimes map[string][]time.Duration
+	// onNodeAdded starts to probe a node that has come later.
+	onNodeAdded func(n *node)
 }
 
 // evacuation is a zone that is to be empty from one time to another; zero is still.
@@ -68,17 +68,17 @@
 	number int
 	// drainedAt is when it began to drain; zero is never.
 	drainedAt time.Duration
-	ended     bool
+	stopped   bool
 }
 
-// addressed is a listener that is reached at another address.
-type addressed struct {
+// proxiedListener is a listener that is reached at another address.
+type proxiedListener struct {
 	net.Listener
-	at net.Addr
+	address net.Addr
 }
 
 // Addr is where others reach it.
-func (a addressed) Addr() net.Addr { return a.at }
+func (a proxiedListener) Addr() net.Addr { return a.address }
 
 // serve answers at a free port until the soak ends.
 func (f *fleet) serve(handler http.Handler) (address string, err error) {
@@ -93,46 +93,46 @@
 }
 
 // onClose has something done at the soak's end.
-func (f *fleet) onClose(end func()) {
+func (f *fleet) onClose(closer func()) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.closing = append(f.closing, end)
+	f.closers = append(f.closers, closer)
 }
 
 // startServer starts a server of a service behind a link; over is the link whose address it
 // takes over, or nil for a new one.
-func (f *fleet) startServer(service string, number, set, shard int, version string, over *link) (*server, error) {
+func (f *fleet) startServer(service string, number, set, shard int, version string, reusedLink *link) (*server, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(loopback, "0"))
 	if err != nil {
 		return nil, err
 	}
-	way := over
-	if way == nil {
-		way, err = newLink(loopback, listener.Addr().String())
+	serverLink := reusedLink
+	if serverLink == nil {
+		serverLink, err = newLink(loopback, listener.Addr().String())
 	} else {
-		way.retarget(listener.Addr().String())
+		serverLink.retarget(listener.Addr().String())
 	}
 	if err != nil {
 		return nil, errors.Join(err, listener.Close())
 	}
-	zone := f.layout.Zones[number%replicas]
-	s := &server{link: way, set: set, shard: shard, number: number}
+	zone := f.layout.Zones[number%replicasPerShard]
+	s := &server{link: serverLink, set: set, shard: shard, number: number}
 	s.Server = standin.StartServerVersion(f.store, standin.ServerName(service, number), service, zone, version,
-		addressed{listener, way.listener.Addr()})
+		proxiedListener{listener, serverLink.listener.Addr()})
 	f.mutex.Lock()
 	f.servers[s.ID] = s
-	deadly, badness := slices.Clone(f.deadly), f.badness[version]
+	crashTargets, defect := slices.Clone(f.crashTargets), f.defects[version]
 	f.mutex.Unlock()
-	s.Set(func() { s.Defect = badness })
-	f.arm(s, deadly)
+	s.Set(func() { s.Defect = defect })
+	f.setCrashTargets(s, crashTargets)
 	return s, nil
 }
 
 // startShards starts the servers of a set of shards.
 func (f *fleet) startShards(set int) error {
 	for shard := range shardCount {
-		for replica := range replicas {
-			if _, err := f.startServer(shardName(set, shard), replica, set, shard, usualVersion, nil); err != nil {
+		for replica := range replicasPerShard {
+			if _, err := f.startServer(shardName(set, shard), replica, set, shard, baseVersion, nil); err != nil {
 				return err
 			}
 		}
@@ -140,30 +140,30 @@
 	return nil
 }
 
-// usualVersion is that of servers' software unless a roll-out brings another.
-const usualVersion = "v1"
+// baseVersion is that of servers' software unless a roll-out brings another.
+const baseVersion = "v1"
 
 // Numbers from which servers of a service that come later are named.
 const (
-	targetNumber = 10
-	reusedNumber = 50
-	returnNumber = 100
+	firstTargetNumber      = 10
+	reusedNumber           = 50
+	firstReplacementNumber = 100
 )
 
 // start starts everything but the load.
 func (f *fleet) start() error {
 	f.version, f.set = 0, 1
 	f.servers = make(map[string]*server)
-	f.badness = make(map[string]standin.Defect)
+	f.defects = make(map[string]standin.Defect)
 	if err := f.startShards(f.set); err != nil {
 		return err
 	}
-	for number := range ledgerServers {
-		if _, err := f.startServer(ledger, number, 0, 0, usualVersion, nil); err != nil {
+	for number := range ledgerServerCount {
+		if _, err := f.startServer(ledgerService, number, 0, 0, baseVersion, nil); err != nil {
 			return err
 		}
 	}
-	f.configure()
+	f.writeConfiguration()
 	for number := range f.layout.Nodes {
 		n, err := f.newNode(number)
 		if err != nil {
@@ -183,7 +183,7 @@
 func (f *fleet) close() {
 	for _, n := range f.allNodes() {
 		n.mutex.Lock()
-		n.gone = true
+		n.removed = true
 		n.mutex.Unlock()
 		n.kill()
 	}
@@ -192,16 +192,16 @@
 		s.link.close()
 	}
 	f.mutex.Lock()
-	closing := f.closing
+	closers := f.closers
 	f.mutex.Unlock()
-	for _, end := range closing {
-		end()
+	for _, closer := range closers {
+		closer()
 	}
 	f.store.Close()
 }
 
-// violate notes a breach that was seen while the soak runs.
-func (f *fleet) violate(invariant history.Invariant, subject, format string, arguments ...any) {
+// addViolation notes a breach that was seen while the soak runs.
+func (f *fleet) addViolation(invariant history.Invariant, subject, format string, arguments ...any) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.violations = append(f.violations, Violation{Invariant: invariant, Subject: subject, Evidence: fmt.Sprintf(format, arguments...)})
@@ -211,20 +211,20 @@
 func (f *fleet) addNode(n *node) {
 	f.mutex.Lock()
 	f.nodes = append(f.nodes, n)
-	watch := f.watch
+	visit := f.onNodeAdded
 	f.mutex.Unlock()
-	if watch != nil {
-		watch(n)
+	if visit != nil {
+		visit(n)
 	}
 }
 
-// watchNodes has all nodes watched, and those that come later.
-func (f *fleet) watchNodes(watch func(n *node)) {
+// forEachNode has all nodes watched, and those that come later.
+func (f *fleet) forEachNode(visit func(n *node)) {
 	f.mutex.Lock()
-	f.watch = watch
+	f.onNodeAdded = visit
 	f.mutex.Unlock()
 	for _, n := range f.allNodes() {
-		watch(n)
+		visit(n)
 	}
 }
 
@@ -234,8 +234,8 @@
 	return slices.Clone(f.nodes)
 }
 
-// stopAll stops all nodes as planned.
-func (f *fleet) stopAll() {
+// stopAllNodes stops all nodes as planned.
+func (f *fleet) stopAllNodes() {
 	var stopping sync.WaitGroup
 	for _, n := range f.allNodes() {
 		stopping.Go(n.stop)
@@ -254,13 +254,13 @@
 	return all
 }
 
-func (f *fleet) serverNamed(id string) *server {
+func (f *fleet) findServer(id string) *server {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.servers[id]
 }
 
-func (f *fleet) nodeNamed(name string) *node {
+func (f *fleet) findNode(name string) *node {
 	for _, n := range f.allNodes() {
 		if n.name == name {
 			return n
@@ -269,8 +269,8 @@
 	return nil
 }
 
-// markersKept is the number of versions whose marker routes stand in a configuration.
-const markersKept = 24
+// maxMarkers is the number of versions whose marker routes stand in a configuration.
+const maxMarkers = 24
 
 // host is the name that callers ask for.
 const host = "search.example"
@@ -291,16 +291,16 @@
 func markerPath(version int) string { return fmt.Sprintf("%s%d/", markerPrefix, version) }
 
 const (
-	routeTimeout  = 1500 * time.Millisecond
-	routeTarget   = 100 * time.Millisecond
-	topRecords    = 5
-	leastCoverage = 0.5
-	// connectionsEach is what a server takes from all nodes.
-	connectionsEach = 40
+	routeTimeout       = 1500 * time.Millisecond
+	routeTargetLatency = 100 * time.Millisecond
+	topRecords         = 5
+	minimumCoverage    = 0.5
+	// connectionsPerServer is what a server takes from all nodes.
+	connectionsPerServer = 40
 )
 
-// configure writes the next version of the configuration.
-func (f *fleet) configure() {
+// writeConfiguration writes the next version of the configuration.
+func (f *fleet) writeConfiguration() {
 	f.mutex.Lock()
 	f.version++
 	version, set := f.version, f.set
@@ -308,21 +308,21 @@
 	route := func(name, path, kind string, priority int) standin.Route {
 		return standin.Route{
 			Name: name, Host: host, PathPrefix: path, Type: kind, Priority: priority, MaxAttempts: 2,
-			TimeoutMS: routeTimeout.Milliseconds(), TargetLatencyMS: routeTarget.Milliseconds(),
+			TimeoutMS: routeTimeout.Milliseconds(), TargetLatencyMS: routeTargetLatency.Milliseconds(),
 		}
 	}
 	search := route("search", searchPath, standin.Repeatable, 1)
-	search.Gather, search.TopK, search.MinimumCoverage = shardsOf(set), topRecords, leastCoverage
+	search.Gather, search.TopK, search.MinimumCoverage = shardNames(set), topRecords, minimumCoverage
 	page, enter := route("page", pagePath, standin.Repeatable, 2), route("enter", enterPath, standin.NotRepeatable, 2)
-	page.Service, enter.Service = ledger, ledger
+	page.Service, enter.Service = ledgerService, ledgerService
 	config := standin.Config{Version: version, Routes: []standin.Route{search, page, enter}}
-	for marked := max(version-markersKept+1, 1); marked <= version; marked++ {
-		marker := route(fmt.Sprintf("marker-%d", marked), markerPath(marked), standin.Repeatable, 3)
-		marker.Service = ledger
+	for markedVersion := max(version-maxMarkers+1, 1); markedVersion <= version; markedVersion++ {
+		marker := route(fmt.Sprintf("marker-%d", markedVersion), markerPath(markedVersion), standin.Repeatable, 3)
+		marker.Service = ledgerService
 		config.Routes = append(config.Routes, marker)
 	}
-	for _, name := range append(shardsOf(set), ledger) {
-		config.Services = append(config.Services, standin.ServiceConfig{Name: name, HealthPath: standin.HealthPath, MaxConnections: connectionsEach})
+	for _, name := range append(shardNames(set), ledgerService) {
+		config.Services = append(config.Services, standin.ServiceConfig{Name: name, HealthPath: standin.HealthPath, MaxConnections: connectionsPerServer})
 	}
 	f.store.PutConfig(config)
 	f.recorder.Update(func(h *history.History) {
@@ -337,23 +337,23 @@
 	return f.version
 }
 
-// contactTime is how long after a disturbance a node counts as disturbed.
-const contactTime = 4 * time.Second
+// reconnectTime is how long after a disturbance a node counts as disturbed.
+const reconnectTime = 4 * time.Second
 
-// disturb notes that a node could not take part from one time to another, and for contactTime
+// recordDisturbance notes that a node could not take part from one time to another, and for reconnectTime
 // after that. A frozen node doesn't answer callers either; a parted one must.
-func (f *fleet) disturb(kind history.DisturbanceKind, name string, from, to time.Duration) {
+func (f *fleet) recordDisturbance(kind history.DisturbanceKind, name string, from, to time.Duration) {
 	f.recorder.Update(func(h *history.History) {
 		if kind == history.Frozen {
 			h.Disturbances = append(h.Disturbances, history.Disturbance{Kind: kind, Host: name, From: from, To: to})
 		}
-		h.Disturbances = append(h.Disturbances, history.Disturbance{Kind: history.Isolated, Host: name, From: from, To: to + contactTime})
+		h.Disturbances = append(h.Disturbances, history.Disturbance{Kind: history.Isolated, Host: name, From: from, To: to + reconnectTime})
 	})
 }
 
-// disturbAll notes the same for all nodes.
-func (f *fleet) disturbAll(kind history.DisturbanceKind, from, to time.Duration) {
+// recordDisturbanceOfAll notes the same for all nodes.
+func (f *fleet) recordDisturbanceOfAll(kind history.DisturbanceKind, from, to time.Duration) {
 	for _, n := range f.allNodes() {
-		f.disturb(kind, n.name, from, to)
+		f.recordDisturbance(kind, n.name, from, to)
 	}
 }
--- a/lab/soak/layout.go
+++ b/lab/soak/layout.go
@@ -16,12 +16,12 @@
 	zoneCount    = 4
 	nodesPerZone = 2
 	// shardCount shards a set, with replicas servers each, in all zones but the last.
-	shardCount = 4
-	replicas   = 3
-	// ledger is the service of single requests, whose versions are rolled out.
-	ledger        = "ledger"
-	ledgerServers = 3
-	targetServers = 3
+	shardCount       = 4
+	replicasPerShard = 3
+	// ledgerService is the service of single requests, whose versions are rolled out.
+	ledgerService     = "ledger"
+	ledgerServerCount = 3
+	targetServerCount = 3
 )
 
 // DefaultLayout is eight nodes in four zones before four shards and a service.
@@ -34,12 +34,12 @@
 		layout.Nodes = append(layout.Nodes, nodeName(number))
 	}
 	for shard := range shardCount {
-		for replica := range replicas {
+		for replica := range replicasPerShard {
 			layout.Servers = append(layout.Servers, standin.ServerName(shardName(1, shard), replica))
 		}
 	}
-	for number := range ledgerServers {
-		layout.Servers = append(layout.Servers, standin.ServerName(ledger, number))
+	for number := range ledgerServerCount {
+		layout.Servers = append(layout.Servers, standin.ServerName(ledgerService, number))
 	}
 	return layout
 }
@@ -49,8 +49,8 @@
 // shardName names a shard of a set.
 func shardName(set, shard int) string { return fmt.Sprintf("shard-%d-%d", set, shard) }
 
-// shardsOf names the shards of a set.
-func shardsOf(set int) []string {
+// shardNames names the shards of a set.
+func shardNames(set int) []string {
 	names := make([]string, 0, shardCount)
 	for shard := range shardCount {
 		names = append(names, shardName(set, shard))
--- a/lab/soak/link.go
+++ b/lab/soak/link.go
@@ -16,18 +16,18 @@
 	silent, oneWay bool
 	// reset breaks off every connection, also new ones.
 	reset bool
-	// drip passes a few bytes at a time.
-	drip bool
+	// trickle passes a few bytes at a time.
+	trickle bool
 }
 
 const (
-	// dripBytes pass every dripPause on a dripping link.
-	dripBytes = 64
-	dripPause = 5 * time.Millisecond
-	// linkLook is the time between two looks at whether a silent link speaks again.
-	linkLook = 10 * time.Millisecond
-	// linkDial bounds the connecting to the far end, which is on this machine.
-	linkDial = time.Second
+	// trickleBytes pass every tricklePause on a dripping link.
+	trickleBytes = 64
+	tricklePause = 5 * time.Millisecond
+	// linkPollInterval is the time between two looks at whether a silent link speaks again.
+	linkPollInterval = 10 * time.Millisecond
+	// linkDialTimeout bounds the connecting to the far end, which is on this machine.
+	linkDialTimeout = time.Second
 )
 
 // link is a loopback proxy from an address of its own to a target.
@@ -39,7 +39,7 @@
 	target string
 	state  linkState
 	conns  map[net.Conn]struct{}
-	ended  bool
+	closed bool
 }
 
 // newLink listens at a free port of the host.
@@ -66,60 +66,60 @@
 }
 
 func (l *link) serve(near net.Conn) {
-	if !l.keep(near) {
+	if !l.register(near) {
 		return
 	}
-	defer l.drop(near)
-	far, err := net.DialTimeout("tcp", l.targetNow(), linkDial)
-	if err != nil || !l.keep(far) {
+	defer l.closeConnection(near)
+	far, err := net.DialTimeout("tcp", l.currentTarget(), linkDialTimeout)
+	if err != nil || !l.register(far) {
 		return // who connected is reset, as by a dead port
 	}
-	defer l.drop(far)
+	defer l.closeConnection(far)
 	var both sync.WaitGroup
-	both.Go(func() { l.pass(near, far, false) })
-	both.Go(func() { l.pass(far, near, true) })
+	both.Go(func() { l.copyDirection(near, far, false) })
+	both.Go(func() { l.copyDirection(far, near, true) })
 	both.Wait()
 }
 
-// keep takes a connection into account; false is that it was reset instead.
-func (l *link) keep(conn net.Conn) bool {
+// register takes a connection into account; false is that it was reset instead.
+func (l *link) register(conn net.Conn) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.state.reset || l.ended {
-		reset(conn)
+	if l.state.reset || l.closed {
+		resetConnection(conn)
 		return false
 	}
 	l.conns[conn] = struct{}{}
 	return true
 }
 
-func (l *link) drop(conn net.Conn) {
+func (l *link) closeConnection(conn net.Conn) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	delete(l.conns, conn)
 	_ = conn.Close()
 }
 
-// reset breaks a connection off so that its peer sees a reset.
-func reset(conn net.Conn) {
+// resetConnection breaks a connection off so that its peer sees a reset.
+func resetConnection(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 	_ = conn.Close()
 }
 
-// pass copies one direction until it ends, and ends the other end with it.
-func (l *link) pass(from, to net.Conn, back bool) {
+// copyDirection copies one direction until it ends, and ends the other end with it.
+func (l *link) copyDirection(from, to net.Conn, isResponse bool) {
 	defer func() { _ = to.Close() }()
 	buffer := make([]byte, 16*1024)
 	for {
 		read, err := from.Read(buffer)
-		if read > 0 && !l.write(to, buffer[:read], back) {
+		if read > 0 && !l.write(to, buffer[:read], isResponse) {
 			return
 		}
 		if err != nil {
 			if !errors.Is(err, io.EOF) {
-				reset(to)
+				resetConnection(to)
 			}
 			return
 		}
@@ -127,38 +127,38 @@
 }
 
 // write passes bytes on as the link's state says; false is that the connection has ended.
-func (l *link) write(to net.Conn, data []byte, back bool) bool {
+func (l *link) write(to net.Conn, data []byte, isResponse bool) bool {
 	for len(data) > 0 {
-		state, ended := l.now()
+		state, closed := l.currentState()
 		switch {
-		case ended:
+		case closed:
 			return false
-		case state.silent || state.oneWay && back:
-			time.Sleep(linkLook)
+		case state.silent || state.oneWay && isResponse:
+			time.Sleep(linkPollInterval)
 			continue
 		case state.delay > 0:
 			time.Sleep(state.delay)
 		}
-		part := data
-		if state.drip {
-			part = data[:min(len(data), dripBytes)]
-			time.Sleep(dripPause)
+		chunk := data
+		if state.trickle {
+			chunk = data[:min(len(data), trickleBytes)]
+			time.Sleep(tricklePause)
 		}
-		if _, err := to.Write(part); err != nil {
+		if _, err := to.Write(chunk); err != nil {
 			return false
 		}
-		data = data[len(part):]
+		data = data[len(chunk):]
 	}
 	return true
 }
 
-func (l *link) now() (state linkState, ended bool) {
+func (l *link) currentState() (state linkState, closed bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.state, l.ended
+	return l.state, l.closed
 }
 
-func (l *link) targetNow() string {
+func (l *link) currentTarget() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.target
@@ -185,14 +185,14 @@
 // resetAll breaks off all connections. The lock is held.
 func (l *link) resetAll() {
 	for conn := range l.conns {
-		reset(conn)
+		resetConnection(conn)
 	}
 }
 
 func (l *link) close() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.ended = true
+	l.closed = true
 	_ = l.listener.Close()
 	l.resetAll()
 }
--- a/lab/soak/link_test.go
+++ b/lab/soak/link_test.go
@@ -31,14 +31,14 @@
 }
 
 const (
-	linkWait = 5 * time.Second
-	// linkPatience is how long an answer is waited for that should not come.
-	linkPatience = 100 * time.Millisecond
+	linkTimeout = 5 * time.Second
+	// noAnswerTimeout is how long an answer is waited for that should not come.
+	noAnswerTimeout = 100 * time.Millisecond
 )
 
-// exchange sends a word over a connection and reads it back.
-func exchange(conn net.Conn, patience time.Duration) error {
-	_ = conn.SetDeadline(time.Now().Add(patience))
+// echoWord sends a word over a connection and reads it back.
+func echoWord(conn net.Conn, timeout time.Duration) error {
+	_ = conn.SetDeadline(time.Now().Add(timeout))
 	if _, err := conn.Write([]byte("word")); err != nil {
 		return err
 	}
@@ -47,7 +47,7 @@
 }
 
 // A link passes what it should, and harms what it is told to, until it is told otherwise.
-func TestLinks(t *testing.T) {
+func TestLinkInjectsFaults(t *testing.T) {
 	l, err := newLink(loopback, newEcho(t))
 	if err != nil {
 		t.Fatal(err)
@@ -62,40 +62,40 @@
 		return conn
 	}
 	conn := dial()
-	if err := exchange(conn, linkWait); err != nil {
+	if err := echoWord(conn, linkTimeout); err != nil {
 		t.Fatalf("a link that is well: %v", err)
 	}
 	for name, state := range map[string]linkState{"silent": {silent: true}, "one way": {oneWay: true}} {
 		l.set(state)
-		if err := exchange(conn, linkPatience); err == nil {
+		if err := echoWord(conn, noAnswerTimeout); err == nil {
 			t.Errorf("%s: an answer came", name)
 		}
 		l.set(linkState{})
-		_ = conn.SetDeadline(time.Now().Add(linkWait))
+		_ = conn.SetDeadline(time.Now().Add(linkTimeout))
 		if _, err := io.ReadFull(conn, make([]byte, len("word"))); err != nil {
 			t.Errorf("%s: what was held up did not come: %v", name, err)
 		}
 	}
-	for name, state := range map[string]linkState{"slow": {delay: linkPatience / 2}, "dripping": {drip: true}} {
+	for name, state := range map[string]linkState{"slow": {delay: noAnswerTimeout / 2}, "dripping": {trickle: true}} {
 		l.set(state)
-		began := time.Now()
-		if err := exchange(conn, linkWait); err != nil || time.Since(began) < dripPause {
-			t.Errorf("%s: %v after %s", name, err, time.Since(began))
+		startedAt := time.Now()
+		if err := echoWord(conn, linkTimeout); err != nil || time.Since(startedAt) < tricklePause {
+			t.Errorf("%s: %v after %s", name, err, time.Since(startedAt))
 		}
 	}
 	l.set(linkState{reset: true})
-	if err := exchange(conn, linkWait); err == nil {
+	if err := echoWord(conn, linkTimeout); err == nil {
 		t.Error("a reset connection answers")
 	}
-	if fresh, err := net.Dial("tcp", l.address()); err == nil { // the reset may come while it is opened
-		if err := exchange(fresh, linkWait); err == nil {
+	if newConn, err := net.Dial("tcp", l.address()); err == nil { // the reset may come while it is opened
+		if err := echoWord(newConn, linkTimeout); err == nil {
 			t.Error("a new connection over a link that resets answers")
 		}
-		_ = fresh.Close()
+		_ = newConn.Close()
 	}
 	l.set(linkState{})
 	l.retarget(newEcho(t))
-	if err := exchange(dial(), linkWait); err != nil {
+	if err := echoWord(dial(), linkTimeout); err != nil {
 		t.Errorf("after it all: %v", err)
 	}
 }
--- a/lab/soak/node.go
+++ b/lab/soak/node.go
@@ -27,50 +27,50 @@
 )
 
 const (
-	// graceS is the time of a planned stop, in seconds, after which a process is killed.
-	graceS = 6
-	// startTime is the time in which a process begins to listen.
-	startTime = time.Second
-	// settingsMode is the mode of settings files and logs.
-	settingsMode = 0o600
+	// graceSeconds is the time of a planned stop, in seconds, after which a process is killed.
+	graceSeconds = 6
+	// startupTime is the time in which a process begins to listen.
+	startupTime = time.Second
+	// fileMode is the mode of settings files and logs.
+	fileMode = 0o600
 )
 
 // node is one machine of the fleet, with its process and its own way to the store.
 type node struct {
 	name, zone, host string
 	fleet            *fleet
-	settings         string
+	settingsPath     string
 	// store is the link to the store, and door the store as this machine sees it.
-	store *link
-	door  *storeDoor
+	store        *link
+	storeHandler *nodeStoreHandler
 
 	mutex sync.Mutex
 	// mutex guards the fields below.
 	process *process
 	starts  int
-	gone    bool
+	removed bool
 }
 
 // process is one run of the program.
 type process struct {
-	command *exec.Cmd
-	began   time.Duration
-	ended   chan struct{}
-	// asked says that the soak has asked it to end.
-	asked atomic.Bool
-	// run is its place in the history's runs.
-	run int
+	command   *exec.Cmd
+	startedAt time.Duration
+	ended     chan struct{}
+	// stopRequested says that the soak has asked it to end.
+	stopRequested atomic.Bool
+	// runIndex is its place in the history's runs.
+	runIndex int
 }
 
-// storeDoor is the store as one machine sees it.
-type storeDoor struct {
+// nodeStoreHandler is the store as one machine sees it.
+type nodeStoreHandler struct {
 	store *standin.Store
 	// status is what all calls are refused with; zero is nothing.
 	status atomic.Int32
 }
 
 // ServeHTTP implements http.Handler.
-func (d *storeDoor) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (d *nodeStoreHandler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if status := int(d.status.Load()); status != 0 {
 		writer.WriteHeader(status)
 		return
@@ -78,9 +78,9 @@
 	d.store.ServeHTTP(writer, request)
 }
 
-// hostOf is an address of loopback for each node of each soak; tests with the real program
+// nodeHost is an address of loopback for each node of each soak; tests with the real program
 // use others.
-func hostOf(number int) string {
+func nodeHost(number int) string {
 	id := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 128+number, id>>8&255, id&255)
 }
@@ -88,10 +88,10 @@
 // newNode prepares a machine; its process is not started.
 func (f *fleet) newNode(number int) (*node, error) {
 	n := &node{
-		name: nodeName(number), zone: f.layout.Zones[number%len(f.layout.Zones)], host: hostOf(number), fleet: f,
-		settings: filepath.Join(f.directory, nodeName(number)+".toml"), door: &storeDoor{store: f.store},
+		name: nodeName(number), zone: f.layout.Zones[number%len(f.layout.Zones)], host: nodeHost(number), fleet: f,
+		settingsPath: filepath.Join(f.directory, nodeName(number)+".toml"), storeHandler: &nodeStoreHandler{store: f.store},
 	}
-	address, err := f.serve(n.door)
+	address, err := f.serve(n.storeHandler)
 	if err != nil {
 		return nil, err
 	}
@@ -103,34 +103,34 @@
 	return n, nil
 }
 
-// told is what the platform writes into the machine's settings file.
-func (n *node) told(first bool) standin.NodeSettings {
+// nodeSettings is what the platform writes into the machine's settings file.
+func (n *node) nodeSettings(bootstrap bool) standin.NodeSettings {
 	settings := standin.NodeSettings{
-		NodeName: n.name, Zone: n.zone, Zones: n.fleet.layout.Zones, Host: n.host, Bootstrap: first, GraceSeconds: graceS, EnableRollouts: true,
+		NodeName: n.name, Zone: n.zone, Zones: n.fleet.layout.Zones, Host: n.host, Bootstrap: bootstrap, GraceSeconds: graceSeconds, EnableRollouts: true,
 		CallerPort: callersPort, ReadyPort: readyPort, DirectoryPort: directoryPort, ControlPort: controlPort, InternalPort: gossipPort,
 		StoreAddress: n.store.address(), ApplyMS: n.fleet.options.NodeApplyBound.Milliseconds(),
 	}
-	for number := range seedNodes {
-		settings.Seeds = append(settings.Seeds, fmt.Sprintf("%s:%d", hostOf(number), controlPort))
+	for number := range seedNodeCount {
+		settings.Seeds = append(settings.Seeds, fmt.Sprintf("%s:%d", nodeHost(number), controlPort))
 	}
 	return settings
 }
 
-// seedNodes are the machines that the settings name, also when they are gone.
-const seedNodes = 3
+// seedNodeCount are the machines that the settings name, also when they are gone.
+const seedNodeCount = 3
 
 func (n *node) writeSettings(text string) error {
-	return os.WriteFile(n.settings, []byte(text), settingsMode)
+	return os.WriteFile(n.settingsPath, []byte(text), fileMode)
 }
 
 // start runs the program as a new process.
 func (n *node) start() error {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.gone || n.process != nil {
+	if n.removed || n.process != nil {
 		return nil
 	}
-	if err := n.writeSettings(n.told(n.starts == 0).TOML()); err != nil {
+	if err := n.writeSettings(n.nodeSettings(n.starts == 0).TOML()); err != nil {
 		return err
 	}
 	n.starts++
@@ -139,26 +139,26 @@
 		return err
 	}
 	p := &process{command: exec.Command(n.fleet.options.Program, n.fleet.options.Arguments...), ended: make(chan struct{})}
-	p.command.Env = append(os.Environ(), standin.SettingsVariable+"="+n.settings)
+	p.command.Env = append(os.Environ(), standin.SettingsVariable+"="+n.settingsPath)
 	p.command.Env = append(p.command.Env, n.fleet.options.Environment...)
 	p.command.Stdout, p.command.Stderr = log, log
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.command.Start(); err != nil {
 		return errors.Join(err, log.Close())
 	}
-	p.began = n.fleet.recorder.Now()
+	p.startedAt = n.fleet.recorder.Now()
 	n.fleet.recorder.Update(func(h *history.History) {
-		p.run = len(h.Runs)
-		h.Runs = append(h.Runs, history.NodeRun{Node: n.name, Start: p.began})
+		p.runIndex = len(h.Runs)
+		h.Runs = append(h.Runs, history.NodeRun{Node: n.name, Start: p.startedAt})
 	})
-	n.fleet.disturb(history.Frozen, n.name, p.began, p.began+startTime)
+	n.fleet.recordDisturbance(history.Frozen, n.name, p.startedAt, p.startedAt+startupTime)
 	n.process = p
-	go n.await(p, log)
+	go n.waitForExit(p, log)
 	return nil
 }
 
-// await notes the end of a process, and whether it was asked for.
-func (n *node) await(p *process, log *os.File) {
+// waitForExit notes the end of a process, and whether it was asked for.
+func (n *node) waitForExit(p *process, log *os.File) {
 	err := p.command.Wait()
 	_ = log.Close()
 	n.mutex.Lock()
@@ -166,20 +166,22 @@
 		n.process = nil
 	}
 	n.mutex.Unlock()
-	n.fleet.recorder.Update(func(h *history.History) { h.Runs[p.run].End = n.fleet.recorder.Now() })
+	n.fleet.recorder.Update(func(h *history.History) { h.Runs[p.runIndex].End = n.fleet.recorder.Now() })
 	code := p.command.ProcessState.ExitCode()
 	switch {
-	case !p.asked.Load():
-		n.fleet.violate(UnexpectedExit, n.name, "ended by itself after %s: %v", n.fleet.recorder.Now()-p.began, err)
-	case n.wasStopped(p) && code != 0:
-		n.fleet.violate(UnexpectedExit, n.name, "a planned stop ended with exit code %d", code)
+	case !p.stopRequested.Load():
+		n.fleet.addViolation(UnexpectedExit, n.name, "ended by itself after %s: %v", n.fleet.recorder.Now()-p.startedAt, err)
+	case n.wasStoppedGracefully(p) && code != 0:
+		n.fleet.addViolation(UnexpectedExit, n.name, "a planned stop ended with exit code %d", code)
 	}
 	close(p.ended)
 }
 
-// wasStopped reports whether the process was asked to end as planned.
-func (n *node) wasStopped(p *process) (stopped bool) {
-	n.fleet.recorder.Update(func(h *history.History) { stopped = h.Runs[p.run].StopRequestedAt != 0 && !h.Runs[p.run].Killed })
+// wasStoppedGracefully reports whether the process was asked to end as planned.
+func (n *node) wasStoppedGracefully(p *process) (stopped bool) {
+	n.fleet.recorder.Update(func(h *history.History) {
+		stopped = h.Runs[p.runIndex].StopRequestedAt != 0 && !h.Runs[p.runIndex].Killed
+	})
 	return stopped
 }
 
@@ -203,8 +205,8 @@
 	if p == nil {
 		return
 	}
-	n.fleet.recorder.Update(func(h *history.History) { h.Runs[p.run].Killed = true })
-	p.asked.Store(true)
+	n.fleet.recorder.Update(func(h *history.History) { h.Runs[p.runIndex].Killed = true })
+	p.stopRequested.Store(true)
 	_ = p.command.Process.Kill() // it may have ended just now
 	<-p.ended
 }
@@ -216,13 +218,13 @@
 	if p == nil {
 		return
 	}
-	n.fleet.recorder.Update(func(h *history.History) { h.Runs[p.run].StopRequestedAt = n.fleet.recorder.Now() })
-	p.asked.Store(true)
+	n.fleet.recorder.Update(func(h *history.History) { h.Runs[p.runIndex].StopRequestedAt = n.fleet.recorder.Now() })
+	p.stopRequested.Store(true)
 	_ = p.command.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-p.ended:
-	case <-time.After(graceS * time.Second):
-		n.fleet.violate(UnexpectedExit, n.name, "a planned stop had not ended after %d s", graceS)
+	case <-time.After(graceSeconds * time.Second):
+		n.fleet.addViolation(UnexpectedExit, n.name, "a planned stop had not ended after %d s", graceSeconds)
 		n.kill()
 	}
 }
--- a/lab/soak/operator.go
+++ b/lab/soak/operator.go
@@ -13,50 +13,50 @@
 // configuration is due everywhere.
 func (f *fleet) reshard(ctx context.Context) error {
 	f.mutex.Lock()
-	f.sets++
-	set := f.sets
+	f.setCount++
+	set := f.setCount
 	f.mutex.Unlock()
 	if err := f.startShards(set); err != nil {
 		return err
 	}
-	_ = clock.Sleep(ctx, reshardLead)
+	_ = clock.Sleep(ctx, reshardStartTime)
 	f.mutex.Lock()
-	old := f.set
+	oldSet := f.set
 	f.set = set
 	f.mutex.Unlock()
-	f.configure()
-	_ = clock.Sleep(ctx, reshardTail)
+	f.writeConfiguration()
+	_ = clock.Sleep(ctx, drainDelay)
 	for _, s := range f.allServers() {
-		if s.set == old && !f.hasEnded(s) {
-			f.drain(s)
+		if s.set == oldSet && !f.hasStopped(s) {
+			f.drainServer(s)
 		}
 	}
 	return nil
 }
 
-// evacuate empties a zone for a while, unless it is to be empty already.
-func (f *fleet) evacuate(zone string, wait func()) {
+// evacuateZone empties a zone for a while, unless it is to be empty already.
+func (f *fleet) evacuateZone(zone string, wait func()) {
 	f.mutex.Lock()
-	place := len(f.evacuations)
-	empty := slices.ContainsFunc(f.evacuations, func(e evacuation) bool { return e.zone == zone && e.until == 0 })
-	if !empty {
+	index := len(f.evacuations)
+	alreadyEvacuated := slices.ContainsFunc(f.evacuations, func(e evacuation) bool { return e.zone == zone && e.until == 0 })
+	if !alreadyEvacuated {
 		f.evacuations = append(f.evacuations, evacuation{zone: zone, from: f.recorder.Now()})
 	}
 	f.mutex.Unlock()
-	if empty {
+	if alreadyEvacuated {
 		return
 	}
 	f.store.Evacuate(zone)
 	wait()
 	_ = clock.Sleep(context.Background(), evacuateBound) // so long at least, or nothing is shown
 	f.mutex.Lock()
-	f.evacuations[place].until = f.recorder.Now()
+	f.evacuations[index].until = f.recorder.Now()
 	f.store.EndEvacuation(zone)
 	f.mutex.Unlock()
 }
 
-// order is a roll-out that was ordered.
-type order struct {
+// rollout is a roll-out that was ordered.
+type rollout struct {
 	target, ended string
 	bad           Defect
 	at, deadline  time.Duration
@@ -64,53 +64,53 @@
 	replacedAt    time.Duration
 }
 
-// statusGap is the time between two looks at what the system tells of a roll-out.
-const statusGap = 20 * time.Millisecond
+// statusInterval is the time between two looks at what the system tells of a roll-out.
+const statusInterval = 20 * time.Millisecond
 
-// rollOut starts the target's servers, orders the roll-out, and does at its end what the
+// startRollout starts the target's servers, orders the roll-out, and does at its end what the
 // platform does.
-func (f *fleet) rollOut(ctx context.Context, drawn RolloutOrder) error {
-	if drawn.Duration == 0 || clock.Sleep(ctx, drawn.At-f.recorder.Now()) != nil {
+func (f *fleet) startRollout(ctx context.Context, generated RolloutOrder) error {
+	if generated.Duration == 0 || clock.Sleep(ctx, generated.At-f.recorder.Now()) != nil {
 		return nil
 	}
-	f.options.ReportProgress("%8.3f s  roll-out to v2 within %s, bad: %q", f.recorder.Now().Seconds(), drawn.Duration, drawn.Defect)
+	f.options.ReportProgress("%8.3f s  roll-out to v2 within %s, bad: %q", f.recorder.Now().Seconds(), generated.Duration, generated.Defect)
 	f.mutex.Lock()
-	f.badness[targetVersion] = defectOf(drawn.Defect, time.Now().Add(drawn.Duration/4))
+	f.defects[targetVersion] = serverDefect(generated.Defect, time.Now().Add(generated.Duration/4))
 	f.mutex.Unlock()
 	var targets []*server
-	for number := range targetServers {
-		s, err := f.startServer(ledger, targetNumber+number, 0, 0, targetVersion, nil)
+	for number := range targetServerCount {
+		s, err := f.startServer(ledgerService, firstTargetNumber+number, 0, 0, targetVersion, nil)
 		if err != nil {
 			return err
 		}
 		targets = append(targets, s)
 	}
-	o := &order{target: targetVersion, bad: drawn.Defect, at: f.recorder.Now(), deadline: f.recorder.Now() + drawn.Duration}
+	o := &rollout{target: targetVersion, bad: generated.Defect, at: f.recorder.Now(), deadline: f.recorder.Now() + generated.Duration}
 	f.mutex.Lock()
-	f.orders = append(f.orders, o)
+	f.rollouts = append(f.rollouts, o)
 	f.mutex.Unlock()
-	f.store.OrderRollout(ledger, targetVersion, drawn.Duration)
-	if drawn.Replaced {
-		_ = clock.Sleep(ctx, drawn.Duration/3)
+	f.store.OrderRollout(ledgerService, targetVersion, generated.Duration)
+	if generated.Replaced {
+		_ = clock.Sleep(ctx, generated.Duration/3)
 		f.mutex.Lock()
 		o.replacedAt = f.recorder.Now()
 		f.mutex.Unlock()
-		f.store.OrderRollout(ledger, usualVersion, drawn.Duration)
+		f.store.OrderRollout(ledgerService, baseVersion, generated.Duration)
 		return nil
 	}
-	return f.follow(ctx, o, targets)
+	return f.awaitRolloutEnd(ctx, o, targets)
 }
 
 // targetVersion is the one that a roll-out moves to.
 const targetVersion = "v2"
 
-// endSlack is how long after its deadline the end of a roll-out is still waited for.
-const endSlack = 2 * time.Second
+// rolloutEndMargin is how long after its deadline the end of a roll-out is still waited for.
+const rolloutEndMargin = 2 * time.Second
 
-// follow waits for the end of a roll-out: the old servers stop at once, or the new ones drain.
-func (f *fleet) follow(ctx context.Context, o *order, targets []*server) error {
-	for clock.Sleep(ctx, statusGap) == nil && f.recorder.Now() < o.deadline+endSlack {
-		status, err := f.store.ReadRolloutStatus(ledger)
+// awaitRolloutEnd waits for the end of a roll-out: the old servers stop at once, or the new ones drain.
+func (f *fleet) awaitRolloutEnd(ctx context.Context, o *rollout, targets []*server) error {
+	for clock.Sleep(ctx, statusInterval) == nil && f.recorder.Now() < o.deadline+rolloutEndMargin {
+		status, err := f.store.ReadRolloutStatus(ledgerService)
 		if err != nil {
 			return err
 		}
@@ -123,16 +123,16 @@
 		f.options.ReportProgress("%8.3f s  roll-out: %s", f.recorder.Now().Seconds(), status.State)
 		if status.State == standin.RolloutCompleted {
 			for _, s := range f.allServers() {
-				if s.Service == ledger && s.Version != targetVersion {
-					f.end(s)
+				if s.Service == ledgerService && s.Version != targetVersion {
+					f.removeServer(s)
 				}
 			}
 			return nil
 		}
-		_ = clock.Sleep(ctx, reshardTail)
+		_ = clock.Sleep(ctx, drainDelay)
 		for _, s := range targets {
-			if !f.hasEnded(s) {
-				f.drain(s)
+			if !f.hasStopped(s) {
+				f.drainServer(s)
 			}
 		}
 		return nil
@@ -140,10 +140,10 @@
 	return nil
 }
 
-// defectOf is how servers of a version behave that is bad; later is when it shows in one
+// serverDefect is how servers of a version behave that is bad; later is when it shows in one
 // that turns bad.
-func defectOf(bad Defect, later time.Time) standin.Defect {
-	switch bad {
+func serverDefect(defect Defect, startsAt time.Time) standin.Defect {
+	switch defect {
 	case FailsAlways:
 		return standin.Defect{FailEvery: 1}
 	case FailsOneInThree:
@@ -151,7 +151,7 @@
 	case RespondsSlowly:
 		return standin.Defect{Slow: 6}
 	case FailsLater:
-		return standin.Defect{FailEvery: 2, StartsAt: later}
+		return standin.Defect{FailEvery: 2, StartsAt: startsAt}
 	case FailsOnRoute:
 		return standin.Defect{FailEvery: 2, PathPrefix: enterPath}
 	case FailsUnderLoad:
--- a/lab/soak/schedule.go
+++ b/lab/soak/schedule.go
@@ -130,105 +130,105 @@
 }
 
 const (
-	// leadTime is the time before the first fault, in which all nodes start, and tailTime the
+	// startupPhase is the time before the first fault, in which all nodes start, and recoveryPhase the
 	// one after the last in which the system must recover and is then seen to be whole.
-	leadTime = 5 * time.Second
-	tailTime = RecoveryBound + 4*time.Second
-	// shortestFault and longestFault bound a fault's length; one starts every faultEvery or
+	startupPhase  = 5 * time.Second
+	recoveryPhase = RecoveryBound + 4*time.Second
+	// minFaultDuration and maxFaultDuration bound a fault's length; one starts every maxFaultInterval or
 	// sooner, so that two or three go on at a time.
-	shortestFault = 500 * time.Millisecond
-	longestFault  = 4 * time.Second
-	faultEvery    = 4 * time.Second
-	// shortestCopyAge and longestCopyAge bound how old a copy is when the store goes.
-	shortestCopyAge = time.Second
-	longestCopyAge  = 6 * time.Second
-	// shortestOrder is the least duration of a roll-out. It ends before the soak does.
-	shortestOrder = 13 * time.Second
-	longestOrder  = 24 * time.Second
-	// kindGap is the mean time between two faults of one kind where all kinds are drawn from: with
+	minFaultDuration = 500 * time.Millisecond
+	maxFaultDuration = 4 * time.Second
+	maxFaultInterval = 4 * time.Second
+	// minBackupAge and maxBackupAge bound how old a copy is when the store goes.
+	minBackupAge = time.Second
+	maxBackupAge = 6 * time.Second
+	// minRolloutDuration is the least duration of a roll-out. It ends before the soak does.
+	minRolloutDuration = 13 * time.Second
+	maxRolloutDuration = 24 * time.Second
+	// meanFaultInterval is the mean time between two faults of one kind where all kinds are drawn from: with
 	// the kinds that there are, one fault starts every 2 s.
-	kindGap = 80 * time.Second
+	meanFaultInterval = 80 * time.Second
 	// rolloutShare is the part of the schedules that hold a roll-out.
 	rolloutShare = 0.7
-	// randomStream parts the schedule's random numbers from other users of a seed, and
+	// scheduleStream parts the schedule's random numbers from other users of a seed, and
 	// rolloutStream those of the roll-out from those of the kinds.
-	randomStream  = 0x736f616b
-	rolloutStream = 0x726f6c6c
+	scheduleStream = 0x736f616b
+	rolloutStream  = 0x726f6c6c
 )
 
 // MinDuration is the least length of a soak: one fault must fit.
-const MinDuration = leadTime + tailTime + 2*time.Second
+const MinDuration = startupPhase + recoveryPhase + 2*time.Second
 
 // Generate draws the schedule of a seed over nodes and servers; the same arguments give the same
 // schedule. Whichever kinds are named are drawn; none is all, each by itself, so that a seed keeps
 // what it draws of the others when a kind is added.
 func Generate(seed uint64, duration time.Duration, layout Layout, kinds ...schedule.Kind) Schedule {
 	if len(kinds) == 0 {
-		return drawEach(seed, duration, layout, Kinds())
+		return generatePerKind(seed, duration, layout, Kinds())
 	}
-	random := rand.New(rand.NewPCG(seed, randomStream))
-	d := drawer{random: random, layout: layout, until: duration - tailTime}
+	random := rand.New(rand.NewPCG(seed, scheduleStream))
+	d := generator{random: random, layout: layout, lastFaultEnd: duration - recoveryPhase}
 	result := Schedule{Seed: seed, Duration: duration}
 	if random.Float64() < rolloutShare {
-		result.Rollout = d.order(duration)
+		result.Rollout = d.drawRollout(duration)
 	}
-	at := leadTime
-	for at < d.until {
-		result.Faults = append(result.Faults, d.fault(kinds[random.IntN(len(kinds))], at))
-		at += time.Duration(random.Int64N(int64(faultEvery)))
+	at := startupPhase
+	for at < d.lastFaultEnd {
+		result.Faults = append(result.Faults, d.drawFault(kinds[random.IntN(len(kinds))], at))
+		at += time.Duration(random.Int64N(int64(maxFaultInterval)))
 	}
 	return result
 }
 
-// drawEach draws the faults of each kind from a generator of its own.
-func drawEach(seed uint64, duration time.Duration, layout Layout, kinds []schedule.Kind) Schedule {
+// generatePerKind draws the faults of each kind from a generator of its own.
+func generatePerKind(seed uint64, duration time.Duration, layout Layout, kinds []schedule.Kind) Schedule {
 	result := Schedule{Seed: seed, Duration: duration}
-	orders := drawer{random: rand.New(rand.NewPCG(seed, rolloutStream)), layout: layout, until: duration - tailTime}
-	if orders.random.Float64() < rolloutShare {
-		result.Rollout = orders.order(duration)
+	rollouts := generator{random: rand.New(rand.NewPCG(seed, rolloutStream)), layout: layout, lastFaultEnd: duration - recoveryPhase}
+	if rollouts.random.Float64() < rolloutShare {
+		result.Rollout = rollouts.drawRollout(duration)
 	}
 	for _, kind := range kinds {
-		d := drawer{random: rand.New(rand.NewPCG(seed, xxhash.Sum64String(string(kind)))), layout: layout, until: duration - tailTime}
-		for at := leadTime + d.pause(); at < d.until; at += d.pause() {
-			result.Faults = append(result.Faults, d.fault(kind, at))
+		d := generator{random: rand.New(rand.NewPCG(seed, xxhash.Sum64String(string(kind)))), layout: layout, lastFaultEnd: duration - recoveryPhase}
+		for at := startupPhase + d.drawInterval(); at < d.lastFaultEnd; at += d.drawInterval() {
+			result.Faults = append(result.Faults, d.drawFault(kind, at))
 		}
 	}
 	slices.SortStableFunc(result.Faults, func(a, b schedule.Fault) int { return cmp.Compare(a.At, b.At) })
 	return result
 }
 
-type drawer struct {
-	random *rand.Rand
-	layout Layout
-	until  time.Duration
+type generator struct {
+	random       *rand.Rand
+	layout       Layout
+	lastFaultEnd time.Duration
 }
 
-// pause is the time between two faults of one kind.
-func (d *drawer) pause() time.Duration {
-	return time.Duration(d.random.ExpFloat64() * float64(kindGap))
+// drawInterval is the time between two faults of one kind.
+func (d *generator) drawInterval() time.Duration {
+	return time.Duration(d.random.ExpFloat64() * float64(meanFaultInterval))
 }
 
-func (d *drawer) between(low, high time.Duration) time.Duration {
+func (d *generator) drawBetween(low, high time.Duration) time.Duration {
 	if high <= low {
 		return low
 	}
 	return (low + time.Duration(d.random.Int64N(int64(high-low)))).Round(time.Millisecond)
 }
 
-func (d *drawer) order(duration time.Duration) RolloutOrder {
-	room := duration - leadTime - time.Second
+func (d *generator) drawRollout(duration time.Duration) RolloutOrder {
+	room := duration - startupPhase - time.Second
 	return RolloutOrder{
-		At:       leadTime,
-		Duration: d.between(shortestOrder, min(longestOrder, room)),
+		At:       startupPhase,
+		Duration: d.drawBetween(minRolloutDuration, min(maxRolloutDuration, room)),
 		Defect:   defects[d.random.IntN(len(defects))],
 		Replaced: d.random.IntN(8) == 0,
 	}
 }
 
-// fault draws what a fault hits and when it ends.
-func (d *drawer) fault(kind schedule.Kind, at time.Duration) schedule.Fault {
+// drawFault draws what a fault hits and when it ends.
+func (d *generator) drawFault(kind schedule.Kind, at time.Duration) schedule.Fault {
 	fault := schedule.Fault{Kind: kind, At: at.Round(time.Millisecond)}
-	fault.Until = min(fault.At+d.between(shortestFault, longestFault), max(d.until, fault.At+shortestFault))
+	fault.Until = min(fault.At+d.drawBetween(minFaultDuration, maxFaultDuration), max(d.lastFaultEnd, fault.At+minFaultDuration))
 	switch kind {
 	case schedule.KillNode, schedule.FreezeNode, schedule.PlannedStop, ChangeSettings, InvalidSettings, ReplaceNode,
 		SilentStoreLink, ResetStoreLink, StoreRejection:
@@ -239,17 +239,17 @@
 		fault.Target = d.layout.Servers[d.random.IntN(len(d.layout.Servers))]
 	case CrashRequest:
 		fault.Target = paths[d.random.IntN(len(paths))]
-		fault.Until = max(d.until, fault.At+shortestFault) // what is judged begins after contactTime
+		fault.Until = max(d.lastFaultEnd, fault.At+minFaultDuration) // what is judged begins after contactTime
 	case ZoneOutage, Evacuate:
 		fault.Target = d.layout.Zones[d.random.IntN(len(d.layout.Zones))]
 	}
 	if kind == StoreRestore {
-		end := max(d.until, fault.At+shortestFault)
-		fault.Delay = min(d.between(shortestCopyAge, longestCopyAge), end-fault.At)
+		end := max(d.lastFaultEnd, fault.At+minFaultDuration)
+		fault.Delay = min(d.drawBetween(minBackupAge, maxBackupAge), end-fault.At)
 		fault.Until = min(fault.Until+fault.Delay, end)
 	}
 	if slices.Contains([]schedule.Kind{schedule.SlowServer, SlowServerLink}, kind) {
-		fault.Delay = d.between(50*time.Millisecond, 500*time.Millisecond)
+		fault.Delay = d.drawBetween(50*time.Millisecond, 500*time.Millisecond)
 	}
 	return fault
 }
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -73,67 +73,67 @@
 	epoch := time.Now()
 	f := &fleet{
 		options: options, layout: DefaultLayout(), directory: options.Directory, store: standin.NewStore(),
-		recorder: history.NewRecorder(epoch), sets: 1,
+		recorder: history.NewRecorder(epoch), setCount: 1,
 	}
 	defer f.close()
 	if err := f.start(); err != nil {
 		return nil, err
 	}
-	drawn := Generate(options.Seed, options.Duration, f.layout, options.Kinds...)
-	if err := f.playAll(ctx, drawn); err != nil {
+	generated := Generate(options.Seed, options.Duration, f.layout, options.Kinds...)
+	if err := f.runSchedule(ctx, generated); err != nil {
 		return nil, err
 	}
-	return f.report(drawn, epoch), ctx.Err()
+	return f.report(generated, epoch), ctx.Err()
 }
 
-// playAll plays a schedule under load to its end.
-func (f *fleet) playAll(ctx context.Context, drawn Schedule) error {
+// runSchedule plays a schedule under load to its end.
+func (f *fleet) runSchedule(ctx context.Context, generated Schedule) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var load, faults sync.WaitGroup
-	var failed errorList
+	var failures errorList
 	load.Go(func() { f.watchPauses(ctx) })
-	f.watchNodes(func(n *node) { load.Go(func() { f.probe(ctx, n) }) })
+	f.forEachNode(func(n *node) { load.Go(func() { f.probeNode(ctx, n) }) })
 	for number := range callerCount {
 		load.Go(func() { f.newCaller(number).run(ctx) })
 	}
 	load.Go(func() {
-		if waitUntil(ctx, f.recorder, leadTime) == nil {
-			f.measure(&f.before)
+		if waitUntil(ctx, f.recorder, startupPhase) == nil {
+			f.measureResources(&f.initialResources)
 		}
 	})
-	faults.Go(func() { failed.add(f.rollOut(ctx, drawn.Rollout)) })
-	for _, fault := range drawn.Faults {
-		faults.Go(func() { failed.add(f.play(ctx, fault)) })
+	faults.Go(func() { failures.add(f.startRollout(ctx, generated.Rollout)) })
+	for _, fault := range generated.Faults {
+		faults.Go(func() { failures.add(f.injectFault(ctx, fault)) })
 	}
 	faults.Wait()
 	f.recorder.Update(func(h *history.History) { h.FaultsEnd = f.recorder.Now() })
-	_ = waitUntil(ctx, f.recorder, max(drawn.Duration, f.recorder.Now()+tailTime))
+	_ = waitUntil(ctx, f.recorder, max(generated.Duration, f.recorder.Now()+recoveryPhase))
 	cancel()
 	load.Wait()
-	f.judgeResources()
-	f.stopAll()
-	return failed.err()
+	f.checkResources()
+	f.stopAllNodes()
+	return failures.err()
 }
 
 // report judges what was seen.
-func (f *fleet) report(drawn Schedule, epoch time.Time) *Report {
-	seen := f.record(epoch)
-	judged, violations := seen.judge()
+func (f *fleet) report(generated Schedule, epoch time.Time) *Report {
+	observed := f.record(epoch)
+	checked, violations := observed.check()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	report := &Report{
-		Schedule: drawn, Checked: judged, Violations: append(violations, f.violations...), SentRequests: len(seen.history.Calls),
-		ReceivedRequests: len(seen.arrivals), Configurations: len(seen.history.Accepted), LongestPause: f.longestPause,
+		Schedule: generated, Checked: checked, Violations: append(violations, f.violations...), SentRequests: len(observed.history.Calls),
+		ReceivedRequests: len(observed.arrivals), Configurations: len(observed.history.Accepted), LongestPause: f.longestPause,
 	}
-	judged[UnexpectedExit], judged[Resources] = len(seen.history.Runs), judgedResources
-	for _, answer := range seen.history.Answers {
+	checked[UnexpectedExit], checked[Resources] = len(observed.history.Runs), checkedResources
+	for _, answer := range observed.history.Answers {
 		if answer.Kind == history.AnswerResult {
 			report.Succeeded++
 		}
 	}
-	if len(seen.orders) > 0 {
-		report.RolloutOutcome = cmp.Or(seen.orders[0].ended, "no end")
+	if len(observed.rollouts) > 0 {
+		report.RolloutOutcome = cmp.Or(observed.rollouts[0].ended, "no end")
 	}
 	return report
 }
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -16,40 +16,40 @@
 	"github.com/banksail/banksail/platform/standin"
 )
 
-// asNode makes the test's own program a node that serves nobody, and how it ends wrongly.
-const asNode = "SOAK_NODE_UNDER_TEST"
+// nodeBugVariable makes the test's own program a node that serves nobody, and how it ends wrongly.
+const nodeBugVariable = "SOAK_NODE_UNDER_TEST"
 
 // Ways of such a node.
 const (
-	diesAtHangup = "dies at hangup"
-	ignoresStop  = "ignores the stop"
-	failsAtStop  = "fails at the stop"
+	exitsOnHangup = "dies at hangup"
+	ignoresTerm   = "ignores the stop"
+	failsOnTerm   = "fails at the stop"
 )
 
 func TestMain(m *testing.M) {
-	if way := os.Getenv(asNode); way != "" {
-		pretend(way)
+	if bug := os.Getenv(nodeBugVariable); bug != "" {
+		runFaultyNode(bug)
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// pretend is a node with a seeded bug. It ends by itself after longestSoak.
-func pretend(way string) {
-	stop, hangup := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(stop, syscall.SIGTERM)
+// runFaultyNode is a node with a seeded bug. It ends by itself after maxNodeLifetime.
+func runFaultyNode(bug string) {
+	term, hangup := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(term, syscall.SIGTERM)
 	signal.Notify(hangup, syscall.SIGHUP) // also where whoever runs the test ignores it
-	for end := time.After(longestSoak); ; {
+	for end := time.After(maxNodeLifetime); ; {
 		select {
 		case <-hangup:
-			if way == diesAtHangup {
+			if bug == exitsOnHangup {
 				return
 			}
-		case <-stop:
-			switch way {
-			case failsAtStop:
+		case <-term:
+			switch bug {
+			case failsOnTerm:
 				os.Exit(3)
-			case diesAtHangup:
+			case exitsOnHangup:
 				return
 			}
 		case <-end:
@@ -58,13 +58,13 @@
 	}
 }
 
-const longestSoak = time.Minute
+const maxNodeLifetime = time.Minute
 
-// playWith plays a short soak with a program that has a seeded bug.
-func playWith(t *testing.T, way string, kinds ...schedule.Kind) *Report {
+// runSoakWith plays a short soak with a program that has a seeded bug.
+func runSoakWith(t *testing.T, bug string, kinds ...schedule.Kind) *Report {
 	t.Helper()
 	report, err := Run(context.Background(), Options{
-		Seed: 1, Duration: MinDuration, Program: os.Args[0], Environment: []string{asNode + "=" + way},
+		Seed: 1, Duration: MinDuration, Program: os.Args[0], Environment: []string{nodeBugVariable + "=" + bug},
 		Directory: t.TempDir(), Kinds: kinds,
 	})
 	if err != nil {
@@ -73,27 +73,27 @@
 	return report
 }
 
-func (r *Report) has(invariant history.Invariant) bool {
+func (r *Report) hasViolation(invariant history.Invariant) bool {
 	return slices.ContainsFunc(r.Violations, func(v Violation) bool { return v.Invariant == invariant })
 }
 
 // Processes that end by themselves, that don't end when they are asked to, and that end badly
 // are found out; so are nodes that serve nobody.
-func TestSeededBugsOfProcesses(t *testing.T) {
-	for way, evidence := range map[string]string{
-		diesAtHangup: "ended by itself",
-		ignoresStop:  "had not ended",
-		failsAtStop:  "exit code 3",
+func TestSoakDetectsFaultyProcesses(t *testing.T) {
+	for bug, evidence := range map[string]string{
+		exitsOnHangup: "ended by itself",
+		ignoresTerm:   "had not ended",
+		failsOnTerm:   "exit code 3",
 	} {
-		t.Run(way, func(t *testing.T) {
+		t.Run(bug, func(t *testing.T) {
 			t.Parallel()
-			report := playWith(t, way, ChangeSettings)
+			report := runSoakWith(t, bug, ChangeSettings)
 			if !slices.ContainsFunc(report.Violations, func(v Violation) bool {
 				return v.Invariant == UnexpectedExit && strings.Contains(v.Evidence, evidence)
 			}) {
 				t.Errorf("not found: %v", report.Violations)
 			}
-			if !report.has(history.Configuration) {
+			if !report.hasViolation(history.Configuration) {
 				t.Errorf("a configuration that is in force nowhere is not found: %v", report.Violations)
 			}
 		})
@@ -102,30 +102,30 @@
 
 // The same arguments draw the same schedule; others draw another. Every kind is drawn, hits
 // something that is there, and lies between the start and the end.
-func TestSchedules(t *testing.T) {
+func TestGeneratedSchedules(t *testing.T) {
 	layout := DefaultLayout()
-	drawn := make(map[schedule.Kind]bool)
+	generatedKinds := make(map[schedule.Kind]bool)
 	for seed := range uint64(60) {
-		one, again := Generate(seed, time.Minute, layout), Generate(seed, time.Minute, layout)
-		if one.String() != again.String() {
-			t.Fatalf("seed %d gives two schedules:\n%s\n%s", seed, one, again)
+		first, second := Generate(seed, time.Minute, layout), Generate(seed, time.Minute, layout)
+		if first.String() != second.String() {
+			t.Fatalf("seed %d gives two schedules:\n%s\n%s", seed, first, second)
 		}
-		if one.String() == Generate(seed+1, time.Minute, layout).String() {
+		if first.String() == Generate(seed+1, time.Minute, layout).String() {
 			t.Errorf("seeds %d and %d give the same schedule", seed, seed+1)
 		}
-		for _, fault := range one.Faults {
-			drawn[fault.Kind] = true
-			if fault.At < leadTime || fault.Until <= fault.At || fault.Until > time.Minute-tailTime+shortestFault {
+		for _, fault := range first.Faults {
+			generatedKinds[fault.Kind] = true
+			if fault.At < startupPhase || fault.Until <= fault.At || fault.Until > time.Minute-recoveryPhase+minFaultDuration {
 				t.Errorf("seed %d: %s", seed, fault)
 			}
-			all := slices.Concat(layout.Nodes, layout.Servers, layout.Zones, paths)
-			if fault.Target != "" && !slices.Contains(all, fault.Target) {
+			targets := slices.Concat(layout.Nodes, layout.Servers, layout.Zones, paths)
+			if fault.Target != "" && !slices.Contains(targets, fault.Target) {
 				t.Errorf("seed %d: %s hits nothing", seed, fault)
 			}
 		}
 	}
 	for _, kind := range Kinds() {
-		if !drawn[kind] {
+		if !generatedKinds[kind] {
 			t.Errorf("%s is never drawn", kind)
 		}
 	}
@@ -139,24 +139,24 @@
 
 // What a seed draws of one kind does not depend on which others there are: 307 of all kinds was
 // another day once a kind had come in.
-func TestSeedsKeepWhatTheyDraw(t *testing.T) {
+func TestScheduleOfKindIsIndependentOfOthers(t *testing.T) {
 	layout, kinds := DefaultLayout(), Kinds()
 	for seed := range uint64(20) {
 		all := Generate(seed, time.Minute, layout)
-		fewer := drawEach(seed, time.Minute, layout, kinds[:len(kinds)-3])
+		fewer := generatePerKind(seed, time.Minute, layout, kinds[:len(kinds)-3])
 		if all.Rollout != fewer.Rollout {
 			t.Errorf("seed %d: roll-outs %+v and %+v", seed, all.Rollout, fewer.Rollout)
 		}
 		for _, kind := range kinds[:len(kinds)-3] {
-			if one, other := faultsOf(all, kind), faultsOf(fewer, kind); !slices.Equal(one, other) {
+			if one, other := faultsOfKind(all, kind), faultsOfKind(fewer, kind); !slices.Equal(one, other) {
 				t.Errorf("seed %d: %v and %v", seed, one, other)
 			}
 		}
 	}
 }
 
-func faultsOf(drawn Schedule, kind schedule.Kind) (faults []string) {
-	for _, fault := range drawn.Faults {
+func faultsOfKind(generated Schedule, kind schedule.Kind) (faults []string) {
+	for _, fault := range generated.Faults {
 		if fault.Kind == kind {
 			faults = append(faults, fault.String())
 		}
@@ -165,9 +165,9 @@
 }
 
 // Seeds with kinds that are named draw what they drew when they found something.
-func TestNamedKindsKeepTheirSchedules(t *testing.T) {
-	drawn := Generate(9102, 40*time.Second, DefaultLayout(), CrashRequest, Configure, ConfigureBurst)
-	const known = `seed 9102, 40s
+func TestScheduleOfNamedKindsIsStable(t *testing.T) {
+	generated := Generate(9102, 40*time.Second, DefaultLayout(), CrashRequest, Configure, ConfigureBurst)
+	const want = `seed 9102, 40s
 5s roll-out within 21.933s, bad: "fails_later", replaced: false
 5s..8.947s configure_often   0s
 6.486s..24s deadly_request /page/  0s
@@ -179,37 +179,37 @@
 20.423s..24s deadly_request /page/  0s
 22.711s..23.775s configure   0s
 `
-	if drawn.String() != known {
-		t.Errorf("drawn:\n%s", drawn)
+	if generated.String() != want {
+		t.Errorf("drawn:\n%s", generated)
 	}
 }
 
 // Options that can't be followed get an error that names them.
-func TestOptions(t *testing.T) {
-	good := Options{Duration: MinDuration, Program: "x", Directory: t.TempDir()}
-	for field, spoil := range map[string]func(o *Options){
+func TestRunRejectsInvalidOptions(t *testing.T) {
+	valid := Options{Duration: MinDuration, Program: "x", Directory: t.TempDir()}
+	for field, invalidate := range map[string]func(o *Options){
 		"duration":  func(o *Options) { o.Duration = time.Second },
 		"program":   func(o *Options) { o.Program = "" },
 		"kinds":     func(o *Options) { o.Kinds = []schedule.Kind{"rain"} },
 		"directory": func(o *Options) { o.Directory = "/nowhere" },
 	} {
-		spoilt := good
-		spoil(&spoilt)
-		if _, err := Run(context.Background(), spoilt); !errors.Is(err, ErrInvalidOptions) || !strings.Contains(err.Error(), field) {
+		invalid := valid
+		invalidate(&invalid)
+		if _, err := Run(context.Background(), invalid); !errors.Is(err, ErrInvalidOptions) || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
 }
 
-// quietRecord is a record in which nothing is wrong: a request a second for each service.
-func quietRecord() *record {
+// newHealthyRecord is a record in which nothing is wrong: a request a second for each service.
+func newHealthyRecord() *record {
 	r := &record{history: &history.History{End: time.Minute}}
 	for second := range 60 {
 		at := time.Duration(second) * time.Second
-		for _, service := range []string{ledger, shardName(1, 0)} {
+		for _, service := range []string{ledgerService, shardName(1, 0)} {
 			r.arrivals = append(r.arrivals, arrival{
 				at: at, request: service + at.String(), server: service + "-server-0", service: service, zone: "zone-a",
-				version: usualVersion, caller: "front-0", executed: true,
+				version: baseVersion, caller: "front-0", executed: true,
 			})
 		}
 	}
@@ -217,81 +217,81 @@
 }
 
 // Each judge finds what it is there for, and nothing else, in records with one thing wrong.
-func TestJudgesFindWhatIsWrong(t *testing.T) {
+func TestRecordCheckFindsViolations(t *testing.T) {
 	target := func(at time.Duration) arrival {
-		return arrival{at: at, request: "t" + at.String(), server: "ledger-server-10", service: ledger, version: targetVersion, caller: "front-1", executed: true}
+		return arrival{at: at, request: "t" + at.String(), server: "ledger-server-10", service: ledgerService, version: targetVersion, caller: "front-1", executed: true}
 	}
-	badOrder := order{
+	defectiveRollout := rollout{
 		target: targetVersion, bad: FailsAlways, at: 10 * time.Second, deadline: 30 * time.Second,
 		ended: standin.RolloutRolledBack, endedAt: 17 * time.Second,
 	}
 	for name, test := range map[string]struct {
-		spoil func(r *record)
-		want  history.Invariant
+		modify func(r *record)
+		want   history.Invariant
 	}{
 		"nothing is wrong": {func(*record) {}, ""},
 		"a denied request": {func(r *record) {
 			r.history.Calls = append(r.history.Calls, history.Call{ID: 1, RequestID: "x", Class: searchPath, Abandoned: true})
-			r.history.Answers = append(r.history.Answers, history.Answer{Call: 1, Kind: history.AnswerRefusal, Reason: noRoute})
+			r.history.Answers = append(r.history.Answers, history.Answer{Call: 1, Kind: history.AnswerRefusal, Reason: reasonNoRoute})
 		}, RouteNotFound},
 		"repeats over the budget": {func(r *record) {
-			for number := range budgetExtra + 5 {
+			for index := range budgetExtra + 5 {
 				repeated := r.arrivals[20]
-				repeated.at += time.Duration(number) * time.Millisecond
+				repeated.at += time.Duration(index) * time.Millisecond
 				r.arrivals = append(r.arrivals, repeated)
 			}
 		}, Budget},
 		"repeats within the budget": {func(r *record) {
-			for number := range budgetExtra {
+			for index := range budgetExtra {
 				repeated := r.arrivals[20]
-				repeated.at += time.Duration(number) * time.Millisecond
+				repeated.at += time.Duration(index) * time.Millisecond
 				r.arrivals = append(r.arrivals, repeated)
 			}
 		}, ""},
 		"a bad version gets more than its part": {func(r *record) {
-			r.orders = []order{badOrder}
-			for number := range exposureSlack + 10 {
-				r.arrivals = append(r.arrivals, target(11*time.Second+time.Duration(number)*time.Millisecond))
+			r.rollouts = []rollout{defectiveRollout}
+			for index := range exposureSlack + 10 {
+				r.arrivals = append(r.arrivals, target(11*time.Second+time.Duration(index)*time.Millisecond))
 			}
 		}, Exposure},
 		"a bad version gets more than that of a node that was cut off": {func(r *record) {
-			r.orders = []order{badOrder}
-			for number := range exposureSlack + 10 {
-				r.arrivals = append(r.arrivals, target(11*time.Second+time.Duration(number)*time.Millisecond))
+			r.rollouts = []rollout{defectiveRollout}
+			for index := range exposureSlack + 10 {
+				r.arrivals = append(r.arrivals, target(11*time.Second+time.Duration(index)*time.Millisecond))
 			}
 			r.history.Disturbances = []history.Disturbance{{Kind: history.Isolated, Host: "front-1", From: 9 * time.Second, To: 12 * time.Second}}
 		}, ""},
 		"a bad version gets more than that of a node that was cut off before": {func(r *record) {
-			r.orders = []order{badOrder}
-			for number := range exposureSlack + 10 {
-				r.arrivals = append(r.arrivals, target(18*time.Second+time.Duration(number)*time.Millisecond))
+			r.rollouts = []rollout{defectiveRollout}
+			for index := range exposureSlack + 10 {
+				r.arrivals = append(r.arrivals, target(18*time.Second+time.Duration(index)*time.Millisecond))
 			}
 			r.history.Disturbances = []history.Disturbance{{Kind: history.Isolated, Host: "front-1", From: 9 * time.Second, To: 12 * time.Second}}
 		}, Exposure},
 		"a good version gets more than that": {func(r *record) {
-			good := badOrder
-			good.bad, good.ended, good.endedAt = NoDefect, standin.RolloutCompleted, 25*time.Second
-			r.orders = []order{good}
-			for number := range exposureSlack + 10 {
-				r.arrivals = append(r.arrivals, target(11*time.Second+time.Duration(number)*time.Millisecond))
+			healthyRollout := defectiveRollout
+			healthyRollout.bad, healthyRollout.ended, healthyRollout.endedAt = NoDefect, standin.RolloutCompleted, 25*time.Second
+			r.rollouts = []rollout{healthyRollout}
+			for index := range exposureSlack + 10 {
+				r.arrivals = append(r.arrivals, target(11*time.Second+time.Duration(index)*time.Millisecond))
 			}
 		}, ""},
 		"a bad version gets a request too late": {func(r *record) {
-			r.orders = []order{badOrder}
-			for range lateBad {
+			r.rollouts = []rollout{defectiveRollout}
+			for range rollbackResponses {
 				r.bad = append(r.bad, 12*time.Second)
 			}
 			r.arrivals = append(r.arrivals, target(18*time.Second))
 		}, Exposure},
 		"a roll-out has no end": {func(r *record) {
-			good := badOrder
-			good.bad, good.ended = NoDefect, ""
-			r.orders = []order{good}
+			healthyRollout := defectiveRollout
+			healthyRollout.bad, healthyRollout.ended = NoDefect, ""
+			r.rollouts = []rollout{healthyRollout}
 		}, RolloutEnd},
 		"a bad version is put in force": {func(r *record) {
-			ended := badOrder
+			ended := defectiveRollout
 			ended.ended, ended.endedAt = standin.RolloutCompleted, 25*time.Second
-			r.orders = []order{ended}
+			r.rollouts = []rollout{ended}
 		}, RolloutEnd},
 		"an evacuated zone gets requests": {func(r *record) {
 			r.evacuations = []evacuation{{zone: "zone-a", from: 20 * time.Second, until: 30 * time.Second}}
@@ -305,10 +305,10 @@
 		}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := quietRecord()
-			test.spoil(r)
+			r := newHealthyRecord()
+			test.modify(r)
 			slices.SortStableFunc(r.arrivals, func(a, b arrival) int { return int(a.at - b.at) })
-			_, violations := r.judge()
+			_, violations := r.check()
 			for _, violation := range violations {
 				if violation.Invariant != test.want {
 					t.Errorf("found %s", violation)
@@ -324,18 +324,18 @@
 // Eleven requests ended the servers of a slow version one after the other; those that came in their
 // place answered as fast as any, and so the version was put in force: 161 of 516 requests went
 // to it. A version that is bad is so on every server that runs it.
-func TestServersOfABadVersionComeBackAsBad(t *testing.T) {
+func TestReplacedServersKeepDefect(t *testing.T) {
 	f := &fleet{
 		layout: DefaultLayout(), store: standin.NewStore(), servers: make(map[string]*server),
-		badness:  map[string]standin.Defect{targetVersion: defectOf(RespondsSlowly, time.Now())},
+		defects:  map[string]standin.Defect{targetVersion: serverDefect(RespondsSlowly, time.Now())},
 		recorder: history.NewRecorder(time.Now()),
 	}
 	defer f.close()
-	first, err := f.startServer(ledger, targetNumber, 0, 0, targetVersion, nil)
+	first, err := f.startServer(ledgerService, firstTargetNumber, 0, 0, targetVersion, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.bringBack(first, func() {}, 0); err != nil {
+	if err := f.replaceServer(first, func() {}, 0); err != nil {
 		t.Fatal(err)
 	}
 	for _, s := range f.allServers() {
--- a/lab/soak/watch.go
+++ b/lab/soak/watch.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// pauseLook is the time between two looks at the clock, and excusedPause the least time
+	// pauseCheckInterval is the time between two looks at the clock, and maxPause the least time
 	// that the soak's own process may have stood still for its judgement to be in doubt:
 	// everything is then taken for frozen so long.
-	pauseLook    = 20 * time.Millisecond
-	excusedPause = 250 * time.Millisecond
+	pauseCheckInterval = 20 * time.Millisecond
+	maxPause           = 250 * time.Millisecond
 )
 
 // watchPauses measures the pauses of the soak's own process until ctx ends.
 func (f *fleet) watchPauses(ctx context.Context) {
-	for last := f.recorder.Now(); clock.Sleep(ctx, pauseLook) == nil; last = f.recorder.Now() {
-		pause := f.recorder.Now() - last - pauseLook
+	for last := f.recorder.Now(); clock.Sleep(ctx, pauseCheckInterval) == nil; last = f.recorder.Now() {
+		pause := f.recorder.Now() - last - pauseCheckInterval
 		f.mutex.Lock()
 		f.longestPause = max(f.longestPause, pause)
 		f.mutex.Unlock()
-		if pause > excusedPause {
-			f.disturbAll(history.Frozen, last, f.recorder.Now())
+		if pause > maxPause {
+			f.recordDisturbanceOfAll(history.Frozen, last, f.recorder.Now())
 		}
 	}
 }
@@ -42,62 +42,62 @@
 
 // errorList collects the errors of several goroutines.
 type errorList struct {
-	mutex sync.Mutex
-	all   []error
+	mutex  sync.Mutex
+	errors []error
 }
 
 func (l *errorList) add(err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.all = append(l.all, err)
+	l.errors = append(l.errors, err)
 }
 
 func (l *errorList) err() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return errors.Join(l.all...)
+	return errors.Join(l.errors...)
 }
 
 // resources are the most that a process of the fleet holds.
 type resources struct {
-	descriptors, memoryKB int
+	openFiles, memoryKB int
 }
 
 const (
-	// moreDescriptors and moreMemoryKB are what a process may hold beyond what the first
+	// maxExtraOpenFiles and maxExtraMemoryKB are what a process may hold beyond what the first
 	// ones held before the first fault, once nothing is asked of it.
-	moreDescriptors = 150
-	moreMemoryKB    = 60_000
-	// judgedResources are those that are compared.
-	judgedResources = 2
-	// restTime is the time after the load until then: idle connections close.
-	restTime = 2 * time.Second
+	maxExtraOpenFiles = 150
+	maxExtraMemoryKB  = 60_000
+	// checkedResources are those that are compared.
+	checkedResources = 2
+	// idleTime is the time after the load until then: idle connections close.
+	idleTime = 2 * time.Second
 )
 
-// measure notes the most that a process holds now.
-func (f *fleet) measure(most *resources) {
+// measureResources notes the most that a process holds now.
+func (f *fleet) measureResources(maximum *resources) {
 	for _, n := range f.allNodes() {
 		p := n.current()
 		if p == nil {
 			continue
 		}
-		held, err := heldBy(p.command.Process.Pid)
+		held, err := processResources(p.command.Process.Pid)
 		if err != nil {
 			continue // it has just ended
 		}
-		most.descriptors = max(most.descriptors, held.descriptors)
-		most.memoryKB = max(most.memoryKB, held.memoryKB)
+		maximum.openFiles = max(maximum.openFiles, held.openFiles)
+		maximum.memoryKB = max(maximum.memoryKB, held.memoryKB)
 	}
 }
 
-// heldBy reads what a process holds.
-func heldBy(id int) (held resources, err error) {
-	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", id))
+// processResources reads what a process holds.
+func processResources(pid int) (held resources, err error) {
+	openFiles, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
 		return held, err
 	}
-	held.descriptors = len(open)
-	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", id))
+	held.openFiles = len(openFiles)
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return held, err
 	}
@@ -109,15 +109,15 @@
 	return held, err
 }
 
-// judgeResources compares what processes hold once the load has ended with what they held.
-func (f *fleet) judgeResources() {
-	time.Sleep(restTime)
+// checkResources compares what processes hold once the load has ended with what they held.
+func (f *fleet) checkResources() {
+	time.Sleep(idleTime)
 	var after resources
-	f.measure(&after)
-	if after.descriptors > f.before.descriptors+moreDescriptors {
-		f.violate(Resources, "descriptors", "%d before, %d after", f.before.descriptors, after.descriptors)
+	f.measureResources(&after)
+	if after.openFiles > f.initialResources.openFiles+maxExtraOpenFiles {
+		f.addViolation(Resources, "descriptors", "%d before, %d after", f.initialResources.openFiles, after.openFiles)
 	}
-	if after.memoryKB > f.before.memoryKB+moreMemoryKB {
-		f.violate(Resources, "memory", "%d kB before, %d kB after", f.before.memoryKB, after.memoryKB)
+	if after.memoryKB > f.initialResources.memoryKB+maxExtraMemoryKB {
+		f.addViolation(Resources, "memory", "%d kB before, %d kB after", f.initialResources.memoryKB, after.memoryKB)
 	}
 }
