--- a/lab/soak/callers.go
+++ b/lab/soak/callers.go
@@ -23,26 +23,27 @@
 )
 
 const (
-	// callerCount callers, one a zone, send a request every meanRequestInterval on average.
+	// callerCount callers, one per zone, send requests at random intervals with a mean of
+	// meanRequestInterval.
 	callerCount         = zoneCount
 	meanRequestInterval = 60 * time.Millisecond
-	// lookUpInterval is the time between two look-ups of where to connect.
+	// lookUpInterval is the time between two look-ups of node addresses in the directory.
 	lookUpInterval = time.Second
 	lookUpTimeout  = time.Second
-	// requestTimeout is how long a caller waits, and patience how much longer it listens on, to see
-	// whether an answer comes late.
+	// requestTimeout is the deadline that callers send. They wait lateAnswerTimeout longer, so that
+	// an answer after the deadline is recorded as late.
 	requestTimeout    = 1200 * time.Millisecond
 	lateAnswerTimeout = 2 * time.Second
-	// abandonedShare is the part of the requests that callers give up early, after abandonAfter.
+	// abandonedShare is the share of requests that callers abandon after abandonAfter.
 	abandonedShare = 0.03
 	abandonAfter   = 30 * time.Millisecond
-	// probeInterval is the time between two probes of a node for the configuration in force.
+	// probeInterval is the time between two probes of a node for its configuration in force.
 	probeInterval = 150 * time.Millisecond
-	// lookUpPath is what a look-up asks for.
+	// lookUpPath is the request target of a look-up, without the zone.
 	lookUpPath = standin.ResolvePath + "?name=" + host + "&region=" + standin.Region + "&zone="
 )
 
-// Services under which the history keeps the routes.
+// Services to which the history assigns the calls.
 const (
 	searchService = "search"
 	singleService = "single"
@@ -54,12 +55,12 @@
 	zone   string
 	random *rand.Rand
 	http   *http.Client
-	// pending are the requests on their way.
+	// pending counts the requests in flight.
 	pending sync.WaitGroup
 
 	mutex sync.Mutex
 	// mutex guards the fields below.
-	knownHosts []string // hosts of nodes that the last look-up named
+	knownHosts []string // hosts of the nodes in the last look-up's answer
 }
 
 func (f *fleet) newCaller(number int) *caller {
@@ -71,7 +72,7 @@
 	}
 }
 
-// run sends requests until ctx ends, and waits for the answers.
+// run sends requests until ctx ends, and then waits for their answers.
 func (c *caller) run(ctx context.Context) {
 	defer c.http.CloseIdleConnections()
 	defer c.pending.Wait()
@@ -93,13 +94,13 @@
 	}
 }
 
-// lookUp asks a node where to connect.
+// lookUp asks a node's directory for the addresses to connect to.
 func (c *caller) lookUp(from *node) {
 	ctx, cancel := context.WithTimeout(context.Background(), lookUpTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s:%d%s%s", from.host, directoryPort, lookUpPath, c.zone), nil)
 	if err != nil {
-		return // an address that can't be asked answers nothing either
+		return // an invalid address counts as one that does not answer
 	}
 	reply, err := c.http.Do(request)
 	if err != nil {
@@ -121,7 +122,7 @@
 	c.mutex.Unlock()
 }
 
-// pickTarget picks a node that the look-up named, and a route.
+// pickTarget picks a random node from the last look-up's answer, and a random route.
 func (c *caller) pickTarget() (target *node, path string, found bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -137,7 +138,7 @@
 	return nodes[index], paths[c.random.IntN(len(paths))], true
 }
 
-// send sends one request and records it with its answer.
+// send sends one request and records the call and its answer.
 func (c *caller) send(target *node, path string, abandon bool) {
 	call := history.Call{
 		RequestID: c.fleet.nextRequestID(), Node: target.name, Service: singleService, Class: path,
@@ -156,17 +157,18 @@
 	c.fleet.recorder.Answer(answer)
 }
 
-// nextRequestID names the next request.
+// nextRequestID returns a request ID that is unique within the soak.
 func (f *fleet) nextRequestID() string {
 	return fmt.Sprintf("%d-%d", f.options.Seed, f.requests.Add(1))
 }
 
-// sendRequest sends a request and reads its answer.
+// sendRequest sends a request whose target and body contain its ID, and returns the answer.
 func (f *fleet) sendRequest(client *http.Client, target *node, path, id string, timeout time.Duration) history.Answer {
 	return f.sendRequestTo(client, target, path, path+id, id, id, timeout)
 }
 
-// sendRequestTo does the same with a target and a body that don't depend on the request's name.
+// sendRequestTo sends a request with the given target and body, which need not contain its ID, and
+// returns the answer.
 func (f *fleet) sendRequestTo(client *http.Client, target *node, path, requestPath, requestBody, id string, timeout time.Duration) history.Answer {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -190,7 +192,7 @@
 	return parseAnswer(path, id, reply, body)
 }
 
-// parseAnswer reads a node's answer.
+// parseAnswer converts a node's HTTP response to an answer of the history.
 func parseAnswer(path, id string, reply *http.Response, body []byte) history.Answer {
 	switch reply.StatusCode {
 	case http.StatusOK:
@@ -214,13 +216,13 @@
 	return answer
 }
 
-// reasonNoRoute is the reason of an answer that no route fits.
+// reasonNoRoute is the reason of an answer to a request that no route matches.
 const reasonNoRoute = "no_route"
 
-// singleRange is what a single request covers.
+// singleRange is the key range that a single request covers.
 var singleRange = coverage.Range{Start: 0, End: 1}
 
-// parseMerged reads an answer of many parts.
+// parseMerged reads a response that is merged from the parts of several shards.
 func parseMerged(answer *history.Answer, header http.Header, body []byte) {
 	missing, err := strconv.Atoi(header.Get(standin.MissingPartsHeader))
 	if err != nil {
@@ -252,12 +254,12 @@
 	}
 }
 
-// shardRange is the part of a search's keys that a shard stands for.
+// shardRange returns the key range of a shard.
 func shardRange(shard int) coverage.Range {
 	return coverage.Range{Start: uint64(shard), End: uint64(shard) + 1}
 }
 
-// parseStamp reads a stamp: the service, the server and the request.
+// parseStamp reads a stamp of the form service/server/request.
 func parseStamp(stamp string) history.Part {
 	fields := strings.SplitN(stamp, "/", 3)
 	if len(fields) < 3 {
@@ -266,8 +268,8 @@
 	return history.Part{Server: fields[1], RequestID: fields[2]}
 }
 
-// parseShard is the set and the number of a server's shard, from its name; zero and the number
-// of shards if it is that of no shard.
+// parseShard returns the set and the shard number from the name of a shard server, and zero and
+// shardCount for any other name.
 func parseShard(server string) (set, shard int) {
 	if _, err := fmt.Sscanf(server, "shard-%d-%d-", &set, &shard); err != nil || shard < 0 || shard >= shardCount {
 		return 0, shardCount
@@ -278,17 +280,17 @@
 // recordBytes is the length of a record.
 const recordBytes = 16
 
-// trimPartialRecord leaves out a remainder that is no record.
+// trimPartialRecord removes an incomplete record from the end.
 func trimPartialRecord(data []byte) []byte { return data[:len(data)-len(data)%recordBytes] }
 
-// greatestRecords are the greatest records, falling.
+// greatestRecords returns the greatest records in descending order, count at most.
 func greatestRecords(records []byte, count int) []byte {
 	sorted := slices.Collect(slices.Chunk(records, recordBytes))
 	slices.SortFunc(sorted, func(a, b []byte) int { return bytes.Compare(b, a) })
 	return slices.Concat(sorted[:min(count, len(sorted))]...)
 }
 
-// probeNode asks a node, again and again until ctx ends, which configuration is in force.
+// probeNode probes a node for its configuration in force until ctx ends.
 func (f *fleet) probeNode(ctx context.Context, n *node) {
 	p := &prober{fleet: f, node: n, http: &http.Client{Transport: &http.Transport{IdleConnTimeout: 5 * time.Second}}}
 	defer p.http.CloseIdleConnections()
@@ -297,18 +299,21 @@
 	}
 }
 
-// prober finds the version that a node has in force, by the routes that single versions add.
+// prober finds the configuration version in force at a node. Each version adds a marker route, so a
+// version is in force if its marker route exists.
 type prober struct {
 	fleet *fleet
 	node  *node
 	http  *http.Client
-	// process is the one that reached a version, and answeredFromTable says that it has answered by one.
+	// process is the process to which the fields below refer. answeredFromTable is set if its last
+	// conclusive answer came from a route table.
 	process           *process
 	newestInForce     int
 	answeredFromTable bool
 }
 
-// probe finds the newest version in force; one that was in force must be still.
+// probe searches for the newest version in force by bisection. A version that was in force before
+// must still be.
 func (p *prober) probe() {
 	process := p.node.current()
 	if process == nil {
@@ -339,17 +344,17 @@
 			return
 		}
 		if !active && low > p.newestInForce {
-			return // an older one than can be told, or none
+			return // the version in force is older than the oldest marker route, or there is none
 		}
 		if !active && p.fleet.newestVersion()-low < maxMarkers-1 {
-			p.recordInForce(low - 1) // it was in force, and is not any more
+			p.recordInForce(low - 1) // the version was in force and no longer is
 			return
 		}
 	}
 	p.setInForce(low)
 }
 
-// setInForce notes a version that is in force.
+// setInForce records a version that is in force.
 func (p *prober) setInForce(version int) {
 	p.newestInForce = version
 	p.recordInForce(version)
@@ -360,8 +365,9 @@
 	p.fleet.recorder.Update(func(h *history.History) { h.InForce = append(h.InForce, seen) })
 }
 
-// inForce asks for the route of a version; known is that the node told. Between two answers by a
-// table a refusal tells that the route is there: the table says so where it is not.
+// inForce requests the marker route of a version; known is false if the answer is inconclusive. A
+// rejection between two answers from a route table shows that the route exists, because the table
+// answers "no route" otherwise.
 func (p *prober) inForce(version int) (active, known bool) {
 	answer := p.sendRequest(markerPath(version))
 	switch {
@@ -376,14 +382,14 @@
 		p.answeredFromTable = p.sendRequest(markerPath(unwrittenVersion)).Reason == reasonNoRoute
 		return true, answeredBefore && p.answeredFromTable
 	default:
-		return false, false // no answer, or one that may come before any configuration is known
+		return false, false // no answer, or one that may precede the first configuration
 	}
 }
 
 // unwrittenVersion is a version that no configuration has.
 const unwrittenVersion = 0
 
-// sendRequest sends a request to the node and records it with its answer.
+// sendRequest sends a request to the node and records the call and its answer.
 func (p *prober) sendRequest(path string) history.Answer {
 	call := history.Call{
 		RequestID: p.fleet.nextRequestID(), Node: p.node.name, Service: singleService, Class: path, Repeatable: true, Abandoned: true,
--- a/lab/soak/checker.go
+++ b/lab/soak/checker.go
@@ -13,35 +13,40 @@
 	"github.com/banksail/banksail/platform/standin"
 )
 
-// Invariants that package history doesn't know.
+// Invariants that are checked here and not by package history.
 const (
-	// UnexpectedExit: no process ends by itself, and a planned stop ends in time and well.
+	// UnexpectedExit: no process exits unasked, and a planned stop ends in time with exit code
+	// zero.
 	UnexpectedExit history.Invariant = "own_end"
-	// Denied: no caller is told that a route is not there, which all configurations hold.
+	// RouteNotFound: no caller is told that a route does not exist which all configurations
+	// contain.
 	RouteNotFound history.Invariant = "denied"
-	// Budget: sends beyond the first of each request stay within the budget of each service.
+	// Budget: the attempts after the first one of each request stay within the budget of each
+	// service.
 	Budget history.Invariant = "budget"
-	// Exposure: a bad version gets no more than its part, and nothing after the bound.
+	// Exposure: a defective version gets no more than its share of the requests, and none after the
+	// rollback bound.
 	Exposure history.Invariant = "exposure"
-	// RolloutEnd: each roll-out ends by its deadline, and a bad version is not put in force.
+	// RolloutEnd: each roll-out ends by its deadline, and a defective version is not completed.
 	RolloutEnd history.Invariant = "rollout_end"
-	// Evacuation: an evacuated zone gets nothing after the bound.
+	// Evacuation: an evacuated zone gets no requests after the evacuation bound.
 	Evacuation history.Invariant = "evacuation"
-	// Repeats: a request that ends the servers that run it is not sent on and on.
+	// RepeatedCrashes: a request that crashes the servers that run it is not sent to servers
+	// indefinitely.
 	RepeatedCrashes history.Invariant = "repeats"
-	// Resources: processes give back descriptors and memory once the load has ended.
+	// Resources: processes release file descriptors and memory after the load has ended.
 	Resources history.Invariant = "resources"
 )
 
-// Invariants lists all that a soak judges, in the order of reports.
+// Invariants lists all invariants that a soak checks, in the order of reports.
 func Invariants() []history.Invariant {
 	return append(history.Invariants(), UnexpectedExit, RouteNotFound, Budget, Exposure, RolloutEnd, Evacuation, RepeatedCrashes, Resources)
 }
 
-// Violation is one breach with its evidence.
+// Violation is one violation of an invariant with its evidence.
 type Violation = history.Violation
 
-// Bounds that nodes are told, and by which they are judged.
+// Bounds that are configured at the nodes and applied by the checks.
 const (
 	applyBound    = 3 * time.Second
 	drainBound    = 3 * time.Second
@@ -52,31 +57,32 @@
 	budgetWindow  = 10 * time.Second
 	exposureShare = 0.1
 	exposureSlack = 50
-	// rollbackResponses is the bad answer after which a version gets nothing once rollbackBound is over.
+	// rollbackResponses is the number of defective responses after which a version gets no requests
+	// once rollbackBound has passed.
 	rollbackResponses = 50
-	// RecoveryBound is within which the system is whole again after the last fault.
+	// RecoveryBound is the time within which the system recovers fully after the last fault.
 	RecoveryBound = 12 * time.Second
-	// answerAllowance is how long after its deadline a request may be answered: a bound of
-	// the platform's rules.
+	// answerAllowance is the time after its deadline within which a request may still be answered;
+	// the platform's rules set it.
 	answerAllowance = 500 * time.Millisecond
-	// inFlightMargin is how long a request or an answer may be under way on a busy machine.
+	// inFlightMargin is the time that a request or response may be in transit on a busy machine.
 	inFlightMargin = 200 * time.Millisecond
 )
 
-// record is all that a soak saw.
+// record holds everything that was observed in a soak.
 type record struct {
 	history     *history.History
 	evacuations []evacuation
 	rollouts    []rollout
-	// arrivals are what came to servers, in order.
+	// arrivals are the requests that servers received, ordered by time.
 	arrivals []arrival
-	// bad are when the target of the orders gave bad answers.
+	// bad holds the times of defective responses of the roll-outs' target version.
 	bad []time.Duration
-	// crashTimes are when servers ended under requests, by their target.
+	// crashTimes holds the times at which servers crashed under requests, by request target.
 	crashTimes map[string][]time.Duration
 }
 
-// arrival is a request that came to a server.
+// arrival is a request that a server received.
 type arrival struct {
 	at                             time.Duration
 	request, server, service, zone string
@@ -84,7 +90,7 @@
 	executed                       bool
 }
 
-// record puts together what the servers saw.
+// record combines the history with the observations of the servers. Times are relative to epoch.
 func (f *fleet) record(epoch time.Time) *record {
 	r := &record{history: f.recorder.Finish()}
 	f.mutex.Lock()
@@ -109,7 +115,8 @@
 	return r
 }
 
-// addServer adds what a server saw.
+// addServer adds the requests that a server received and its defective responses. nodes maps
+// request IDs to the nodes that the callers sent them to.
 func (r *record) addServer(s *server, nodes map[string]string, epoch time.Time) {
 	covered := singleRange
 	if s.set > 0 {
@@ -138,22 +145,25 @@
 	})
 }
 
-// Report is what a soak saw and found.
+// Report is the result of a soak.
 type Report struct {
 	Schedule   Schedule
 	Checked    map[history.Invariant]int
 	Violations []Violation
-	// SentRequests and Good are what callers sent, and what was answered well.
+	// SentRequests is the number of requests that callers and probers sent, and Succeeded that of
+	// the ones answered with a result.
 	SentRequests, Succeeded int
-	// ReceivedRequests are what came to servers, and Configurations what the operator wrote.
+	// ReceivedRequests is the number of requests that servers received, and Configurations that of
+	// the versions that the operator wrote.
 	ReceivedRequests, Configurations int
 	// LongestPause is the longest pause of the soak's own process.
 	LongestPause time.Duration
-	// RolloutOutcome is how the roll-out ended; empty is that there was none, or that it did not.
+	// RolloutOutcome is the final state of the roll-out. It is empty if there was none, and "no
+	// end" if it did not end.
 	RolloutOutcome string
 }
 
-// judge judges all that was seen.
+// check checks all invariants on the record.
 func (r *record) check() (checked map[history.Invariant]int, violations []Violation) {
 	options := history.DefaultOptions()
 	options.AnswerAllowance, options.LeavingGrace = answerAllowance, drainBound
@@ -168,7 +178,7 @@
 	return c.checked, c.violations
 }
 
-// checker judges what package history doesn't.
+// checker checks the invariants that package history doesn't.
 type checker struct {
 	*record
 	checked    map[history.Invariant]int
@@ -179,18 +189,20 @@
 	c.violations = append(c.violations, Violation{Invariant: invariant, Subject: subject, Evidence: fmt.Sprintf(format, arguments...)})
 }
 
-// wasUndisturbed reports whether nothing disturbed a node from one time to another.
+// wasUndisturbed reports whether no disturbance of a node overlaps the given period.
 func (r *record) wasUndisturbed(node string, from, to time.Duration) bool {
 	return !slices.ContainsFunc(r.history.Disturbances, func(d history.Disturbance) bool {
 		return d.Host == node && d.From <= to && d.To >= from
 	})
 }
 
-// wereAllUndisturbed reports the same for all nodes.
+// wereAllUndisturbed reports whether no disturbance of any node overlaps the given period.
 func (r *record) wereAllUndisturbed(from, to time.Duration) bool {
 	return !slices.ContainsFunc(r.history.Disturbances, func(d history.Disturbance) bool { return d.From <= to && d.To >= from })
 }
 
+// checkRoutesFound checks that no request of callers, apart from those for marker routes, was
+// answered with "no route".
 func (c *checker) checkRoutesFound() {
 	calls := make(map[history.CallID]history.Call)
 	for _, call := range c.history.Calls {
@@ -208,7 +220,8 @@
 	}
 }
 
-// checkBudget judges each service's sends beyond the first, over all nodes, in each window.
+// checkBudget checks the attempts after the first one of each request in each window, per service
+// and over all nodes.
 func (c *checker) checkBudget() {
 	firsts, extras := make(map[string][]time.Duration), make(map[string][]time.Duration)
 	seen := make(map[[2]string]bool)
@@ -235,15 +248,17 @@
 	}
 }
 
-// countWithin counts the times of a sorted list after one and up to another.
+// countWithin counts the times in a sorted list that lie from after, inclusive, to until,
+// exclusive.
 func countWithin(times []time.Duration, after, until time.Duration) int {
 	first, _ := slices.BinarySearch(times, after)
 	last, _ := slices.BinarySearch(times, until)
 	return last - first
 }
 
-// checkRollouts judges what versions of the roll-outs got from nodes that nothing disturbed, and how
-// they ended. While the store is away a node may know a version's servers and not yet its order.
+// checkRollouts checks how many requests defective versions got from undisturbed nodes, and how the
+// roll-outs ended. Disturbed nodes are left out because a node that cannot reach the store may know
+// a version's servers but not yet its roll-out.
 func (c *checker) checkRollouts() {
 	for _, o := range c.rollouts {
 		c.checkRolloutEnd(o)
@@ -277,8 +292,8 @@
 	}
 }
 
-// checkRolloutEnd judges how a roll-out ended. Whether one that is bad under load gets any depends on
-// the traffic that the soak draws.
+// checkRolloutEnd checks how a roll-out ended. A version that is only defective under load may be
+// completed, because the generated traffic need not load it.
 func (c *checker) checkRolloutEnd(o rollout) {
 	c.checked[RolloutEnd]++
 	if o.ended == standin.RolloutCompleted && o.bad != NoDefect && o.bad != FailsUnderLoad {
@@ -290,7 +305,8 @@
 	}
 }
 
-// checkRollback judges that a bad version got nothing once the bound after its bad answers was over.
+// checkRollback checks that a defective version got no requests later than rollbackBound after its
+// defective responses.
 func (c *checker) checkRollback(o rollout, last arrival) {
 	if len(c.bad) < rollbackResponses {
 		return
@@ -301,7 +317,8 @@
 	}
 }
 
-// checkEvacuations judges that evacuated zones get nothing.
+// checkEvacuations checks that evacuated zones got no requests from undisturbed nodes after
+// evacuateBound.
 func (c *checker) checkEvacuations() {
 	for _, e := range c.evacuations {
 		c.checked[Evacuation]++
--- a/lab/soak/crashes.go
+++ b/lab/soak/crashes.go
@@ -13,19 +13,20 @@
 )
 
 const (
-	// crashRequestInterval is the time between two tries of a request that ends servers, and crashDelay
-	// that for which a server runs it.
+	// crashRequestInterval is the time between two attempts of a request that crashes servers, and
+	// crashDelay the time that a server runs it before it crashes.
 	crashRequestInterval = 700 * time.Millisecond
 	crashDelay           = 30 * time.Millisecond
-	// crashRestartDelay is the time until a server is back that ended under a request.
+	// crashRestartDelay is the time until a crashed server is replaced.
 	crashRestartDelay = 1500 * time.Millisecond
-	// quarantineCrashes is the number of servers that may end before a request is to be known, and
-	// maxRepeatedCrashes how often servers may get it later than reconnectTime after that.
+	// quarantineCrashes is the number of servers that may crash before the request must be
+	// recognized. Later than reconnectTime after that, servers may receive it at most
+	// maxRepeatedCrashes times.
 	quarantineCrashes  = 3
 	maxRepeatedCrashes = 3
 )
 
-// sendCrashRequests sends one request to one node after the other, under which servers end.
+// sendCrashRequests sends a request that crashes servers to all nodes in turn until the fault ends.
 func (f *fleet) sendCrashRequests(ctx context.Context, fault schedule.Fault) {
 	target := fault.Target + "deadly-" + strconv.FormatInt(fault.At.Milliseconds(), 10)
 	f.updateCrashTargets(func(targets []string) []string { return append(targets, target) })
@@ -47,11 +48,12 @@
 		answer := f.sendRequestTo(client, n, fault.Target, target, "deadly", call.RequestID, requestTimeout+lateAnswerTimeout)
 		answer.Call = id
 		f.recorder.Answer(answer)
-		_ = clock.Sleep(ctx, crashRequestInterval) // the loop looks at ctx
+		_ = clock.Sleep(ctx, crashRequestInterval) // the loop condition checks ctx
 	}
 }
 
-// updateCrashTargets changes the targets under which all servers end, also those that come later.
+// updateCrashTargets changes the targets of requests that crash servers, on all servers and on
+// those that start later.
 func (f *fleet) updateCrashTargets(change func(targets []string) []string) {
 	f.mutex.Lock()
 	f.crashTargets = change(f.crashTargets)
@@ -62,7 +64,7 @@
 	}
 }
 
-// setCrashTargets makes a server end under requests for some targets.
+// setCrashTargets makes a server crash under requests for the given targets.
 func (f *fleet) setCrashTargets(s *server, targets []string) {
 	s.Set(func() {
 		s.CrashPrefixes, s.CrashDelay = targets, crashDelay
@@ -70,7 +72,7 @@
 	})
 }
 
-// crashUnderRequest ends a server under a request; another one comes in its place.
+// crashUnderRequest records that a server crashed under a request, and replaces the server.
 func (f *fleet) crashUnderRequest(s *server, target string) {
 	f.mutex.Lock()
 	if f.crashTimes == nil {
@@ -84,8 +86,8 @@
 	}
 }
 
-// checkRepeatedCrashes judges how often servers got requests that were known to end them, from nodes that
-// nothing disturbed.
+// checkRepeatedCrashes checks how often servers got a request from undisturbed nodes after it was
+// due to be recognized as crashing them.
 func (c *checker) checkRepeatedCrashes() {
 	for target, crashes := range c.crashTimes {
 		c.checked[RepeatedCrashes]++
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -14,27 +14,28 @@
 )
 
 const (
-	// warmupTime is how long a cold server is cold.
+	// warmupTime is the time for which a cold server warms up.
 	warmupTime = 2 * time.Second
-	// burstInterval is the time between two configurations of a storm.
+	// burstInterval is the time between two configurations of a burst.
 	burstInterval = 200 * time.Millisecond
-	// reshardStartTime is how long the new servers are there before a configuration names them,
-	// and drainDelay how long after that the old ones drain.
+	// reshardStartTime is the time for which new servers run before a configuration names them. The
+	// old ones drain drainDelay after that.
 	reshardStartTime = 1500 * time.Millisecond
 	drainDelay       = applyBound
-	// addressReuseDelay is how long an address rests before another service has it.
+	// addressReuseDelay is the time after which another service takes over an address.
 	addressReuseDelay = 2 * time.Second
-	// entryTTL is how long the entry of a server stays that has crashed: three heartbeats.
+	// entryTTL is the time until a crashed server's entry expires: three heartbeats.
 	entryTTL = 3600 * time.Millisecond
-	// stopServiceTime is how much longer servers work around a planned stop.
+	// stopServiceTime is added to the servers' service time around a planned stop.
 	stopServiceTime = 300 * time.Millisecond
-	// restoreRewriteDelay is the time until the operator writes again what a copy of the store lacks.
+	// restoreRewriteDelay is the time after which the operator repeats writes that a restored
+	// backup lacks.
 	restoreRewriteDelay = 300 * time.Millisecond
-	// invalidSettingsText is a settings file that can't be read.
+	// invalidSettingsText is a settings file that cannot be parsed.
 	invalidSettingsText = "node_name = [\n"
 )
 
-// injectFault carries a schedule's fault out and returns when it is over.
+// injectFault waits for the start of a fault, injects it, and returns when it has ended.
 func (f *fleet) injectFault(ctx context.Context, fault schedule.Fault) error {
 	if clock.Sleep(ctx, fault.At-f.recorder.Now()) != nil {
 		return nil // the soak was interrupted
@@ -62,7 +63,7 @@
 		f.store.Set(func() { f.store.Unresponsive = true })
 		wait()
 		f.store.Set(func() { f.store.Unresponsive = false })
-		f.resetStoreLinks() // calls that were left without an answer stay so
+		f.resetStoreLinks() // calls during the freeze never get a response
 	case schedule.StoreLostReply:
 		f.store.Set(func() { f.store.DropWriteResponses = true })
 		wait()
@@ -110,7 +111,7 @@
 	return nil
 }
 
-// resetStoreLinks breaks off what nodes have open to the store.
+// resetStoreLinks resets all connections of nodes to the store.
 func (f *fleet) resetStoreLinks() {
 	for _, n := range f.nodes {
 		n.store.set(linkState{reset: true})
@@ -118,7 +119,7 @@
 	}
 }
 
-// injectNodeFault carries out what hits one node.
+// injectNodeFault injects a fault of one node.
 func (f *fleet) injectNodeFault(fault schedule.Fault, n *node, wait func()) error {
 	from := f.recorder.Now()
 	defer func() { f.recordDisturbance(history.Isolated, n.name, from, f.recorder.Now()) }()
@@ -159,7 +160,7 @@
 	case SilentStoreLink, ResetStoreLink:
 		n.store.set(linkState{silent: fault.Kind == SilentStoreLink, reset: fault.Kind == ResetStoreLink})
 		wait()
-		n.store.set(linkState{reset: true}) // what a cut held up is lost
+		n.store.set(linkState{reset: true}) // bytes that a silent link held back are lost
 		n.store.set(linkState{})
 	case StoreRejection:
 		n.storeHandler.status.Store(http.StatusServiceUnavailable)
@@ -171,14 +172,15 @@
 	return nil
 }
 
-// addServiceTime makes all servers' work longer, so that requests are in flight at a planned stop.
+// addServiceTime increases all servers' service time, so that requests are in flight at a planned
+// stop.
 func (f *fleet) addServiceTime(by time.Duration) {
 	for _, s := range f.allServers() {
 		s.Set(func() { s.ServiceTime = max(s.ServiceTime+by, 0) })
 	}
 }
 
-// replaceNode ends a node for good; another one comes in its place at another address.
+// replaceNode kills a node for good and starts another one in the same zone at another address.
 func (f *fleet) replaceNode(n *node, wait func()) error {
 	n.mutex.Lock()
 	n.removed = true
@@ -202,7 +204,7 @@
 func (f *fleet) restartAllNodes(wait func()) error {
 	from := f.recorder.Now()
 	for _, n := range f.allNodes() {
-		n.signal(syscall.SIGSTOP) // so that none sees another one end
+		n.signal(syscall.SIGSTOP) // so that no node sees another one end
 	}
 	for _, n := range f.allNodes() {
 		n.kill()
@@ -217,7 +219,8 @@
 	return nil
 }
 
-// injectZoneOutage lets nothing in a zone answer for a while.
+// injectZoneOutage freezes the nodes of a zone and makes the links to its servers silent until wait
+// returns.
 func (f *fleet) injectZoneOutage(zone string, wait func()) {
 	from := f.recorder.Now()
 	var frozen []*node
@@ -245,7 +248,7 @@
 	}
 }
 
-// injectServerFault carries out what hits one server.
+// injectServerFault injects a fault of one server.
 func (f *fleet) injectServerFault(fault schedule.Fault, s *server, wait func()) error {
 	state := linkState{
 		silent: fault.Kind == SilentLink, reset: fault.Kind == ResetLink, oneWay: fault.Kind == OneWayLink,
@@ -303,15 +306,15 @@
 	return nil
 }
 
-// responseFaults are the faults in which a server's answers are not proper.
+// responseFaults maps kinds of faults to the malformed responses that they cause.
 var responseFaults = map[schedule.Kind]standin.ResponseFault{
 	TruncateResponses: standin.Truncated, DuplicateResponses: standin.SentTwice, OmitResponseLength: standin.EndedByClose, ResetResponses: standin.EndedByReset,
 }
 
-// timeSinceDrain is how long ago a server began to drain.
+// timeSinceDrain returns the time since a server began to drain.
 func (f *fleet) timeSinceDrain(s *server) time.Duration { return f.recorder.Now() - s.drainedAt }
 
-// drainServer has a server say that it is leaving.
+// drainServer makes a server announce that it is leaving.
 func (f *fleet) drainServer(s *server) {
 	s.Drain()
 	f.mutex.Lock()
@@ -322,7 +325,7 @@
 	})
 }
 
-// removeServer ends a server for good.
+// removeServer stops a server for good and removes its entry.
 func (f *fleet) removeServer(s *server) {
 	f.mutex.Lock()
 	s.stopped = true
@@ -331,21 +334,21 @@
 	f.store.RemoveServer(s.ID)
 }
 
-// crashServer ends a server without a word; its entry lapses later.
+// crashServer stops a server without notice. Its entry expires after entryTTL.
 func (f *fleet) crashServer(s *server) {
 	f.mutex.Lock()
 	s.stopped = true
 	f.mutex.Unlock()
 	s.Stop()
 	time.AfterFunc(entryTTL, func() {
-		if f.findServer(s.ID) == s { // else another life has written its entry
+		if f.findServer(s.ID) == s { // otherwise the restarted server has written the entry
 			f.store.RemoveServer(s.ID)
 		}
 	})
 }
 
-// restartServer ends a server, which comes back under its ID and at its address. One that has
-// said that it is leaving stays away: what is judged of leaving servers goes by their IDs.
+// restartServer crashes a server and restarts it with the same ID and address. A server that has
+// announced that it is leaving is not restarted, because leaving servers are checked by their IDs.
 func (f *fleet) restartServer(s *server, wait func()) error {
 	if f.hasStopped(s) || s.drainedAt > 0 {
 		return nil
@@ -362,13 +365,14 @@
 	return err
 }
 
-// replaceServer ends a server; another one of the same service comes once wait returns.
+// replaceServer crashes a server and starts another one of the same service once wait returns. The
+// new server warms up for the given time.
 func (f *fleet) replaceServer(s *server, wait func(), warmup time.Duration) error {
 	if f.hasStopped(s) {
 		return nil
 	}
 	f.crashServer(s)
-	s.link.close() // a dead port refuses
+	s.link.close() // connections are refused, as by a dead port
 	wait()
 	successor, err := f.startServer(s.Service, f.nextServerNumber(), s.set, s.shard, s.Version, nil)
 	if err == nil && warmup > 0 {
@@ -383,7 +387,7 @@
 	return s.stopped
 }
 
-// nextServerNumber is the number of the next server that comes back.
+// nextServerNumber returns the number of the next replacement server.
 func (f *fleet) nextServerNumber() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -391,8 +395,8 @@
 	return firstReplacementNumber + f.restartedServers
 }
 
-// reuseAddress ends a server; its address goes to one of another service, and its own service gets
-// another server elsewhere.
+// reuseAddress crashes a server and gives its address to a server of another service. Its own
+// service gets a replacement at another address.
 func (f *fleet) reuseAddress(s *server, wait func()) error {
 	if f.hasStopped(s) {
 		return nil
--- a/lab/soak/fleet.go
+++ b/lab/soak/fleet.go
@@ -15,7 +15,7 @@
 	"github.com/banksail/banksail/platform/standin"
 )
 
-// loopback is where the stand-ins and the links listen.
+// loopback is the address on which the stand-ins and the links listen.
 const loopback = "127.0.0.1"
 
 // fleet is a running soak: the stand-ins, the nodes, and the record of what happened.
@@ -26,7 +26,7 @@
 	store     *standin.Store
 	recorder  *history.Recorder
 	requests  atomic.Int64
-	// initialResources are the resources that processes held before the first fault.
+	// initialResources are the greatest resources of a process before the first fault.
 	initialResources resources
 
 	mutex sync.Mutex
@@ -38,49 +38,49 @@
 	rollouts    []*rollout
 	closers     []func()
 	version     int // of the configuration
-	// set is that of the shards that searches go to, of sets; replaced nodes and returned
-	// servers are counted.
+	// set is the number of the shard set that searches are sent to, setCount the number of sets,
+	// and replacedNodes and restartedServers count replacements and restarts.
 	set, setCount, replacedNodes, restartedServers int
 	longestPause                                   time.Duration
-	// defects is how versions are bad, also on servers that come in the place of others.
+	// defects holds the defects of versions, which also apply to replacement servers.
 	defects map[string]standin.Defect
-	// crashTargets are the targets of requests under which servers end.
+	// crashTargets are the prefixes of request targets under which servers crash.
 	crashTargets []string
-	// crashTimes are when servers ended under such requests, by their target.
+	// crashTimes holds the times at which servers crashed under such requests, by request target.
 	crashTimes map[string][]time.Duration
-	// onNodeAdded starts to probe a node that has come later.
+	// onNodeAdded is called for each node that is added later; nil means not at all.
 	onNodeAdded func(n *node)
 }
 
-// evacuation is a zone that is to be empty from one time to another; zero is still.
+// evacuation is the evacuation of a zone; until is zero while it lasts.
 type evacuation struct {
 	zone        string
 	from, until time.Duration
 }
 
-// server is a stand-in server behind a link of its own.
+// server is a stand-in server behind its own link.
 type server struct {
 	*standin.Server
 	link *link
-	// set and shard place it among the shards; set is zero for the ledger's.
+	// set and shard identify the shard; set is zero for ledger servers.
 	set, shard int
-	// number is that by which its service names it.
+	// number is the server's number within its service, part of its name.
 	number int
-	// drainedAt is when it began to drain; zero is never.
+	// drainedAt is when the server began to drain; zero means never.
 	drainedAt time.Duration
 	stopped   bool
 }
 
-// proxiedListener is a listener that is reached at another address.
+// proxiedListener is a listener that others reach at a proxy's address.
 type proxiedListener struct {
 	net.Listener
 	address net.Addr
 }
 
-// Addr is where others reach it.
+// Addr returns the proxy's address.
 func (a proxiedListener) Addr() net.Addr { return a.address }
 
-// serve answers at a free port until the soak ends.
+// serve starts an HTTP server on a free port, which runs until the soak ends.
 func (f *fleet) serve(handler http.Handler) (address string, err error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(loopback, "0"))
 	if err != nil {
@@ -92,15 +92,15 @@
 	return listener.Addr().String(), nil
 }
 
-// onClose has something done at the soak's end.
+// onClose registers a function to be called at the end of the soak.
 func (f *fleet) onClose(closer func()) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.closers = append(f.closers, closer)
 }
 
-// startServer starts a server of a service behind a link; over is the link whose address it
-// takes over, or nil for a new one.
+// startServer starts a server of a service behind a link. It takes over the address of reusedLink,
+// or gets a new link if that is nil.
 func (f *fleet) startServer(service string, number, set, shard int, version string, reusedLink *link) (*server, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(loopback, "0"))
 	if err != nil {
@@ -140,10 +140,10 @@
 	return nil
 }
 
-// baseVersion is that of servers' software unless a roll-out brings another.
+// baseVersion is the version of servers unless a roll-out changes it.
 const baseVersion = "v1"
 
-// Numbers from which servers of a service that come later are named.
+// First numbers of servers that are started after the initial ones.
 const (
 	firstTargetNumber      = 10
 	reusedNumber           = 50
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// close ends all that was started, however far that came.
+// close stops everything that was started, also after a failed start.
 func (f *fleet) close() {
 	for _, n := range f.allNodes() {
 		n.mutex.Lock()
@@ -200,14 +200,14 @@
 	f.store.Close()
 }
 
-// addViolation notes a breach that was seen while the soak runs.
+// addViolation records a violation that was detected while the soak runs.
 func (f *fleet) addViolation(invariant history.Invariant, subject, format string, arguments ...any) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.violations = append(f.violations, Violation{Invariant: invariant, Subject: subject, Evidence: fmt.Sprintf(format, arguments...)})
 }
 
-// addNode adds a machine, and watches it if all are.
+// addNode adds a node and calls onNodeAdded for it if it is set.
 func (f *fleet) addNode(n *node) {
 	f.mutex.Lock()
 	f.nodes = append(f.nodes, n)
@@ -218,7 +218,7 @@
 	}
 }
 
-// forEachNode has all nodes watched, and those that come later.
+// forEachNode calls visit for each node, including those that are added later.
 func (f *fleet) forEachNode(visit func(n *node)) {
 	f.mutex.Lock()
 	f.onNodeAdded = visit
@@ -234,7 +234,7 @@
 	return slices.Clone(f.nodes)
 }
 
-// stopAllNodes stops all nodes as planned.
+// stopAllNodes performs a planned stop of all nodes at once.
 func (f *fleet) stopAllNodes() {
 	var stopping sync.WaitGroup
 	for _, n := range f.allNodes() {
@@ -269,23 +269,24 @@
 	return nil
 }
 
-// maxMarkers is the number of versions whose marker routes stand in a configuration.
+// maxMarkers is the maximum number of marker routes in a configuration, for its newest versions.
 const maxMarkers = 24
 
-// host is the name that callers ask for.
+// host is the host name of callers' requests.
 const host = "search.example"
 
-// Paths of the routes.
+// Path prefixes of the routes.
 const (
 	searchPath = "/search/"
 	pagePath   = "/page/"
 	enterPath  = "/enter/"
 )
 
-// paths are those of the routes that all configurations hold.
+// paths are the path prefixes of the routes that all configurations contain.
 var paths = []string{searchPath, pagePath, enterPath}
 
-// markerPrefix begins the paths of routes that one version of the configuration adds.
+// markerPrefix is the prefix of marker routes' paths. Each version of the configuration adds one
+// marker route, which shows whether the version is in force.
 const markerPrefix = "/marker-"
 
 func markerPath(version int) string { return fmt.Sprintf("%s%d/", markerPrefix, version) }
@@ -295,7 +296,7 @@
 	routeTargetLatency = 100 * time.Millisecond
 	topRecords         = 5
 	minimumCoverage    = 0.5
-	// connectionsPerServer is what a server takes from all nodes.
+	// connectionsPerServer is the maximum number of connections of all nodes to a server.
 	connectionsPerServer = 40
 )
 
@@ -330,18 +331,18 @@
 	})
 }
 
-// newestVersion is that of the configuration written last.
+// newestVersion returns the version of the configuration that was written last.
 func (f *fleet) newestVersion() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.version
 }
 
-// reconnectTime is how long after a disturbance a node counts as disturbed.
+// reconnectTime is the time after a disturbance for which a node still counts as disturbed.
 const reconnectTime = 4 * time.Second
 
-// recordDisturbance notes that a node could not take part from one time to another, and for reconnectTime
-// after that. A frozen node doesn't answer callers either; a parted one must.
+// recordDisturbance records that a node was isolated during the given period and for reconnectTime
+// after it. A frozen node need not answer callers during the period either; an isolated one must.
 func (f *fleet) recordDisturbance(kind history.DisturbanceKind, name string, from, to time.Duration) {
 	f.recorder.Update(func(h *history.History) {
 		if kind == history.Frozen {
@@ -351,7 +352,7 @@
 	})
 }
 
-// recordDisturbanceOfAll notes the same for all nodes.
+// recordDisturbanceOfAll records a disturbance of all nodes.
 func (f *fleet) recordDisturbanceOfAll(kind history.DisturbanceKind, from, to time.Duration) {
 	for _, n := range f.allNodes() {
 		f.recordDisturbance(kind, n.name, from, to)
--- a/lab/soak/layout.go
+++ b/lab/soak/layout.go
@@ -6,16 +6,17 @@
 	"github.com/banksail/banksail/platform/standin"
 )
 
-// Layout names what a soak starts.
+// Layout holds the names of the zones, nodes and servers that a soak starts.
 type Layout struct {
 	Zones, Nodes, Servers []string
 }
 
 const (
-	// zoneCount zones, with nodesPerZone nodes in each.
+	// zoneCount is the number of zones, with nodesPerZone nodes each.
 	zoneCount    = 4
 	nodesPerZone = 2
-	// shardCount shards a set, with replicas servers each, in all zones but the last.
+	// shardCount is the number of shards of a set. Each has replicasPerShard servers, one in each
+	// zone but the last.
 	shardCount       = 4
 	replicasPerShard = 3
 	// ledgerService is the service of single requests, whose versions are rolled out.
@@ -24,7 +25,8 @@
 	targetServerCount = 3
 )
 
-// DefaultLayout is eight nodes in four zones before four shards and a service.
+// DefaultLayout returns the layout of eight nodes in four zones, with a set of four shards and the
+// ledger service.
 func DefaultLayout() Layout {
 	var layout Layout
 	for zone := range zoneCount {
@@ -46,10 +48,10 @@
 
 func nodeName(number int) string { return fmt.Sprintf("front-%d", number) }
 
-// shardName names a shard of a set.
+// shardName returns the service name of a shard of a set.
 func shardName(set, shard int) string { return fmt.Sprintf("shard-%d-%d", set, shard) }
 
-// shardNames names the shards of a set.
+// shardNames returns the service names of all shards of a set.
 func shardNames(set int) []string {
 	names := make([]string, 0, shardCount)
 	for shard := range shardCount {
--- a/lab/soak/link.go
+++ b/lab/soak/link.go
@@ -8,29 +8,30 @@
 	"time"
 )
 
-// linkState is what a link does to what passes over it.
+// linkState holds the faults of a link. Its zero value passes everything unchanged.
 type linkState struct {
-	// delay holds back all that passes, in each direction.
+	// delay is added to each write, in both directions.
 	delay time.Duration
-	// silent passes nothing, oneWay nothing back to who connects; both leave connections open.
+	// silent holds back all bytes, and oneWay the bytes to the side that connects. Both leave
+	// connections open.
 	silent, oneWay bool
-	// reset breaks off every connection, also new ones.
+	// reset resets all connections, including new ones.
 	reset bool
 	// trickle passes a few bytes at a time.
 	trickle bool
 }
 
 const (
-	// trickleBytes pass every tricklePause on a dripping link.
+	// trickleBytes are passed every tricklePause on a trickling link.
 	trickleBytes = 64
 	tricklePause = 5 * time.Millisecond
-	// linkPollInterval is the time between two looks at whether a silent link speaks again.
+	// linkPollInterval is the time between two checks whether a silent link passes bytes again.
 	linkPollInterval = 10 * time.Millisecond
-	// linkDialTimeout bounds the connecting to the far end, which is on this machine.
+	// linkDialTimeout limits the time to connect to the target, which is on the same machine.
 	linkDialTimeout = time.Second
 )
 
-// link is a loopback proxy from an address of its own to a target.
+// link is a loopback proxy that forwards connections from its own address to a target.
 type link struct {
 	listener net.Listener
 
@@ -42,7 +43,7 @@
 	closed bool
 }
 
-// newLink listens at a free port of the host.
+// newLink returns a link that listens on a free port of the host.
 func newLink(host, target string) (*link, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -59,7 +60,7 @@
 	for {
 		near, err := l.listener.Accept()
 		if err != nil {
-			return // the link has ended
+			return // the link is closed
 		}
 		go l.serve(near)
 	}
@@ -72,7 +73,7 @@
 	defer l.closeConnection(near)
 	far, err := net.DialTimeout("tcp", l.currentTarget(), linkDialTimeout)
 	if err != nil || !l.register(far) {
-		return // who connected is reset, as by a dead port
+		return // the near side is closed, as by a dead port
 	}
 	defer l.closeConnection(far)
 	var both sync.WaitGroup
@@ -81,7 +82,7 @@
 	both.Wait()
 }
 
-// register takes a connection into account; false is that it was reset instead.
+// register adds a connection to the open ones. It returns false if it reset the connection instead.
 func (l *link) register(conn net.Conn) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -100,7 +101,7 @@
 	_ = conn.Close()
 }
 
-// resetConnection breaks a connection off so that its peer sees a reset.
+// resetConnection closes a connection so that its peer sees a reset.
 func resetConnection(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -108,7 +109,7 @@
 	_ = conn.Close()
 }
 
-// copyDirection copies one direction until it ends, and ends the other end with it.
+// copyDirection copies one direction until it ends, and then closes the destination.
 func (l *link) copyDirection(from, to net.Conn, isResponse bool) {
 	defer func() { _ = to.Close() }()
 	buffer := make([]byte, 16*1024)
@@ -126,7 +127,7 @@
 	}
 }
 
-// write passes bytes on as the link's state says; false is that the connection has ended.
+// write forwards bytes as the link's state requires. It returns false if the connection has ended.
 func (l *link) write(to net.Conn, data []byte, isResponse bool) bool {
 	for len(data) > 0 {
 		state, closed := l.currentState()
@@ -164,7 +165,7 @@
 	return l.target
 }
 
-// retarget gives the link's address to another target.
+// retarget changes the link's target and resets its connections.
 func (l *link) retarget(target string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -172,7 +173,7 @@
 	l.resetAll()
 }
 
-// set changes what the link does; a reset hits the connections that are open, too.
+// set changes the link's faults. A reset also applies to open connections.
 func (l *link) set(state linkState) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -182,7 +183,7 @@
 	}
 }
 
-// resetAll breaks off all connections. The lock is held.
+// resetAll resets all connections. The mutex is held.
 func (l *link) resetAll() {
 	for conn := range l.conns {
 		resetConnection(conn)
--- a/lab/soak/link_test.go
+++ b/lab/soak/link_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// newEcho serves connections that get back what they send.
+// newEcho starts a server that returns the bytes it receives.
 func newEcho(t *testing.T) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", net.JoinHostPort(loopback, "0"))
@@ -32,7 +32,7 @@
 
 const (
 	linkTimeout = 5 * time.Second
-	// noAnswerTimeout is how long an answer is waited for that should not come.
+	// noAnswerTimeout is the time to wait for an answer that must not come.
 	noAnswerTimeout = 100 * time.Millisecond
 )
 
@@ -46,7 +46,8 @@
 	return err
 }
 
-// A link passes what it should, and harms what it is told to, until it is told otherwise.
+// A link must inject the faults of its state, pass the bytes that it held back once the state is
+// cleared, and work again after resets and a change of target.
 func TestLinkInjectsFaults(t *testing.T) {
 	l, err := newLink(loopback, newEcho(t))
 	if err != nil {
@@ -63,39 +64,39 @@
 	}
 	conn := dial()
 	if err := echoWord(conn, linkTimeout); err != nil {
-		t.Fatalf("a link that is well: %v", err)
+		t.Fatalf("link without faults: %v", err)
 	}
 	for name, state := range map[string]linkState{"silent": {silent: true}, "one way": {oneWay: true}} {
 		l.set(state)
 		if err := echoWord(conn, noAnswerTimeout); err == nil {
-			t.Errorf("%s: an answer came", name)
+			t.Errorf("%s: got an answer, want none", name)
 		}
 		l.set(linkState{})
 		_ = conn.SetDeadline(time.Now().Add(linkTimeout))
 		if _, err := io.ReadFull(conn, make([]byte, len("word"))); err != nil {
-			t.Errorf("%s: what was held up did not come: %v", name, err)
+			t.Errorf("%s: the held-back answer did not arrive after the link recovered: %v", name, err)
 		}
 	}
 	for name, state := range map[string]linkState{"slow": {delay: noAnswerTimeout / 2}, "dripping": {trickle: true}} {
 		l.set(state)
 		startedAt := time.Now()
 		if err := echoWord(conn, linkTimeout); err != nil || time.Since(startedAt) < tricklePause {
-			t.Errorf("%s: %v after %s", name, err, time.Since(startedAt))
+			t.Errorf("%s: got error %v after %s; want an answer after a delay", name, err, time.Since(startedAt))
 		}
 	}
 	l.set(linkState{reset: true})
 	if err := echoWord(conn, linkTimeout); err == nil {
-		t.Error("a reset connection answers")
+		t.Error("got an answer over a connection that was reset")
 	}
-	if newConn, err := net.Dial("tcp", l.address()); err == nil { // the reset may come while it is opened
+	if newConn, err := net.Dial("tcp", l.address()); err == nil { // the reset may come while the connection is opened
 		if err := echoWord(newConn, linkTimeout); err == nil {
-			t.Error("a new connection over a link that resets answers")
+			t.Error("got an answer over a new connection of a link that resets connections")
 		}
 		_ = newConn.Close()
 	}
 	l.set(linkState{})
 	l.retarget(newEcho(t))
 	if err := echoWord(dial(), linkTimeout); err != nil {
-		t.Errorf("after it all: %v", err)
+		t.Errorf("after the link recovered and changed its target: %v", err)
 	}
 }
--- a/lab/soak/node.go
+++ b/lab/soak/node.go
@@ -16,7 +16,7 @@
 	"github.com/banksail/banksail/platform/standin"
 )
 
-// Ports of each node at its own host, alike on all.
+// Ports of each node, the same on all hosts.
 const (
 	callersPort = 21800 + iota
 	readyPort
@@ -27,20 +27,20 @@
 )
 
 const (
-	// graceSeconds is the time of a planned stop, in seconds, after which a process is killed.
+	// graceSeconds is the grace period of a planned stop, after which the process is killed.
 	graceSeconds = 6
-	// startupTime is the time in which a process begins to listen.
+	// startupTime is the time within which a process starts to listen.
 	startupTime = time.Second
-	// fileMode is the mode of settings files and logs.
+	// fileMode is the mode of settings files.
 	fileMode = 0o600
 )
 
-// node is one machine of the fleet, with its process and its own way to the store.
+// node is one machine of the fleet, with its process and its own link to the store.
 type node struct {
 	name, zone, host string
 	fleet            *fleet
 	settingsPath     string
-	// store is the link to the store, and door the store as this machine sees it.
+	// store is the link to the store, and storeHandler serves the store to this node.
 	store        *link
 	storeHandler *nodeStoreHandler
 
@@ -56,16 +56,16 @@
 	command   *exec.Cmd
 	startedAt time.Duration
 	ended     chan struct{}
-	// stopRequested says that the soak has asked it to end.
+	// stopRequested means that the soak has asked the process to end or killed it.
 	stopRequested atomic.Bool
-	// runIndex is its place in the history's runs.
+	// runIndex is the index of the run in the history's Runs.
 	runIndex int
 }
 
-// nodeStoreHandler is the store as one machine sees it.
+// nodeStoreHandler serves the store to one node and can reject its calls.
 type nodeStoreHandler struct {
 	store *standin.Store
-	// status is what all calls are refused with; zero is nothing.
+	// status is the HTTP status with which all calls are rejected; zero means that none is.
 	status atomic.Int32
 }
 
@@ -78,14 +78,14 @@
 	d.store.ServeHTTP(writer, request)
 }
 
-// nodeHost is an address of loopback for each node of each soak; tests with the real program
-// use others.
+// nodeHost returns a loopback address for a node that is unique to this process; tests with the
+// real program use others.
 func nodeHost(number int) string {
 	id := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 128+number, id>>8&255, id&255)
 }
 
-// newNode prepares a machine; its process is not started.
+// newNode creates a node without starting its process.
 func (f *fleet) newNode(number int) (*node, error) {
 	n := &node{
 		name: nodeName(number), zone: f.layout.Zones[number%len(f.layout.Zones)], host: nodeHost(number), fleet: f,
@@ -103,7 +103,7 @@
 	return n, nil
 }
 
-// nodeSettings is what the platform writes into the machine's settings file.
+// nodeSettings returns the settings that the platform writes for the node.
 func (n *node) nodeSettings(bootstrap bool) standin.NodeSettings {
 	settings := standin.NodeSettings{
 		NodeName: n.name, Zone: n.zone, Zones: n.fleet.layout.Zones, Host: n.host, Bootstrap: bootstrap, GraceSeconds: graceSeconds, EnableRollouts: true,
@@ -116,7 +116,8 @@
 	return settings
 }
 
-// seedNodeCount are the machines that the settings name, also when they are gone.
+// seedNodeCount is the number of nodes that the settings name as seeds, even after they have been
+// replaced.
 const seedNodeCount = 3
 
 func (n *node) writeSettings(text string) error {
@@ -157,7 +158,8 @@
 	return nil
 }
 
-// waitForExit notes the end of a process, and whether it was asked for.
+// waitForExit records the end of a process. An exit that was not requested, or a planned stop with
+// a non-zero exit code, is a violation.
 func (n *node) waitForExit(p *process, log *os.File) {
 	err := p.command.Wait()
 	_ = log.Close()
@@ -177,7 +179,8 @@
 	close(p.ended)
 }
 
-// wasStoppedGracefully reports whether the process was asked to end as planned.
+// wasStoppedGracefully reports whether a planned stop of the process was requested and it was not
+// killed.
 func (n *node) wasStoppedGracefully(p *process) (stopped bool) {
 	n.fleet.recorder.Update(func(h *history.History) {
 		stopped = h.Runs[p.runIndex].StopRequestedAt != 0 && !h.Runs[p.runIndex].Killed
@@ -185,7 +188,7 @@
 	return stopped
 }
 
-// current is the process that runs; nil is none.
+// current returns the running process, or nil if there is none.
 func (n *node) current() *process {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -195,11 +198,11 @@
 // signal sends a signal to the process, if one runs.
 func (n *node) signal(signal syscall.Signal) {
 	if p := n.current(); p != nil {
-		_ = p.command.Process.Signal(signal) // it may have ended just now, which await notes
+		_ = p.command.Process.Signal(signal) // the process may have just exited, which waitForExit records
 	}
 }
 
-// kill ends the process at once and waits for its end.
+// kill kills the process and waits for its end.
 func (n *node) kill() {
 	p := n.current()
 	if p == nil {
@@ -207,12 +210,12 @@
 	}
 	n.fleet.recorder.Update(func(h *history.History) { h.Runs[p.runIndex].Killed = true })
 	p.stopRequested.Store(true)
-	_ = p.command.Process.Kill() // it may have ended just now
+	_ = p.command.Process.Kill() // the process may have just exited
 	<-p.ended
 }
 
-// stop asks the process to end and waits; one that doesn't within the grace is killed and
-// counts as a violation.
+// stop requests a planned stop and waits for it. A process that has not ended after the grace
+// period is killed, which is a violation.
 func (n *node) stop() {
 	p := n.current()
 	if p == nil {
--- a/lab/soak/operator.go
+++ b/lab/soak/operator.go
@@ -9,8 +9,8 @@
 	"github.com/banksail/banksail/platform/standin"
 )
 
-// reshard moves searches to another set of shards; the old servers drain once the new
-// configuration is due everywhere.
+// reshard moves searches to a new set of shards. The old servers drain after the new configuration
+// is due at all nodes.
 func (f *fleet) reshard(ctx context.Context) error {
 	f.mutex.Lock()
 	f.setCount++
@@ -34,7 +34,8 @@
 	return nil
 }
 
-// evacuateZone empties a zone for a while, unless it is to be empty already.
+// evacuateZone evacuates a zone until wait returns, and for evacuateBound at least. It does nothing
+// if the zone is being evacuated already.
 func (f *fleet) evacuateZone(zone string, wait func()) {
 	f.mutex.Lock()
 	index := len(f.evacuations)
@@ -48,14 +49,15 @@
 	}
 	f.store.Evacuate(zone)
 	wait()
-	_ = clock.Sleep(context.Background(), evacuateBound) // so long at least, or nothing is shown
+	_ = clock.Sleep(context.Background(), evacuateBound) // a shorter evacuation would not be checked at all
 	f.mutex.Lock()
 	f.evacuations[index].until = f.recorder.Now()
 	f.store.EndEvacuation(zone)
 	f.mutex.Unlock()
 }
 
-// rollout is a roll-out that was ordered.
+// rollout is an ordered roll-out. bad is the defect of the target version, at the time of the
+// order, and ended the final state, empty until it ends.
 type rollout struct {
 	target, ended string
 	bad           Defect
@@ -64,11 +66,11 @@
 	replacedAt    time.Duration
 }
 
-// statusInterval is the time between two looks at what the system tells of a roll-out.
+// statusInterval is the time between two reads of a roll-out's status.
 const statusInterval = 20 * time.Millisecond
 
-// startRollout starts the target's servers, orders the roll-out, and does at its end what the
-// platform does.
+// startRollout starts servers of the target version, orders the roll-out and, when it ends, stops
+// or drains servers as the platform does.
 func (f *fleet) startRollout(ctx context.Context, generated RolloutOrder) error {
 	if generated.Duration == 0 || clock.Sleep(ctx, generated.At-f.recorder.Now()) != nil {
 		return nil
@@ -101,13 +103,14 @@
 	return f.awaitRolloutEnd(ctx, o, targets)
 }
 
-// targetVersion is the one that a roll-out moves to.
+// targetVersion is the version that a roll-out moves to.
 const targetVersion = "v2"
 
-// rolloutEndMargin is how long after its deadline the end of a roll-out is still waited for.
+// rolloutEndMargin is the time after its deadline for which the end of a roll-out is still awaited.
 const rolloutEndMargin = 2 * time.Second
 
-// awaitRolloutEnd waits for the end of a roll-out: the old servers stop at once, or the new ones drain.
+// awaitRolloutEnd waits until a roll-out ends. If it was completed, the old servers stop at once;
+// if it was rolled back, the new ones drain.
 func (f *fleet) awaitRolloutEnd(ctx context.Context, o *rollout, targets []*server) error {
 	for clock.Sleep(ctx, statusInterval) == nil && f.recorder.Now() < o.deadline+rolloutEndMargin {
 		status, err := f.store.ReadRolloutStatus(ledgerService)
@@ -140,8 +143,8 @@
 	return nil
 }
 
-// serverDefect is how servers of a version behave that is bad; later is when it shows in one
-// that turns bad.
+// serverDefect returns the behaviour of servers of a defective version. startsAt is the time from
+// which the defect FailsLater shows.
 func serverDefect(defect Defect, startsAt time.Time) standin.Defect {
 	switch defect {
 	case FailsAlways:
--- a/lab/soak/prober_test.go
+++ b/lab/soak/prober_test.go
@@ -12,14 +12,14 @@
 	"github.com/banksail/banksail/lab/history"
 )
 
-// fakeNode answers as a node would that has a version in force.
+// fakeNode answers like a node that has a configuration version in force.
 type fakeNode struct {
 	inForce int
-	// rejectStatus says how it answers for routes that are there; zero is well.
+	// rejectStatus is the status for routes that exist; zero means 200.
 	rejectStatus int
-	// silent are versions for whose routes it breaks off.
+	// silent holds versions whose marker routes abort the connection.
 	silent map[int]bool
-	// rejectAll says that it refuses whatever comes.
+	// rejectAll makes the node reject every request.
 	rejectAll bool
 }
 
@@ -39,32 +39,34 @@
 	}
 }
 
-// newProber returns the prober of a node that such a one stands for, with so many versions written.
+// newProber returns a prober of the fake node, with newestVersion as the newest configuration
+// written.
 func newProber(t *testing.T, fake *fakeNode, newestVersion int) *prober {
 	t.Helper()
-	const nodeHost = "127.201.7.1" // no soak's
-	listener, err := net.Listen("tcp", net.JoinHostPort(nodeHost, strconv.Itoa(callersPort)))
+	const unusedHost = "127.201.7.1" // an address that no soak uses
+	listener, err := net.Listen("tcp", net.JoinHostPort(unusedHost, strconv.Itoa(callersPort)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := &httptest.Server{Listener: listener, Config: &http.Server{Handler: fake}}
 	server.Start()
 	t.Cleanup(server.Close)
-	n := &node{name: "node-1", host: nodeHost, process: new(process)}
+	n := &node{name: "node-1", host: unusedHost, process: new(process)}
 	f := &fleet{version: newestVersion, recorder: history.NewRecorder(time.Now())}
 	n.fleet = f
 	return &prober{fleet: f, node: n, http: server.Client()}
 }
 
-// Versions 14 to 20 were judged to be late at a node, 13 in force up to 11.4 s. Its log has table 13
-// at 7.2 s, 17 at 8.5 s and 21 at 9.3 s, and from 8.4 s on, every 150 ms, "marker-17" and then
-// "marker-18", "refused", "no_server": all servers of the markers' service had ended. The judge took
-// a refusal for no answer, and dropped with it what it had learned before in the same look.
+// A rejection for want of a server shows that the route exists. When all servers of the markers'
+// service had ended, a node with table 13 at 7.2 s, 17 at 8.5 s and 21 at 9.3 s rejected the
+// requests for marker-17 and marker-18 with "no_server" every 150 ms from 8.4 s on. The prober took
+// the rejections for no answer and discarded what it had learned in the same probe, so versions 14
+// to 20 were reported as late, with 13 in force up to 11.4 s.
 func TestProberFindsVersionInForce(t *testing.T) {
 	const newestVersion = 20
 	for name, test := range map[string]struct {
 		node fakeNode
-		want int // the newest version seen in force; zero is none
+		want int // the newest version seen in force; zero means none
 	}{
 		"served":                       {node: fakeNode{inForce: 18}, want: 18},
 		"no server is there":           {node: fakeNode{inForce: 18, rejectStatus: http.StatusServiceUnavailable}, want: 18},
@@ -84,22 +86,23 @@
 				newest = max(newest, int(observed.Revision))
 			}
 			if newest != test.want {
-				t.Errorf("version %d seen in force, want %d", newest, test.want)
+				t.Errorf("newest version seen in force is %d, want %d", newest, test.want)
 			}
 		})
 	}
 }
 
-// A node that answered by a table and refuses everything then, as one that stops, tells nothing.
+// A node that rejects everything after it answered from a table, such as one that is stopping,
+// gives no information on its version.
 func TestProberIgnoresNodeRejectingEverything(t *testing.T) {
 	fake := &fakeNode{inForce: 5}
 	p := newProber(t, fake, 5)
 	p.probe()
 	fake.rejectAll = true
 	if active, known := p.inForce(6); known {
-		t.Errorf("a version that is not in force: in force %v, known", active)
+		t.Errorf("version 6, which is not in force, reported as in force: %v; want an inconclusive answer", active)
 	}
 	if p.newestInForce != 5 {
-		t.Errorf("version %d reached", p.newestInForce)
+		t.Errorf("newest version in force is %d, want 5", p.newestInForce)
 	}
 }
--- a/lab/soak/schedule.go
+++ b/lab/soak/schedule.go
@@ -13,62 +13,66 @@
 	"github.com/banksail/banksail/lab/schedule"
 )
 
-// Kinds of faults that only a soak knows; the others are those of package schedule.
+// Kinds of faults that only a soak injects; it also injects some of package schedule's.
 const (
-	// ChangeSettings rewrites a node's settings file and signals it, Misspell writes one
-	// that can't be read first.
+	// ChangeSettings rewrites a node's settings file and sends SIGHUP. InvalidSettings does so with
+	// an unreadable file first.
 	ChangeSettings  schedule.Kind = "change_settings"
 	InvalidSettings schedule.Kind = "misspell_settings"
-	// ReplaceNode ends a node for good without a word; another one, at another address,
-	// comes at Until.
+	// ReplaceNode kills a node for good. At Until, another node starts at another address.
 	ReplaceNode schedule.Kind = "replace_node"
-	// ZoneOutage freezes all nodes of a zone and silences all its servers.
+	// ZoneOutage freezes all nodes of a zone and makes the links to its servers silent.
 	ZoneOutage schedule.Kind = "dark_zone"
-	// SilentStoreLink silences one node's link to the store, ResetStoreLink breaks it off, StoreRejection
-	// has the store turn that node away.
+	// SilentStoreLink makes one node's link to the store silent, ResetStoreLink resets its
+	// connections, and StoreRejection makes the store reject that node's calls.
 	SilentStoreLink schedule.Kind = "store_cut"
 	ResetStoreLink  schedule.Kind = "store_reset"
 	StoreRejection  schedule.Kind = "store_refuse"
-	// StoreDropHistory drops the store's history, StoreMuteWatches lets watches hear nothing.
+	// StoreDropHistory drops the store's history of changes. StoreMuteWatches stops the store from
+	// sending changes to watches.
 	StoreDropHistory schedule.Kind = "store_forget"
 	StoreMuteWatches schedule.Kind = "store_deaf"
-	// StoreRestore has the store come back at Until from a copy that is taken at At, after it was
-	// away from Delay later on.
+	// StoreRestore restores the store at Until from a backup taken at At. The store is down from At
+	// plus Delay.
 	StoreRestore schedule.Kind = "store_restore"
-	// SilentLink, ResetLink, SlowServerLink, OneWayLink and Drip harm the link to a server.
+	// SilentLink, ResetLink, SlowServerLink, OneWayLink and TrickleLink impair the link to a
+	// server.
 	SilentLink     schedule.Kind = "silent_link"
 	ResetLink      schedule.Kind = "reset_link"
 	SlowServerLink schedule.Kind = "slow_server_link"
 	OneWayLink     schedule.Kind = "one_way_link"
 	TrickleLink    schedule.Kind = "drip"
-	// DropResponses has a server run requests and break off, FailRequests has it fail them.
+	// DropResponses makes a server execute requests without responding; FailRequests makes it fail
+	// them.
 	DropResponses schedule.Kind = "lose_answers"
 	FailRequests  schedule.Kind = "fail_answers"
-	// TruncateResponses ends answers in the middle, DuplicateResponses sends each twice, OmitResponseLength
-	// sends them without a length, ResetResponses does and breaks them off.
+	// TruncateResponses ends responses in the middle, DuplicateResponses sends each twice,
+	// OmitResponseLength sends them without a length, and ResetResponses sends them without a
+	// length and resets the connection.
 	TruncateResponses  schedule.Kind = "cut_answers"
 	DuplicateResponses schedule.Kind = "double_answers"
 	OmitResponseLength schedule.Kind = "endless_answers"
 	ResetResponses     schedule.Kind = "reset_answers"
-	// ReuseAddress ends a server; its address goes to a server of another service.
+	// ReuseAddress ends a server and gives its address to a server of another service.
 	ReuseAddress schedule.Kind = "reuse_address"
-	// RestartServer ends a server; it comes back under its ID and at its address.
+	// RestartServer ends a server and restarts it with the same ID and address.
 	RestartServer schedule.Kind = "return_server"
-	// InvalidEntries writes entries that no server writes among those of the servers.
+	// InvalidEntries writes entries that no server would write among the servers' entries in the
+	// store.
 	InvalidEntries schedule.Kind = "odd_entries"
-	// Configure writes a version of the configuration, ConfigureBurst many in a row.
+	// Configure writes one version of the configuration, ConfigureBurst many in short succession.
 	Configure      schedule.Kind = "configure"
 	ConfigureBurst schedule.Kind = "configure_often"
 	// Reshard moves searches to another set of shards.
 	Reshard schedule.Kind = "reshard"
-	// Evacuate empties a zone until Until.
+	// Evacuate evacuates a zone until Until.
 	Evacuate schedule.Kind = "evacuate"
-	// CrashRequest sends a request again and again, to one node after the other, under which
-	// the servers end that run it.
+	// CrashRequest sends a request repeatedly, to all nodes in turn, that crashes the servers that
+	// run it.
 	CrashRequest schedule.Kind = "deadly_request"
 )
 
-// Kinds lists the faults that a soak draws from.
+// Kinds lists the faults that a soak generates.
 func Kinds() []schedule.Kind {
 	return []schedule.Kind{
 		schedule.KillNode, schedule.FreezeNode, schedule.PlannedStop, schedule.RestartNodes, ChangeSettings, InvalidSettings,
@@ -80,21 +84,22 @@
 	}
 }
 
-// Order is a roll-out that a schedule holds.
+// RolloutOrder is a roll-out in a schedule.
 type RolloutOrder struct {
 	At time.Duration
-	// Duration is the time until its deadline.
+	// Duration is the time from the order to its deadline.
 	Duration time.Duration
-	// Defect names how the version is bad; empty is good.
+	// Defect is the defect of the version; NoDefect means none.
 	Defect Defect
-	// Replaced says that another order, of the version that runs, takes its place midway.
+	// Replaced means that an order for the running version replaces this one after a third of
+	// Duration.
 	Replaced bool
 }
 
-// Defect names how a version is bad.
+// Defect names a defect of a version.
 type Defect string
 
-// How versions are bad.
+// Defects of versions.
 const (
 	NoDefect        Defect = ""
 	FailsAlways     Defect = "fails_always"
@@ -107,7 +112,7 @@
 
 var defects = []Defect{NoDefect, FailsAlways, FailsOneInThree, RespondsSlowly, FailsLater, FailsOnRoute, FailsUnderLoad}
 
-// Schedule is what a seed brings about.
+// Schedule holds the faults and the roll-out of a soak.
 type Schedule struct {
 	Seed     uint64
 	Duration time.Duration
@@ -116,7 +121,7 @@
 	Rollout RolloutOrder
 }
 
-// String prints the schedule, a line a fault.
+// String returns the schedule as text, with one line per fault.
 func (s Schedule) String() string {
 	var text strings.Builder
 	_, _ = fmt.Fprintf(&text, "seed %d, %s\n", s.Seed, s.Duration)
@@ -130,38 +135,41 @@
 }
 
 const (
-	// startupPhase is the time before the first fault, in which all nodes start, and recoveryPhase the
-	// one after the last in which the system must recover and is then seen to be whole.
+	// startupPhase is the time before the first fault, in which all nodes start. recoveryPhase is
+	// the time after the last fault, in which the system must recover and is then checked to have
+	// recovered.
 	startupPhase  = 5 * time.Second
 	recoveryPhase = RecoveryBound + 4*time.Second
-	// minFaultDuration and maxFaultDuration bound a fault's length; one starts every maxFaultInterval or
-	// sooner, so that two or three go on at a time.
+	// minFaultDuration and maxFaultDuration bound a fault's duration. The next fault starts within
+	// maxFaultInterval, so that two or three overlap.
 	minFaultDuration = 500 * time.Millisecond
 	maxFaultDuration = 4 * time.Second
 	maxFaultInterval = 4 * time.Second
-	// minBackupAge and maxBackupAge bound how old a copy is when the store goes.
+	// minBackupAge and maxBackupAge bound the age of a backup when the store goes down.
 	minBackupAge = time.Second
 	maxBackupAge = 6 * time.Second
-	// minRolloutDuration is the least duration of a roll-out. It ends before the soak does.
+	// minRolloutDuration is the minimum duration of a roll-out, which must end before the soak
+	// does.
 	minRolloutDuration = 13 * time.Second
 	maxRolloutDuration = 24 * time.Second
-	// meanFaultInterval is the mean time between two faults of one kind where all kinds are drawn from: with
-	// the kinds that there are, one fault starts every 2 s.
+	// meanFaultInterval is the mean time between two faults of one kind if all kinds are generated.
+	// With the present number of kinds, one fault starts every 2 s.
 	meanFaultInterval = 80 * time.Second
-	// rolloutShare is the part of the schedules that hold a roll-out.
+	// rolloutShare is the share of schedules with a roll-out.
 	rolloutShare = 0.7
-	// scheduleStream parts the schedule's random numbers from other users of a seed, and
+	// scheduleStream separates the schedule's random numbers from other uses of the seed, and
 	// rolloutStream those of the roll-out from those of the kinds.
 	scheduleStream = 0x736f616b
 	rolloutStream  = 0x726f6c6c
 )
 
-// MinDuration is the least length of a soak: one fault must fit.
+// MinDuration is the minimum duration of a soak; it leaves room for one fault.
 const MinDuration = startupPhase + recoveryPhase + 2*time.Second
 
-// Generate draws the schedule of a seed over nodes and servers; the same arguments give the same
-// schedule. Whichever kinds are named are drawn; none is all, each by itself, so that a seed keeps
-// what it draws of the others when a kind is added.
+// Generate generates the schedule of a seed for the nodes and servers of a layout. The same
+// arguments give the same schedule. It generates faults of the given kinds, or of all kinds if none
+// is given. In that case each kind has a random generator of its own, so that adding a kind does
+// not change the faults of the others.
 func Generate(seed uint64, duration time.Duration, layout Layout, kinds ...schedule.Kind) Schedule {
 	if len(kinds) == 0 {
 		return generatePerKind(seed, duration, layout, Kinds())
@@ -180,7 +188,7 @@
 	return result
 }
 
-// generatePerKind draws the faults of each kind from a generator of its own.
+// generatePerKind generates the faults of each kind with a random generator of its own.
 func generatePerKind(seed uint64, duration time.Duration, layout Layout, kinds []schedule.Kind) Schedule {
 	result := Schedule{Seed: seed, Duration: duration}
 	rollouts := generator{random: rand.New(rand.NewPCG(seed, rolloutStream)), layout: layout, lastFaultEnd: duration - recoveryPhase}
@@ -203,7 +211,7 @@
 	lastFaultEnd time.Duration
 }
 
-// drawInterval is the time between two faults of one kind.
+// drawInterval draws the time between two faults of one kind.
 func (d *generator) drawInterval() time.Duration {
 	return time.Duration(d.random.ExpFloat64() * float64(meanFaultInterval))
 }
@@ -225,7 +233,7 @@
 	}
 }
 
-// drawFault draws what a fault hits and when it ends.
+// drawFault draws a fault's target, duration and delay.
 func (d *generator) drawFault(kind schedule.Kind, at time.Duration) schedule.Fault {
 	fault := schedule.Fault{Kind: kind, At: at.Round(time.Millisecond)}
 	fault.Until = min(fault.At+d.drawBetween(minFaultDuration, maxFaultDuration), max(d.lastFaultEnd, fault.At+minFaultDuration))
@@ -239,7 +247,7 @@
 		fault.Target = d.layout.Servers[d.random.IntN(len(d.layout.Servers))]
 	case CrashRequest:
 		fault.Target = paths[d.random.IntN(len(paths))]
-		fault.Until = max(d.lastFaultEnd, fault.At+minFaultDuration) // what is judged begins after contactTime
+		fault.Until = max(d.lastFaultEnd, fault.At+minFaultDuration) // it is only checked after reconnectTime has passed
 	case ZoneOutage, Evacuate:
 		fault.Target = d.layout.Zones[d.random.IntN(len(d.layout.Zones))]
 	}
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -15,31 +15,31 @@
 	"github.com/banksail/banksail/platform/standin"
 )
 
-// Errors of a soak.
 var (
-	// ErrInvalidOptions is an option that can't be followed.
+	// ErrInvalidOptions means that an option is invalid. The message names it.
 	ErrInvalidOptions = errors.New("soak: invalid option")
-	// ErrUnknownFault is a fault that nobody knows how to bring about.
+	// ErrUnknownFault means that a fault's kind is unknown or does not apply to its target.
 	ErrUnknownFault = errors.New("soak: unknown fault")
 )
 
-// Options say what a soak plays.
+// Options configure a soak.
 type Options struct {
-	// Seed draws the schedule.
+	// Seed is the seed of the schedule.
 	Seed uint64
-	// Duration is how long it plays.
+	// Duration is the duration of the schedule.
 	Duration time.Duration
-	// Program is the node's program, with its Arguments and further Environment.
+	// Program is the path of the node program. Arguments are passed to it, and Environment is added
+	// to the environment.
 	Program                string
 	Arguments, Environment []string
-	// Kinds are the faults to draw from; none is all.
+	// Kinds are the kinds of faults to inject; empty means all.
 	Kinds []schedule.Kind
-	// Directory is where settings and logs are written; it must be there.
+	// Directory is an existing directory to which settings files and logs are written.
 	Directory string
-	// NodeApplyBound is the bound of configurations that nodes are told, which is not the one
-	// that they are judged by; zero is the same.
+	// NodeApplyBound is the bound for applying a configuration that is configured at the nodes, if
+	// it is to differ from the one that is checked; zero means that it does not differ.
 	NodeApplyBound time.Duration
-	// ReportProgress takes lines on what goes on.
+	// ReportProgress receives a line of text for each event; nil discards them.
 	ReportProgress func(format string, arguments ...any)
 }
 
@@ -56,7 +56,7 @@
 		}
 	}
 	if info, err := os.Stat(o.Directory); err != nil || !info.IsDir() {
-		return fmt.Errorf("%w: directory: %q is none", ErrInvalidOptions, o.Directory)
+		return fmt.Errorf("%w: directory: %q is not a directory", ErrInvalidOptions, o.Directory)
 	}
 	if o.ReportProgress == nil {
 		o.ReportProgress = func(string, ...any) {}
@@ -64,8 +64,7 @@
 	return nil
 }
 
-// Run plays one soak and judges it. It ends every process that it started, also when ctx
-// ends.
+// Run runs one soak and checks it. It ends every process that it started, also if ctx ends.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	if err := options.validate(); err != nil {
 		return nil, err
@@ -86,7 +85,7 @@
 	return f.report(generated, epoch), ctx.Err()
 }
 
-// runSchedule plays a schedule under load to its end.
+// runSchedule runs a whole schedule under load and returns the errors of all faults.
 func (f *fleet) runSchedule(ctx context.Context, generated Schedule) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -116,7 +115,7 @@
 	return failures.err()
 }
 
-// report judges what was seen.
+// report checks the observations and returns the report.
 func (f *fleet) report(generated Schedule, epoch time.Time) *Report {
 	observed := f.record(epoch)
 	checked, violations := observed.check()
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -16,10 +16,11 @@
 	"github.com/banksail/banksail/platform/standin"
 )
 
-// nodeBugVariable makes the test's own program a node that serves nobody, and how it ends wrongly.
+// nodeBugVariable is the environment variable that makes the test binary act as a node that serves
+// no requests and has the named bug.
 const nodeBugVariable = "SOAK_NODE_UNDER_TEST"
 
-// Ways of such a node.
+// Bugs of such a node.
 const (
 	exitsOnHangup = "dies at hangup"
 	ignoresTerm   = "ignores the stop"
@@ -34,11 +35,11 @@
 	os.Exit(m.Run())
 }
 
-// runFaultyNode is a node with a seeded bug. It ends by itself after maxNodeLifetime.
+// runFaultyNode is a node with a seeded bug. It exits on its own after maxNodeLifetime.
 func runFaultyNode(bug string) {
 	term, hangup := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(term, syscall.SIGTERM)
-	signal.Notify(hangup, syscall.SIGHUP) // also where whoever runs the test ignores it
+	signal.Notify(hangup, syscall.SIGHUP) // also if the parent process ignores SIGHUP
 	for end := time.After(maxNodeLifetime); ; {
 		select {
 		case <-hangup:
@@ -60,7 +61,7 @@
 
 const maxNodeLifetime = time.Minute
 
-// runSoakWith plays a short soak with a program that has a seeded bug.
+// runSoakWith runs a short soak against a program with a seeded bug.
 func runSoakWith(t *testing.T, bug string, kinds ...schedule.Kind) *Report {
 	t.Helper()
 	report, err := Run(context.Background(), Options{
@@ -77,8 +78,8 @@
 	return slices.ContainsFunc(r.Violations, func(v Violation) bool { return v.Invariant == invariant })
 }
 
-// Processes that end by themselves, that don't end when they are asked to, and that end badly
-// are found out; so are nodes that serve nobody.
+// A soak must detect processes that exit unasked, ignore a stop or exit with an error, and nodes
+// that do not put configurations in force.
 func TestSoakDetectsFaultyProcesses(t *testing.T) {
 	for bug, evidence := range map[string]string{
 		exitsOnHangup: "ended by itself",
@@ -91,65 +92,65 @@
 			if !slices.ContainsFunc(report.Violations, func(v Violation) bool {
 				return v.Invariant == UnexpectedExit && strings.Contains(v.Evidence, evidence)
 			}) {
-				t.Errorf("not found: %v", report.Violations)
+				t.Errorf("violation was not detected; violations: %v", report.Violations)
 			}
 			if !report.hasViolation(history.Configuration) {
-				t.Errorf("a configuration that is in force nowhere is not found: %v", report.Violations)
+				t.Errorf("configuration that is in force at no node was not detected; violations: %v", report.Violations)
 			}
 		})
 	}
 }
 
-// The same arguments draw the same schedule; others draw another. Every kind is drawn, hits
-// something that is there, and lies between the start and the end.
+// The same arguments must generate the same schedule, and another seed another one. Every kind must
+// be generated, with an existing target, between the start-up and recovery phases.
 func TestGeneratedSchedules(t *testing.T) {
 	layout := DefaultLayout()
 	generatedKinds := make(map[schedule.Kind]bool)
 	for seed := range uint64(60) {
 		first, second := Generate(seed, time.Minute, layout), Generate(seed, time.Minute, layout)
 		if first.String() != second.String() {
-			t.Fatalf("seed %d gives two schedules:\n%s\n%s", seed, first, second)
+			t.Fatalf("seed %d generates two different schedules:\n%s\n%s", seed, first, second)
 		}
 		if first.String() == Generate(seed+1, time.Minute, layout).String() {
-			t.Errorf("seeds %d and %d give the same schedule", seed, seed+1)
+			t.Errorf("seeds %d and %d generate the same schedule", seed, seed+1)
 		}
 		for _, fault := range first.Faults {
 			generatedKinds[fault.Kind] = true
 			if fault.At < startupPhase || fault.Until <= fault.At || fault.Until > time.Minute-recoveryPhase+minFaultDuration {
-				t.Errorf("seed %d: %s", seed, fault)
+				t.Errorf("seed %d: fault lies outside its time range: %s", seed, fault)
 			}
 			targets := slices.Concat(layout.Nodes, layout.Servers, layout.Zones, paths)
 			if fault.Target != "" && !slices.Contains(targets, fault.Target) {
-				t.Errorf("seed %d: %s hits nothing", seed, fault)
+				t.Errorf("seed %d: fault has an unknown target: %s", seed, fault)
 			}
 		}
 	}
 	for _, kind := range Kinds() {
 		if !generatedKinds[kind] {
-			t.Errorf("%s is never drawn", kind)
+			t.Errorf("no fault of kind %s was generated", kind)
 		}
 	}
 	only := Generate(3, time.Minute, layout, Evacuate)
 	for _, fault := range only.Faults {
 		if fault.Kind != Evacuate {
-			t.Errorf("%s is drawn where only evacuations are asked for", fault.Kind)
+			t.Errorf("generated a fault of kind %s, want evacuations only", fault.Kind)
 		}
 	}
 }
 
-// What a seed draws of one kind does not depend on which others there are: 307 of all kinds was
-// another day once a kind had come in.
+// The faults that a seed generates for one kind must not depend on the other kinds. Otherwise
+// adding a kind changes what seeds of all kinds reproduce, as it did with seed 307.
 func TestScheduleOfKindIsIndependentOfOthers(t *testing.T) {
 	layout, kinds := DefaultLayout(), Kinds()
 	for seed := range uint64(20) {
 		all := Generate(seed, time.Minute, layout)
 		fewer := generatePerKind(seed, time.Minute, layout, kinds[:len(kinds)-3])
 		if all.Rollout != fewer.Rollout {
-			t.Errorf("seed %d: roll-outs %+v and %+v", seed, all.Rollout, fewer.Rollout)
+			t.Errorf("seed %d: roll-outs differ: %+v and %+v", seed, all.Rollout, fewer.Rollout)
 		}
 		for _, kind := range kinds[:len(kinds)-3] {
 			if one, other := faultsOfKind(all, kind), faultsOfKind(fewer, kind); !slices.Equal(one, other) {
-				t.Errorf("seed %d: %v and %v", seed, one, other)
+				t.Errorf("seed %d: faults differ: %v and %v", seed, one, other)
 			}
 		}
 	}
@@ -164,7 +165,7 @@
 	return faults
 }
 
-// Seeds with kinds that are named draw what they drew when they found something.
+// Seeds with named kinds must keep generating the schedules with which they found failures.
 func TestScheduleOfNamedKindsIsStable(t *testing.T) {
 	generated := Generate(9102, 40*time.Second, DefaultLayout(), CrashRequest, Configure, ConfigureBurst)
 	const want = `seed 9102, 40s
@@ -180,11 +181,11 @@
 22.711s..23.775s configure   0s
 `
 	if generated.String() != want {
-		t.Errorf("drawn:\n%s", generated)
+		t.Errorf("schedule changed:\n%s", generated)
 	}
 }
 
-// Options that can't be followed get an error that names them.
+// Run must reject invalid options with an error that names the option.
 func TestRunRejectsInvalidOptions(t *testing.T) {
 	valid := Options{Duration: MinDuration, Program: "x", Directory: t.TempDir()}
 	for field, invalidate := range map[string]func(o *Options){
@@ -196,12 +197,13 @@
 		invalid := valid
 		invalidate(&invalid)
 		if _, err := Run(context.Background(), invalid); !errors.Is(err, ErrInvalidOptions) || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: %v", field, err)
+			t.Errorf("invalid %s: error is %v, want one that names the option", field, err)
 		}
 	}
 }
 
-// newHealthyRecord is a record in which nothing is wrong: a request a second for each service.
+// newHealthyRecord returns a record without violations, with one request per second for each
+// service.
 func newHealthyRecord() *record {
 	r := &record{history: &history.History{End: time.Minute}}
 	for second := range 60 {
@@ -216,7 +218,7 @@
 	return r
 }
 
-// Each judge finds what it is there for, and nothing else, in records with one thing wrong.
+// Each check must find the violation in a record that contains just that one, and no other.
 func TestRecordCheckFindsViolations(t *testing.T) {
 	target := func(at time.Duration) arrival {
 		return arrival{at: at, request: "t" + at.String(), server: "ledger-server-10", service: ledgerService, version: targetVersion, caller: "front-1", executed: true}
@@ -311,19 +313,19 @@
 			_, violations := r.check()
 			for _, violation := range violations {
 				if violation.Invariant != test.want {
-					t.Errorf("found %s", violation)
+					t.Errorf("unexpected violation: %s", violation)
 				}
 			}
 			if test.want != "" && len(violations) == 0 {
-				t.Error("nothing is found")
+				t.Error("violation was not detected")
 			}
 		})
 	}
 }
 
-// Eleven requests ended the servers of a slow version one after the other; those that came in their
-// place answered as fast as any, and so the version was put in force: 161 of 516 requests went
-// to it. A version that is bad is so on every server that runs it.
+// Replacements of servers of a defective version must have its defect. After eleven requests had
+// crashed the servers of a slow version one after the other, their replacements were fast, so the
+// version was completed and got 161 of 516 requests.
 func TestReplacedServersKeepDefect(t *testing.T) {
 	f := &fleet{
 		layout: DefaultLayout(), store: standin.NewStore(), servers: make(map[string]*server),
@@ -341,11 +343,11 @@
 	for _, s := range f.allServers() {
 		s.Set(func() {
 			if s.Defect.Slow == 0 {
-				t.Errorf("%s of %s is not slow", s.ID, s.Version)
+				t.Errorf("server %s of version %s does not have the defect", s.ID, s.Version)
 			}
 		})
 	}
 	if len(f.allServers()) != 2 {
-		t.Errorf("%d servers", len(f.allServers()))
+		t.Errorf("got %d servers, want 2", len(f.allServers()))
 	}
 }
--- a/lab/soak/watch.go
+++ b/lab/soak/watch.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// pauseCheckInterval is the time between two looks at the clock, and maxPause the least time
-	// that the soak's own process may have stood still for its judgement to be in doubt:
-	// everything is then taken for frozen so long.
+	// pauseCheckInterval is the time between two reads of the clock. After a pause of the soak's
+	// own process of more than maxPause its observations are in doubt, so all nodes are recorded as
+	// frozen for that time.
 	pauseCheckInterval = 20 * time.Millisecond
 	maxPause           = 250 * time.Millisecond
 )
@@ -35,7 +35,7 @@
 	}
 }
 
-// waitUntil waits for a time of the soak.
+// waitUntil waits until the given time since the start of the soak.
 func waitUntil(ctx context.Context, recorder *history.Recorder, until time.Duration) error {
 	return clock.Sleep(ctx, until-recorder.Now())
 }
@@ -58,23 +58,24 @@
 	return errors.Join(l.errors...)
 }
 
-// resources are the most that a process of the fleet holds.
+// resources are resources that a process holds: open file descriptors and resident memory.
 type resources struct {
 	openFiles, memoryKB int
 }
 
 const (
-	// maxExtraOpenFiles and maxExtraMemoryKB are what a process may hold beyond what the first
-	// ones held before the first fault, once nothing is asked of it.
+	// maxExtraOpenFiles and maxExtraMemoryKB are the maximum increases over the resources that the
+	// first processes held before the first fault, measured when the nodes are idle.
 	maxExtraOpenFiles = 150
 	maxExtraMemoryKB  = 60_000
-	// checkedResources are those that are compared.
+	// checkedResources is the number of resources that are compared.
 	checkedResources = 2
-	// idleTime is the time after the load until then: idle connections close.
+	// idleTime is the time between the end of the load and the measurement, in which idle
+	// connections close.
 	idleTime = 2 * time.Second
 )
 
-// measureResources notes the most that a process holds now.
+// measureResources raises maximum to the greatest resources that any process holds now.
 func (f *fleet) measureResources(maximum *resources) {
 	for _, n := range f.allNodes() {
 		p := n.current()
@@ -83,14 +84,14 @@
 		}
 		held, err := processResources(p.command.Process.Pid)
 		if err != nil {
-			continue // it has just ended
+			continue // the process has just exited
 		}
 		maximum.openFiles = max(maximum.openFiles, held.openFiles)
 		maximum.memoryKB = max(maximum.memoryKB, held.memoryKB)
 	}
 }
 
-// processResources reads what a process holds.
+// processResources reads the resources that a process holds from /proc.
 func processResources(pid int) (held resources, err error) {
 	openFiles, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
@@ -109,7 +110,8 @@
 	return held, err
 }
 
-// checkResources compares what processes hold once the load has ended with what they held.
+// checkResources compares the resources that processes hold after the load has ended with those
+// before the first fault.
 func (f *fleet) checkResources() {
 	time.Sleep(idleTime)
 	var after resources
