--- a/lab/simulation/bugs_test.go
+++ b/lab/simulation/bugs_test.go
@@ -36,21 +36,21 @@
 
 func bugs() []bug {
 	return []bug{
-		{"snapshot-echo-unchecked", history.OneSnapshot, Hooks{Server: rewriteReplies(echoSnapshot), Fault: otherSnapshots}, []schedule.Kind{schedule.CrossedReplies}},
+		{"snapshot-echo-unchecked", history.OneSnapshot, Hooks{Server: rewriteReplies(echoSnapshot), Fault: useWrongSnapshots}, []schedule.Kind{schedule.CrossedReplies}},
 		{"coverage-inflated", history.TrueCoverage, Hooks{Caller: rewriteAnswers(inflateCoverage)}, []schedule.Kind{schedule.FreezeServer, schedule.SlowGroup}},
 		{"coverage-deflated", history.TrueCoverage, Hooks{Caller: rewriteAnswers(deflateCoverage)}, nil},
 		{"attempt-echo-unchecked", history.OwnAnswer, Hooks{Server: rewriteReplies(echoAttempt)}, []schedule.Kind{schedule.CrossedReplies}},
 		{"unknown-told-as-not-run", history.NotRun, Hooks{Caller: rewriteProblems(claimNotRun)}, []schedule.Kind{schedule.CloseAfterRead}},
 		{"silent-resend", history.AtMostOnce, Hooks{Server: deliverTwice}, nil},
-		{"drain-ignored", history.LeavingServer, Hooks{Fault: leaveInSilence}, []schedule.Kind{schedule.Drain}},
-		{"stop-cuts", history.PlannedStop, Hooks{Stop: stopAtOnce}, []schedule.Kind{schedule.PlannedStop}},
-		{"configuration-not-spread", history.Configuration, Hooks{Fault: partForGood}, []schedule.Kind{schedule.Partition}},
+		{"drain-ignored", history.LeavingServer, Hooks{Fault: leaveUnannounced}, []schedule.Kind{schedule.Drain}},
+		{"stop-cuts", history.PlannedStop, Hooks{Stop: stopImmediately}, []schedule.Kind{schedule.PlannedStop}},
+		{"configuration-not-spread", history.Configuration, Hooks{Fault: partitionPermanently}, []schedule.Kind{schedule.Partition}},
 		{"late-answers", history.OneFinalAnswer, Hooks{Caller: delayAnswers}, nil},
-		{"group-never-back", history.Recovery, Hooks{Fault: loseGroupForGood}, []schedule.Kind{schedule.LoseServer}},
+		{"group-never-back", history.Recovery, Hooks{Fault: loseGroupPermanently}, []schedule.Kind{schedule.LoseServer}},
 	}
 }
 
-func bugNamed(name string) (bug, error) {
+func findBug(name string) (bug, error) {
 	if name == "" {
 		return bug{}, nil
 	}
@@ -68,7 +68,7 @@
 func (b bug) schedule() []schedule.Fault {
 	faults := []schedule.Fault{}
 	for _, kind := range b.kinds {
-		for _, target := range targetsOf(kind) {
+		for _, target := range faultTargets(kind) {
 			faults = append(faults, schedule.Fault{
 				Kind: kind, Target: target, Peer: serverIP(0), Delay: 900 * time.Millisecond,
 				At: 2 * time.Second, Until: 8 * time.Second,
@@ -78,15 +78,15 @@
 	return faults
 }
 
-// tableFaults replaces the seeds' own schedules unless -seeds asks for those.
-func (b bug) tableFaults() []schedule.Fault {
+// faultsOverride replaces the seeds' own schedules unless -seeds asks for those.
+func (b bug) faultsOverride() []schedule.Fault {
 	if b.name == "" || *seedCount > 0 {
 		return nil
 	}
 	return b.schedule()
 }
 
-func targetsOf(kind schedule.Kind) []string {
+func faultTargets(kind schedule.Kind) []string {
 	switch kind {
 	case schedule.PlannedStop, schedule.Partition:
 		return []string{nodeIP(0)}
@@ -108,7 +108,7 @@
 			t.Parallel()
 			for seed := range uint64(bugSeeds) {
 				result := runSeed(t, Options{Seed: seed, Hooks: one.hooks, Faults: one.schedule()})
-				if caught(t, result, one.invariant) {
+				if hasViolation(t, result, one.invariant) {
 					return
 				}
 			}
@@ -117,8 +117,8 @@
 	}
 }
 
-// caught reports whether a violation of the invariant was found.
-func caught(t *testing.T, result Result, invariant history.Invariant) bool {
+// hasViolation reports whether a violation of the invariant was found.
+func hasViolation(t *testing.T, result Result, invariant history.Invariant) bool {
 	t.Helper()
 	for _, violation := range result.Report.Violations {
 		if violation.Invariant == invariant {
@@ -162,13 +162,13 @@
 	}
 }
 
-// otherSnapshots makes a server run on another snapshot than the one asked,
+// useWrongSnapshots makes a server run on another snapshot than the one asked,
 // and nothing else, so that nodes have no other reason to avoid it.
-func otherSnapshots(s *System, fault schedule.Fault) bool {
+func useWrongSnapshots(s *System, fault schedule.Fault) bool {
 	if fault.Kind != schedule.CrossedReplies {
 		return false
 	}
-	s.serverAt(fault.Target).faults.change(func(f *emulator.ServerFaults) { f.WrongSnapshotShare = often })
+	s.serverAt(fault.Target).faults.update(func(f *emulator.ServerFaults) { f.WrongSnapshotShare = frequentShare })
 	return true
 }
 
@@ -267,61 +267,61 @@
 	})
 }
 
-// leaveInSilence makes a server leave without any node being told.
-func leaveInSilence(s *System, fault schedule.Fault) bool {
+// leaveUnannounced makes a server leave without any node being told.
+func leaveUnannounced(s *System, fault schedule.Fault) bool {
 	if fault.Kind != schedule.Drain {
 		return false
 	}
-	one := s.serverAt(fault.Target)
-	one.mutex.Lock()
-	one.leavingSince = s.recorder.Now()
-	one.mutex.Unlock()
+	srv := s.serverAt(fault.Target)
+	srv.mutex.Lock()
+	srv.leavingSince = s.recorder.Now()
+	srv.mutex.Unlock()
 	s.sleepUntil(fault.Until)
-	one.endLeaving()
+	srv.endLeaving()
 	return true
 }
 
-// stopAtOnce stops a node without letting it finish.
-func stopAtOnce(s *System, name string) {
-	for _, one := range s.nodes {
-		if one.name != name {
+// stopImmediately stops a node without letting it finish.
+func stopImmediately(s *System, name string) {
+	for _, host := range s.nodes {
+		if host.name != name {
 			continue
 		}
-		cancel, _, _ := one.take()
+		cancel, _, _ := host.claimShutdown()
 		now := s.recorder.Now()
-		one.editRun(func(run *history.NodeRun) { run.StopRequestedAt, run.End = now, now })
-		s.network.Kill(one.ip, network.KillReset)
+		host.updateLatestRun(func(run *history.NodeRun) { run.StopRequestedAt, run.End = now, now })
+		s.network.Kill(host.ip, network.KillReset)
 		cancel()
 	}
 }
 
-// partForGood cuts a node off from the store and all its peers, for good and
+// partitionPermanently cuts a node off from the store and all its peers, for good and
 // without a record of it.
-func partForGood(s *System, fault schedule.Fault) bool {
-	one := s.nodeAt(fault.Target)
-	if fault.Kind != schedule.Partition || one == nil {
+func partitionPermanently(s *System, fault schedule.Fault) bool {
+	host := s.nodeAt(fault.Target)
+	if fault.Kind != schedule.Partition || host == nil {
 		return false
 	}
 	others := []string{storeIP}
 	for _, other := range s.nodes {
-		if other != one {
+		if other != host {
 			others = append(others, other.ip)
 		}
 	}
 	for _, other := range others {
-		s.network.Cut(one.ip, other)
-		s.network.Cut(other, one.ip)
+		s.network.Cut(host.ip, other)
+		s.network.Cut(other, host.ip)
 	}
 	return true
 }
 
-// loseGroupForGood loses all replicas of a group, which never come back.
-func loseGroupForGood(s *System, fault schedule.Fault) bool {
+// loseGroupPermanently loses all replicas of a group, which never come back.
+func loseGroupPermanently(s *System, fault schedule.Fault) bool {
 	if fault.Kind != schedule.LoseServer {
 		return false
 	}
-	for _, one := range s.groupOf(s.serverAt(fault.Target)) {
-		one.kill(network.KillVanish)
+	for _, srv := range s.groupOf(s.serverAt(fault.Target)) {
+		srv.kill(network.KillVanish)
 	}
 	return true
 }
--- a/lab/simulation/caller.go
+++ b/lab/simulation/caller.go
@@ -16,25 +16,25 @@
 
 // Pace and mix of the callers' requests.
 const (
-	busyInterval  = 30 * time.Millisecond
-	quietInterval = 500 * time.Millisecond
-	probeInterval = 100 * time.Millisecond
-	// callerPatience is how long beyond its deadline a caller waits.
-	callerPatience = 3 * time.Second
+	busyInterval     = 30 * time.Millisecond
+	recoveryInterval = 500 * time.Millisecond
+	probeInterval    = 100 * time.Millisecond
+	// callerGracePeriod is how long beyond its deadline a caller waits.
+	callerGracePeriod = 3 * time.Second
 	// Shares of requests.
-	noticeShare    = 0.25
-	onceShare      = 0.15
-	urgentShare    = 0.4
-	abandonShare   = 0.05
-	duplicateShare = 0.3
-	// duplicateDelay bounds the time after which a request is sent again.
-	duplicateDelay = 100 * time.Millisecond
+	noticeShare        = 0.25
+	nonRepeatableShare = 0.15
+	urgentShare        = 0.4
+	abandonShare       = 0.05
+	duplicateShare     = 0.3
+	// maxDuplicateDelay bounds the time after which a request is sent again.
+	maxDuplicateDelay = 100 * time.Millisecond
 	// retryShare is the share of requests whose callers send them again when
-	// they can't know the outcome, and retryDelay bounds the time until then.
-	retryShare = 0.7
-	retryDelay = 2 * time.Second
-	// maximumAnswerBytes bounds what is read of an answer.
-	maximumAnswerBytes = 4 << 20
+	// they can't know the outcome, and maxRetryDelay bounds the time until then.
+	retryShare    = 0.7
+	maxRetryDelay = 2 * time.Second
+	// maxAnswerBytes bounds what is read of an answer.
+	maxAnswerBytes = 4 << 20
 )
 
 // callerHost is a caller beside its node.
@@ -44,13 +44,13 @@
 	client *http.Client
 	base   *http.Transport
 
-	// mutex guards random, sent and deadlines.
+	// mutex guards random, sentCount and deadlines.
 	mutex     sync.Mutex
 	random    *rand.Rand
-	sent      int
+	sentCount int
 	deadlines map[string]time.Duration
-	// calls counts the calls under way.
-	calls sync.WaitGroup
+	// inFlight counts the calls under way.
+	inFlight sync.WaitGroup
 }
 
 func newCallerHost(s *System, index int, host *nodeHost) (*callerHost, error) {
@@ -76,21 +76,21 @@
 // run sends requests: many while faults may happen, few while the system
 // recovers, and again more to see that it has.
 func (c *callerHost) run(ctx context.Context, faultsEnd, end time.Duration) {
-	whole := faultsEnd + c.system.options.Checker.RecoveryBound
+	recoveryEnd := faultsEnd + c.system.options.Checker.RecoveryBound
 	for ctx.Err() == nil {
 		now := c.system.recorder.Now()
 		interval := busyInterval
 		switch {
 		case now >= end:
-			c.calls.Wait()
+			c.inFlight.Wait()
 			return
-		case now >= whole:
+		case now >= recoveryEnd:
 			interval = probeInterval
 		case now >= faultsEnd:
-			interval = quietInterval
+			interval = recoveryInterval
 		}
-		planned := c.draw(now >= whole)
-		c.calls.Go(func() { c.send(ctx, planned) })
+		next := c.nextRequest(now >= recoveryEnd)
+		c.inFlight.Go(func() { c.send(ctx, next) })
 		time.Sleep(c.jitter(interval))
 	}
 }
@@ -98,8 +98,8 @@
 // burst sends a number of requests at once.
 func (c *callerHost) burst(count int) {
 	for range count {
-		next := c.draw(false)
-		c.calls.Go(func() { c.send(context.Background(), next) })
+		next := c.nextRequest(false)
+		c.inFlight.Go(func() { c.send(context.Background(), next) })
 	}
 }
 
@@ -109,28 +109,28 @@
 	return mean/2 + time.Duration(c.random.Int64N(int64(mean)))
 }
 
-// planned is a request that the caller is about to send.
-type planned struct {
+// plannedRequest is a request that the caller is about to send.
+type plannedRequest struct {
 	call history.Call
 	// abandonAfter ends the call early; zero means never.
 	abandonAfter time.Duration
-	// againAfter sends it once more; zero means never.
-	againAfter time.Duration
-	// retryAfter sends it once more, to retryAt, if its outcome is open; zero
+	// duplicateAfter sends it once more; zero means never.
+	duplicateAfter time.Duration
+	// retryAfter sends it once more, to retryNode, if its outcome is open; zero
 	// means never.
 	retryAfter time.Duration
-	retryAt    *nodeHost
-	// againDeadline is the time that the caller waits then.
-	againDeadline time.Duration
+	retryNode  *nodeHost
+	// resendDeadline is the time that the caller waits then.
+	resendDeadline time.Duration
 }
 
-// draw picks the next request; probes are plain searches.
-func (c *callerHost) draw(probe bool) planned {
+// nextRequest picks the next request; probes are plain searches.
+func (c *callerHost) nextRequest(probe bool) plannedRequest {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.sent++
-	next := planned{call: history.Call{
-		RequestID: fmt.Sprintf("%s-%d", c.node.name, c.sent), Node: c.node.name,
+	c.sentCount++
+	next := plannedRequest{call: history.Call{
+		RequestID: fmt.Sprintf("%s-%d", c.node.name, c.sentCount), Node: c.node.name,
 		Service: searchService, Class: bulkClass, Repeatable: true, Deadline: time.Second,
 	}}
 	if probe {
@@ -144,7 +144,7 @@
 	if c.random.Float64() < noticeShare {
 		call.Service = noticeService
 		call.Repeatable = false
-	} else if c.random.Float64() < onceShare {
+	} else if c.random.Float64() < nonRepeatableShare {
 		call.Repeatable = false
 	}
 	call.MinimumCoverage = []float64{0, 0.5, 1}[c.random.IntN(3)]
@@ -152,69 +152,69 @@
 		call.Abandoned = true
 		next.abandonAfter = time.Duration(1+c.random.IntN(50)) * time.Millisecond
 	}
-	next.againDeadline = call.Deadline/4 + time.Duration(c.random.Int64N(int64(call.Deadline)*3/4))
+	next.resendDeadline = call.Deadline/4 + time.Duration(c.random.Int64N(int64(call.Deadline)*3/4))
 	if !call.Repeatable && c.random.Float64() < duplicateShare {
-		next.againAfter = time.Duration(1 + c.random.Int64N(int64(duplicateDelay)))
+		next.duplicateAfter = time.Duration(1 + c.random.Int64N(int64(maxDuplicateDelay)))
 	}
 	if !call.Repeatable && c.random.Float64() < retryShare {
-		next.retryAfter = time.Duration(1 + c.random.Int64N(int64(retryDelay)))
-		next.retryAt = c.system.nodes[c.random.IntN(len(c.system.nodes))]
+		next.retryAfter = time.Duration(1 + c.random.Int64N(int64(maxRetryDelay)))
+		next.retryNode = c.system.nodes[c.random.IntN(len(c.system.nodes))]
 	}
 	return next
 }
 
 // send sends a request, and again if that is planned: while the first sending
 // may be under way, or after an end that leaves its outcome open.
-func (c *callerHost) send(ctx context.Context, next planned) {
+func (c *callerHost) send(ctx context.Context, next plannedRequest) {
 	var first sync.WaitGroup
 	var answer history.Answer
 	first.Go(func() { answer = c.call(ctx, next, c.node) })
-	if next.againAfter > 0 {
-		time.Sleep(next.againAfter)
-		c.call(ctx, next.again(), c.node)
+	if next.duplicateAfter > 0 {
+		time.Sleep(next.duplicateAfter)
+		c.call(ctx, next.resend(), c.node)
 	}
 	first.Wait()
-	if next.retryAfter > 0 && leavesOpen(answer) {
+	if next.retryAfter > 0 && isOutcomeUnknown(answer) {
 		time.Sleep(next.retryAfter)
-		c.call(ctx, next.again(), next.retryAt)
+		c.call(ctx, next.resend(), next.retryNode)
 	}
 }
 
-// again is the same request, sent by a caller who waits for less time.
-func (p planned) again() planned {
+// resend is the same request, sent by a caller who waits for less time.
+func (p plannedRequest) resend() plannedRequest {
 	p.call.Abandoned, p.abandonAfter = false, 0
-	p.call.Deadline = p.againDeadline
+	p.call.Deadline = p.resendDeadline
 	return p
 }
 
-// leavesOpen reports whether the caller can't know if its request ran.
-func leavesOpen(answer history.Answer) bool {
+// isOutcomeUnknown reports whether the caller can't know if its request ran.
+func isOutcomeUnknown(answer history.Answer) bool {
 	return answer.Kind != history.AnswerResult && answer.Execution != history.ExecutionNotRun
 }
 
 // call sends a request to a node once and records how it ended.
-func (c *callerHost) call(ctx context.Context, next planned, host *nodeHost) history.Answer {
-	c.rememberDeadline(next.call)
+func (c *callerHost) call(ctx context.Context, next plannedRequest, host *nodeHost) history.Answer {
+	c.recordDeadline(next.call)
 	next.call.Node = host.name
 	next.call.ID = c.system.recorder.Call(next.call)
-	patience := next.call.Deadline + callerPatience
+	timeout := next.call.Deadline + callerGracePeriod
 	if next.abandonAfter > 0 {
-		patience = next.abandonAfter
+		timeout = next.abandonAfter
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	answer := c.exchange(ctx, next.call, host)
+	answer := c.sendQuery(ctx, next.call, host)
 	answer.Call = next.call.ID
 	c.system.recorder.Answer(answer)
 	return answer
 }
 
-// rememberDeadline keeps when a request is due, for telling when its
+// recordDeadline keeps when a request is due, for telling when its
 // sub-requests were sent.
-func (c *callerHost) rememberDeadline(call history.Call) {
+func (c *callerHost) recordDeadline(call history.Call) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if _, again := c.deadlines[call.RequestID]; !again {
+	if _, known := c.deadlines[call.RequestID]; !known {
 		c.deadlines[call.RequestID] = c.system.recorder.Now() + call.Deadline
 	}
 }
@@ -236,8 +236,8 @@
 	Body            json.RawMessage `json:"body"`
 }
 
-// exchange asks the node over HTTP.
-func (c *callerHost) exchange(ctx context.Context, call history.Call, host *nodeHost) history.Answer {
+// sendQuery asks the node over HTTP.
+func (c *callerHost) sendQuery(ctx context.Context, call history.Call, host *nodeHost) history.Answer {
 	document, err := json.Marshal(queryDocument{
 		RequestID: call.RequestID, Class: call.Class,
 		DeadlineMillis:  float64(call.Deadline) / float64(time.Millisecond),
@@ -258,7 +258,7 @@
 		return history.AnswerFromError(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maximumAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return history.AnswerFromError(err)
 	}
--- a/lab/simulation/faults.go
+++ b/lab/simulation/faults.go
@@ -16,19 +16,19 @@
 
 // Sizes of faults.
 const (
-	coldFactor        = 50
-	lowConnections    = 1
-	often             = 0.5
-	sometimes         = 0.25
-	lyingLoadFactor   = 20
-	loadLag           = 2000
-	machineListLag    = 5000
-	lostReplies       = 2
-	staleRevisions    = 2
-	lowStoreRate      = 1
-	repartitionShift  = 3 * itemStride
-	newSnapshot       = 2
-	operatorsPatience = 20 * time.Second
+	coldStartFactor        = 50
+	reducedConnectionLimit = 1
+	frequentShare          = 0.5
+	occasionalShare        = 0.25
+	falseLoadFactor        = 20
+	falseLoadLagMillis     = 2000
+	machineListLagMillis   = 5000
+	lostReplyCount         = 2
+	staleRevisionCount     = 2
+	reducedStoreCallRate   = 1
+	repartitionShift       = 3 * itemStride
+	newSnapshot            = 2
+	changeTimeout          = 20 * time.Second
 	// stopBurst is sent to a node shortly before its planned stop, so that
 	// requests are in flight then.
 	stopBurst     = 8
@@ -62,15 +62,15 @@
 	case schedule.Overload:
 		s.overload(fault)
 	default:
-		s.injectServerSwitch(fault)
+		s.injectServerFaults(fault)
 	}
 }
 
 // nodeAt finds a node by its host; nil if there is none.
 func (s *System) nodeAt(ip string) *nodeHost {
-	for _, one := range s.nodes {
-		if one.ip == ip {
-			return one
+	for _, host := range s.nodes {
+		if host.ip == ip {
+			return host
 		}
 	}
 	return nil
@@ -78,76 +78,76 @@
 
 // serverAt finds a server by its host; nil if there is none.
 func (s *System) serverAt(ip string) *server {
-	for _, one := range s.servers {
-		if one.ip == ip {
-			return one
+	for _, srv := range s.servers {
+		if srv.ip == ip {
+			return srv
 		}
 	}
 	return nil
 }
 
 func (s *System) injectNode(fault schedule.Fault) {
-	one := s.nodeAt(fault.Target)
+	host := s.nodeAt(fault.Target)
 	switch fault.Kind {
 	case schedule.KillNode:
-		s.restartNode(one, network.KillReset, fault.Until)
+		s.restartNode(host, network.KillReset, fault.Until)
 	case schedule.LoseNode:
-		s.restartNode(one, network.KillVanish, fault.Until)
+		s.restartNode(host, network.KillVanish, fault.Until)
 	case schedule.RestartNodes:
 		var restarts sync.WaitGroup
-		for _, one := range s.nodes {
-			restarts.Go(func() { s.restartNode(one, network.KillReset, fault.Until) })
+		for _, host := range s.nodes {
+			restarts.Go(func() { s.restartNode(host, network.KillReset, fault.Until) })
 		}
 		restarts.Wait()
 	case schedule.PlannedStop:
-		s.stopNode(one, fault.Until)
+		s.stopNode(host, fault.Until)
 	case schedule.Isolate:
-		s.disturb(history.Isolated, one.name, fault.At, fault.Until)
-		s.isolate(one, s.network.Cut)
+		s.recordDisturbance(history.Isolated, host.name, fault.At, fault.Until)
+		s.isolate(host, s.network.Cut)
 		s.sleepUntil(fault.Until)
-		s.isolate(one, s.network.Heal)
+		s.isolate(host, s.network.Heal)
 	default:
-		s.disturb(history.Frozen, one.name, fault.At, fault.Until)
-		s.network.Freeze(one.ip)
+		s.recordDisturbance(history.Frozen, host.name, fault.At, fault.Until)
+		s.network.Freeze(host.ip)
 		s.sleepUntil(fault.Until)
-		s.network.Thaw(one.ip)
+		s.network.Thaw(host.ip)
 	}
 }
 
 // restartNode kills a node's process, if one runs, and starts a new one.
-func (s *System) restartNode(one *nodeHost, mode network.KillMode, at time.Duration) {
-	if !one.kill(mode) {
+func (s *System) restartNode(host *nodeHost, mode network.KillMode, at time.Duration) {
+	if !host.kill(mode) {
 		return
 	}
 	s.sleepUntil(at)
 	for _, caller := range s.callers {
 		// A call on a connection of the former process would not reach the new one.
-		s.network.ResetConnections(callerIP(caller.node.index), one.ip)
+		s.network.ResetConnections(callerIP(caller.node.index), host.ip)
 	}
-	_ = one.start()
+	_ = host.start()
 }
 
 // stopNode stops a node as planned, with requests in flight, and starts it anew.
-func (s *System) stopNode(one *nodeHost, at time.Duration) {
-	s.callers[one.index].burst(stopBurst)
+func (s *System) stopNode(host *nodeHost, at time.Duration) {
+	s.callers[host.index].burst(stopBurst)
 	time.Sleep(stopBurstLead)
 	stopped := true
 	if hook := s.options.Hooks.Stop; hook != nil {
-		hook(s, one.name)
+		hook(s, host.name)
 	} else {
-		stopped = one.stop()
+		stopped = host.stop()
 	}
 	if stopped {
 		s.sleepUntil(max(at, s.recorder.Now()))
-		_ = one.start()
+		_ = host.start()
 	}
 }
 
 // isolate cuts or heals all links of a node but the one to its caller.
-func (s *System) isolate(one *nodeHost, change func(from, to string)) {
+func (s *System) isolate(host *nodeHost, change func(from, to string)) {
 	others := []string{storeIP, machineListIP, operatorIP}
 	for _, other := range s.nodes {
-		if other != one {
+		if other != host {
 			others = append(others, other.ip)
 		}
 	}
@@ -155,16 +155,16 @@
 		others = append(others, other.ip)
 	}
 	for _, other := range others {
-		change(one.ip, other)
-		change(other, one.ip)
+		change(host.ip, other)
+		change(other, host.ip)
 	}
 }
 
 // overload has every caller send bursts until the fault's end.
 func (s *System) overload(fault schedule.Fault) {
 	for s.recorder.Now() < fault.Until {
-		for _, one := range s.callers {
-			one.burst(overloadBurst)
+		for _, caller := range s.callers {
+			caller.burst(overloadBurst)
 		}
 		time.Sleep(overloadPause)
 	}
@@ -195,14 +195,14 @@
 
 func (s *System) injectPlatform(fault schedule.Fault) {
 	storeFault := func(on, off func(*store.MemoryFaults)) {
-		s.platform.storeFaults.change(on)
+		s.platform.storeFaults.update(on)
 		s.sleepUntil(fault.Until)
-		s.platform.storeFaults.change(off)
+		s.platform.storeFaults.update(off)
 	}
 	listFault := func(on, off func(*emulator.MachineListFaults)) {
-		s.platform.machineFault.change(on)
+		s.platform.machineListFaults.update(on)
 		s.sleepUntil(fault.Until)
-		s.platform.machineFault.change(off)
+		s.platform.machineListFaults.update(off)
 	}
 	switch fault.Kind {
 	case schedule.StoreOutage:
@@ -211,12 +211,12 @@
 		storeFault(func(f *store.MemoryFaults) { f.DelayMilliseconds = milliseconds(fault.Delay) },
 			func(f *store.MemoryFaults) { f.DelayMilliseconds = 0 })
 	case schedule.StoreLostReply:
-		storeFault(func(f *store.MemoryFaults) { f.LoseReplies = lostReplies }, func(f *store.MemoryFaults) { f.LoseReplies = 0 })
+		storeFault(func(f *store.MemoryFaults) { f.LoseReplies = lostReplyCount }, func(f *store.MemoryFaults) { f.LoseReplies = 0 })
 	case schedule.StoreStale:
-		storeFault(func(f *store.MemoryFaults) { f.StaleRevisions = staleRevisions },
+		storeFault(func(f *store.MemoryFaults) { f.StaleRevisions = staleRevisionCount },
 			func(f *store.MemoryFaults) { f.StaleRevisions = 0 })
 	case schedule.StoreLimit:
-		storeFault(func(f *store.MemoryFaults) { f.CallsPerSecond = lowStoreRate },
+		storeFault(func(f *store.MemoryFaults) { f.CallsPerSecond = reducedStoreCallRate },
 			func(f *store.MemoryFaults) { f.CallsPerSecond = 0 })
 	case schedule.StoreFreeze:
 		s.network.Freeze(storeIP)
@@ -225,7 +225,7 @@
 	case schedule.MachineListOutage:
 		listFault(func(f *emulator.MachineListFaults) { f.Down = true }, func(f *emulator.MachineListFaults) { f.Down = false })
 	case schedule.MachineListLag:
-		listFault(func(f *emulator.MachineListFaults) { f.LagMilliseconds = machineListLag },
+		listFault(func(f *emulator.MachineListFaults) { f.LagMilliseconds = machineListLagMillis },
 			func(f *emulator.MachineListFaults) { f.LagMilliseconds = 0 })
 	case schedule.MachineListEmpty:
 		listFault(func(f *emulator.MachineListFaults) { f.Empty = true }, func(f *emulator.MachineListFaults) { f.Empty = false })
@@ -234,7 +234,7 @@
 
 // injectChange carries out what is no fault by itself, but a change in flight.
 func (s *System) injectChange(fault schedule.Fault) {
-	ctx, cancel := context.WithTimeout(context.Background(), operatorsPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 	defer cancel()
 	switch fault.Kind {
 	case schedule.OperatorRace:
@@ -263,7 +263,7 @@
 func (s *System) setRanges(rangeOf func(group int) coverage.Range) {
 	for group, members := range s.layout.searchGroups() {
 		for _, index := range members {
-			s.servers[index].faults.change(func(f *emulator.ServerFaults) { f.Ranges = []coverage.Range{rangeOf(group)} })
+			s.servers[index].faults.update(func(f *emulator.ServerFaults) { f.Ranges = []coverage.Range{rangeOf(group)} })
 		}
 	}
 }
@@ -274,84 +274,84 @@
 	count := time.Duration(len(s.servers))
 	step := (fault.Until - fault.At) / (2 * count)
 	for _, snapshots := range [][]uint64{{1, newSnapshot}, {newSnapshot}} {
-		for _, one := range s.servers {
-			one.faults.change(func(f *emulator.ServerFaults) { f.Snapshots = snapshots })
+		for _, srv := range s.servers {
+			srv.faults.update(func(f *emulator.ServerFaults) { f.Snapshots = snapshots })
 			time.Sleep(step)
 		}
 	}
 }
 
 func (s *System) injectServerProcess(fault schedule.Fault) {
-	one := s.serverAt(fault.Target)
+	srv := s.serverAt(fault.Target)
 	switch fault.Kind {
 	case schedule.FreezeServer:
-		s.network.Freeze(one.ip)
+		s.network.Freeze(srv.ip)
 		s.sleepUntil(fault.Until)
-		s.network.Thaw(one.ip)
+		s.network.Thaw(srv.ip)
 	case schedule.FreezeGroup:
-		for _, member := range s.groupOf(one) {
+		for _, member := range s.groupOf(srv) {
 			s.network.Freeze(member.ip)
 		}
 		s.sleepUntil(fault.Until)
-		for _, member := range s.groupOf(one) {
+		for _, member := range s.groupOf(srv) {
 			s.network.Thaw(member.ip)
 		}
 	case schedule.KillServer:
-		one.restart(network.KillReset, fault.Until, serverStart{})
+		srv.restart(network.KillReset, fault.Until, startOptions{})
 	case schedule.LoseServer:
-		one.restart(network.KillVanish, fault.Until, serverStart{})
+		srv.restart(network.KillVanish, fault.Until, startOptions{})
 	case schedule.ColdStart:
-		one.restart(network.KillReset, s.recorder.Now(), serverStart{coldStart: fault.Until - fault.At})
+		srv.restart(network.KillReset, s.recorder.Now(), startOptions{coldStart: fault.Until - fault.At})
 	case schedule.ConnectionLimit:
-		one.restart(network.KillReset, s.recorder.Now(), serverStart{connections: lowConnections})
+		srv.restart(network.KillReset, s.recorder.Now(), startOptions{connections: reducedConnectionLimit})
 		s.sleepUntil(fault.Until)
-		one.restart(network.KillReset, s.recorder.Now(), serverStart{})
+		srv.restart(network.KillReset, s.recorder.Now(), startOptions{})
 	case schedule.Drain:
-		s.drain(one, fault)
+		s.drain(srv, fault)
 	}
 }
 
 // restart kills the server's process and starts a new one at the given time.
-func (one *server) restart(mode network.KillMode, at time.Duration, how serverStart) {
-	one.kill(mode)
-	one.system.sleepUntil(max(at, one.system.recorder.Now()))
-	_ = one.start(how)
+func (srv *server) restart(mode network.KillMode, at time.Duration, opts startOptions) {
+	srv.kill(mode)
+	srv.system.sleepUntil(max(at, srv.system.recorder.Now()))
+	_ = srv.start(opts)
 }
 
 // drain makes a server leave and come back as a new process. By turns the server
 // and the machine list tell, the server alone, or the list alone; the list tells
 // alone only where no other fault hides it.
-func (s *System) drain(one *server, fault schedule.Fault) {
+func (s *System) drain(srv *server, fault schedule.Fault) {
 	turn := s.options.Seed / uint64(len(schedule.Modes())) % 3
 	if s.schedule.Has(schedule.MachineListOutage, schedule.MachineListLag, schedule.MachineListEmpty, schedule.Isolate) {
 		turn = 0
 	}
-	one.beginLeaving(turn != 2, turn != 1)
+	srv.beginLeaving(turn != 2, turn != 1)
 	s.sleepUntil(fault.Until)
-	if one.leaves() {
-		one.restart(network.KillReset, s.recorder.Now(), serverStart{})
+	if srv.isLeaving() {
+		srv.restart(network.KillReset, s.recorder.Now(), startOptions{})
 	}
 }
 
-// injectServerSwitch turns a switch of one server, or of its group, on and off.
-func (s *System) injectServerSwitch(fault schedule.Fault) {
+// injectServerFaults turns a switch of one server, or of its group, on and off.
+func (s *System) injectServerFaults(fault schedule.Fault) {
 	servers := []*server{s.serverAt(fault.Target)}
 	if fault.Kind == schedule.SlowGroup {
 		servers = s.groupOf(servers[0])
 	}
-	for _, one := range servers {
-		one.faults.change(func(f *emulator.ServerFaults) { switchOn(f, fault) })
+	for _, srv := range servers {
+		srv.faults.update(func(f *emulator.ServerFaults) { enableServerFault(f, fault) })
 	}
 	s.sleepUntil(fault.Until)
-	for _, one := range servers {
-		one.faults.change(func(f *emulator.ServerFaults) { switchOff(f, fault.Kind) })
+	for _, srv := range servers {
+		srv.faults.update(func(f *emulator.ServerFaults) { disableServerFault(f, fault.Kind) })
 	}
 }
 
-func (s *System) groupOf(one *server) []*server {
+func (s *System) groupOf(srv *server) []*server {
 	for _, group := range s.layout.groups {
 		for _, index := range group {
-			if index != one.index {
+			if index != srv.index {
 				continue
 			}
 			var members []*server
@@ -364,26 +364,26 @@
 	return nil
 }
 
-func switchOn(f *emulator.ServerFaults, fault schedule.Fault) {
+func enableServerFault(f *emulator.ServerFaults, fault schedule.Fault) {
 	switch fault.Kind {
 	case schedule.SlowServer, schedule.SlowGroup:
 		f.StraggleFactor = float64(fault.Delay) / float64(straggleBase)
 	case schedule.LateReplies:
 		f.ReplyDelayMilliseconds = milliseconds(fault.Delay)
 	case schedule.CrossedReplies:
-		f.SwappedReplyShare, f.WrongSnapshotShare, f.TruncateShare, f.ErrorShare = often, sometimes, sometimes, sometimes
+		f.SwappedReplyShare, f.WrongSnapshotShare, f.TruncateShare, f.ErrorShare = frequentShare, occasionalShare, occasionalShare, occasionalShare
 	case schedule.CloseAfterRead:
-		f.CloseBeforeShare, f.CloseAfterShare = often, often
+		f.CloseBeforeShare, f.CloseAfterShare = frequentShare, frequentShare
 	case schedule.Shed:
-		f.ShedShare = often
+		f.ShedShare = frequentShare
 	case schedule.FalseHealth:
 		f.HealthState = backend.HealthStarting
 	case schedule.FalseLoad:
-		f.LoadFactor, f.LoadLagMilliseconds = lyingLoadFactor, loadLag
+		f.LoadFactor, f.LoadLagMilliseconds = falseLoadFactor, falseLoadLagMillis
 	}
 }
 
-func switchOff(f *emulator.ServerFaults, kind schedule.Kind) {
+func disableServerFault(f *emulator.ServerFaults, kind schedule.Kind) {
 	switch kind {
 	case schedule.SlowServer, schedule.SlowGroup:
 		f.StraggleFactor = 0
--- a/lab/simulation/node.go
+++ b/lab/simulation/node.go
@@ -19,11 +19,11 @@
 	"github.com/banksail/banksail/store"
 )
 
-// largestClockError bounds what the hosts' wall clocks are off.
-const largestClockError = time.Hour
+// maxClockError bounds what the hosts' wall clocks are off.
+const maxClockError = time.Hour
 
-// heldQueries is few enough for an overload to reach it.
-const heldQueries = 100
+// queryLimit is few enough for an overload to reach it.
+const queryLimit = 100
 
 // nodeHost is one host on which a node runs; its process may be restarted.
 type nodeHost struct {
@@ -42,33 +42,33 @@
 }
 
 func newNodeHost(s *System, index int) (*nodeHost, error) {
-	one := &nodeHost{system: s, index: index, name: nodeName(index), ip: nodeIP(index)}
-	return one, one.start()
+	host := &nodeHost{system: s, index: index, name: nodeName(index), ip: nodeIP(index)}
+	return host, host.start()
 }
 
 // start runs a new process, which knows nothing of earlier ones.
-func (one *nodeHost) start() error {
-	process, err := one.system.network.Start(one.ip)
+func (host *nodeHost) start() error {
+	process, err := host.system.network.Start(host.ip)
 	if err != nil {
 		return err
 	}
-	one.mutex.Lock()
-	defer one.mutex.Unlock()
-	daemon, err := node.New(one.options(process))
+	host.mutex.Lock()
+	defer host.mutex.Unlock()
+	daemon, err := node.New(host.options(process))
 	if err != nil {
 		return err
 	}
-	one.run++
-	one.running = true
+	host.run++
+	host.running = true
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	one.cancel, one.ended = cancel, ended
-	started := one.system.recorder.Now()
-	one.system.recorder.Update(func(h *history.History) {
-		h.Runs = append(h.Runs, history.NodeRun{Node: one.name, Start: started})
+	host.cancel, host.ended = cancel, ended
+	started := host.system.recorder.Now()
+	host.system.recorder.Update(func(h *history.History) {
+		h.Runs = append(h.Runs, history.NodeRun{Node: host.name, Start: started})
 	})
-	one.system.platform.list(machinelist.Machine{
-		ID: one.name, Address: address(one.ip, peerPort), Zone: zoneOf(one.index),
+	host.system.platform.updateMachineList(machinelist.Machine{
+		ID: host.name, Address: address(host.ip, peerPort), Zone: zoneOf(host.index),
 		Role: machinelist.RoleNode, State: machinelist.StateLive, Incarnation: time.Now().Format(time.RFC3339Nano),
 	})
 	go func() {
@@ -78,26 +78,26 @@
 	return nil
 }
 
-// scarceReadings is a budget of health readings that doesn't suffice for all
+// reducedHealthReadings is a budget of health readings that doesn't suffice for all
 // servers; every other seed has it.
-const scarceReadings = 2
+const reducedHealthReadings = 2
 
 // options are those of the daemon, over the simulated network.
-func (one *nodeHost) options(process *network.Process) node.Options {
+func (host *nodeHost) options(process *network.Process) node.Options {
 	set := settings.Default()
-	if one.system.options.Seed%2 == 1 {
-		set.Backend.HealthReadings = scarceReadings
+	if host.system.options.Seed%2 == 1 {
+		set.Backend.HealthReadings = reducedHealthReadings
 	}
-	set.Node = settings.Node{ID: one.name, Zone: zoneOf(one.index)}
+	set.Node = settings.Node{ID: host.name, Zone: zoneOf(host.index)}
 	set.Listen = settings.Listen{
-		Caller:   address(one.ip, callerPort),
-		Operator: address(one.ip, operatorPort),
-		Peer:     address(one.ip, peerPort),
+		Caller:   address(host.ip, callerPort),
+		Operator: address(host.ip, operatorPort),
+		Peer:     address(host.ip, peerPort),
 	}
-	set.Caller.Queries = heldQueries
+	set.Caller.Queries = queryLimit
 	set.Store.Address = "http://" + address(storeIP, storePort)
 	set.MachineList.Address = "http://" + address(machineListIP, machineListPort)
-	sink := &nodeLog{logs: one.system.logs, node: one.name, process: process}
+	sink := &logWriter{logs: host.system.logs, node: host.name, process: process}
 	return node.Options{
 		Settings: set,
 		Network:  process,
@@ -108,62 +108,62 @@
 			Address: address(machineListIP, machineListPort), Dial: process.DialContext, Timeout: set.MachineList.Timeout,
 		}),
 		Logger: zerolog.New(sink).Level(zerolog.InfoLevel),
-		Seed:   one.system.options.Seed*1000 + uint64(one.index*100+one.run) + 1,
+		Seed:   host.system.options.Seed*1000 + uint64(host.index*100+host.run) + 1,
 		// Wall clocks differ between machines: a later process may have one
 		// that is behind.
-		Incarnation: uint64(time.Now().Add(one.clockError()).UnixMilli()),
+		Incarnation: uint64(time.Now().Add(host.clockError()).UnixMilli()),
 	}
 }
 
 // clockError is by how much the wall clock of the host of the present run is off.
-func (one *nodeHost) clockError() time.Duration {
-	random := rand.New(rand.NewPCG(one.system.options.Seed, uint64(one.index<<16+one.run)))
-	return time.Duration(random.Int64N(int64(2*largestClockError))) - largestClockError
+func (host *nodeHost) clockError() time.Duration {
+	random := rand.New(rand.NewPCG(host.system.options.Seed, uint64(host.index<<16+host.run)))
+	return time.Duration(random.Int64N(int64(2*maxClockError))) - maxClockError
 }
 
-// take marks the process as ended by the caller, who alone may then end it.
-func (one *nodeHost) take() (cancel context.CancelFunc, ended chan struct{}, ok bool) {
-	one.mutex.Lock()
-	defer one.mutex.Unlock()
-	if !one.running {
+// claimShutdown marks the process as ended by the caller, who alone may then end it.
+func (host *nodeHost) claimShutdown() (cancel context.CancelFunc, ended chan struct{}, ok bool) {
+	host.mutex.Lock()
+	defer host.mutex.Unlock()
+	if !host.running {
 		return nil, nil, false
 	}
-	one.running = false
-	return one.cancel, one.ended, true
+	host.running = false
+	return host.cancel, host.ended, true
 }
 
 // kill ends the process without a word; it reports whether one ran.
-func (one *nodeHost) kill(mode network.KillMode) bool {
-	cancel, _, ok := one.take()
+func (host *nodeHost) kill(mode network.KillMode) bool {
+	cancel, _, ok := host.claimShutdown()
 	if !ok {
 		return false
 	}
-	one.system.network.Kill(one.ip, mode)
-	now := one.system.recorder.Now()
-	one.editRun(func(run *history.NodeRun) { run.End, run.Killed = now, true })
+	host.system.network.Kill(host.ip, mode)
+	now := host.system.recorder.Now()
+	host.updateLatestRun(func(run *history.NodeRun) { run.End, run.Killed = now, true })
 	cancel()
 	return true
 }
 
 // stop stops the process as its platform would, and waits for its end.
-func (one *nodeHost) stop() bool {
-	cancel, ended, ok := one.take()
+func (host *nodeHost) stop() bool {
+	cancel, ended, ok := host.claimShutdown()
 	if !ok {
 		return false
 	}
-	asked := one.system.recorder.Now()
-	one.editRun(func(run *history.NodeRun) { run.StopRequestedAt = asked })
+	asked := host.system.recorder.Now()
+	host.updateLatestRun(func(run *history.NodeRun) { run.StopRequestedAt = asked })
 	cancel()
 	<-ended
-	now := one.system.recorder.Now()
-	one.editRun(func(run *history.NodeRun) { run.End = now })
-	one.system.network.Kill(one.ip, network.KillReset)
+	now := host.system.recorder.Now()
+	host.updateLatestRun(func(run *history.NodeRun) { run.End = now })
+	host.system.network.Kill(host.ip, network.KillReset)
 	return true
 }
 
-// end stops the process at the end of the simulation.
-func (one *nodeHost) end() {
-	cancel, ended, ok := one.take()
+// shutDown stops the process at the end of the simulation.
+func (host *nodeHost) shutDown() {
+	cancel, ended, ok := host.claimShutdown()
 	if !ok {
 		return
 	}
@@ -171,11 +171,11 @@
 	<-ended
 }
 
-// editRun changes the record of the latest run.
-func (one *nodeHost) editRun(change func(*history.NodeRun)) {
-	one.system.recorder.Update(func(h *history.History) {
+// updateLatestRun changes the record of the latest run.
+func (host *nodeHost) updateLatestRun(change func(*history.NodeRun)) {
+	host.system.recorder.Update(func(h *history.History) {
 		for index := len(h.Runs) - 1; index >= 0; index-- {
-			if h.Runs[index].Node == one.name {
+			if h.Runs[index].Node == host.name {
 				change(&h.Runs[index])
 				return
 			}
@@ -183,51 +183,51 @@
 	})
 }
 
-// logSink learns from the nodes' logs which revision came into force when.
-type logSink struct {
+// logCollector learns from the nodes' logs which revision came into force when.
+type logCollector struct {
 	recorder *history.Recorder
 	// mutex guards lines, the latest lines of all nodes.
 	mutex sync.Mutex
 	lines []string
 }
 
-// maximumLogLines bounds the lines that are kept for failing seeds.
-const maximumLogLines = 2000
+// maxLogLines bounds the lines that are kept for failing seeds.
+const maxLogLines = 2000
 
 // inForceMessage is what a node logs when it puts a configuration in force.
 const inForceMessage = "configuration in force"
 
-func (l *logSink) keep(line string) {
+func (l *logCollector) add(line string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if len(l.lines) < maximumLogLines {
+	if len(l.lines) < maxLogLines {
 		l.lines = append(l.lines, line)
 	}
 }
 
-// all returns the lines kept.
-func (l *logSink) all() []string {
+// allLines returns the lines kept.
+func (l *logCollector) allLines() []string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.lines
 }
 
-// nodeLog takes the log of one process.
-type nodeLog struct {
-	logs    *logSink
+// logWriter takes the log of one process.
+type logWriter struct {
+	logs    *logCollector
 	node    string
 	process *network.Process
 }
 
 // Write takes one line. Lines of a dead process count no more.
-func (l *nodeLog) Write(line []byte) (int, error) {
+func (l *logWriter) Write(line []byte) (int, error) {
 	select {
 	case <-l.process.Done():
 		return len(line), nil
 	default:
 	}
 	now := l.logs.recorder.Now()
-	l.logs.keep(now.String() + " " + l.node + " " + string(bytes.TrimSpace(line)))
+	l.logs.add(now.String() + " " + l.node + " " + string(bytes.TrimSpace(line)))
 	var entry struct {
 		Message  string `json:"message"`
 		Revision uint64 `json:"revision"`
--- a/lab/simulation/norace_test.go
+++ b/lab/simulation/norace_test.go
@@ -2,6 +2,6 @@
 
 package simulation
 
-// bubblesAtOnce bounds the bubbles that run beside each other; without the race
+// maxConcurrentBubbles bounds the bubbles that run beside each other; without the race
 // detector only -parallel does.
-const bubblesAtOnce = 1024
+const maxConcurrentBubbles = 1024
--- a/lab/simulation/operators.go
+++ b/lab/simulation/operators.go
@@ -18,9 +18,9 @@
 const (
 	changeInterval  = 800 * time.Millisecond
 	operatorTimeout = 12 * time.Second
-	bootstrapPause  = 100 * time.Millisecond
-	// outcomeTries bounds how often an unknown outcome is asked for.
-	outcomeTries = 8
+	retryPause      = 100 * time.Millisecond
+	// maxAttempts bounds how often an unknown outcome is asked for.
+	maxAttempts = 8
 )
 
 // operators change the configuration through any node.
@@ -63,8 +63,8 @@
 // bootstrap makes the first configuration.
 func (o *operators) bootstrap(ctx context.Context) {
 	config := o.system.layout.config(0)
-	for range outcomeTries {
-		time.Sleep(bootstrapPause)
+	for range maxAttempts {
+		time.Sleep(retryPause)
 		if o.change(ctx, o.system.nodes[0], policy.Change{Replace: &config}) {
 			return
 		}
@@ -76,7 +76,7 @@
 	var changes sync.WaitGroup
 	defer changes.Wait()
 	for ctx.Err() == nil && o.system.recorder.Now() < until {
-		host, change := o.draw()
+		host, change := o.nextChange()
 		changes.Go(func() { o.change(ctx, host, change) })
 		time.Sleep(o.jitter())
 	}
@@ -88,8 +88,8 @@
 	return changeInterval/2 + time.Duration(o.random.Int64N(int64(changeInterval)))
 }
 
-// draw picks a node and a small change.
-func (o *operators) draw() (*nodeHost, policy.Change) {
+// nextChange picks a node and a small change.
+func (o *operators) nextChange() (*nodeHost, policy.Change) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.changes++
@@ -103,7 +103,7 @@
 func (o *operators) race(ctx context.Context, one, other *nodeHost) {
 	var planned, confirmed sync.WaitGroup
 	for _, host := range []*nodeHost{one, other} {
-		_, change := o.draw()
+		_, change := o.nextChange()
 		planned.Add(1)
 		confirmed.Go(func() {
 			plan, err := o.plan(ctx, host, change)
@@ -133,21 +133,21 @@
 // confirm confirms a plan and, when its outcome is unknown, asks for it.
 func (o *operators) confirm(ctx context.Context, host *nodeHost, plan policy.Plan) history.ConfirmationResult {
 	receipt, err := o.client(host).Confirm(ctx, plan)
-	result, revision := resultOf(receipt, err)
-	o.record(host, plan, result, revision)
-	for try := 0; result == history.ConfirmationUnknown && try < outcomeTries; try++ {
+	result, revision := confirmationResult(receipt, err)
+	o.recordConfirmation(host, plan, result, revision)
+	for try := 0; result == history.ConfirmationUnknown && try < maxAttempts; try++ {
 		time.Sleep(time.Second)
 		receipt, err := o.client(host).Outcome(ctx, plan.ID, plan.BaseRevision)
 		if err != nil {
 			continue
 		}
-		result, revision = resultOf(receipt, nil)
-		o.record(host, plan, result, revision)
+		result, revision = confirmationResult(receipt, nil)
+		o.recordConfirmation(host, plan, result, revision)
 	}
 	return result
 }
 
-func (o *operators) record(host *nodeHost, plan policy.Plan, result history.ConfirmationResult, revision policy.Revision) {
+func (o *operators) recordConfirmation(host *nodeHost, plan policy.Plan, result history.ConfirmationResult, revision policy.Revision) {
 	at := o.system.recorder.Now()
 	o.system.recorder.Update(func(h *history.History) {
 		h.Confirmations = append(h.Confirmations, history.Confirmation{
@@ -156,8 +156,8 @@
 	})
 }
 
-// resultOf reads what a node said of a plan.
-func resultOf(receipt policy.Receipt, err error) (history.ConfirmationResult, policy.Revision) {
+// confirmationResult reads what a node said of a plan.
+func confirmationResult(receipt policy.Receipt, err error) (history.ConfirmationResult, policy.Revision) {
 	var problem *operator.ProblemError
 	switch {
 	case errors.As(err, &problem) && problem.Problem.Conflict != nil:
@@ -182,11 +182,11 @@
 // repartition moves the bounds of the search's groups.
 func (o *operators) repartition(ctx context.Context, host *nodeHost, shift uint64) error {
 	service := o.system.layout.searchConfig(shift)
-	for range outcomeTries {
+	for range maxAttempts {
 		if o.change(ctx, host, policy.Change{SetService: &service}) {
 			return nil
 		}
-		time.Sleep(bootstrapPause)
+		time.Sleep(retryPause)
 	}
 	return fmt.Errorf("simulation: bounds were not moved by %d", shift)
 }
--- a/lab/simulation/platform.go
+++ b/lab/simulation/platform.go
@@ -13,24 +13,24 @@
 
 // platform is the store and the machine list, each on a host of its own.
 type platform struct {
-	memory       *store.Memory
-	store        *emulator.StoreServer
-	machineList  *emulator.MachineListServer
-	storeFaults  switches[store.MemoryFaults]
-	machineFault switches[emulator.MachineListFaults]
+	memory            *store.Memory
+	store             *emulator.StoreServer
+	machineList       *emulator.MachineListServer
+	storeFaults       faultSettings[store.MemoryFaults]
+	machineListFaults faultSettings[emulator.MachineListFaults]
 }
 
 func newPlatform(s *System) (*platform, error) {
 	p := &platform{}
 	p.memory = store.NewMemory(store.MemoryOptions{OnChange: func(key string, record store.Record) {
 		if key == policy.StoreKey {
-			s.acceptedConfiguration(record.Value)
+			s.recordAcceptedConfiguration(record.Value)
 		}
 	}})
 	p.store = emulator.NewStoreServer(p.memory)
 	p.machineList = emulator.NewMachineListServer()
 	p.storeFaults.set = p.memory.SetFaults
-	p.machineFault.set = p.machineList.SetFaults
+	p.machineListFaults.set = p.machineList.SetFaults
 	storeProcess, err := s.network.Start(storeIP)
 	if err != nil {
 		return nil, err
@@ -52,10 +52,10 @@
 	return p, nil
 }
 
-// list puts a machine into the machine list.
-func (p *platform) list(machine machinelist.Machine) { p.machineList.Upsert(machine) }
+// updateMachineList puts a machine into the machine list.
+func (p *platform) updateMachineList(machine machinelist.Machine) { p.machineList.Upsert(machine) }
 
-func (p *platform) end() {
+func (p *platform) shutDown() {
 	_ = p.store.Close()
 	_ = p.machineList.Close()
 }
--- a/lab/simulation/race_test.go
+++ b/lab/simulation/race_test.go
@@ -2,7 +2,7 @@
 
 package simulation
 
-// bubblesAtOnce bounds the bubbles that run beside each other. The race
+// maxConcurrentBubbles bounds the bubbles that run beside each other. The race
 // detector's runtime has failed a check of its own ("CHECK failed:
 // tsan_rtl.cpp") with a dozen of them.
-const bubblesAtOnce = 3
+const maxConcurrentBubbles = 3
--- a/lab/simulation/seeds_test.go
+++ b/lab/simulation/seeds_test.go
@@ -13,14 +13,14 @@
 )
 
 var (
-	seedCount  = flag.Uint64("seeds", 0, "number of seeds that TestSeeds runs; 0 runs the table of CI")
-	firstSeed  = flag.Uint64("first", 0, "first of the seeds that -seeds counts")
-	oneSeed    = flag.Int64("seed", -1, "run this seed alone, with all that is known of it")
-	nodeCount  = flag.Int("nodes", DefaultNodes, "number of nodes")
-	repeats    = flag.Int("repeats", 1, "how often each seed runs; its verdicts must be equal")
-	showMatrix = flag.Bool("matrix", false, "also print how often each invariant was judged under each fault")
-	crowded    = flag.Bool("crowd", false, "run more nodes than the servers take connections")
-	bugName    = flag.String("bug", "", "seed the bug of this name; see TestSeededBugs")
+	seedCount         = flag.Uint64("seeds", 0, "number of seeds that TestSeeds runs; 0 runs the table of CI")
+	firstSeed         = flag.Uint64("first", 0, "first of the seeds that -seeds counts")
+	oneSeed           = flag.Int64("seed", -1, "run this seed alone, with all that is known of it")
+	nodeCount         = flag.Int("nodes", DefaultNodes, "number of nodes")
+	repeats           = flag.Int("repeats", 1, "how often each seed runs; its verdicts must be equal")
+	showMatrix        = flag.Bool("matrix", false, "also print how often each invariant was judged under each fault")
+	scarceConnections = flag.Bool("crowd", false, "run more nodes than the servers take connections")
+	bugName           = flag.String("bug", "", "seed the bug of this name; see TestSeededBugs")
 )
 
 // ciSeeds is the number of seeds without flags. With one of every mode and kind
@@ -47,14 +47,14 @@
 	return seeds
 }
 
-// places holds a token for each bubble that runs.
-var places = make(chan struct{}, bubblesAtOnce)
+// bubbleSlots holds a token for each bubble that runs.
+var bubbleSlots = make(chan struct{}, maxConcurrentBubbles)
 
 // runSeed runs one seed in a bubble of its own.
 func runSeed(t *testing.T, options Options) Result {
 	t.Helper()
-	places <- struct{}{}
-	defer func() { <-places }()
+	bubbleSlots <- struct{}{}
+	defer func() { <-bubbleSlots }()
 	var result Result
 	synctest.Test(t, func(t *testing.T) {
 		var err error
@@ -68,7 +68,7 @@
 
 // TestSeeds runs whole nodes under the fault schedules of a table of seeds.
 func TestSeeds(t *testing.T) {
-	seeded, err := bugNamed(*bugName)
+	seeded, err := findBug(*bugName)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,13 +79,13 @@
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
 				for range *repeats {
-					options := Options{Seed: seed, Nodes: *nodeCount, Hooks: seeded.hooks, Faults: seeded.tableFaults()}
-					if *crowded {
-						options = crowdOf(options)
+					options := Options{Seed: seed, Nodes: *nodeCount, Hooks: seeded.hooks, Faults: seeded.faultsOverride()}
+					if *scarceConnections {
+						options = withScarceConnections(options)
 					}
 					result := runSeed(t, options)
 					summary.Add(result)
-					report(t, result)
+					reportViolations(t, result)
 				}
 			})
 		}
@@ -96,11 +96,11 @@
 	}
 }
 
-// report fails the test with all that is known of the violations.
-func report(t *testing.T, result Result) {
+// reportViolations fails the test with all that is known of the violations.
+func reportViolations(t *testing.T, result Result) {
 	t.Helper()
 	if *oneSeed >= 0 {
-		describe(t, result)
+		logRun(t, result)
 	}
 	if len(result.Report.Violations) == 0 {
 		return
@@ -112,7 +112,7 @@
 		t.Error(violation)
 	}
 	for _, requestID := range violatedRequests(result) {
-		explain(t, result.History, requestID)
+		logRequest(t, result.History, requestID)
 	}
 	t.Logf("run it alone: go test ./lab/simulation -run TestSeeds -seed %d -v", result.Schedule.Seed)
 }
@@ -129,8 +129,8 @@
 	return requests
 }
 
-// explain logs all that happened to one request.
-func explain(t *testing.T, recorded *history.History, requestID string) {
+// logRequest logs all that happened to one request.
+func logRequest(t *testing.T, recorded *history.History, requestID string) {
 	t.Helper()
 	calls := make(map[history.CallID]bool)
 	for _, call := range recorded.Calls {
@@ -151,8 +151,8 @@
 	}
 }
 
-// describe logs a run in full.
-func describe(t *testing.T, result Result) {
+// logRun logs a run in full.
+func logRun(t *testing.T, result Result) {
 	t.Helper()
 	for _, line := range result.Log {
 		t.Log(line)
--- a/lab/simulation/server.go
+++ b/lab/simulation/server.go
@@ -26,8 +26,8 @@
 	straggleBase = 10 * time.Millisecond
 )
 
-// maximumRequestBytes bounds what is read of one sub-request for recording.
-const maximumRequestBytes = 1 << 20
+// maxRequestBytes bounds what is read of one sub-request for recording.
+const maxRequestBytes = 1 << 20
 
 // server is one back end on its host. Its process may be restarted.
 type server struct {
@@ -36,7 +36,7 @@
 	name   string
 	ip     string
 	ranges []coverage.Range
-	faults switches[emulator.ServerFaults]
+	faults faultSettings[emulator.ServerFaults]
 
 	// mutex guards the fields below, and serialises restarts.
 	mutex       sync.Mutex
@@ -55,39 +55,39 @@
 	sentAt time.Duration
 }
 
-// serverStart is how a server's process is started.
-type serverStart struct {
+// startOptions is how a server's process is started.
+type startOptions struct {
 	connections int
 	coldStart   time.Duration
 }
 
 func newServer(s *System, index int) (*server, error) {
-	one := &server{
+	srv := &server{
 		system: s, index: index, name: serverName(index), ip: serverIP(index),
 		arrivals: make(map[string]arrival),
 	}
 	for group, members := range s.layout.searchGroups() {
 		for _, member := range members {
 			if member == index {
-				one.ranges = []coverage.Range{s.layout.ranges(0)[group]}
+				srv.ranges = []coverage.Range{s.layout.ranges(0)[group]}
 			}
 		}
 	}
-	one.faults.set = one.setFaults
-	return one, one.start(serverStart{})
+	srv.faults.set = srv.setFaults
+	return srv, srv.start(startOptions{})
 }
 
-func (one *server) setFaults(faults emulator.ServerFaults) {
-	one.mutex.Lock()
-	defer one.mutex.Unlock()
-	if one.stub != nil {
-		one.stub.SetFaults(faults)
+func (srv *server) setFaults(faults emulator.ServerFaults) {
+	srv.mutex.Lock()
+	defer srv.mutex.Unlock()
+	if srv.stub != nil {
+		srv.stub.SetFaults(faults)
 	}
 }
 
 // service is the one that the server belongs to.
-func (one *server) service() string {
-	if one.ranges == nil {
+func (srv *server) service() string {
+	if srv.ranges == nil {
 		return noticeService
 	}
 	return searchService
@@ -95,126 +95,126 @@
 
 // start runs a new process on the server's host. Only the faults that belong to
 // the data it holds outlive the process.
-func (one *server) start(how serverStart) error {
-	process, err := one.system.network.Start(one.ip)
+func (srv *server) start(opts startOptions) error {
+	process, err := srv.system.network.Start(srv.ip)
 	if err != nil {
 		return err
 	}
-	listener, err := process.Listen(address(one.ip, serverPort))
+	listener, err := process.Listen(address(srv.ip, serverPort))
 	if err != nil {
 		return err
 	}
-	one.mutex.Lock()
-	one.incarnation++
-	incarnation := one.incarnationName()
-	seed := one.system.options.Seed*1000 + uint64(one.index*100+one.incarnation)
+	srv.mutex.Lock()
+	srv.incarnation++
+	incarnation := srv.incarnationName()
+	seed := srv.system.options.Seed*1000 + uint64(srv.index*100+srv.incarnation)
 	stub, err := emulator.NewServer(emulator.ServerOptions{
-		ID: one.name, Service: one.service(), Ranges: one.ranges, Slots: serverSlots,
-		Connections: one.system.options.Connections, ServiceTime: emulator.Distribution{Kind: emulator.Exponential, Mean: serviceMean},
-		ColdStart: how.coldStart, ColdFactor: coldFactor, ItemStride: itemStride,
-		Incarnation: incarnation, Seed: seed, OnExecution: one.executed,
+		ID: srv.name, Service: srv.service(), Ranges: srv.ranges, Slots: serverSlots,
+		Connections: srv.system.options.Connections, ServiceTime: emulator.Distribution{Kind: emulator.Exponential, Mean: serviceMean},
+		ColdStart: opts.coldStart, ColdFactor: coldStartFactor, ItemStride: itemStride,
+		Incarnation: incarnation, Seed: seed, OnExecution: srv.recordExecution,
 	})
 	if err == nil {
-		one.stub = stub
-		one.http = &http.Server{Handler: one.handler(stub)}
+		srv.stub = stub
+		srv.http = &http.Server{Handler: srv.handler(stub)}
 	}
-	web := one.http
-	one.mutex.Unlock()
+	httpServer := srv.http
+	srv.mutex.Unlock()
 	if err != nil {
 		return err
 	}
-	one.endLeaving()
-	one.faults.change(func(f *emulator.ServerFaults) { f.Draining = false })
-	one.list(machinelist.StateLive, incarnation)
-	limit := one.system.options.Connections
-	if how.connections > 0 {
-		limit = how.connections
+	srv.endLeaving()
+	srv.faults.update(func(f *emulator.ServerFaults) { f.Draining = false })
+	srv.updateMachineList(machinelist.StateLive, incarnation)
+	limit := srv.system.options.Connections
+	if opts.connections > 0 {
+		limit = opts.connections
 	}
-	go func() { _ = web.Serve(network.LimitListener(listener, limit)) }()
+	go func() { _ = httpServer.Serve(network.LimitListener(listener, limit)) }()
 	return nil
 }
 
 // beginLeaving makes the process drain, tells the machine list, or both.
-func (one *server) beginLeaving(itself, listed bool) {
-	one.faults.change(func(f *emulator.ServerFaults) { f.Draining = itself })
-	one.mutex.Lock()
-	one.leavingSince = one.system.recorder.Now()
-	incarnation := one.incarnationName()
-	one.mutex.Unlock()
+func (srv *server) beginLeaving(draining, listed bool) {
+	srv.faults.update(func(f *emulator.ServerFaults) { f.Draining = draining })
+	srv.mutex.Lock()
+	srv.leavingSince = srv.system.recorder.Now()
+	incarnation := srv.incarnationName()
+	srv.mutex.Unlock()
 	if listed {
-		one.list(machinelist.StateLeaving, incarnation)
+		srv.updateMachineList(machinelist.StateLeaving, incarnation)
 	}
 }
 
 // endLeaving records that a new process took the place of one that left.
-func (one *server) endLeaving() {
-	one.mutex.Lock()
-	since := one.leavingSince
-	one.leavingSince = 0
-	one.mutex.Unlock()
+func (srv *server) endLeaving() {
+	srv.mutex.Lock()
+	since := srv.leavingSince
+	srv.leavingSince = 0
+	srv.mutex.Unlock()
 	if since == 0 {
 		return
 	}
-	now := one.system.recorder.Now()
-	one.system.recorder.Update(func(h *history.History) {
-		h.Leaving = append(h.Leaving, history.ServerLeaving{Server: one.name, At: since, Until: now})
+	now := srv.system.recorder.Now()
+	srv.system.recorder.Update(func(h *history.History) {
+		h.Leaving = append(h.Leaving, history.ServerLeaving{Server: srv.name, At: since, Until: now})
 	})
 }
 
-// leaves reports whether the present process is leaving.
-func (one *server) leaves() bool {
-	one.mutex.Lock()
-	defer one.mutex.Unlock()
-	return one.leavingSince != 0
+// isLeaving reports whether the present process is leaving.
+func (srv *server) isLeaving() bool {
+	srv.mutex.Lock()
+	defer srv.mutex.Unlock()
+	return srv.leavingSince != 0
 }
 
-// list tells the machine list of the server.
-func (one *server) list(state machinelist.State, incarnation string) {
-	one.system.platform.list(machinelist.Machine{
-		ID: one.name, Address: address(one.ip, serverPort), Zone: zoneOf(one.index),
+// updateMachineList tells the machine list of the server.
+func (srv *server) updateMachineList(state machinelist.State, incarnation string) {
+	srv.system.platform.updateMachineList(machinelist.Machine{
+		ID: srv.name, Address: address(srv.ip, serverPort), Zone: zoneOf(srv.index),
 		Role: machinelist.RoleServer, State: state, Incarnation: incarnation,
 	})
 }
 
 // incarnationName names the present process. The lock is held.
-func (one *server) incarnationName() string {
-	return fmt.Sprintf("%s-%d", one.name, one.incarnation)
+func (srv *server) incarnationName() string {
+	return fmt.Sprintf("%s-%d", srv.name, srv.incarnation)
 }
 
 // kill ends the process.
-func (one *server) kill(mode network.KillMode) {
-	one.system.network.Kill(one.ip, mode)
-	one.end()
+func (srv *server) kill(mode network.KillMode) {
+	srv.system.network.Kill(srv.ip, mode)
+	srv.shutDown()
 }
 
-func (one *server) end() {
-	one.mutex.Lock()
-	web := one.http
-	one.mutex.Unlock()
-	_ = web.Close()
+func (srv *server) shutDown() {
+	srv.mutex.Lock()
+	httpServer := srv.http
+	srv.mutex.Unlock()
+	_ = httpServer.Close()
 }
 
 // handler records what reaches the back end.
-func (one *server) handler(stub http.Handler) http.Handler {
+func (srv *server) handler(stub http.Handler) http.Handler {
 	inner := stub
-	if hook := one.system.options.Hooks.Recorded; hook != nil {
-		inner = hook(one.name, inner)
+	if hook := srv.system.options.Hooks.Recorded; hook != nil {
+		inner = hook(srv.name, inner)
 	}
 	outer := http.Handler(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == backend.QueryPath {
-			one.arrived(request)
+			srv.recordArrival(request)
 		}
 		inner.ServeHTTP(writer, request)
 	}))
-	if hook := one.system.options.Hooks.Server; hook != nil {
-		outer = hook(one.name, outer)
+	if hook := srv.system.options.Hooks.Server; hook != nil {
+		outer = hook(srv.name, outer)
 	}
 	return outer
 }
 
-// arrived notes a sub-request's arrival; its body stays readable.
-func (one *server) arrived(request *http.Request) {
-	data, err := io.ReadAll(io.LimitReader(request.Body, maximumRequestBytes))
+// recordArrival notes a sub-request's arrival; its body stays readable.
+func (srv *server) recordArrival(request *http.Request) {
+	data, err := io.ReadAll(io.LimitReader(request.Body, maxRequestBytes))
 	if err != nil {
 		return
 	}
@@ -223,19 +223,19 @@
 	if json.Unmarshal(data, &query) != nil {
 		return
 	}
-	now := one.system.recorder.Now()
+	now := srv.system.recorder.Now()
 	remaining := policy.Milliseconds(query.RemainingMilliseconds).Duration()
-	one.mutex.Lock()
-	defer one.mutex.Unlock()
-	one.arrivals[query.AttemptID] = arrival{at: now, sentAt: one.system.sentAt(query.RequestID, remaining, now)}
+	srv.mutex.Lock()
+	defer srv.mutex.Unlock()
+	srv.arrivals[query.AttemptID] = arrival{at: now, sentAt: srv.system.sentAt(query.RequestID, remaining, now)}
 }
 
-// executed records what became of a sub-request.
-func (one *server) executed(execution emulator.Execution) {
-	one.mutex.Lock()
-	arrived := one.arrivals[execution.AttemptID]
-	one.mutex.Unlock()
-	one.system.recorder.Update(func(h *history.History) {
+// recordExecution records what became of a sub-request.
+func (srv *server) recordExecution(execution emulator.Execution) {
+	srv.mutex.Lock()
+	arrived := srv.arrivals[execution.AttemptID]
+	srv.mutex.Unlock()
+	srv.system.recorder.Update(func(h *history.History) {
 		h.Attempts = append(h.Attempts, history.Attempt{
 			Server: execution.Server, AttemptID: execution.AttemptID, RequestID: execution.RequestID,
 			Service: execution.Service, Snapshot: execution.Snapshot, Range: execution.Range,
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -41,12 +41,12 @@
 	// faultsFrom and faultsTo bound the start of faults.
 	faultsFrom = 2 * time.Second
 	faultsTo   = 4 * time.Second
-	// probing is how long callers go on after the recovery bound.
-	probing = time.Second
-	// settling is how long the processes may take to stop at the end.
-	settling = 3 * time.Second
-	// lingering is longer than any timer of a process that has ended.
-	lingering = 3 * time.Minute
+	// probeDuration is how long callers go on after the recovery bound.
+	probeDuration = time.Second
+	// shutdownDuration is how long the processes may take to stop at the end.
+	shutdownDuration = 3 * time.Second
+	// timerExpiryWait is longer than any timer of a process that has ended.
+	timerExpiryWait = 3 * time.Minute
 )
 
 // Options sets up a run.
@@ -96,7 +96,7 @@
 	network  *network.Network
 	recorder *history.Recorder
 	schedule schedule.Schedule
-	logs     *logSink
+	logs     *logCollector
 
 	platform  *platform
 	servers   []*server
@@ -127,7 +127,7 @@
 		Schedule: system.schedule,
 		History:  recorded,
 		Report:   history.Check(recorded, options.Checker),
-		Log:      system.logs.all(),
+		Log:      system.logs.allLines(),
 	}, nil
 }
 
@@ -144,7 +144,7 @@
 		network:  network.New(network.Options{Seed: options.Seed}),
 		recorder: history.NewRecorder(time.Now()),
 	}
-	s.logs = &logSink{recorder: s.recorder}
+	s.logs = &logCollector{recorder: s.recorder}
 	s.schedule = schedule.Generate(options.Seed, s.layout.topology(), schedule.Options{
 		From: faultsFrom, To: faultsTo,
 		MinDuration: 200 * time.Millisecond, MaxDuration: 2500 * time.Millisecond,
@@ -172,20 +172,20 @@
 	}
 	for _, group := range s.layout.groups {
 		for _, index := range group {
-			one, err := newServer(s, index)
+			srv, err := newServer(s, index)
 			if err != nil {
 				return err
 			}
-			s.servers = append(s.servers, one)
+			s.servers = append(s.servers, srv)
 		}
 	}
 	for index := range s.layout.nodes {
-		one, err := newNodeHost(s, index)
+		host, err := newNodeHost(s, index)
 		if err != nil {
 			return err
 		}
-		s.nodes = append(s.nodes, one)
-		caller, err := newCallerHost(s, index, one)
+		s.nodes = append(s.nodes, host)
+		caller, err := newCallerHost(s, index, host)
 		if err != nil {
 			return err
 		}
@@ -204,12 +204,12 @@
 	for _, fault := range s.schedule.Faults {
 		s.tasks.Go(func() { s.inject(fault) })
 	}
-	end := faultsEnd + s.options.Checker.RecoveryBound + probing
+	end := faultsEnd + s.options.Checker.RecoveryBound + probeDuration
 	for _, caller := range s.callers {
 		s.tasks.Go(func() { caller.run(ctx, faultsEnd, end) })
 	}
 	s.tasks.Go(func() { s.operators.run(ctx, faultsEnd) })
-	s.sleepUntil(end + settling)
+	s.sleepUntil(end + shutdownDuration)
 	s.tasks.Wait()
 	cancel()
 	s.recordInForce()
@@ -219,28 +219,28 @@
 // stop ends every process. What it does is no part of the history.
 func (s *System) stop() {
 	for _, node := range s.nodes {
-		node.end()
+		node.shutDown()
 	}
 	for _, caller := range s.callers {
 		caller.close()
 	}
 	s.operators.close()
 	for _, server := range s.servers {
-		server.end()
+		server.shutDown()
 	}
-	s.platform.end()
+	s.platform.shutDown()
 	s.network.Close()
 	// Virtual time ends with the goroutine that called Run; what still waits for
 	// a timer must come to its end before.
-	time.Sleep(lingering)
+	time.Sleep(timerExpiryWait)
 }
 
 func (s *System) sleepUntil(moment time.Duration) {
 	time.Sleep(moment - s.recorder.Now())
 }
 
-// disturb records a time in which a node could not take part.
-func (s *System) disturb(kind history.DisturbanceKind, host string, from, to time.Duration) {
+// recordDisturbance records a time in which a node could not take part.
+func (s *System) recordDisturbance(kind history.DisturbanceKind, host string, from, to time.Duration) {
 	s.recorder.Update(func(h *history.History) {
 		h.Disturbances = append(h.Disturbances, history.Disturbance{Kind: kind, Host: host, From: from, To: to})
 	})
@@ -263,8 +263,8 @@
 	}
 }
 
-// acceptedConfiguration records a configuration that the store took.
-func (s *System) acceptedConfiguration(value []byte) {
+// recordAcceptedConfiguration records a configuration that the store took.
+func (s *System) recordAcceptedConfiguration(value []byte) {
 	record, err := policy.DecodeRecord(value)
 	if err != nil {
 		return
--- a/lab/simulation/summary.go
+++ b/lab/simulation/summary.go
@@ -21,23 +21,23 @@
 	violations map[history.Invariant]int
 	faults     map[schedule.Kind]int
 	modes      map[schedule.Mode]int
-	// under counts the histories in which an invariant was judged while a kind
+	// judgedUnder counts the histories in which an invariant was judged while a kind
 	// of fault happened.
-	under    map[schedule.Kind]map[history.Invariant]int
-	limits   int
-	calls    int
-	attempts int
+	judgedUnder      map[schedule.Kind]map[history.Invariant]int
+	knownLimitations int
+	calls            int
+	attempts         int
 }
 
 // NewSummary makes an empty summary.
 func NewSummary() *Summary {
 	return &Summary{
-		judged:     make(map[history.Invariant]int),
-		items:      make(map[history.Invariant]int),
-		violations: make(map[history.Invariant]int),
-		faults:     make(map[schedule.Kind]int),
-		under:      make(map[schedule.Kind]map[history.Invariant]int),
-		modes:      make(map[schedule.Mode]int),
+		judged:      make(map[history.Invariant]int),
+		items:       make(map[history.Invariant]int),
+		violations:  make(map[history.Invariant]int),
+		faults:      make(map[schedule.Kind]int),
+		judgedUnder: make(map[schedule.Kind]map[history.Invariant]int),
+		modes:       make(map[schedule.Mode]int),
 	}
 }
 
@@ -47,7 +47,7 @@
 	defer s.mutex.Unlock()
 	s.histories++
 	s.modes[result.Schedule.Mode]++
-	s.limits += len(result.Report.KnownLimitations)
+	s.knownLimitations += len(result.Report.KnownLimitations)
 	s.calls += len(result.History.Calls)
 	s.attempts += len(result.History.Attempts)
 	for invariant, items := range result.Report.Checked {
@@ -64,18 +64,18 @@
 	}
 	for _, kind := range schedule.Kinds() {
 		if result.Schedule.Has(kind) {
-			s.addUnder(kind, result.Report)
+			s.addJudgedUnder(kind, result.Report)
 		}
 	}
 }
 
-func (s *Summary) addUnder(kind schedule.Kind, report history.Report) {
-	if s.under[kind] == nil {
-		s.under[kind] = make(map[history.Invariant]int)
+func (s *Summary) addJudgedUnder(kind schedule.Kind, report history.Report) {
+	if s.judgedUnder[kind] == nil {
+		s.judgedUnder[kind] = make(map[history.Invariant]int)
 	}
 	for invariant, items := range report.Checked {
 		if items > 0 {
-			s.under[kind][invariant]++
+			s.judgedUnder[kind][invariant]++
 		}
 	}
 }
@@ -94,7 +94,7 @@
 	for _, kind := range schedule.Kinds() {
 		fmt.Fprintf(text, "| %s |", kind)
 		for _, invariant := range history.Invariants() {
-			fmt.Fprintf(text, " %d |", s.under[kind][invariant])
+			fmt.Fprintf(text, " %d |", s.judgedUnder[kind][invariant])
 		}
 		fmt.Fprintln(text)
 	}
@@ -112,7 +112,7 @@
 	for _, invariant := range history.Invariants() {
 		fmt.Fprintf(text, "%-18s %10d %10d %10d\n", invariant, s.judged[invariant], s.items[invariant], s.violations[invariant])
 	}
-	fmt.Fprintf(text, "beyond the known limits: %d runs of a not-repeatable request again, once every node was lost\n", s.limits)
+	fmt.Fprintf(text, "beyond the known limits: %d runs of a not-repeatable request again, once every node was lost\n", s.knownLimitations)
 	fmt.Fprint(text, "modes:")
 	for _, mode := range schedule.Modes() {
 		fmt.Fprintf(text, " %s %d", mode, s.modes[mode])
--- a/lab/simulation/switches.go
+++ b/lab/simulation/switches.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// switches holds the fault switches of one stand-in. Faults that overlap each
+// faultSettings holds the fault switches of one stand-in. Faults that overlap each
 // change their own fields.
-type switches[F any] struct {
+type faultSettings[F any] struct {
 	set func(F)
 
 	// mutex guards value, which is what was last set.
@@ -12,8 +12,8 @@
 	value F
 }
 
-// change alters the switches.
-func (w *switches[F]) change(alter func(*F)) {
+// update alters the switches.
+func (w *faultSettings[F]) update(alter func(*F)) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	alter(&w.value)
