--- a/lab/simulation/bugs_test.go
+++ b/lab/simulation/bugs_test.go
@@ -18,20 +18,22 @@
 	"github.com/banksail/banksail/lab/schedule"
 )
 
-// bug is a fault of the system under test that the checker must catch.
+// bug is a defect seeded into the system under test that the checker must
+// detect.
 type bug struct {
 	name      string
 	invariant history.Invariant
 	hooks     Hooks
-	// kinds are faults that bring the bug out. Those of servers hit several, so
-	// that nodes which learn to avoid one still meet the others.
+	// kinds are the kinds of fault under which the bug shows. A fault of a
+	// server is injected into several servers, so that nodes that avoid one
+	// faulty server still send requests to the others.
 	kinds []schedule.Kind
 }
 
-// bugTargets is the number of servers that such a fault hits.
+// bugTargets is the number of servers into which a server fault is injected.
 const bugTargets = 6
 
-// bugSeeds is the number of seeds in which a bug must come out at least once.
+// bugSeeds is the number of seeds of which at least one must reveal a bug.
 const bugSeeds = 4
 
 func bugs() []bug {
@@ -61,10 +63,10 @@
 		}
 		names = append(names, one.name)
 	}
-	return bug{}, fmt.Errorf("no bug %q; there are %v", name, names)
+	return bug{}, fmt.Errorf("unknown bug %q; known bugs are %v", name, names)
 }
 
-// schedule brings the bug out.
+// schedule returns the faults under which the bug shows.
 func (b bug) schedule() []schedule.Fault {
 	faults := []schedule.Fault{}
 	for _, kind := range b.kinds {
@@ -78,7 +80,9 @@
 	return faults
 }
 
-// faultsOverride replaces the seeds' own schedules unless -seeds asks for those.
+// faultsOverride returns the faults that replace the seed's own schedule. It
+// returns nil without a bug, and with -seeds, which runs the schedules of the
+// seeds.
 func (b bug) faultsOverride() []schedule.Fault {
 	if b.name == "" || *seedCount > 0 {
 		return nil
@@ -101,7 +105,8 @@
 	}
 }
 
-// TestSeededBugs shows that the checker catches each bug in whole runs.
+// TestSeededBugs checks that the checker reports a violation of the expected
+// invariant for each bug, in a run of the complete system.
 func TestSeededBugs(t *testing.T) {
 	for _, one := range bugs() {
 		t.Run(one.name, func(t *testing.T) {
@@ -112,24 +117,25 @@
 					return
 				}
 			}
-			t.Fatalf("not caught in %d seeds", bugSeeds)
+			t.Fatalf("no violation of the expected invariant in %d seeds", bugSeeds)
 		})
 	}
 }
 
-// hasViolation reports whether a violation of the invariant was found.
+// hasViolation reports whether the checker found a violation of the invariant.
 func hasViolation(t *testing.T, result Result, invariant history.Invariant) bool {
 	t.Helper()
 	for _, violation := range result.Report.Violations {
 		if violation.Invariant == invariant {
-			t.Logf("caught in seed %d: %v", result.Schedule.Seed, violation)
+			t.Logf("violation found with seed %d: %v", result.Schedule.Seed, violation)
 			return true
 		}
 	}
 	return false
 }
 
-// rewriteReplies wraps a back end so that its replies are altered, knowing the request.
+// rewriteReplies wraps a back end's handler so that alter can change each
+// reply, given its request.
 func rewriteReplies(alter func(*backend.Request, *backend.Reply)) func(string, http.Handler) http.Handler {
 	return func(_ string, inner http.Handler) http.Handler {
 		return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -155,15 +161,17 @@
 	}
 }
 
-// echoSnapshot is what a node sees that does not compare snapshots.
+// echoSnapshot simulates a node that does not compare the reply's snapshot with
+// the requested one.
 func echoSnapshot(query *backend.Request, reply *backend.Reply) {
 	if reply.Snapshot != nil {
 		reply.Snapshot = &query.Snapshot
 	}
 }
 
-// useWrongSnapshots makes a server run on another snapshot than the one asked,
-// and nothing else, so that nodes have no other reason to avoid it.
+// useWrongSnapshots makes a server run requests on a snapshot other than the
+// requested one. It injects nothing else, so that nodes have no other reason to
+// avoid the server.
 func useWrongSnapshots(s *System, fault schedule.Fault) bool {
 	if fault.Kind != schedule.CrossedReplies {
 		return false
@@ -172,7 +180,8 @@
 	return true
 }
 
-// echoAttempt is what a node sees that does not compare attempt IDs and ranges.
+// echoAttempt simulates a node that does not compare the reply's attempt ID and
+// range with those of the request.
 func echoAttempt(query *backend.Request, reply *backend.Reply) {
 	reply.AttemptID = query.AttemptID
 	if reply.Range != nil {
@@ -180,7 +189,7 @@
 	}
 }
 
-// deliverTwice is what a transport does that sends again silently.
+// deliverTwice simulates a transport that silently resends each request.
 func deliverTwice(_ string, inner http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		data, _ := io.ReadAll(request.Body)
@@ -193,12 +202,12 @@
 	})
 }
 
-// roundTripper makes a function a transport.
+// roundTripper adapts a function to http.RoundTripper.
 type roundTripper func(*http.Request) (*http.Response, error)
 
 func (f roundTripper) RoundTrip(request *http.Request) (*http.Response, error) { return f(request) }
 
-// rewriteBodies alters the bodies of responses.
+// rewriteBodies wraps a transport so that alter can change each response body.
 func rewriteBodies(alter func(status int, body []byte) []byte) func(http.RoundTripper) http.RoundTripper {
 	return func(inner http.RoundTripper) http.RoundTripper {
 		return roundTripper(func(request *http.Request) (*http.Response, error) {
@@ -241,22 +250,23 @@
 	})
 }
 
-// inflateCoverage reports every answer as whole.
+// inflateCoverage reports every answer as complete.
 func inflateCoverage(answer *caller.Answer) {
 	answer.Coverage, answer.Complete, answer.Missing = 1, true, nil
 }
 
-// deflateCoverage loses a part but goes on reporting it.
+// deflateCoverage drops a part of the answer but leaves it in the reported
+// coverage.
 func deflateCoverage(answer *caller.Answer) {
 	if len(answer.Parts) > 1 {
 		answer.Parts = answer.Parts[1:]
 	}
 }
 
-// claimNotRun says that whatever failed did not run.
+// claimNotRun reports every failed request as not run.
 func claimNotRun(problem *caller.Problem) { problem.Execution = string(history.ExecutionNotRun) }
 
-// delayAnswers holds answers back beyond the deadline.
+// delayAnswers delays answers beyond the request's deadline.
 func delayAnswers(inner http.RoundTripper) http.RoundTripper {
 	return roundTripper(func(request *http.Request) (*http.Response, error) {
 		response, err := inner.RoundTrip(request)
@@ -267,7 +277,8 @@
 	})
 }
 
-// leaveUnannounced makes a server leave without any node being told.
+// leaveUnannounced records a server as leaving without announcing it to any
+// node.
 func leaveUnannounced(s *System, fault schedule.Fault) bool {
 	if fault.Kind != schedule.Drain {
 		return false
@@ -281,7 +292,8 @@
 	return true
 }
 
-// stopImmediately stops a node without letting it finish.
+// stopImmediately records a planned stop of a node but kills it with requests
+// in flight.
 func stopImmediately(s *System, name string) {
 	for _, host := range s.nodes {
 		if host.name != name {
@@ -295,8 +307,8 @@
 	}
 }
 
-// partitionPermanently cuts a node off from the store and all its peers, for good and
-// without a record of it.
+// partitionPermanently cuts a node off from the store and all its peers, and
+// neither heals nor records it.
 func partitionPermanently(s *System, fault schedule.Fault) bool {
 	host := s.nodeAt(fault.Target)
 	if fault.Kind != schedule.Partition || host == nil {
@@ -315,7 +327,7 @@
 	return true
 }
 
-// loseGroupPermanently loses all replicas of a group, which never come back.
+// loseGroupPermanently kills all replicas of a group and does not restart them.
 func loseGroupPermanently(s *System, fault schedule.Fault) bool {
 	if fault.Kind != schedule.LoseServer {
 		return false
--- a/lab/simulation/caller.go
+++ b/lab/simulation/caller.go
@@ -14,30 +14,33 @@
 	"github.com/banksail/banksail/lab/history"
 )
 
-// Pace and mix of the callers' requests.
+// Rate and mix of the callers' requests.
 const (
 	busyInterval     = 30 * time.Millisecond
 	recoveryInterval = 500 * time.Millisecond
 	probeInterval    = 100 * time.Millisecond
-	// callerGracePeriod is how long beyond its deadline a caller waits.
+	// callerGracePeriod is how long a caller waits for a response beyond the
+	// request's deadline.
 	callerGracePeriod = 3 * time.Second
-	// Shares of requests.
+	// Shares of requests, from 0 to 1.
 	noticeShare        = 0.25
 	nonRepeatableShare = 0.15
 	urgentShare        = 0.4
 	abandonShare       = 0.05
 	duplicateShare     = 0.3
-	// maxDuplicateDelay bounds the time after which a request is sent again.
+	// maxDuplicateDelay limits the delay until a duplicate of a request is
+	// sent.
 	maxDuplicateDelay = 100 * time.Millisecond
-	// retryShare is the share of requests whose callers send them again when
-	// they can't know the outcome, and maxRetryDelay bounds the time until then.
+	// retryShare is the share of non-repeatable requests that the caller sends
+	// again when their outcome is unknown; maxRetryDelay limits the delay until
+	// then.
 	retryShare    = 0.7
 	maxRetryDelay = 2 * time.Second
-	// maxAnswerBytes bounds what is read of an answer.
+	// maxAnswerBytes limits how much of a response body is read.
 	maxAnswerBytes = 4 << 20
 )
 
-// callerHost is a caller beside its node.
+// callerHost simulates the callers of one node.
 type callerHost struct {
 	system *System
 	node   *nodeHost
@@ -49,7 +52,7 @@
 	random    *rand.Rand
 	sentCount int
 	deadlines map[string]time.Duration
-	// inFlight counts the calls under way.
+	// inFlight tracks the requests in flight.
 	inFlight sync.WaitGroup
 }
 
@@ -70,11 +73,12 @@
 	}, nil
 }
 
-// close ends the caller's connections.
+// close closes the caller's idle connections.
 func (c *callerHost) close() { c.base.CloseIdleConnections() }
 
-// run sends requests: many while faults may happen, few while the system
-// recovers, and again more to see that it has.
+// run sends requests until end: at a high rate while faults are injected, at a
+// low rate while the system recovers, and then probes at a medium rate that
+// show whether it has recovered.
 func (c *callerHost) run(ctx context.Context, faultsEnd, end time.Duration) {
 	recoveryEnd := faultsEnd + c.system.options.Checker.RecoveryBound
 	for ctx.Err() == nil {
@@ -95,7 +99,7 @@
 	}
 }
 
-// burst sends a number of requests at once.
+// burst sends count requests concurrently.
 func (c *callerHost) burst(count int) {
 	for range count {
 		next := c.nextRequest(false)
@@ -109,22 +113,25 @@
 	return mean/2 + time.Duration(c.random.Int64N(int64(mean)))
 }
 
-// plannedRequest is a request that the caller is about to send.
+// plannedRequest is a request to send, with the client behavior planned for it.
 type plannedRequest struct {
 	call history.Call
-	// abandonAfter ends the call early; zero means never.
+	// abandonAfter is the time after which the caller cancels the request; zero
+	// means never.
 	abandonAfter time.Duration
-	// duplicateAfter sends it once more; zero means never.
+	// duplicateAfter is the delay until the caller sends a duplicate to the
+	// same node; zero means never.
 	duplicateAfter time.Duration
-	// retryAfter sends it once more, to retryNode, if its outcome is open; zero
-	// means never.
+	// retryAfter is the delay until the caller sends the request again, to
+	// retryNode, if its outcome is unknown; zero means never.
 	retryAfter time.Duration
 	retryNode  *nodeHost
-	// resendDeadline is the time that the caller waits then.
+	// resendDeadline is the deadline of a duplicate or retry.
 	resendDeadline time.Duration
 }
 
-// nextRequest picks the next request; probes are plain searches.
+// nextRequest generates the next request. A probe is a repeatable search with
+// fixed parameters.
 func (c *callerHost) nextRequest(probe bool) plannedRequest {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -163,8 +170,8 @@
 	return next
 }
 
-// send sends a request, and again if that is planned: while the first sending
-// may be under way, or after an end that leaves its outcome open.
+// send sends a request and, if planned, a duplicate while the first may be in
+// flight, and a retry after the first ended with an unknown outcome.
 func (c *callerHost) send(ctx context.Context, next plannedRequest) {
 	var first sync.WaitGroup
 	var answer history.Answer
@@ -180,14 +187,15 @@
 	}
 }
 
-// resend is the same request, sent by a caller who waits for less time.
+// resend returns the same request with the deadline of a duplicate or retry,
+// which the caller does not cancel early.
 func (p plannedRequest) resend() plannedRequest {
 	p.call.Abandoned, p.abandonAfter = false, 0
 	p.call.Deadline = p.resendDeadline
 	return p
 }
 
-// isOutcomeUnknown reports whether the caller can't know if its request ran.
+// isOutcomeUnknown reports whether the caller cannot know if its request ran.
 func isOutcomeUnknown(answer history.Answer) bool {
 	return answer.Kind != history.AnswerResult && answer.Execution != history.ExecutionNotRun
 }
@@ -209,8 +217,8 @@
 	return answer
 }
 
-// recordDeadline keeps when a request is due, for telling when its
-// sub-requests were sent.
+// recordDeadline records the deadline of a request's first call, from which
+// sentAt derives when its sub-requests were sent.
 func (c *callerHost) recordDeadline(call history.Call) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -226,7 +234,7 @@
 	return deadline, ok
 }
 
-// queryDocument is the JSON form of a query.
+// queryDocument is the JSON body of a query.
 type queryDocument struct {
 	RequestID       string          `json:"request_id"`
 	Class           string          `json:"class"`
@@ -236,7 +244,7 @@
 	Body            json.RawMessage `json:"body"`
 }
 
-// sendQuery asks the node over HTTP.
+// sendQuery sends the query to the node over HTTP and parses the response.
 func (c *callerHost) sendQuery(ctx context.Context, call history.Call, host *nodeHost) history.Answer {
 	document, err := json.Marshal(queryDocument{
 		RequestID: call.RequestID, Class: call.Class,
--- a/lab/simulation/faults.go
+++ b/lab/simulation/faults.go
@@ -14,7 +14,7 @@
 	"github.com/banksail/banksail/store"
 )
 
-// Sizes of faults.
+// Intensities of the injected faults.
 const (
 	coldStartFactor        = 50
 	reducedConnectionLimit = 1
@@ -29,16 +29,17 @@
 	repartitionShift       = 3 * itemStride
 	newSnapshot            = 2
 	changeTimeout          = 20 * time.Second
-	// stopBurst is sent to a node shortly before its planned stop, so that
-	// requests are in flight then.
+	// stopBurst is the number of requests sent to a node stopBurstLead before
+	// its planned stop, so that requests are in flight then.
 	stopBurst     = 8
 	stopBurstLead = 15 * time.Millisecond
-	// overloadBurst is sent to each node at once, overloadPause before the next.
+	// overloadBurst is the number of requests sent to each node at once, every
+	// overloadPause.
 	overloadBurst = 60
 	overloadPause = 100 * time.Millisecond
 )
 
-// inject carries out one fault, from its start to its end.
+// inject injects one fault at its start time and removes it at its end time.
 func (s *System) inject(fault schedule.Fault) {
 	s.sleepUntil(fault.At)
 	if hook := s.options.Hooks.Fault; hook != nil && hook(s, fault) {
@@ -66,7 +67,7 @@
 	}
 }
 
-// nodeAt finds a node by its host; nil if there is none.
+// nodeAt returns the node with the given host address, or nil.
 func (s *System) nodeAt(ip string) *nodeHost {
 	for _, host := range s.nodes {
 		if host.ip == ip {
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// serverAt finds a server by its host; nil if there is none.
+// serverAt returns the server with the given host address, or nil.
 func (s *System) serverAt(ip string) *server {
 	for _, srv := range s.servers {
 		if srv.ip == ip {
@@ -114,20 +115,23 @@
 	}
 }
 
-// restartNode kills a node's process, if one runs, and starts a new one.
+// restartNode kills the node's process and starts a new one at the given time.
+// It does nothing if no process is running.
 func (s *System) restartNode(host *nodeHost, mode network.KillMode, at time.Duration) {
 	if !host.kill(mode) {
 		return
 	}
 	s.sleepUntil(at)
 	for _, caller := range s.callers {
-		// A call on a connection of the former process would not reach the new one.
+		// A request on a connection of the killed process would not reach the
+		// new one.
 		s.network.ResetConnections(callerIP(caller.node.index), host.ip)
 	}
 	_ = host.start()
 }
 
-// stopNode stops a node as planned, with requests in flight, and starts it anew.
+// stopNode requests a planned stop of a node with requests in flight, and
+// starts a new process at the given time.
 func (s *System) stopNode(host *nodeHost, at time.Duration) {
 	s.callers[host.index].burst(stopBurst)
 	time.Sleep(stopBurstLead)
@@ -143,7 +147,8 @@
 	}
 }
 
-// isolate cuts or heals all links of a node but the one to its caller.
+// isolate applies change, which cuts or heals a link, to all links of a node
+// except the one to its caller.
 func (s *System) isolate(host *nodeHost, change func(from, to string)) {
 	others := []string{storeIP, machineListIP, operatorIP}
 	for _, other := range s.nodes {
@@ -160,7 +165,7 @@
 	}
 }
 
-// overload has every caller send bursts until the fault's end.
+// overload makes every caller send bursts until the end of the fault.
 func (s *System) overload(fault schedule.Fault) {
 	for s.recorder.Now() < fault.Until {
 		for _, caller := range s.callers {
@@ -232,7 +237,8 @@
 	}
 }
 
-// injectChange carries out what is no fault by itself, but a change in flight.
+// injectChange performs a legitimate change, such as a repartition, while other
+// faults may be active.
 func (s *System) injectChange(fault schedule.Fault) {
 	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 	defer cancel()
@@ -246,8 +252,9 @@
 	}
 }
 
-// repartition moves the bounds of the groups: first the servers hold both their
-// old and new ranges, then the configuration changes, then the old ranges go.
+// repartition moves the bounds between groups: servers first hold both their
+// old and new ranges, then the configuration changes, then the old ranges are
+// removed.
 func (s *System) repartition(ctx context.Context, fault schedule.Fault) {
 	old, moved := s.layout.ranges(0), s.layout.ranges(repartitionShift)
 	s.setRanges(func(group int) coverage.Range {
@@ -268,8 +275,8 @@
 	}
 }
 
-// changeSnapshot gives the servers a new index snapshot one after the other,
-// and then takes the old one away.
+// changeSnapshot adds a new index snapshot to one server after another, and
+// then removes the old one in the same order.
 func (s *System) changeSnapshot(fault schedule.Fault) {
 	count := time.Duration(len(s.servers))
 	step := (fault.Until - fault.At) / (2 * count)
@@ -318,9 +325,10 @@
 	_ = srv.start(opts)
 }
 
-// drain makes a server leave and come back as a new process. By turns the server
-// and the machine list tell, the server alone, or the list alone; the list tells
-// alone only where no other fault hides it.
+// drain makes a server leave and restarts it at the end of the fault. Depending
+// on the seed, leaving is announced by the server and the machine list, by the
+// server alone, or by the machine list alone. A single announcer is used only
+// where no other fault can hide the machine list.
 func (s *System) drain(srv *server, fault schedule.Fault) {
 	turn := s.options.Seed / uint64(len(schedule.Modes())) % 3
 	if s.schedule.Has(schedule.MachineListOutage, schedule.MachineListLag, schedule.MachineListEmpty, schedule.Isolate) {
@@ -333,7 +341,8 @@
 	}
 }
 
-// injectServerFaults turns a switch of one server, or of its group, on and off.
+// injectServerFaults enables a fault of one server, or of all servers of its
+// group, and disables it at its end.
 func (s *System) injectServerFaults(fault schedule.Fault) {
 	servers := []*server{s.serverAt(fault.Target)}
 	if fault.Kind == schedule.SlowGroup {
--- a/lab/simulation/node.go
+++ b/lab/simulation/node.go
@@ -19,13 +19,14 @@
 	"github.com/banksail/banksail/store"
 )
 
-// maxClockError bounds what the hosts' wall clocks are off.
+// maxClockError limits the offset of a host's wall clock in either direction.
 const maxClockError = time.Hour
 
-// queryLimit is few enough for an overload to reach it.
+// queryLimit limits the queries held by a node; it is low enough for an
+// overload to reach it.
 const queryLimit = 100
 
-// nodeHost is one host on which a node runs; its process may be restarted.
+// nodeHost is a host that runs a node, whose process may be restarted.
 type nodeHost struct {
 	system *System
 	index  int
@@ -34,7 +35,8 @@
 
 	// mutex guards the fields below.
 	mutex sync.Mutex
-	// run is the number of the process that runs, or ran last.
+	// run is the number of the current process, or of the last one if none is
+	// running.
 	run     int
 	cancel  context.CancelFunc
 	ended   chan struct{}
@@ -46,7 +48,7 @@
 	return host, host.start()
 }
 
-// start runs a new process, which knows nothing of earlier ones.
+// start starts a new process, which keeps no state of earlier ones.
 func (host *nodeHost) start() error {
 	process, err := host.system.network.Start(host.ip)
 	if err != nil {
@@ -78,11 +80,11 @@
 	return nil
 }
 
-// reducedHealthReadings is a budget of health readings that doesn't suffice for all
-// servers; every other seed has it.
+// reducedHealthReadings is a budget of health readings that does not suffice
+// for all servers. Nodes use it in runs with an odd seed.
 const reducedHealthReadings = 2
 
-// options are those of the daemon, over the simulated network.
+// options returns the options of a node that uses the simulated network.
 func (host *nodeHost) options(process *network.Process) node.Options {
 	set := settings.Default()
 	if host.system.options.Seed%2 == 1 {
@@ -109,19 +111,20 @@
 		}),
 		Logger: zerolog.New(sink).Level(zerolog.InfoLevel),
 		Seed:   host.system.options.Seed*1000 + uint64(host.index*100+host.run) + 1,
-		// Wall clocks differ between machines: a later process may have one
-		// that is behind.
+		// Wall clocks differ between machines, so a later process may have an
+		// earlier wall-clock time.
 		Incarnation: uint64(time.Now().Add(host.clockError()).UnixMilli()),
 	}
 }
 
-// clockError is by how much the wall clock of the host of the present run is off.
+// clockError returns the wall-clock offset of the current run's host.
 func (host *nodeHost) clockError() time.Duration {
 	random := rand.New(rand.NewPCG(host.system.options.Seed, uint64(host.index<<16+host.run)))
 	return time.Duration(random.Int64N(int64(2*maxClockError))) - maxClockError
 }
 
-// claimShutdown marks the process as ended by the caller, who alone may then end it.
+// claimShutdown marks the process as stopped. It returns true to only one
+// caller, who must then stop the process.
 func (host *nodeHost) claimShutdown() (cancel context.CancelFunc, ended chan struct{}, ok bool) {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
@@ -132,7 +135,8 @@
 	return host.cancel, host.ended, true
 }
 
-// kill ends the process without a word; it reports whether one ran.
+// kill kills the process without a planned stop. It reports whether a process
+// was running.
 func (host *nodeHost) kill(mode network.KillMode) bool {
 	cancel, _, ok := host.claimShutdown()
 	if !ok {
@@ -145,7 +149,8 @@
 	return true
 }
 
-// stop stops the process as its platform would, and waits for its end.
+// stop requests a planned stop, as a platform would, and waits for the process
+// to end. It reports whether a process was running.
 func (host *nodeHost) stop() bool {
 	cancel, ended, ok := host.claimShutdown()
 	if !ok {
@@ -171,7 +176,7 @@
 	<-ended
 }
 
-// updateLatestRun changes the record of the latest run.
+// updateLatestRun changes the history's record of the node's latest run.
 func (host *nodeHost) updateLatestRun(change func(*history.NodeRun)) {
 	host.system.recorder.Update(func(h *history.History) {
 		for index := len(h.Runs) - 1; index >= 0; index-- {
@@ -183,18 +188,20 @@
 	})
 }
 
-// logCollector learns from the nodes' logs which revision came into force when.
+// logCollector collects the nodes' log lines and passes on to the recorder when
+// a configuration revision came into force.
 type logCollector struct {
 	recorder *history.Recorder
-	// mutex guards lines, the latest lines of all nodes.
+	// mutex guards lines, the first maxLogLines lines of all nodes.
 	mutex sync.Mutex
 	lines []string
 }
 
-// maxLogLines bounds the lines that are kept for failing seeds.
+// maxLogLines limits the lines kept for the report of a seed.
 const maxLogLines = 2000
 
-// inForceMessage is what a node logs when it puts a configuration in force.
+// inForceMessage is the message that a node logs when a configuration comes
+// into force.
 const inForceMessage = "configuration in force"
 
 func (l *logCollector) add(line string) {
@@ -205,21 +212,21 @@
 	}
 }
 
-// allLines returns the lines kept.
+// allLines returns the collected lines.
 func (l *logCollector) allLines() []string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.lines
 }
 
-// logWriter takes the log of one process.
+// logWriter receives the log of one process.
 type logWriter struct {
 	logs    *logCollector
 	node    string
 	process *network.Process
 }
 
-// Write takes one line. Lines of a dead process count no more.
+// Write collects one log line. Lines of a killed process are ignored.
 func (l *logWriter) Write(line []byte) (int, error) {
 	select {
 	case <-l.process.Done():
@@ -240,7 +247,7 @@
 	return len(line), nil
 }
 
-// newTransport connects over the simulated network.
+// newTransport returns an HTTP transport over the simulated network.
 func newTransport(process *network.Process) *http.Transport {
 	return &http.Transport{DialContext: process.DialContext, MaxIdleConnsPerHost: 8}
 }
--- a/lab/simulation/norace_test.go
+++ b/lab/simulation/norace_test.go
@@ -2,6 +2,7 @@
 
 package simulation
 
-// maxConcurrentBubbles bounds the bubbles that run beside each other; without the race
-// detector only -parallel does.
+// maxConcurrentBubbles limits the synctest bubbles that run concurrently.
+// Without the race detector the limit is high enough that only -parallel
+// applies.
 const maxConcurrentBubbles = 1024
--- a/lab/simulation/operators.go
+++ b/lab/simulation/operators.go
@@ -14,16 +14,17 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// Pace of the operators.
+// Intervals, timeouts and retries of the operators.
 const (
 	changeInterval  = 800 * time.Millisecond
 	operatorTimeout = 12 * time.Second
 	retryPause      = 100 * time.Millisecond
-	// maxAttempts bounds how often an unknown outcome is asked for.
+	// maxAttempts limits how often a change is tried and an unknown outcome is
+	// queried.
 	maxAttempts = 8
 )
 
-// operators change the configuration through any node.
+// operators simulates operators, who change the configuration through any node.
 type operators struct {
 	system    *System
 	transport *http.Transport
@@ -53,14 +54,14 @@
 	return client
 }
 
-// configuration reads what a node has in force.
+// configuration reads the configuration that a node has in force.
 func (o *operators) configuration(host *nodeHost) (operator.Configuration, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	return o.client(host).Configuration(ctx)
 }
 
-// bootstrap makes the first configuration.
+// bootstrap applies the first configuration, with retries.
 func (o *operators) bootstrap(ctx context.Context) {
 	config := o.system.layout.config(0)
 	for range maxAttempts {
@@ -71,7 +72,8 @@
 	}
 }
 
-// run changes classes from time to time until the faults have ended.
+// run changes a class of the configuration at random intervals until the given
+// time.
 func (o *operators) run(ctx context.Context, until time.Duration) {
 	var changes sync.WaitGroup
 	defer changes.Wait()
@@ -88,7 +90,7 @@
 	return changeInterval/2 + time.Duration(o.random.Int64N(int64(changeInterval)))
 }
 
-// nextChange picks a node and a small change.
+// nextChange generates a small configuration change and a node to send it to.
 func (o *operators) nextChange() (*nodeHost, policy.Change) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -99,7 +101,8 @@
 	return o.system.nodes[o.random.IntN(len(o.system.nodes))], policy.Change{SetClass: &class}
 }
 
-// race has two operators plan from the same base and confirm at the same time.
+// race makes two operators plan from the same base revision and confirm
+// concurrently.
 func (o *operators) race(ctx context.Context, one, other *nodeHost) {
 	var planned, confirmed sync.WaitGroup
 	for _, host := range []*nodeHost{one, other} {
@@ -117,7 +120,8 @@
 	confirmed.Wait()
 }
 
-// change plans and confirms; it reports whether the change is known to be applied.
+// change plans and confirms a change. It reports whether the change is known to
+// be applied.
 func (o *operators) change(ctx context.Context, host *nodeHost, change policy.Change) bool {
 	plan, err := o.plan(ctx, host, change)
 	if err != nil {
@@ -130,7 +134,8 @@
 	return o.client(host).Plan(ctx, policy.Intent{Author: "operator", Changes: []policy.Change{change}})
 }
 
-// confirm confirms a plan and, when its outcome is unknown, asks for it.
+// confirm confirms a plan and, while its outcome is unknown, queries the
+// outcome.
 func (o *operators) confirm(ctx context.Context, host *nodeHost, plan policy.Plan) history.ConfirmationResult {
 	receipt, err := o.client(host).Confirm(ctx, plan)
 	result, revision := confirmationResult(receipt, err)
@@ -156,7 +161,8 @@
 	})
 }
 
-// confirmationResult reads what a node said of a plan.
+// confirmationResult converts a node's response to a confirmation or outcome
+// query.
 func confirmationResult(receipt policy.Receipt, err error) (history.ConfirmationResult, policy.Revision) {
 	var problem *operator.ProblemError
 	switch {
@@ -179,7 +185,7 @@
 	}
 }
 
-// repartition moves the bounds of the search's groups.
+// repartition moves the bounds between the groups of the search service.
 func (o *operators) repartition(ctx context.Context, host *nodeHost, shift uint64) error {
 	service := o.system.layout.searchConfig(shift)
 	for range maxAttempts {
@@ -188,5 +194,5 @@
 		}
 		time.Sleep(retryPause)
 	}
-	return fmt.Errorf("simulation: bounds were not moved by %d", shift)
+	return fmt.Errorf("simulation: repartition by %d keys was not applied", shift)
 }
--- a/lab/simulation/platform.go
+++ b/lab/simulation/platform.go
@@ -11,7 +11,8 @@
 	"github.com/banksail/banksail/store"
 )
 
-// platform is the store and the machine list, each on a host of its own.
+// platform runs the configuration store and the machine list, each on its own
+// host.
 type platform struct {
 	memory            *store.Memory
 	store             *emulator.StoreServer
@@ -52,7 +53,7 @@
 	return p, nil
 }
 
-// updateMachineList puts a machine into the machine list.
+// updateMachineList adds or replaces an entry of the machine list.
 func (p *platform) updateMachineList(machine machinelist.Machine) { p.machineList.Upsert(machine) }
 
 func (p *platform) shutDown() {
@@ -60,7 +61,7 @@
 	_ = p.machineList.Close()
 }
 
-// digestOf identifies a configuration by its content.
+// digestOf returns a digest that identifies a configuration by its content.
 func digestOf(config policy.Config) string {
 	data, err := json.Marshal(config)
 	if err != nil {
--- a/lab/simulation/race_test.go
+++ b/lab/simulation/race_test.go
@@ -2,7 +2,7 @@
 
 package simulation
 
-// maxConcurrentBubbles bounds the bubbles that run beside each other. The race
-// detector's runtime has failed a check of its own ("CHECK failed:
-// tsan_rtl.cpp") with a dozen of them.
+// maxConcurrentBubbles limits the synctest bubbles that run concurrently. With
+// a dozen of them, the race detector's runtime has failed an internal check
+// ("CHECK failed: tsan_rtl.cpp").
 const maxConcurrentBubbles = 3
--- a/lab/simulation/seeds_test.go
+++ b/lab/simulation/seeds_test.go
@@ -23,11 +23,13 @@
 	bugName           = flag.String("bug", "", "seed the bug of this name; see TestSeededBugs")
 )
 
-// ciSeeds is the number of seeds without flags. With one of every mode and kind
-// of fault in turn, they cover a fixed part of the table.
+// ciSeeds is the number of seeds that run without flags. As seeds take the
+// modes and kinds of fault in turn, these cover a fixed part of their
+// combinations.
 const ciSeeds = 24
 
-// ciStride spreads the seeds of CI over the kinds of faults.
+// ciStride is the distance between the seeds that run without flags; it spreads
+// them over the kinds of fault.
 const ciStride = 13
 
 func seedTable() []uint64 {
@@ -47,10 +49,10 @@
 	return seeds
 }
 
-// bubbleSlots holds a token for each bubble that runs.
+// bubbleSlots holds a token for each running bubble.
 var bubbleSlots = make(chan struct{}, maxConcurrentBubbles)
 
-// runSeed runs one seed in a bubble of its own.
+// runSeed runs one seed in its own synctest bubble.
 func runSeed(t *testing.T, options Options) Result {
 	t.Helper()
 	bubbleSlots <- struct{}{}
@@ -66,7 +68,7 @@
 	return result
 }
 
-// TestSeeds runs whole nodes under the fault schedules of a table of seeds.
+// TestSeeds runs complete nodes under the fault schedules of a table of seeds.
 func TestSeeds(t *testing.T) {
 	seeded, err := findBug(*bugName)
 	if err != nil {
@@ -96,7 +98,8 @@
 	}
 }
 
-// reportViolations fails the test with all that is known of the violations.
+// reportViolations fails the test if there are violations, and logs the faults
+// and the requests concerned.
 func reportViolations(t *testing.T, result Result) {
 	t.Helper()
 	if *oneSeed >= 0 {
@@ -114,10 +117,10 @@
 	for _, requestID := range violatedRequests(result) {
 		logRequest(t, result.History, requestID)
 	}
-	t.Logf("run it alone: go test ./lab/simulation -run TestSeeds -seed %d -v", result.Schedule.Seed)
+	t.Logf("to reproduce: go test ./lab/simulation -run TestSeeds -seed %d -v", result.Schedule.Seed)
 }
 
-// violatedRequests lists the request IDs that violations name.
+// violatedRequests returns the IDs of the requests that violations name.
 func violatedRequests(result Result) []string {
 	var requests []string
 	for _, violation := range result.Report.Violations {
@@ -129,7 +132,7 @@
 	return requests
 }
 
-// logRequest logs all that happened to one request.
+// logRequest logs all calls, answers and attempts of one request.
 func logRequest(t *testing.T, recorded *history.History, requestID string) {
 	t.Helper()
 	calls := make(map[history.CallID]bool)
@@ -151,7 +154,7 @@
 	}
 }
 
-// logRun logs a run in full.
+// logRun logs the nodes' log lines and a summary of the run.
 func logRun(t *testing.T, result Result) {
 	t.Helper()
 	for _, line := range result.Log {
@@ -165,6 +168,6 @@
 	t.Logf("calls %d, attempts %d, accepted %d, in force %v", len(result.History.Calls),
 		len(result.History.Attempts), len(result.History.Accepted), result.History.InForce)
 	for _, invariant := range history.Invariants() {
-		t.Logf("%s: judged %d", invariant, result.Report.Checked[invariant])
+		t.Logf("%s: checked %d items", invariant, result.Report.Checked[invariant])
 	}
 }
--- a/lab/simulation/server.go
+++ b/lab/simulation/server.go
@@ -18,18 +18,20 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// Size and speed of simulated back ends.
+// Capacity and speed of the simulated back ends.
 const (
 	serverSlots = 4
 	serviceMean = policy.Milliseconds(10)
-	// straggleBase is what a straggling server's service time is a multiple of.
+	// straggleBase is the base service time of a slow server. The straggle factor is
+	// the delay of the fault divided by it.
 	straggleBase = 10 * time.Millisecond
 )
 
-// maxRequestBytes bounds what is read of one sub-request for recording.
+// maxRequestBytes limits how much of a sub-request's body is read for
+// recording.
 const maxRequestBytes = 1 << 20
 
-// server is one back end on its host. Its process may be restarted.
+// server is a host that runs a back end, whose process may be restarted.
 type server struct {
 	system *System
 	index  int
@@ -38,24 +40,27 @@
 	ranges []coverage.Range
 	faults faultSettings[emulator.ServerFaults]
 
-	// mutex guards the fields below, and serialises restarts.
+	// mutex guards the fields below, and serializes restarts.
 	mutex       sync.Mutex
 	incarnation int
 	stub        *emulator.Server
 	http        *http.Server
-	// leavingSince is when the present process began to leave; zero if it didn't.
+	// leavingSince is when the current process began to leave; zero if it is
+	// not leaving.
 	leavingSince time.Duration
-	// arrivals holds what arrived and has no execution record yet, by attempt ID.
+	// arrivals holds the received sub-requests by attempt ID, for their
+	// execution records.
 	arrivals map[string]arrival
 }
 
-// arrival is what is known of a sub-request when it reaches a server.
+// arrival holds when a sub-request was sent and when it reached the server.
 type arrival struct {
 	at     time.Duration
 	sentAt time.Duration
 }
 
-// startOptions is how a server's process is started.
+// startOptions sets up a server's process. With zero connections the limit of
+// the run's options applies.
 type startOptions struct {
 	connections int
 	coldStart   time.Duration
@@ -85,7 +90,7 @@
 	}
 }
 
-// service is the one that the server belongs to.
+// service returns the name of the service that the server belongs to.
 func (srv *server) service() string {
 	if srv.ranges == nil {
 		return noticeService
@@ -93,8 +98,8 @@
 	return searchService
 }
 
-// start runs a new process on the server's host. Only the faults that belong to
-// the data it holds outlive the process.
+// start starts a new process on the server's host. Active faults apply to the
+// new process too, except that it is not draining.
 func (srv *server) start(opts startOptions) error {
 	process, err := srv.system.network.Start(srv.ip)
 	if err != nil {
@@ -134,7 +139,8 @@
 	return nil
 }
 
-// beginLeaving makes the process drain, tells the machine list, or both.
+// beginLeaving makes the process drain, marks it as leaving in the machine
+// list, or both.
 func (srv *server) beginLeaving(draining, listed bool) {
 	srv.faults.update(func(f *emulator.ServerFaults) { f.Draining = draining })
 	srv.mutex.Lock()
@@ -146,7 +152,7 @@
 	}
 }
 
-// endLeaving records that a new process took the place of one that left.
+// endLeaving records that a new process replaced one that was leaving, if so.
 func (srv *server) endLeaving() {
 	srv.mutex.Lock()
 	since := srv.leavingSince
@@ -161,14 +167,14 @@
 	})
 }
 
-// isLeaving reports whether the present process is leaving.
+// isLeaving reports whether the current process is leaving.
 func (srv *server) isLeaving() bool {
 	srv.mutex.Lock()
 	defer srv.mutex.Unlock()
 	return srv.leavingSince != 0
 }
 
-// updateMachineList tells the machine list of the server.
+// updateMachineList writes the server's entry of the machine list.
 func (srv *server) updateMachineList(state machinelist.State, incarnation string) {
 	srv.system.platform.updateMachineList(machinelist.Machine{
 		ID: srv.name, Address: address(srv.ip, serverPort), Zone: zoneOf(srv.index),
@@ -176,12 +182,13 @@
 	})
 }
 
-// incarnationName names the present process. The lock is held.
+// incarnationName returns the incarnation of the current process. The caller
+// must hold the mutex.
 func (srv *server) incarnationName() string {
 	return fmt.Sprintf("%s-%d", srv.name, srv.incarnation)
 }
 
-// kill ends the process.
+// kill kills the process.
 func (srv *server) kill(mode network.KillMode) {
 	srv.system.network.Kill(srv.ip, mode)
 	srv.shutDown()
@@ -194,7 +201,8 @@
 	_ = httpServer.Close()
 }
 
-// handler records what reaches the back end.
+// handler wraps the back end's handler to record received sub-requests, and
+// applies the hooks.
 func (srv *server) handler(stub http.Handler) http.Handler {
 	inner := stub
 	if hook := srv.system.options.Hooks.Recorded; hook != nil {
@@ -212,7 +220,8 @@
 	return outer
 }
 
-// recordArrival notes a sub-request's arrival; its body stays readable.
+// recordArrival records the arrival of a sub-request and leaves its body
+// readable.
 func (srv *server) recordArrival(request *http.Request) {
 	data, err := io.ReadAll(io.LimitReader(request.Body, maxRequestBytes))
 	if err != nil {
@@ -230,7 +239,7 @@
 	srv.arrivals[query.AttemptID] = arrival{at: now, sentAt: srv.system.sentAt(query.RequestID, remaining, now)}
 }
 
-// recordExecution records what became of a sub-request.
+// recordExecution records the outcome of a sub-request.
 func (srv *server) recordExecution(execution emulator.Execution) {
 	srv.mutex.Lock()
 	arrived := srv.arrivals[execution.AttemptID]
@@ -245,8 +254,9 @@
 	})
 }
 
-// sentAt works out when the node decided to send: the time that was left then
-// is the time from there to the request's deadline.
+// sentAt returns when the node decided to send a sub-request: the request's
+// deadline minus the time that remained according to the sub-request, but no
+// later than its arrival.
 func (s *System) sentAt(requestID string, remaining, arrivedAt time.Duration) time.Duration {
 	for _, caller := range s.callers {
 		if deadline, ok := caller.deadlineOf(requestID); ok {
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -1,11 +1,11 @@
-// Package simulation runs whole nodes, with the emulator's back ends, store and
-// machine list, callers and operators, on an in-memory network and under a
-// fault schedule, and records the history for the checker.
+// Package simulation runs complete nodes on an in-memory network under a fault
+// schedule, together with emulated back ends, store and machine list, and
+// simulated callers and operators. It records the history for the checker.
 //
-// Run must be called inside a testing/synctest bubble, which gives all of it a
-// virtual clock. The order of goroutines within a bubble does not follow the
-// seed, so single events may differ between two runs of a seed; the faults, the
-// callers' requests and the operators' changes do not.
+// Run must be called inside a testing/synctest bubble, which provides a virtual
+// clock. The seed determines the faults, the callers' requests and the
+// operators' changes, but not the order of goroutines within a bubble, so
+// single events may differ between two runs of a seed.
 package simulation
 
 import (
@@ -22,70 +22,75 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// ErrSetUp is returned when the simulated system can't be started.
-var ErrSetUp = errors.New("simulation: can't set up")
+// ErrSetUp is returned when the simulated system cannot be started.
+var ErrSetUp = errors.New("simulation: setup failed")
 
 // Defaults of Options.
 const (
 	DefaultNodes  = 3
 	DefaultGroups = 3
-	// DefaultConnections is the number of connections that a server takes.
+	// DefaultConnections is the limit of open connections of each server.
 	DefaultConnections = 70
 	DefaultReplicas    = 2
 )
 
-// Times of a run.
+// Phases of a run.
 const (
-	// warmUp is when callers begin.
+	// warmUp is the time from the start of the run until callers begin.
 	warmUp = 1500 * time.Millisecond
-	// faultsFrom and faultsTo bound the start of faults.
+	// faultsFrom and faultsTo are the earliest and latest start of a fault. Only
+	// the second fault of a pair may start later.
 	faultsFrom = 2 * time.Second
 	faultsTo   = 4 * time.Second
-	// probeDuration is how long callers go on after the recovery bound.
+	// probeDuration is how long callers send probes after the recovery bound.
 	probeDuration = time.Second
-	// shutdownDuration is how long the processes may take to stop at the end.
+	// shutdownDuration is the time allowed for open requests and tasks to
+	// finish before the processes are stopped.
 	shutdownDuration = 3 * time.Second
-	// timerExpiryWait is longer than any timer of a process that has ended.
+	// timerExpiryWait is longer than any timer of a stopped process.
 	timerExpiryWait = 3 * time.Minute
 )
 
-// Options sets up a run.
+// Options configures a run.
 type Options struct {
 	// Seed determines the schedule, the network's delays and the requests.
 	Seed uint64
-	// Nodes, Groups and Replicas size the system; there is one more group, the
-	// pool of a second service.
+	// Nodes, Groups and Replicas are the numbers of nodes, of groups of the
+	// search service, and of servers in each group. One more group is the pool
+	// of the second service.
 	Nodes, Groups, Replicas int
-	// Connections is the number that each server takes.
+	// Connections is the limit of open connections of each server.
 	Connections int
-	// Checker holds the allowances.
+	// Checker configures the checker; the zero value means
+	// history.DefaultOptions.
 	Checker history.Options
-	// Faults replaces the schedule that the seed gives, unless nil.
+	// Faults replaces the schedule generated from the seed, unless nil.
 	Faults []schedule.Fault
-	// Hooks alter the system under test; tests seed bugs with them.
+	// Hooks alter the system under test; tests use them to seed bugs.
 	Hooks Hooks
 }
 
-// Hooks wrap parts of the system. A nil hook wraps nothing.
+// Hooks wrap or replace parts of the system. Nil hooks are ignored.
 type Hooks struct {
-	// Server wraps a back end's handler outside of the recording of what it ran.
+	// Server wraps a back end's handler outside the recording of arrivals.
 	Server func(name string, inner http.Handler) http.Handler
-	// Recorded wraps a back end's handler inside of the recording.
+	// Recorded wraps a back end's handler inside the recording of arrivals.
 	Recorded func(name string, inner http.Handler) http.Handler
 	// Caller wraps the callers' transport.
 	Caller func(inner http.RoundTripper) http.RoundTripper
-	// Fault may carry a fault out in place of the simulation; it says if it did.
+	// Fault may inject a fault in place of the simulation. It reports whether
+	// it did.
 	Fault func(s *System, fault schedule.Fault) bool
 	// Stop replaces the planned stop of a node.
 	Stop func(s *System, node string)
 }
 
-// Result is what a run gives.
+// Result is the outcome of a run.
 type Result struct {
 	Schedule schedule.Schedule
 	History  *history.History
 	Report   history.Report
-	// Log holds the nodes' log lines, each with its time and node.
+	// Log holds the nodes' log lines, each prefixed with its time and node.
 	Log []string
 }
 
@@ -104,11 +109,12 @@
 	callers   []*callerHost
 	operators *operators
 
-	// tasks counts the goroutines of faults, callers and operators.
+	// tasks tracks the goroutines of faults, callers and operators.
 	tasks sync.WaitGroup
 }
 
-// Run runs one seed and judges it.
+// Run runs one seed and checks its history. It returns ErrSetUp if the system
+// cannot be started.
 func Run(options Options) (Result, error) {
 	setDefault(&options.Nodes, DefaultNodes)
 	setDefault(&options.Groups, DefaultGroups)
@@ -164,7 +170,7 @@
 	return s, nil
 }
 
-// start starts every process.
+// start starts all processes.
 func (s *System) start() error {
 	var err error
 	if s.platform, err = newPlatform(s); err != nil {
@@ -195,7 +201,7 @@
 	return err
 }
 
-// run goes through the phases of a run and stops every process.
+// run runs all phases and then stops all processes.
 func (s *System) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.operators.bootstrap(ctx)
@@ -216,7 +222,7 @@
 	s.stop()
 }
 
-// stop ends every process. What it does is no part of the history.
+// stop stops all processes. Its effects are not part of the history.
 func (s *System) stop() {
 	for _, node := range s.nodes {
 		node.shutDown()
@@ -230,8 +236,8 @@
 	}
 	s.platform.shutDown()
 	s.network.Close()
-	// Virtual time ends with the goroutine that called Run; what still waits for
-	// a timer must come to its end before.
+	// Virtual time stops advancing when the goroutine that called Run returns,
+	// so timers still pending must expire before.
 	time.Sleep(timerExpiryWait)
 }
 
@@ -239,14 +245,15 @@
 	time.Sleep(moment - s.recorder.Now())
 }
 
-// recordDisturbance records a time in which a node could not take part.
+// recordDisturbance records a period in which a node could not take part.
 func (s *System) recordDisturbance(kind history.DisturbanceKind, host string, from, to time.Duration) {
 	s.recorder.Update(func(h *history.History) {
 		h.Disturbances = append(h.Disturbances, history.Disturbance{Kind: kind, Host: host, From: from, To: to})
 	})
 }
 
-// recordInForce reads the whole configuration that each node has in force.
+// recordInForce records the full configuration that each node has in force.
+// Nodes that do not answer are left out.
 func (s *System) recordInForce() {
 	for _, node := range s.nodes {
 		configuration, err := s.operators.configuration(node)
@@ -263,7 +270,7 @@
 	}
 }
 
-// recordAcceptedConfiguration records a configuration that the store took.
+// recordAcceptedConfiguration records a configuration that the store accepted.
 func (s *System) recordAcceptedConfiguration(value []byte) {
 	record, err := policy.DecodeRecord(value)
 	if err != nil {
--- a/lab/simulation/summary.go
+++ b/lab/simulation/summary.go
@@ -10,8 +10,8 @@
 	"github.com/banksail/banksail/lab/schedule"
 )
 
-// Summary adds up the results of many seeds. Its methods may be called from
-// several goroutines.
+// Summary aggregates the results of many seeds. Its methods are safe for
+// concurrent use.
 type Summary struct {
 	// mutex guards the fields below.
 	mutex      sync.Mutex
@@ -21,15 +21,15 @@
 	violations map[history.Invariant]int
 	faults     map[schedule.Kind]int
 	modes      map[schedule.Mode]int
-	// judgedUnder counts the histories in which an invariant was judged while a kind
-	// of fault happened.
+	// judgedUnder counts, by kind of fault, the histories with such a fault in
+	// which an invariant was checked.
 	judgedUnder      map[schedule.Kind]map[history.Invariant]int
 	knownLimitations int
 	calls            int
 	attempts         int
 }
 
-// NewSummary makes an empty summary.
+// NewSummary returns an empty summary.
 func NewSummary() *Summary {
 	return &Summary{
 		judged:      make(map[history.Invariant]int),
@@ -41,7 +41,7 @@
 	}
 }
 
-// Add takes in one result.
+// Add adds the result of one run.
 func (s *Summary) Add(result Result) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -80,8 +80,8 @@
 	}
 }
 
-// Matrix formats in how many histories each invariant was judged under each
-// kind of fault, as a table in Markdown.
+// Matrix returns a Markdown table of the number of histories in which each
+// invariant was checked under each kind of fault.
 func (s *Summary) Matrix() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -101,7 +101,7 @@
 	return text.String()
 }
 
-// Text formats the summary of a run that took the given time.
+// Text returns the summary as text, for runs that took the given time in total.
 func (s *Summary) Text(took time.Duration) string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/lab/simulation/topology.go
+++ b/lab/simulation/topology.go
@@ -18,19 +18,21 @@
 	machineListPort = 7100
 )
 
-// Addresses of hosts that there is one of.
+// Addresses of the hosts that exist only once.
 const (
 	storeIP       = "10.0.2.1"
 	machineListIP = "10.0.3.1"
 	operatorIP    = "10.0.5.1"
 )
 
-// The services. The search has a few groups, the notices are one pool.
+// The services and their key space. The search service has several groups, the
+// notices service a single pool.
 const (
 	searchService = "search"
 	noticeService = "notices"
 	keySpaceSize  = 1 << 20
-	// itemStride keeps replies small.
+	// itemStride is the distance between items in the key space; it keeps
+	// replies small.
 	itemStride = 1 << 15
 )
 
@@ -54,13 +56,13 @@
 
 func zoneOf(index int) string { return fmt.Sprintf("zone-%d", index%2+1) }
 
-// layout tells which servers belong to which group of which service.
+// layout assigns the servers to the groups of the services.
 type layout struct {
 	nodes int
-	// connections is the number that each server takes.
+	// connections is the limit of open connections of each server.
 	connections int
-	// groups lists the servers' indexes of each group; the last one is the pool
-	// of the notices.
+	// groups holds the server indexes of each group. The last group is the pool
+	// of the notices service.
 	groups [][]int
 }
 
@@ -78,15 +80,15 @@
 	return l
 }
 
-// searchGroups are the groups without the pool.
+// searchGroups returns the groups of the search service.
 func (l layout) searchGroups() [][]int { return l.groups[:len(l.groups)-1] }
 
-// pool is the group of the notices.
+// pool returns the group of the notices service.
 func (l layout) pool() []int { return l.groups[len(l.groups)-1] }
 
 func serverName(index int) string { return fmt.Sprintf("server-%d", index+1) }
 
-// topology names the hosts for the schedule.
+// topology returns the hosts for the schedule generator.
 func (l layout) topology() schedule.Topology {
 	topology := schedule.Topology{Store: storeIP, MachineList: machineListIP}
 	for index := range l.nodes {
@@ -102,8 +104,8 @@
 	return topology
 }
 
-// ranges parts the key space among the search's groups. A shift moves the
-// bounds between groups, as a repartition does.
+// ranges splits the key space among the groups of the search service. The shift
+// moves the bounds between groups, as a repartition does.
 func (l layout) ranges(shift uint64) []coverage.Range {
 	count := uint64(len(l.searchGroups()))
 	var ranges []coverage.Range
@@ -119,7 +121,8 @@
 	return ranges
 }
 
-// config is the operators' configuration with the given bounds of groups.
+// config returns the initial configuration, with the bounds between groups
+// moved by shift.
 func (l layout) config(shift uint64) policy.Config {
 	return policy.Config{
 		Classes: []policy.Class{
@@ -133,7 +136,8 @@
 	}
 }
 
-// searchConfig is the search with the given bounds of groups.
+// searchConfig returns the configuration of the search service, with the bounds
+// between groups moved by shift.
 func (l layout) searchConfig(shift uint64) policy.Service {
 	service := policy.Service{Name: searchService, KeySpace: keySpace}
 	for index, keys := range l.ranges(shift) {
