--- a/lab/simulation/bugs_test.go
+++ b/lab/simulation/bugs_test.go
@@ -57,11 +57,11 @@
 		return bug{}, nil
 	}
 	var names []string
-	for _, one := range bugs() {
-		if one.name == name {
-			return one, nil
+	for _, seeded := range bugs() {
+		if seeded.name == name {
+			return seeded, nil
 		}
-		names = append(names, one.name)
+		names = append(names, seeded.name)
 	}
 	return bug{}, fmt.Errorf("unknown bug %q; known bugs are %v", name, names)
 }
@@ -108,12 +108,12 @@
 // TestSeededBugs checks that the checker reports a violation of the expected
 // invariant for each bug, in a run of the complete system.
 func TestSeededBugs(t *testing.T) {
-	for _, one := range bugs() {
-		t.Run(one.name, func(t *testing.T) {
+	for _, seeded := range bugs() {
+		t.Run(seeded.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(bugSeeds) {
-				result := runSeed(t, Options{Seed: seed, Hooks: one.hooks, Faults: one.schedule()})
-				if hasViolation(t, result, one.invariant) {
+				result := runSeed(t, Options{Seed: seed, Hooks: seeded.hooks, Faults: seeded.schedule()})
+				if hasViolation(t, result, seeded.invariant) {
 					return
 				}
 			}
--- a/lab/simulation/faults.go
+++ b/lab/simulation/faults.go
@@ -29,14 +29,14 @@
 	repartitionShift       = 3 * itemStride
 	newSnapshot            = 2
 	changeTimeout          = 20 * time.Second
-	// stopBurst is the number of requests sent to a node stopBurstLead before
+	// stopBurstSize is the number of requests sent to a node stopBurstLead before
 	// its planned stop, so that requests are in flight then.
-	stopBurst     = 8
+	stopBurstSize = 8
 	stopBurstLead = 15 * time.Millisecond
-	// overloadBurst is the number of requests sent to each node at once, every
-	// overloadPause.
-	overloadBurst = 60
-	overloadPause = 100 * time.Millisecond
+	// overloadBurstSize is the number of requests sent to each node at once, every
+	// overloadInterval.
+	overloadBurstSize = 60
+	overloadInterval  = 100 * time.Millisecond
 )
 
 // inject injects one fault at its start time and removes it at its end time.
@@ -133,7 +133,7 @@
 // stopNode requests a planned stop of a node with requests in flight, and
 // starts a new process at the given time.
 func (s *System) stopNode(host *nodeHost, at time.Duration) {
-	s.callers[host.index].burst(stopBurst)
+	s.callers[host.index].burst(stopBurstSize)
 	time.Sleep(stopBurstLead)
 	stopped := true
 	if hook := s.options.Hooks.Stop; hook != nil {
@@ -169,9 +169,9 @@
 func (s *System) overload(fault schedule.Fault) {
 	for s.recorder.Now() < fault.Until {
 		for _, caller := range s.callers {
-			caller.burst(overloadBurst)
+			caller.burst(overloadBurstSize)
 		}
-		time.Sleep(overloadPause)
+		time.Sleep(overloadInterval)
 	}
 }
 
@@ -199,41 +199,41 @@
 }
 
 func (s *System) injectPlatform(fault schedule.Fault) {
-	storeFault := func(on, off func(*store.MemoryFaults)) {
+	injectStoreFault := func(on, off func(*store.MemoryFaults)) {
 		s.platform.storeFaults.update(on)
 		s.sleepUntil(fault.Until)
 		s.platform.storeFaults.update(off)
 	}
-	listFault := func(on, off func(*emulator.MachineListFaults)) {
+	injectListFault := func(on, off func(*emulator.MachineListFaults)) {
 		s.platform.machineListFaults.update(on)
 		s.sleepUntil(fault.Until)
 		s.platform.machineListFaults.update(off)
 	}
 	switch fault.Kind {
 	case schedule.StoreOutage:
-		storeFault(func(f *store.MemoryFaults) { f.Down = true }, func(f *store.MemoryFaults) { f.Down = false })
+		injectStoreFault(func(f *store.MemoryFaults) { f.Down = true }, func(f *store.MemoryFaults) { f.Down = false })
 	case schedule.StoreSlow:
-		storeFault(func(f *store.MemoryFaults) { f.DelayMilliseconds = milliseconds(fault.Delay) },
+		injectStoreFault(func(f *store.MemoryFaults) { f.DelayMilliseconds = milliseconds(fault.Delay) },
 			func(f *store.MemoryFaults) { f.DelayMilliseconds = 0 })
 	case schedule.StoreLostReply:
-		storeFault(func(f *store.MemoryFaults) { f.LoseReplies = lostReplyCount }, func(f *store.MemoryFaults) { f.LoseReplies = 0 })
+		injectStoreFault(func(f *store.MemoryFaults) { f.LoseReplies = lostReplyCount }, func(f *store.MemoryFaults) { f.LoseReplies = 0 })
 	case schedule.StoreStale:
-		storeFault(func(f *store.MemoryFaults) { f.StaleRevisions = staleRevisionCount },
+		injectStoreFault(func(f *store.MemoryFaults) { f.StaleRevisions = staleRevisionCount },
 			func(f *store.MemoryFaults) { f.StaleRevisions = 0 })
 	case schedule.StoreLimit:
-		storeFault(func(f *store.MemoryFaults) { f.CallsPerSecond = reducedStoreCallRate },
+		injectStoreFault(func(f *store.MemoryFaults) { f.CallsPerSecond = reducedStoreCallRate },
 			func(f *store.MemoryFaults) { f.CallsPerSecond = 0 })
 	case schedule.StoreFreeze:
 		s.network.Freeze(storeIP)
 		s.sleepUntil(fault.Until)
 		s.network.Thaw(storeIP)
 	case schedule.MachineListOutage:
-		listFault(func(f *emulator.MachineListFaults) { f.Down = true }, func(f *emulator.MachineListFaults) { f.Down = false })
+		injectListFault(func(f *emulator.MachineListFaults) { f.Down = true }, func(f *emulator.MachineListFaults) { f.Down = false })
 	case schedule.MachineListLag:
-		listFault(func(f *emulator.MachineListFaults) { f.LagMilliseconds = machineListLagMillis },
+		injectListFault(func(f *emulator.MachineListFaults) { f.LagMilliseconds = machineListLagMillis },
 			func(f *emulator.MachineListFaults) { f.LagMilliseconds = 0 })
 	case schedule.MachineListEmpty:
-		listFault(func(f *emulator.MachineListFaults) { f.Empty = true }, func(f *emulator.MachineListFaults) { f.Empty = false })
+		injectListFault(func(f *emulator.MachineListFaults) { f.Empty = true }, func(f *emulator.MachineListFaults) { f.Empty = false })
 	}
 }
 
@@ -330,11 +330,11 @@
 // server alone, or by the machine list alone. A single announcer is used only
 // where no other fault can hide the machine list.
 func (s *System) drain(srv *server, fault schedule.Fault) {
-	turn := s.options.Seed / uint64(len(schedule.Modes())) % 3
+	variant := s.options.Seed / uint64(len(schedule.Modes())) % 3
 	if s.schedule.Has(schedule.MachineListOutage, schedule.MachineListLag, schedule.MachineListEmpty, schedule.Isolate) {
-		turn = 0
+		variant = 0
 	}
-	srv.beginLeaving(turn != 2, turn != 1)
+	srv.beginLeaving(variant != 2, variant != 1)
 	s.sleepUntil(fault.Until)
 	if srv.isLeaving() {
 		srv.restart(network.KillReset, s.recorder.Now(), startOptions{})
--- a/lab/simulation/operators.go
+++ b/lab/simulation/operators.go
@@ -103,9 +103,9 @@
 
 // race makes two operators plan from the same base revision and confirm
 // concurrently.
-func (o *operators) race(ctx context.Context, one, other *nodeHost) {
+func (o *operators) race(ctx context.Context, first, second *nodeHost) {
 	var planned, confirmed sync.WaitGroup
-	for _, host := range []*nodeHost{one, other} {
+	for _, host := range []*nodeHost{first, second} {
 		_, change := o.nextChange()
 		planned.Add(1)
 		confirmed.Go(func() {
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -44,9 +44,9 @@
 	faultsTo   = 4 * time.Second
 	// probeDuration is how long callers send probes after the recovery bound.
 	probeDuration = time.Second
-	// shutdownDuration is the time allowed for open requests and tasks to
+	// completionWait is the time allowed for open requests and tasks to
 	// finish before the processes are stopped.
-	shutdownDuration = 3 * time.Second
+	completionWait = 3 * time.Second
 	// timerExpiryWait is longer than any timer of a stopped process.
 	timerExpiryWait = 3 * time.Minute
 )
@@ -215,7 +215,7 @@
 		s.tasks.Go(func() { caller.run(ctx, faultsEnd, end) })
 	}
 	s.tasks.Go(func() { s.operators.run(ctx, faultsEnd) })
-	s.sleepUntil(end + shutdownDuration)
+	s.sleepUntil(end + completionWait)
 	s.tasks.Wait()
 	cancel()
 	s.recordInForce()
--- a/lab/simulation/summary.go
+++ b/lab/simulation/summary.go
@@ -14,16 +14,16 @@
 // concurrent use.
 type Summary struct {
 	// mutex guards the fields below.
-	mutex      sync.Mutex
-	histories  int
-	judged     map[history.Invariant]int
-	items      map[history.Invariant]int
-	violations map[history.Invariant]int
-	faults     map[schedule.Kind]int
-	modes      map[schedule.Mode]int
-	// judgedUnder counts, by kind of fault, the histories with such a fault in
+	mutex            sync.Mutex
+	histories        int
+	checkedHistories map[history.Invariant]int
+	items            map[history.Invariant]int
+	violations       map[history.Invariant]int
+	faults           map[schedule.Kind]int
+	modes            map[schedule.Mode]int
+	// checkedUnder counts, by kind of fault, the histories with such a fault in
 	// which an invariant was checked.
-	judgedUnder      map[schedule.Kind]map[history.Invariant]int
+	checkedUnder     map[schedule.Kind]map[history.Invariant]int
 	knownLimitations int
 	calls            int
 	attempts         int
@@ -32,12 +32,12 @@
 // NewSummary returns an empty summary.
 func NewSummary() *Summary {
 	return &Summary{
-		judged:      make(map[history.Invariant]int),
-		items:       make(map[history.Invariant]int),
-		violations:  make(map[history.Invariant]int),
-		faults:      make(map[schedule.Kind]int),
-		judgedUnder: make(map[schedule.Kind]map[history.Invariant]int),
-		modes:       make(map[schedule.Mode]int),
+		checkedHistories: make(map[history.Invariant]int),
+		items:            make(map[history.Invariant]int),
+		violations:       make(map[history.Invariant]int),
+		faults:           make(map[schedule.Kind]int),
+		checkedUnder:     make(map[schedule.Kind]map[history.Invariant]int),
+		modes:            make(map[schedule.Mode]int),
 	}
 }
 
@@ -53,7 +53,7 @@
 	for invariant, items := range result.Report.Checked {
 		s.items[invariant] += items
 		if items > 0 {
-			s.judged[invariant]++
+			s.checkedHistories[invariant]++
 		}
 	}
 	for _, violation := range result.Report.Violations {
@@ -64,18 +64,18 @@
 	}
 	for _, kind := range schedule.Kinds() {
 		if result.Schedule.Has(kind) {
-			s.addJudgedUnder(kind, result.Report)
+			s.addCheckedUnder(kind, result.Report)
 		}
 	}
 }
 
-func (s *Summary) addJudgedUnder(kind schedule.Kind, report history.Report) {
-	if s.judgedUnder[kind] == nil {
-		s.judgedUnder[kind] = make(map[history.Invariant]int)
+func (s *Summary) addCheckedUnder(kind schedule.Kind, report history.Report) {
+	if s.checkedUnder[kind] == nil {
+		s.checkedUnder[kind] = make(map[history.Invariant]int)
 	}
 	for invariant, items := range report.Checked {
 		if items > 0 {
-			s.judgedUnder[kind][invariant]++
+			s.checkedUnder[kind][invariant]++
 		}
 	}
 }
@@ -94,7 +94,7 @@
 	for _, kind := range schedule.Kinds() {
 		fmt.Fprintf(text, "| %s |", kind)
 		for _, invariant := range history.Invariants() {
-			fmt.Fprintf(text, " %d |", s.judgedUnder[kind][invariant])
+			fmt.Fprintf(text, " %d |", s.checkedUnder[kind][invariant])
 		}
 		fmt.Fprintln(text)
 	}
@@ -110,7 +110,7 @@
 		s.histories, took.Seconds(), float64(s.histories)/took.Seconds(), s.calls, s.attempts)
 	fmt.Fprintf(text, "%-18s %10s %10s %10s\n", "invariant", "histories", "items", "violations")
 	for _, invariant := range history.Invariants() {
-		fmt.Fprintf(text, "%-18s %10d %10d %10d\n", invariant, s.judged[invariant], s.items[invariant], s.violations[invariant])
+		fmt.Fprintf(text, "%-18s %10d %10d %10d\n", invariant, s.checkedHistories[invariant], s.items[invariant], s.violations[invariant])
 	}
 	fmt.Fprintf(text, "beyond the known limits: %d runs of a not-repeatable request again, once every node was lost\n", s.knownLimitations)
 	fmt.Fprint(text, "modes:")
