--- a/lab/simulation/server.go
+++ b/lab/simulation/server.go
@@ -205,7 +205,7 @@
 // applies the hooks.
 func (srv *server) handler(stub http.Handler) http.Handler {
 	inner := stub
-	if hook := srv.system.options.Hooks.Recorded; hook != nil {
+	if hook := srv.system.options.Hooks.InnerServer; hook != nil {
 		inner = hook(srv.name, inner)
 	}
 	outer := http.Handler(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -74,8 +74,8 @@
 type Hooks struct {
 	// Server wraps a back end's handler outside the recording of arrivals.
 	Server func(name string, inner http.Handler) http.Handler
-	// Recorded wraps a back end's handler inside the recording of arrivals.
-	Recorded func(name string, inner http.Handler) http.Handler
+	// InnerServer wraps a back end's handler inside the recording of arrivals.
+	InnerServer func(name string, inner http.Handler) http.Handler
 	// Caller wraps the callers' transport.
 	Caller func(inner http.RoundTripper) http.RoundTripper
 	// Fault may inject a fault in place of the simulation. It reports whether
