--- a/cmd/banksail-lab/experiment.go
+++ b/cmd/banksail-lab/experiment.go
@@ -69,7 +69,7 @@
 		return err
 	}
 	if c.workload != "" {
-		if err := file.KeepWorkload(c.workload); err != nil {
+		if err := file.RestrictToWorkload(c.workload); err != nil {
 			return err
 		}
 	}
--- a/lab/experiment/baseline/baseline.go
+++ b/lab/experiment/baseline/baseline.go
@@ -24,11 +24,11 @@
 // refusalWait is what refused callers are told to wait.
 const refusalWait = time.Second
 
-// Foresight tells how long a sub-request would take from being sent now until
+// LatencyOracle tells how long a sub-request would take from being sent now until
 // its reply.
-type Foresight func(id dispatch.QueryID, part coverage.Range, server string) time.Duration
+type LatencyOracle func(id dispatch.QueryID, part coverage.Range, server string) time.Duration
 
-// Options sets up a Machine. The zero value is naive.
+// Options configures a Dispatcher. The zero value is naive.
 type Options struct {
 	// HedgeDelay sends a part again when it was not answered for so long; zero
 	// means never.
@@ -38,14 +38,14 @@
 	InFlightLimit int
 	// QueueLimit bounds the queue; more are refused.
 	QueueLimit int
-	// Foresight makes the machine ask the server that will answer first.
-	Foresight Foresight
+	// LatencyOracle makes the machine ask the server that will answer first.
+	LatencyOracle LatencyOracle
 	// FirstServer is where round robin starts, so that nodes differ.
 	FirstServer int
 }
 
-// Machine is a baseline.
-type Machine struct {
+// Dispatcher is a baseline.
+type Dispatcher struct {
 	options  Options
 	now      time.Duration
 	actions  []dispatch.Action
@@ -90,8 +90,8 @@
 }
 
 // New returns a baseline.
-func New(options Options) *Machine {
-	return &Machine{
+func New(options Options) *Dispatcher {
+	return &Dispatcher{
 		options:  options,
 		classes:  make(map[string]policy.Class),
 		inFlight: make(map[string]int),
@@ -102,7 +102,7 @@
 }
 
 // Step takes one event and returns the actions to carry out.
-func (m *Machine) Step(now time.Duration, event dispatch.Event) []dispatch.Action {
+func (m *Dispatcher) Step(now time.Duration, event dispatch.Event) []dispatch.Action {
 	m.now = now
 	m.actions = nil
 	switch typed := event.(type) {
@@ -125,9 +125,9 @@
 	return m.actions
 }
 
-func (m *Machine) emit(action dispatch.Action) { m.actions = append(m.actions, action) }
+func (m *Dispatcher) emit(action dispatch.Action) { m.actions = append(m.actions, action) }
 
-func (m *Machine) configure(event dispatch.Configured) {
+func (m *Dispatcher) configure(event dispatch.Configured) {
 	m.known = true
 	m.service = event.Service
 	m.next = make([]int, len(event.Service.Groups))
@@ -139,7 +139,7 @@
 	}
 }
 
-func (m *Machine) arrive(asked dispatch.Query) {
+func (m *Dispatcher) arrive(asked dispatch.Query) {
 	class, known := m.classes[asked.Class]
 	if !m.known || !known {
 		m.refuse(asked.ID, dispatch.ReasonNoConfiguration)
@@ -153,7 +153,7 @@
 	m.enqueue(arrived)
 }
 
-func (m *Machine) start(started *query) {
+func (m *Dispatcher) start(started *query) {
 	m.queries[started.ID] = started
 	started.open = len(m.service.Groups)
 	m.addTimer(timer{at: started.deadline, query: started})
@@ -171,7 +171,7 @@
 }
 
 // send asks the next server for a part; it tells whether there was one.
-func (m *Machine) send(asking *query, piece *part, kind dispatch.SendKind) bool {
+func (m *Dispatcher) send(asking *query, piece *part, kind dispatch.SendKind) bool {
 	server, ok := m.choose(asking, piece)
 	if !ok {
 		return false
@@ -196,7 +196,7 @@
 
 // choose picks the server by round robin, or the one that answers first, of
 // those that were not asked.
-func (m *Machine) choose(asking *query, piece *part) (policy.Server, bool) {
+func (m *Dispatcher) choose(asking *query, piece *part) (policy.Server, bool) {
 	if piece.tried >= mostAttempts {
 		return policy.Server{}, false
 	}
@@ -209,8 +209,8 @@
 			continue
 		}
 		takes := time.Duration(0)
-		if m.options.Foresight != nil {
-			takes = m.options.Foresight(asking.ID, piece.group.Range, candidate.ID)
+		if m.options.LatencyOracle != nil {
+			takes = m.options.LatencyOracle(asking.ID, piece.group.Range, candidate.ID)
 		}
 		if bestTime < 0 || takes < bestTime {
 			best, bestTime = candidate, takes
--- a/lab/experiment/baseline/collect.go
+++ b/lab/experiment/baseline/collect.go
@@ -3,7 +3,7 @@
 import "github.com/banksail/banksail/dispatch"
 
 // settle forgets an attempt; nil means that its query needs it no more.
-func (m *Machine) settle(id dispatch.AttemptID) *attempt {
+func (m *Dispatcher) settle(id dispatch.AttemptID) *attempt {
 	ended := m.attempts[id]
 	if ended == nil {
 		return nil
@@ -22,7 +22,7 @@
 	return ended
 }
 
-func (m *Machine) replied(event dispatch.AttemptReplied) {
+func (m *Dispatcher) replied(event dispatch.AttemptReplied) {
 	ended := m.settle(event.Attempt)
 	if ended == nil {
 		return
@@ -39,7 +39,7 @@
 	m.closePart(ended.query, ended.part)
 }
 
-func (m *Machine) failed(event dispatch.AttemptFailed) {
+func (m *Dispatcher) failed(event dispatch.AttemptFailed) {
 	ended := m.settle(event.Attempt)
 	if ended == nil {
 		return
@@ -47,7 +47,7 @@
 	m.tryAgain(ended, ended.query.Repeatable || event.Delivery == dispatch.NotDelivered)
 }
 
-func (m *Machine) tryAgain(ended *attempt, allowed bool) {
+func (m *Dispatcher) tryAgain(ended *attempt, allowed bool) {
 	if allowed && m.send(ended.query, ended.part, dispatch.RetrySend) {
 		return
 	}
@@ -56,7 +56,7 @@
 	}
 }
 
-func (m *Machine) closePart(asked *query, ended *part) {
+func (m *Dispatcher) closePart(asked *query, ended *part) {
 	ended.closed = true
 	asked.open--
 	if asked.open == 0 {
@@ -66,7 +66,7 @@
 
 // finish gives the final answer. A baseline doesn't cancel what it has sent;
 // servers drop what is past its deadline.
-func (m *Machine) finish(asked *query, reason dispatch.Reason) {
+func (m *Dispatcher) finish(asked *query, reason dispatch.Reason) {
 	delete(m.queries, asked.ID)
 	outcome := dispatch.Outcome{Execution: dispatch.ExecutionDone, Reason: reason}
 	covered := uint64(0)
@@ -87,7 +87,7 @@
 	m.emit(dispatch.Finish{Query: asked.ID, Outcome: outcome})
 }
 
-func (m *Machine) refuse(id dispatch.QueryID, reason dispatch.Reason) {
+func (m *Dispatcher) refuse(id dispatch.QueryID, reason dispatch.Reason) {
 	m.emit(dispatch.Finish{Query: id, Outcome: dispatch.Outcome{
 		Execution:  dispatch.ExecutionNotRun,
 		Reason:     reason,
@@ -96,7 +96,7 @@
 }
 
 // hedge sends a part again when it is still awaited.
-func (m *Machine) hedge(asked *query, late *part) {
+func (m *Dispatcher) hedge(asked *query, late *part) {
 	if m.queries[asked.ID] == asked && !late.closed {
 		m.send(asked, late, dispatch.HedgeSend)
 	}
--- a/lab/experiment/baseline/waiting.go
+++ b/lab/experiment/baseline/waiting.go
@@ -9,7 +9,7 @@
 )
 
 // enqueue puts a query behind those of its class and of classes before it.
-func (m *Machine) enqueue(arrived *query) {
+func (m *Dispatcher) enqueue(arrived *query) {
 	if len(m.waiting) >= m.options.QueueLimit {
 		m.refuse(arrived.ID, dispatch.ReasonQueueFull)
 		return
@@ -24,7 +24,7 @@
 }
 
 // admitWaiting starts queued queries while each group has a server below its limit.
-func (m *Machine) admitWaiting() {
+func (m *Dispatcher) admitWaiting() {
 	for len(m.waiting) > 0 && m.roomInEachGroup() {
 		next := m.waiting[0]
 		m.waiting = m.waiting[1:]
@@ -32,7 +32,7 @@
 	}
 }
 
-func (m *Machine) roomInEachGroup() bool {
+func (m *Dispatcher) roomInEachGroup() bool {
 	for _, group := range m.service.Groups {
 		room := false
 		for _, server := range group.Servers {
@@ -45,12 +45,12 @@
 	return true
 }
 
-func (m *Machine) full(server string) bool {
+func (m *Dispatcher) full(server string) bool {
 	return m.options.InFlightLimit > 0 && m.inFlight[server] >= m.options.InFlightLimit
 }
 
 // leaveQueue refuses a query that has waited too long; it tells whether it waited.
-func (m *Machine) leaveQueue(late *query) bool {
+func (m *Dispatcher) leaveQueue(late *query) bool {
 	for index, waiting := range m.waiting {
 		if waiting == late {
 			m.waiting = append(m.waiting[:index], m.waiting[index+1:]...)
@@ -95,13 +95,13 @@
 	return last
 }
 
-func (m *Machine) addTimer(added timer) {
+func (m *Dispatcher) addTimer(added timer) {
 	m.timers.sequence++
 	added.sequence = m.timers.sequence
 	heap.Push(&m.timers, added)
 }
 
-func (m *Machine) expire() {
+func (m *Dispatcher) expire() {
 	for m.timers.Len() > 0 && m.timers.heap[0].at <= m.now {
 		due := heap.Pop(&m.timers).(timer)
 		switch {
@@ -115,7 +115,7 @@
 	}
 }
 
-func (m *Machine) wake() {
+func (m *Dispatcher) wake() {
 	for m.timers.Len() > 0 && m.settled(m.timers.heap[0]) {
 		heap.Pop(&m.timers)
 	}
@@ -127,7 +127,7 @@
 }
 
 // settled tells whether a timer has nothing left to do.
-func (m *Machine) settled(planned timer) bool {
+func (m *Dispatcher) settled(planned timer) bool {
 	if planned.part != nil {
 		return planned.part.closed || m.queries[planned.query.ID] != planned.query
 	}
--- a/lab/experiment/cluster/cluster_test.go
+++ b/lab/experiment/cluster/cluster_test.go
@@ -34,7 +34,7 @@
 		},
 		Nodes:        3,
 		Zones:        []string{"z"},
-		Network:      Network{Delay: time.Millisecond, JitterShare: 0.1, ConnectTime: time.Millisecond, IdleTimeout: time.Second, Spares: 1},
+		Network:      Network{Delay: time.Millisecond, JitterShare: 0.1, ConnectTime: time.Millisecond, IdleTimeout: time.Second, SpareConnections: 1},
 		ServiceTime:  Distribution{Name: Exponential, Mean: 4 * time.Millisecond},
 		QueuePerSlot: 4,
 		Load:         0.5,
@@ -44,20 +44,20 @@
 }
 
 func banksail() Policy {
-	return Policy{Name: "banksail", New: func(node Node) Machine {
+	return Policy{Name: "banksail", New: func(node Node) Dispatcher {
 		return dispatch.New(dispatch.Options{Seed: node.Seed, Zone: node.Zone})
 	}}
 }
 
 func naive() Policy {
-	return Policy{Name: "naive", New: func(node Node) Machine {
+	return Policy{Name: "naive", New: func(node Node) Dispatcher {
 		return baseline.New(baseline.Options{FirstServer: node.Index})
 	}}
 }
 
 func oracle() Policy {
-	return Policy{Name: "oracle", Unlimited: true, New: func(node Node) Machine {
-		return baseline.New(baseline.Options{Foresight: baseline.Foresight(node.Foresight)})
+	return Policy{Name: "oracle", Unlimited: true, New: func(node Node) Dispatcher {
+		return baseline.New(baseline.Options{LatencyOracle: baseline.LatencyOracle(node.LatencyOracle)})
 	}}
 }
 
@@ -115,7 +115,7 @@
 
 func TestEveryQueryIsAnsweredUnderEachFault(t *testing.T) {
 	const start, end = 500 * time.Millisecond, 1200 * time.Millisecond
-	kinds := []FaultKind{FaultSlow, FaultLost, FaultDrain, FaultColdStart, FaultLyingLoad, FaultRepartition}
+	kinds := []FaultKind{FaultSlow, FaultCrash, FaultDrain, FaultColdStart, FaultFalseLoad, FaultRepartition}
 	for _, kind := range kinds {
 		for _, decided := range []Policy{banksail(), naive()} {
 			faulty := scenario()
@@ -124,8 +124,8 @@
 				Kind: kind, Group: 1, Replica: 0, Start: start, End: end, Factor: 10, DetectionLag: 100 * time.Millisecond,
 			}}
 			result := Run(faulty, decided, 5, nil)
-			if result.Unanswered != 0 || result.Faulty != 0 {
-				t.Errorf("%s under %s: %d unanswered, %d faulty actions", decided.Name, kind, result.Unanswered, result.Faulty)
+			if result.Unanswered != 0 || result.InvalidActions != 0 {
+				t.Errorf("%s under %s: %d unanswered, %d faulty actions", decided.Name, kind, result.Unanswered, result.InvalidActions)
 			}
 			for _, class := range result.Classes {
 				refused := 0
--- a/lab/experiment/cluster/delays.go
+++ b/lab/experiment/cluster/delays.go
@@ -39,7 +39,7 @@
 	return time.Duration(took)
 }
 
-// foresee implements Foresight.
+// foresee implements LatencyOracle.
 func (r *run) foresee(id dispatch.QueryID, part coverage.Range, serverID string) time.Duration {
 	asked, target := r.queries[id], r.serverByID[serverID]
 	if asked == nil || target == nil || target.lost || target.draining || !target.owned.Contains(part) {
--- a/lab/experiment/cluster/fault.go
+++ b/lab/experiment/cluster/fault.go
@@ -10,16 +10,16 @@
 	// FaultSlow multiplies service times by Factor. It holds for queries that
 	// arrive while it lasts, so that no policy gains by waiting for its end.
 	FaultSlow FaultKind = "slow"
-	// FaultLost stops servers: work in flight is lost, connections are refused.
-	FaultLost FaultKind = "lost"
+	// FaultCrash stops servers: work in flight is lost, connections are refused.
+	FaultCrash FaultKind = "lost"
 	// FaultDrain makes servers leave: they answer draining to new work. After
 	// the fault's end they are back.
 	FaultDrain FaultKind = "drain"
 	// FaultColdStart makes servers start anew: their connections are closed and
 	// service times fall from Factor to 1 until the end of the fault.
 	FaultColdStart FaultKind = "cold-start"
-	// FaultLyingLoad makes servers report that they have no load.
-	FaultLyingLoad FaultKind = "lying-load"
+	// FaultFalseLoad makes servers report that they have no load.
+	FaultFalseLoad FaultKind = "lying-load"
 	// FaultRepartition moves half of a group's key range to the next group.
 	FaultRepartition FaultKind = "repartition"
 )
--- a/lab/experiment/cluster/fault_run.go
+++ b/lab/experiment/cluster/fault_run.go
@@ -35,7 +35,7 @@
 			continue
 		}
 		switch fault.Kind {
-		case FaultLost:
+		case FaultCrash:
 			r.setLost(target, !ends, fault.DetectionLag)
 		case FaultDrain:
 			target.draining = !ends
@@ -44,7 +44,7 @@
 			if !ends {
 				r.closeConnections(target)
 			}
-		case FaultLyingLoad:
+		case FaultFalseLoad:
 			target.lying = !ends
 		}
 	}
--- a/lab/experiment/cluster/node.go
+++ b/lab/experiment/cluster/node.go
@@ -9,7 +9,7 @@
 // node is one simulated node: a machine and its connections.
 type node struct {
 	index   int
-	machine Machine
+	machine Dispatcher
 	// wakeGeneration tells the latest SetTimer from those that it replaced.
 	wakeGeneration uint64
 	attempts       map[dispatch.AttemptID]*attempt
@@ -46,7 +46,7 @@
 	asked := r.queries[send.Query]
 	target := r.serverByID[send.Server]
 	if asked == nil || target == nil {
-		r.result.Faulty++
+		r.result.InvalidActions++
 		return
 	}
 	sent := &attempt{send: send, node: from, server: target, query: asked, deadline: r.now + send.Remaining}
@@ -89,7 +89,7 @@
 
 // openSpares opens connections in advance, while the server accepts them.
 func (r *run) openSpares(from *node, target *server) {
-	for len(from.idle[target.index])+from.opening[target.index] < r.scenario.Network.Spares {
+	for len(from.idle[target.index])+from.opening[target.index] < r.scenario.Network.SpareConnections {
 		if target.connected >= target.connections || target.lost {
 			return
 		}
@@ -152,7 +152,7 @@
 func (r *run) finish(final dispatch.Finish) {
 	answered := r.queries[final.Query]
 	if answered == nil {
-		r.result.Faulty++
+		r.result.InvalidActions++
 		return
 	}
 	delete(r.queries, final.Query)
--- a/lab/experiment/cluster/result.go
+++ b/lab/experiment/cluster/result.go
@@ -74,8 +74,8 @@
 	warmup, duration       time.Duration
 	// Unanswered counts queries without a final answer; it should be zero.
 	Unanswered int
-	// Faulty counts actions that name unknown queries or servers; it should be zero.
-	Faulty int
+	// InvalidActions counts actions that name unknown queries or servers; it should be zero.
+	InvalidActions int
 }
 
 func newResult(scenario *Scenario) *Result {
--- a/lab/experiment/cluster/run.go
+++ b/lab/experiment/cluster/run.go
@@ -17,9 +17,9 @@
 // neverAnswers is what foresight tells of a server that will not answer.
 const neverAnswers = time.Hour
 
-// Foresight tells how long a sub-request would take from being sent now until
+// LatencyOracle tells how long a sub-request would take from being sent now until
 // its reply, on a connection that is open, when it need not wait for a slot.
-type Foresight func(id dispatch.QueryID, part coverage.Range, server string) time.Duration
+type LatencyOracle func(id dispatch.QueryID, part coverage.Range, server string) time.Duration
 
 // Observer is told each event that a node's machine got and the actions it gave.
 type Observer func(node int, now time.Duration, event dispatch.Event, actions []dispatch.Action)
@@ -137,11 +137,11 @@
 func (r *run) addNodes(decided Policy) {
 	for index := range r.scenario.Nodes {
 		described := Node{
-			Index:     index,
-			Nodes:     r.scenario.Nodes,
-			Zone:      r.scenario.Zones[index%len(r.scenario.Zones)],
-			Seed:      mix(r.seed + uint64(index)),
-			Foresight: r.foresee,
+			Index:         index,
+			Nodes:         r.scenario.Nodes,
+			Zone:          r.scenario.Zones[index%len(r.scenario.Zones)],
+			Seed:          mix(r.seed + uint64(index)),
+			LatencyOracle: r.foresee,
 		}
 		added := &node{
 			index:    index,
--- a/lab/experiment/cluster/scenario.go
+++ b/lab/experiment/cluster/scenario.go
@@ -15,9 +15,9 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// Machine decides for the queries of one service at one node.
+// Dispatcher decides for the queries of one service at one node.
 // dispatch.Dispatcher is one; the baselines are others.
-type Machine interface {
+type Dispatcher interface {
 	Step(now time.Duration, event dispatch.Event) []dispatch.Action
 }
 
@@ -28,15 +28,15 @@
 	Nodes int
 	Zone  string
 	Seed  uint64
-	// Foresight tells what a sub-request would take; only a bound may use it.
-	Foresight Foresight
+	// LatencyOracle tells what a sub-request would take; only a bound may use it.
+	LatencyOracle LatencyOracle
 }
 
 // Policy names a way of deciding.
 type Policy struct {
 	Name string
 	// New makes the machine of one node.
-	New func(node Node) Machine
+	New func(node Node) Dispatcher
 	// Unlimited gives every server unlimited slots and connections that cost
 	// nothing. It is for the oracle, which is a bound and not a policy.
 	Unlimited bool
@@ -74,8 +74,8 @@
 	ConnectTime time.Duration
 	// IdleTimeout closes connections that were not used for so long.
 	IdleTimeout time.Duration
-	// Spares is the number of idle connections that a node keeps to a server.
-	Spares int
+	// SpareConnections is the number of idle connections that a node keeps to a server.
+	SpareConnections int
 }
 
 // Reports tells how servers account for their load.
--- a/lab/experiment/config.go
+++ b/lab/experiment/config.go
@@ -219,8 +219,8 @@
 	}
 }
 
-// KeepWorkload drops all workloads but the named one.
-func (f *File) KeepWorkload(name string) error {
+// RestrictToWorkload drops all workloads but the named one.
+func (f *File) RestrictToWorkload(name string) error {
 	for _, workload := range f.Workloads {
 		if workload.Name == name {
 			f.Workloads = []Workload{workload}
--- a/lab/experiment/config_test.go
+++ b/lab/experiment/config_test.go
@@ -136,10 +136,10 @@
 func TestPairedDifference(t *testing.T) {
 	got := pairedDifference([]float64{2, 4, 6}, []float64{1, 2, 3})
 	const halfWidth = 2.484 // 4.303 * 1 / sqrt(3)
-	if got.Mean != 2 || math.Abs(got.HalfWidth-halfWidth) > 0.01 || got.Clear() {
+	if got.Mean != 2 || math.Abs(got.HalfWidth-halfWidth) > 0.01 || got.IsSignificant() {
 		t.Errorf("difference %+v", got)
 	}
-	if constant := pairedDifference([]float64{2, 3}, []float64{1, 2}); !constant.Clear() {
+	if constant := pairedDifference([]float64{2, 3}, []float64{1, 2}); !constant.IsSignificant() {
 		t.Errorf("difference %+v is not clear", constant)
 	}
 }
--- a/lab/experiment/policies.go
+++ b/lab/experiment/policies.go
@@ -29,11 +29,11 @@
 	return cluster.Policy{
 		Name:      p.Name,
 		Unlimited: p.Kind == KindOracle,
-		New:       func(node cluster.Node) cluster.Machine { return p.machine(scenario, node) },
+		New:       func(node cluster.Node) cluster.Dispatcher { return p.machine(scenario, node) },
 	}
 }
 
-func (p Policy) machine(scenario *cluster.Scenario, node cluster.Node) cluster.Machine {
+func (p Policy) machine(scenario *cluster.Scenario, node cluster.Node) cluster.Dispatcher {
 	options := baseline.Options{FirstServer: node.Index}
 	switch p.Kind {
 	case KindBanksail:
@@ -44,7 +44,7 @@
 		options.InFlightLimit = p.inFlightLimit(scenario)
 		options.QueueLimit = baselineQueueLimit
 	case KindOracle:
-		options.Foresight = baseline.Foresight(node.Foresight)
+		options.LatencyOracle = baseline.LatencyOracle(node.LatencyOracle)
 	}
 	return baseline.New(options)
 }
--- a/lab/experiment/services.go
+++ b/lab/experiment/services.go
@@ -47,11 +47,11 @@
 		Nodes:   deployment.Nodes,
 		Zones:   found.firm.Zones,
 		Network: cluster.Network{
-			Delay:       found.firm.Network.Client,
-			JitterShare: jitterShare,
-			ConnectTime: found.firm.Network.NewConnection,
-			IdleTimeout: backend.DefaultIdleTimeout,
-			Spares:      backend.DefaultSpareConnectionsPerServer,
+			Delay:            found.firm.Network.Client,
+			JitterShare:      jitterShare,
+			ConnectTime:      found.firm.Network.NewConnection,
+			IdleTimeout:      backend.DefaultIdleTimeout,
+			SpareConnections: backend.DefaultSpareConnectionsPerServer,
 		},
 		Reports: cluster.Reports{
 			Lag:    milliseconds(deployment.ReportLagMS),
--- a/lab/experiment/summary.go
+++ b/lab/experiment/summary.go
@@ -26,8 +26,8 @@
 	// Extra sends and work, wasted work and useful throughput are means over
 	// the seeds of the shares that cluster.Result describes.
 	ExtraSendShare, ExtraWorkShare, WastedWorkShare, UsefulThroughput float64
-	// Unanswered and Faulty must be zero.
-	Unanswered, Faulty int
+	// Unanswered and InvalidActions must be zero.
+	Unanswered, InvalidActions int
 }
 
 // ClassSummary sums up one class over the seeds.
@@ -35,8 +35,8 @@
 	Name string
 	// Latency holds microseconds over all seeds.
 	Latency *hdrhistogram.Histogram
-	// Tail is each seed's 99th percentile, in milliseconds.
-	Tail []float64
+	// TailLatency is each seed's 99th percentile, in milliseconds.
+	TailLatency []float64
 	// Coverage is each seed's mean coverage of the queries that ran.
 	Coverage      []float64
 	WorstCoverage float64
@@ -77,7 +77,7 @@
 		wasted = append(wasted, result.WastedWorkShare())
 		throughput = append(throughput, result.UsefulThroughput())
 		summary.Unanswered += result.Unanswered
-		summary.Faulty += result.Faulty
+		summary.InvalidActions += result.InvalidActions
 	}
 	summary.ExtraSendShare = stat.Mean(sends, nil)
 	summary.ExtraWorkShare = stat.Mean(work, nil)
@@ -104,7 +104,7 @@
 			class.Latency.Merge(seed.Latency)
 		}
 		tail := float64(seed.Latency.ValueAtPercentile(tailPercentile)) / microsecondsPerMillisecond
-		class.Tail = append(class.Tail, tail)
+		class.TailLatency = append(class.TailLatency, tail)
 		class.Coverage = append(class.Coverage, seed.MeanCoverage())
 		class.WorstCoverage = min(class.WorstCoverage, seed.WorstCoverage)
 		class.Arrived += seed.Arrived
@@ -131,8 +131,8 @@
 	HalfWidth float64
 }
 
-// Clear tells whether the interval leaves out zero.
-func (d Difference) Clear() bool { return math.Abs(d.Mean) > d.HalfWidth }
+// IsSignificant tells whether the interval leaves out zero.
+func (d Difference) IsSignificant() bool { return math.Abs(d.Mean) > d.HalfWidth }
 
 // pairedDifference compares two policies over the same seeds, with Student's
 // distribution at 95%.
--- a/lab/experiment/table.go
+++ b/lab/experiment/table.go
@@ -94,7 +94,7 @@
 
 func writeClass(table *printer, cell, reference *Cell, index int) {
 	class := &cell.Summary.Classes[index]
-	least, most := extremes(class.Tail)
+	least, most := extremes(class.TailLatency)
 	table.printf("%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.3f\t%.3f\t%.2f\t%s\t%s\t\n",
 		cell.Policy, class.Name,
 		class.Quantile(50), class.Quantile(90), class.Quantile(tailPercentile), class.Quantile(99.9),
@@ -127,7 +127,7 @@
 	if cell == reference {
 		return "-"
 	}
-	paired := pairedDifference(cell.Summary.Classes[index].Tail, reference.Summary.Classes[index].Tail)
+	paired := pairedDifference(cell.Summary.Classes[index].TailLatency, reference.Summary.Classes[index].TailLatency)
 	return fmt.Sprintf("%+.2f ± %.2f", paired.Mean, paired.HalfWidth)
 }
 
@@ -137,7 +137,7 @@
 		summary := cell.Summary
 		table.printf("%s\t%.2f\t%.2f\t%.2f\t%.1f\t%d\t%d\t\n", cell.Policy,
 			percent*summary.ExtraSendShare, percent*summary.ExtraWorkShare, percent*summary.WastedWorkShare,
-			percent*summary.UsefulThroughput, summary.Unanswered, summary.Faulty)
+			percent*summary.UsefulThroughput, summary.Unanswered, summary.InvalidActions)
 	}
 }
 
@@ -171,8 +171,8 @@
 
 func csvRow(cell, reference *Cell, index int) []string {
 	class, summary := &cell.Summary.Classes[index], cell.Summary
-	least, most := extremes(class.Tail)
-	paired := pairedDifference(class.Tail, reference.Summary.Classes[index].Tail)
+	least, most := extremes(class.TailLatency)
+	paired := pairedDifference(class.TailLatency, reference.Summary.Classes[index].TailLatency)
 	row := []string{
 		cell.Workload, cell.Fault, cell.Policy, class.Name,
 		strconv.Itoa(class.Arrived), strconv.Itoa(class.Ran), strconv.Itoa(class.Useful), strconv.Itoa(class.RefusedCount()),
--- a/lab/replay/record.go
+++ b/lab/replay/record.go
@@ -30,7 +30,7 @@
 	writer := &writer{out: bufio.NewWriter(out), node: selection.Node}
 	tracedPolicy := chosen.Policy
 	newMachine := tracedPolicy.New
-	tracedPolicy.New = func(node cluster.Node) cluster.Machine {
+	tracedPolicy.New = func(node cluster.Node) cluster.Dispatcher {
 		if node.Index == selection.Node {
 			writer.writeLine(Header{
 				Format:      Format,
