--- a/discovery/epoch_test.go
+++ b/discovery/epoch_test.go
@@ -40,9 +40,9 @@
 	defer r.mutex.Unlock()
 	r.epoch++
 	r.revision, r.events = backup.revision, backup.events
-	for place := range r.events.Directives {
-		r.events.Directives[place].Value.StoredAt.Epoch = r.epoch
-		r.events.Directives[place].Value.Number = r.events.Directives[place].Value.StoredAt.Number()
+	for index := range r.events.Directives {
+		r.events.Directives[index].Value.StoredAt.Epoch = r.epoch
+		r.events.Directives[index].Value.Number = r.events.Directives[index].Value.StoredAt.Number()
 	}
 }
 
--- a/discovery/evacuation_test.go
+++ b/discovery/evacuation_test.go
@@ -45,8 +45,8 @@
 			for round := range 12 {
 				when := fmt.Sprintf("seed %d round %d", seed, round)
 				zone := zones[random.IntN(len(zones))]
-				if place := slices.Index(evacuated, zone); place >= 0 {
-					evacuated = slices.Delete(evacuated, place, place+1)
+				if index := slices.Index(evacuated, zone); index >= 0 {
+					evacuated = slices.Delete(evacuated, index, index+1)
 					w.registry.evacuate(zone, true)
 				} else {
 					evacuated = append(evacuated, zone)
--- a/discovery/rejection_test.go
+++ b/discovery/rejection_test.go
@@ -117,8 +117,8 @@
 				when := fmt.Sprintf("seed %d, round %d", seed, round)
 				mode := rejection(1 + random.IntN(int(rejections)-1))
 				first := random.IntN(nodes)
-				for place := range 1 + random.IntN(nodes-2) {
-					w.sources[(first+place)%nodes].rejection.Store(int32(mode))
+				for offset := range 1 + random.IntN(nodes-2) {
+					w.sources[(first+offset)%nodes].rejection.Store(int32(mode))
 				}
 				for end := time.Now().Add(9 * time.Second); time.Now().Before(end); time.Sleep(checkInterval) {
 					w.wantNoDepartedServers(t, left, when)
--- a/dispatch/configure.go
+++ b/dispatch/configure.go
@@ -168,8 +168,8 @@
 func (d *Dispatcher) attachServers() {
 	for _, g := range d.groups {
 		for _, s := range g.servers {
-			s.holder = d.catalog.ServerSnapshots(s.ID)
-			s.holder.SetAvailable(!s.isLeaving())
+			s.snapshots = d.catalog.ServerSnapshots(s.ID)
+			s.snapshots.SetAvailable(!s.isLeaving())
 			d.updateServerShare(s)
 		}
 	}
--- a/dispatch/membership.go
+++ b/dispatch/membership.go
@@ -42,7 +42,7 @@
 
 // updateAvailability updates the snapshot catalog and the capacity of the server's groups.
 func (d *Dispatcher) updateAvailability(s *server) {
-	s.holder.SetAvailable(!s.isLeaving())
+	s.snapshots.SetAvailable(!s.isLeaving())
 	d.updateCapacity(s)
 }
 
@@ -70,10 +70,10 @@
 
 func (d *Dispatcher) applyReport(s *server, snapshots []SnapshotID, load Load) {
 	if len(snapshots) > 0 {
-		if !s.holder.HasReported() {
+		if !s.snapshots.HasReported() {
 			d.markResumable(s.groups) // queries may be waiting for its first report
 		}
-		s.holder.RecordReport(snapshots)
+		s.snapshots.RecordReport(snapshots)
 	}
 	if load != (Load{}) {
 		s.load = float64(max(load.InFlight+load.Queued-s.limiter.InFlight(), 0))
--- a/dispatch/query.go
+++ b/dispatch/query.go
@@ -206,10 +206,10 @@
 	d.applyReport(s, reply.Snapshots, reply.Load)
 	switch reply.Status {
 	case ReplyUnknownSnapshot:
-		s.holder.RecordMissing(a.Snapshot)
+		s.snapshots.RecordMissing(a.Snapshot)
 	case ReplyDraining:
 		s.draining = true
-		s.holder.SetAvailable(false)
+		s.snapshots.SetAvailable(false)
 	case ReplyShed:
 		d.recordShed(s, reply.RetryAfter)
 	}
--- a/dispatch/replica.go
+++ b/dispatch/replica.go
@@ -54,7 +54,7 @@
 	var unreported *server
 	for _, replica := range g.servers {
 		if replica.isLeaving() || !replica.mayHoldSnapshot(d.now, id) {
-			if !replica.isLeaving() && !replica.holder.HasReported() {
+			if !replica.isLeaving() && !replica.snapshots.HasReported() {
 				unreported = replica
 			}
 			continue
@@ -92,7 +92,7 @@
 
 func (d *Dispatcher) tierOf(s *server, id SnapshotID, avoid bool) tier {
 	switch {
-	case !s.holder.Holds(id):
+	case !s.snapshots.Holds(id):
 		return tierUnobserved
 	case s.state == ServerSuspect:
 		return tierSuspect
--- a/dispatch/server.go
+++ b/dispatch/server.go
@@ -17,7 +17,7 @@
 	draining bool // set by a draining reply until membership reports the server as live
 	// reportDeadline is when the server may be used even if it has not reported its snapshots.
 	reportDeadline time.Duration
-	holder         *snapshot.ServerSnapshots
+	snapshots      *snapshot.ServerSnapshots
 	limiter        *limit.Limiter
 
 	// latency is the moving average of observed latencies in nanoseconds, last updated at
@@ -73,7 +73,7 @@
 // it, or has not reported by its report deadline. Before that deadline, a server that has not
 // reported may be leaving without this node knowing.
 func (s *server) mayHoldSnapshot(now time.Duration, id SnapshotID) bool {
-	return s.holder.Holds(id) || (!s.holder.HasReported() && now >= s.reportDeadline)
+	return s.snapshots.Holds(id) || (!s.snapshots.HasReported() && now >= s.reportDeadline)
 }
 
 // free reports whether the server can accept another request now, with reserve requests allowed
--- a/front/quarantines.go
+++ b/front/quarantines.go
@@ -190,9 +190,9 @@
 	changed := !maps.Equal(before, recorded)
 	q.recorded = recorded
 	q.mutex.Unlock()
-	for content, record := range recorded {
-		if record.lost && !before[content].lost {
-			q.ensureRecorded(content)
+	for fingerprint, record := range recorded {
+		if record.lost && !before[fingerprint].lost {
+			q.ensureRecorded(fingerprint)
 		}
 	}
 	if changed {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -61,9 +61,9 @@
 	// Publish sends a finding to other nodes.
 	Publish(finding quarantine.Finding, audience quarantine.Audience)
 	// RecordQuarantine records for all nodes that requests with a fingerprint must be rejected.
-	RecordQuarantine(content quarantine.Fingerprint)
+	RecordQuarantine(fingerprint quarantine.Fingerprint)
 	// QuarantinedRequestRejected reports that a request with a quarantined fingerprint was rejected.
-	QuarantinedRequestRejected(content quarantine.Fingerprint)
+	QuarantinedRequestRejected(fingerprint quarantine.Fingerprint)
 }
 
 // AnswerHeaders holds the names of the headers of merged answers.
--- a/gossip/detector_test.go
+++ b/gossip/detector_test.go
@@ -87,8 +87,8 @@
 			f := newFleet(t, fleetSize, uint64(deaths))
 			f.waitForJoin(convergenceTimeout)
 			f.run(2 * time.Second)
-			for _, place := range f.random.Perm(fleetSize)[:deaths] {
-				f.kill(f.nodes[place])
+			for _, index := range f.random.Perm(fleetSize)[:deaths] {
+				f.kill(f.nodes[index])
 			}
 			f.run(detectionTime)
 			if share := f.pairShare(f.alive(), f.dead(), isUnavailable); share < minShare {
--- a/gossip/findings.go
+++ b/gossip/findings.go
@@ -43,10 +43,10 @@
 
 // AggregatorsFor returns the nodes that merge the findings on a fingerprint, in
 // rendezvous order. Nodes with the same view of the members choose the same ones.
-func AggregatorsFor(content quarantine.Fingerprint, nodes []discovery.Node) []discovery.Node {
+func AggregatorsFor(fingerprint quarantine.Fingerprint, nodes []discovery.Node) []discovery.Node {
 	weights := make(map[string]uint64, len(nodes))
 	for _, node := range nodes {
-		weights[node.ID] = xxhash.Sum64String(node.ID + content.String())
+		weights[node.ID] = xxhash.Sum64String(node.ID + fingerprint.String())
 	}
 	ranked := slices.SortedFunc(slices.Values(nodes), func(x, y discovery.Node) int {
 		return cmp.Or(cmp.Compare(weights[y.ID], weights[x.ID]), cmp.Compare(x.ID, y.ID))
--- a/gossip/findings_test.go
+++ b/gossip/findings_test.go
@@ -11,10 +11,10 @@
 )
 
 func TestFindingRoundTrip(t *testing.T) {
-	content := quarantine.FingerprintOf("GET", "h.example", "/", nil)
+	fingerprint := quarantine.FingerprintOf("GET", "h.example", "/", nil)
 	for _, finding := range []quarantine.Finding{
-		{Content: content, Answered: true, Wide: true},
-		{Content: content, Quarantined: true, Crashes: []quarantine.Crash{{ServerIncarnation: 3, Alone: true}, {ServerIncarnation: 1}, {ServerIncarnation: 2}}},
+		{Content: fingerprint, Answered: true, Wide: true},
+		{Content: fingerprint, Quarantined: true, Crashes: []quarantine.Crash{{ServerIncarnation: 3, Alone: true}, {ServerIncarnation: 1}, {ServerIncarnation: 2}}},
 	} {
 		encoded, err := proto.Marshal(encodeFinding(finding))
 		if err != nil {
@@ -32,12 +32,12 @@
 }
 
 func TestFindingOutOfBoundsIsRejected(t *testing.T) {
-	content := quarantine.FingerprintOf("GET", "h.example", "/", nil)
+	fingerprint := quarantine.FingerprintOf("GET", "h.example", "/", nil)
 	for name, message := range map[string]*Finding{
 		"nothing":       {},
-		"short content": {Content: content[1:]},
-		"long content":  {Content: append(content[:], 0)},
-		"many ends":     {Content: content[:], Together: make([]uint64, maxCrashes), Alone: make([]uint64, 1)},
+		"short content": {Content: fingerprint[1:]},
+		"long content":  {Content: append(fingerprint[:], 0)},
+		"many ends":     {Content: fingerprint[:], Together: make([]uint64, maxCrashes), Alone: make([]uint64, 1)},
 	} {
 		if _, ok := decodeFinding(message); ok {
 			t.Errorf("%s was accepted", name)
@@ -55,8 +55,8 @@
 	}
 	assigned := make(map[string]int)
 	for number := range 600 {
-		content := quarantine.FingerprintOf("GET", "h.example", fmt.Sprint(number), nil)
-		chosen, again := AggregatorsFor(content, nodes), AggregatorsFor(content, reversed)
+		fingerprint := quarantine.FingerprintOf("GET", "h.example", fmt.Sprint(number), nil)
+		chosen, again := AggregatorsFor(fingerprint, nodes), AggregatorsFor(fingerprint, reversed)
 		if len(chosen) != aggregatorCount || fmt.Sprint(chosen) != fmt.Sprint(again) {
 			t.Fatalf("aggregators %v, in reverse order of the nodes %v", chosen, again)
 		}
--- a/membership/readings.go
+++ b/membership/readings.go
@@ -52,13 +52,13 @@
 	return gap, max(b.Interval, time.Duration(float64(others)*float64(gap)*(1+slackShare)))
 }
 
-// Duties returns the servers that a node reads every interval, sorted. places maps each
+// Duties returns the servers that a node reads every interval, sorted. positions maps each
 // server to the node's zero-based position among its Readers. Servers for which the
 // node is a spare reader are omitted if the budget is short.
-func (b ReadingBudget) Duties(places map[string]int) []string {
+func (b ReadingBudget) Duties(positions map[string]int) []string {
 	var duties, spare []string
-	for server, place := range places {
-		if place < primaryReaders {
+	for server, position := range positions {
+		if position < primaryReaders {
 			duties = append(duties, server)
 		} else {
 			spare = append(spare, server)
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -126,6 +126,6 @@
 			usable++
 		}
 	}
-	places := max(usable*r.connectionShare(s), 1)
-	return time.Duration(ahead) * median / time.Duration(places)
+	slots := max(usable*r.connectionShare(s), 1)
+	return time.Duration(ahead) * median / time.Duration(slots)
 }
--- a/spread/run.go
+++ b/spread/run.go
@@ -20,18 +20,18 @@
 	reader := &storeReader{replicator: r}
 	membersTicker := time.NewTicker(r.options.MemberPollInterval)
 	defer membersTicker.Stop()
-	wake := time.NewTimer(0)
-	defer wake.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	r.stepCore(r.membersEvent())
 	for {
 		for _, action := range r.drainPendingActions() {
-			r.performAction(ctx, &calls, reader, wake, action)
+			r.performAction(ctx, &calls, reader, timer, action)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-r.actionsPending:
-		case <-wake.C:
+		case <-timer.C:
 			r.stepCore(TimerFired{})
 		case <-membersTicker.C:
 			r.stepCore(r.membersEvent())
@@ -72,10 +72,10 @@
 // performAction executes an action. Calls run in their own goroutines. The core
 // limits their number to one store read, one comparison and the fan-out of
 // pushes.
-func (r *Replicator) performAction(ctx context.Context, calls *sync.WaitGroup, reader *storeReader, wake *time.Timer, action Action) {
+func (r *Replicator) performAction(ctx context.Context, calls *sync.WaitGroup, reader *storeReader, timer *time.Timer, action Action) {
 	switch action := action.(type) {
 	case SetTimer:
-		wake.Reset(max(0, action.At-r.now()))
+		timer.Reset(max(0, action.At-r.now()))
 	case ReadStore:
 		calls.Go(func() { reader.read(ctx, action.MaxWait) })
 	case Fetch:
--- a/spread/simulation_test.go
+++ b/spread/simulation_test.go
@@ -260,11 +260,11 @@
 	}
 }
 
-func (s *simulation) setTimer(woken *node, at time.Duration) {
-	woken.timerAt = at
+func (s *simulation) setTimer(stepped *node, at time.Duration) {
+	stepped.timerAt = at
 	s.queue.add(max(at, s.now), func() {
-		if woken.timerAt == at {
-			s.step(woken, spread.TimerFired{})
+		if stepped.timerAt == at {
+			s.step(stepped, spread.TimerFired{})
 		}
 	})
 }
