--- a/discovery/cluster_test.go
+++ b/discovery/cluster_test.go
@@ -259,7 +259,7 @@
 		Source: w.sources[number], Self: id, Fetcher: nodeFetcher{w.network, id}, Logger: zerolog.Nop(),
 		PollInterval: time.Duration(0.6 * float64(cmp.Or(w.bound, 3*time.Second))), LapseTime: w.entryTTL,
 		Seeds: w.seeds, SeedTimeout: seedTime,
-		Changed: func(news discovery.ClusterState) {
+		OnChanged: func(news discovery.ClusterState) {
 			w.mutex.Lock()
 			defer w.mutex.Unlock()
 			w.states[number] = news
--- a/discovery/epoch_test.go
+++ b/discovery/epoch_test.go
@@ -189,7 +189,7 @@
 			Nodes: func() []discovery.Node {
 				return []discovery.Node{{ID: "self"}, {ID: "a", Peer: "a", Capacity: 2}, {ID: "b", Peer: "b", Capacity: 2}}
 			},
-			Changed: func(news discovery.ClusterState) {
+			OnChanged: func(news discovery.ClusterState) {
 				mutex.Lock()
 				defer mutex.Unlock()
 				used = nil
--- a/discovery/follower.go
+++ b/discovery/follower.go
@@ -22,9 +22,9 @@
 	Source Source
 	View   Options
 	Logger zerolog.Logger
-	// Changed is called after every answer that may have changed the state. Calls do not
+	// OnChanged is called after every answer that may have changed the state. Calls do not
 	// overlap.
-	Changed func(ClusterState)
+	OnChanged func(ClusterState)
 	// OnAdopted is called for each change that was applied, with the age of the view before
 	// it, which bounds the time for which the change was not known. It may be nil.
 	OnAdopted func(age time.Duration)
@@ -142,8 +142,8 @@
 	// invalidCount counts the entries that could not be decoded; invalidLogger logs a sample of them.
 	invalidCount  atomic.Uint64
 	invalidLogger zerolog.Logger
-	// notifyMutex is held from a change of the state until Changed has returned, so that
-	// Changed is called in order. It is locked before mutex.
+	// notifyMutex is held from a change of the state until OnChanged has returned, so that
+	// OnChanged is called in order. It is locked before mutex.
 	notifyMutex sync.Mutex
 
 	mutex sync.Mutex
@@ -394,7 +394,7 @@
 	return nil
 }
 
-// updateAndNotify changes the state and calls Changed; it reports whether the published state changed.
+// updateAndNotify changes the state and calls OnChanged; it reports whether the published state changed.
 func (f *Follower) updateAndNotify(change func()) (changed bool) {
 	f.notifyMutex.Lock()
 	defer f.notifyMutex.Unlock()
@@ -411,7 +411,7 @@
 	}
 	news := ClusterState{Servers: f.view.Servers(), Nodes: f.view.Nodes(), Table: f.table, Directives: directives}
 	f.mutex.Unlock()
-	f.options.Changed(news)
+	f.options.OnChanged(news)
 	return changed
 }
 
--- a/discovery/listing_test.go
+++ b/discovery/listing_test.go
@@ -33,7 +33,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var last discovery.ClusterState
 		follower := discovery.NewFollower(discovery.FollowerOptions{
-			Source: invalidEntrySource{}, Logger: zerolog.Nop(), Changed: func(news discovery.ClusterState) { last = news },
+			Source: invalidEntrySource{}, Logger: zerolog.Nop(), OnChanged: func(news discovery.ClusterState) { last = news },
 		})
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 		defer stop()
@@ -66,7 +66,7 @@
 		var follower *discovery.Follower
 		follower = discovery.NewFollower(discovery.FollowerOptions{
 			Source: slowSource{listing: listing}, Logger: zerolog.Nop(),
-			Changed: func(discovery.ClusterState) {
+			OnChanged: func(discovery.ClusterState) {
 				age, _ := follower.Age()
 				ages = append(ages, age)
 			},
--- a/discovery/suspension_test.go
+++ b/discovery/suspension_test.go
@@ -41,7 +41,7 @@
 		var suspended atomic.Int64 // in nanoseconds
 		source := new(tableSource)
 		follower := discovery.NewFollower(discovery.FollowerOptions{
-			Source: source, Logger: zerolog.Nop(), Changed: func(discovery.ClusterState) {}, Self: "n",
+			Source: source, Logger: zerolog.Nop(), OnChanged: func(discovery.ClusterState) {}, Self: "n",
 			Elapsed: func() time.Duration { return time.Since(began) + time.Duration(suspended.Load()) },
 		})
 		ctx, stop := context.WithCancel(t.Context())
--- a/front/node.go
+++ b/front/node.go
@@ -216,7 +216,7 @@
 		Registry:     registry,
 		ListenPacket: options.ListenPacket,
 		OnFinding:    f.quarantines.receiveFinding,
-		Changed:      f.wakeNodesLoop,
+		OnChanged:    f.wakeNodesLoop,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("front: %w", err)
@@ -239,7 +239,7 @@
 		Source:         options.Source,
 		Logger:         options.Logger,
 		View:           discovery.Options{Disabled: options.Disabled},
-		Changed:        f.applyClusterState,
+		OnChanged:      f.applyClusterState,
 		OnAdopted:      newAdoptionMeter(shortestBound(settings), registry, options.Logger).observe,
 		PollInterval:   time.Duration(float64(shortestBound(settings)) * pollShare),
 		LapseTime:      settings.LapseTime,
--- a/gossip/agent.go
+++ b/gossip/agent.go
@@ -49,8 +49,8 @@
 	if options.ListenPacket == nil {
 		options.ListenPacket = net.ListenPacket
 	}
-	if options.Changed == nil {
-		options.Changed = func() {}
+	if options.OnChanged == nil {
+		options.OnChanged = func() {}
 	}
 	self, err := memberFromNode(options.Self, uint64(max(1, time.Now().UnixMilli())))
 	if err != nil {
@@ -159,7 +159,7 @@
 }
 
 // applyChange runs apply with the lock held, sends the packets it returns, wakes
-// tickLoop and calls Options.Changed if the view of the nodes has changed.
+// tickLoop and calls Options.OnChanged if the view of the nodes has changed.
 func (a *Agent) applyChange(apply func() []packet) {
 	a.mutex.Lock()
 	packets := apply()
@@ -172,7 +172,7 @@
 	default:
 	}
 	if changed {
-		a.options.Changed()
+		a.options.OnChanged()
 	}
 }
 
@@ -230,7 +230,7 @@
 		a.mutex.Unlock()
 		a.send(conn, packets)
 		if changed {
-			a.options.Changed()
+			a.options.OnChanged()
 		}
 		timer.Reset(max(next, 0))
 	}
@@ -284,7 +284,7 @@
 		}
 	}
 	if changed {
-		a.options.Changed()
+		a.options.OnChanged()
 	}
 }
 
--- a/gossip/options.go
+++ b/gossip/options.go
@@ -31,9 +31,9 @@
 	// OnFinding is called with findings of other nodes on requests that crash servers.
 	// It is called from a single goroutine and must not block. It may be nil.
 	OnFinding func(quarantine.Finding)
-	// Changed is called when the view of the nodes may have changed. It may be called
+	// OnChanged is called when the view of the nodes may have changed. It may be called
 	// from several goroutines at once and must not block.
-	Changed func()
+	OnChanged func()
 }
 
 // Timing of the failure detector. A crashed node should be avoided by the others about a
--- a/lab/replay/trace.go
+++ b/lab/replay/trace.go
@@ -67,37 +67,37 @@
 
 // Event is one event passed to a dispatcher. Exactly one field is set.
 type Event struct {
-	Arrived       *dispatch.QueryArrived   `json:"arrived,omitempty"`
-	CallerGone    *dispatch.CallerGone     `json:"caller_gone,omitempty"`
-	Replied       *dispatch.AttemptReplied `json:"replied,omitempty"`
-	Failed        *dispatch.AttemptFailed  `json:"failed,omitempty"`
-	Woken         *dispatch.TimerFired     `json:"woken,omitempty"`
-	Configured    *dispatch.Configured     `json:"configured,omitempty"`
-	ServerChanged *dispatch.ServerChanged  `json:"server_changed,omitempty"`
-	Observed      *dispatch.ServerReported `json:"observed,omitempty"`
-	NodesChanged  *dispatch.NodesChanged   `json:"nodes_changed,omitempty"`
-	Stopping      *dispatch.Stopping       `json:"stopping,omitempty"`
+	QueryArrived   *dispatch.QueryArrived   `json:"arrived,omitempty"`
+	CallerGone     *dispatch.CallerGone     `json:"caller_gone,omitempty"`
+	AttemptReplied *dispatch.AttemptReplied `json:"replied,omitempty"`
+	AttemptFailed  *dispatch.AttemptFailed  `json:"failed,omitempty"`
+	TimerFired     *dispatch.TimerFired     `json:"woken,omitempty"`
+	Configured     *dispatch.Configured     `json:"configured,omitempty"`
+	ServerChanged  *dispatch.ServerChanged  `json:"server_changed,omitempty"`
+	ServerReported *dispatch.ServerReported `json:"observed,omitempty"`
+	NodesChanged   *dispatch.NodesChanged   `json:"nodes_changed,omitempty"`
+	Stopping       *dispatch.Stopping       `json:"stopping,omitempty"`
 }
 
 // wrapEvent converts a dispatcher's event to an Event.
 func wrapEvent(event dispatch.Event) (Event, error) {
 	switch typed := event.(type) {
 	case dispatch.QueryArrived:
-		return Event{Arrived: &typed}, nil
+		return Event{QueryArrived: &typed}, nil
 	case dispatch.CallerGone:
 		return Event{CallerGone: &typed}, nil
 	case dispatch.AttemptReplied:
-		return Event{Replied: &typed}, nil
+		return Event{AttemptReplied: &typed}, nil
 	case dispatch.AttemptFailed:
-		return Event{Failed: &typed}, nil
+		return Event{AttemptFailed: &typed}, nil
 	case dispatch.TimerFired:
-		return Event{Woken: &typed}, nil
+		return Event{TimerFired: &typed}, nil
 	case dispatch.Configured:
 		return Event{Configured: &typed}, nil
 	case dispatch.ServerChanged:
 		return Event{ServerChanged: &typed}, nil
 	case dispatch.ServerReported:
-		return Event{Observed: &typed}, nil
+		return Event{ServerReported: &typed}, nil
 	case dispatch.NodesChanged:
 		return Event{NodesChanged: &typed}, nil
 	case dispatch.Stopping:
@@ -110,14 +110,14 @@
 // set.
 func (e Event) Value() (dispatch.Event, error) {
 	var set []dispatch.Event
-	appendIfSet(&set, e.Arrived)
+	appendIfSet(&set, e.QueryArrived)
 	appendIfSet(&set, e.CallerGone)
-	appendIfSet(&set, e.Replied)
-	appendIfSet(&set, e.Failed)
-	appendIfSet(&set, e.Woken)
+	appendIfSet(&set, e.AttemptReplied)
+	appendIfSet(&set, e.AttemptFailed)
+	appendIfSet(&set, e.TimerFired)
 	appendIfSet(&set, e.Configured)
 	appendIfSet(&set, e.ServerChanged)
-	appendIfSet(&set, e.Observed)
+	appendIfSet(&set, e.ServerReported)
 	appendIfSet(&set, e.NodesChanged)
 	appendIfSet(&set, e.Stopping)
 	if len(set) != 1 {
@@ -134,10 +134,10 @@
 
 // Action is one action returned by a dispatcher. Exactly one field is set.
 type Action struct {
-	Send   *dispatch.Send     `json:"send,omitempty"`
-	Cancel *dispatch.Cancel   `json:"cancel,omitempty"`
-	Finish *dispatch.Finish   `json:"finish,omitempty"`
-	Wake   *dispatch.SetTimer `json:"wake,omitempty"`
+	Send     *dispatch.Send     `json:"send,omitempty"`
+	Cancel   *dispatch.Cancel   `json:"cancel,omitempty"`
+	Finish   *dispatch.Finish   `json:"finish,omitempty"`
+	SetTimer *dispatch.SetTimer `json:"wake,omitempty"`
 }
 
 // encodeActions encodes a dispatcher's actions as a JSON array of Action.
@@ -152,7 +152,7 @@
 		case dispatch.Finish:
 			wrapped = append(wrapped, Action{Finish: &typed})
 		case dispatch.SetTimer:
-			wrapped = append(wrapped, Action{Wake: &typed})
+			wrapped = append(wrapped, Action{SetTimer: &typed})
 		default:
 			return nil, fmt.Errorf("%w: unknown action %T", ErrInvalidTrace, action)
 		}
--- a/spread/restored_test.go
+++ b/spread/restored_test.go
@@ -16,7 +16,7 @@
 	runInBubble(t, func(t *testing.T, ctx context.Context, c *cluster) {
 		replicators := c.startNodes(ctx, 3)
 		mustConfirm(t, replicators[0], mustPlan(t, replicators[0], initialIntent()))
-		backup := c.store.Copy()
+		backup := c.store.Backup()
 		for number := range 8 {
 			if _, err := c.store.Put(ctx, "other", []byte("x"), uint64(number+1)*min(uint64(number), 1), ""); err != nil {
 				t.Fatal(err)
--- a/store/memory_copy.go
+++ b/store/memory_copy.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// MemoryCopy is a copy of the state of a Memory at one moment.
-type MemoryCopy struct {
+// MemoryBackup is a copy of the state of a Memory at one moment.
+type MemoryBackup struct {
 	revision uint64
 	records  map[string]*memoryRecord
 	leases   map[LeaseID]*memoryLease
 	leaseSeq uint64
 }
 
-// Copy returns a copy of the current state.
-func (m *Memory) Copy() *MemoryCopy {
+// Backup returns a backup of the current state.
+func (m *Memory) Backup() *MemoryBackup {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.expireLeases()
-	return &MemoryCopy{revision: m.revision, records: cloneRecords(m.records), leases: maps.Clone(m.leases), leaseSeq: m.leaseSeq}
+	return &MemoryBackup{revision: m.revision, records: cloneRecords(m.records), leases: maps.Clone(m.leases), leaseSeq: m.leaseSeq}
 }
 
-// Restore replaces the state with a copy, as if the service had been restored
-// from a backup: later writes are lost, and revisions and lease IDs are
+// Restore replaces the state with a backup, as if the service had been restored
+// from it: later writes are lost, and revisions and lease IDs are
 // assigned again.
-func (m *Memory) Restore(saved *MemoryCopy) {
+func (m *Memory) Restore(saved *MemoryBackup) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.revision, m.records = saved.revision, cloneRecords(saved.records)
