--- a/routing/choose.go
+++ b/routing/choose.go
@@ -165,8 +165,8 @@
 	// minHedgeQuantile is the latency quantile before which no hedge is sent, however short the
 	// route's latency target. Where most parts take longer than the share of the target after
 	// which hedges are sent, as on a node that is itself slow, hedges would double its load. On
-	// nodes with 0.12 core this raises the score of a day of high load from 0.23 to 0.30 (two
-	// seeds); on larger nodes it changes by less than 0.01.
+	// nodes with 0.12 core this limit raises the value of all answers on a day of high load from
+	// 0.23 to 0.30 (two seeds); on larger nodes that value changes by less than 0.01.
 	minHedgeQuantile = 0.6
 	// maxHedgeDelayTimeoutShare caps the hedge delay as a share of the timeout, for routes without
 	// a latency target.
--- a/routing/router.go
+++ b/routing/router.go
@@ -317,7 +317,8 @@
 	r.updateReachability()
 }
 
-// handleConnected makes a server available again. What was learned about it before is kept.
+// handleConnected makes a server available again. What was learned about it before is kept, so that
+// one that was slow or failing is used with caution: it still ranks behind others.
 func (r *Router) handleConnected(s *server) {
 	if s == nil || !s.unreachable {
 		return
