--- a/rollout/canary_test.go
+++ b/rollout/canary_test.go
@@ -8,7 +8,7 @@
 
 var testBounds = Bounds{ExposureShare: 0.1, ExposureSlack: 50, RollbackTime: 5 * time.Second}
 
-// stateInPhase is a node's state in the given phase, for an order that was given at 0.
+// stateInPhase is a node's state in the given phase, for an order of 20 s that was given at 0.
 func stateInPhase(phase Phase) State {
 	return State{
 		Order: 7, Target: "v2", OrderTimeKnown: true, Granted: 10,
--- a/rollout/cusum.go
+++ b/rollout/cusum.go
@@ -13,8 +13,9 @@
 	// othersThreshold is the sum that the answers must also reach when those of any one server or node
 	// are left out. Two failures or three slow answers from others reach it.
 	othersThreshold = 4.5
-	// minOtherAnswers is the number of answers required from other sources before the answers of one
-	// server or node count. If there are fewer even among minSoleAnswers, there are no other sources.
+	// minOtherAnswers is the number of answers from other servers or nodes below which the answers of
+	// one of them are not sufficient. With minSoleAnswers answers or more in total they are: so few
+	// from others then mean that there are no others.
 	minOtherAnswers = 3
 	minSoleAnswers  = 12
 	// clearThreshold is the sum from which the answers exclude a bad target. 16 good answers in a row
