--- a/gather/environment.go
+++ b/gather/environment.go
@@ -45,8 +45,8 @@
 	Targets(r coverage.Range) []Target
 	// Place chooses a server for the segment among those that have not been tried yet.
 	Place(s *Segment, kind SendKind) (Server, Placement)
-	// HedgeDelay returns how long to wait for an attempt before hedging it; ok is false if the
-	// segment must not be hedged.
+	// HedgeDelay returns how long to wait for an attempt until a hedge is worth its cost; ok is
+	// false if no hedge is.
 	HedgeDelay(s *Segment) (delay time.Duration, ok bool)
 	// SpendHedge and SpendRetry charge an extra sub-request to the budget, in units of a first
 	// sub-request. They return false if the budget does not allow it.
