--- a/dispatch/options.go
+++ b/dispatch/options.go
@@ -15,7 +15,8 @@
 	Seed uint64
 	// Zone is the node's zone. Servers in it are preferred if delays are about equal.
 	Zone string
-	// RetryAfter is the minimum delay returned with refusals; default one second.
+	// RetryAfter is the delay returned to callers without an answer when the admission queue
+	// gives no better estimate; default one second.
 	RetryAfter time.Duration
 
 	// QueueOrder ranks queued queries; default admission.StrictClass.
