--- a/discovery/publication.go
+++ b/discovery/publication.go
@@ -92,10 +92,10 @@
 // hashOf returns a hash that gives nodes the same order everywhere.
 func hashOf(parts ...string) uint64 { return xxhash.Sum64String(strings.Join(parts, "\x00")) }
 
-// selectReaders returns the nodes that read the registry: one per nodesPerReader nodes, plus one
-// in reserve, which reads only when it finds no active reader. The nodes with the most capacity
-// are chosen, as a reader sends long publications to all nodes that fetch from it. All nodes with
-// the same membership view select the same readers.
+// selectReaders returns the nodes that read the registry: one per nodesPerReader nodes, rounded
+// up, plus one in reserve, which reads only when it finds no active reader; so there are at least
+// two. The nodes with the most capacity are chosen, as a reader sends long publications to all
+// nodes that fetch from it. All nodes with the same membership view select the same readers.
 func selectReaders(nodes []Node) []Node {
 	ranked := rankNodes(nodes)
 	count := (len(ranked) + nodesPerReader - 1) / nodesPerReader
--- a/discovery/turn.go
+++ b/discovery/turn.go
@@ -18,8 +18,8 @@
 	earlyReaderShare = 0.15
 	// laterReaderStep is the delay between two nodes after the early readers.
 	laterReaderStep = 100 * time.Millisecond
-	// earlyRetryInterval and laterRetryInterval are the times after which an early and a later
-	// reader may try again; a reader does so after each retryPause.
+	// earlyRetryInterval and laterRetryInterval are the times after which an early node and a
+	// later one that failed may try again. The nodes of selectReaders do so after each retryPause.
 	earlyRetryInterval = 2 * time.Second
 	laterRetryInterval = 10 * time.Second
 	// turnCheckInterval is the time between two checks whether it is this node's turn or
