--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -10,126 +10,126 @@
 source scripts/lib.sh
 
 # query FILE SERVICE BODY asks node 1.
-query() { query_at "$caller_1" "$@"; }
+query() { query_at "$caller_1_addr" "$@"; }
 
-need_programs
+require_programs
 
-base=$(pick_base) || fail "no run of $PORTS free ports found"
-store=$LOOPBACK:$((base + BACKENDS))
-machines=$LOOPBACK:$((base + BACKENDS + 1))
-caller_1=$LOOPBACK:$((base + BACKENDS + 2))
-operator_1=$LOOPBACK:$((base + BACKENDS + 3))
-peer_1=$LOOPBACK:$((base + BACKENDS + 4))
-caller_2=$LOOPBACK:$((base + BACKENDS + 5))
-operator_2=$LOOPBACK:$((base + BACKENDS + 6))
-peer_2=$LOOPBACK:$((base + BACKENDS + 7))
+base=$(find_free_ports) || fail "no run of $PORT_COUNT free ports found"
+store_addr=$LOOPBACK:$((base + BACKENDS))
+machines_addr=$LOOPBACK:$((base + BACKENDS + 1))
+caller_1_addr=$LOOPBACK:$((base + BACKENDS + 2))
+operator_1_addr=$LOOPBACK:$((base + BACKENDS + 3))
+peer_1_addr=$LOOPBACK:$((base + BACKENDS + 4))
+caller_2_addr=$LOOPBACK:$((base + BACKENDS + 5))
+operator_2_addr=$LOOPBACK:$((base + BACKENDS + 6))
+peer_2_addr=$LOOPBACK:$((base + BACKENDS + 7))
 
 step "starting store, machine list, back ends and two nodes"
-profile=(--profile small --base-port "$base")
-start store bin/banksail-lab store --address "$store"
-start machines bin/banksail-lab machines --address "$machines" "${profile[@]}" \
-  --node "node-1=$peer_1@zone-a" --node "node-2=$peer_2@zone-b"
-start backends bin/banksail-lab backends "${profile[@]}"
-
-cat >"$work/node.yaml" <<END
-store: {address: "$store"}
-machine_list: {address: "$machines"}
+profile_flags=(--profile small --base-port "$base")
+start_process store bin/banksail-lab store --address "$store_addr"
+start_process machines bin/banksail-lab machines --address "$machines_addr" "${profile_flags[@]}" \
+  --node "node-1=$peer_1_addr@zone-a" --node "node-2=$peer_2_addr@zone-b"
+start_process backends bin/banksail-lab backends "${profile_flags[@]}"
+
+cat >"$work_dir/node.yaml" <<END
+store: {address: "$store_addr"}
+machine_list: {address: "$machines_addr"}
 stop: {grace: 200ms}
 END
-node_1=(--settings "$work/node.yaml" --node.id node-1 --node.zone zone-a
-  --listen.caller "$caller_1" --listen.operator "$operator_1" --listen.peer "$peer_1")
-node_2=(--settings "$work/node.yaml" --node.id node-2 --node.zone zone-b
-  --listen.caller "$caller_2" --listen.operator "$operator_2" --listen.peer "$peer_2")
-bin/banksaild check "${node_1[@]}"
-start node-1 bin/banksaild serve "${node_1[@]}"
-process_1=$started
-start node-2 bin/banksaild serve "${node_2[@]}"
-process_2=$started
-wait_for "node 1" answers "http://$operator_1/healthz"
-wait_for "node 2" answers "http://$operator_2/healthz"
-wait_for "the back ends" answers "http://$LOOPBACK:$base/v1/health"
-wait_for "the last back end" answers "http://$LOOPBACK:$((base + BACKENDS - 1))/v1/health"
+node_1_flags=(--settings "$work_dir/node.yaml" --node.id node-1 --node.zone zone-a
+  --listen.caller "$caller_1_addr" --listen.operator "$operator_1_addr" --listen.peer "$peer_1_addr")
+node_2_flags=(--settings "$work_dir/node.yaml" --node.id node-2 --node.zone zone-b
+  --listen.caller "$caller_2_addr" --listen.operator "$operator_2_addr" --listen.peer "$peer_2_addr")
+bin/banksaild check "${node_1_flags[@]}"
+start_process node-1 bin/banksaild serve "${node_1_flags[@]}"
+node_1_pid=$started_pid
+start_process node-2 bin/banksaild serve "${node_2_flags[@]}"
+node_2_pid=$started_pid
+wait_for "node 1" responds "http://$operator_1_addr/healthz"
+wait_for "node 2" responds "http://$operator_2_addr/healthz"
+wait_for "the back ends" responds "http://$LOOPBACK:$base/v1/health"
+wait_for "the last back end" responds "http://$LOOPBACK:$((base + BACKENDS - 1))/v1/health"
 echo "both nodes are up"
 
 step "a refusal: no configuration is in force yet"
-asked='{"request_id":"demo-1","class":"normal","repeatable":true,"body":{"find":"open orders"}}'
-status=$(query "$work/refusal" catalog "$asked")
-cat "$work/refusal"
-printf '\nHTTP %s, %s\n' "$status" "$(grep -i '^retry-after' "$work/refusal.header" | tr -d '\r')"
+request='{"request_id":"demo-1","class":"normal","repeatable":true,"body":{"find":"open orders"}}'
+status=$(query "$work_dir/refusal" catalog "$request")
+cat "$work_dir/refusal"
+printf '\nHTTP %s, %s\n' "$status" "$(grep -i '^retry-after' "$work_dir/refusal.header" | tr -d '\r')"
 [ "$status" = 503 ] || fail "the refusal's status is $status"
-expect "$work/refusal" '"execution":"not_run"' "the refusal"
-expect "$work/refusal" '"reason":"no_configuration"' "the refusal"
+expect_match "$work_dir/refusal" '"execution":"not_run"' "the refusal"
+expect_match "$work_dir/refusal" '"reason":"no_configuration"' "the refusal"
 
 step "a plan and its confirmation"
 {
   echo '{"author":"demo","note":"first configuration","changes":[{"replace":'
-  bin/banksail-lab profile "${profile[@]}"
+  bin/banksail-lab profile "${profile_flags[@]}"
   echo '}]}'
-} >"$work/intent.json"
-bin/banksailctl plan --node "$operator_1" --out "$work/plan.json" "$work/intent.json" >"$work/plan.txt"
-grep -E '^(plan|warning|  [+~-])' "$work/plan.txt"
-expect "$work/plan.txt" '\+ services\[catalog\]' "the plan"
-bin/banksailctl confirm --node "$operator_2" "$work/plan.json" | tee "$work/receipt"
-revision=$(sed -n 's/.*revision \([0-9]*\)$/\1/p' "$work/receipt")
+} >"$work_dir/intent.json"
+bin/banksailctl plan --node "$operator_1_addr" --out "$work_dir/plan.json" "$work_dir/intent.json" >"$work_dir/plan.txt"
+grep -E '^(plan|warning|  [+~-])' "$work_dir/plan.txt"
+expect_match "$work_dir/plan.txt" '\+ services\[catalog\]' "the plan"
+bin/banksailctl confirm --node "$operator_2_addr" "$work_dir/plan.json" | tee "$work_dir/receipt"
+revision=$(sed -n 's/.*revision \([0-9]*\)$/\1/p' "$work_dir/receipt")
 [ -n "$revision" ] || fail "the confirmation names no revision"
 
 step "the revision in force on both nodes"
-wait_for "revision $revision on node 1" in_force "$operator_1" "$revision"
-echo "node-1: $(cat "$work/probe")"
-wait_for "revision $revision on node 2" in_force "$operator_2" "$revision"
-echo "node-2: $(cat "$work/probe")"
+wait_for "revision $revision on node 1" serves_revision "$operator_1_addr" "$revision"
+echo "node-1: $(cat "$work_dir/probe")"
+wait_for "revision $revision on node 2" serves_revision "$operator_2_addr" "$revision"
+echo "node-2: $(cat "$work_dir/probe")"
 
-# complete asks until the node knows the servers' snapshots, within bounds.
-complete() {
+# gets_complete_answer asks until the node knows the servers' snapshots, within bounds.
+gets_complete_answer() {
   attempt=$((attempt + 1))
-  asked="{\"request_id\":\"demo-2-$attempt\",\"class\":\"normal\",\"repeatable\":true,\"body\":{\"find\":\"open orders\"}}"
-  status=$(query "$work/answer" catalog "$asked")
-  [ "$status" = 200 ] && grep -q '"complete":true' "$work/answer"
+  request="{\"request_id\":\"demo-2-$attempt\",\"class\":\"normal\",\"repeatable\":true,\"body\":{\"find\":\"open orders\"}}"
+  status=$(query "$work_dir/answer" catalog "$request")
+  [ "$status" = 200 ] && grep -q '"complete":true' "$work_dir/answer"
 }
 
 step "an answer with its snapshot and coverage"
 attempt=0
-wait_for "a complete answer" complete
-head -c 400 "$work/answer"
+wait_for "a complete answer" gets_complete_answer
+head -c 400 "$work_dir/answer"
 printf ' ...\nHTTP %s, %s\n' "$status" \
-  "$(sed -E 's/^.*("snapshot":[0-9]+,"coverage":[0-9.]+).*$/\1/' "$work/answer")"
-expect "$work/answer" '"snapshot":[1-9]' "the answer"
-expect "$work/answer" '"coverage":1,' "the answer"
+  "$(sed -E 's/^.*("snapshot":[0-9]+,"coverage":[0-9.]+).*$/\1/' "$work_dir/answer")"
+expect_match "$work_dir/answer" '"snapshot":[1-9]' "the answer"
+expect_match "$work_dir/answer" '"coverage":1,' "the answer"
 
 step "why it got this answer"
-bin/banksailctl explain --node "$operator_1" "demo-2-$attempt" >"$work/explanation"
-head -n 20 "$work/explanation"
-expect "$work/explanation" 'complete' "the explanation"
+bin/banksailctl explain --node "$operator_1_addr" "demo-2-$attempt" >"$work_dir/explanation"
+head -n 20 "$work_dir/explanation"
+expect_match "$work_dir/explanation" 'complete' "the explanation"
 
-# ran_once asks until the nodes know each other, within bounds. A refusal ran
+# runs_write_request asks until the nodes know each other, within bounds. A refusal ran
 # nowhere, so the same request ID may be asked again.
-ran_once() {
-  status=$(query_at "$caller_1" "$work/once" member-ledger "$once")
+runs_write_request() {
+  status=$(query_at "$caller_1_addr" "$work_dir/once" member-ledger "$write_request")
   [ "$status" = 200 ]
 }
 
 step "a request that must not be repeated runs once, also when another node is asked"
-once='{"request_id":"demo-once","class":"normal","repeatable":false,"body":{"enter":"order 7"}}'
-wait_for "the first answer" ran_once
+write_request='{"request_id":"demo-once","class":"normal","repeatable":false,"body":{"enter":"order 7"}}'
+wait_for "the first answer" runs_write_request
 echo "node 1: HTTP $status"
-status=$(query_at "$caller_2" "$work/again" member-ledger "$once")
-cat "$work/again"
+status=$(query_at "$caller_2_addr" "$work_dir/again" member-ledger "$write_request")
+cat "$work_dir/again"
 printf '\nnode 2: HTTP %s\n' "$status"
 [ "$status" = 409 ] || fail "the status is $status"
-expect "$work/again" '"reason":"held_elsewhere"' "the refusal"
+expect_match "$work_dir/again" '"reason":"held_elsewhere"' "the refusal"
 
 step "a refusal that names the faulty field"
-status=$(query "$work/fault" catalog '{"request_id":"demo-3","class":"normal","repeatable":true,"deadline_ms":-5,"body":{}}')
-cat "$work/fault"
+status=$(query "$work_dir/fault" catalog '{"request_id":"demo-3","class":"normal","repeatable":true,"deadline_ms":-5,"body":{}}')
+cat "$work_dir/fault"
 printf '\nHTTP %s\n' "$status"
 [ "$status" = 400 ] || fail "the status is $status"
-expect "$work/fault" '"field":"deadline_ms"' "the refusal"
-expect "$work/fault" '"execution":"not_run"' "the refusal"
+expect_match "$work_dir/fault" '"field":"deadline_ms"' "the refusal"
+expect_match "$work_dir/fault" '"execution":"not_run"' "the refusal"
 
 step "stopping"
-stop_all "$process_1" "$process_2"
+stop_processes "$node_1_pid" "$node_2_pid"
 echo "both nodes stopped with exit code 0"
-stop_all "${processes[@]:0:3}"
+stop_processes "${pids[@]:0:3}"
 echo "the stand-ins stopped with exit code 0"
-processes=()
+pids=()
 echo "demo: every step showed what it should"
--- a/scripts/fault-run.sh
+++ b/scripts/fault-run.sh
@@ -33,38 +33,38 @@
 readonly LEDGER='member-ledger-*'
 
 case $MODE in
-full) rounds=11 pause=0.5 drains=yes ;;
-short) rounds=3 pause=0.3 drains=no ;;
+full) round_count=11 pause=0.5 with_drain=yes ;;
+short) round_count=3 pause=0.3 with_drain=no ;;
 *) fail "the mode is full or short, not $MODE" ;;
 esac
 
-need_programs
-events=$work/events.jsonl
-: >"$events"
-base=$(pick_base) || fail "no run of $PORTS free ports found"
+require_programs
+events_file=$work_dir/events.jsonl
+: >"$events_file"
+base=$(find_free_ports) || fail "no run of $PORT_COUNT free ports found"
 RANDOM=$SEED
-store=$LOOPBACK:$((base + BACKENDS))
-machines=$LOOPBACK:$((base + BACKENDS + 1))
-profile=(--profile small --base-port "$base")
+store_addr=$LOOPBACK:$((base + BACKENDS))
+machines_addr=$LOOPBACK:$((base + BACKENDS + 1))
+profile_flags=(--profile small --base-port "$base")
 
-# address NODE ROLE prints an address of a node; the roles are 0 for callers,
+# node_addr NODE ROLE prints an address of a node; the roles are 0 for callers,
 # 1 for operators, 2 for peers.
-address() { echo "$LOOPBACK:$((base + BACKENDS + 2 + ($1 - 1) * 3 + $2))"; }
-caller_of() { address "$1" 0; }
-operator_of() { address "$1" 1; }
-peer_of() { address "$1" 2; }
+node_addr() { echo "$LOOPBACK:$((base + BACKENDS + 2 + ($1 - 1) * 3 + $2))"; }
+caller_addr() { node_addr "$1" 0; }
+operator_addr() { node_addr "$1" 1; }
+peer_addr() { node_addr "$1" 2; }
 
-# event KIND [SUBJECT [ADDRESS]] writes an event to the journal.
-event() {
+# record_event KIND [SUBJECT [ADDRESS]] writes an event to the journal.
+record_event() {
   printf '{"event":{"kind":"%s","subject":"%s","address":"%s","at_ns":%s}}\n' \
-    "$1" "${2:-}" "${3:-}" "$(date +%s%N)" >>"$events"
+    "$1" "${2:-}" "${3:-}" "$(date +%s%N)" >>"$events_file"
 }
 
-tell() { printf '%5.1f s  %s\n' "$(elapsed)" "$*"; }
-elapsed() { awk "BEGIN {print ($(date +%s%N) - $began) / 1e9}"; }
+log_progress() { printf '%5.1f s  %s\n' "$(elapsed)" "$*"; }
+elapsed() { awk "BEGIN {print ($(date +%s%N) - $started_at_ns) / 1e9}"; }
 
-# draw LIMIT sets drawn to a number from 1 to the limit.
-draw() { drawn=$((RANDOM % $1 + 1)); }
+# pick_random LIMIT sets picked to a number from 1 to the limit.
+pick_random() { picked=$((RANDOM % $1 + 1)); }
 
 # shuffle WORD... sets shuffled to the words in a drawn order.
 shuffle() {
@@ -81,24 +81,24 @@
 
 # ---- Processes
 
-process_of=()
+node_pids=()
 
 # start_node NODE starts a node and waits until it serves.
 start_node() {
-  start "node-$1" bin/banksaild serve --settings "$work/node.yaml" --node.id "node-$1" \
+  start_process "node-$1" bin/banksaild serve --settings "$work_dir/node.yaml" --node.id "node-$1" \
     --node.zone "zone-$([ $(($1 % 2)) = 1 ] && echo a || echo b)" \
-    --listen.caller "$(caller_of "$1")" --listen.operator "$(operator_of "$1")" --listen.peer "$(peer_of "$1")"
-  process_of[$1]=$started
-  wait_for "node $1" answers "http://$(operator_of "$1")/healthz"
-  event node_started "node-$1" "$(caller_of "$1")"
+    --listen.caller "$(caller_addr "$1")" --listen.operator "$(operator_addr "$1")" --listen.peer "$(peer_addr "$1")"
+  node_pids[$1]=$started_pid
+  wait_for "node $1" responds "http://$(operator_addr "$1")/healthz"
+  record_event node_started "node-$1" "$(caller_addr "$1")"
 }
 
 # start_backends NAME PATTERN starts the back ends of a pattern in one process.
-start_backends() { start "backends-$1" bin/banksail-lab backends "${profile[@]}" --only "$2"; }
+start_backends() { start_process "backends-$1" bin/banksail-lab backends "${profile_flags[@]}" --only "$2"; }
 
-# fault ARGUMENT... sets fault switches.
-fault() { bin/banksail-lab fault "$@" >/dev/null; }
-fault_at() { fault "${profile[@]}" --server "$@"; }
+# set_faults ARGUMENT... sets fault switches.
+set_faults() { bin/banksail-lab fault "$@" >/dev/null; }
+set_server_faults() { set_faults "${profile_flags[@]}" --server "$@"; }
 
 # ---- Operators
 
@@ -108,28 +108,28 @@
 {"author":"operator-$1","note":"fault run","changes":[{"set_class":{"name":"urgent","order":0,
 "longest_wait_ms":50,"deadline_ms":$2,"minimum_coverage":0.85,"hedge_share":0.1,"headroom":0.2}}]}
 END
-  bin/banksailctl plan --node "$(operator_of "$1")" --out "$3" "$3.intent" >"$3.text" 2>&1
+  bin/banksailctl plan --node "$(operator_addr "$1")" --out "$3" "$3.intent" >"$3.text" 2>&1
 }
 
 # confirm_plan NODE FILE confirms a plan at a node and writes what the operator was told.
 confirm_plan() {
   local code=0 result revision=0 plan
   plan=$(sed -n 's/^plan \([^ ]*\) on revision.*/\1/p' "$2.text")
-  bin/banksailctl confirm --node "$(operator_of "$1")" "$2" >"$2.told" 2>&1 || code=$?
+  bin/banksailctl confirm --node "$(operator_addr "$1")" "$2" >"$2.result" 2>&1 || code=$?
   case $code in
   0)
     result=applied
-    revision=$(sed -n 's/.*revision \([0-9]*\)$/\1/p' "$2.told")
+    revision=$(sed -n 's/.*revision \([0-9]*\)$/\1/p' "$2.result")
     ;;
   3) result=unknown ;;
   *)
     result=not_applied
-    ! grep -q 'planned for revision' "$2.told" || result=conflict
+    ! grep -q 'planned for revision' "$2.result" || result=conflict
     ;;
   esac
   printf '{"confirmation":{"operator":"operator-%s","plan_id":"%s","result":"%s","revision":%s,"at_ns":%s}}\n' \
-    "$1" "$plan" "$result" "$revision" "$(date +%s%N)" >>"$events"
-  tell "  operator at node-$1 was told: $result"
+    "$1" "$plan" "$result" "$revision" "$(date +%s%N)" >>"$events_file"
+  log_progress "  operator at node-$1 was told: $result"
 }
 
 # ---- Load
@@ -137,97 +137,97 @@
 # start_loads NAME MINIMUM-COVERAGE starts a caller beside each node.
 start_loads() {
   local node
-  loads=()
+  load_pids=()
   for node in $(seq $NODES); do
-    start "$1-$node" bin/banksail-lab load --node "$(caller_of "$node")" --profile small --rate $RATE \
+    start_process "$1-$node" bin/banksail-lab load --node "$(caller_addr "$node")" --profile small --rate $RATE \
       --duration $LONGEST_LOAD --deadline-ms $DEADLINE_MS --minimum-coverage "$2" \
-      --seed $((SEED * NODES + node)) "${retries[@]}" --journal "$work/$1-$node.jsonl"
-    loads+=("$started")
+      --seed $((SEED * NODES + node)) "${retry_flags[@]}" --journal "$work_dir/$1-$node.jsonl"
+    load_pids+=("$started_pid")
   done
 }
 
 # stop_loads NAME ends the load and prints what the callers saw.
 stop_loads() {
-  local node process
-  stop_all "${loads[@]}"
-  for process in "${loads[@]}"; do
-    forget "$process"
+  local node pid
+  stop_processes "${load_pids[@]}"
+  for pid in "${load_pids[@]}"; do
+    untrack_process "$pid"
   done
-  tell "the load ended; what the callers saw:"
+  log_progress "the load ended; what the callers saw:"
   for node in $(seq $NODES); do
-    sed "s/^/  /" "$work/$1-$node.log"
+    sed "s/^/  /" "$work_dir/$1-$node.log"
   done
 }
 
 # ---- Wholeness
 
-# whole NODE asks until the node gives a complete answer and runs a request
+# serves_complete_answers NODE asks until the node gives a complete answer and runs a request
 # that must not be repeated.
-whole() {
+serves_complete_answers() {
   attempt=$((attempt + 1))
-  local asked="{\"request_id\":\"whole-$attempt\",\"class\":\"normal\",\"repeatable\":true,\"body\":{}}"
-  local once="{\"request_id\":\"whole-once-$attempt\",\"class\":\"normal\",\"repeatable\":false,\"body\":{}}"
-  [ "$(query_at "$(caller_of "$1")" "$work/answer" catalog "$asked")" = 200 ] &&
-    grep -q '"complete":true' "$work/answer" && grep -q "\"snapshot\":$snapshot," "$work/answer" &&
-    [ "$(query_at "$(caller_of "$1")" "$work/answer" member-ledger "$once")" = 200 ]
+  local request="{\"request_id\":\"whole-$attempt\",\"class\":\"normal\",\"repeatable\":true,\"body\":{}}"
+  local write_request="{\"request_id\":\"whole-once-$attempt\",\"class\":\"normal\",\"repeatable\":false,\"body\":{}}"
+  [ "$(query_at "$(caller_addr "$1")" "$work_dir/answer" catalog "$request")" = 200 ] &&
+    grep -q '"complete":true' "$work_dir/answer" && grep -q "\"snapshot\":$snapshot," "$work_dir/answer" &&
+    [ "$(query_at "$(caller_addr "$1")" "$work_dir/answer" member-ledger "$write_request")" = 200 ]
 }
 
-check_whole() {
+check_recovery() {
   local node newest
   attempt=0
-  make_plan 1 600 "$work/plan-last" || fail "no plan can be made after the faults"
-  confirm_plan 1 "$work/plan-last"
-  newest=$(sed -n 's/.*revision \([0-9]*\)$/\1/p' "$work/plan-last.told")
-  [ -n "$newest" ] || fail "no plan can be confirmed after the faults: $(cat "$work/plan-last.told")"
+  make_plan 1 600 "$work_dir/plan-last" || fail "no plan can be made after the faults"
+  confirm_plan 1 "$work_dir/plan-last"
+  newest=$(sed -n 's/.*revision \([0-9]*\)$/\1/p' "$work_dir/plan-last.result")
+  [ -n "$newest" ] || fail "no plan can be confirmed after the faults: $(cat "$work_dir/plan-last.result")"
   for node in $(seq $NODES); do
-    wait_for "revision $newest on node-$node" in_force "$(operator_of "$node")" "$newest"
-    wait_for "whole answers from node-$node" whole "$node"
+    wait_for "revision $newest on node-$node" serves_revision "$(operator_addr "$node")" "$newest"
+    wait_for "whole answers from node-$node" serves_complete_answers "$node"
   done
-  tell "revision $newest in force and whole answers from snapshot $snapshot on $NODES nodes"
+  log_progress "revision $newest in force and whole answers from snapshot $snapshot on $NODES nodes"
 }
 
 # ---- The run
 
 echo "fault-run: mode $MODE, seed $SEED"
-began=$(date +%s%N)
-nodes=() observed=() retries=()
+started_at_ns=$(date +%s%N)
+node_flags=() observe_flags=() retry_flags=()
 for node in $(seq $NODES); do
-  nodes+=(--node "node-$node=$(peer_of "$node")@zone-$([ $((node % 2)) = 1 ] && echo a || echo b)")
-  observed+=(--node "node-$node=$(operator_of "$node")")
-  retries+=(--retry "$(caller_of "$node")")
+  node_flags+=(--node "node-$node=$(peer_addr "$node")@zone-$([ $((node % 2)) = 1 ] && echo a || echo b)")
+  observe_flags+=(--node "node-$node=$(operator_addr "$node")")
+  retry_flags+=(--retry "$(caller_addr "$node")")
 done
-cat >"$work/node.yaml" <<END
-store: {address: "$store"}
-machine_list: {address: "$machines"}
+cat >"$work_dir/node.yaml" <<END
+store: {address: "$store_addr"}
+machine_list: {address: "$machines_addr"}
 stop: {grace: 200ms}
 END
-start store bin/banksail-lab store --address "$store"
-start machines bin/banksail-lab machines --address "$machines" "${profile[@]}" "${nodes[@]}"
+start_process store bin/banksail-lab store --address "$store_addr"
+start_process machines bin/banksail-lab machines --address "$machines_addr" "${profile_flags[@]}" "${node_flags[@]}"
 start_backends catalog 'catalog-g0[0-6]-*'
 start_backends replica 'catalog-g07-r00'
 start_backends ledger "$LEDGER"
 start_backends drained "$DRAINED"
-drained_process=$started
+drained_pid=$started_pid
 for node in $(seq $NODES); do
   start_node "$node"
 done
-wait_for "$DRAINED" server_up
-start observe bin/banksail-lab observe "${observed[@]}" --out "$work/revisions.jsonl"
-observer=$started
+wait_for "$DRAINED" drained_server_up
+start_process observe bin/banksail-lab observe "${observe_flags[@]}" --out "$work_dir/revisions.jsonl"
+observer_pid=$started_pid
 
 {
   echo '{"author":"operator-1","note":"first configuration","changes":[{"replace":'
-  bin/banksail-lab profile "${profile[@]}"
+  bin/banksail-lab profile "${profile_flags[@]}"
   echo '}]}'
-} >"$work/plan-first.intent"
-bin/banksailctl plan --node "$(operator_of 1)" --out "$work/plan-first" "$work/plan-first.intent" >"$work/plan-first.text"
-confirm_plan 1 "$work/plan-first"
+} >"$work_dir/plan-first.intent"
+bin/banksailctl plan --node "$(operator_addr 1)" --out "$work_dir/plan-first" "$work_dir/plan-first.intent" >"$work_dir/plan-first.text"
+confirm_plan 1 "$work_dir/plan-first"
 for node in $(seq $NODES); do
-  wait_for "the configuration on node-$node" in_force "$(operator_of "$node")" 1
+  wait_for "the configuration on node-$node" serves_revision "$(operator_addr "$node")" 1
 done
 
 start_loads calls 0
-tell "load of $RATE queries a second at each of $NODES nodes"
+log_progress "load of $RATE queries a second at each of $NODES nodes"
 sleep "$pause"
 
 shuffle kill kill_two freeze planned_stop two_operators lost_reply
@@ -240,41 +240,41 @@
   shuffle close wrong_replies frozen_server snapshot
   switches=("${shuffled[@]}")
 fi
-for round in $(seq "$rounds"); do
+for round in $(seq "$round_count"); do
   switch=${switches[$(((round - 1) % ${#switches[@]}))]}
   action=${actions[$(((round - 1) % ${#actions[@]}))]}
-  [ "$drains $round" != "yes 2" ] || begin_drain
-  [ "$drains $round" != "yes 7" ] || replace_drained
-  tell "round $round of $rounds: $switch"
+  [ "$with_drain $round" != "yes 2" ] || begin_drain
+  [ "$with_drain $round" != "yes 7" ] || replace_drained
+  log_progress "round $round of $round_count: $switch"
   "set_$switch"
   sleep "$pause"
   "fault_$action"
   sleep "$pause"
   "clear_$switch"
 done
-event faults_ended
-tell "all faults ended"
+record_event faults_ended
+log_progress "all faults ended"
 
-check_whole
+check_recovery
 stop_loads calls
 if [ "$MODE" = full ]; then
-  tell "load that takes no partial answer, to see that the system is whole"
+  log_progress "load that takes no partial answer, to see that the system is whole"
   start_loads probes 1
   sleep $((RECOVERY + PROBES))
   stop_loads probes
 fi
-stop_all "$observer"
-forget "$observer"
-bin/banksail-lab collect "${profile[@]}" --operator "$(operator_of 1)" --out "$work/ran.jsonl"
-[ -z "${KEEP:-}" ] || { mkdir -p "$KEEP" && cp "$work"/*.jsonl "$work"/*.log "$KEEP"; }
+stop_processes "$observer_pid"
+untrack_process "$observer_pid"
+bin/banksail-lab collect "${profile_flags[@]}" --operator "$(operator_addr 1)" --out "$work_dir/ran.jsonl"
+[ -z "${KEEP:-}" ] || { mkdir -p "$KEEP" && cp "$work_dir"/*.jsonl "$work_dir"/*.log "$KEEP"; }
 
-judge=(--recovery-bound "${RECOVERY}s" --answer-allowance "$ANSWER_ALLOWANCE" --require-all)
-[ "$MODE" = full ] || judge=(--safety-only --in-flight-margin 100ms)
-bin/banksail-lab judge "${judge[@]}" "$work"/*.jsonl
-stop_all "${process_of[@]}"
-for process in "${process_of[@]}"; do
-  forget "$process"
+judge_flags=(--recovery-bound "${RECOVERY}s" --answer-allowance "$ANSWER_ALLOWANCE" --require-all)
+[ "$MODE" = full ] || judge_flags=(--safety-only --in-flight-margin 100ms)
+bin/banksail-lab judge "${judge_flags[@]}" "$work_dir"/*.jsonl
+stop_processes "${node_pids[@]}"
+for pid in "${node_pids[@]}"; do
+  untrack_process "$pid"
 done
-stop_all "${processes[@]}"
-processes=()
-tell "no invariant was violated"
+stop_processes "${pids[@]}"
+pids=()
+log_progress "no invariant was violated"
--- a/scripts/faults.sh
+++ b/scripts/faults.sh
@@ -7,164 +7,164 @@
 
 fault_kill() {
   local node
-  draw $NODES
-  node=$drawn
-  tell "kill node-$node"
-  kill -KILL "${process_of[$node]}"
-  { wait "${process_of[$node]}" || true; } 2>/dev/null
-  event node_killed "node-$node"
-  forget "${process_of[$node]}"
+  pick_random $NODES
+  node=$picked
+  log_progress "kill node-$node"
+  kill -KILL "${node_pids[$node]}"
+  { wait "${node_pids[$node]}" || true; } 2>/dev/null
+  record_event node_killed "node-$node"
+  untrack_process "${node_pids[$node]}"
   sleep "$pause"
   start_node "$node"
-  tell "  node-$node runs again"
+  log_progress "  node-$node runs again"
 }
 
 fault_kill_two() {
   local node survivor
-  draw $NODES
-  survivor=$drawn
-  tell "kill all nodes but node-$survivor"
+  pick_random $NODES
+  survivor=$picked
+  log_progress "kill all nodes but node-$survivor"
   for node in $(seq $NODES); do
     [ "$node" != "$survivor" ] || continue
-    kill -KILL "${process_of[$node]}"
-    { wait "${process_of[$node]}" || true; } 2>/dev/null
-    event node_killed "node-$node"
-    forget "${process_of[$node]}"
+    kill -KILL "${node_pids[$node]}"
+    { wait "${node_pids[$node]}" || true; } 2>/dev/null
+    record_event node_killed "node-$node"
+    untrack_process "${node_pids[$node]}"
   done
   sleep "$pause"
   for node in $(seq $NODES); do
     [ "$node" = "$survivor" ] || start_node "$node"
   done
-  tell "  $NODES nodes run again"
+  log_progress "  $NODES nodes run again"
 }
 
 fault_freeze() {
-  draw $NODES
-  tell "freeze node-$drawn for $FREEZE s"
-  event node_frozen "node-$drawn"
-  kill -STOP "${process_of[$drawn]}"
+  pick_random $NODES
+  log_progress "freeze node-$picked for $FREEZE s"
+  record_event node_frozen "node-$picked"
+  kill -STOP "${node_pids[$picked]}"
   sleep "$FREEZE"
-  kill -CONT "${process_of[$drawn]}"
-  event node_thawed "node-$drawn"
+  kill -CONT "${node_pids[$picked]}"
+  record_event node_thawed "node-$picked"
 }
 
 fault_planned_stop() {
   local node code=0
-  draw $NODES
-  node=$drawn
-  tell "planned stop of node-$node"
+  pick_random $NODES
+  node=$picked
+  log_progress "planned stop of node-$node"
   # Slow servers see to it that requests are in flight.
-  fault_at 'catalog-*' straggle_factor=20
+  set_server_faults 'catalog-*' straggle_factor=20
   sleep 0.5
-  event node_stop_asked "node-$node"
-  kill -TERM "${process_of[$node]}"
-  wait "${process_of[$node]}" || code=$?
-  event node_ended "node-$node"
-  forget "${process_of[$node]}"
-  fault_at 'catalog-*' straggle_factor=0
+  record_event node_stop_asked "node-$node"
+  kill -TERM "${node_pids[$node]}"
+  wait "${node_pids[$node]}" || code=$?
+  record_event node_ended "node-$node"
+  untrack_process "${node_pids[$node]}"
+  set_server_faults 'catalog-*' straggle_factor=0
   [ "$code" -eq 0 ] || fail "the planned stop of node-$node ended with exit code $code"
   start_node "$node"
-  tell "  node-$node runs again"
+  log_progress "  node-$node runs again"
 }
 
 fault_two_operators() {
-  local first second one other
-  draw $NODES
-  one=$drawn
+  local first_pid second_pid one other
+  pick_random $NODES
+  one=$picked
   other=$((one % NODES + 1))
-  tell "two operators confirm at once, at node-$one and node-$other"
-  if ! make_plan "$one" 510 "$work/plan-$round-a" || ! make_plan "$other" 520 "$work/plan-$round-b"; then
-    tell "  no plan was made"
+  log_progress "two operators confirm at once, at node-$one and node-$other"
+  if ! make_plan "$one" 510 "$work_dir/plan-$round-a" || ! make_plan "$other" 520 "$work_dir/plan-$round-b"; then
+    log_progress "  no plan was made"
     return
   fi
-  confirm_plan "$one" "$work/plan-$round-a" &
-  first=$!
-  confirm_plan "$other" "$work/plan-$round-b" &
-  second=$!
-  wait "$first" "$second"
+  confirm_plan "$one" "$work_dir/plan-$round-a" &
+  first_pid=$!
+  confirm_plan "$other" "$work_dir/plan-$round-b" &
+  second_pid=$!
+  wait "$first_pid" "$second_pid"
 }
 
 fault_lost_reply() {
-  draw $NODES
-  tell "the store loses a reply to a confirmation at node-$drawn"
-  if ! make_plan "$drawn" 530 "$work/plan-$round"; then
-    tell "  no plan was made"
+  pick_random $NODES
+  log_progress "the store loses a reply to a confirmation at node-$picked"
+  if ! make_plan "$picked" 530 "$work_dir/plan-$round"; then
+    log_progress "  no plan was made"
     return
   fi
-  fault --address "$store" lose_replies=1
-  confirm_plan "$drawn" "$work/plan-$round"
-  fault --address "$store" lose_replies=0
+  set_faults --address "$store_addr" lose_replies=1
+  confirm_plan "$picked" "$work_dir/plan-$round"
+  set_faults --address "$store_addr" lose_replies=0
 }
 
 # ---- Faults of stand-ins: set NAME, clear NAME
 
-set_straggle() { draw 8; group=$((drawn - 1)) && fault_at "catalog-g0$group-*" straggle_factor=50; }
-clear_straggle() { fault_at "catalog-g0$group-*" straggle_factor=0; }
-set_shed() { fault_at 'catalog-*-r00' shed_share=0.5; }
-clear_shed() { fault_at 'catalog-*-r00' shed_share=0; }
+set_straggle() { pick_random 8; group=$((picked - 1)) && set_server_faults "catalog-g0$group-*" straggle_factor=50; }
+clear_straggle() { set_server_faults "catalog-g0$group-*" straggle_factor=0; }
+set_shed() { set_server_faults 'catalog-*-r00' shed_share=0.5; }
+clear_shed() { set_server_faults 'catalog-*-r00' shed_share=0; }
 set_close() {
-  fault_at "$LEDGER" close_before_share=0.2 close_after_share=0.2
-  fault_at 'catalog-*' close_before_share=0.05 close_after_share=0.05
+  set_server_faults "$LEDGER" close_before_share=0.2 close_after_share=0.2
+  set_server_faults 'catalog-*' close_before_share=0.05 close_after_share=0.05
 }
 clear_close() {
-  fault_at "$LEDGER" close_before_share=0 close_after_share=0
-  fault_at 'catalog-*' close_before_share=0 close_after_share=0
+  set_server_faults "$LEDGER" close_before_share=0 close_after_share=0
+  set_server_faults 'catalog-*' close_before_share=0 close_after_share=0
 }
 set_wrong_replies() {
-  fault_at 'catalog-*' cross_share=0.1 truncate_share=0.05 wrong_snapshot_share=0.05
-  fault_at "$LEDGER" cross_share=0.2 truncate_share=0.1
+  set_server_faults 'catalog-*' cross_share=0.1 truncate_share=0.05 wrong_snapshot_share=0.05
+  set_server_faults "$LEDGER" cross_share=0.2 truncate_share=0.1
 }
 clear_wrong_replies() {
-  fault_at 'catalog-*' cross_share=0 truncate_share=0 wrong_snapshot_share=0
-  fault_at "$LEDGER" cross_share=0 truncate_share=0
-}
-set_machine_lag() { fault --address "$machines" lag_ms=5000 keep_gone=true; }
-clear_machine_lag() { fault --address "$machines" lag_ms=0 keep_gone=false; }
-set_outage() { fault --address "$store" down=true; }
-clear_outage() { fault --address "$store" down=false; }
-set_stale_store() { fault --address "$store" stale_revisions=2 delay_ms=200; }
-clear_stale_store() { fault --address "$store" stale_revisions=0 delay_ms=0; }
+  set_server_faults 'catalog-*' cross_share=0 truncate_share=0 wrong_snapshot_share=0
+  set_server_faults "$LEDGER" cross_share=0 truncate_share=0
+}
+set_machine_lag() { set_faults --address "$machines_addr" lag_ms=5000 keep_gone=true; }
+clear_machine_lag() { set_faults --address "$machines_addr" lag_ms=0 keep_gone=false; }
+set_outage() { set_faults --address "$store_addr" down=true; }
+clear_outage() { set_faults --address "$store_addr" down=false; }
+set_stale_store() { set_faults --address "$store_addr" stale_revisions=2 delay_ms=200; }
+clear_stale_store() { set_faults --address "$store_addr" stale_revisions=0 delay_ms=0; }
 # A frozen server runs what arrived once it thaws, also when its caller has gone.
 set_frozen_server() {
-  draw 2
-  replica=$((drawn - 1))
-  draw 7
-  group=$((drawn - 1))
-  fault_at "catalog-g0$group-r0$replica" freeze=true
-  fault_at "$LEDGER-r0$replica" freeze=true
+  pick_random 2
+  replica=$((picked - 1))
+  pick_random 7
+  group=$((picked - 1))
+  set_server_faults "catalog-g0$group-r0$replica" freeze=true
+  set_server_faults "$LEDGER-r0$replica" freeze=true
 }
 clear_frozen_server() {
-  fault_at "catalog-g0$group-r0$replica" freeze=false
-  fault_at "$LEDGER-r0$replica" freeze=false
+  set_server_faults "catalog-g0$group-r0$replica" freeze=false
+  set_server_faults "$LEDGER-r0$replica" freeze=false
 }
 snapshot=1
 set_snapshot() {
-  fault_at 'catalog-*-r00' "snapshots=[$snapshot,$((snapshot + 1))]"
+  set_server_faults 'catalog-*-r00' "snapshots=[$snapshot,$((snapshot + 1))]"
   sleep 0.2
-  fault_at 'catalog-*-r01' "snapshots=[$snapshot,$((snapshot + 1))]"
+  set_server_faults 'catalog-*-r01' "snapshots=[$snapshot,$((snapshot + 1))]"
 }
 clear_snapshot() {
   snapshot=$((snapshot + 1))
-  fault_at 'catalog-*' "snapshots=[$snapshot]"
+  set_server_faults 'catalog-*' "snapshots=[$snapshot]"
 }
 
 # ---- A server that drains and is replaced
 
 begin_drain() {
-  tell "drain $DRAINED"
-  fault_at "$DRAINED" draining=true
-  event server_leaving "$DRAINED"
+  log_progress "drain $DRAINED"
+  set_server_faults "$DRAINED" draining=true
+  record_event server_leaving "$DRAINED"
 }
 
 replace_drained() {
-  tell "replace $DRAINED"
-  bin/banksail-lab collect "${profile[@]}" --only "$DRAINED" --out "$work/ran-drained.jsonl"
-  kill -KILL "$drained_process"
-  { wait "$drained_process" || true; } 2>/dev/null
-  forget "$drained_process"
-  event server_returned "$DRAINED"
+  log_progress "replace $DRAINED"
+  bin/banksail-lab collect "${profile_flags[@]}" --only "$DRAINED" --out "$work_dir/ran-drained.jsonl"
+  kill -KILL "$drained_pid"
+  { wait "$drained_pid" || true; } 2>/dev/null
+  untrack_process "$drained_pid"
+  record_event server_returned "$DRAINED"
   start_backends drained "$DRAINED"
-  wait_for "$DRAINED" server_up
-  fault_at "$DRAINED" "snapshots=[$snapshot]"
+  wait_for "$DRAINED" drained_server_up
+  set_server_faults "$DRAINED" "snapshots=[$snapshot]"
 }
-server_up() { fault_at "$DRAINED" 2>/dev/null; }
+drained_server_up() { set_server_faults "$DRAINED" 2>/dev/null; }
--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -5,33 +5,33 @@
 
 readonly LOOPBACK=127.0.0.1
 readonly BACKENDS=18        # servers of the profile "small"
-readonly PORTS=30           # ports taken: back ends, platform, nodes
+readonly PORT_COUNT=30      # ports taken: back ends, platform, nodes
 readonly FIRST_PORT=20000
 readonly LAST_PORT=31000    # below the system's ephemeral ports
 readonly WAIT_TRIES=150     # of WAIT_PAUSE seconds each
 readonly WAIT_PAUSE=0.1
 
-work=$(mktemp -d)
-processes=()
+work_dir=$(mktemp -d)
+pids=()
 
-finish() {
+cleanup() {
   local status=$?
-  local process
-  for process in "${processes[@]}"; do
-    kill "$process" 2>/dev/null || true
-    kill -CONT "$process" 2>/dev/null || true
+  local pid
+  for pid in "${pids[@]}"; do
+    kill "$pid" 2>/dev/null || true
+    kill -CONT "$pid" 2>/dev/null || true
   done
-  for process in "${processes[@]}"; do
-    wait "$process" 2>/dev/null || true
+  for pid in "${pids[@]}"; do
+    wait "$pid" 2>/dev/null || true
   done
   if [ "$status" -ne 0 ]; then
     echo "$run_name: FAILED; the ends of the logs follow" >&2
-    tail -n 5 "$work"/*.log >&2 || true
+    tail -n 5 "$work_dir"/*.log >&2 || true
   fi
-  rm -rf "$work"
+  rm -rf "$work_dir"
   exit "$status"
 }
-trap finish EXIT
+trap cleanup EXIT
 trap 'exit 130' INT
 trap 'exit 143' TERM
 
@@ -45,13 +45,13 @@
   (exec 3<>"/dev/tcp/$LOOPBACK/$1") 2>/dev/null
 }
 
-# pick_base prints a port that starts a run of PORTS free ones.
-pick_base() {
+# find_free_ports prints a port that starts a run of PORT_COUNT free ones.
+find_free_ports() {
   local try base port free
   for try in $(seq 50); do
-    base=$((FIRST_PORT + (RANDOM * 32768 + RANDOM) % (LAST_PORT - FIRST_PORT - PORTS)))
+    base=$((FIRST_PORT + (RANDOM * 32768 + RANDOM) % (LAST_PORT - FIRST_PORT - PORT_COUNT)))
     free=yes
-    for port in $(seq "$base" $((base + PORTS - 1))); do
+    for port in $(seq "$base" $((base + PORT_COUNT - 1))); do
       if port_open "$port"; then
         free=no
         break
@@ -65,13 +65,13 @@
   return 1
 }
 
-# start NAME COMMAND... runs a process in the background; started is its process ID.
-start() {
+# start_process NAME COMMAND... runs a process in the background; started_pid is its process ID.
+start_process() {
   local name=$1
   shift
-  "$@" >"$work/$name.log" 2>&1 &
-  started=$!
-  processes+=("$started")
+  "$@" >"$work_dir/$name.log" 2>&1 &
+  started_pid=$!
+  pids+=("$started_pid")
 }
 
 # wait_for DESCRIPTION COMMAND... polls until the command succeeds, within bounds.
@@ -87,11 +87,11 @@
   fail "waited in vain for $what"
 }
 
-answers() { curl -fsS -m 2 -o "$work/probe" "$1" 2>/dev/null; }
+responds() { curl -fsS -m 2 -o "$work_dir/probe" "$1" 2>/dev/null; }
 
-# in_force succeeds when the node at the operator address has the revision in force.
-in_force() {
-  answers "http://$1/readyz" && grep -q "revision $2\$" "$work/probe"
+# serves_revision succeeds when the node at the operator address has the revision in force.
+serves_revision() {
+  responds "http://$1/readyz" && grep -q "revision $2\$" "$work_dir/probe"
 }
 
 # query_at NODE FILE SERVICE BODY posts a query to a node's caller address and
@@ -102,37 +102,37 @@
     "http://$1/v1/services/$3/queries"
 }
 
-# expect FILE PATTERN WHAT demands that a file holds a pattern.
-expect() {
+# expect_match FILE PATTERN WHAT demands that a file holds a pattern.
+expect_match() {
   grep -Eq "$2" "$1" || fail "$3 is not as it should be: $(head -c 600 "$1")"
 }
 
 step() { printf '\n== %s\n' "$*"; }
 
-# stop_all PROCESS-ID... stops processes and demands exit code 0 of each.
-stop_all() {
-  local process code
-  for process in "$@"; do
-    kill -TERM "$process"
+# stop_processes PROCESS-ID... stops processes and demands exit code 0 of each.
+stop_processes() {
+  local pid code
+  for pid in "$@"; do
+    kill -TERM "$pid"
   done
-  for process in "$@"; do
+  for pid in "$@"; do
     code=0
-    wait "$process" || code=$?
-    [ "$code" -eq 0 ] || fail "process $process ended with exit code $code"
+    wait "$pid" || code=$?
+    [ "$code" -eq 0 ] || fail "process $pid ended with exit code $code"
   done
 }
 
-# forget PROCESS-ID drops a process that has ended.
-forget() {
-  local kept=() process
-  for process in "${processes[@]}"; do
-    [ "$process" = "$1" ] || kept+=("$process")
+# untrack_process PROCESS-ID drops a process that has ended.
+untrack_process() {
+  local kept=() pid
+  for pid in "${pids[@]}"; do
+    [ "$pid" = "$1" ] || kept+=("$pid")
   done
-  processes=("${kept[@]}")
+  pids=("${kept[@]}")
 }
 
-# need_programs demands what make build builds.
-need_programs() {
+# require_programs demands what make build builds.
+require_programs() {
   local program
   for program in banksaild banksailctl banksail-lab; do
     [ -x "bin/$program" ] || fail "bin/$program is missing; run make build"
--- a/scripts/unit.sh
+++ b/scripts/unit.sh
@@ -11,24 +11,24 @@
 readonly RERUNS=3
 readonly DETECTOR_CRASH='ThreadSanitizer: CHECK failed'
 
-skip=()
+skip_flags=()
 if [ -f KNOWN-RED.txt ]; then
-  known=$(grep -v -e '^\s*#' -e '^\s*$' KNOWN-RED.txt || true)
-  if [ -n "$known" ]; then
-    printf 'known red, passed over:\n%s\n' "$known"
-    pattern=$(printf '%s\n' "$known" | awk '{print $1}' | paste -sd'|' -)
-    skip=(-skip "^($pattern)\$")
+  known_failures=$(grep -v -e '^\s*#' -e '^\s*$' KNOWN-RED.txt || true)
+  if [ -n "$known_failures" ]; then
+    printf 'known red, passed over:\n%s\n' "$known_failures"
+    pattern=$(printf '%s\n' "$known_failures" | awk '{print $1}' | paste -sd'|' -)
+    skip_flags=(-skip "^($pattern)\$")
   fi
 fi
 
 output=$(mktemp)
 trap 'rm -f "$output"' EXIT
 
-run_tests() { go test -race -timeout 20m "${skip[@]}" "$@" 2>&1 | tee "$output"; }
+run_tests() { go test -race -timeout 20m "${skip_flags[@]}" "$@" 2>&1 | tee "$output"; }
 
-# in_detector tells whether a program counter of a package's test program lies in the
+# is_detector_code tells whether a program counter of a package's test program lies in the
 # race detector's runtime, by the symbol at or before it.
-in_detector() {
+is_detector_code() {
   local package=$1 counter=$2 program symbol
   program=$(mktemp)
   go test -race -c -o "$program" "$package"
@@ -40,10 +40,10 @@
   [[ $symbol == *__tsan* || $symbol == *__sanitizer* ]]
 }
 
-# suspects prints the packages of the last run that the detector's crash seems to
+# possible_detector_crashes prints the packages of the last run that the detector's crash seems to
 # have ended, with the program counter if it was a segmentation violation; it fails
 # when any package failed for another reason.
-suspects() {
+possible_detector_crashes() {
   awk -v crash="$DETECTOR_CRASH" '
     /^(ok|\?|---)?[ \t]*FAIL[ \t]+[^ \t]+[ \t]/ {
       if (detector && !failed) { print $2, counter } else { other = 1 }
@@ -58,14 +58,14 @@
   ' "$output"
 }
 
-# crashed prints the packages that the detector's crash ended; it fails when any
+# confirmed_detector_crashes prints the packages that the detector's crash ended; it fails when any
 # package failed for another reason.
-crashed() {
+confirmed_detector_crashes() {
   local found package counter
-  found=$(suspects) || return 1
+  found=$(possible_detector_crashes) || return 1
   while read -r package counter; do
     [ -z "$package" ] && continue
-    [ -z "$counter" ] || in_detector "$package" "$counter" || return 1
+    [ -z "$counter" ] || is_detector_code "$package" "$counter" || return 1
     echo "$package"
   done <<<"$found"
 }
@@ -75,9 +75,9 @@
   if run_tests "${packages[@]}"; then
     exit 0
   fi
-  again=$(crashed) || exit 1
-  [ -n "$again" ] || exit 1
-  mapfile -t packages <<<"$again"
+  rerun_packages=$(confirmed_detector_crashes) || exit 1
+  [ -n "$rerun_packages" ] || exit 1
+  mapfile -t packages <<<"$rerun_packages"
   printf "the race detector's runtime crashed (attempt %s); running again: %s\n" "$((attempt + 1))" "${packages[*]}"
 done
 echo "the race detector's runtime crashed $((RERUNS + 1)) times"
