--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Targets: build, test, demo, lint, soak, generate.
+# Main targets: build, test, demo, lint, soak, generate.
 
 GO ?= go
 TOOLS := $(CURDIR)/bin/tools
@@ -10,8 +10,9 @@
 build:
 	$(GO) build -o bin/ ./cmd/...
 
-# test is what README and CI call: formatter, vet, linter, tests, smoke run, a short fault
-# run that judges only what holds at any speed of the machine, and three short soaks.
+# test is the target that README and CI run: format check, vet, linter, tests, demos, a short
+# fault run that checks only invariants that do not depend on the speed of the machine, and
+# three short soak runs.
 test: lint unit demo fault-run-short soak-short
 
 unit:
@@ -29,7 +30,8 @@
 	./scripts/demo.sh
 	./scripts/demo-routes.sh
 
-# fault-run judges real processes under faults; SEED sets the order of the faults.
+# fault-run runs real processes under injected faults and checks the invariants; SEED
+# determines the order of the faults.
 SEED ?= 1
 fault-run: build
 	./scripts/fault-run.sh full $(SEED)
@@ -37,9 +39,9 @@
 fault-run-short: build
 	./scripts/fault-run.sh short $(SEED)
 
-# soak runs the real node program as many processes under drawn faults and judges what callers
-# and servers saw; SEED draws the faults. soak-short plays fixed seeds, soak-regressions those
-# that once found something.
+# soak runs many processes of the real node program under random faults and checks what
+# callers and servers recorded; SEED determines the faults. soak-short runs fixed seeds,
+# soak-regressions the seeds that have exposed a fault.
 SOAK_TIME ?= 5m
 soak: build
 	bin/banksail-lab soak --seed $(SEED) --for $(SOAK_TIME)
@@ -50,6 +52,6 @@
 soak-regressions: build
 	bin/banksail-lab soak --regressions lab/soak/regressions.txt
 
-# generate needs protoc 3.21 or later, protoc-gen-go, protoc-gen-twirp and wire; the output is committed.
+# generate requires protoc 3.21 or later, protoc-gen-go, protoc-gen-twirp and wire. Its output is committed.
 generate:
 	$(GO) generate ./...
--- a/scripts/demo-routes.sh
+++ b/scripts/demo-routes.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Starts a stand-in of the users' platform (its store and servers) and a node of
-# it as separate processes on loopback, asks the directory and the routes, and
-# changes the configuration. Exit code 0 means that every step showed what it
-# should. Needs the programs in bin/ (make build) and curl.
+# Starts a simulated platform (store and servers) and one node as separate
+# processes on loopback, queries the node's directory and routes, and changes the
+# configuration. Exits with 0 if every step gave the expected result. Requires the
+# programs in bin/ (make build) and curl.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -58,7 +58,9 @@
 start_process node bin/banksail-front serve
 node_pid=$started_pid
 
-# write_config VERSION SHARDS ROUTES writes the operator's configuration to the store.
+# write_config VERSION SHARDS ROUTES writes the operator's configuration to the store:
+# SHARDS is the JSON list of the search route's shards, ROUTES the JSON text of any
+# further routes, each preceded by a comma.
 write_config() {
   local value
   cat >"$work_dir/config.json" <<END
@@ -79,7 +81,8 @@
   echo
 }
 
-# send_request PATH [CURL-FLAG...] asks the node as a caller does.
+# send_request PATH [CURL-FLAG...] sends a request to the node's caller address, prints
+# the HTTP status, and saves body and header as "answer" and "header" in $work_dir.
 send_request() {
   local path=$1
   shift
@@ -88,13 +91,14 @@
     -H 'Host: search.example' -H "X-Banksail-Attempt-Id: $attempt" -H 'X-Banksail-Timeout-Ms: 1000' "$@"
 }
 
-# response_header prints a header of the last answer.
+# response_header NAME prints the value of a header of the last response.
 response_header() { sed -n "s/^$1: //Ip" "$work_dir/header" | tr -d '\r'; }
 
-# has_status STATUS PATH succeeds when the node answers so.
+# has_status STATUS PATH succeeds if a request for PATH gets this HTTP status.
 has_status() { [ "$(send_request "$2")" = "$1" ]; }
 
-# has_part_count COUNT succeeds when an answer has so many parts and lacks none.
+# has_part_count COUNT succeeds if a search response is merged from COUNT parts and none
+# is missing.
 has_part_count() {
   [ "$(send_request /search/open%20orders)" = 200 ] && [ "$(response_header X-Banksail-Missing-Parts)" = 0 ] &&
     [ "$(response_header X-Banksail-Part-Stamps | tr ',' '\n' | wc -l)" = "$1" ]
@@ -131,7 +135,7 @@
 
 step "an older version changes nothing, and a route that is not there is refused"
 write_config 2 '["shard-1"]' '' >/dev/null
-sleep 2 # longer than the node takes to hear of a version
+sleep 2 # longer than a new version takes to reach the node
 has_part_count 3 || fail "an older version is in force"
 wait_for "the refusal" has_status 404 /nothing/
 echo "HTTP 404"
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Starts the stand-ins and two nodes as separate processes on loopback, sends
-# queries, changes the configuration, and stops all. Exit code 0 means that
-# every step showed what it should. Needs the programs in bin/ (make build) and curl.
+# Starts a simulated store, machine list and back ends and two nodes as separate
+# processes on loopback, sends queries, changes the configuration, and stops all
+# processes. Exits with 0 if every step gave the expected result. Requires the
+# programs in bin/ (make build) and curl.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -9,7 +10,7 @@
 # shellcheck source=scripts/lib.sh
 source scripts/lib.sh
 
-# query FILE SERVICE BODY asks node 1.
+# query FILE SERVICE BODY posts a query to node 1; see query_at.
 query() { query_at "$caller_1_addr" "$@"; }
 
 require_programs
@@ -79,7 +80,8 @@
 wait_for "revision $revision on node 2" serves_revision "$operator_2_addr" "$revision"
 echo "node-2: $(cat "$work_dir/probe")"
 
-# gets_complete_answer asks until the node knows the servers' snapshots, within bounds.
+# gets_complete_answer sends a query under a new request ID and succeeds if the answer
+# is complete, which requires that the node knows the servers' snapshots.
 gets_complete_answer() {
   attempt=$((attempt + 1))
   request="{\"request_id\":\"demo-2-$attempt\",\"class\":\"normal\",\"repeatable\":true,\"body\":{\"find\":\"open orders\"}}"
@@ -101,8 +103,9 @@
 head -n 20 "$work_dir/explanation"
 expect_match "$work_dir/explanation" 'complete' "the explanation"
 
-# runs_write_request asks until the nodes know each other, within bounds. A refusal ran
-# nowhere, so the same request ID may be asked again.
+# runs_write_request sends the write request to node 1 and succeeds if it was run, which
+# requires that the nodes have discovered each other. A refused request was run nowhere,
+# so the same request ID may be sent again.
 runs_write_request() {
   status=$(query_at "$caller_1_addr" "$work_dir/once" member-ledger "$write_request")
   [ "$status" = 200 ]
--- a/scripts/fault-run.sh
+++ b/scripts/fault-run.sh
@@ -1,16 +1,17 @@
 #!/usr/bin/env bash
-# Runs stand-ins and three nodes as separate processes on loopback under load,
-# with faults: nodes killed, frozen and stopped as planned, a server drained and
-# replaced, operators at odds, and the stand-ins' switches. Then it ends all
-# faults, checks that the system is whole again, and judges the run's record.
-# Exit code 0 means that no invariant was violated.
+# Runs three nodes and a simulated store, machine list and back ends as separate
+# processes on loopback under load and injects faults: nodes are killed, frozen and
+# stopped gracefully, a server is drained and replaced, operators confirm conflicting
+# plans, and the simulated services get faults of their own. Then it ends all faults,
+# checks that the system has recovered, and checks the run's journals against the
+# invariants. Exits with 0 if no invariant was violated.
 #
 # Usage: scripts/fault-run.sh [full|short] [SEED]
 #   full   all faults and all invariants, about 40 s
-#   short  fewer faults; judges only what holds at any speed of the machine,
-#          about 10 s
-# The seed sets the order and the victims of the faults. KEEP names a directory
-# that the journals are copied to.
+#   short  fewer faults, and only the invariants that do not depend on the speed
+#          of the machine, about 10 s
+# SEED determines the order of the faults and which nodes and servers they hit. The
+# environment variable KEEP names a directory to copy the journals and logs to.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 run_name=fault-run
@@ -22,12 +23,12 @@
 readonly MODE=${1:-full}
 readonly SEED=${2:-1}
 readonly NODES=3
-readonly RATE=40             # queries a second and node
-readonly DEADLINE_MS=500     # of each query; no class allows more than its own
-readonly LONGEST_LOAD=120s   # the load is stopped before
+readonly RATE=40             # queries per second at each node
+readonly DEADLINE_MS=500     # of each query; its class may lower it
+readonly LONGEST_LOAD=120s   # upper limit; the script stops the load earlier
 readonly FREEZE=1.5          # seconds
-readonly RECOVERY=10         # seconds that recovery may take, in the full run
-readonly PROBES=4            # seconds of load after that
+readonly RECOVERY=10         # allowed recovery time in seconds (full mode)
+readonly PROBES=4            # seconds of load after the recovery time
 readonly ANSWER_ALLOWANCE=1s # shares of a busy machine are late at times
 readonly DRAINED=catalog-g07-r01
 readonly LEDGER='member-ledger-*'
@@ -47,26 +48,27 @@
 machines_addr=$LOOPBACK:$((base + BACKENDS + 1))
 profile_flags=(--profile small --base-port "$base")
 
-# node_addr NODE ROLE prints an address of a node; the roles are 0 for callers,
-# 1 for operators, 2 for peers.
+# node_addr NODE ROLE prints a listen address of a node. Roles: 0 for callers, 1 for
+# operators, 2 for peers.
 node_addr() { echo "$LOOPBACK:$((base + BACKENDS + 2 + ($1 - 1) * 3 + $2))"; }
 caller_addr() { node_addr "$1" 0; }
 operator_addr() { node_addr "$1" 1; }
 peer_addr() { node_addr "$1" 2; }
 
-# record_event KIND [SUBJECT [ADDRESS]] writes an event to the journal.
+# record_event KIND [SUBJECT [ADDRESS]] appends an event to the run's event journal.
 record_event() {
   printf '{"event":{"kind":"%s","subject":"%s","address":"%s","at_ns":%s}}\n' \
     "$1" "${2:-}" "${3:-}" "$(date +%s%N)" >>"$events_file"
 }
 
+# log_progress TEXT... prints the text after the seconds since the start of the run.
 log_progress() { printf '%5.1f s  %s\n' "$(elapsed)" "$*"; }
 elapsed() { awk "BEGIN {print ($(date +%s%N) - $started_at_ns) / 1e9}"; }
 
-# pick_random LIMIT sets picked to a number from 1 to the limit.
+# pick_random LIMIT sets picked to a random number from 1 to LIMIT.
 pick_random() { picked=$((RANDOM % $1 + 1)); }
 
-# shuffle WORD... sets shuffled to the words in a drawn order.
+# shuffle WORD... sets shuffled to the words in random order.
 shuffle() {
   local pick
   local left=("$@")
@@ -83,7 +85,7 @@
 
 node_pids=()
 
-# start_node NODE starts a node and waits until it serves.
+# start_node NODE starts a node and waits until its health check succeeds.
 start_node() {
   start_process "node-$1" bin/banksaild serve --settings "$work_dir/node.yaml" --node.id "node-$1" \
     --node.zone "zone-$([ $(($1 % 2)) = 1 ] && echo a || echo b)" \
@@ -93,16 +95,18 @@
   record_event node_started "node-$1" "$(caller_addr "$1")"
 }
 
-# start_backends NAME PATTERN starts the back ends of a pattern in one process.
+# start_backends NAME PATTERN starts the back ends whose IDs match PATTERN in one process.
 start_backends() { start_process "backends-$1" bin/banksail-lab backends "${profile_flags[@]}" --only "$2"; }
 
-# set_faults ARGUMENT... sets fault switches.
+# set_faults FLAG... KEY=VALUE... sets the faults of a simulated service.
 set_faults() { bin/banksail-lab fault "$@" >/dev/null; }
+# set_server_faults PATTERN KEY=VALUE... sets the faults of the back ends that match PATTERN.
 set_server_faults() { set_faults "${profile_flags[@]}" --server "$@"; }
 
 # ---- Operators
 
-# make_plan NODE DEADLINE FILE plans a change of one class at a node.
+# make_plan NODE DEADLINE FILE plans a change of the class "urgent" at a node, with
+# DEADLINE in ms, and writes the plan to FILE.
 make_plan() {
   cat >"$3.intent" <<END
 {"author":"operator-$1","note":"fault run","changes":[{"set_class":{"name":"urgent","order":0,
@@ -111,7 +115,8 @@
   bin/banksailctl plan --node "$(operator_addr "$1")" --out "$3" "$3.intent" >"$3.text" 2>&1
 }
 
-# confirm_plan NODE FILE confirms a plan at a node and writes what the operator was told.
+# confirm_plan NODE FILE confirms a plan at a node and records the result that the
+# operator received in the event journal.
 confirm_plan() {
   local code=0 result revision=0 plan
   plan=$(sed -n 's/^plan \([^ ]*\) on revision.*/\1/p' "$2.text")
@@ -134,7 +139,8 @@
 
 # ---- Load
 
-# start_loads NAME MINIMUM-COVERAGE starts a caller beside each node.
+# start_loads NAME MINIMUM-COVERAGE starts a load generator for each node. Each writes its
+# journal to NAME-NODE.jsonl and may retry at any of the nodes.
 start_loads() {
   local node
   load_pids=()
@@ -146,7 +152,7 @@
   done
 }
 
-# stop_loads NAME ends the load and prints what the callers saw.
+# stop_loads NAME stops the load generators and prints their summaries.
 stop_loads() {
   local node pid
   stop_processes "${load_pids[@]}"
@@ -159,10 +165,10 @@
   done
 }
 
-# ---- Wholeness
+# ---- Recovery
 
-# serves_complete_answers NODE asks until the node gives a complete answer and runs a request
-# that must not be repeated.
+# serves_complete_answers NODE succeeds if the node gives a complete answer from the
+# current snapshot and runs a request that must not be repeated.
 serves_complete_answers() {
   attempt=$((attempt + 1))
   local request="{\"request_id\":\"whole-$attempt\",\"class\":\"normal\",\"repeatable\":true,\"body\":{}}"
@@ -172,6 +178,8 @@
     [ "$(query_at "$(caller_addr "$1")" "$work_dir/answer" member-ledger "$write_request")" = 200 ]
 }
 
+# check_recovery confirms one more plan and waits until every node has its revision in
+# force and gives complete answers.
 check_recovery() {
   local node newest
   attempt=0
--- a/scripts/faults.sh
+++ b/scripts/faults.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# The faults of scripts/fault-run.sh, which sources this file and provides the
-# names of processes, addresses and journals. Only processes that the run itself
-# started get signals, by their process ID.
+# The faults that scripts/fault-run.sh injects. It sources this file and defines the
+# process IDs, addresses and journals used here. Signals are sent by process ID and only
+# to processes that the run has started.
 
-# ---- Faults of processes
+# ---- Node and operator faults: fault_NAME
 
 fault_kill() {
   local node
@@ -53,7 +53,7 @@
   pick_random $NODES
   node=$picked
   log_progress "planned stop of node-$node"
-  # Slow servers see to it that requests are in flight.
+  # Slow servers keep requests in flight until the node is stopped.
   set_server_faults 'catalog-*' straggle_factor=20
   sleep 0.5
   record_event node_stop_asked "node-$node"
@@ -96,7 +96,7 @@
   set_faults --address "$store_addr" lose_replies=0
 }
 
-# ---- Faults of stand-ins: set NAME, clear NAME
+# ---- Faults of simulated services: set_NAME, clear_NAME
 
 set_straggle() { pick_random 8; group=$((picked - 1)) && set_server_faults "catalog-g0$group-*" straggle_factor=50; }
 clear_straggle() { set_server_faults "catalog-g0$group-*" straggle_factor=0; }
@@ -124,7 +124,8 @@
 clear_outage() { set_faults --address "$store_addr" down=false; }
 set_stale_store() { set_faults --address "$store_addr" stale_revisions=2 delay_ms=200; }
 clear_stale_store() { set_faults --address "$store_addr" stale_revisions=0 delay_ms=0; }
-# A frozen server runs what arrived once it thaws, also when its caller has gone.
+# When it thaws, a frozen server runs the requests that arrived meanwhile, even if their
+# callers have disconnected.
 set_frozen_server() {
   pick_random 2
   replica=$((picked - 1))
@@ -148,7 +149,7 @@
   set_server_faults 'catalog-*' "snapshots=[$snapshot]"
 }
 
-# ---- A server that drains and is replaced
+# ---- Drain and replacement of a server
 
 begin_drain() {
   log_progress "drain $DRAINED"
--- a/scripts/format-check.sh
+++ b/scripts/format-check.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Fails when a Go file is not formatted.
+# Fails if a tracked Go file is not formatted with gofmt, and lists such files.
 set -euo pipefail
 unformatted=$(git ls-files '*.go' | xargs -r gofmt -l)
 if [ -n "$unformatted" ]; then
--- a/scripts/unit.sh
+++ b/scripts/unit.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Runs every test with the race detector, passing over the tests that
-# KNOWN-RED.txt names, which it prints.
+# Runs all tests with the race detector, except the known failures listed in
+# KNOWN-RED.txt, which it prints.
 #
-# The race detector's own runtime now and then ends a test process with
+# The runtime of the race detector itself occasionally crashes a test process: with
 # "ThreadSanitizer: CHECK failed" in packages that run many goroutines for long
-# virtual times, or with a segmentation violation whose program counter lies in
-# that runtime's own code. That is no verdict on the tests, so such a package, and
-# only such a one, is run again, at most RERUNS times, and the script says so.
+# virtual times, or with a segmentation violation whose program counter lies in that
+# runtime's code. Such a crash says nothing about the tests, so these packages, and no
+# others, are run again, at most RERUNS times, and each rerun is printed.
 set -euo pipefail
 readonly RERUNS=3
 readonly DETECTOR_CRASH='ThreadSanitizer: CHECK failed'
@@ -26,8 +26,9 @@
 
 run_tests() { go test -race -timeout 20m "${skip_flags[@]}" "$@" 2>&1 | tee "$output"; }
 
-# is_detector_code tells whether a program counter of a package's test program lies in the
-# race detector's runtime, by the symbol at or before it.
+# is_detector_code PACKAGE COUNTER succeeds if the program counter (hexadecimal) lies in
+# the race detector's runtime, judged by the last symbol at or before it in the package's
+# test program.
 is_detector_code() {
   local package=$1 counter=$2 program symbol
   program=$(mktemp)
@@ -40,9 +41,9 @@
   [[ $symbol == *__tsan* || $symbol == *__sanitizer* ]]
 }
 
-# possible_detector_crashes prints the packages of the last run that the detector's crash seems to
-# have ended, with the program counter if it was a segmentation violation; it fails
-# when any package failed for another reason.
+# possible_detector_crashes prints the packages of the last run whose output looks like a
+# crash of the race detector, each with the program counter in case of a segmentation
+# violation. It fails if any package failed for another reason.
 possible_detector_crashes() {
   awk -v crash="$DETECTOR_CRASH" '
     /^(ok|\?|---)?[ \t]*FAIL[ \t]+[^ \t]+[ \t]/ {
@@ -58,8 +59,8 @@
   ' "$output"
 }
 
-# confirmed_detector_crashes prints the packages that the detector's crash ended; it fails when any
-# package failed for another reason.
+# confirmed_detector_crashes prints the packages that a crash of the race detector ended.
+# It fails if any package failed for another reason.
 confirmed_detector_crashes() {
   local found package counter
   found=$(possible_detector_crashes) || return 1
