--- a/extrabudget/budget.go
+++ b/extrabudget/budget.go
@@ -19,8 +19,8 @@
 
 // Budget counts one node's requests and extra sends to one service over a sliding window.
 // The zero value is an empty Budget. Invariant: the extra sends in any window stay within
-// the ratio of the requests that the node has counted plus the node's share of the fixed
-// number, provided that the caller respects Remaining.
+// the ratio of the requests that the node has counted by then plus the node's share of the
+// fixed number, provided that the caller respects Remaining.
 type Budget struct{ requests, extras Counter }
 
 // AddRequest counts a request sent at now.
