--- a/limit/limiter.go
+++ b/limit/limiter.go
@@ -129,7 +129,8 @@
 	limit           float64
 	inFlight        int
 	meanBaseline    float64
-	// quantileBaseline is the smoothed low quantile of the windows, in seconds.
+	// quantileBaseline is the smoothed low quantile of the windows, in seconds. It rises
+	// slowly.
 	quantileBaseline float64
 	window           window
 	// decreasedAt is when the limit was last decreased. Requests that started before
