--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,5 +1,5 @@
-// Package admission decides whether a query runs immediately, waits in a queue,
-// or is refused with a retry-after time.
+// Package admission decides, once for a whole query, whether it runs immediately,
+// waits in a queue, or is refused with a retry-after time.
 //
 // A Queue holds the waiting queries. A QueueOrder ranks them: strictly by class,
 // by arrival, or by arrival minus a boost. A query is refused immediately if the
