--- a/front/settings.go
+++ b/front/settings.go
@@ -38,8 +38,8 @@
 	// Rollouts limits what unproven server versions receive. With the zero value there are no
 	// roll-outs on request, and versions have no meaning.
 	Rollouts rollout.Bounds
-	// ColdOvershoot and ColdSlack limit the requests per second to a cold server, to Overshoot
-	// times the rate that it can handle plus Slack.
+	// ColdOvershoot and ColdSlack limit the requests to a cold server in any second, to
+	// ColdOvershoot times the rate that it can handle, plus ColdSlack requests.
 	ColdOvershoot, ColdSlack float64
 	// BudgetRatio, BudgetFixed and BudgetWindow limit the extra attempts to a service by all nodes
 	// together.
