--- a/directory/directory.go
+++ b/directory/directory.go
@@ -64,8 +64,8 @@
 // An answer is smaller than the parts that it is merged from, so nodes should be close to the
 // servers: zones with few servers are left out if others of the region have more. Leaving nodes are
 // left out unless there are no others, and so are nodes that cannot reach the servers and, of the
-// rest, suspects. If the caller's requests have homes, only nodes there and in the caller's own
-// region are returned.
+// rest, suspects, which do not answer other nodes. If the caller's requests have homes, only nodes
+// there and in the caller's own region are returned.
 func Addresses(nodes []discovery.Node, presence Presence, caller Caller, limit int) []string {
 	if len(caller.Homes) > 0 {
 		nodes = filter(nodes, caller.mayUse)
--- a/directory/serving.go
+++ b/directory/serving.go
@@ -23,9 +23,9 @@
 )
 
 // ServingNodes returns the nodes to which callers are sent. As long as none of them is busy, these
-// are the capable nodes and at least two of each zone, otherwise all nodes. Their number is limited
-// by the connections that the servers accept, and they are spread over the zones. Leaving nodes are
-// returned only if there are no others.
+// are the capable nodes and at least two of each zone, otherwise all nodes. There are no more of them
+// than can each hold a connection to every server, except that there are always up to minServing, and
+// they are spread over the zones. Leaving nodes are returned only if there are no others.
 //
 // The parameter connections is the smallest number of connections that any server accepts from all
 // nodes together, and disabled is the set of mechanisms that are switched off. All nodes with the
