--- a/gateway/rollouts.go
+++ b/gateway/rollouts.go
@@ -21,9 +21,9 @@
 	g.step(routing.RolloutHalted{Service: service, Order: order})
 }
 
-// RolloutReports returns this node's reports on active roll-outs. hurried asks to report more
-// frequently.
-func (g *Gateway) RolloutReports() (reports []rollout.Report, hurried bool) {
+// RolloutReports returns this node's reports on active roll-outs. needsFrequentReports is set if
+// they are to be sent at a shorter interval than usual.
+func (g *Gateway) RolloutReports() (reports []rollout.Report, needsFrequentReports bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.router.RolloutReports()
