--- a/membership/apply.go
+++ b/membership/apply.go
@@ -115,8 +115,8 @@
 }
 
 // stateDeadline returns when a state expires. A suspicion raised by another node gets
-// 1.5 times as long as one of this node, as the refutation may reach the node that
-// raised it first.
+// 1.5 times as long as one of this node, as the refutation may first reach the node
+// that raised it.
 func (n *Nodes) stateDeadline(now time.Duration, state State, own bool) time.Duration {
 	switch state {
 	case Suspect:
