--- a/lab/experiment/config.go
+++ b/lab/experiment/config.go
@@ -25,8 +25,8 @@
 	ErrUnreadableFile = errors.New("experiment: unreadable file")
 )
 
-// maximumFileBytes bounds an experiment file.
-const maximumFileBytes = 1 << 20
+// maxFileBytes bounds an experiment file.
+const maxFileBytes = 1 << 20
 
 // File is an experiment: the grid of Workloads x Faults x Policies x Seeds.
 type File struct {
@@ -142,8 +142,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnreadableFile, err)
 	}
-	if info.Size() > maximumFileBytes {
-		return nil, fmt.Errorf("%w: %s is larger than %d bytes", ErrInvalidFile, path, maximumFileBytes)
+	if info.Size() > maxFileBytes {
+		return nil, fmt.Errorf("%w: %s is larger than %d bytes", ErrInvalidFile, path, maxFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/lab/experiment/config_test.go
+++ b/lab/experiment/config_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-const small = `
+const smallExperiment = `
 name: small
 seeds: {first: 1, count: 2}
 duration_ms: 400
@@ -37,7 +37,7 @@
   - {name: banksail, kind: banksail}
 `
 
-func TestErrorsNameTheField(t *testing.T) {
+func TestParseErrorsNameTheField(t *testing.T) {
 	tests := []struct{ name, from, to, field string }{
 		{"unknown field", "name: small", "name: small\ncolour: red", "colour"},
 		{"unknown field inside", "queue_per_slot: 4", "queues: 4", "queues"},
@@ -49,12 +49,12 @@
 		{"the same name twice", "name: oracle", "name: naive", "Policies"},
 		{"not YAML", "classes:", "classes: [", ""},
 	}
-	if _, err := Parse([]byte(small)); err != nil {
+	if _, err := Parse([]byte(smallExperiment)); err != nil {
 		t.Fatal(err)
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			_, err := Parse([]byte(strings.Replace(small, test.from, test.to, 1)))
+			_, err := Parse([]byte(strings.Replace(smallExperiment, test.from, test.to, 1)))
 			if !errors.Is(err, ErrInvalidFile) || !strings.Contains(err.Error(), test.field) {
 				t.Errorf("error %v does not name %q", err, test.field)
 			}
@@ -74,10 +74,10 @@
 	}
 }
 
-func TestAGridGivesTheSameFilesHoweverItRuns(t *testing.T) {
+func TestResultsDoNotDependOnParallelism(t *testing.T) {
 	var tables, rows [2]bytes.Buffer
 	for index, parallel := range []int{1, 4} {
-		file, err := Parse([]byte(small))
+		file, err := Parse([]byte(smallExperiment))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -102,9 +102,9 @@
 	if tables[0].String() != tables[1].String() || rows[0].String() != rows[1].String() {
 		t.Error("the order of the runs shows in the results")
 	}
-	for _, decided := range []string{KindNaive, KindFixedHedge, KindStrictPriority, KindOracle, KindBanksail} {
-		if !strings.Contains(rows[0].String(), decided) {
-			t.Errorf("no row for %s", decided)
+	for _, kind := range []string{KindNaive, KindFixedHedge, KindStrictPriority, KindOracle, KindBanksail} {
+		if !strings.Contains(rows[0].String(), kind) {
+			t.Errorf("no row for %s", kind)
 		}
 	}
 }
@@ -121,8 +121,8 @@
 	}
 }
 
-func TestAStoppedGridSaysSo(t *testing.T) {
-	file, err := Parse([]byte(small))
+func TestRunReturnsContextError(t *testing.T) {
+	file, err := Parse([]byte(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/experiment/grid.go
+++ b/lab/experiment/grid.go
@@ -23,11 +23,11 @@
 	// Parallel bounds the simulations that run at once; one per processor when zero.
 	Parallel int
 	// Progress is told after each simulation how many of all are done; it may be nil.
-	Progress func(done, all int)
+	Progress func(done, total int)
 }
 
-// planned is a cell whose seeds are to be run.
-type planned struct {
+// cellRuns is a cell whose seeds are to be run.
+type cellRuns struct {
 	cell     *Cell
 	scenario *cluster.Scenario
 	policy   cluster.Policy
@@ -41,35 +41,35 @@
 	if parallel <= 0 {
 		parallel = runtime.GOMAXPROCS(0)
 	}
-	finished := make(chan *planned)
+	finished := make(chan *cellRuns)
 	go func() {
 		defer close(finished)
 		runAll(ctx, file, cells, parallel, finished)
 	}()
-	collect(cells, finished, options.Progress)
+	collectResults(cells, finished, options.Progress)
 	if err := ctx.Err(); err != nil {
 		return nil, fmt.Errorf("experiment: stopped: %w", err)
 	}
 	grid := make([]*Cell, 0, len(cells))
-	for _, each := range cells {
-		grid = append(grid, each.cell)
+	for _, runs := range cells {
+		grid = append(grid, runs.cell)
 	}
 	return grid, nil
 }
 
 // runAll runs each seed of each cell and names the cell after each.
-func runAll(ctx context.Context, file *File, cells []*planned, parallel int, finished chan<- *planned) {
+func runAll(ctx context.Context, file *File, cells []*cellRuns, parallel int, finished chan<- *cellRuns) {
 	var group errgroup.Group
 	group.SetLimit(parallel)
-	for _, each := range cells {
+	for _, runs := range cells {
 		for index := range file.Seeds.Count {
 			if ctx.Err() != nil {
 				break
 			}
 			group.Go(func() error {
 				seed := file.Seeds.First + uint64(index)
-				each.results[index] = cluster.Run(each.scenario, each.policy, seed, nil)
-				finished <- each
+				runs.results[index] = cluster.Run(runs.scenario, runs.policy, seed, nil)
+				finished <- runs
 				return nil
 			})
 		}
@@ -77,41 +77,41 @@
 	_ = group.Wait()
 }
 
-// collect sums up each cell as soon as its last seed is done.
-func collect(cells []*planned, finished <-chan *planned, progress func(done, all int)) {
-	left := make(map[*planned]int, len(cells))
-	all := 0
-	for _, each := range cells {
-		left[each] = len(each.results)
-		all += len(each.results)
+// collectResults sums up each cell as soon as its last seed is done.
+func collectResults(cells []*cellRuns, finished <-chan *cellRuns, progress func(done, total int)) {
+	remaining := make(map[*cellRuns]int, len(cells))
+	total := 0
+	for _, runs := range cells {
+		remaining[runs] = len(runs.results)
+		total += len(runs.results)
 	}
 	done := 0
-	for each := range finished {
+	for runs := range finished {
 		done++
-		left[each]--
-		if left[each] == 0 {
-			each.cell.Summary = summarise(each.results)
-			each.results = nil
+		remaining[runs]--
+		if remaining[runs] == 0 {
+			runs.cell.Summary = summarise(runs.results)
+			runs.results = nil
 		}
 		if progress != nil {
-			progress(done, all)
+			progress(done, total)
 		}
 	}
 }
 
-func (f *File) plan() []*planned {
-	var cells []*planned
+func (f *File) plan() []*cellRuns {
+	var cells []*cellRuns
 	for _, workload := range f.Workloads {
 		for _, faults := range f.Faults {
 			if !workload.runsUnder(faults.Name) {
 				continue
 			}
 			scenario := f.scenario(workload, faults)
-			for _, decided := range f.Policies {
-				cells = append(cells, &planned{
-					cell:     &Cell{Workload: workload.Name, Fault: faults.Name, Policy: decided.Name},
+			for _, configured := range f.Policies {
+				cells = append(cells, &cellRuns{
+					cell:     &Cell{Workload: workload.Name, Fault: faults.Name, Policy: configured.Name},
 					scenario: scenario,
-					policy:   decided.build(scenario),
+					policy:   configured.build(scenario),
 					results:  make([]*cluster.Result, f.Seeds.Count),
 				})
 			}
--- a/lab/experiment/plots.go
+++ b/lab/experiment/plots.go
@@ -16,14 +16,14 @@
 	plotWidth  = 8 * vg.Inch
 	plotHeight = 5 * vg.Inch
 	barWidth   = 12 * vg.Millimeter
-	// leastTailShare ends the latency curves at the share of 1 in 10,000.
-	leastTailShare = 1e-4
+	// minTailShare ends the latency curves at the share of 1 in 10,000.
+	minTailShare = 1e-4
 )
 
 // WritePlots writes the plots of all cells into a directory: latency curves and
 // coverage against time by class, and the extra load.
 func WritePlots(directory string, cells []*Cell) error {
-	for _, block := range blocks(cells) {
+	for _, block := range groupByFault(cells) {
 		prefix := filepath.Join(directory, block[0].Workload+"-"+block[0].Fault)
 		for index, class := range block[0].Summary.Classes {
 			if err := plotLatency(block, index, prefix+"-latency-"+class.Name+".png"); err != nil {
@@ -40,39 +40,39 @@
 	return nil
 }
 
-func save(drawn *plot.Plot, path string) error {
-	if err := drawn.Save(plotWidth, plotHeight, path); err != nil {
+func savePlot(figure *plot.Plot, path string) error {
+	if err := figure.Save(plotWidth, plotHeight, path); err != nil {
 		return fmt.Errorf("experiment: plot %s: %w", path, err)
 	}
 	return nil
 }
 
 func newPlot(block []*Cell, what, x, y string) *plot.Plot {
-	drawn := plot.New()
-	drawn.Title.Text = fmt.Sprintf("%s / %s: %s", block[0].Workload, block[0].Fault, what)
-	drawn.X.Label.Text = x
-	drawn.Y.Label.Text = y
-	drawn.Legend.Top = true
-	drawn.Add(plotter.NewGrid())
-	return drawn
+	figure := plot.New()
+	figure.Title.Text = fmt.Sprintf("%s / %s: %s", block[0].Workload, block[0].Fault, what)
+	figure.X.Label.Text = x
+	figure.Y.Label.Text = y
+	figure.Legend.Top = true
+	figure.Add(plotter.NewGrid())
+	return figure
 }
 
 // plotLatency draws the share of queries that took longer than each latency.
 func plotLatency(block []*Cell, class int, path string) error {
-	drawn := newPlot(block, block[0].Summary.Classes[class].Name, "latency [ms]", "share of queries above")
-	drawn.Y.Scale = plot.LogScale{}
-	drawn.Y.Tick.Marker = plot.LogTicks{Prec: -1}
-	drawn.Y.Min, drawn.Y.Max = leastTailShare, 1
+	figure := newPlot(block, block[0].Summary.Classes[class].Name, "latency [ms]", "share of queries above")
+	figure.Y.Scale = plot.LogScale{}
+	figure.Y.Tick.Marker = plot.LogTicks{Prec: -1}
+	figure.Y.Min, figure.Y.Max = minTailShare, 1
 	for index, cell := range block {
 		points := tailCurve(&cell.Summary.Classes[class])
 		if len(points) == 0 {
 			continue
 		}
-		if err := addLine(drawn, cell.Policy, index, points); err != nil {
+		if err := addLine(figure, cell.Policy, index, points); err != nil {
 			return err
 		}
 	}
-	return save(drawn, path)
+	return savePlot(figure, path)
 }
 
 func tailCurve(class *ClassSummary) plotter.XYs {
@@ -81,34 +81,34 @@
 	}
 	const pointsPerHalving = 4
 	var points plotter.XYs
-	for share, step := 1.0, 0; share > leastTailShare; step++ {
+	for share, step := 1.0, 0; share > minTailShare; step++ {
 		share = 1
 		for range step / pointsPerHalving {
 			share /= 2
 		}
 		share *= 1 - float64(step%pointsPerHalving)/(2*pointsPerHalving)
-		points = append(points, plotter.XY{X: class.Quantile(percent * (1 - share)), Y: max(share, leastTailShare)})
+		points = append(points, plotter.XY{X: class.Quantile(percent * (1 - share)), Y: max(share, minTailShare)})
 	}
 	return points
 }
 
-func addLine(drawn *plot.Plot, name string, index int, points plotter.XYs) error {
+func addLine(figure *plot.Plot, name string, index int, points plotter.XYs) error {
 	line, err := plotter.NewLine(points)
 	if err != nil {
 		return fmt.Errorf("experiment: plot line: %w", err)
 	}
 	line.Color = plotutil.Color(index)
 	line.Dashes = plotutil.Dashes(index)
-	drawn.Add(line)
-	drawn.Legend.Add(name, line)
+	figure.Add(line)
+	figure.Legend.Add(name, line)
 	return nil
 }
 
 // plotCoverage draws the mean coverage of the queries by their time of arrival.
 func plotCoverage(block []*Cell, class int, path string) error {
 	what := block[0].Summary.Classes[class].Name + " (refused queries count as 0)"
-	drawn := newPlot(block, what, "time [s]", "mean coverage")
-	drawn.Y.Min, drawn.Y.Max = 0, 1.05
+	figure := newPlot(block, what, "time [s]", "mean coverage")
+	figure.Y.Min, figure.Y.Max = 0, 1.05
 	for index, cell := range block {
 		var points plotter.XYs
 		for bucket, point := range cell.Summary.Classes[class].Timeline {
@@ -121,15 +121,15 @@
 		if len(points) == 0 {
 			continue
 		}
-		if err := addLine(drawn, cell.Policy, index, points); err != nil {
+		if err := addLine(figure, cell.Policy, index, points); err != nil {
 			return err
 		}
 	}
-	return save(drawn, path)
+	return savePlot(figure, path)
 }
 
 func plotExtraLoad(block []*Cell, path string) error {
-	drawn := newPlot(block, "extra load", "", "% of first sends or first work")
+	figure := newPlot(block, "extra load", "", "% of first sends or first work")
 	var sends, work plotter.Values
 	var names []string
 	for _, cell := range block {
@@ -147,9 +147,9 @@
 		}
 		chart.Color = plotutil.Color(index)
 		chart.Offset = barWidth * vg.Length(2*index-1) / 2
-		drawn.Add(chart)
-		drawn.Legend.Add(bars.name, chart)
+		figure.Add(chart)
+		figure.Legend.Add(bars.name, chart)
 	}
-	drawn.NominalX(names...)
-	return save(drawn, path)
+	figure.NominalX(names...)
+	return savePlot(figure, path)
 }
--- a/lab/experiment/policies.go
+++ b/lab/experiment/policies.go
@@ -29,11 +29,11 @@
 	return cluster.Policy{
 		Name:      p.Name,
 		Unlimited: p.Kind == KindOracle,
-		New:       func(node cluster.Node) cluster.Dispatcher { return p.machine(scenario, node) },
+		New:       func(node cluster.Node) cluster.Dispatcher { return p.newDispatcher(scenario, node) },
 	}
 }
 
-func (p Policy) machine(scenario *cluster.Scenario, node cluster.Node) cluster.Dispatcher {
+func (p Policy) newDispatcher(scenario *cluster.Scenario, node cluster.Node) cluster.Dispatcher {
 	options := baseline.Options{FirstServer: node.Index}
 	switch p.Kind {
 	case KindBanksail:
--- a/lab/experiment/select.go
+++ b/lab/experiment/select.go
@@ -21,23 +21,23 @@
 
 // Select finds a cell's scenario and policy. The policy must be banksail's.
 func (f *File) Select(selection Selection) (Selected, error) {
-	workload, ok := named(f.Workloads, selection.Workload, func(w Workload) string { return w.Name })
+	workload, ok := findByName(f.Workloads, selection.Workload, func(w Workload) string { return w.Name })
 	if !ok {
 		return Selected{}, fmt.Errorf("%w: workloads: none is named %q", ErrInvalidFile, selection.Workload)
 	}
-	faults, ok := named(f.Faults, selection.Fault, func(s FaultSet) string { return s.Name })
+	faults, ok := findByName(f.Faults, selection.Fault, func(s FaultSet) string { return s.Name })
 	if !ok {
 		return Selected{}, fmt.Errorf("%w: faults: none is named %q", ErrInvalidFile, selection.Fault)
 	}
-	decided, ok := named(f.Policies, selection.Policy, func(p Policy) string { return p.Name })
-	if !ok || decided.Kind != KindBanksail {
+	configured, ok := findByName(f.Policies, selection.Policy, func(p Policy) string { return p.Name })
+	if !ok || configured.Kind != KindBanksail {
 		return Selected{}, fmt.Errorf("%w: policies: none of kind %s is named %q", ErrInvalidFile, KindBanksail, selection.Policy)
 	}
 	scenario := f.scenario(workload, faults)
-	return Selected{Scenario: scenario, Policy: decided.build(scenario), Options: decided.Options}, nil
+	return Selected{Scenario: scenario, Policy: configured.build(scenario), Options: configured.Options}, nil
 }
 
-func named[T any](list []T, name string, nameOf func(T) string) (found T, ok bool) {
+func findByName[T any](list []T, name string, nameOf func(T) string) (found T, ok bool) {
 	for _, listed := range list {
 		if nameOf(listed) == name {
 			return listed, true
--- a/lab/experiment/services.go
+++ b/lab/experiment/services.go
@@ -7,8 +7,8 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// deployed is a firm's service at today's size.
-type deployed struct {
+// profileService is a firm's service at today's size.
+type profileService struct {
 	firm    profile.Profile
 	service policy.Service
 }
@@ -17,7 +17,7 @@
 const jitterShare = 0.1
 
 // findService looks a service up in the firms' profiles.
-func findService(name string) (deployed, bool) {
+func findService(name string) (profileService, bool) {
 	for _, firmName := range []string{profile.BlueMahoe, profile.Thibodeau} {
 		firm, err := profile.Get(firmName)
 		if err != nil {
@@ -29,11 +29,11 @@
 		}
 		for _, service := range config.Services {
 			if service.Name == name {
-				return deployed{firm: firm, service: service}, true
+				return profileService{firm: firm, service: service}, true
 			}
 		}
 	}
-	return deployed{}, false
+	return profileService{}, false
 }
 
 // scenario builds what the simulation runs. Nodes run beside the clients, so
--- a/lab/experiment/table.go
+++ b/lab/experiment/table.go
@@ -15,7 +15,7 @@
 // WriteTable writes the results for readers: one table per workload and fault
 // set, and the differences from the reference.
 func WriteTable(out io.Writer, file *File, cells []*Cell) error {
-	for _, block := range blocks(cells) {
+	for _, block := range groupByFault(cells) {
 		if err := writeBlock(out, file, block); err != nil {
 			return err
 		}
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// blocks groups cells of the same workload and fault set.
-func blocks(cells []*Cell) [][]*Cell {
+// groupByFault groups cells of the same workload and fault set.
+func groupByFault(cells []*Cell) [][]*Cell {
 	var grouped [][]*Cell
 	for _, cell := range cells {
 		last := len(grouped) - 1
@@ -37,22 +37,22 @@
 	return grouped
 }
 
-// printer keeps the first error of what it writes.
-type printer struct {
+// errorWriter keeps the first error of what it writes.
+type errorWriter struct {
 	out io.Writer
 	err error
 }
 
-func (p *printer) printf(format string, values ...any) {
+func (p *errorWriter) printf(format string, values ...any) {
 	if p.err == nil {
 		_, p.err = fmt.Fprintf(p.out, format, values...)
 	}
 }
 
-// tabulate writes aligned columns.
-func tabulate(out io.Writer, write func(table *printer)) error {
+// writeAligned writes aligned columns.
+func writeAligned(out io.Writer, write func(table *errorWriter)) error {
 	columns := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	table := &printer{out: columns}
+	table := &errorWriter{out: columns}
 	write(table)
 	if table.err != nil {
 		return table.err
@@ -61,16 +61,16 @@
 }
 
 func writeBlock(out io.Writer, file *File, block []*Cell) error {
-	heading := &printer{out: out}
+	heading := &errorWriter{out: out}
 	heading.printf("\n%s / %s   (%d seeds from %d; latency in ms, shares in %%)\n",
 		block[0].Workload, block[0].Fault, file.Seeds.Count, file.Seeds.First)
 	if heading.err != nil {
 		return heading.err
 	}
-	err := tabulate(out, func(table *printer) {
+	err := writeAligned(out, func(table *errorWriter) {
 		table.printf("policy\tclass\tp50\tp90\tp99\tp99.9\tp99 least\tp99 most\t"+
 			"coverage\tworst\tbelow min\trefused\tp99 - %s (95%%)\t\n", file.Reference)
-		reference := find(block, file.Reference)
+		reference := findPolicy(block, file.Reference)
 		for _, cell := range block {
 			for index := range cell.Summary.Classes {
 				writeClass(table, cell, reference, index)
@@ -80,10 +80,10 @@
 	if err != nil {
 		return err
 	}
-	return tabulate(out, func(table *printer) { writeLoads(table, block) })
+	return writeAligned(out, func(table *errorWriter) { writeLoads(table, block) })
 }
 
-func find(block []*Cell, policy string) *Cell {
+func findPolicy(block []*Cell, policy string) *Cell {
 	for _, cell := range block {
 		if cell.Policy == policy {
 			return cell
@@ -92,26 +92,26 @@
 	return nil
 }
 
-func writeClass(table *printer, cell, reference *Cell, index int) {
+func writeClass(table *errorWriter, cell, reference *Cell, index int) {
 	class := &cell.Summary.Classes[index]
-	least, most := extremes(class.TailLatency)
+	lowest, highest := minMax(class.TailLatency)
 	table.printf("%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.3f\t%.3f\t%.2f\t%s\t%s\t\n",
 		cell.Policy, class.Name,
 		class.Quantile(50), class.Quantile(90), class.Quantile(tailPercentile), class.Quantile(99.9),
-		least, most, percent*class.MeanCoverage(), percent*class.WorstCoverage,
-		percent*class.BelowMinimum, refusals(class), difference(cell, reference, index))
+		lowest, highest, percent*class.MeanCoverage(), percent*class.WorstCoverage,
+		percent*class.BelowMinimum, formatRefusals(class), formatDifference(cell, reference, index))
 }
 
-func extremes(values []float64) (least, most float64) {
-	least, most = values[0], values[0]
+func minMax(values []float64) (lowest, highest float64) {
+	lowest, highest = values[0], values[0]
 	for _, value := range values {
-		least, most = min(least, value), max(most, value)
+		lowest, highest = min(lowest, value), max(highest, value)
 	}
-	return least, most
+	return lowest, highest
 }
 
-// refusals formats the share of refused queries, and each reason's.
-func refusals(class *ClassSummary) string {
+// formatRefusals formats the share of refused queries, and each reason's.
+func formatRefusals(class *ClassSummary) string {
 	if class.RefusedCount() == 0 {
 		return "0"
 	}
@@ -123,7 +123,7 @@
 	return strings.Join(reasons, ", ")
 }
 
-func difference(cell, reference *Cell, index int) string {
+func formatDifference(cell, reference *Cell, index int) string {
 	if cell == reference {
 		return "-"
 	}
@@ -131,7 +131,7 @@
 	return fmt.Sprintf("%+.2f ± %.2f", paired.Mean, paired.HalfWidth)
 }
 
-func writeLoads(table *printer, block []*Cell) {
+func writeLoads(table *errorWriter, block []*Cell) {
 	table.printf("policy\textra sends\textra work\twasted work\tuseful throughput\tunanswered\tfaulty\t\n")
 	for _, cell := range block {
 		summary := cell.Summary
@@ -155,8 +155,8 @@
 	if err := writer.Write(csvHeader); err != nil {
 		return err
 	}
-	for _, block := range blocks(cells) {
-		reference := find(block, file.Reference)
+	for _, block := range groupByFault(cells) {
+		reference := findPolicy(block, file.Reference)
 		for _, cell := range block {
 			for index := range cell.Summary.Classes {
 				if err := writer.Write(csvRow(cell, reference, index)); err != nil {
@@ -171,14 +171,14 @@
 
 func csvRow(cell, reference *Cell, index int) []string {
 	class, summary := &cell.Summary.Classes[index], cell.Summary
-	least, most := extremes(class.TailLatency)
+	lowest, highest := minMax(class.TailLatency)
 	paired := pairedDifference(class.TailLatency, reference.Summary.Classes[index].TailLatency)
 	row := []string{
 		cell.Workload, cell.Fault, cell.Policy, class.Name,
 		strconv.Itoa(class.Arrived), strconv.Itoa(class.Ran), strconv.Itoa(class.Useful), strconv.Itoa(class.RefusedCount()),
 	}
 	for _, value := range []float64{
-		class.Quantile(50), class.Quantile(90), class.Quantile(tailPercentile), class.Quantile(99.9), least, most,
+		class.Quantile(50), class.Quantile(90), class.Quantile(tailPercentile), class.Quantile(99.9), lowest, highest,
 		paired.Mean, paired.HalfWidth,
 		class.MeanCoverage(), class.WorstCoverage, class.BelowMinimum,
 		summary.ExtraSendShare, summary.ExtraWorkShare, summary.WastedWorkShare, summary.UsefulThroughput,
--- a/lab/experiment/tuning.go
+++ b/lab/experiment/tuning.go
@@ -55,11 +55,11 @@
 		Zone:             zone,
 		QueueOrder:       t.queueOrder(),
 		MaximumQueued:    t.MaximumQueued,
-		BlockedShare:     optional(t.BlockedShare),
+		BlockedShare:     optionValue(t.BlockedShare),
 		WaitingAllowance: t.WaitingAllowance,
 		LimitPolicy:      t.limitPolicy(),
 		ReplicaPolicy:    t.replicaPolicy(),
-		LoadWeight:       optional(t.LoadWeight),
+		LoadWeight:       optionValue(t.LoadWeight),
 		LoadHalfLife:     milliseconds(t.LoadHalfLifeMS),
 		LatencyHalfLife:  milliseconds(t.LatencyHalfLifeMS),
 		HedgePolicy:      t.hedgePolicy(),
@@ -68,8 +68,8 @@
 	}
 }
 
-// optional turns an explicit zero into the negative value that stands for it.
-func optional(value *float64) float64 {
+// optionValue turns an explicit zero into the negative value that stands for it.
+func optionValue(value *float64) float64 {
 	switch {
 	case value == nil:
 		return 0
