--- a/lab/experiment/config.go
+++ b/lab/experiment/config.go
@@ -1,6 +1,6 @@
-// Package experiment runs a grid of workloads, faults, policies and seeds on the
-// event-queue simulation, and reports what each policy did to latency, coverage
-// and load.
+// Package experiment runs a grid of workloads, fault sets, policies and seeds on
+// the discrete-event simulation of package cluster and reports the latency,
+// coverage and load of each policy.
 package experiment
 
 import (
@@ -16,26 +16,28 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// Errors of experiment files.
+// Errors returned by Load, Parse and the methods of File.
 var (
-	// ErrInvalidFile is returned for a file that is not a valid experiment; the
-	// text names the field and its line.
+	// ErrInvalidFile is returned for a file that is not a valid experiment. The
+	// message names the field, and the line if YAML decoding failed.
 	ErrInvalidFile = errors.New("experiment: invalid file")
-	// ErrUnreadableFile is returned for a file that can't be read.
+	// ErrUnreadableFile is returned for a file that cannot be read.
 	ErrUnreadableFile = errors.New("experiment: unreadable file")
 )
 
-// maxFileBytes bounds an experiment file.
+// maxFileBytes is the maximum size of an experiment file.
 const maxFileBytes = 1 << 20
 
-// File is an experiment: the grid of Workloads x Faults x Policies x Seeds.
+// File is an experiment: the grid of Workloads x Faults x Policies x Seeds. Load
+// and Parse return only valid files.
 type File struct {
 	Name  string `yaml:"name" validate:"required,max=64"`
 	Seeds Seeds  `yaml:"seeds"`
-	// DurationMS is how long queries arrive; WarmupMS of it is not measured.
+	// DurationMS is the time during which queries arrive. Queries that arrive in
+	// the first WarmupMS are not measured.
 	DurationMS float64 `yaml:"duration_ms" validate:"gt=0,max=600000"`
 	WarmupMS   float64 `yaml:"warmup_ms" validate:"min=0,ltfield=DurationMS"`
-	// Reference is the policy against which differences are taken.
+	// Reference names the policy with which the other policies are compared.
 	Reference string     `yaml:"reference" validate:"required"`
 	Classes   []Class    `yaml:"classes" validate:"min=1,max=16,unique=Name,dive"`
 	Workloads []Workload `yaml:"workloads" validate:"min=1,max=64,unique=Name,dive"`
@@ -43,13 +45,13 @@
 	Policies  []Policy   `yaml:"policies" validate:"min=1,max=64,unique=Name,dive"`
 }
 
-// Seeds is a row of seeds.
+// Seeds is a range of Count consecutive seeds.
 type Seeds struct {
 	First uint64 `yaml:"first"`
 	Count int    `yaml:"count" validate:"min=1,max=1000"`
 }
 
-// Class is a priority class and its part of the load.
+// Class is a priority class and its share of the queries.
 type Class struct {
 	Name            string  `yaml:"name" validate:"required,max=64"`
 	Order           int     `yaml:"order" validate:"min=0,max=1000"`
@@ -67,27 +69,28 @@
 type Workload struct {
 	Name       string     `yaml:"name" validate:"required,max=64"`
 	Deployment Deployment `yaml:"deployment"`
-	// Load is the offered work over the capacity.
+	// Load is the offered work divided by the capacity of the smallest group.
 	Load   float64 `yaml:"load" validate:"gt=0,max=10"`
 	Bursts []Burst `yaml:"bursts" validate:"max=64,dive"`
-	// Faults names the fault sets to run under; all when empty.
+	// Faults names the fault sets under which the workload runs; empty means all.
 	Faults []string `yaml:"faults" validate:"max=64,unique"`
 }
 
-// Deployment is a service with the nodes that use it.
+// Deployment is a service and the nodes that query it.
 type Deployment struct {
-	// Service names one of the firms' services.
+	// Service names a service of one of the profiles in package profile.
 	Service string `yaml:"service" validate:"required"`
-	// Nodes is the number of nodes that callers use.
+	// Nodes is the number of nodes that receive queries from callers.
 	Nodes        int         `yaml:"nodes" validate:"min=1,max=1000"`
 	ServiceTime  ServiceTime `yaml:"service_time"`
 	QueuePerSlot float64     `yaml:"queue_per_slot" validate:"min=0,max=1000"`
 	ReportLagMS  float64     `yaml:"report_lag_ms" validate:"min=0,max=600000"`
-	// ReportPeriodMS is the time between polls of a server's load; 0 means none.
+	// ReportPeriodMS is the interval between polls of a server's load; 0
+	// disables polling.
 	ReportPeriodMS float64 `yaml:"report_period_ms" validate:"min=0,max=600000"`
 }
 
-// ServiceTime is the distribution of the time that a sub-request takes.
+// ServiceTime is the distribution of a sub-request's execution time at a server.
 type ServiceTime struct {
 	Distribution string  `yaml:"distribution" validate:"oneof=constant exponential lognormal pareto"`
 	MeanMS       float64 `yaml:"mean_ms" validate:"gt=0,max=60000"`
@@ -95,7 +98,8 @@
 	Shape        float64 `yaml:"shape" validate:"omitempty,gt=1,max=10"`
 }
 
-// Burst multiplies a class's arrivals, or all when it names none.
+// Burst multiplies the arrival rate of a class, or of all classes when Class is
+// empty, from StartMS to EndMS.
 type Burst struct {
 	Class   string  `yaml:"class"`
 	StartMS float64 `yaml:"start_ms" validate:"min=0"`
@@ -103,17 +107,17 @@
 	Factor  float64 `yaml:"factor" validate:"gt=0,max=100"`
 }
 
-// FaultSet is what goes wrong in a run.
+// FaultSet is a named set of faults that are injected into one run.
 type FaultSet struct {
 	Name   string  `yaml:"name" validate:"required,max=64"`
 	Events []Fault `yaml:"events" validate:"max=64,dive"`
 }
 
-// Fault is one thing that goes wrong.
+// Fault is one injected fault; see cluster.FaultKind for the kinds.
 type Fault struct {
 	Kind  string `yaml:"kind" validate:"oneof=slow lost drain cold-start lying-load repartition"`
 	Group int    `yaml:"group" validate:"min=0,max=8192"`
-	// Replica is the index of a server in the group; all of them when absent.
+	// Replica is the index of a server in the group; nil means all servers.
 	Replica        *int    `yaml:"replica" validate:"omitempty,min=0,max=256"`
 	StartMS        float64 `yaml:"start_ms" validate:"min=0"`
 	EndMS          float64 `yaml:"end_ms" validate:"gtfield=StartMS"`
@@ -121,22 +125,24 @@
 	DetectionLagMS float64 `yaml:"detection_lag_ms" validate:"min=0,max=600000"`
 }
 
-// Policy is a way of deciding, with its settings.
+// Policy is a dispatch policy and its settings.
 type Policy struct {
 	Name string `yaml:"name" validate:"required,max=64"`
-	// Kind is the policy's implementation.
+	// Kind selects the implementation of the policy.
 	Kind string `yaml:"kind" validate:"oneof=naive fixed-hedge strict-priority oracle banksail"`
-	// HedgeDelayMS is for fixed-hedge; the 98th percentile of the service time
-	// and the round trip when zero.
+	// HedgeDelayMS is the hedge delay of fixed-hedge. Zero means the 98th
+	// percentile of the service time plus the round-trip time.
 	HedgeDelayMS float64 `yaml:"hedge_delay_ms" validate:"min=0,max=600000"`
-	// InFlightPerSlot is for strict-priority: what all nodes together may have
-	// in flight at a server, per slot; 2 when zero.
+	// InFlightPerSlot is the in-flight limit of strict-priority: the number of
+	// sub-requests per slot that all nodes together may have in flight at a
+	// server. Zero means 2.
 	InFlightPerSlot float64 `yaml:"in_flight_per_slot" validate:"min=0,max=1000"`
-	// Options is for banksail.
+	// Options are the dispatcher's options for policies of kind banksail.
 	Options Tuning `yaml:"options"`
 }
 
-// Load reads and checks an experiment file.
+// Load reads and validates an experiment file. It returns ErrUnreadableFile or
+// ErrInvalidFile.
 func Load(path string) (*File, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -152,7 +158,8 @@
 	return Parse(text)
 }
 
-// Parse checks the text of an experiment file.
+// Parse decodes and validates the YAML text of an experiment file. Unknown fields
+// are errors.
 func Parse(text []byte) (*File, error) {
 	file := &File{}
 	options := []yaml.DecodeOption{yaml.Strict(), yaml.Validator(validator.New())}
@@ -165,7 +172,8 @@
 	return file, nil
 }
 
-// checkNames verifies that every name refers to something.
+// checkNames verifies that each policy, service, fault set and class that the
+// file refers to exists.
 func (f *File) checkNames() error {
 	policies, faults, classes := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, listed := range f.Policies {
@@ -219,7 +227,8 @@
 	}
 }
 
-// RestrictToWorkload drops all workloads but the named one.
+// RestrictToWorkload removes all workloads except the named one. It returns
+// ErrInvalidFile if there is no workload of that name.
 func (f *File) RestrictToWorkload(name string) error {
 	for _, workload := range f.Workloads {
 		if workload.Name == name {
--- a/lab/experiment/config_test.go
+++ b/lab/experiment/config_test.go
@@ -56,7 +56,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			_, err := Parse([]byte(strings.Replace(smallExperiment, test.from, test.to, 1)))
 			if !errors.Is(err, ErrInvalidFile) || !strings.Contains(err.Error(), test.field) {
-				t.Errorf("error %v does not name %q", err, test.field)
+				t.Errorf("error %v is not ErrInvalidFile or does not name %q", err, test.field)
 			}
 		})
 	}
@@ -65,7 +65,7 @@
 func TestExamplesAreValid(t *testing.T) {
 	paths, err := filepath.Glob("../../examples/experiments/*.yaml")
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("no examples: %v", err)
+		t.Fatalf("no example experiments found (error %v)", err)
 	}
 	for _, path := range paths {
 		if _, err := Load(path); err != nil {
@@ -87,7 +87,7 @@
 			t.Fatal(err)
 		}
 		if want := len(file.Policies) * file.Seeds.Count; done != want {
-			t.Errorf("%d runs reported, want %d", done, want)
+			t.Errorf("progress reported %d runs, want %d", done, want)
 		}
 		if err := WriteTable(&tables[index], file, cells); err != nil {
 			t.Fatal(err)
@@ -100,11 +100,11 @@
 		}
 	}
 	if tables[0].String() != tables[1].String() || rows[0].String() != rows[1].String() {
-		t.Error("the order of the runs shows in the results")
+		t.Error("results differ between 1 and 4 parallel simulations")
 	}
 	for _, kind := range []string{KindNaive, KindFixedHedge, KindStrictPriority, KindOracle, KindBanksail} {
 		if !strings.Contains(rows[0].String(), kind) {
-			t.Errorf("no row for %s", kind)
+			t.Errorf("the CSV has no row for policy %s", kind)
 		}
 	}
 }
@@ -117,7 +117,7 @@
 	}
 	const wanted = 3 // latency, coverage, extra load
 	if files, err := os.ReadDir(directory); err != nil || len(files) != wanted {
-		t.Errorf("%d plots, want %d (%v)", len(files), wanted, err)
+		t.Errorf("%d plots written, want %d (error %v)", len(files), wanted, err)
 	}
 }
 
@@ -129,7 +129,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := Run(ctx, file, Options{}); !errors.Is(err, context.Canceled) {
-		t.Errorf("error %v", err)
+		t.Errorf("Run returned error %v, want context.Canceled", err)
 	}
 }
 
@@ -137,9 +137,9 @@
 	got := pairedDifference([]float64{2, 4, 6}, []float64{1, 2, 3})
 	const halfWidth = 2.484 // 4.303 * 1 / sqrt(3)
 	if got.Mean != 2 || math.Abs(got.HalfWidth-halfWidth) > 0.01 || got.IsSignificant() {
-		t.Errorf("difference %+v", got)
+		t.Errorf("paired difference %+v, want mean 2, half-width 2.484 and not significant", got)
 	}
 	if constant := pairedDifference([]float64{2, 3}, []float64{1, 2}); !constant.IsSignificant() {
-		t.Errorf("difference %+v is not clear", constant)
+		t.Errorf("paired difference %+v is not significant", constant)
 	}
 }
--- a/lab/experiment/grid.go
+++ b/lab/experiment/grid.go
@@ -10,7 +10,8 @@
 	"github.com/banksail/banksail/lab/experiment/cluster"
 )
 
-// Cell is one workload under one fault set and one policy, over all seeds.
+// Cell is the result of one workload under one fault set and one policy, over
+// all seeds.
 type Cell struct {
 	Workload string
 	Fault    string
@@ -18,15 +19,18 @@
 	Summary  *Summary
 }
 
-// Options sets up a run of the grid.
+// Options configures Run.
 type Options struct {
-	// Parallel bounds the simulations that run at once; one per processor when zero.
+	// Parallel is the maximum number of concurrent simulations; zero means
+	// GOMAXPROCS.
 	Parallel int
-	// Progress is told after each simulation how many of all are done; it may be nil.
+	// Progress is called after each simulation with the number of completed
+	// simulations and the total, from one goroutine at a time. It may be nil.
 	Progress func(done, total int)
 }
 
-// cellRuns is a cell whose seeds are to be run.
+// cellRuns holds a cell and the inputs and results of its simulations, one result
+// per seed.
 type cellRuns struct {
 	cell     *Cell
 	scenario *cluster.Scenario
@@ -34,7 +38,8 @@
 	results  []*cluster.Result
 }
 
-// Run runs the whole grid. It returns the cells in the file's order.
+// Run simulates the whole grid and returns its cells in the order of the file. If
+// ctx is cancelled it starts no further simulations and returns ctx's error.
 func Run(ctx context.Context, file *File, options Options) ([]*Cell, error) {
 	cells := file.plan()
 	parallel := options.Parallel
@@ -48,7 +53,7 @@
 	}()
 	collectResults(cells, finished, options.Progress)
 	if err := ctx.Err(); err != nil {
-		return nil, fmt.Errorf("experiment: stopped: %w", err)
+		return nil, fmt.Errorf("experiment: run stopped: %w", err)
 	}
 	grid := make([]*Cell, 0, len(cells))
 	for _, runs := range cells {
@@ -57,7 +62,8 @@
 	return grid, nil
 }
 
-// runAll runs each seed of each cell and names the cell after each.
+// runAll simulates each seed of each cell and sends the cell to finished after
+// each simulation.
 func runAll(ctx context.Context, file *File, cells []*cellRuns, parallel int, finished chan<- *cellRuns) {
 	var group errgroup.Group
 	group.SetLimit(parallel)
@@ -77,7 +83,8 @@
 	_ = group.Wait()
 }
 
-// collectResults sums up each cell as soon as its last seed is done.
+// collectResults summarises each cell as soon as its last seed has finished and
+// then drops the results of its seeds.
 func collectResults(cells []*cellRuns, finished <-chan *cellRuns, progress func(done, total int)) {
 	remaining := make(map[*cellRuns]int, len(cells))
 	total := 0
--- a/lab/experiment/plots.go
+++ b/lab/experiment/plots.go
@@ -16,12 +16,14 @@
 	plotWidth  = 8 * vg.Inch
 	plotHeight = 5 * vg.Inch
 	barWidth   = 12 * vg.Millimeter
-	// minTailShare ends the latency curves at the share of 1 in 10,000.
+	// minTailShare is the share of queries at which the latency curves end: 1 in
+	// 10,000.
 	minTailShare = 1e-4
 )
 
-// WritePlots writes the plots of all cells into a directory: latency curves and
-// coverage against time by class, and the extra load.
+// WritePlots writes PNG plots for each workload and fault set into an existing
+// directory: for each class a latency curve and the coverage over time, and one
+// bar chart of the extra load.
 func WritePlots(directory string, cells []*Cell) error {
 	for _, block := range groupByFault(cells) {
 		prefix := filepath.Join(directory, block[0].Workload+"-"+block[0].Fault)
@@ -42,7 +44,7 @@
 
 func savePlot(figure *plot.Plot, path string) error {
 	if err := figure.Save(plotWidth, plotHeight, path); err != nil {
-		return fmt.Errorf("experiment: plot %s: %w", path, err)
+		return fmt.Errorf("experiment: save plot %s: %w", path, err)
 	}
 	return nil
 }
@@ -57,7 +59,7 @@
 	return figure
 }
 
-// plotLatency draws the share of queries that took longer than each latency.
+// plotLatency plots the share of queries whose latency exceeds each value.
 func plotLatency(block []*Cell, class int, path string) error {
 	figure := newPlot(block, block[0].Summary.Classes[class].Name, "latency [ms]", "share of queries above")
 	figure.Y.Scale = plot.LogScale{}
@@ -104,7 +106,7 @@
 	return nil
 }
 
-// plotCoverage draws the mean coverage of the queries by their time of arrival.
+// plotCoverage plots the mean coverage of the queries by arrival time.
 func plotCoverage(block []*Cell, class int, path string) error {
 	what := block[0].Summary.Classes[class].Name + " (refused queries count as 0)"
 	figure := newPlot(block, what, "time [s]", "mean coverage")
--- a/lab/experiment/policies.go
+++ b/lab/experiment/policies.go
@@ -9,7 +9,7 @@
 	"github.com/banksail/banksail/lab/experiment/cluster"
 )
 
-// Kinds of policies.
+// Values of Policy.Kind.
 const (
 	KindNaive          = "naive"
 	KindFixedHedge     = "fixed-hedge"
@@ -24,7 +24,7 @@
 	baselineQueueLimit     = 1000
 )
 
-// build makes the policy for a scenario.
+// build returns the simulation's policy for a scenario.
 func (p Policy) build(scenario *cluster.Scenario) cluster.Policy {
 	return cluster.Policy{
 		Name:      p.Name,
@@ -56,7 +56,8 @@
 	return scenario.ServiceTime.Quantile(hedgeQuantile) + 2*scenario.Network.Delay
 }
 
-// inFlightLimit is an even share of what a server may have in flight.
+// inFlightLimit returns one node's equal share of the in-flight limit of a
+// server, rounded up.
 func (p Policy) inFlightLimit(scenario *cluster.Scenario) int {
 	perSlot := p.InFlightPerSlot
 	if perSlot == 0 {
--- a/lab/experiment/progress.go
+++ b/lab/experiment/progress.go
@@ -8,8 +8,8 @@
 
 const progressWidth = 40
 
-// ProgressBar returns a function for Options.Progress that draws a bar on a
-// terminal.
+// ProgressBar returns a function for Options.Progress that draws a progress bar
+// on a terminal.
 func ProgressBar(out io.Writer) func(done, total int) {
 	return func(done, total int) {
 		filled := progressWidth * done / total
--- a/lab/experiment/select.go
+++ b/lab/experiment/select.go
@@ -6,20 +6,21 @@
 	"github.com/banksail/banksail/lab/experiment/cluster"
 )
 
-// Selection names one cell of a grid.
+// Selection identifies one cell of the grid by its names.
 type Selection struct {
 	Workload, Fault, Policy string
 }
 
-// Selected is a cell's scenario and policy.
+// Selected holds the scenario and policy of a selected cell.
 type Selected struct {
 	Scenario *cluster.Scenario
 	Policy   cluster.Policy
-	// Options are those of the policy, when it is banksail's.
+	// Options are the dispatcher's options of the policy.
 	Options Tuning
 }
 
-// Select finds a cell's scenario and policy. The policy must be banksail's.
+// Select returns the scenario and policy of a cell. It returns ErrInvalidFile if
+// a name is unknown or the policy is not of kind banksail.
 func (f *File) Select(selection Selection) (Selected, error) {
 	workload, ok := findByName(f.Workloads, selection.Workload, func(w Workload) string { return w.Name })
 	if !ok {
--- a/lab/experiment/services.go
+++ b/lab/experiment/services.go
@@ -7,16 +7,17 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// profileService is a firm's service at today's size.
+// profileService is a service of a firm's profile, at the profile's current size.
 type profileService struct {
 	firm    profile.Profile
 	service policy.Service
 }
 
-// jitterShare spreads network delays.
+// jitterShare is the jitter of network delays: each lies uniformly within this
+// share of the mean.
 const jitterShare = 0.1
 
-// findService looks a service up in the firms' profiles.
+// findService looks up a service by name in the firms' profiles.
 func findService(name string) (profileService, bool) {
 	for _, firmName := range []string{profile.BlueMahoe, profile.Thibodeau} {
 		firm, err := profile.Get(firmName)
@@ -36,8 +37,9 @@
 	return profileService{}, false
 }
 
-// scenario builds what the simulation runs. Nodes run beside the clients, so
-// every server is the clients' delay away.
+// scenario builds the simulation's scenario for a workload and a fault set. Nodes
+// run next to the clients, so the delay between a node and any server is the
+// clients' network delay.
 func (f *File) scenario(workload Workload, faults FaultSet) *cluster.Scenario {
 	deployment := workload.Deployment
 	found, _ := findService(deployment.Service)
--- a/lab/experiment/summary.go
+++ b/lab/experiment/summary.go
@@ -11,55 +11,57 @@
 	"github.com/banksail/banksail/lab/experiment/cluster"
 )
 
-// tailPercentile is the percentile whose differences are reported.
+// tailPercentile is the latency percentile by which policies are compared.
 const tailPercentile = 99
 
-// confidence is the level of the intervals.
+// confidence is the level of the confidence intervals.
 const confidence = 0.95
 
-// microsecondsPerMillisecond converts what the histograms hold.
+// microsecondsPerMillisecond converts histogram values, which are in microseconds.
 const microsecondsPerMillisecond = 1000
 
-// Summary sums up one cell over its seeds.
+// Summary aggregates the results of one cell over its seeds.
 type Summary struct {
 	Classes []ClassSummary
-	// Extra sends and work, wasted work and useful throughput are means over
-	// the seeds of the shares that cluster.Result describes.
+	// ExtraSendShare, ExtraWorkShare, WastedWorkShare and UsefulThroughput are
+	// means over the seeds; the methods of cluster.Result define them.
 	ExtraSendShare, ExtraWorkShare, WastedWorkShare, UsefulThroughput float64
-	// Unanswered and InvalidActions must be zero.
+	// Unanswered counts queries without a final answer, and InvalidActions counts
+	// actions that name unknown queries or servers. Both should be zero.
 	Unanswered, InvalidActions int
 }
 
-// ClassSummary sums up one class over the seeds.
+// ClassSummary aggregates the results of one class over the seeds.
 type ClassSummary struct {
 	Name string
-	// Latency holds microseconds over all seeds.
+	// Latency is the latency histogram over all seeds, in microseconds.
 	Latency *hdrhistogram.Histogram
 	// TailLatency is each seed's 99th percentile, in milliseconds.
 	TailLatency []float64
-	// Coverage is each seed's mean coverage of the queries that ran.
+	// Coverage is the mean coverage, per seed, of the queries that ran.
 	Coverage      []float64
 	WorstCoverage float64
 	Arrived       int
 	Ran           int
 	Useful        int
 	Refused       map[dispatch.Reason]int
-	// Timeline is the coverage by time of arrival, over all seeds.
+	// Timeline is the coverage by arrival time, summed over all seeds.
 	Timeline []cluster.TimePoint
-	// BelowMinimum is the share of the queries that ran whose answer covers less
-	// than the class's minimum.
+	// BelowMinimum is the share of the queries that ran that were not answered
+	// with at least the class's minimum coverage.
 	BelowMinimum float64
 }
 
-// Quantile is a latency percentile over all seeds, in milliseconds.
+// Quantile returns a latency percentile, from 0 to 100, over all seeds in
+// milliseconds.
 func (c *ClassSummary) Quantile(percentile float64) float64 {
 	return float64(c.Latency.ValueAtPercentile(percentile)) / microsecondsPerMillisecond
 }
 
-// MeanCoverage is the mean coverage over the seeds.
+// MeanCoverage returns the mean over the seeds of their mean coverage.
 func (c *ClassSummary) MeanCoverage() float64 { return stat.Mean(c.Coverage, nil) }
 
-// RefusedCount is the number of arrivals that were refused as not run.
+// RefusedCount returns the number of queries that were refused without being run.
 func (c *ClassSummary) RefusedCount() int {
 	refused := 0
 	for _, count := range c.Refused {
@@ -124,18 +126,19 @@
 	return class
 }
 
-// Difference is the mean of paired differences and half the width of its
+// Difference is the mean of paired differences and the half-width of its
 // confidence interval.
 type Difference struct {
 	Mean      float64
 	HalfWidth float64
 }
 
-// IsSignificant tells whether the interval leaves out zero.
+// IsSignificant reports whether the confidence interval excludes zero.
 func (d Difference) IsSignificant() bool { return math.Abs(d.Mean) > d.HalfWidth }
 
-// pairedDifference compares two policies over the same seeds, with Student's
-// distribution at 95%.
+// pairedDifference compares the values of two policies for the same seeds. The
+// interval is a 95% interval of Student's t-distribution; with fewer than two
+// seeds its half-width is infinite.
 func pairedDifference(values, reference []float64) Difference {
 	differences := make([]float64, len(values))
 	for index := range values {
--- a/lab/experiment/table.go
+++ b/lab/experiment/table.go
@@ -12,8 +12,9 @@
 
 const percent = 100
 
-// WriteTable writes the results for readers: one table per workload and fault
-// set, and the differences from the reference.
+// WriteTable writes the results as aligned text: for each workload and fault set
+// a table of latency and coverage per policy and class, with the difference from
+// the reference policy, and a table of load per policy.
 func WriteTable(out io.Writer, file *File, cells []*Cell) error {
 	for _, block := range groupByFault(cells) {
 		if err := writeBlock(out, file, block); err != nil {
@@ -23,7 +24,7 @@
 	return nil
 }
 
-// groupByFault groups cells of the same workload and fault set.
+// groupByFault groups consecutive cells that have the same workload and fault set.
 func groupByFault(cells []*Cell) [][]*Cell {
 	var grouped [][]*Cell
 	for _, cell := range cells {
@@ -37,7 +38,7 @@
 	return grouped
 }
 
-// errorWriter keeps the first error of what it writes.
+// errorWriter writes formatted text until the first error, which it keeps.
 type errorWriter struct {
 	out io.Writer
 	err error
@@ -49,7 +50,7 @@
 	}
 }
 
-// writeAligned writes aligned columns.
+// writeAligned aligns the tab-separated columns that write produces.
 func writeAligned(out io.Writer, write func(table *errorWriter)) error {
 	columns := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	table := &errorWriter{out: columns}
@@ -110,7 +111,8 @@
 	return lowest, highest
 }
 
-// formatRefusals formats the share of refused queries, and each reason's.
+// formatRefusals formats the refused queries by reason, in percent of the queries
+// that arrived.
 func formatRefusals(class *ClassSummary) string {
 	if class.RefusedCount() == 0 {
 		return "0"
@@ -149,7 +151,7 @@
 	"extra_send_share", "extra_work_share", "wasted_work_share", "useful_throughput",
 }
 
-// WriteCSV writes one row per cell and class.
+// WriteCSV writes a header and one row per cell and class.
 func WriteCSV(out io.Writer, file *File, cells []*Cell) error {
 	writer := csv.NewWriter(out)
 	if err := writer.Write(csvHeader); err != nil {
--- a/lab/experiment/tuning.go
+++ b/lab/experiment/tuning.go
@@ -10,45 +10,49 @@
 	"github.com/banksail/banksail/retry"
 )
 
-// Tuning changes options of the dispatcher; what is absent keeps its default.
+// Tuning overrides options of the dispatcher. Absent fields keep the
+// dispatcher's defaults.
 type Tuning struct {
-	// QueueOrder ranks what waits: strict-class, arrival or boosted.
+	// QueueOrder is the order of queued queries: strict-class, arrival or boosted.
 	QueueOrder string `yaml:"queue_order" json:"queue_order,omitempty" validate:"omitempty,oneof=strict-class arrival boosted"`
-	// ClassBoostsMS is for the boosted order, the most urgent class first.
+	// ClassBoostsMS are the boosts of the classes in boosted order, the most
+	// urgent class first.
 	ClassBoostsMS []float64 `yaml:"class_boosts_ms" json:"class_boosts_ms,omitempty" validate:"max=16,dive,min=0,max=600000"`
-	// SizeDecayRate is for the boosted order, per second.
+	// SizeDecayRate is the decay rate of the size boost in boosted order, per
+	// second.
 	SizeDecayRate float64  `yaml:"size_decay_rate" json:"size_decay_rate,omitempty" validate:"min=0"`
 	MaximumQueued int      `yaml:"maximum_queued" json:"maximum_queued,omitempty" validate:"min=0"`
 	BlockedShare  *float64 `yaml:"blocked_share" json:"blocked_share,omitempty" validate:"omitempty,min=0,max=1"`
-	// WaitingAllowance is the number of sub-requests that may wait in a group.
+	// WaitingAllowance is the number of sub-requests that may wait at a group.
 	WaitingAllowance int     `yaml:"waiting_room" json:"waiting_room,omitempty" validate:"min=0,max=1000"`
 	Limit            string  `yaml:"limit" json:"limit,omitempty" validate:"omitempty,oneof=adaptive fixed unlimited"`
 	LimitGrowth      float64 `yaml:"limit_growth" json:"limit_growth,omitempty" validate:"min=0"`
-	// LimitSignal is the sign of congestion: low-latency or mean-latency.
+	// LimitSignal is the congestion signal of the adaptive limit: low-latency or
+	// mean-latency.
 	LimitSignal     string  `yaml:"limit_signal" json:"limit_signal,omitempty" validate:"omitempty,oneof=low-latency mean-latency"`
 	LimitQueueShare float64 `yaml:"limit_queue_share" json:"limit_queue_share,omitempty" validate:"min=0"`
 	LimitQuantile   float64 `yaml:"limit_quantile" json:"limit_quantile,omitempty" validate:"min=0,max=1"`
 	LimitStep       float64 `yaml:"limit_step" json:"limit_step,omitempty" validate:"min=0"`
 	LimitTolerance  float64 `yaml:"limit_tolerance" json:"limit_tolerance,omitempty" validate:"min=0"`
-	// Replica chooses servers: power-of-two, least-delay or random.
+	// Replica is the replica selection policy: power-of-two, least-delay or random.
 	Replica           string   `yaml:"replica" json:"replica,omitempty" validate:"omitempty,oneof=power-of-two least-delay random"`
 	LoadWeight        *float64 `yaml:"load_weight" json:"load_weight,omitempty" validate:"omitempty,min=0"`
 	LoadHalfLifeMS    float64  `yaml:"load_half_life_ms" json:"load_half_life_ms,omitempty" validate:"min=0"`
 	LatencyHalfLifeMS float64  `yaml:"latency_half_life_ms" json:"latency_half_life_ms,omitempty" validate:"min=0"`
-	// Hedge decides on hedges: share, fixed, quantile or none.
+	// Hedge is the hedge policy: share, fixed, quantile or none.
 	Hedge         string  `yaml:"hedge" json:"hedge,omitempty" validate:"omitempty,oneof=share fixed quantile none"`
 	HedgeFactor   float64 `yaml:"hedge_factor" json:"hedge_factor,omitempty" validate:"min=0"`
 	HedgeAfterMS  float64 `yaml:"hedge_after_ms" json:"hedge_after_ms,omitempty" validate:"min=0"`
 	HedgeQuantile float64 `yaml:"hedge_quantile" json:"hedge_quantile,omitempty" validate:"min=0,max=1"`
 	BudgetBurst   float64 `yaml:"budget_burst" json:"budget_burst,omitempty" validate:"min=0"`
-	// Stop decides when to stop waiting: deadline or slow.
+	// Stop is the policy that ends the wait for missing parts: deadline or slow.
 	Stop              string  `yaml:"stop" json:"stop,omitempty" validate:"omitempty,oneof=deadline slow"`
 	LatencyFactor     float64 `yaml:"patience" json:"patience,omitempty" validate:"min=0"`
 	SlowLatencyFactor float64 `yaml:"slow_patience" json:"slow_patience,omitempty" validate:"min=0"`
 	LeastCoverage     float64 `yaml:"least_coverage" json:"least_coverage,omitempty" validate:"min=0,max=1"`
 }
 
-// Build gives the options of a node's dispatcher.
+// Build returns the dispatcher's options for a node with this seed and zone.
 func (t Tuning) Build(seed uint64, zone string) dispatch.Options {
 	return dispatch.Options{
 		Seed:             seed,
@@ -68,7 +72,9 @@
 	}
 }
 
-// optionValue turns an explicit zero into the negative value that stands for it.
+// optionValue returns the value of an optional setting as dispatch.Options
+// encodes it: 0 for an absent value and -1 for an explicit zero, since zero
+// means the default there.
 func optionValue(value *float64) float64 {
 	switch {
 	case value == nil:
