--- a/lab/experiment/cluster/arrivals.go
+++ b/lab/experiment/cluster/arrivals.go
@@ -14,13 +14,13 @@
 // arrivalStream draws the arrivals of one class: a Poisson process at the
 // highest rate of its bursts, thinned to the rate of each moment.
 type arrivalStream struct {
-	class       int
-	highestRate float64
-	rate        float64
-	number      uint64
+	class   int
+	maxRate float64
+	rate    float64
+	number  uint64
 }
 
-func (r *run) planArrivals() {
+func (r *run) startArrivals() {
 	total := r.scenario.QueryRate()
 	shares := 0.0
 	for _, class := range r.scenario.Classes {
@@ -29,17 +29,17 @@
 	for index, class := range r.scenario.Classes {
 		rate := total * class.Share / shares
 		r.arrivals = append(r.arrivals, arrivalStream{
-			class:       index,
-			rate:        rate,
-			highestRate: rate * r.highestFactor(class.Name),
+			class:   index,
+			rate:    rate,
+			maxRate: rate * r.maxBurstFactor(class.Name),
 		})
 		if rate > 0 {
-			r.planNextArrival(index, 0)
+			r.scheduleNextArrival(index, 0)
 		}
 	}
 }
 
-func (r *run) highestFactor(class string) float64 {
+func (r *run) maxBurstFactor(class string) float64 {
 	highest := 1.0
 	for _, burst := range r.scenario.Bursts {
 		if burst.Class == "" || burst.Class == class {
@@ -49,8 +49,8 @@
 	return highest
 }
 
-// factor is the product of the bursts that hold for a class now.
-func (r *run) factor(class string, now time.Duration) float64 {
+// burstFactor is the product of the bursts that hold for a class now.
+func (r *run) burstFactor(class string, now time.Duration) float64 {
 	factor := 1.0
 	for _, burst := range r.scenario.Bursts {
 		if (burst.Class == "" || burst.Class == class) && burst.Start <= now && now < burst.End {
@@ -60,32 +60,32 @@
 	return factor
 }
 
-func (r *run) planNextArrival(class int, after time.Duration) {
+func (r *run) scheduleNextArrival(class int, after time.Duration) {
 	source := &r.arrivals[class]
 	for {
 		source.number++
 		uniform := draw(r.seed, streamArrival, uint64(class), source.number, 0)
-		gap := -math.Log1p(-uniform) / source.highestRate
+		gap := -math.Log1p(-uniform) / source.maxRate
 		after += time.Duration(gap * float64(time.Second))
 		if after >= r.scenario.Duration {
 			return
 		}
-		kept := source.rate * r.factor(r.scenario.Classes[class].Name, after) / source.highestRate
-		if draw(r.seed, streamThinning, uint64(class), source.number, 0) < kept {
+		probability := source.rate * r.burstFactor(r.scenario.Classes[class].Name, after) / source.maxRate
+		if draw(r.seed, streamThinning, uint64(class), source.number, 0) < probability {
 			break
 		}
 	}
 	r.events.push(entry{at: after, kind: kindArrival, index: class, number: source.number})
 }
 
-func (r *run) arrive(due entry) {
+func (r *run) handleArrival(due entry) {
 	class := r.scenario.Classes[due.index]
 	id := dispatch.QueryID(uint64(due.index+1)<<classShift | due.number)
 	arrived := &query{id: id, class: due.index, arrivedAt: r.now, measured: r.now >= r.scenario.Warmup}
 	r.queries[id] = arrived
-	r.result.arrived(arrived)
+	r.result.recordArrival(arrived)
 	at := int(draw(r.seed, streamNode, uint64(id), 0, 0) * float64(len(r.nodes)))
-	r.planNextArrival(due.index, r.now)
+	r.scheduleNextArrival(due.index, r.now)
 	r.step(r.nodes[at], dispatch.QueryArrived{Query: dispatch.Query{
 		ID:              id,
 		RequestID:       fmt.Sprintf("%d-%d", due.index, due.number),
--- a/lab/experiment/cluster/cluster_test.go
+++ b/lab/experiment/cluster/cluster_test.go
@@ -61,22 +61,22 @@
 	}}
 }
 
-func TestARunDependsOnlyOnItsSeed(t *testing.T) {
-	for _, decided := range []Policy{banksail(), naive()} {
-		first, second := Run(scenario(), decided, 1, nil), Run(scenario(), decided, 1, nil)
+func TestRunDependsOnlyOnSeed(t *testing.T) {
+	for _, chosen := range []Policy{banksail(), naive()} {
+		first, second := Run(scenario(), chosen, 1, nil), Run(scenario(), chosen, 1, nil)
 		if !reflect.DeepEqual(first, second) {
-			t.Errorf("%s: two runs of one seed differ", decided.Name)
+			t.Errorf("%s: two runs of one seed differ", chosen.Name)
 		}
-		if reflect.DeepEqual(first, Run(scenario(), decided, 2, nil)) {
-			t.Errorf("%s: two seeds give the same run", decided.Name)
+		if reflect.DeepEqual(first, Run(scenario(), chosen, 2, nil)) {
+			t.Errorf("%s: two seeds give the same run", chosen.Name)
 		}
 	}
 }
 
 // latencies gives each complete answer's latency in a run.
-func latencies(decided Policy, within *Scenario) map[dispatch.QueryID]time.Duration {
+func latencies(chosen Policy, simulated *Scenario) map[dispatch.QueryID]time.Duration {
 	arrived, took := map[dispatch.QueryID]time.Duration{}, map[dispatch.QueryID]time.Duration{}
-	Run(within, decided, 3, func(_ int, now time.Duration, event dispatch.Event, actions []dispatch.Action) {
+	Run(simulated, chosen, 3, func(_ int, now time.Duration, event dispatch.Event, actions []dispatch.Action) {
 		if arrival, ok := event.(dispatch.QueryArrived); ok {
 			arrived[arrival.Query.ID] = now
 		}
@@ -89,43 +89,43 @@
 	return took
 }
 
-func TestNoCompleteAnswerIsQuickerThanTheOracles(t *testing.T) {
+func TestOracleLatencyIsLowerBound(t *testing.T) {
 	slow := scenario()
 	slow.Faults = []Fault{{Kind: FaultSlow, Group: 1, Replica: 0, Start: 0, End: time.Second, Factor: 10}}
-	for name, within := range map[string]*Scenario{"no fault": scenario(), "a slow replica": slow} {
-		bound := latencies(oracle(), within)
-		for _, decided := range []Policy{banksail(), naive()} {
+	for name, simulated := range map[string]*Scenario{"no fault": scenario(), "a slow replica": slow} {
+		bound := latencies(oracle(), simulated)
+		for _, chosen := range []Policy{banksail(), naive()} {
 			compared := 0
-			for id, took := range latencies(decided, within) {
+			for id, took := range latencies(chosen, simulated) {
 				least, ok := bound[id]
 				if !ok {
 					continue
 				}
 				compared++
 				if took < least {
-					t.Errorf("%s: %s answers query %d in %v, the oracle in %v", name, decided.Name, id, took, least)
+					t.Errorf("%s: %s answers query %d in %v, the oracle in %v", name, chosen.Name, id, took, least)
 				}
 			}
 			if compared == 0 {
-				t.Errorf("%s: %s shares no query with the oracle", name, decided.Name)
+				t.Errorf("%s: %s shares no query with the oracle", name, chosen.Name)
 			}
 		}
 	}
 }
 
-func TestEveryQueryIsAnsweredUnderEachFault(t *testing.T) {
+func TestEveryQueryIsAnsweredUnderFaults(t *testing.T) {
 	const start, end = 500 * time.Millisecond, 1200 * time.Millisecond
 	kinds := []FaultKind{FaultSlow, FaultCrash, FaultDrain, FaultColdStart, FaultFalseLoad, FaultRepartition}
 	for _, kind := range kinds {
-		for _, decided := range []Policy{banksail(), naive()} {
+		for _, chosen := range []Policy{banksail(), naive()} {
 			faulty := scenario()
 			faulty.Reports = Reports{Lag: 50 * time.Millisecond, Period: 100 * time.Millisecond}
 			faulty.Faults = []Fault{{
 				Kind: kind, Group: 1, Replica: 0, Start: start, End: end, Factor: 10, DetectionLag: 100 * time.Millisecond,
 			}}
-			result := Run(faulty, decided, 5, nil)
+			result := Run(faulty, chosen, 5, nil)
 			if result.Unanswered != 0 || result.InvalidActions != 0 {
-				t.Errorf("%s under %s: %d unanswered, %d faulty actions", decided.Name, kind, result.Unanswered, result.InvalidActions)
+				t.Errorf("%s under %s: %d unanswered, %d faulty actions", chosen.Name, kind, result.Unanswered, result.InvalidActions)
 			}
 			for _, class := range result.Classes {
 				refused := 0
@@ -133,14 +133,14 @@
 					refused += count
 				}
 				if class.Ran+refused != class.Arrived || class.Arrived == 0 {
-					t.Errorf("%s under %s: %d arrived, %d ran, %d refused", decided.Name, kind, class.Arrived, class.Ran, refused)
+					t.Errorf("%s under %s: %d arrived, %d ran, %d refused", chosen.Name, kind, class.Arrived, class.Ran, refused)
 				}
 			}
 		}
 	}
 }
 
-func TestUsefulThroughputIsTheOfferedLoadBelowCapacity(t *testing.T) {
+func TestUsefulThroughputEqualsLoadBelowCapacity(t *testing.T) {
 	light := scenario()
 	light.Duration = 20 * time.Second
 	if got := Run(light, naive(), 1, nil).UsefulThroughput(); math.Abs(got-light.Load) > 0.03 {
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestDistributionsHaveTheirMean(t *testing.T) {
+func TestDistributionMean(t *testing.T) {
 	const samples = 200_000
 	for _, name := range []string{Constant, Exponential, LogNormal, Pareto} {
 		distribution := Distribution{Name: name, Mean: time.Millisecond}
@@ -165,12 +165,12 @@
 	}
 }
 
-func TestServersShedOnlyBeyondTheirQueue(t *testing.T) {
+func TestServersShedOnlyWhenQueueIsFull(t *testing.T) {
 	for load, wanted := range map[float64]bool{0.2: false, 3: true} {
-		within := scenario()
-		within.Load = load
+		simulated := scenario()
+		simulated.Load = load
 		shed, deepest := 0, 0
-		Run(within, naive(), 1, func(_ int, _ time.Duration, event dispatch.Event, _ []dispatch.Action) {
+		Run(simulated, naive(), 1, func(_ int, _ time.Duration, event dispatch.Event, _ []dispatch.Action) {
 			if reply, ok := event.(dispatch.AttemptReplied); ok {
 				deepest = max(deepest, reply.Reply.Load.Queued)
 				if reply.Reply.Status == dispatch.ReplyShed {
--- a/lab/experiment/cluster/delays.go
+++ b/lab/experiment/cluster/delays.go
@@ -27,23 +27,23 @@
 
 // serviceTime is how long a server works on a part of a query. It depends on
 // nothing that a policy decides.
-func (r *run) serviceTime(asked *query, part coverage.Range, target *server) time.Duration {
-	uniform := draw(r.seed, streamService, uint64(asked.id), part.Start, uint64(target.index))
+func (r *run) serviceTime(queried *query, part coverage.Range, target *server) time.Duration {
+	uniform := draw(r.seed, streamService, uint64(queried.id), part.Start, uint64(target.index))
 	took := float64(r.scenario.ServiceTime.Quantile(uniform))
-	took *= r.scenario.Classes[asked.class].work()
+	took *= r.scenario.Classes[queried.class].work()
 	for _, fault := range r.scenario.Faults {
-		if fault.hits(target.group, target.replica) {
-			took *= fault.slowdown(asked.arrivedAt)
+		if fault.affects(target.group, target.replica) {
+			took *= fault.slowdown(queried.arrivedAt)
 		}
 	}
 	return time.Duration(took)
 }
 
-// foresee implements LatencyOracle.
-func (r *run) foresee(id dispatch.QueryID, part coverage.Range, serverID string) time.Duration {
-	asked, target := r.queries[id], r.serverByID[serverID]
-	if asked == nil || target == nil || target.lost || target.draining || !target.owned.Contains(part) {
-		return neverAnswers
+// exactLatency implements LatencyOracle.
+func (r *run) exactLatency(id dispatch.QueryID, part coverage.Range, serverID string) time.Duration {
+	queried, target := r.queries[id], r.serverByID[serverID]
+	if queried == nil || target == nil || target.crashed || target.draining || !target.ownedRange.Contains(part) {
+		return unreachableLatency
 	}
-	return r.delay(id, target, forward) + r.serviceTime(asked, part, target) + r.delay(id, target, reverse)
+	return r.delay(id, target, forward) + r.serviceTime(queried, part, target) + r.delay(id, target, reverse)
 }
--- a/lab/experiment/cluster/fault.go
+++ b/lab/experiment/cluster/fault.go
@@ -42,15 +42,15 @@
 	DetectionLag time.Duration
 }
 
-func (f Fault) covers(now time.Duration) bool { return f.Start <= now && now < f.End }
+func (f Fault) isActive(now time.Duration) bool { return f.Start <= now && now < f.End }
 
-func (f Fault) hits(group, replica int) bool {
+func (f Fault) affects(group, replica int) bool {
 	return f.Group == group && (f.Replica == AnyReplica || f.Replica == replica)
 }
 
 // slowdown multiplies the service times at a server for queries that arrive now.
 func (f Fault) slowdown(now time.Duration) float64 {
-	if !f.covers(now) {
+	if !f.isActive(now) {
 		return 1
 	}
 	switch f.Kind {
--- a/lab/experiment/cluster/fault_run.go
+++ b/lab/experiment/cluster/fault_run.go
@@ -14,79 +14,79 @@
 	faultEnds
 )
 
-const repartitionedRevision policy.Revision = 2
+const revisionAfterRepartition policy.Revision = 2
 
-func (r *run) planFaults() {
+func (r *run) scheduleFaults() {
 	for index, fault := range r.scenario.Faults {
 		r.events.push(entry{at: fault.Start, kind: kindFault, index: index, number: faultStarts})
 		r.events.push(entry{at: fault.End, kind: kindFault, index: index, number: faultEnds})
 	}
 }
 
-// switchFault starts or ends what a fault does besides slowing service.
-func (r *run) switchFault(index int, ends bool) {
+// applyFault starts or ends what a fault does besides slowing service.
+func (r *run) applyFault(index int, ends bool) {
 	fault := r.scenario.Faults[index]
 	if fault.Kind == FaultRepartition {
 		r.repartition(fault, ends)
 		return
 	}
 	for _, target := range r.servers {
-		if !fault.hits(target.group, target.replica) {
+		if !fault.affects(target.group, target.replica) {
 			continue
 		}
 		switch fault.Kind {
 		case FaultCrash:
-			r.setLost(target, !ends, fault.DetectionLag)
+			r.setCrashed(target, !ends, fault.DetectionLag)
 		case FaultDrain:
 			target.draining = !ends
-			r.announce(target, stateUnless(ends, dispatch.ServerLeaving), fault.DetectionLag)
+			r.announceState(target, stateOrLive(ends, dispatch.ServerLeaving), fault.DetectionLag)
 		case FaultColdStart:
 			if !ends {
 				r.closeConnections(target)
 			}
 		case FaultFalseLoad:
-			target.lying = !ends
+			target.reportsNoLoad = !ends
 		}
 	}
 }
 
-func stateUnless(ends bool, state dispatch.ServerState) dispatch.ServerState {
+func stateOrLive(ends bool, state dispatch.ServerState) dispatch.ServerState {
 	if ends {
 		return dispatch.ServerLive
 	}
 	return state
 }
 
-// setLost stops a server or starts it again. What it was working on is lost.
-func (r *run) setLost(target *server, lost bool, lag time.Duration) {
-	target.lost = lost
+// setCrashed stops a server or starts it again. What it was working on is lost.
+func (r *run) setCrashed(target *server, lost bool, lag time.Duration) {
+	target.crashed = lost
 	if lost {
-		for _, cut := range append(append([]*attempt(nil), target.running...), target.queue...) {
-			if cut.state == attemptRunning {
-				r.endExecution(cut)
+		for _, failed := range append(append([]*attempt(nil), target.running...), target.queue...) {
+			if failed.state == attemptRunning {
+				r.endExecution(failed)
 			}
-			cut.state = attemptEnded
-			r.fail(cut, dispatch.DeliveryUnknown, "connection reset")
+			failed.state = attemptEnded
+			r.fail(failed, dispatch.DeliveryUnknown, "connection reset")
 		}
 		target.queue = nil
 		r.closeConnections(target)
 	}
-	r.announce(target, stateUnless(!lost, dispatch.ServerGone), lag)
+	r.announceState(target, stateOrLive(!lost, dispatch.ServerGone), lag)
 }
 
 func (r *run) closeConnections(target *server) {
 	for _, connected := range r.nodes {
-		target.connected -= len(connected.idle[target.index])
-		connected.idle[target.index] = nil
+		target.openConnections -= len(connected.idleConnections[target.index])
+		connected.idleConnections[target.index] = nil
 	}
 }
 
-// announce tells every node a server's state, each within the lag.
-func (r *run) announce(target *server, state dispatch.ServerState, lag time.Duration) {
-	for _, told := range r.nodes {
-		uniform := draw(r.seed, streamConfiguration, uint64(told.index), uint64(target.index), uint64(r.now))
+// announceState tells every node a server's state, each within the lag.
+func (r *run) announceState(target *server, state dispatch.ServerState, lag time.Duration) {
+	for _, notified := range r.nodes {
+		uniform := draw(r.seed, streamConfiguration, uint64(notified.index), uint64(target.index), uint64(r.now))
 		at := r.now + time.Duration(uniform*float64(lag))
-		r.plan(at, told, dispatch.ServerChanged{Server: target.id, State: state})
+		r.scheduleNodeEvent(at, notified, dispatch.ServerChanged{Server: target.id, State: state})
 	}
 }
 
@@ -99,24 +99,24 @@
 	}
 	changed := r.scenario.Service
 	changed.Groups = append([]policy.Group(nil), changed.Groups...)
-	giving, taking := &changed.Groups[fault.Group], &changed.Groups[fault.Group+1]
-	middle := giving.Range.Start + giving.Range.Size()/2
-	giving.Range = coverage.Range{Start: giving.Range.Start, End: middle}
-	taking.Range = coverage.Range{Start: middle, End: taking.Range.End}
+	source, destination := &changed.Groups[fault.Group], &changed.Groups[fault.Group+1]
+	middle := source.Range.Start + source.Range.Size()/2
+	source.Range = coverage.Range{Start: source.Range.Start, End: middle}
+	destination.Range = coverage.Range{Start: middle, End: destination.Range.End}
 	for _, target := range r.servers {
 		switch {
 		case ends && target.group == fault.Group:
-			target.owned = giving.Range
+			target.ownedRange = source.Range
 		case !ends && target.group == fault.Group+1:
-			target.owned = taking.Range
+			target.ownedRange = destination.Range
 		}
 	}
 	if ends {
 		return
 	}
-	for _, told := range r.nodes {
-		uniform := draw(r.seed, streamConfiguration, uint64(told.index), 0, uint64(r.now))
+	for _, notified := range r.nodes {
+		uniform := draw(r.seed, streamConfiguration, uint64(notified.index), 0, uint64(r.now))
 		at := r.now + time.Duration(uniform*float64(fault.DetectionLag))
-		r.plan(at, told, r.configured(repartitionedRevision, changed))
+		r.scheduleNodeEvent(at, notified, r.configuredEvent(revisionAfterRepartition, changed))
 	}
 }
--- a/lab/experiment/cluster/node.go
+++ b/lab/experiment/cluster/node.go
@@ -8,21 +8,21 @@
 
 // node is one simulated node: a machine and its connections.
 type node struct {
-	index   int
-	machine Dispatcher
-	// wakeGeneration tells the latest SetTimer from those that it replaced.
-	wakeGeneration uint64
-	attempts       map[dispatch.AttemptID]*attempt
-	// idle holds, per server, when each idle connection was last used; the
+	index      int
+	dispatcher Dispatcher
+	// timerGeneration tells the latest SetTimer from those that it replaced.
+	timerGeneration uint64
+	attempts        map[dispatch.AttemptID]*attempt
+	// idleConnections holds, per server, when each idle connection was last used; the
 	// latest is last.
-	idle [][]time.Duration
-	// opening counts, per server, the spare connections that are being opened.
-	opening []int
+	idleConnections [][]time.Duration
+	// openingSpares counts, per server, the spare connections that are being opened.
+	openingSpares []int
 }
 
 // step drives the node's machine with one event and carries out its actions.
 func (r *run) step(at *node, event dispatch.Event) {
-	actions := at.machine.Step(r.now, event)
+	actions := at.dispatcher.Step(r.now, event)
 	if r.observe != nil {
 		r.observe(at.index, r.now, event, actions)
 	}
@@ -35,9 +35,9 @@
 		case dispatch.Finish:
 			r.finish(typed)
 		case dispatch.SetTimer:
-			at.wakeGeneration++
+			at.timerGeneration++
 			due := max(typed.At, r.now)
-			r.events.push(entry{at: due, kind: kindWake, index: at.index, number: at.wakeGeneration})
+			r.events.push(entry{at: due, kind: kindTimer, index: at.index, number: at.timerGeneration})
 		}
 	}
 }
@@ -52,7 +52,7 @@
 	sent := &attempt{send: send, node: from, server: target, query: asked, deadline: r.now + send.Remaining}
 	from.attempts[send.Attempt] = sent
 	asked.attempts = append(asked.attempts, sent)
-	r.result.sent(sent)
+	r.result.recordSend(sent)
 	delay := r.delay(asked.id, target, forward)
 	connectTime, ok := r.connect(from, target)
 	if !ok {
@@ -70,44 +70,44 @@
 		return 0, true
 	}
 	defer r.openSpares(from, target)
-	idle := from.idle[target.index]
+	idle := from.idleConnections[target.index]
 	if count := len(idle); count > 0 {
 		lastUsed := idle[count-1]
 		if r.now-lastUsed < r.scenario.Network.IdleTimeout {
-			from.idle[target.index] = idle[:count-1]
+			from.idleConnections[target.index] = idle[:count-1]
 			return 0, true
 		}
-		target.connected -= count
-		from.idle[target.index] = idle[:0]
+		target.openConnections -= count
+		from.idleConnections[target.index] = idle[:0]
 	}
-	if target.connected >= target.connections {
+	if target.openConnections >= target.connectionLimit {
 		return 0, false
 	}
-	target.connected++
+	target.openConnections++
 	return r.scenario.Network.ConnectTime, true
 }
 
 // openSpares opens connections in advance, while the server accepts them.
 func (r *run) openSpares(from *node, target *server) {
-	for len(from.idle[target.index])+from.opening[target.index] < r.scenario.Network.SpareConnections {
-		if target.connected >= target.connections || target.lost {
+	for len(from.idleConnections[target.index])+from.openingSpares[target.index] < r.scenario.Network.SpareConnections {
+		if target.openConnections >= target.connectionLimit || target.crashed {
 			return
 		}
-		target.connected++
-		from.opening[target.index]++
+		target.openConnections++
+		from.openingSpares[target.index]++
 		at := r.now + r.scenario.Network.ConnectTime
 		r.events.push(entry{at: at, kind: kindConnected, index: from.index, number: uint64(target.index)})
 	}
 }
 
-// connected makes a spare connection usable.
-func (r *run) connected(at *node, target *server) {
-	at.opening[target.index]--
-	if target.lost {
-		target.connected--
+// addSpare makes a spare connection usable.
+func (r *run) addSpare(at *node, target *server) {
+	at.openingSpares[target.index]--
+	if target.crashed {
+		target.openConnections--
 		return
 	}
-	at.idle[target.index] = append(at.idle[target.index], r.now)
+	at.idleConnections[target.index] = append(at.idleConnections[target.index], r.now)
 }
 
 // cancelAttempt closes the attempt's connection.
@@ -140,9 +140,9 @@
 		about.closed = true
 		delete(at.attempts, about.send.Attempt)
 		if _, failed := planned.event.(dispatch.AttemptFailed); !failed {
-			at.idle[about.server.index] = append(at.idle[about.server.index], r.now)
-		} else if about.writtenAt > 0 && about.server.connected > 0 {
-			about.server.connected--
+			at.idleConnections[about.server.index] = append(at.idleConnections[about.server.index], r.now)
+		} else if about.writtenAt > 0 && about.server.openConnections > 0 {
+			about.server.openConnections--
 		}
 	}
 	r.step(at, planned.event)
@@ -156,5 +156,5 @@
 		return
 	}
 	delete(r.queries, final.Query)
-	r.result.finished(answered, final.Outcome, r.now-answered.arrivedAt, r.now)
+	r.result.recordFinish(answered, final.Outcome, r.now-answered.arrivedAt, r.now)
 }
--- a/lab/experiment/cluster/queue.go
+++ b/lab/experiment/cluster/queue.go
@@ -7,16 +7,16 @@
 	"github.com/banksail/banksail/dispatch"
 )
 
-// kind tells what an entry of the event queue does.
-type kind uint8
+// entryKind tells what an entry of the event queue does.
+type entryKind uint8
 
 const (
-	kindArrival kind = iota + 1
+	kindArrival entryKind = iota + 1
 	kindDeliver
 	kindComplete
 	kindCancel
 	kindNodeEvent
-	kindWake
+	kindTimer
 	kindReport
 	kindFault
 	kindConnected
@@ -27,7 +27,7 @@
 type entry struct {
 	at       time.Duration
 	sequence uint64
-	kind     kind
+	kind     entryKind
 	// index is a class, node, server or fault, by kind.
 	index int
 	// number is an arrival's number within its class, a wake's generation,
--- a/lab/experiment/cluster/result.go
+++ b/lab/experiment/cluster/result.go
@@ -10,8 +10,8 @@
 
 // Bounds of the latency histograms, in microseconds.
 const (
-	leastLatency      = 1
-	greatestLatency   = 600_000_000
+	minLatency        = 1
+	maxLatency        = 600_000_000
 	significantDigits = 3
 )
 
@@ -35,9 +35,9 @@
 	// Refused counts the queries that were refused as not run, by reason.
 	Refused map[dispatch.Reason]int
 	// Timeline is the coverage by time of arrival, in buckets of CoverageBucket.
-	Timeline []TimePoint
-	minimum  float64
-	meanWork time.Duration
+	Timeline        []TimePoint
+	minimumCoverage float64
+	meanWork        time.Duration
 }
 
 // TimePoint sums the coverage of the queries of one bucket. A refused query
@@ -81,20 +81,20 @@
 func newResult(scenario *Scenario) *Result {
 	window := scenario.Duration - scenario.Warmup
 	result := &Result{
-		Capacity: window * time.Duration(scenario.slots()),
+		Capacity: window * time.Duration(scenario.totalSlots()),
 		warmup:   scenario.Warmup,
 		duration: scenario.Duration,
 	}
 	buckets := int(scenario.Duration/CoverageBucket) + 1
 	for _, class := range scenario.Classes {
 		result.Classes = append(result.Classes, &ClassResult{
-			Name:          class.Name,
-			Latency:       hdrhistogram.New(leastLatency, greatestLatency, significantDigits),
-			WorstCoverage: 1,
-			Refused:       make(map[dispatch.Reason]int),
-			Timeline:      make([]TimePoint, buckets),
-			minimum:       class.MinimumCoverage,
-			meanWork:      time.Duration(class.work() * float64(scenario.ServiceTime.Mean)),
+			Name:            class.Name,
+			Latency:         hdrhistogram.New(minLatency, maxLatency, significantDigits),
+			WorstCoverage:   1,
+			Refused:         make(map[dispatch.Reason]int),
+			Timeline:        make([]TimePoint, buckets),
+			minimumCoverage: class.MinimumCoverage,
+			meanWork:        time.Duration(class.work() * float64(scenario.ServiceTime.Mean)),
 		})
 	}
 	return result
@@ -129,13 +129,13 @@
 	return part / whole
 }
 
-func (r *Result) arrived(fresh *query) {
+func (r *Result) recordArrival(fresh *query) {
 	if fresh.measured {
 		r.Classes[fresh.class].Arrived++
 	}
 }
 
-func (r *Result) sent(sent *attempt) {
+func (r *Result) recordSend(sent *attempt) {
 	if !sent.query.measured {
 		return
 	}
@@ -160,12 +160,12 @@
 	}
 }
 
-func (r *Result) finished(answered *query, outcome dispatch.Outcome, took, now time.Duration) {
+func (r *Result) recordFinish(answered *query, outcome dispatch.Outcome, took, now time.Duration) {
 	class := r.Classes[answered.class]
 	bucket := min(int(answered.arrivedAt/CoverageBucket), len(class.Timeline)-1)
 	class.Timeline[bucket].Queries++
 	class.Timeline[bucket].Coverage += outcome.Coverage
-	useful := outcome.Execution == dispatch.ExecutionDone && outcome.Coverage >= class.minimum
+	useful := outcome.Execution == dispatch.ExecutionDone && outcome.Coverage >= class.minimumCoverage
 	work := time.Duration(0)
 	if useful {
 		work = answered.workOf(outcome.Parts)
@@ -183,7 +183,7 @@
 	class.Ran++
 	class.coverageSum += outcome.Coverage
 	class.WorstCoverage = min(class.WorstCoverage, outcome.Coverage)
-	_ = class.Latency.RecordValue(min(max(took.Microseconds(), leastLatency), greatestLatency))
+	_ = class.Latency.RecordValue(min(max(took.Microseconds(), minLatency), maxLatency))
 	if useful {
 		class.Useful++
 		r.UsefulWork += work
--- a/lab/experiment/cluster/run.go
+++ b/lab/experiment/cluster/run.go
@@ -14,8 +14,8 @@
 // unlimitedSlots stands for no limit on a server's slots.
 const unlimitedSlots = 1 << 30
 
-// neverAnswers is what foresight tells of a server that will not answer.
-const neverAnswers = time.Hour
+// unreachableLatency is what foresight tells of a server that will not answer.
+const unreachableLatency = time.Hour
 
 // LatencyOracle tells how long a sub-request would take from being sent now until
 // its reply, on a connection that is open, when it need not wait for a slot.
@@ -41,28 +41,28 @@
 }
 
 // Run simulates a scenario under a policy and a seed. The observer may be nil.
-func Run(scenario *Scenario, decided Policy, seed uint64, observe Observer) *Result {
+func Run(scenario *Scenario, chosen Policy, seed uint64, observe Observer) *Result {
 	r := &run{
 		scenario:   scenario,
 		seed:       seed,
-		unlimited:  decided.Unlimited,
+		unlimited:  chosen.Unlimited,
 		observe:    observe,
 		serverByID: make(map[string]*server),
 		queries:    make(map[dispatch.QueryID]*query),
 		result:     newResult(scenario),
 	}
 	r.addServers()
-	r.addNodes(decided)
-	r.planReports()
-	r.planFaults()
-	r.planArrivals()
-	r.loop()
+	r.addNodes(chosen)
+	r.scheduleReports()
+	r.scheduleFaults()
+	r.startArrivals()
+	r.processEvents()
 	r.result.Unanswered = len(r.queries)
 	return r.result
 }
 
-func (r *run) loop() {
-	end := r.end()
+func (r *run) processEvents() {
+	end := r.endTime()
 	for !r.events.empty() {
 		next := r.events.pop()
 		if next.at > end {
@@ -73,8 +73,8 @@
 	}
 }
 
-// end is when the last query must long have had its answer.
-func (r *run) end() time.Duration {
+// endTime is when the last query must long have had its answer.
+func (r *run) endTime() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range r.scenario.Classes {
 		longest = max(longest, class.Deadline.Duration())
@@ -85,7 +85,7 @@
 func (r *run) handle(next entry) {
 	switch next.kind {
 	case kindArrival:
-		r.arrive(next)
+		r.handleArrival(next)
 	case kindDeliver:
 		r.deliver(next.attempt)
 	case kindComplete:
@@ -94,21 +94,21 @@
 		r.cancelAtServer(next.attempt)
 	case kindNodeEvent:
 		r.receive(next)
-	case kindWake:
-		r.wake(next)
+	case kindTimer:
+		r.fireTimer(next)
 	case kindReport:
 		r.sendReport(next)
 	case kindConnected:
-		r.connected(r.nodes[next.index], r.servers[next.number])
+		r.addSpare(r.nodes[next.index], r.servers[next.number])
 	case kindFault:
-		r.switchFault(next.index, next.number == faultEnds)
+		r.applyFault(next.index, next.number == faultEnds)
 	}
 }
 
-func (r *run) wake(due entry) {
-	woken := r.nodes[due.index]
-	if woken.wakeGeneration == due.number {
-		r.step(woken, dispatch.TimerFired{})
+func (r *run) fireTimer(due entry) {
+	target := r.nodes[due.index]
+	if target.timerGeneration == due.number {
+		r.step(target, dispatch.TimerFired{})
 	}
 }
 
@@ -116,14 +116,14 @@
 	for groupIndex, group := range r.scenario.Service.Groups {
 		for replica, configured := range group.Servers {
 			added := &server{
-				index:       len(r.servers),
-				id:          configured.ID,
-				group:       groupIndex,
-				replica:     replica,
-				slots:       configured.Slots,
-				queueLimit:  int(float64(configured.Slots) * r.scenario.QueuePerSlot),
-				connections: configured.Connections,
-				owned:       group.Range,
+				index:           len(r.servers),
+				id:              configured.ID,
+				group:           groupIndex,
+				replica:         replica,
+				slots:           configured.Slots,
+				queueLimit:      int(float64(configured.Slots) * r.scenario.QueuePerSlot),
+				connectionLimit: configured.Connections,
+				ownedRange:      group.Range,
 			}
 			if r.unlimited {
 				added.slots = unlimitedSlots
@@ -134,38 +134,38 @@
 	}
 }
 
-func (r *run) addNodes(decided Policy) {
+func (r *run) addNodes(chosen Policy) {
 	for index := range r.scenario.Nodes {
 		described := Node{
 			Index:         index,
 			Nodes:         r.scenario.Nodes,
 			Zone:          r.scenario.Zones[index%len(r.scenario.Zones)],
 			Seed:          mix(r.seed + uint64(index)),
-			LatencyOracle: r.foresee,
+			LatencyOracle: r.exactLatency,
 		}
 		added := &node{
-			index:    index,
-			machine:  decided.New(described),
-			attempts: make(map[dispatch.AttemptID]*attempt),
-			idle:     make([][]time.Duration, len(r.servers)),
-			opening:  make([]int, len(r.servers)),
+			index:           index,
+			dispatcher:      chosen.New(described),
+			attempts:        make(map[dispatch.AttemptID]*attempt),
+			idleConnections: make([][]time.Duration, len(r.servers)),
+			openingSpares:   make([]int, len(r.servers)),
 		}
 		r.nodes = append(r.nodes, added)
-		r.introduce(added)
+		r.scheduleInitialState(added)
 	}
 }
 
-// introduce tells a node what it learns on its start.
-func (r *run) introduce(fresh *node) {
-	r.plan(0, fresh, r.configured(1, r.scenario.Service))
-	r.plan(0, fresh, dispatch.NodesChanged{Live: r.scenario.Nodes})
+// scheduleInitialState tells a node what it learns on its start.
+func (r *run) scheduleInitialState(started *node) {
+	r.scheduleNodeEvent(0, started, r.configuredEvent(1, r.scenario.Service))
+	r.scheduleNodeEvent(0, started, dispatch.NodesChanged{Live: r.scenario.Nodes})
 	for _, known := range r.servers {
-		r.plan(0, fresh, dispatch.ServerChanged{Server: known.id, State: dispatch.ServerLive})
-		r.plan(0, fresh, r.observed(known))
+		r.scheduleNodeEvent(0, started, dispatch.ServerChanged{Server: known.id, State: dispatch.ServerLive})
+		r.scheduleNodeEvent(0, started, r.reportEvent(known))
 	}
 }
 
-func (r *run) configured(revision policy.Revision, service policy.Service) dispatch.Configured {
+func (r *run) configuredEvent(revision policy.Revision, service policy.Service) dispatch.Configured {
 	classes := make([]policy.Class, 0, len(r.scenario.Classes))
 	for _, class := range r.scenario.Classes {
 		classes = append(classes, class.Class)
@@ -173,20 +173,20 @@
 	return dispatch.Configured{Revision: revision, Service: service, Classes: classes}
 }
 
-func (r *run) observed(told *server) dispatch.ServerReported {
+func (r *run) reportEvent(reporting *server) dispatch.ServerReported {
 	return dispatch.ServerReported{
-		Server:    told.id,
+		Server:    reporting.id,
 		Snapshots: []dispatch.SnapshotID{firstSnapshot},
-		Load:      told.load(r.now, r.scenario.Reports.Lag),
+		Load:      reporting.load(r.now, r.scenario.Reports.Lag),
 	}
 }
 
-// plan gives a node an event at a later time.
-func (r *run) plan(at time.Duration, to *node, event dispatch.Event) {
+// scheduleNodeEvent gives a node an event at a later time.
+func (r *run) scheduleNodeEvent(at time.Duration, to *node, event dispatch.Event) {
 	r.events.push(entry{at: at, kind: kindNodeEvent, index: to.index, event: event})
 }
 
-func (r *run) planReports() {
+func (r *run) scheduleReports() {
 	period := r.scenario.Reports.Period
 	if period == 0 {
 		return
@@ -198,10 +198,10 @@
 }
 
 func (r *run) sendReport(due entry) {
-	told := r.servers[due.index]
-	if !told.lost {
+	reporting := r.servers[due.index]
+	if !reporting.crashed {
 		for _, reader := range r.nodes {
-			r.plan(r.now+r.scenario.Network.Delay, reader, r.observed(told))
+			r.scheduleNodeEvent(r.now+r.scenario.Network.Delay, reader, r.reportEvent(reporting))
 		}
 	}
 	if next := r.now + r.scenario.Reports.Period; next <= r.scenario.Duration {
--- a/lab/experiment/cluster/scenario.go
+++ b/lab/experiment/cluster/scenario.go
@@ -117,12 +117,12 @@
 		shares += class.Share
 	}
 	meanWork := work / shares * s.ServiceTime.Mean.Seconds()
-	return s.Load * float64(s.weakestGroupSlots()) / meanWork
+	return s.Load * float64(s.minGroupSlots()) / meanWork
 }
 
-// weakestGroupSlots is the least number of slots that a group has. Every query
+// minGroupSlots is the least number of slots that a group has. Every query
 // asks each group once.
-func (s *Scenario) weakestGroupSlots() int {
+func (s *Scenario) minGroupSlots() int {
 	least := 0
 	for index, group := range s.Service.Groups {
 		slots := 0
@@ -136,8 +136,8 @@
 	return least
 }
 
-// slots is the number of slots of the whole service.
-func (s *Scenario) slots() int {
+// totalSlots is the number of slots of the whole service.
+func (s *Scenario) totalSlots() int {
 	slots := 0
 	for _, group := range s.Service.Groups {
 		for _, server := range group.Servers {
--- a/lab/experiment/cluster/server.go
+++ b/lab/experiment/cluster/server.go
@@ -12,21 +12,21 @@
 
 // server is one simulated replica: slots, a bounded first-come queue, then shed.
 type server struct {
-	index       int
-	id          string
-	group       int
-	replica     int
-	slots       int
-	queueLimit  int
-	connections int
-	connected   int
-	owned       coverage.Range
-	lost        bool
-	draining    bool
-	lying       bool
-	running     []*attempt
-	queue       []*attempt
-	report      delayedLoad
+	index           int
+	id              string
+	group           int
+	replica         int
+	slots           int
+	queueLimit      int
+	connectionLimit int
+	openConnections int
+	ownedRange      coverage.Range
+	crashed         bool
+	draining        bool
+	reportsNoLoad   bool
+	running         []*attempt
+	queue           []*attempt
+	report          delayedLoad
 }
 
 // delayedLoad holds the last two samples of a load, so that a reader gets one
@@ -34,12 +34,12 @@
 type delayedLoad struct {
 	sampledAt time.Duration
 	sampled   dispatch.Load
-	told      dispatch.Load
+	reported  dispatch.Load
 }
 
 // load is what the server tells of itself.
 func (s *server) load(now, lag time.Duration) dispatch.Load {
-	if s.lying {
+	if s.reportsNoLoad {
 		return dispatch.Load{}
 	}
 	current := dispatch.Load{InFlight: len(s.running), Queued: len(s.queue)}
@@ -47,21 +47,21 @@
 		return current
 	}
 	if now-s.report.sampledAt >= lag {
-		s.report.told = s.report.sampled
+		s.report.reported = s.report.sampled
 		s.report.sampled = current
 		s.report.sampledAt = now
 	}
-	return s.report.told
+	return s.report.reported
 }
 
-// refusal is the status with which the server turns down an attempt, if it does.
-func (s *server) refusal(wanted *attempt) (dispatch.ReplyStatus, bool) {
+// rejectionStatus is the status with which the server turns down an attempt, if it does.
+func (s *server) rejectionStatus(requested *attempt) (dispatch.ReplyStatus, bool) {
 	switch {
 	case s.draining:
 		return dispatch.ReplyDraining, true
-	case wanted.send.Snapshot != firstSnapshot:
+	case requested.send.Snapshot != firstSnapshot:
 		return dispatch.ReplyUnknownSnapshot, true
-	case !s.owned.Contains(wanted.send.Range):
+	case !s.ownedRange.Contains(requested.send.Range):
 		return dispatch.ReplyNotOwner, true
 	case len(s.running) >= s.slots && len(s.queue) >= s.queueLimit:
 		return dispatch.ReplyShed, true
@@ -70,9 +70,9 @@
 }
 
 // remove takes an attempt out of a list and tells whether it was there.
-func remove(list []*attempt, gone *attempt) ([]*attempt, bool) {
+func remove(list []*attempt, removed *attempt) ([]*attempt, bool) {
 	for index, listed := range list {
-		if listed == gone {
+		if listed == removed {
 			return append(list[:index], list[index+1:]...), true
 		}
 	}
@@ -83,7 +83,7 @@
 type attemptState uint8
 
 const (
-	attemptOnTheWay attemptState = iota
+	attemptInTransit attemptState = iota
 	attemptQueued
 	attemptRunning
 	attemptEnded
@@ -121,12 +121,12 @@
 		return
 	}
 	target := arrived.server
-	if target.lost {
+	if target.crashed {
 		arrived.state = attemptEnded
 		r.fail(arrived, dispatch.NotDelivered, "connection refused")
 		return
 	}
-	if status, refused := target.refusal(arrived); refused {
+	if status, refused := target.rejectionStatus(arrived); refused {
 		arrived.state = attemptEnded
 		r.reply(arrived, status)
 		return
@@ -149,10 +149,10 @@
 
 // startQueued fills the free slots of a server. Work whose deadline has passed
 // is turned down without being run.
-func (r *run) startQueued(free *server) {
-	for len(free.running) < free.slots && len(free.queue) > 0 {
-		next := free.queue[0]
-		free.queue = free.queue[1:]
+func (r *run) startQueued(idle *server) {
+	for len(idle.running) < idle.slots && len(idle.queue) > 0 {
+		next := idle.queue[0]
+		idle.queue = idle.queue[1:]
 		if r.now >= next.deadline {
 			next.state = attemptEnded
 			r.reply(next, dispatch.ReplyShed)
@@ -182,8 +182,8 @@
 // cancelAtServer ends an attempt whose connection the node has closed.
 func (r *run) cancelAtServer(cancelled *attempt) {
 	target := cancelled.server
-	if target.connected > 0 {
-		target.connected--
+	if target.openConnections > 0 {
+		target.openConnections--
 	}
 	switch cancelled.state {
 	case attemptQueued:
@@ -207,15 +207,15 @@
 	if status == dispatch.ReplyShed {
 		reply.RetryAfter = r.scenario.ServiceTime.Mean
 	}
-	r.toNode(answered, dispatch.AttemptReplied{Attempt: answered.send.Attempt, Reply: reply})
+	r.sendToNode(answered, dispatch.AttemptReplied{Attempt: answered.send.Attempt, Reply: reply})
 }
 
 func (r *run) fail(failed *attempt, delivery dispatch.Delivery, reason string) {
-	r.toNode(failed, dispatch.AttemptFailed{Attempt: failed.send.Attempt, Delivery: delivery, Reason: reason})
+	r.sendToNode(failed, dispatch.AttemptFailed{Attempt: failed.send.Attempt, Delivery: delivery, Reason: reason})
 }
 
-// toNode carries an event from a server to the node that sent the attempt.
-func (r *run) toNode(about *attempt, event dispatch.Event) {
+// sendToNode carries an event from a server to the node that sent the attempt.
+func (r *run) sendToNode(about *attempt, event dispatch.Event) {
 	at := r.now + r.delay(about.query.id, about.server, reverse)
 	r.events.push(entry{at: at, kind: kindNodeEvent, index: about.node.index, attempt: about, event: event})
 }
