--- a/discovery/atomic_test.go
+++ b/discovery/atomic_test.go
@@ -66,8 +66,8 @@
 	follower := discovery.NewFollower(discovery.FollowerOptions{
 		Source: source, Self: "node", Logger: zerolog.Nop(), PollInterval: time.Millisecond,
 		View: discovery.Options{OutageAfter: time.Nanosecond, RemovalGrace: 20 * time.Millisecond},
-		OnChanged: func(news discovery.ClusterState) {
-			has := slices.ContainsFunc(news.Servers, func(s discovery.Server) bool { return s.ID == "lapses" })
+		OnChanged: func(state discovery.ClusterState) {
+			has := slices.ContainsFunc(state.Servers, func(s discovery.Server) bool { return s.ID == "lapses" })
 			if had && !has {
 				close(source.removalDelivered)
 				<-release
--- a/discovery/cluster_test.go
+++ b/discovery/cluster_test.go
@@ -259,10 +259,10 @@
 		Source: w.sources[number], Self: id, Fetcher: nodeFetcher{w.network, id}, Logger: zerolog.Nop(),
 		PollInterval: time.Duration(0.6 * float64(cmp.Or(w.bound, 3*time.Second))), LapseTime: w.entryTTL,
 		Seeds: w.seeds, SeedTimeout: seedTime,
-		OnChanged: func(news discovery.ClusterState) {
+		OnChanged: func(state discovery.ClusterState) {
 			w.mutex.Lock()
 			defer w.mutex.Unlock()
-			w.states[number] = news
+			w.states[number] = state
 		},
 	})
 	w.network.mutex.Lock()
@@ -283,12 +283,12 @@
 	w.registry.mutex.Unlock()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for number, news := range w.states {
+	for number, state := range w.states {
 		got := make(map[string]discovery.Server)
-		for _, server := range news.Servers {
+		for _, server := range state.Servers {
 			got[server.ID] = server
 		}
-		if !reflect.DeepEqual(got, want) || news.Table == nil || news.Table.Version != version {
+		if !reflect.DeepEqual(got, want) || state.Table == nil || state.Table.Version != version {
 			t.Fatalf("%s: node %d has %d servers, or other contents than the registry, want %d", when, number, len(got), len(want))
 		}
 	}
--- a/discovery/epoch_test.go
+++ b/discovery/epoch_test.go
@@ -189,11 +189,11 @@
 			Nodes: func() []discovery.Node {
 				return []discovery.Node{{ID: "self"}, {ID: "a", Peer: "a", Capacity: 2}, {ID: "b", Peer: "b", Capacity: 2}}
 			},
-			OnChanged: func(news discovery.ClusterState) {
+			OnChanged: func(state discovery.ClusterState) {
 				mutex.Lock()
 				defer mutex.Unlock()
 				used = nil
-				for _, s := range news.Servers {
+				for _, s := range state.Servers {
 					used = append(used, s.ID)
 				}
 			},
--- a/discovery/faults_test.go
+++ b/discovery/faults_test.go
@@ -114,9 +114,9 @@
 	t.Helper()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for number, news := range w.states {
-		if counts(number) && news.Table.Version < version {
-			t.Errorf("node %d has table %d, want %d", number, news.Table.Version, version)
+	for number, state := range w.states {
+		if counts(number) && state.Table.Version < version {
+			t.Errorf("node %d has table %d, want %d", number, state.Table.Version, version)
 		}
 	}
 }
@@ -170,5 +170,5 @@
 func (w *testCluster) allHaveTable(version uint64) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return !slices.ContainsFunc(w.states, func(news discovery.ClusterState) bool { return news.Table.Version < version })
+	return !slices.ContainsFunc(w.states, func(state discovery.ClusterState) bool { return state.Table.Version < version })
 }
--- a/discovery/follower.go
+++ b/discovery/follower.go
@@ -409,9 +409,9 @@
 		f.history.add(f.published, published)
 		f.published = published
 	}
-	news := ClusterState{Servers: f.view.Servers(), Nodes: f.view.Nodes(), Table: f.table, Directives: directives}
+	state := ClusterState{Servers: f.view.Servers(), Nodes: f.view.Nodes(), Table: f.table, Directives: directives}
 	f.mutex.Unlock()
-	f.options.OnChanged(news)
+	f.options.OnChanged(state)
 	return changed
 }
 
--- a/discovery/listing_test.go
+++ b/discovery/listing_test.go
@@ -33,7 +33,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var last discovery.ClusterState
 		follower := discovery.NewFollower(discovery.FollowerOptions{
-			Source: invalidEntrySource{}, Logger: zerolog.Nop(), OnChanged: func(news discovery.ClusterState) { last = news },
+			Source: invalidEntrySource{}, Logger: zerolog.Nop(), OnChanged: func(state discovery.ClusterState) { last = state },
 		})
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 		defer stop()
--- a/discovery/rejection_test.go
+++ b/discovery/rejection_test.go
@@ -82,12 +82,12 @@
 	t.Helper()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for number, news := range w.states {
+	for number, state := range w.states {
 		bound := servedBound
 		if rejection(w.sources[number].rejection.Load()) != rejectsNothing {
 			bound = rejectedBound
 		}
-		for _, server := range news.Servers {
+		for _, server := range state.Servers {
 			at, gone := left[server.ID]
 			if gone && server.State == discovery.Ready && time.Since(at) > bound {
 				t.Errorf("%s: node %d still uses %s %s after it left", when, number, server.ID, time.Since(at))
--- a/quarantine/evidence.go
+++ b/quarantine/evidence.go
@@ -89,7 +89,7 @@
 
 // addCrash records a crash and reports whether it is new evidence. If the list is full, a crash
 // with Alone set replaces one without it.
-func (t *Tracker) addCrash(now time.Duration, s *suspect, crash Crash) (news bool) {
+func (t *Tracker) addCrash(now time.Duration, s *suspect, crash Crash) (isNew bool) {
 	alone, known := s.crashes[crash.ServerIncarnation]
 	if crash.Alone && !alone {
 		if s.aloneCrashes == 0 || now-s.lastAloneAt > reviewPeriod {
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -192,12 +192,12 @@
 					crashes[fingerprint] = make(map[int]bool)
 				}
 				crash := quarantine.Crash{ServerIncarnation: quarantine.Incarnation(server + 1), Alone: kind > 5}
-				news := crash.Alone && !crashes[fingerprint][server]
+				isNew := crash.Alone && !crashes[fingerprint][server]
 				crashes[fingerprint][server] = crashes[fingerprint][server] || crash.Alone
-				if at, was := lastAlone[fingerprint]; news && (!was || now-at > reviewPeriod) {
+				if at, was := lastAlone[fingerprint]; isNew && (!was || now-at > reviewPeriod) {
 					moments[fingerprint]++
 				}
-				if news {
+				if isNew {
 					lastAlone[fingerprint] = now
 				}
 				if kind%2 == 0 {
--- a/routing/quarantine.go
+++ b/routing/quarantine.go
@@ -12,13 +12,13 @@
 
 // fingerprintOf returns the fingerprint of a request's content; ok is false if the request is
 // excluded from crash tracking.
-func (r *Router) fingerprintOf(spec *Request) (content quarantine.Fingerprint, ok bool) {
+func (r *Router) fingerprintOf(spec *Request) (fingerprint quarantine.Fingerprint, ok bool) {
 	if spec.Content == nil || !r.enabled(mechanism.Quarantine) {
-		return content, false
+		return fingerprint, false
 	}
-	content = spec.Content()
-	spec.Content = func() quarantine.Fingerprint { return content }
-	return content, true
+	fingerprint = spec.Content()
+	spec.Content = func() quarantine.Fingerprint { return fingerprint }
+	return fingerprint, true
 }
 
 // quarantineStatus returns whether a new request may be sent, and how long a review of its content
@@ -30,11 +30,11 @@
 	if r.trackerDueAt > 0 && r.now >= r.trackerDueAt {
 		r.tickTracker(r.trackerDueAt)
 	}
-	content, ok := r.fingerprintOf(spec)
+	fingerprint, ok := r.fingerprintOf(spec)
 	if !ok {
 		return quarantine.Clear, 0
 	}
-	return r.tracker.Status(r.now, content)
+	return r.tracker.Status(r.now, fingerprint)
 }
 
 // rejectSuspect rejects a request that crashes servers. If its content is quarantined, the
@@ -52,13 +52,13 @@
 // recordCrash records that a server crashed during an attempt. The request is given up if its
 // content is then under review.
 func (r *Router) recordCrash(a *attempt, q *request) {
-	content, ok := r.fingerprintOf(&q.asked)
+	fingerprint, ok := r.fingerprintOf(&q.asked)
 	if !ok {
 		return
 	}
 	crash := quarantine.Crash{ServerIncarnation: quarantine.IncarnationOf(a.server.Incarnation().String()), Alone: a.Alone}
-	r.publish(r.tracker.ServerCrashed(r.now, content, crash))
-	if r.tracker.IsProven(content) {
+	r.publish(r.tracker.ServerCrashed(r.now, fingerprint, crash))
+	if r.tracker.IsProven(fingerprint) {
 		q.query.Abort(r.now, gather.ReasonCrashesServers)
 	}
 }
@@ -69,14 +69,14 @@
 	if !q.query.IsCrashSuspect() {
 		return
 	}
-	content, ok := r.fingerprintOf(&q.asked)
+	fingerprint, ok := r.fingerprintOf(&q.asked)
 	if !ok {
 		return
 	}
 	if q.query.CrashedAllServers() {
-		r.publish(r.tracker.CrashedAllServers(r.now, content))
+		r.publish(r.tracker.CrashedAllServers(r.now, fingerprint))
 	} else {
-		r.publish(r.tracker.AwaitFanOut(r.now, content))
+		r.publish(r.tracker.AwaitFanOut(r.now, fingerprint))
 	}
 }
 
@@ -105,8 +105,8 @@
 	if r.tracker.IsEmpty() || status != gather.ReplyDone && status != gather.ReplyError {
 		return
 	}
-	if content, ok := r.fingerprintOf(&q.asked); ok {
-		r.publish(r.tracker.Answered(content))
+	if fingerprint, ok := r.fingerprintOf(&q.asked); ok {
+		r.publish(r.tracker.Answered(fingerprint))
 	}
 }
 
@@ -122,14 +122,14 @@
 
 // applyQuarantineStatus applies a changed status of a content to the in-flight requests with that
 // content.
-func (r *Router) applyQuarantineStatus(content quarantine.Fingerprint) {
-	status, _ := r.tracker.Status(r.now, content)
+func (r *Router) applyQuarantineStatus(fingerprint quarantine.Fingerprint) {
+	status, _ := r.tracker.Status(r.now, fingerprint)
 	if status == quarantine.Clear {
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.requests)) {
 		q := r.requests[id]
-		if own, ok := r.fingerprintOf(&q.asked); !ok || own != content {
+		if own, ok := r.fingerprintOf(&q.asked); !ok || own != fingerprint {
 			continue
 		}
 		if status == quarantine.Quarantined {
--- a/routing/quarantine_test.go
+++ b/routing/quarantine_test.go
@@ -53,8 +53,8 @@
 func TestSuspectedRequestIsSentAloneAndCleared(t *testing.T) {
 	h := newShardedHarness(t, routing.Options{Seed: 1})
 	r := fanOut(1, fiveShards...)
-	content := quarantine.FingerprintOf("GET", "host", "/suspected", nil)
-	h.step(routing.FindingReceived{Finding: quarantine.Finding{Content: content, Crashes: []quarantine.Crash{{ServerIncarnation: 7}}}})
+	fingerprint := quarantine.FingerprintOf("GET", "host", "/suspected", nil)
+	h.step(routing.FindingReceived{Finding: quarantine.Finding{Content: fingerprint, Crashes: []quarantine.Crash{{ServerIncarnation: 7}}}})
 	id := h.submitTarget(r, "/suspected")
 	if open := h.inFlight(id); len(open) != 1 {
 		t.Fatalf("%d sends of a suspected request, want 1", len(open))
@@ -157,11 +157,11 @@
 
 // A quarantine recorded in the registry must apply as soon as it is known; when the record is
 // removed, the content remains suspected.
-func TestRecordedContentsAreRejected(t *testing.T) {
+func TestRecordedFingerprintsAreRejected(t *testing.T) {
 	h := newShardedHarness(t, routing.Options{Seed: 1})
 	r := single("s1", true)
-	content := quarantine.FingerprintOf("GET", "host", "/recorded", nil)
-	h.step(routing.QuarantinesChanged{Contents: []quarantine.Fingerprint{content}})
+	fingerprint := quarantine.FingerprintOf("GET", "host", "/recorded", nil)
+	h.step(routing.QuarantinesChanged{Contents: []quarantine.Fingerprint{fingerprint}})
 	if got := h.finished[h.submitTarget(r, "/recorded")]; got.Reason != gather.ReasonCrashesServers || got.Sends != 0 {
 		t.Errorf("recorded content: outcome %+v", got)
 	}
