--- a/node/health.go
+++ b/node/health.go
@@ -75,8 +75,8 @@
 	// polled is in exactly one of urgent and budgeted, both ordered by due
 	// time; targets holds all configured servers.
 	targets map[string]*pollTarget
-	// urgent holds the assigned servers, first polls and rechecks, which are
-	// not subject to the budget.
+	// urgent holds the assigned servers, first polls and rechecks, which do not
+	// wait for the budget.
 	urgent   *priority.Queue[*pollTarget]
 	budgeted *priority.Queue[*pollTarget]
 	// assigned holds the IDs of the servers that this node polls on behalf of
--- a/node/health_schedule.go
+++ b/node/health_schedule.go
@@ -52,7 +52,7 @@
 // poll.
 func (t *pollTarget) needsFirstPoll() bool { return !t.polled && t.failures < maxFirstPollFailures }
 
-// urgent reports whether the target is exempt from the budget.
+// urgent reports whether the target is polled without waiting for the budget.
 func (t *pollTarget) urgent() bool { return t.isAssigned || t.recheckRequested || t.needsFirstPoll() }
 
 // setServers replaces the set of servers to poll.
@@ -202,8 +202,9 @@
 	return nil, wait
 }
 
-// startPoll removes a target from its queue for a poll and charges the budget
-// if the poll is subject to it.
+// startPoll removes a target from its queue for a poll. It charges the poll to
+// the budget unless the server is assigned or needs its first poll; a recheck is
+// charged although it does not wait for the budget.
 func (p *poller) startPoll(target *pollTarget, now time.Time) *pollTarget {
 	p.dequeue(target)
 	if !target.isAssigned && !target.needsFirstPoll() {
