--- a/lab/experiment/cluster/arrivals.go
+++ b/lab/experiment/cluster/arrivals.go
@@ -11,8 +11,9 @@
 // classShift separates the class from the number in a query's ID.
 const classShift = 40
 
-// arrivalStream draws the arrivals of one class: a Poisson process at the
-// highest rate of its bursts, thinned to the rate of each moment.
+// arrivalStream generates the arrivals of one class: a Poisson process at the
+// class's maximum rate, thinned to the rate at each time. Rates are in queries per
+// second.
 type arrivalStream struct {
 	class   int
 	maxRate float64
@@ -49,7 +50,8 @@
 	return highest
 }
 
-// burstFactor is the product of the bursts that hold for a class now.
+// burstFactor returns the product of the factors of the bursts that are active for
+// a class at a time.
 func (r *run) burstFactor(class string, now time.Duration) float64 {
 	factor := 1.0
 	for _, burst := range r.scenario.Bursts {
--- a/lab/experiment/cluster/cluster_test.go
+++ b/lab/experiment/cluster/cluster_test.go
@@ -65,15 +65,15 @@
 	for _, chosen := range []Policy{banksail(), naive()} {
 		first, second := Run(scenario(), chosen, 1, nil), Run(scenario(), chosen, 1, nil)
 		if !reflect.DeepEqual(first, second) {
-			t.Errorf("%s: two runs of one seed differ", chosen.Name)
+			t.Errorf("%s: two runs with the same seed differ", chosen.Name)
 		}
 		if reflect.DeepEqual(first, Run(scenario(), chosen, 2, nil)) {
-			t.Errorf("%s: two seeds give the same run", chosen.Name)
+			t.Errorf("%s: runs with different seeds are identical", chosen.Name)
 		}
 	}
 }
 
-// latencies gives each complete answer's latency in a run.
+// latencies returns the latency of each complete answer in a run.
 func latencies(chosen Policy, simulated *Scenario) map[dispatch.QueryID]time.Duration {
 	arrived, took := map[dispatch.QueryID]time.Duration{}, map[dispatch.QueryID]time.Duration{}
 	Run(simulated, chosen, 3, func(_ int, now time.Duration, event dispatch.Event, actions []dispatch.Action) {
@@ -103,11 +103,11 @@
 				}
 				compared++
 				if took < least {
-					t.Errorf("%s: %s answers query %d in %v, the oracle in %v", name, chosen.Name, id, took, least)
+					t.Errorf("%s: %s answered query %d in %v, less than the oracle's %v", name, chosen.Name, id, took, least)
 				}
 			}
 			if compared == 0 {
-				t.Errorf("%s: %s shares no query with the oracle", name, chosen.Name)
+				t.Errorf("%s: no query was answered completely by both %s and the oracle", name, chosen.Name)
 			}
 		}
 	}
@@ -125,7 +125,7 @@
 			}}
 			result := Run(faulty, chosen, 5, nil)
 			if result.Unanswered != 0 || result.InvalidActions != 0 {
-				t.Errorf("%s under %s: %d unanswered, %d faulty actions", chosen.Name, kind, result.Unanswered, result.InvalidActions)
+				t.Errorf("%s under %s: %d unanswered queries, %d invalid actions", chosen.Name, kind, result.Unanswered, result.InvalidActions)
 			}
 			for _, class := range result.Classes {
 				refused := 0
@@ -144,7 +144,7 @@
 	light := scenario()
 	light.Duration = 20 * time.Second
 	if got := Run(light, naive(), 1, nil).UsefulThroughput(); math.Abs(got-light.Load) > 0.03 {
-		t.Errorf("useful throughput %.3f at a load of %.3f", got, light.Load)
+		t.Errorf("useful throughput %.3f, want %.3f, the offered load", got, light.Load)
 	}
 }
 
@@ -157,11 +157,11 @@
 			sum += distribution.Quantile((float64(index) + 0.5) / samples)
 		}
 		if mean := sum / samples; mean < 990*time.Microsecond || mean > 1010*time.Microsecond {
-			t.Errorf("%s: mean %v, want 1ms", name, mean)
+			t.Errorf("%s: mean %v, want 1ms within 1%%", name, mean)
 		}
 	}
 	if err := (Distribution{Name: "uniform"}).Validate(); err == nil {
-		t.Error("an unknown distribution is valid")
+		t.Error("Validate accepted an unknown distribution")
 	}
 }
 
@@ -179,7 +179,7 @@
 			}
 		})
 		if (shed > 0) != wanted || deepest > 8 {
-			t.Errorf("load %v: %d shed, a queue of %d", load, shed, deepest)
+			t.Errorf("load %v: %d attempts shed, maximum queue length %d", load, shed, deepest)
 		}
 	}
 }
--- a/lab/experiment/cluster/delays.go
+++ b/lab/experiment/cluster/delays.go
@@ -7,7 +7,7 @@
 	"github.com/banksail/banksail/dispatch"
 )
 
-// direction of a message between a node and a server.
+// direction is the direction of a message between a node and a server.
 type direction uint64
 
 const (
@@ -15,7 +15,7 @@
 	reverse
 )
 
-// delay is how long a message about a query takes, one way.
+// delay returns the one-way network delay of a message that belongs to a query.
 func (r *run) delay(id dispatch.QueryID, target *server, way direction) time.Duration {
 	network := r.scenario.Network
 	if network.JitterShare == 0 {
@@ -25,8 +25,8 @@
 	return time.Duration(float64(network.Delay) * (1 + network.JitterShare*(2*uniform-1)))
 }
 
-// serviceTime is how long a server works on a part of a query. It depends on
-// nothing that a policy decides.
+// serviceTime returns the execution time of one part of a query at a server. It
+// does not depend on the decisions of a policy.
 func (r *run) serviceTime(queried *query, part coverage.Range, target *server) time.Duration {
 	uniform := draw(r.seed, streamService, uint64(queried.id), part.Start, uint64(target.index))
 	took := float64(r.scenario.ServiceTime.Quantile(uniform))
--- a/lab/experiment/cluster/distribution.go
+++ b/lab/experiment/cluster/distribution.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// ErrUnknownDistribution is returned for a distribution that has no such name.
+// ErrUnknownDistribution is returned for a distribution with an unknown name.
 var ErrUnknownDistribution = errors.New("cluster: unknown distribution")
 
 // Names of service-time distributions.
@@ -24,20 +24,21 @@
 	paretoCapMultiple = 200
 )
 
-// Distribution gives the time that a server needs for a sub-request.
+// Distribution is the distribution of a sub-request's service time.
 type Distribution struct {
-	// Name is one of the named distributions.
+	// Name is Constant, Exponential, LogNormal or Pareto.
 	Name string
 	// Mean is the mean service time.
 	Mean time.Duration
-	// Sigma is the log-normal distribution's spread; 1 when zero.
+	// Sigma is the standard deviation of the logarithm for LogNormal; zero
+	// means 1.
 	Sigma float64
-	// Shape is the tail index of the Pareto distribution, which is cut off at
-	// 200 times its least value; 1.5 when zero.
+	// Shape is the tail index for Pareto, which is truncated at 200 times its
+	// minimum; zero means 1.5.
 	Shape float64
 }
 
-// Validate returns ErrUnknownDistribution for a name that is not known.
+// Validate returns ErrUnknownDistribution if the name is unknown.
 func (d Distribution) Validate() error {
 	switch d.Name {
 	case Constant, Exponential, LogNormal, Pareto:
@@ -46,12 +47,12 @@
 	return fmt.Errorf("%w: %q", ErrUnknownDistribution, d.Name)
 }
 
-// Quantile is the service time at probability p, in [0, 1).
+// Quantile returns the service time at probability p, in [0, 1).
 func (d Distribution) Quantile(p float64) time.Duration {
 	return time.Duration(d.unitQuantile(p) * float64(d.Mean))
 }
 
-// unitQuantile is the quantile of the distribution scaled to mean 1.
+// unitQuantile returns the quantile of the distribution scaled to mean 1.
 func (d Distribution) unitQuantile(p float64) float64 {
 	switch d.Name {
 	case Exponential:
@@ -67,7 +68,7 @@
 	}
 }
 
-// boundedPareto is the quantile of a Pareto distribution on [low, 200*low]
+// boundedPareto returns the quantile of a Pareto distribution on [low, 200*low]
 // whose mean is 1.
 func boundedPareto(shape, p float64) float64 {
 	tail := math.Pow(paretoCapMultiple, -shape)
--- a/lab/experiment/cluster/draw.go
+++ b/lab/experiment/cluster/draw.go
@@ -1,6 +1,7 @@
 package cluster
 
-// stream separates the random draws of one purpose from those of another.
+// stream identifies the purpose of a random draw, so that draws for different
+// purposes are independent.
 type stream uint64
 
 const (
@@ -12,9 +13,9 @@
 	streamConfiguration
 )
 
-// draw is a uniform number in [0, 1) that depends only on its arguments. Draws
-// are hashes and not a sequence, so that policies which act in different order
-// still meet the same arrivals and service times.
+// draw returns a uniform number in [0, 1) that depends only on its arguments. Draws
+// are hashes rather than a sequence, so that policies that act in a different
+// order still get the same arrivals and service times.
 func draw(seed uint64, purpose stream, a, b, c uint64) float64 {
 	state := mix(seed ^ mix(uint64(purpose)))
 	state = mix(state ^ a)
--- a/lab/experiment/cluster/fault.go
+++ b/lab/experiment/cluster/fault.go
@@ -2,32 +2,35 @@
 
 import "time"
 
-// FaultKind names what goes wrong.
+// FaultKind is the kind of an injected fault.
 type FaultKind string
 
 // Kinds of faults.
 const (
-	// FaultSlow multiplies service times by Factor. It holds for queries that
-	// arrive while it lasts, so that no policy gains by waiting for its end.
+	// FaultSlow multiplies service times by Factor. It applies to queries that
+	// arrive during the fault, so that no policy gains by waiting for its end.
 	FaultSlow FaultKind = "slow"
-	// FaultCrash stops servers: work in flight is lost, connections are refused.
+	// FaultCrash stops servers: in-flight work is lost and connections are
+	// refused until the fault ends.
 	FaultCrash FaultKind = "lost"
-	// FaultDrain makes servers leave: they answer draining to new work. After
-	// the fault's end they are back.
+	// FaultDrain drains servers: they reply to new work that they are draining.
+	// When the fault ends they accept work again.
 	FaultDrain FaultKind = "drain"
-	// FaultColdStart makes servers start anew: their connections are closed and
-	// service times fall from Factor to 1 until the end of the fault.
+	// FaultColdStart restarts servers: their idle connections are closed, and the
+	// multiplier of service times falls linearly from Factor to 1 during the
+	// fault.
 	FaultColdStart FaultKind = "cold-start"
-	// FaultFalseLoad makes servers report that they have no load.
+	// FaultFalseLoad makes servers report zero load.
 	FaultFalseLoad FaultKind = "lying-load"
-	// FaultRepartition moves half of a group's key range to the next group.
+	// FaultRepartition moves the upper half of a group's key range to the next
+	// group.
 	FaultRepartition FaultKind = "repartition"
 )
 
-// AnyReplica makes a fault hold for each replica of a group.
+// AnyReplica as Fault.Replica applies a fault to all replicas of a group.
 const AnyReplica = -1
 
-// Fault is something that goes wrong for a while.
+// Fault is a fault that is active from Start until End.
 type Fault struct {
 	Kind FaultKind
 	// Group is the index of the group.
@@ -36,9 +39,9 @@
 	Replica int
 	Start   time.Duration
 	End     time.Duration
-	// Factor multiplies service times, for the kinds that do.
+	// Factor multiplies service times for FaultSlow and FaultColdStart.
 	Factor float64
-	// DetectionLag is how long membership needs to tell the nodes.
+	// DetectionLag is the maximum delay until a node learns of the change.
 	DetectionLag time.Duration
 }
 
@@ -48,7 +51,8 @@
 	return f.Group == group && (f.Replica == AnyReplica || f.Replica == replica)
 }
 
-// slowdown multiplies the service times at a server for queries that arrive now.
+// slowdown returns the multiplier of an affected server's service times for queries
+// that arrive at a time.
 func (f Fault) slowdown(now time.Duration) float64 {
 	if !f.isActive(now) {
 		return 1
--- a/lab/experiment/cluster/fault_run.go
+++ b/lab/experiment/cluster/fault_run.go
@@ -23,7 +23,8 @@
 	}
 }
 
-// applyFault starts or ends what a fault does besides slowing service.
+// applyFault starts or ends the effects of a fault other than longer service times,
+// which Fault.slowdown gives.
 func (r *run) applyFault(index int, ends bool) {
 	fault := r.scenario.Faults[index]
 	if fault.Kind == FaultRepartition {
@@ -57,7 +58,8 @@
 	return state
 }
 
-// setCrashed stops a server or starts it again. What it was working on is lost.
+// setCrashed stops a server or starts it again. Stopping it loses its running and
+// queued attempts.
 func (r *run) setCrashed(target *server, lost bool, lag time.Duration) {
 	target.crashed = lost
 	if lost {
@@ -81,7 +83,8 @@
 	}
 }
 
-// announceState tells every node a server's state, each within the lag.
+// announceState sends a server's state to every node, each after a random delay of
+// at most lag.
 func (r *run) announceState(target *server, state dispatch.ServerState, lag time.Duration) {
 	for _, notified := range r.nodes {
 		uniform := draw(r.seed, streamConfiguration, uint64(notified.index), uint64(target.index), uint64(r.now))
@@ -90,9 +93,9 @@
 	}
 }
 
-// repartition moves the upper half of a group's range to the next group. The
-// giving servers answer for the old range until the fault ends; the nodes learn
-// of the change within the detection lag.
+// repartition moves the upper half of a group's range to the next group. The source
+// group's servers answer for the old range until the fault ends; the nodes get the
+// new configuration within the detection lag.
 func (r *run) repartition(fault Fault, ends bool) {
 	if fault.Group+1 >= len(r.scenario.Service.Groups) {
 		return
--- a/lab/experiment/cluster/node.go
+++ b/lab/experiment/cluster/node.go
@@ -6,21 +6,23 @@
 	"github.com/banksail/banksail/dispatch"
 )
 
-// node is one simulated node: a machine and its connections.
+// node is one simulated node: a dispatcher and its connections.
 type node struct {
 	index      int
 	dispatcher Dispatcher
-	// timerGeneration tells the latest SetTimer from those that it replaced.
+	// timerGeneration identifies the latest SetTimer; timers of earlier
+	// generations are ignored.
 	timerGeneration uint64
 	attempts        map[dispatch.AttemptID]*attempt
-	// idleConnections holds, per server, when each idle connection was last used; the
-	// latest is last.
+	// idleConnections holds, per server, the time of the last use of each idle
+	// connection, most recently used last.
 	idleConnections [][]time.Duration
-	// openingSpares counts, per server, the spare connections that are being opened.
+	// openingSpares counts, per server, the spare connections being opened.
 	openingSpares []int
 }
 
-// step drives the node's machine with one event and carries out its actions.
+// step passes one event to the node's dispatcher and executes the actions that it
+// returns.
 func (r *run) step(at *node, event dispatch.Event) {
 	actions := at.dispatcher.Step(r.now, event)
 	if r.observe != nil {
@@ -64,7 +66,8 @@
 	r.events.push(entry{at: sent.writtenAt + delay, kind: kindDeliver, attempt: sent})
 }
 
-// connect takes an idle connection or opens one. It fails at the server's limit.
+// connect takes an idle connection or opens a new one and returns the time that
+// this takes. It returns false if the server's connection limit is reached.
 func (r *run) connect(from *node, target *server) (time.Duration, bool) {
 	if r.unlimited {
 		return 0, true
@@ -87,7 +90,8 @@
 	return r.scenario.Network.ConnectTime, true
 }
 
-// openSpares opens connections in advance, while the server accepts them.
+// openSpares opens spare connections in advance until the node has
+// Network.SpareConnections of them or the server's connection limit is reached.
 func (r *run) openSpares(from *node, target *server) {
 	for len(from.idleConnections[target.index])+from.openingSpares[target.index] < r.scenario.Network.SpareConnections {
 		if target.openConnections >= target.connectionLimit || target.crashed {
@@ -100,7 +104,8 @@
 	}
 }
 
-// addSpare makes a spare connection usable.
+// addSpare adds an opened spare connection to the idle ones, unless the server has
+// crashed meanwhile.
 func (r *run) addSpare(at *node, target *server) {
 	at.openingSpares[target.index]--
 	if target.crashed {
@@ -110,7 +115,8 @@
 	at.idleConnections[target.index] = append(at.idleConnections[target.index], r.now)
 }
 
-// cancelAttempt closes the attempt's connection.
+// cancelAttempt closes the attempt's connection. The node gets a failure event at
+// once, the server ends the attempt after the network delay.
 func (r *run) cancelAttempt(from *node, id dispatch.AttemptID) {
 	cancelled := from.attempts[id]
 	if cancelled == nil || cancelled.closed {
@@ -129,7 +135,7 @@
 	r.events.push(entry{at: at, kind: kindCancel, attempt: cancelled})
 }
 
-// receive gives a node an event; one about a closed attempt is dropped.
+// receive passes an event to its node. Events about closed attempts are dropped.
 func (r *run) receive(planned entry) {
 	at := r.nodes[planned.index]
 	about := planned.attempt
@@ -148,7 +154,7 @@
 	r.step(at, planned.event)
 }
 
-// finish takes a query's final answer.
+// finish records a query's final answer.
 func (r *run) finish(final dispatch.Finish) {
 	answered := r.queries[final.Query]
 	if answered == nil {
--- a/lab/experiment/cluster/queue.go
+++ b/lab/experiment/cluster/queue.go
@@ -7,7 +7,7 @@
 	"github.com/banksail/banksail/dispatch"
 )
 
-// entryKind tells what an entry of the event queue does.
+// entryKind is the kind of an entry of the event queue.
 type entryKind uint8
 
 const (
@@ -22,16 +22,17 @@
 	kindConnected
 )
 
-// entry is one planned event. Entries at the same time run in the order in
-// which they were planned.
+// entry is one scheduled event. Entries with the same time are handled in the order
+// in which they were scheduled.
 type entry struct {
 	at       time.Duration
 	sequence uint64
 	kind     entryKind
-	// index is a class, node, server or fault, by kind.
+	// index is the index of a class, node, server or fault, depending on kind.
 	index int
-	// number is an arrival's number within its class, a wake's generation,
-	// whether a fault ends, or the server of a spare connection.
+	// number is, depending on kind, an arrival's number within its class, a
+	// timer's generation, faultStarts or faultEnds, or the index of the server of
+	// a spare connection.
 	number  uint64
 	attempt *attempt
 	event   dispatch.Event
--- a/lab/experiment/cluster/result.go
+++ b/lab/experiment/cluster/result.go
@@ -15,39 +15,40 @@
 	significantDigits = 3
 )
 
-// CoverageBucket is the width of the buckets of coverage against time.
+// CoverageBucket is the bucket width of ClassResult.Timeline.
 const CoverageBucket = 500 * time.Millisecond
 
-// ClassResult measures one class in one run. Latency and coverage are taken
-// over the queries that were not refused.
+// ClassResult holds the measurements of one class in one run. Latency and coverage
+// are those of the queries that were not refused.
 type ClassResult struct {
 	Name string
-	// Latency holds microseconds.
+	// Latency is the latency histogram, in microseconds.
 	Latency *hdrhistogram.Histogram
-	// Arrived counts the queries that came in.
+	// Arrived counts the queries that arrived.
 	Arrived int
-	// Ran counts the queries that were not refused as not run.
+	// Ran counts the queries that were not refused.
 	Ran int
 	// Useful counts the answers with at least the class's minimum coverage.
 	Useful        int
 	coverageSum   float64
 	WorstCoverage float64
-	// Refused counts the queries that were refused as not run, by reason.
+	// Refused counts the queries that were refused without being run, by reason.
 	Refused map[dispatch.Reason]int
-	// Timeline is the coverage by time of arrival, in buckets of CoverageBucket.
+	// Timeline is the coverage by arrival time, in buckets of CoverageBucket. It
+	// includes the warm-up.
 	Timeline        []TimePoint
 	minimumCoverage float64
 	meanWork        time.Duration
 }
 
-// TimePoint sums the coverage of the queries of one bucket. A refused query
-// counts as no coverage.
+// TimePoint is the number of queries in one bucket and the sum of their coverage. A
+// refused query has coverage 0.
 type TimePoint struct {
 	Queries  int
 	Coverage float64
 }
 
-// MeanCoverage is the mean coverage of the queries that ran.
+// MeanCoverage returns the mean coverage of the queries that ran.
 func (c *ClassResult) MeanCoverage() float64 {
 	if c.Ran == 0 {
 		return 0
@@ -55,24 +56,27 @@
 	return c.coverageSum / float64(c.Ran)
 }
 
-// Result measures one run.
+// Result holds the measurements of one run. Queries that arrive during the warm-up
+// are left out unless a field says otherwise.
 type Result struct {
 	Classes []*ClassResult
-	// FirstSends, HedgeSends and RetrySends count sub-requests.
+	// FirstSends, HedgeSends and RetrySends count sub-requests by kind.
 	FirstSends, HedgeSends, RetrySends int
-	// FirstWork and ExtraWork are the times that servers spent on first sends
-	// and on hedges and retries.
+	// FirstWork is the execution time of first sends, ExtraWork that of hedges
+	// and retries.
 	FirstWork, ExtraWork time.Duration
-	// UsefulWork is the part of it that went into answers with at least the
-	// minimum coverage.
+	// UsefulWork is the part of both that contributed to answers with at least
+	// the minimum coverage.
 	UsefulWork time.Duration
-	// AnsweredWork is the mean work of the sub-requests in such answers that were
-	// given between the end of the warm-up and that of the arrivals, and Capacity
-	// the time that all slots offered meanwhile. The mean, since a policy that
+	// AnsweredWork sums the mean service times of the sub-requests in such answers
+	// that were given between the end of the warm-up and the end of the arrivals,
+	// whenever their queries arrived. Capacity is the slot time available in that
+	// window. AnsweredWork uses mean instead of actual times because a policy that
 	// picks the quicker of two replies serves more queries with the same work.
 	AnsweredWork, Capacity time.Duration
 	warmup, duration       time.Duration
-	// Unanswered counts queries without a final answer; it should be zero.
+	// Unanswered counts queries without a final answer, the warm-up included; it
+	// should be zero.
 	Unanswered int
 	// InvalidActions counts actions that name unknown queries or servers; it should be zero.
 	InvalidActions int
@@ -100,24 +104,26 @@
 	return result
 }
 
-// ExtraSendShare is hedges and retries over first sends.
+// ExtraSendShare returns hedges and retries divided by first sends.
 func (r *Result) ExtraSendShare() float64 {
 	return share(float64(r.HedgeSends+r.RetrySends), float64(r.FirstSends))
 }
 
-// ExtraWorkShare is the work on hedges and retries over the work on first sends.
+// ExtraWorkShare returns the work on hedges and retries divided by the work on
+// first sends.
 func (r *Result) ExtraWorkShare() float64 {
 	return share(float64(r.ExtraWork), float64(r.FirstWork))
 }
 
-// WastedWorkShare is the part of all work that no useful answer holds.
+// WastedWorkShare returns the share of all work that contributed to no useful
+// answer.
 func (r *Result) WastedWorkShare() float64 {
 	all := float64(r.FirstWork + r.ExtraWork)
 	return share(all-float64(r.UsefulWork), all)
 }
 
-// UsefulThroughput is the mean work of useful answers over the capacity, by the time
-// of the answer: what is answered after the last arrival does not count.
+// UsefulThroughput returns AnsweredWork divided by Capacity. Answers count by the
+// time at which they are given; those after the arrivals end do not count.
 func (r *Result) UsefulThroughput() float64 {
 	return share(float64(r.AnsweredWork), float64(r.Capacity))
 }
@@ -190,7 +196,7 @@
 	}
 }
 
-// workOf is the time that servers spent on the parts of an answer.
+// workOf returns the execution time that servers spent on the parts of an answer.
 func (q *query) workOf(parts []dispatch.Part) time.Duration {
 	work := time.Duration(0)
 	for _, part := range parts {
--- a/lab/experiment/cluster/run.go
+++ b/lab/experiment/cluster/run.go
@@ -8,23 +8,25 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// drainTime is how long a run goes on after the last deadline.
+// drainTime is the time for which a run continues after the last deadline.
 const drainTime = time.Second
 
-// unlimitedSlots stands for no limit on a server's slots.
+// unlimitedSlots is the number of slots of a server under an unlimited policy.
 const unlimitedSlots = 1 << 30
 
-// unreachableLatency is what foresight tells of a server that will not answer.
+// unreachableLatency is the latency that LatencyOracle returns for a server that
+// would not answer.
 const unreachableLatency = time.Hour
 
-// LatencyOracle tells how long a sub-request would take from being sent now until
-// its reply, on a connection that is open, when it need not wait for a slot.
+// LatencyOracle returns the time from sending a sub-request now until its reply,
+// given an open connection and a free slot.
 type LatencyOracle func(id dispatch.QueryID, part coverage.Range, server string) time.Duration
 
-// Observer is told each event that a node's machine got and the actions it gave.
+// Observer is called with each event that a node's dispatcher handled and the
+// actions that it returned.
 type Observer func(node int, now time.Duration, event dispatch.Event, actions []dispatch.Action)
 
-// run is one simulated run.
+// run is the state of one simulation run.
 type run struct {
 	scenario   *Scenario
 	seed       uint64
@@ -40,7 +42,8 @@
 	result     *Result
 }
 
-// Run simulates a scenario under a policy and a seed. The observer may be nil.
+// Run simulates a scenario under a policy with a seed and returns the measurements.
+// The observer may be nil.
 func Run(scenario *Scenario, chosen Policy, seed uint64, observe Observer) *Result {
 	r := &run{
 		scenario:   scenario,
@@ -73,7 +76,8 @@
 	}
 }
 
-// endTime is when the last query must long have had its answer.
+// endTime returns the time at which the run ends: drainTime after the latest
+// possible deadline, when every query must have been answered.
 func (r *run) endTime() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range r.scenario.Classes {
@@ -155,7 +159,8 @@
 	}
 }
 
-// scheduleInitialState tells a node what it learns on its start.
+// scheduleInitialState schedules the events from which a node learns the
+// configuration, the number of nodes and the servers when it starts.
 func (r *run) scheduleInitialState(started *node) {
 	r.scheduleNodeEvent(0, started, r.configuredEvent(1, r.scenario.Service))
 	r.scheduleNodeEvent(0, started, dispatch.NodesChanged{Live: r.scenario.Nodes})
@@ -181,7 +186,7 @@
 	}
 }
 
-// scheduleNodeEvent gives a node an event at a later time.
+// scheduleNodeEvent schedules an event for a node.
 func (r *run) scheduleNodeEvent(at time.Duration, to *node, event dispatch.Event) {
 	r.events.push(entry{at: at, kind: kindNodeEvent, index: to.index, event: event})
 }
--- a/lab/experiment/cluster/server.go
+++ b/lab/experiment/cluster/server.go
@@ -7,10 +7,11 @@
 	"github.com/banksail/banksail/dispatch"
 )
 
-// firstSnapshot is the snapshot that all servers hold.
+// firstSnapshot is the only snapshot that the servers hold.
 const firstSnapshot dispatch.SnapshotID = 1
 
-// server is one simulated replica: slots, a bounded first-come queue, then shed.
+// server is one simulated replica. It runs attempts in its slots, queues further
+// ones in a bounded FIFO queue and sheds the rest.
 type server struct {
 	index           int
 	id              string
@@ -29,15 +30,15 @@
 	report          delayedLoad
 }
 
-// delayedLoad holds the last two samples of a load, so that a reader gets one
-// that is at least the lag old.
+// delayedLoad holds the last two samples of a server's load, so that the reported
+// one is at least Reports.Lag old.
 type delayedLoad struct {
 	sampledAt time.Duration
 	sampled   dispatch.Load
 	reported  dispatch.Load
 }
 
-// load is what the server tells of itself.
+// load returns the load that the server reports.
 func (s *server) load(now, lag time.Duration) dispatch.Load {
 	if s.reportsNoLoad {
 		return dispatch.Load{}
@@ -54,7 +55,8 @@
 	return s.report.reported
 }
 
-// rejectionStatus is the status with which the server turns down an attempt, if it does.
+// rejectionStatus returns the status with which the server rejects an attempt, and
+// false if it accepts it.
 func (s *server) rejectionStatus(requested *attempt) (dispatch.ReplyStatus, bool) {
 	switch {
 	case s.draining:
@@ -69,7 +71,7 @@
 	return 0, false
 }
 
-// remove takes an attempt out of a list and tells whether it was there.
+// remove removes an attempt from a list and reports whether it was in the list.
 func remove(list []*attempt, removed *attempt) ([]*attempt, bool) {
 	for index, listed := range list {
 		if listed == removed {
@@ -79,7 +81,7 @@
 	return list, false
 }
 
-// attemptState is where an attempt is at its server.
+// attemptState is the state of an attempt at its server.
 type attemptState uint8
 
 const (
@@ -96,16 +98,16 @@
 	server *server
 	query  *query
 	state  attemptState
-	// closed says that the node has had its event for the attempt.
+	// closed is set once the node has cancelled the attempt or got its result.
 	closed bool
-	// writtenAt is when the first byte is written, after connecting.
+	// writtenAt is the time at which the first byte is written, after connecting.
 	writtenAt time.Duration
 	deadline  time.Duration
 	startedAt time.Duration
 	executed  time.Duration
 }
 
-// query is what the run remembers of a query that has no final answer yet.
+// query is the state of a query that has no final answer yet.
 type query struct {
 	id        dispatch.QueryID
 	class     int
@@ -114,7 +116,7 @@
 	attempts  []*attempt
 }
 
-// deliver brings an attempt to its server.
+// deliver hands an attempt to its server, which rejects, starts or queues it.
 func (r *run) deliver(arrived *attempt) {
 	if arrived.closed {
 		arrived.state = attemptEnded
@@ -147,8 +149,8 @@
 	r.events.push(entry{at: r.now + took, kind: kindComplete, attempt: next})
 }
 
-// startQueued fills the free slots of a server. Work whose deadline has passed
-// is turned down without being run.
+// startQueued starts queued attempts in the free slots of a server. Attempts whose
+// deadline has passed are shed without being run.
 func (r *run) startQueued(idle *server) {
 	for len(idle.running) < idle.slots && len(idle.queue) > 0 {
 		next := idle.queue[0]
@@ -171,7 +173,7 @@
 	r.startQueued(finished.server)
 }
 
-// endExecution frees the slot of a running attempt and accounts for its work.
+// endExecution frees the slot of a running attempt and records its execution time.
 func (r *run) endExecution(ended *attempt) {
 	ended.state = attemptEnded
 	ended.executed = r.now - ended.startedAt
@@ -214,7 +216,8 @@
 	r.sendToNode(failed, dispatch.AttemptFailed{Attempt: failed.send.Attempt, Delivery: delivery, Reason: reason})
 }
 
-// sendToNode carries an event from a server to the node that sent the attempt.
+// sendToNode schedules an event for the node that sent the attempt, after the
+// network delay from the server.
 func (r *run) sendToNode(about *attempt, event dispatch.Event) {
 	at := r.now + r.delay(about.query.id, about.server, reverse)
 	r.events.push(entry{at: at, kind: kindNodeEvent, index: about.node.index, attempt: about, event: event})
