--- a/directory/directory.go
+++ b/directory/directory.go
@@ -45,7 +45,7 @@
 	// beyond noise (0.635 and 0.629, 0.476 and 0.492, one run each).
 	maxOwnZoneNodes = 4
 	// otherZoneNodes is the number of nodes of other zones that a caller receives in addition. With
-	// one, less is served when the caller's zone is cut off: on a day with two cuts the value of
+	// one, less is served when the caller's zone is isolated: on a day with two partitions the value of
 	// all answers is 0.72 with one node, 0.76 with two and 0.78 with all of the region. On a day of
 	// high load with 1.4 ms between zones, all nodes of the region cost 0.04 of that value, and two
 	// cost 0.006 (one run each).
@@ -151,7 +151,7 @@
 }
 
 // NodesAbleToServe returns the nodes that, as far as is known, can reach the servers, or all nodes
-// if none can. From a zone that is cut off, the nodes of other zones appear to be dead, but they
+// if none can. From an isolated zone, the nodes of other zones appear to be dead, but they
 // are the ones that can serve. If only one other zone is left and appears to be dead, it may as
 // well have lost power, and the nodes of both zones are returned.
 func NodesAbleToServe(nodes []discovery.Node) []discovery.Node {
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -153,7 +153,7 @@
 }
 
 // A caller receives the nodes of its own zone first, followed by one node each of two other zones
-// of its region, drawn anew for each answer.
+// of its region, sampled again for each answer.
 func TestAddressesOfOtherZones(t *testing.T) {
 	var nodes []discovery.Node
 	for _, zone := range []string{"a", "b", "c", "d"} {
--- a/discovery/directive.go
+++ b/discovery/directive.go
@@ -21,8 +21,8 @@
 	RolloutAlarm DirectiveKind = "rollout_alarm"
 	// RolloutRecord is the nodes' progress with such an order.
 	RolloutRecord DirectiveKind = "rollout_record"
-	// QuarantineContent requests that requests with a certain content be rejected because they
-	// crash servers. The registry expires it when the content has not been seen for a while.
+	// QuarantineContent requests that requests with a certain fingerprint be rejected because they
+	// crash servers. The registry expires it when the fingerprint has not been seen for a while.
 	QuarantineContent DirectiveKind = "quarantine_content"
 )
 
--- a/discovery/faults_test.go
+++ b/discovery/faults_test.go
@@ -31,7 +31,7 @@
 	faultRejected nodeFault = iota
 	// faultTimeout: the registry does not answer the node's calls.
 	faultTimeout
-	// faultIsolated: the node is cut off from the registry and from all nodes.
+	// faultIsolated: the node is isolated from the registry and from all nodes.
 	faultIsolated
 	// faultKilled: the node does not answer anything.
 	faultKilled
--- a/discovery/suspension_test.go
+++ b/discovery/suspension_test.go
@@ -33,7 +33,7 @@
 	return s.invalidEntrySource.Changes(ctx, after, wait)
 }
 
-// While a machine is suspended for 10 s its monotonic clock stands still. The age of the view, and of
+// While a machine is suspended for 10 s its monotonic clock stops. The age of the view, and of
 // what the node publishes, must include that time.
 func TestViewAgesWhileMachineIsSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/discovery/view.go
+++ b/discovery/view.go
@@ -78,7 +78,7 @@
 	// used: a live owner has written its entry again by then. Default 2 s.
 	RemovalGrace time.Duration
 	// NodeRemovalGrace is how long removed entries of nodes are still used after an outage,
-	// counted from their removal. It is longer because nodes must register anew first, and
+	// counted from their removal. It is longer because nodes must register again first, and
 	// because no staleness bound depends on it. Default 6 s.
 	NodeRemovalGrace time.Duration
 	// RestoreGrace is how long after the registry was restored from a backup earlier knowledge
--- a/dispatch/feedback.go
+++ b/dispatch/feedback.go
@@ -18,7 +18,7 @@
 	resultCancelled                        // cancelled before a reply arrived
 )
 
-// classifyReply returns the result that a reply stands for.
+// classifyReply returns the result that a reply indicates.
 func classifyReply(a *gather.Attempt, reply Reply) attemptResult {
 	switch reply.Status {
 	case ReplyDone:
--- a/exchange/client.go
+++ b/exchange/client.go
@@ -40,7 +40,7 @@
 	// server announced a shorter keep-alive time; default 20 s.
 	IdleTimeout time.Duration
 	// SurplusIdleTimeout is the idle timeout of connections beyond the number per server
-	// that PruneIdle is told to keep; default 1.5 s. A machine that loses power leaves its
+	// that PruneIdle keeps; default 1.5 s. A machine that loses power leaves its
 	// connections open at the servers, which reduces the number available to other nodes.
 	SurplusIdleTimeout time.Duration
 	// MaxBodyBytes bounds the body of a reply; default 8 MiB.
--- a/extrabudget/extrabudget_test.go
+++ b/extrabudget/extrabudget_test.go
@@ -100,7 +100,7 @@
 			for j := range all {
 				sum += all[j].IntPortion(now, 20, time.Second, seed)
 			}
-			// Two nodes may believe that they have the same index. The safety margin of
+			// Two nodes may conclude that they have the same index. The safety margin of
 			// the total leaves room for them.
 			if sum > nodes {
 				t.Fatalf("seed %d at %s: portions add up to %d of 20", seed, now, sum)
--- a/front/nodes.go
+++ b/front/nodes.go
@@ -17,7 +17,7 @@
 	// nodesUpdateInterval is the minimum time between two updates of the nodes: many nodes change
 	// at once when a zone is lost, and each update sorts all of them.
 	nodesUpdateInterval = 50 * time.Millisecond
-	// joinTimeout is how long a starting node waits for other nodes to tell it about the
+	// joinTimeout is how long a starting node waits for other nodes to send it the
 	// membership. Until then it claims no part of totals that all nodes share.
 	joinTimeout = 2 * time.Second
 	// bootstrapDelay is how long a node must have been a bootstrap node before it writes its
@@ -134,7 +134,7 @@
 func (f *Front) isSelf(n discovery.Node) bool { return n.ID == f.self.ID }
 
 // candidatesWhenIsolated returns the nodes that may serve callers while no other node answers this
-// one. If the registry does not answer either, this node is cut off and the others are probably
+// one. If the registry does not answer either, this node is isolated and the others are probably
 // running: they are no longer suspects. If the view of the registry is fresh, suspects are left
 // out, and callers that ask this node are served by it alone; otherwise they would try nodes that
 // are permanently gone.
--- a/gossip/agent.go
+++ b/gossip/agent.go
@@ -91,7 +91,7 @@
 	return nodes
 }
 
-// Isolated reports whether the node considers itself cut off from all other nodes.
+// Isolated reports whether the node considers itself isolated from all other nodes.
 func (a *Agent) Isolated() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/gossip/detector_test.go
+++ b/gossip/detector_test.go
@@ -163,7 +163,7 @@
 	f.assertConvergence("after the losses")
 }
 
-// A node that is cut off from all others, in one direction or both, rejoins without causing
+// A node that is isolated from all others, in one direction or both, rejoins without causing
 // more than a few of them to refute a suspicion.
 func TestIsolatedNodeCausesNoSuspicions(t *testing.T) {
 	cuts := map[string]func(alone *fleetNode) func(from, to *fleetNode) bool{
@@ -194,7 +194,7 @@
 			f.isCut = cut(alone)
 			f.run(12 * time.Second)
 			if !alone.core.nodes.Isolated(f.now) {
-				t.Error("the node does not report isolation while it is cut off")
+				t.Error("the node does not report isolation while it is isolated")
 			}
 			if !f.allPairs(others, others, isLive) {
 				t.Error("the other nodes do not all see each other as live")
@@ -202,7 +202,7 @@
 			f.isCut = func(_, _ *fleetNode) bool { return false }
 			f.assertConvergence("after the cut")
 			if alone.core.nodes.Isolated(f.now) {
-				t.Error("the node still reports isolation after the cut")
+				t.Error("the node still reports isolation after the partition")
 			}
 			if refuted := incarnations() - before; refuted > 3 {
 				t.Errorf("the other nodes refuted %d suspicions", refuted)
@@ -226,7 +226,7 @@
 	f.assertConvergence("after the cut")
 }
 
-// After any random sequence of joins, restarts at the same address, freezes, one-way cuts,
+// After any random sequence of joins, restarts at the same address, freezes, one-way partitions,
 // packet loss and permanent crashes, the running nodes converge. No undisturbed node ever
 // sees another undisturbed node as gone.
 func TestRandomHistories(t *testing.T) {
@@ -254,7 +254,7 @@
 type randomHistory struct {
 	fleet  *fleet
 	random *rand.Rand
-	// disturbed holds the nodes that were killed, frozen, cut off or added at any time.
+	// disturbed holds the nodes that were killed, frozen, isolated or added at any time.
 	disturbed map[*fleetNode]bool
 	cutOff    map[*fleetNode]bool
 }
--- a/membership/isolation.go
+++ b/membership/isolation.go
@@ -7,7 +7,7 @@
 type heldSuspicion struct{ before Member }
 
 // Isolated reports whether no other node has replied for longer than IsolationTime, so
-// that this node is probably cut off from the members it knows.
+// that this node is probably isolated from the members it knows.
 func (n *Nodes) Isolated(now time.Duration) bool {
 	return n.options.IsolationTime > 0 && len(n.ids) > 0 && now-n.lastReply > n.options.IsolationTime
 }
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -237,7 +237,7 @@
 }
 
 // ListedGone returns the gone members that the machine list still names as live, sorted
-// by ID. This node may merely be cut off from them.
+// by ID. This node may merely be isolated from them.
 func (n *Nodes) ListedGone() []Member {
 	var listed []Member
 	for _, id := range n.ids {
--- a/peer/client.go
+++ b/peer/client.go
@@ -13,7 +13,7 @@
 )
 
 // boundedClient returns a copy of client that reads at most maximumReplyBytes of
-// a response body. A nil client stands for http.DefaultClient.
+// a response body. A nil client selects http.DefaultClient.
 func boundedClient(client *http.Client) *http.Client {
 	if client == nil {
 		client = http.DefaultClient
--- a/peer/forward_server.go
+++ b/peer/forward_server.go
@@ -42,7 +42,7 @@
 }
 
 // forwardSizeLimit returns the maximum size in bytes of a forward message whose
-// body has up to body bytes; zero stands for DefaultForwardBodyBytes.
+// body has up to body bytes; zero selects DefaultForwardBodyBytes.
 func forwardSizeLimit(body int64) int64 {
 	if body == 0 {
 		body = DefaultForwardBodyBytes
--- a/peer/generate.go
+++ b/peer/generate.go
@@ -1,5 +1,5 @@
 // Package peer implements the twirp service through which banksail's own nodes
-// exchange membership, configurations, claims, forwarded sub-requests and news of
+// exchange membership, configurations, claims, forwarded sub-requests and the state of
 // back-end servers.
 package peer
 
--- a/peer/options.go
+++ b/peer/options.go
@@ -82,7 +82,7 @@
 	// the wall-clock time in milliseconds, so that it increases with each start.
 	Self membership.Member
 	// HTTPClient sends requests to peers; its transport determines how to dial.
-	// Nil stands for http.DefaultClient.
+	// Nil selects http.DefaultClient.
 	HTTPClient *http.Client
 	// MachineList is the source of the machine list; nil for none.
 	MachineList machinelist.Conn
--- a/routing/event.go
+++ b/routing/event.go
@@ -28,7 +28,7 @@
 	Elapsed time.Duration
 	// ReturnTime is the estimated time for the answer to travel back to the caller.
 	ReturnTime time.Duration
-	// Content returns the fingerprint of the request's content. It is called at most once, and
+	// Content returns the fingerprint of the request. It is called at most once, and
 	// only if needed. A nil function excludes the request from crash tracking.
 	Content func() quarantine.Fingerprint
 }
--- a/routing/outages_test.go
+++ b/routing/outages_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// Guards against a retry storm: eight nodes lacked the same shards after their servers had ended,
-// and each told callers to retry elsewhere in 10 ms (1,233 times in one day). If no other node is
+// Guards against a retry storm: eight nodes lacked the same shards after their servers had crashed,
+// and each directed callers to retry elsewhere in 10 ms (1,233 times in one day). If no other node is
 // known to serve, the retry delay must follow the expected end of the outage, as learned from
 // earlier outages, with jitter and no longer than the caller waits.
 func TestRetryAfterFollowsExpectedOutageDuration(t *testing.T) {
--- a/routing/quarantine.go
+++ b/routing/quarantine.go
@@ -10,7 +10,7 @@
 	"github.com/banksail/banksail/quarantine"
 )
 
-// fingerprintOf returns the fingerprint of a request's content; ok is false if the request is
+// fingerprintOf returns the fingerprint of a request; ok is false if the request is
 // excluded from crash tracking.
 func (r *Router) fingerprintOf(spec *Request) (fingerprint quarantine.Fingerprint, ok bool) {
 	if spec.Content == nil || !r.enabled(mechanism.Quarantine) {
@@ -21,8 +21,8 @@
 	return fingerprint, true
 }
 
-// quarantineStatus returns whether a new request may be sent, and how long a review of its content
-// still lasts.
+// quarantineStatus returns whether a new request may be sent, and how long a review of its
+// fingerprint still lasts.
 func (r *Router) quarantineStatus(spec *Request) (status quarantine.Status, left time.Duration) {
 	if r.tracker.IsEmpty() {
 		return quarantine.Clear, 0
@@ -37,7 +37,7 @@
 	return r.tracker.Status(r.now, fingerprint)
 }
 
-// rejectSuspect rejects a request that crashes servers. If its content is quarantined, the
+// rejectSuspect rejects a request that crashes servers. If its fingerprint is quarantined, the
 // rejection is final, with no retry time, because the request has been executed before. If it is
 // under review, the caller may retry at the end of the review.
 func (r *Router) rejectSuspect(spec Request, status quarantine.Status, left time.Duration) {
@@ -49,8 +49,8 @@
 	r.emit(Finish{Request: spec.ID, Outcome: outcome})
 }
 
-// recordCrash records that a server crashed during an attempt. The request is given up if its
-// content is then under review.
+// recordCrash records that a server crashed during an attempt. The request is aborted if its
+// fingerprint is then under review.
 func (r *Router) recordCrash(a *attempt, q *request) {
 	fingerprint, ok := r.fingerprintOf(&q.asked)
 	if !ok {
@@ -63,7 +63,7 @@
 	}
 }
 
-// publishCrashes publishes the content of a request that has crashed several servers in
+// publishCrashes publishes the fingerprint of a request that has crashed several servers in
 // succession, unless a server has answered it.
 func (r *Router) publishCrashes(q *request) {
 	if !q.query.IsCrashSuspect() {
@@ -120,8 +120,8 @@
 	}
 }
 
-// applyQuarantineStatus applies a changed status of a content to the in-flight requests with that
-// content.
+// applyQuarantineStatus applies a changed status of a fingerprint to the in-flight requests with
+// that fingerprint.
 func (r *Router) applyQuarantineStatus(fingerprint quarantine.Fingerprint) {
 	status, _ := r.tracker.Status(r.now, fingerprint)
 	if status == quarantine.Clear {
@@ -166,7 +166,7 @@
 	}
 }
 
-// tickTracker quarantines contents whose review has ended.
+// tickTracker quarantines fingerprints whose review has ended.
 func (r *Router) tickTracker(due time.Duration) {
 	if due == r.trackerDueAt {
 		r.trackerDueAt = 0
@@ -178,8 +178,8 @@
 	r.scheduleTracker()
 }
 
-// QuarantineCounts returns the number of quarantined contents and the number of contents with
-// evidence against them.
+// QuarantineCounts returns the number of quarantined fingerprints and the number of fingerprints
+// with evidence against them.
 func (r *Router) QuarantineCounts() (quarantines, suspects int) {
 	return r.tracker.QuarantineCount(), r.tracker.SuspectCount()
 }
--- a/routing/quarantine_test.go
+++ b/routing/quarantine_test.go
@@ -75,7 +75,7 @@
 var tenShards = []string{"s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9", "s10"}
 
 // Guards against late findings on fan-outs. A fan-out crashed one replica of each shard within 0.1
-// s, and requests of the same content that reached other nodes 50 to 120 ms after the first crash
+// s, and requests with the same fingerprint that reached other nodes 50 to 120 ms after the first crash
 // crashed the other replicas: 35 of 41 servers that crashed in one day did so under the first two
 // attempts (34 to 124 ms after they were sent), before the finding was sent to all nodes. The
 // third crash without an answer must be published to all nodes immediately.
@@ -156,7 +156,7 @@
 }
 
 // A quarantine recorded in the registry must apply as soon as it is known; when the record is
-// removed, the content remains suspected.
+// removed, the fingerprint remains suspected.
 func TestRecordedFingerprintsAreRejected(t *testing.T) {
 	h := newShardedHarness(t, routing.Options{Seed: 1})
 	r := single("s1", true)
--- a/routing/request.go
+++ b/routing/request.go
@@ -23,7 +23,7 @@
 	finished     bool
 	// isRetry is set if this is probably a retry by the caller, who may not try again.
 	isRetry bool
-	// crashSuspect is set if servers crashed while executing requests of the same content.
+	// crashSuspect is set if servers crashed while executing requests with the same fingerprint.
 	crashSuspect bool
 	lastFailure  any // last error reply of a server
 	timerAt      time.Duration
--- a/serverstate/estimate.go
+++ b/serverstate/estimate.go
@@ -10,7 +10,7 @@
 	// NormalSlowness is the slowness of a server that answers with the typical latency.
 	NormalSlowness = 1.0
 	// MaxSlowness caps the slowness of a single answer, so that a pause of the server is soon
-	// forgotten. It also stands for a failure.
+	// forgotten. It is also the slowness of a failed attempt.
 	MaxSlowness = 12.0
 	// SuspectSlowness is the slowness from which a server is only probed.
 	SuspectSlowness = 2.5
