--- a/discovery/directive.go
+++ b/discovery/directive.go
@@ -21,9 +21,9 @@
 	RolloutAlarm DirectiveKind = "rollout_alarm"
 	// RolloutRecord is the nodes' progress with such an order.
 	RolloutRecord DirectiveKind = "rollout_record"
-	// QuarantineContent requests that requests with a certain fingerprint be rejected because they
+	// QuarantineFingerprint requests that requests with a certain fingerprint be rejected because they
 	// crash servers. The registry expires it when the fingerprint has not been seen for a while.
-	QuarantineContent DirectiveKind = "quarantine_content"
+	QuarantineFingerprint DirectiveKind = "quarantine_content"
 )
 
 // IsRollout reports whether directives of this kind belong to roll-outs.
@@ -85,7 +85,7 @@
 
 // writtenByNodes reports whether nodes write directives of this kind, and write them again after
 // the registry has lost them.
-func (k DirectiveKind) writtenByNodes() bool { return k == RolloutRecord || k == QuarantineContent }
+func (k DirectiveKind) writtenByNodes() bool { return k == RolloutRecord || k == QuarantineFingerprint }
 
 // EvacuatedZones returns the zones that are evacuated, sorted.
 func EvacuatedZones(directives []Directive) []string {
--- a/front/quarantines.go
+++ b/front/quarantines.go
@@ -175,7 +175,7 @@
 func (q *quarantineManager) update(directives []discovery.Directive) {
 	recorded := make(map[quarantine.Fingerprint]quarantineRecord)
 	for _, directive := range directives {
-		if directive.Kind != discovery.QuarantineContent {
+		if directive.Kind != discovery.QuarantineFingerprint {
 			continue
 		}
 		fingerprint, err := quarantine.ParseFingerprint(directive.Subject)
--- a/gossip/detector_test.go
+++ b/gossip/detector_test.go
@@ -166,7 +166,7 @@
 // A node that is isolated from all others, in one direction or both, rejoins without causing
 // more than a few of them to refute a suspicion.
 func TestIsolatedNodeCausesNoSuspicions(t *testing.T) {
-	cuts := map[string]func(alone *fleetNode) func(from, to *fleetNode) bool{
+	isolations := map[string]func(alone *fleetNode) func(from, to *fleetNode) bool{
 		"both ways": func(alone *fleetNode) func(from, to *fleetNode) bool {
 			return func(from, to *fleetNode) bool { return from == alone || to == alone }
 		},
@@ -177,7 +177,7 @@
 			return func(_, to *fleetNode) bool { return to == alone }
 		},
 	}
-	for name, cut := range cuts {
+	for name, cut := range isolations {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 64, 5)
 			f.waitForJoin(convergenceTimeout)
