--- a/discovery/cluster_test.go
+++ b/discovery/cluster_test.go
@@ -257,7 +257,7 @@
 	follower := discovery.NewFollower(discovery.FollowerOptions{
 		Nodes: nodes, Seed: uint64(number),
 		Source: w.sources[number], Self: id, Fetcher: nodeFetcher{w.network, id}, Logger: zerolog.Nop(),
-		PollInterval: time.Duration(0.6 * float64(cmp.Or(w.bound, 3*time.Second))), LapseTime: w.entryTTL,
+		PollInterval: time.Duration(0.6 * float64(cmp.Or(w.bound, 3*time.Second))), EntryTTL: w.entryTTL,
 		Seeds: w.seeds, SeedTimeout: seedTime,
 		OnChanged: func(state discovery.ClusterState) {
 			w.mutex.Lock()
--- a/discovery/follower.go
+++ b/discovery/follower.go
@@ -32,11 +32,11 @@
 	// The view lags the registry by at most this time, and by twice as much after one failed
 	// read. The interval is stretched so that all nodes together stay within ReadsPerSecond.
 	PollInterval time.Duration
-	// LapseTime is how long an owner may fail to renew its entry before it expires; zero is
+	// EntryTTL is how long an owner may fail to renew its entry before it expires; zero is
 	// unknown. After that long without contact the registry may itself have been unavailable,
 	// so entries removed in the meantime are retained. The limit for this is never more than
 	// twice PollInterval, which is also its default.
-	LapseTime time.Duration
+	EntryTTL time.Duration
 	// ReadsPerSecond is the total read rate of all nodes together; default 1,000.
 	ReadsPerSecond float64
 	// LongPollTimeout is how long the registry may hold a read until something changes.
@@ -126,7 +126,7 @@
 	invalidLogPeriod = 10 * time.Second
 )
 
-// expirySlack is added to LapseTime for the default RestoreGrace: within it a node has learned that
+// expirySlack is added to EntryTTL for the default RestoreGrace: within it a node has learned that
 // an entry from the registry's backup expired.
 const expirySlack = time.Second
 
@@ -192,10 +192,10 @@
 	if options.OnAdopted == nil {
 		options.OnAdopted = func(time.Duration) {}
 	}
-	if options.LapseTime > 0 {
-		options.View.RestoreGrace = cmp.Or(options.View.RestoreGrace, options.LapseTime+expirySlack)
+	if options.EntryTTL > 0 {
+		options.View.RestoreGrace = cmp.Or(options.View.RestoreGrace, options.EntryTTL+expirySlack)
 	}
-	options.View.OutageAfter = cmp.Or(options.View.OutageAfter, min(2*options.PollInterval, cmp.Or(options.LapseTime, 2*options.PollInterval)))
+	options.View.OutageAfter = cmp.Or(options.View.OutageAfter, min(2*options.PollInterval, cmp.Or(options.EntryTTL, 2*options.PollInterval)))
 	return &Follower{
 		options:       options,
 		invalidLogger: options.Logger.Sample(&zerolog.BurstSampler{Burst: invalidLogBurst, Period: invalidLogPeriod}),
--- a/front/node.go
+++ b/front/node.go
@@ -242,7 +242,7 @@
 		OnChanged:      f.applyClusterState,
 		OnAdopted:      newAdoptionMeter(shortestBound(settings), registry, options.Logger).observe,
 		PollInterval:   time.Duration(float64(shortestBound(settings)) * pollShare),
-		LapseTime:      settings.LapseTime,
+		EntryTTL:       settings.EntryTTL,
 		ReadsPerSecond: settings.ReadsPerSecond * followerReadShare,
 	})
 	entry := f.self
--- a/front/settings.go
+++ b/front/settings.go
@@ -16,9 +16,9 @@
 	Capacity float64
 	// FirstStart is set if no node has ever run before.
 	FirstStart bool
-	// LapseTime is how long a server may stay silent before its registry entry expires; zero means
+	// EntryTTL is how long a server may send no heartbeat before its registry entry expires; zero means
 	// unknown.
-	LapseTime time.Duration
+	EntryTTL time.Duration
 	// Callers and Readiness are the listen addresses for callers and for readiness checks.
 	// Directory, for callers' address look-ups, Metrics and Peer, for other nodes, are optional.
 	Callers, Readiness, Directory, Metrics, Peer string
--- a/gossip/detector_test.go
+++ b/gossip/detector_test.go
@@ -177,7 +177,7 @@
 			return func(_, to *fleetNode) bool { return to == alone }
 		},
 	}
-	for name, cut := range isolations {
+	for name, isolation := range isolations {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 64, 5)
 			f.waitForJoin(convergenceTimeout)
@@ -191,7 +191,7 @@
 				return sum
 			}
 			before := incarnations()
-			f.isCut = cut(alone)
+			f.isCut = isolation(alone)
 			f.run(12 * time.Second)
 			if !alone.core.nodes.Isolated(f.now) {
 				t.Error("the node does not report isolation while it is isolated")
@@ -256,7 +256,7 @@
 	random *rand.Rand
 	// disturbed holds the nodes that were killed, frozen, isolated or added at any time.
 	disturbed map[*fleetNode]bool
-	cutOff    map[*fleetNode]bool
+	isolated  map[*fleetNode]bool
 }
 
 // step applies a random fault. At least two thirds of the initial nodes stay undisturbed.
@@ -282,9 +282,9 @@
 		h.disturbed[added] = true
 		f.start(added)
 	case 5:
-		h.cutOff = map[*fleetNode]bool{n: true}
+		h.isolated = map[*fleetNode]bool{n: true}
 		inward := h.random.IntN(2) == 0
-		f.isCut = func(from, to *fleetNode) bool { return h.cutOff[to] && inward || h.cutOff[from] && !inward }
+		f.isCut = func(from, to *fleetNode) bool { return h.isolated[to] && inward || h.isolated[from] && !inward }
 	}
 }
 
