--- a/lab/experiment/baseline/baseline.go
+++ b/lab/experiment/baseline/baseline.go
@@ -15,14 +15,14 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// mostAttempts bounds the servers that a part is sent to.
-const mostAttempts = 2
+// maxAttempts bounds the servers that a part is sent to.
+const maxAttempts = 2
 
 // onlySnapshot is the snapshot that the baselines ask for.
 const onlySnapshot dispatch.SnapshotID = 1
 
-// refusalWait is what refused callers are told to wait.
-const refusalWait = time.Second
+// refusalRetryAfter is what refused callers are told to wait.
+const refusalRetryAfter = time.Second
 
 // LatencyOracle tells how long a sub-request would take from being sent now until
 // its reply.
@@ -46,41 +46,41 @@
 
 // Dispatcher is a baseline.
 type Dispatcher struct {
-	options  Options
-	now      time.Duration
-	actions  []dispatch.Action
-	service  policy.Service
-	known    bool
-	classes  map[string]policy.Class
-	next     []int
-	inFlight map[string]int
-	gone     map[string]bool
-	queries  map[dispatch.QueryID]*query
-	attempts map[dispatch.AttemptID]*attempt
-	last     dispatch.AttemptID
-	waiting  []*query
-	timers   timers
-	wakeAt   time.Duration
+	options      Options
+	now          time.Duration
+	actions      []dispatch.Action
+	service      policy.Service
+	isConfigured bool
+	classes      map[string]policy.Class
+	nextServer   []int
+	inFlight     map[string]int
+	unavailable  map[string]bool
+	queries      map[dispatch.QueryID]*query
+	attempts     map[dispatch.AttemptID]*attempt
+	lastAttempt  dispatch.AttemptID
+	queue        []*query
+	timers       timerQueue
+	timerAt      time.Duration
 }
 
 type query struct {
 	dispatch.Query
-	class    policy.Class
-	arrived  time.Duration
-	deadline time.Duration
-	parts    []*part
-	open     int
+	class     policy.Class
+	arrived   time.Duration
+	deadline  time.Duration
+	parts     []*part
+	openParts int
 }
 
 type part struct {
-	group  policy.Group
-	tried  int
-	first  int
-	asked  []string
-	active []dispatch.AttemptID
-	server string
-	done   bool
-	closed bool
+	group           policy.Group
+	attemptCount    int
+	firstServer     int
+	triedServers    []string
+	pendingAttempts []dispatch.AttemptID
+	server          string
+	answered        bool
+	closed          bool
 }
 
 type attempt struct {
@@ -92,12 +92,12 @@
 // New returns a baseline.
 func New(options Options) *Dispatcher {
 	return &Dispatcher{
-		options:  options,
-		classes:  make(map[string]policy.Class),
-		inFlight: make(map[string]int),
-		gone:     make(map[string]bool),
-		queries:  make(map[dispatch.QueryID]*query),
-		attempts: make(map[dispatch.AttemptID]*attempt),
+		options:     options,
+		classes:     make(map[string]policy.Class),
+		inFlight:    make(map[string]int),
+		unavailable: make(map[string]bool),
+		queries:     make(map[dispatch.QueryID]*query),
+		attempts:    make(map[dispatch.AttemptID]*attempt),
 	}
 }
 
@@ -107,45 +107,45 @@
 	m.actions = nil
 	switch typed := event.(type) {
 	case dispatch.QueryArrived:
-		m.arrive(typed.Query)
+		m.handleArrival(typed.Query)
 	case dispatch.AttemptReplied:
-		m.replied(typed)
+		m.handleReply(typed)
 	case dispatch.AttemptFailed:
-		m.failed(typed)
+		m.handleFailure(typed)
 	case dispatch.Configured:
 		m.configure(typed)
 	case dispatch.ServerChanged:
-		m.gone[typed.Server] = typed.State == dispatch.ServerLeaving || typed.State == dispatch.ServerGone
+		m.unavailable[typed.Server] = typed.State == dispatch.ServerLeaving || typed.State == dispatch.ServerGone
 	case dispatch.TimerFired:
-		m.wakeAt = 0
+		m.timerAt = 0
 	}
-	m.expire()
-	m.admitWaiting()
-	m.wake()
+	m.fireTimers()
+	m.startQueued()
+	m.updateTimer()
 	return m.actions
 }
 
 func (m *Dispatcher) emit(action dispatch.Action) { m.actions = append(m.actions, action) }
 
 func (m *Dispatcher) configure(event dispatch.Configured) {
-	m.known = true
+	m.isConfigured = true
 	m.service = event.Service
-	m.next = make([]int, len(event.Service.Groups))
-	for index := range m.next {
-		m.next[index] = m.options.FirstServer
+	m.nextServer = make([]int, len(event.Service.Groups))
+	for index := range m.nextServer {
+		m.nextServer[index] = m.options.FirstServer
 	}
 	for _, class := range event.Classes {
 		m.classes[class.Name] = class
 	}
 }
 
-func (m *Dispatcher) arrive(asked dispatch.Query) {
-	class, known := m.classes[asked.Class]
-	if !m.known || !known {
-		m.refuse(asked.ID, dispatch.ReasonNoConfiguration)
+func (m *Dispatcher) handleArrival(requested dispatch.Query) {
+	class, known := m.classes[requested.Class]
+	if !m.isConfigured || !known {
+		m.refuse(requested.ID, dispatch.ReasonNoConfiguration)
 		return
 	}
-	arrived := &query{Query: asked, class: class, arrived: m.now, deadline: m.now + asked.Remaining}
+	arrived := &query{Query: requested, class: class, arrived: m.now, deadline: m.now + requested.Remaining}
 	if m.options.InFlightLimit == 0 {
 		m.start(arrived)
 		return
@@ -155,71 +155,71 @@
 
 func (m *Dispatcher) start(started *query) {
 	m.queries[started.ID] = started
-	started.open = len(m.service.Groups)
+	started.openParts = len(m.service.Groups)
 	m.addTimer(timer{at: started.deadline, query: started})
 	for index, group := range m.service.Groups {
-		first := m.next[index]
-		m.next[index]++
-		started.parts = append(started.parts, &part{group: group, first: first})
+		firstServer := m.nextServer[index]
+		m.nextServer[index]++
+		started.parts = append(started.parts, &part{group: group, firstServer: firstServer})
 	}
-	for _, piece := range started.parts {
-		m.send(started, piece, dispatch.FirstSend)
+	for _, current := range started.parts {
+		m.send(started, current, dispatch.FirstSend)
 		if m.options.HedgeDelay > 0 && started.Repeatable {
-			m.addTimer(timer{at: m.now + m.options.HedgeDelay, query: started, part: piece})
+			m.addTimer(timer{at: m.now + m.options.HedgeDelay, query: started, part: current})
 		}
 	}
 }
 
 // send asks the next server for a part; it tells whether there was one.
-func (m *Dispatcher) send(asking *query, piece *part, kind dispatch.SendKind) bool {
-	server, ok := m.choose(asking, piece)
+func (m *Dispatcher) send(requesting *query, current *part, kind dispatch.SendKind) bool {
+	server, ok := m.chooseServer(requesting, current)
 	if !ok {
 		return false
 	}
-	m.last++
-	m.attempts[m.last] = &attempt{query: asking, part: piece, server: server.ID}
-	piece.asked = append(piece.asked, server.ID)
-	piece.active = append(piece.active, m.last)
+	m.lastAttempt++
+	m.attempts[m.lastAttempt] = &attempt{query: requesting, part: current, server: server.ID}
+	current.triedServers = append(current.triedServers, server.ID)
+	current.pendingAttempts = append(current.pendingAttempts, m.lastAttempt)
 	m.inFlight[server.ID]++
 	m.emit(dispatch.Send{
-		Attempt:   m.last,
-		Query:     asking.ID,
+		Attempt:   m.lastAttempt,
+		Query:     requesting.ID,
 		Server:    server.ID,
 		Address:   server.Address,
-		Range:     piece.group.Range,
+		Range:     current.group.Range,
 		Snapshot:  onlySnapshot,
-		Remaining: asking.deadline - m.now,
+		Remaining: requesting.deadline - m.now,
 		Kind:      kind,
 	})
 	return true
 }
 
-// choose picks the server by round robin, or the one that answers first, of
+// chooseServer picks the server by round robin, or the one that answers first, of
 // those that were not asked.
-func (m *Dispatcher) choose(asking *query, piece *part) (policy.Server, bool) {
-	if piece.tried >= mostAttempts {
+func (m *Dispatcher) chooseServer(requesting *query, current *part) (policy.Server, bool) {
+	if current.attemptCount >= maxAttempts {
 		return policy.Server{}, false
 	}
 	var best policy.Server
 	bestTime := time.Duration(-1)
-	count := len(piece.group.Servers)
+	count := len(current.group.Servers)
 	for offset := range count {
-		candidate := piece.group.Servers[(piece.first+offset)%count]
-		if m.gone[candidate.ID] || contains(piece.asked, candidate.ID) || m.full(candidate.ID) {
+		candidate := current.group.Servers[(current.firstServer+offset)%count]
+		if m.unavailable[candidate.ID] || contains(current.triedServers, candidate.ID) || m.atLimit(candidate.ID) {
 			continue
 		}
-		takes := time.Duration(0)
+		latency := time.Duration(0)
 		if m.options.LatencyOracle != nil {
-			takes = m.options.LatencyOracle(asking.ID, piece.group.Range, candidate.ID)
+			latency = m.options.LatencyOracle(requesting.ID, current.group.Range, candidate.ID)
 		}
-		if bestTime < 0 || takes < bestTime {
-			best, bestTime = candidate, takes
+		if bestTime < 0 || latency < bestTime {
+			best, bestTime = candidate, latency
 		}
 	}
 	if bestTime < 0 {
 		return policy.Server{}, false
 	}
-	piece.tried++
+	current.attemptCount++
 	return best, true
 }
 
--- a/lab/experiment/baseline/waiting.go
+++ b/lab/experiment/baseline/waiting.go
@@ -10,50 +10,50 @@
 
 // enqueue puts a query behind those of its class and of classes before it.
 func (m *Dispatcher) enqueue(arrived *query) {
-	if len(m.waiting) >= m.options.QueueLimit {
+	if len(m.queue) >= m.options.QueueLimit {
 		m.refuse(arrived.ID, dispatch.ReasonQueueFull)
 		return
 	}
-	position := sort.Search(len(m.waiting), func(index int) bool {
-		return m.waiting[index].class.Order > arrived.class.Order
+	position := sort.Search(len(m.queue), func(index int) bool {
+		return m.queue[index].class.Order > arrived.class.Order
 	})
-	m.waiting = append(m.waiting, nil)
-	copy(m.waiting[position+1:], m.waiting[position:])
-	m.waiting[position] = arrived
+	m.queue = append(m.queue, nil)
+	copy(m.queue[position+1:], m.queue[position:])
+	m.queue[position] = arrived
 	m.addTimer(timer{at: arrived.arrived + arrived.class.LongestWait.Duration(), query: arrived})
 }
 
-// admitWaiting starts queued queries while each group has a server below its limit.
-func (m *Dispatcher) admitWaiting() {
-	for len(m.waiting) > 0 && m.roomInEachGroup() {
-		next := m.waiting[0]
-		m.waiting = m.waiting[1:]
+// startQueued starts queued queries while each group has a server below its limit.
+func (m *Dispatcher) startQueued() {
+	for len(m.queue) > 0 && m.canStart() {
+		next := m.queue[0]
+		m.queue = m.queue[1:]
 		m.start(next)
 	}
 }
 
-func (m *Dispatcher) roomInEachGroup() bool {
+func (m *Dispatcher) canStart() bool {
 	for _, group := range m.service.Groups {
-		room := false
+		available := false
 		for _, server := range group.Servers {
-			room = room || !m.gone[server.ID] && !m.full(server.ID)
+			available = available || !m.unavailable[server.ID] && !m.atLimit(server.ID)
 		}
-		if !room {
+		if !available {
 			return false
 		}
 	}
 	return true
 }
 
-func (m *Dispatcher) full(server string) bool {
+func (m *Dispatcher) atLimit(server string) bool {
 	return m.options.InFlightLimit > 0 && m.inFlight[server] >= m.options.InFlightLimit
 }
 
-// leaveQueue refuses a query that has waited too long; it tells whether it waited.
-func (m *Dispatcher) leaveQueue(late *query) bool {
-	for index, waiting := range m.waiting {
+// refuseQueued refuses a query that has waited too long; it tells whether it waited.
+func (m *Dispatcher) refuseQueued(late *query) bool {
+	for index, waiting := range m.queue {
 		if waiting == late {
-			m.waiting = append(m.waiting[:index], m.waiting[index+1:]...)
+			m.queue = append(m.queue[:index], m.queue[index+1:]...)
 			m.refuse(late.ID, dispatch.ReasonQueueWait)
 			return true
 		}
@@ -69,27 +69,27 @@
 	part     *part
 }
 
-type timers struct {
+type timerQueue struct {
 	heap     []timer
 	sequence int
 }
 
-func (t timers) Len() int { return len(t.heap) }
+func (t timerQueue) Len() int { return len(t.heap) }
 
-func (t timers) Less(i, j int) bool {
+func (t timerQueue) Less(i, j int) bool {
 	if t.heap[i].at != t.heap[j].at {
 		return t.heap[i].at < t.heap[j].at
 	}
 	return t.heap[i].sequence < t.heap[j].sequence
 }
 
-func (t timers) Swap(i, j int) { t.heap[i], t.heap[j] = t.heap[j], t.heap[i] }
+func (t timerQueue) Swap(i, j int) { t.heap[i], t.heap[j] = t.heap[j], t.heap[i] }
 
 // Push implements heap.Interface.
-func (t *timers) Push(value any) { t.heap = append(t.heap, value.(timer)) }
+func (t *timerQueue) Push(value any) { t.heap = append(t.heap, value.(timer)) }
 
 // Pop implements heap.Interface.
-func (t *timers) Pop() any {
+func (t *timerQueue) Pop() any {
 	last := t.heap[len(t.heap)-1]
 	t.heap = t.heap[:len(t.heap)-1]
 	return last
@@ -101,7 +101,7 @@
 	heap.Push(&m.timers, added)
 }
 
-func (m *Dispatcher) expire() {
+func (m *Dispatcher) fireTimers() {
 	for m.timers.Len() > 0 && m.timers.heap[0].at <= m.now {
 		due := heap.Pop(&m.timers).(timer)
 		switch {
@@ -110,31 +110,31 @@
 		case m.queries[due.query.ID] == due.query && m.now >= due.query.deadline:
 			m.finish(due.query, dispatch.ReasonDeadline)
 		default:
-			m.leaveQueue(due.query)
+			m.refuseQueued(due.query)
 		}
 	}
 }
 
-func (m *Dispatcher) wake() {
-	for m.timers.Len() > 0 && m.settled(m.timers.heap[0]) {
+func (m *Dispatcher) updateTimer() {
+	for m.timers.Len() > 0 && m.isObsolete(m.timers.heap[0]) {
 		heap.Pop(&m.timers)
 	}
-	if m.timers.Len() == 0 || m.timers.heap[0].at == m.wakeAt {
+	if m.timers.Len() == 0 || m.timers.heap[0].at == m.timerAt {
 		return
 	}
-	m.wakeAt = m.timers.heap[0].at
-	m.emit(dispatch.SetTimer{At: m.wakeAt})
+	m.timerAt = m.timers.heap[0].at
+	m.emit(dispatch.SetTimer{At: m.timerAt})
 }
 
-// settled tells whether a timer has nothing left to do.
-func (m *Dispatcher) settled(planned timer) bool {
+// isObsolete tells whether a timer has nothing left to do.
+func (m *Dispatcher) isObsolete(planned timer) bool {
 	if planned.part != nil {
 		return planned.part.closed || m.queries[planned.query.ID] != planned.query
 	}
 	if m.queries[planned.query.ID] == planned.query {
 		return false
 	}
-	for _, waiting := range m.waiting {
+	for _, waiting := range m.queue {
 		if waiting == planned.query {
 			return false
 		}
