--- a/lab/experiment/baseline/baseline.go
+++ b/lab/experiment/baseline/baseline.go
@@ -1,10 +1,11 @@
-// Package baseline holds simple policies to compare the dispatcher with. Each
-// decides through the same method as dispatch.Dispatcher, on the same events.
+// Package baseline provides simple policies with which dispatch.Dispatcher is
+// compared. Each handles the same events through the same Step method.
 //
-// naive sends each part round robin and waits for all. fixed-hedge also sends a
-// part again when it is not answered after a fixed delay. strict-priority limits
-// what each node has in flight at a server and queues the rest in strict order
-// of class. oracle knows each service time.
+// The naive policy sends each part to a server chosen by round robin and waits for
+// all parts. The fixed-hedge policy also hedges a part that is not answered within
+// a fixed delay. The strict-priority policy limits the sub-requests that each node
+// has in flight at a server and queues further queries in strict order of class.
+// The oracle policy knows each latency in advance and sends to the fastest server.
 package baseline
 
 import (
@@ -15,36 +16,39 @@
 	"github.com/banksail/banksail/policy"
 )
 
-// maxAttempts bounds the servers that a part is sent to.
+// maxAttempts is the maximum number of servers to which a part is sent.
 const maxAttempts = 2
 
-// onlySnapshot is the snapshot that the baselines ask for.
+// onlySnapshot is the snapshot that the baselines request.
 const onlySnapshot dispatch.SnapshotID = 1
 
-// refusalRetryAfter is what refused callers are told to wait.
+// refusalRetryAfter is the retry delay that refused callers get.
 const refusalRetryAfter = time.Second
 
-// LatencyOracle tells how long a sub-request would take from being sent now until
-// its reply.
+// LatencyOracle returns the time from sending a sub-request now until its reply.
 type LatencyOracle func(id dispatch.QueryID, part coverage.Range, server string) time.Duration
 
-// Options configures a Dispatcher. The zero value is naive.
+// Options configures a Dispatcher. The zero value gives the naive policy.
 type Options struct {
-	// HedgeDelay sends a part again when it was not answered for so long; zero
-	// means never.
+	// HedgeDelay is the time after which an unanswered part of a repeatable query
+	// is hedged; zero disables hedges.
 	HedgeDelay time.Duration
-	// InFlightLimit bounds what the node has in flight at a server; zero means
-	// no limit. Queries beyond it queue in strict order of class.
+	// InFlightLimit is the maximum number of sub-requests that the node has in
+	// flight at a server; zero means no limit. Queries that cannot start within
+	// the limit are queued in strict order of class.
 	InFlightLimit int
-	// QueueLimit bounds the queue; more are refused.
+	// QueueLimit is the maximum length of the queue; further queries are refused.
 	QueueLimit int
-	// LatencyOracle makes the machine ask the server that will answer first.
+	// LatencyOracle, if set, makes the dispatcher choose the server that will
+	// answer first.
 	LatencyOracle LatencyOracle
-	// FirstServer is where round robin starts, so that nodes differ.
+	// FirstServer is the offset at which round robin starts in each group, so that
+	// nodes start at different servers.
 	FirstServer int
 }
 
-// Dispatcher is a baseline.
+// Dispatcher makes the decisions of a baseline policy at one node. It implements
+// cluster.Dispatcher and is not safe for concurrent use.
 type Dispatcher struct {
 	options      Options
 	now          time.Duration
@@ -89,7 +93,7 @@
 	server string
 }
 
-// New returns a baseline.
+// New returns a Dispatcher. It refuses queries until a Configured event arrives.
 func New(options Options) *Dispatcher {
 	return &Dispatcher{
 		options:     options,
@@ -101,7 +105,7 @@
 	}
 }
 
-// Step takes one event and returns the actions to carry out.
+// Step handles one event and returns the actions to execute.
 func (m *Dispatcher) Step(now time.Duration, event dispatch.Event) []dispatch.Action {
 	m.now = now
 	m.actions = nil
@@ -170,7 +174,7 @@
 	}
 }
 
-// send asks the next server for a part; it tells whether there was one.
+// send sends a part to the next server and reports whether a server was available.
 func (m *Dispatcher) send(requesting *query, current *part, kind dispatch.SendKind) bool {
 	server, ok := m.chooseServer(requesting, current)
 	if !ok {
@@ -194,8 +198,9 @@
 	return true
 }
 
-// chooseServer picks the server by round robin, or the one that answers first, of
-// those that were not asked.
+// chooseServer chooses, among the available servers to which the part was not sent
+// yet, the next one by round robin or, with a LatencyOracle, the one that will
+// answer first. It returns false if there is none.
 func (m *Dispatcher) chooseServer(requesting *query, current *part) (policy.Server, bool) {
 	if current.attemptCount >= maxAttempts {
 		return policy.Server{}, false
--- a/lab/experiment/baseline/collect.go
+++ b/lab/experiment/baseline/collect.go
@@ -2,7 +2,8 @@
 
 import "github.com/banksail/banksail/dispatch"
 
-// endAttempt forgets an attempt; nil means that its query needs it no more.
+// endAttempt removes an attempt and returns it, or nil if it is unknown, its query
+// has finished or its part is closed.
 func (m *Dispatcher) endAttempt(id dispatch.AttemptID) *attempt {
 	ended := m.attempts[id]
 	if ended == nil {
@@ -64,8 +65,8 @@
 	}
 }
 
-// finish gives the final answer. A baseline doesn't cancel what it has sent;
-// servers drop what is past its deadline.
+// finish emits the final answer of a query. It does not cancel attempts that are
+// still pending; servers drop those whose deadline has passed.
 func (m *Dispatcher) finish(owner *query, reason dispatch.Reason) {
 	delete(m.queries, owner.ID)
 	outcome := dispatch.Outcome{Execution: dispatch.ExecutionDone, Reason: reason}
@@ -95,7 +96,7 @@
 	}})
 }
 
-// hedge sends a part again when it is still awaited.
+// hedge sends a part to another server if the part is still open.
 func (m *Dispatcher) hedge(owner *query, late *part) {
 	if m.queries[owner.ID] == owner && !late.closed {
 		m.send(owner, late, dispatch.HedgeSend)
--- a/lab/experiment/baseline/waiting.go
+++ b/lab/experiment/baseline/waiting.go
@@ -8,7 +8,8 @@
 	"github.com/banksail/banksail/dispatch"
 )
 
-// enqueue puts a query behind those of its class and of classes before it.
+// enqueue queues a query behind those of the same or more urgent classes, or refuses
+// it if the queue is full.
 func (m *Dispatcher) enqueue(arrived *query) {
 	if len(m.queue) >= m.options.QueueLimit {
 		m.refuse(arrived.ID, dispatch.ReasonQueueFull)
@@ -23,7 +24,8 @@
 	m.addTimer(timer{at: arrived.arrived + arrived.class.LongestWait.Duration(), query: arrived})
 }
 
-// startQueued starts queued queries while each group has a server below its limit.
+// startQueued starts queued queries while each group has an available server below
+// its in-flight limit.
 func (m *Dispatcher) startQueued() {
 	for len(m.queue) > 0 && m.canStart() {
 		next := m.queue[0]
@@ -49,7 +51,8 @@
 	return m.options.InFlightLimit > 0 && m.inFlight[server] >= m.options.InFlightLimit
 }
 
-// refuseQueued refuses a query that has waited too long; it tells whether it waited.
+// refuseQueued refuses a query that has waited for its class's longest wait. It
+// reports whether the query was still queued.
 func (m *Dispatcher) refuseQueued(late *query) bool {
 	for index, waiting := range m.queue {
 		if waiting == late {
@@ -61,7 +64,8 @@
 	return false
 }
 
-// timer is a moment at which a query, or one of its parts, must be looked at.
+// timer is due at a query's deadline, at the end of its longest wait in the queue or,
+// if part is set, when that part is to be hedged.
 type timer struct {
 	at       time.Duration
 	sequence int
@@ -126,7 +130,8 @@
 	m.emit(dispatch.SetTimer{At: m.timerAt})
 }
 
-// isObsolete tells whether a timer has nothing left to do.
+// isObsolete reports whether a timer would have no effect because its part is
+// closed or its query has finished.
 func (m *Dispatcher) isObsolete(planned timer) bool {
 	if planned.part != nil {
 		return planned.part.closed || m.queries[planned.query.ID] != planned.query
