--- a/dispatch/group.go
+++ b/dispatch/group.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// recordDemand tells the limiters of the group's servers that requests are waiting.
+// recordDemand informs the limiters of the group's servers that requests are waiting.
 func (g *group) recordDemand() {
 	for _, s := range g.servers {
 		s.limiter.RecordDemand()
--- a/front/doc.go
+++ b/front/doc.go
@@ -1,4 +1,4 @@
 // Package front assembles a node that serves callers directly: the gateway, the node's view of
-// servers and other nodes, the directory that tells callers where to connect, and graceful
+// servers and other nodes, the directory that directs callers to nodes, and graceful
 // shutdown.
 package front
--- a/front/node.go
+++ b/front/node.go
@@ -409,7 +409,7 @@
 }
 
 // maintenanceLoop maintains the connections to servers and checks the load and suspensions, once
-// per maintenanceInterval and when woken.
+// per maintenanceInterval and when signalled.
 func (f *Front) maintenanceLoop(ctx context.Context) {
 	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
--- a/routing/rollouts.go
+++ b/routing/rollouts.go
@@ -99,7 +99,7 @@
 // isCanaryCandidate reports whether an answer of the server would be evidence on its version: it
 // must be limited, reachable and warm, with free capacity.
 func (r *Router) isCanaryCandidate(s *service, srv *server, capacity int) bool {
-	reachable := srv.trafficMode == rollout.Limited && srv.acceptsWork() && !srv.unreachable && !srv.zone.cutOff
+	reachable := srv.trafficMode == rollout.Limited && srv.acceptsWork() && !srv.unreachable && !srv.zone.isolated
 	hasCapacity := srv.InFlight() < capacity && srv.Utilization(r.now, srv.Slots) < 1 && srv.ShedUntil() <= r.now
 	return reachable && hasCapacity && !srv.Cold(r.now) && r.coldLimitAllows(s, srv)
 }
--- a/routing/server.go
+++ b/routing/server.go
@@ -53,7 +53,7 @@
 func (s *server) ServerID() string { return s.ID }
 
 // isUsable reports whether this node may send new work to the server.
-func (s *server) isUsable() bool { return s.isEligible() && !s.unreachable && !s.zone.cutOff }
+func (s *server) isUsable() bool { return s.isEligible() && !s.unreachable && !s.zone.isolated }
 
 // isEligible reports whether a node that can reach the server may send new work to it.
 func (s *server) isEligible() bool { return s.acceptsWork() && s.trafficMode == rollout.Unrestricted }
--- a/routing/zone_reachability.go
+++ b/routing/zone_reachability.go
@@ -36,10 +36,10 @@
 	// is when the first of them was.
 	silent      map[*server]struct{}
 	silentSince time.Duration
-	// cutOff is set while none of the zone's servers can be reached. probes are the servers to
+	// isolated is set while none of the zone's servers can be reached. probes are the servers to
 	// which connections are tried meanwhile.
-	cutOff bool
-	probes []*server
+	isolated bool
+	probes   []*server
 }
 
 func (r *Router) ensureZone(name string) *zone {
@@ -64,10 +64,10 @@
 func (r *Router) recordZoneReply(z *zone) {
 	r.lastReplyAt = r.now
 	clear(z.silent)
-	if !z.cutOff {
+	if !z.isolated {
 		return
 	}
-	z.cutOff, z.probes = false, nil
+	z.isolated, z.probes = false, nil
 	r.dispatchAllQueued()
 	r.updateReachability()
 }
@@ -78,7 +78,7 @@
 func (r *Router) checkZone(z *zone, due time.Duration) {
 	delayed := r.now-due > maxTimerDelay
 	switch {
-	case z.cutOff || !r.enabled(mechanism.UnreachableZones):
+	case z.isolated || !r.enabled(mechanism.UnreachableZones):
 	case len(z.silent) >= minSilentServers && r.lastReplyAt > z.silentSince && !delayed:
 		r.markZoneUnreachable(z)
 	default:
@@ -90,7 +90,7 @@
 // markZoneUnreachable excludes a zone's servers until one of them can be reached. Repeatable
 // attempts in flight there are failed immediately, since a retry elsewhere may still be in time.
 func (r *Router) markZoneUnreachable(z *zone) {
-	z.cutOff = true
+	z.isolated = true
 	r.probeZone(z, slices.Collect(maps.Keys(z.silent)))
 	r.updateReachability()
 	for _, id := range slices.Sorted(maps.Keys(r.attempts)) {
@@ -122,7 +122,7 @@
 	for _, name := range slices.Sorted(maps.Keys(r.zones)) {
 		z := r.zones[name]
 		maps.DeleteFunc(z.silent, func(s *server, _ struct{}) bool { return s.removed })
-		if !z.cutOff || slices.ContainsFunc(z.probes, func(s *server) bool { return !s.removed }) {
+		if !z.isolated || slices.ContainsFunc(z.probes, func(s *server) bool { return !s.removed }) {
 			continue
 		}
 		var listed []*server
