--- a/lab/experiment/cluster/fault_run.go
+++ b/lab/experiment/cluster/fault_run.go
@@ -60,9 +60,9 @@
 
 // setCrashed stops a server or starts it again. Stopping it loses its running and
 // queued attempts.
-func (r *run) setCrashed(target *server, lost bool, lag time.Duration) {
-	target.crashed = lost
-	if lost {
+func (r *run) setCrashed(target *server, crashed bool, lag time.Duration) {
+	target.crashed = crashed
+	if crashed {
 		for _, failed := range append(append([]*attempt(nil), target.running...), target.queue...) {
 			if failed.state == attemptRunning {
 				r.endExecution(failed)
@@ -73,7 +73,7 @@
 		target.queue = nil
 		r.closeConnections(target)
 	}
-	r.announceState(target, stateOrLive(!lost, dispatch.ServerGone), lag)
+	r.announceState(target, stateOrLive(!crashed, dispatch.ServerGone), lag)
 }
 
 func (r *run) closeConnections(target *server) {
--- a/lab/experiment/cluster/result.go
+++ b/lab/experiment/cluster/result.go
@@ -128,11 +128,11 @@
 	return share(float64(r.AnsweredWork), float64(r.Capacity))
 }
 
-func share(part, whole float64) float64 {
-	if whole == 0 {
+func share(numerator, denominator float64) float64 {
+	if denominator == 0 {
 		return 0
 	}
-	return part / whole
+	return numerator / denominator
 }
 
 func (r *Result) recordArrival(fresh *query) {
--- a/lab/experiment/grid.go
+++ b/lab/experiment/grid.go
@@ -38,7 +38,7 @@
 	results  []*cluster.Result
 }
 
-// Run simulates the whole grid and returns its cells in the order of the file. If
+// Run simulates the grid and returns its cells in the order of the file. If
 // ctx is cancelled it starts no further simulations and returns ctx's error.
 func Run(ctx context.Context, file *File, options Options) ([]*Cell, error) {
 	cells := file.plan()
