--- a/cmd/banksailctl/story.go
+++ b/cmd/banksailctl/story.go
@@ -44,13 +44,13 @@
 		return e.reportFailure(fmt.Errorf("%w %s; a successful request is logged only if its ID is in the sample", errRequestNotLogged, id))
 	}
 	for _, line := range lines {
-		e.printStoryLine(line)
+		e.printLogLine(line)
 	}
 	return subcommands.ExitSuccess
 }
 
-// printStoryLine prints one log line and a table of the request's attempts, if the line has any.
-func (e *explainCommand) printStoryLine(line telemetry.RequestLogLine) {
+// printLogLine prints one log line and a table of the request's attempts, if the line has any.
+func (e *explainCommand) printLogLine(line telemetry.RequestLogLine) {
 	e.print("%s %s: %s\n", line.Time.Format("15:04:05"), line.Node, line.Message)
 	if line.Result == "" {
 		e.print("  status %d, because %s\n", line.Status, line.Reason)
--- a/quarantine/finding.go
+++ b/quarantine/finding.go
@@ -23,7 +23,7 @@
 	// Answered is set when a server has answered the request, which invalidates earlier crashes
 	// as evidence.
 	Answered bool
-	// Quarantined is set when the sending node refuses the request.
+	// Quarantined is set when the sending node rejects the request.
 	Quarantined bool
 	// Wide is set when the finding is sent to all nodes.
 	Wide bool
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -8,7 +8,7 @@
 )
 
 // fingerprintBytes is the length of a Fingerprint: long enough that it is infeasible to construct a
-// request with the fingerprint of another request in order to get that one refused.
+// request with the fingerprint of another request in order to get that one rejected.
 const fingerprintBytes = 16
 
 // Fingerprint is a hash of a request's method, host, target and complete body. Other header
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -274,7 +274,7 @@
 	return tracker, finding
 }
 
-// While the outcome of a fan-out that crashes servers is pending, all nodes refuse the request:
+// While the outcome of a fan-out that crashes servers is pending, all nodes reject the request:
 // otherwise each node would send it alone and crash one more server. Afterwards it is sent to a
 // single server.
 func TestFanOutIsHeldUntilItsOutcome(t *testing.T) {
--- a/routing/caller_timeouts_test.go
+++ b/routing/caller_timeouts_test.go
@@ -7,7 +7,7 @@
 )
 
 // Callers that were rejected or lost their connection retry with a shorter timeout. They must be
-// told apart from first attempts, even if a few callers declare arbitrary timeouts.
+// distinguished from first attempts, even if a few callers declare arbitrary timeouts.
 func TestDetectsRetryingCallers(t *testing.T) {
 	const (
 		deadline = 3 * time.Second
