--- a/bench/regression.sh
+++ b/bench/regression.sh
@@ -1,8 +1,11 @@
 #!/usr/bin/env bash
 # Scores the deployments that guard against regressions, one after the other, and prints
-# each score with its gate: by default the largest and the one whose work has shifted.
+# each score with its gate. By default these are the largest deployment and the one whose
+# workload has shifted.
 # Usage: FLEETBENCH=path bench/regression.sh FOLDER [SITE...]
-# FOLDER holds the users' deployments; SITE is a path below it without .toml.
+# FOLDER holds the users' deployments; SITE is a path relative to it, without .toml.
+# Environment: FLEETBENCH is the path of the benchmark program; JOBS limits the runs in
+# parallel; WHY is the reason recorded with the score.
 set -euo pipefail
 : "${FLEETBENCH:?must name the bench}"
 folder=$1
